--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -14,7 +14,7 @@
 use serde_json::{Map, Value, json};
 use wrenthread::interface::{Came, Decision, FurtherTries, Listed, Met, Phase, ReplicaId};
 use wrenthread::rules::Governor;
-use wrenthread_info::Fields;
+use wrenthread_deployment_config::Fields;
 
 /// The table number that stands for all joined proxies in `admit`.
 const EVERY_TABLE: u64 = 65535;
@@ -97,7 +97,8 @@
         let id = fields.whole("governor_id")?;
         if name == "init" {
             let info = fields.part("info");
-            self.governors.insert(id, Governor::new(wrenthread_info::read(&info)?.settings, now));
+            self.governors
+                .insert(id, Governor::new(wrenthread_deployment_config::read(&info)?.settings, now));
             self.touched.insert(id);
             self.unsubscribed.remove(&id);
             if info.word("membership_mode") == "subscribe" {
--- a/crates/client/src/poll.rs
+++ b/crates/client/src/poll.rs
@@ -6,10 +6,10 @@
 
 use reqwest::{Client, RequestBuilder, StatusCode};
 use wrenthread_core::versions::hex;
-use wrenthread_poll::forms::{
+use wrenthread_long_poll::forms::{
     JoinAsked, JoinTold, MetTold, ReportAsked, ReportTold, StandingLine, TablesTold, Terms, Trouble,
 };
-use wrenthread_poll::service::CBOR;
+use wrenthread_long_poll::service::CBOR;
 
 use crate::keeper::{Keeper, Stats};
 use crate::{Error, Ordered, Watch, Who};
--- a/crates/daemon/src/host.rs
+++ b/crates/daemon/src/host.rs
@@ -18,10 +18,10 @@
 use wrenthread_core::snapshot::Knowledge;
 use wrenthread_core::takeover::{self, Key};
 use wrenthread_core::versions;
-use wrenthread_poll::forms::{JoinTold, ReportTold, TablesTold, Terms, digest_of, tries_word};
-use wrenthread_poll::polls::{Due, Polls, Told};
-use wrenthread_poll::service as poll;
-use wrenthread_talk::{Note as TalkNote, Step as TalkStep, Talk};
+use wrenthread_long_poll::forms::{JoinTold, ReportTold, TablesTold, Terms, digest_of, tries_word};
+use wrenthread_long_poll::polls::{Due, Polls, Told};
+use wrenthread_long_poll::service as poll;
+use wrenthread_membership::{Note as TalkNote, Step as TalkStep, Talk};
 use wrenthread_xds::pb::envoy::admin::v3::ClientResourceStatus;
 use wrenthread_xds::pb::envoy::config::core::v3::{Locality, Node};
 use wrenthread_xds::pb::envoy::service::status::v3::client_config::GenericXdsConfig;
@@ -413,9 +413,9 @@
         now: Duration,
         session: u64,
         proxy: &str,
-        asked: wrenthread_poll::forms::JoinAsked,
+        asked: wrenthread_long_poll::forms::JoinAsked,
     ) -> Result<JoinTold, poll::Refusal> {
-        let unclear = |error: wrenthread_poll::forms::Unclear| poll::Refusal::Unclear(error.to_string());
+        let unclear = |error: wrenthread_long_poll::forms::Unclear| poll::Refusal::Unclear(error.to_string());
         let mut join = self.terms.join(proxy, asked, self.usual).map_err(unclear)?;
         join.proven = self.proven(proxy, join.claim.as_deref());
         let joined = self.engine.joined(now, session, &join).map_err(|refused| match refused {
@@ -441,7 +441,7 @@
     ) {
         // A version of another life is none of this one's, but its content may be the same.
         let held = held.map(|(version, digest)| {
-            Ok::<_, wrenthread_poll::forms::Unclear>((
+            Ok::<_, wrenthread_long_poll::forms::Unclear>((
                 self.terms.number(&version)?.unwrap_or(0),
                 digest_of(&digest)?,
             ))
@@ -480,7 +480,7 @@
         now: Duration,
         session: u64,
         number: u64,
-        report: &wrenthread_poll::forms::ReportAsked,
+        report: &wrenthread_long_poll::forms::ReportAsked,
     ) -> Result<ReportTold, poll::Refusal> {
         let read = self.terms.report(report).map_err(|error| poll::Refusal::Unclear(error.to_string()))?;
         let name = self.polls.name(session).cloned().ok_or(poll::Refusal::NoSession)?;
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -1,5 +1,5 @@
 //! `wrenthread node`: sockets, files and signals of one governor by the platform's protocol. What they bring
-//! goes to the state machine in `wrenthread-node`, and what that says is done.
+//! goes to the state machine in `wrenthread-platform-governor`, and what that says is done.
 
 pub mod config;
 mod connection;
@@ -16,8 +16,8 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 use wrenthread_discovery::watch::{self, Object, Subscriber};
-use wrenthread_lines::decode::Decoder;
-use wrenthread_node::{Node, Output};
+use wrenthread_platform_governor::{Node, Output};
+use wrenthread_platform_protocol::decode::Decoder;
 
 use crate::clock::Clock;
 use config::{Config, Variables};
--- a/crates/daemon/src/node/config.rs
+++ b/crates/daemon/src/node/config.rs
@@ -5,7 +5,7 @@
 
 use serde_json::Value;
 use thiserror::Error;
-use wrenthread_info::{Fields, Info};
+use wrenthread_deployment_config::{Fields, Info};
 
 /// What keeps a governor from starting, or a new configuration from taking effect.
 #[derive(Debug, Error)]
@@ -85,7 +85,7 @@
         };
         let settings = whole.get("settings").and_then(Value::as_object);
         let settings = Fields(settings.ok_or("`settings` is no object")?);
-        let info = wrenthread_info::read(&settings)?;
+        let info = wrenthread_deployment_config::read(&settings)?;
         // Where the simulator tells of no number there is one proxy; here it would be ready and serve nobody.
         if settings.part("extra").get("agents").is_none() || info.settings.proxies == 0 {
             return Err("`settings.extra.agents` is missing or 0: no proxy could join".into());
--- a/crates/daemon/src/node/connection.rs
+++ b/crates/daemon/src/node/connection.rs
@@ -16,9 +16,9 @@
 use tokio::task::{AbortHandle, spawn_local, yield_now};
 use tokio::time::{Instant, sleep, sleep_until};
 use wrenthread::interface::{Came, ProxyId, ReplicaId};
-use wrenthread_lines::decode::{Decoder, Fault, Message};
-use wrenthread_lines::frames::Frames;
-use wrenthread_node::Joining;
+use wrenthread_platform_governor::Joining;
+use wrenthread_platform_protocol::decode::{Decoder, Fault, Message};
+use wrenthread_platform_protocol::frames::Frames;
 
 /// What a connection has to say who it is; it may be closed then.
 const IDENTIFY_WITHIN: Duration = Duration::from_millis(1000);
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -13,8 +13,8 @@
 use wrenthread_core::roster::Entry;
 use wrenthread_core::snapshot::Item;
 use wrenthread_core::takeover::Key;
+use wrenthread_membership::{Talk, Terms};
 use wrenthread_settings::{PathRoute, RosterSource, Route, Settings};
-use wrenthread_talk::{Talk, Terms};
 use wrenthread_xds::service::Front;
 use wrenthread_xds::{Wire, WireGroup, upstream};
 
@@ -174,7 +174,7 @@
         None => None,
         Some(at) => {
             let listener = TcpListener::bind(at).await.with_context(|| format!("long-poll on {at}"))?;
-            let router = wrenthread_poll::service::router(questions, WAIT_MOST);
+            let router = wrenthread_long_poll::service::router(questions, WAIT_MOST);
             Some(tokio::task::spawn_local(async move { axum::serve(listener, router).await }))
         }
     };
--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -11,8 +11,8 @@
 use serde_json::{Value, json};
 use tokio::sync::{mpsc, watch};
 use wrenthread_core::snapshot::{self, Item, Knowledge, Recalled};
-use wrenthread_store::disk::{Error, Folder};
-use wrenthread_store::{Change, Found, Store};
+use wrenthread_durable_store::disk::{Error, Folder};
+use wrenthread_durable_store::{Change, Found, Store};
 
 /// How often it is said that all still holds: ages are reckoned from the last time.
 const ALIVE_EVERY: Duration = Duration::from_secs(1);
@@ -78,7 +78,7 @@
             return bare;
         }
     };
-    let (epoch, lost) = wrenthread_store::epoch(&mut disk, micros, chance());
+    let (epoch, lost) = wrenthread_durable_store::epoch(&mut disk, micros, chance());
     if let Some(why) = lost {
         tracing::error!(why, "this life's number could not be reserved");
     }
@@ -222,7 +222,7 @@
 fn look(folder: &Path) -> Result<Found> {
     let mut found = Found::default();
     for _ in 0..5 {
-        found = wrenthread_store::read(&mut Folder::look(folder))
+        found = wrenthread_durable_store::read(&mut Folder::look(folder))
             .with_context(|| folder.display().to_string())?;
         if found.losses.is_empty() {
             break;
--- a/crates/daemon/src/talk.rs
+++ b/crates/daemon/src/talk.rs
@@ -9,9 +9,9 @@
 use tokio::sync::mpsc;
 use wrenthread::interface::ProxyId;
 use wrenthread_core::engine::{Engine, Handed};
-use wrenthread_poll::forms::{ReportAsked, TablesTold, Terms};
-use wrenthread_talk::handover::Ahead;
-use wrenthread_talk::words::MOST_BYTES;
+use wrenthread_long_poll::forms::{ReportAsked, TablesTold, Terms};
+use wrenthread_membership::handover::Ahead;
+use wrenthread_membership::words::MOST_BYTES;
 
 /// A report older than this says nothing of the present, wherever it was heard.
 const FRESH: Duration = Duration::from_secs(5);
--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -117,7 +117,8 @@
 
 impl Node {
     fn start(name: &str) -> Node {
-        let folder = std::env::temp_dir().join(format!("wrenthread-node-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("wrenthread-platform-governor-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let (told, listen) = (Told::default(), format!("127.0.0.1:{}", common::port()));
         let discovery = agent(told.clone());
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
-use wrenthread_lines::frames::{Frames, TooLong};
+use wrenthread_platform_protocol::frames::{Frames, TooLong};
 
 /// Dialling is to a neighbour on the same machine: what takes longer does not come up.
 const DIAL: Duration = Duration::from_millis(400);
--- a/crates/store/benches/store.rs
+++ b/crates/durable-store/benches/store.rs
@@ -1,12 +1,12 @@
 //! What a write costs that lasts, against the registry's `redb`, in one run on one folder; and an opening of
-//! what is there. `cargo bench -p wrenthread-store --bench store`
+//! what is there. `cargo bench -p wrenthread-durable-store --bench store`
 
 use std::path::Path;
 use std::time::Instant;
 
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
-use wrenthread_store::disk::Folder;
-use wrenthread_store::{Change, Store};
+use wrenthread_durable_store::disk::Folder;
+use wrenthread_durable_store::{Change, Store};
 
 const TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("entries");
 const WRITES: usize = 300;
@@ -35,7 +35,7 @@
 }
 
 fn main() {
-    let folder = std::env::temp_dir().join(format!("wrenthread-store-bench-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("wrenthread-durable-store-bench-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     for (entries, bytes) in [(5, 600), (50, 1200)] {
         let (ours, theirs) = (folder.join(format!("ours-{entries}")), folder.join(format!("redb-{entries}")));
@@ -61,7 +61,7 @@
         }
         drop((store, database));
         let began = Instant::now();
-        let found = wrenthread_store::read(&mut Folder::look(&ours)).expect("ours");
+        let found = wrenthread_durable_store::read(&mut Folder::look(&ours)).expect("ours");
         let opened = ms(began);
         let began = Instant::now();
         let database = Database::open(&theirs).expect("theirs");
--- a/crates/store/src/lib.rs
+++ b/crates/durable-store/src/lib.rs
@@ -6,7 +6,7 @@
 //! `docs/design/state.md`.
 //!
 //! ```
-//! use wrenthread_store::{Store, disk::Memory};
+//! use wrenthread_durable_store::{Store, disk::Memory};
 //!
 //! let disk = Memory::default();
 //! let (mut store, found) = Store::open(disk.clone()).unwrap();
--- a/crates/store/src/tests.rs
+++ b/crates/durable-store/src/tests.rs
@@ -187,7 +187,7 @@
 #[test]
 fn a_folder_is_one_process_s_and_its_owners_alone() {
     use std::os::unix::fs::PermissionsExt;
-    let path = std::env::temp_dir().join(format!("wrenthread-store-{}", std::process::id()));
+    let path = std::env::temp_dir().join(format!("wrenthread-durable-store-{}", std::process::id()));
     let (mut store, _) = Store::open(Folder::take(&path).unwrap()).unwrap();
     store.write(&[put("a", "b")]).unwrap();
     store.write(&[put("c", "d")]).unwrap();
--- a/crates/store/tests/lives.rs
+++ b/crates/durable-store/tests/lives.rs
@@ -10,8 +10,8 @@
 use wrenthread_core::overrides::What;
 use wrenthread_core::roster::Entry;
 use wrenthread_core::snapshot::{self, Item, Knowledge};
-use wrenthread_store::disk::{Fault, Leaves, Memory};
-use wrenthread_store::{Change, Store, epoch};
+use wrenthread_durable_store::disk::{Fault, Leaves, Memory};
+use wrenthread_durable_store::{Change, Store, epoch};
 
 const REPLICAS: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 const PROXIES: usize = 4;
--- a/crates/talk/benches/gossip.rs
+++ b/crates/membership/benches/gossip.rs
@@ -6,9 +6,9 @@
 
 use net::Net;
 use wrenthread_core::takeover::ranking;
-use wrenthread_talk::Note;
-use wrenthread_talk::sharing::assign;
-use wrenthread_talk::words::Standing;
+use wrenthread_membership::Note;
+use wrenthread_membership::sharing::assign;
+use wrenthread_membership::words::Standing;
 
 /// Whom each proxy is with, by a seeded chance.
 fn by_chance(proxies: usize, among: &[usize], seed: u64) -> Vec<usize> {
--- a/crates/talk/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -11,7 +11,7 @@
 //! ```
 //! use std::time::Duration;
 //! use wrenthread_core::takeover::Key;
-//! use wrenthread_talk::{Step, Talk, Terms};
+//! use wrenthread_membership::{Step, Talk, Terms};
 //!
 //! let key = Key::new("k", &[7; 32]).unwrap();
 //! let at = |n: u16| std::net::SocketAddr::from(([127, 0, 0, 1], n));
--- a/crates/talk/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use wrenthread_core::takeover::{Dialer, Fence};
-use wrenthread_talk::handover::{Handover, Out};
-use wrenthread_talk::words::Body;
+use wrenthread_membership::handover::{Handover, Out};
+use wrenthread_membership::words::Body;
 
 const NAMES: [&str; 2] = ["g0", "g1"];
 const NOW: Duration = Duration::ZERO;
--- a/crates/talk/tests/net/mod.rs
+++ b/crates/membership/tests/net/mod.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use wrenthread_core::takeover::Key;
-use wrenthread_talk::handover::Ahead;
-use wrenthread_talk::{Note, Step, Talk, Terms};
+use wrenthread_membership::handover::Ahead;
+use wrenthread_membership::{Note, Step, Talk, Terms};
 
 pub const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
--- a/crates/node/src/lib.rs
+++ b/crates/platform-governor/src/lib.rs
@@ -17,9 +17,9 @@
 use serde_json::Value;
 use wrenthread::interface::{Beliefs, Decision, ProxyId, ReplicaId};
 use wrenthread::rules::Governor;
-use wrenthread_info::Info;
-use wrenthread_lines::decode::Message;
-use wrenthread_lines::outbox::Outbox;
+use wrenthread_deployment_config::Info;
+use wrenthread_platform_protocol::decode::Message;
+use wrenthread_platform_protocol::outbox::Outbox;
 
 use list::{Change, Fault, List};
 
--- a/crates/lines/src/decode.rs
+++ b/crates/platform-protocol/src/decode.rs
@@ -6,7 +6,7 @@
 use serde_json::{Map, Value};
 use thiserror::Error;
 use wrenthread::interface::{Came, Met, ProxyId, ReplicaId};
-use wrenthread_info::Info;
+use wrenthread_deployment_config::Info;
 
 /// What one message says.
 #[derive(Debug, Clone, PartialEq)]
@@ -204,7 +204,10 @@
             "extra": {"agents": 20}, "zones": ["a", "b"], "report": {"fields": ["queue", "latency_ms"]},
         });
         let info = info.as_object().expect("an object").clone();
-        Decoder::new(&wrenthread_info::read(&wrenthread_info::Fields(&info)).expect("it is whole"))
+        Decoder::new(
+            &wrenthread_deployment_config::read(&wrenthread_deployment_config::Fields(&info))
+                .expect("it is whole"),
+        )
     }
 
     fn read(text: &str) -> Result<Message, Fault> {
