--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 use serde_json::{Map, Value, json};
-use wrenthread::interface::{Came, Decision, FurtherTries, Listed, Met, Phase, ReplicaId};
 use wrenthread::rules::Governor;
+use wrenthread::types::{Came, Decision, FurtherTries, Listed, Met, Phase, ReplicaId};
 use wrenthread_deployment_config::Fields;
 
 /// The table number that stands for all joined proxies in `admit`.
--- a/crates/client/src/grpc.rs
+++ b/crates/client/src/grpc.rs
@@ -12,7 +12,7 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::Streaming;
 use tonic::transport::{Channel, Endpoint};
-use wrenthread::interface::FurtherTries;
+use wrenthread::types::FurtherTries;
 use wrenthread_xds::clients::ads::AggregatedDiscoveryServiceClient;
 use wrenthread_xds::clients::lrs::LoadReportingServiceClient;
 use wrenthread_xds::decode::{METADATA, host_port};
--- a/crates/client/src/keeper.rs
+++ b/crates/client/src/keeper.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wrenthread::interface::FurtherTries;
-use wrenthread_core::takeover::{Fence, Fenced};
-use wrenthread_core::versions::{self, Delta, Digest, MILLION, Mismatch, Said, Whole};
+use wrenthread::types::FurtherTries;
+use wrenthread_core::ownership::{Fence, Fenced};
+use wrenthread_core::table_versions::{self, Delta, Digest, MILLION, Mismatch, Said, Whole};
 
 /// Names are forgotten all at once beyond so many, and learnt anew from the next table.
 const MOST_NAMES: usize = 100_000;
@@ -193,7 +193,7 @@
     /// Errors: as [`Mismatch`]; what is held still counts, but the next question asks for the whole.
     pub fn tell_delta(&mut self, version: String, delta: &Delta) -> Result<(), Mismatch> {
         let held = self.held.as_ref().map_or([0; 32], |(_, digest)| *digest);
-        match versions::apply(&self.whole, held, delta) {
+        match table_versions::apply(&self.whole, held, delta) {
             Ok(whole) => {
                 self.tell_whole(version, whole);
                 Ok(())
@@ -348,12 +348,12 @@
     #[test]
     fn a_delta_that_does_not_come_out_leaves_what_is_held_and_asks_for_the_whole() {
         let mut keeper = keeper();
-        let line = versions::SaidLine { address: "c:1".into(), zone: 0, weight: 7 };
+        let line = table_versions::SaidLine { address: "c:1".into(), zone: 0, weight: 7 };
         let said =
             Said { lines: [("c".into(), line)].into(), level: MILLION, tries: FurtherTries::IfNeverRan };
         let whole = Whole { groups: vec![Some(said)] };
         keeper.tell_whole("e.1".into(), whole.clone());
-        let delta = versions::delta(&whole, whole.digest(), &Whole { groups: vec![None] }, [9; 32]);
+        let delta = table_versions::delta(&whole, whole.digest(), &Whole { groups: vec![None] }, [9; 32]);
         assert_eq!(keeper.tell_delta("e.2".into(), &delta), Err(Mismatch::Digest));
         assert!(keeper.held().is_none() && keeper.has_orders());
         assert_eq!(at(&mut keeper, 0, 0.5), Some("c:1".into()));
--- a/crates/client/src/poll.rs
+++ b/crates/client/src/poll.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use reqwest::{Client, RequestBuilder, StatusCode};
-use wrenthread_core::versions::hex;
-use wrenthread_long_poll::forms::{
+use wrenthread_core::table_versions::hex;
+use wrenthread_long_poll::messages::{
     JoinAsked, JoinTold, MetTold, ReportAsked, ReportTold, StandingLine, TablesTold, Terms, Trouble,
 };
 use wrenthread_long_poll::service::CBOR;
--- a/crates/client/tests/model.rs
+++ b/crates/client/tests/model.rs
@@ -6,14 +6,14 @@
 
 use proptest::prelude::*;
 use prost::Message;
-use wrenthread::interface::{Phase, ProxyId};
+use wrenthread::types::{Phase, ProxyId};
 use wrenthread_client::keeper::Keeper;
 use wrenthread_core::engine::{Engine, Setup, Step};
 use wrenthread_core::fleet::Join;
 use wrenthread_core::roster::Entry;
-use wrenthread_core::versions::Said;
-use wrenthread_long_poll::forms::Terms;
-use wrenthread_long_poll::polls::{Polls, Told};
+use wrenthread_core::table_versions::Said;
+use wrenthread_long_poll::messages::Terms;
+use wrenthread_long_poll::sessions::{Polls, Told};
 use wrenthread_xds::encode::Kind;
 use wrenthread_xds::pb::envoy::config::endpoint::v3::ClusterLoadAssignment;
 use wrenthread_xds::pb::envoy::config::endpoint::v3::lb_endpoint::HostIdentifier;
--- a/crates/core/benches/guard.rs
+++ b/crates/core/benches/guard.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use wrenthread::interface::Phase;
+use wrenthread::types::Phase;
 use wrenthread_core::engine::{Engine, Setup, Step};
 use wrenthread_core::fleet::Join;
 use wrenthread_core::roster::Entry;
--- a/crates/core/benches/restart.rs
+++ b/crates/core/benches/restart.rs
@@ -5,14 +5,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use wrenthread::interface::Phase;
+use wrenthread::types::Phase;
 use wrenthread_core::engine::{Engine, Setup, Step};
 use wrenthread_core::fleet::Join;
 use wrenthread_core::overrides::What;
 use wrenthread_core::reports::{AtReplica, Report};
 use wrenthread_core::roster::Entry;
 use wrenthread_core::snapshot::{self, Item, Knowledge};
-use wrenthread_core::versions::{Digest, Whole};
+use wrenthread_core::table_versions::{Digest, Whole};
 
 const REPLICAS: usize = 48;
 const GROUPS: usize = 3;
--- a/crates/core/src/standby.rs
+++ b/crates/core/src/backup_replicas.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use wrenthread::interface::Phase;
+use wrenthread::types::Phase;
 
 use crate::roster::Entry;
 
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -6,7 +6,7 @@
 //!
 //! ```
 //! use std::time::Duration;
-//! use wrenthread::interface::*;
+//! use wrenthread::types::*;
 //! use wrenthread_core::engine::{Engine, Setup, Step};
 //! use wrenthread_core::fleet::Join;
 //! use wrenthread_core::roster::Entry;
@@ -38,24 +38,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wrenthread::interface::{
+use wrenthread::rules::Governor;
+use wrenthread::types::{
     Decision, Effect, FurtherTries, Group, GroupSet, Met, Phase, ProxyId, ReplicaId, Settings, TableId,
 };
-use wrenthread::rules::Governor;
 
+use crate::backup_replicas::Standby;
 use crate::fleet::{Fleet, Join, Joined, Kind, Proxy, Refused, StreamId};
+use crate::frozen_tables::{self, Hold, LeftOut, Over};
 use crate::guard::{Change, Guard, Limits, Reason, Refusal};
 use crate::history::{History, Version};
-use crate::holds::{self, Hold, LeftOut, Over};
 use crate::overrides::{NoOverride, Override, Overrides, What as Overridden};
-use crate::pace::{Channel, Pace};
 use crate::recording::{self, Recording};
 use crate::reports::{Discarded, Report, Reports, Told};
 use crate::roster::{Entry, Known, Roster, Taken};
+use crate::send_limiter::{Channel, Pace};
 use crate::snapshot::{self, Item, Knowledge, Recalled};
-use crate::standby::Standby;
+use crate::table_versions::{Said, Whole};
 use crate::tables::{Kept, Table, Tables};
-use crate::versions::{Said, Whole};
 
 /// What an engine is told at its start.
 #[derive(Debug, Clone)]
@@ -74,7 +74,7 @@
 impl Setup {
     /// Plain settings with so many like groups, for examples and tests.
     pub fn example(groups: usize) -> Setup {
-        use wrenthread::interface::{LevelKind, LoadField};
+        use wrenthread::types::{LevelKind, LoadField};
         let group = Group {
             effect: Effect::NonRetriable,
             latency_budget: Duration::from_secs(1),
@@ -514,7 +514,7 @@
             );
         }
         for (name, group, hold) in self.holds().filter(|(.., hold)| !hold.handed) {
-            let line = |(id, line): (&ReplicaId, &crate::versions::SaidLine)| {
+            let line = |(id, line): (&ReplicaId, &crate::table_versions::SaidLine)| {
                 (id.clone(), line.address.clone(), line.zone, line.weight)
             };
             let item = snapshot::Hold {
@@ -597,7 +597,7 @@
             let withdrawn = |id: &ReplicaId| self.tables.is_withdrawn(id);
             // An operator's hold here goes before.
             if !self.holds.contains_key(&(number, group))
-                && holds::told(&hold, &present, &self.roster, withdrawn).0.is_some()
+                && frozen_tables::told(&hold, &present, &self.roster, withdrawn).0.is_some()
             {
                 self.holds.insert((number, group), hold);
                 kept += 1;
@@ -751,7 +751,7 @@
                 let hold = Hold { version, told_at, said, since: now, until, why, handed: false };
                 let present = self.present(number, group);
                 let (told, left_out) =
-                    holds::told(&hold, &present, &self.roster, |id| self.tables.is_withdrawn(id));
+                    frozen_tables::told(&hold, &present, &self.roster, |id| self.tables.is_withdrawn(id));
                 if told.is_none() {
                     rolled.bare += 1;
                     continue;
@@ -996,7 +996,7 @@
         }
     }
 
-    fn listed(&mut self, now: Duration, listed: &[wrenthread::interface::Listed]) {
+    fn listed(&mut self, now: Duration, listed: &[wrenthread::types::Listed]) {
         self.rules.listed(now, listed, true);
         self.recall_replicas(now);
         let tables = &self.tables;
@@ -1157,7 +1157,7 @@
             None => (wanted?, false),
             Some(hold) => {
                 let present = wanted.as_ref().unwrap_or(&nothing);
-                match holds::told(hold, present, &self.roster, |id| self.tables.is_withdrawn(id)) {
+                match frozen_tables::told(hold, present, &self.roster, |id| self.tables.is_withdrawn(id)) {
                     (Some(held), _) => (held, false),
                     (None, _) => (wanted.unwrap_or(nothing), true),
                 }
--- a/crates/core/src/engine/hostile.rs
+++ b/crates/core/src/engine/hostile.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 
 use super::*;
+use crate::fault_injection::{KINDS, Wrong, decider};
 use crate::guard::COLD_MARGIN;
 use crate::roster::Entry;
-use crate::suspect::{KINDS, Wrong, decider};
 
 const REPLICAS: [&str; 8] = ["a", "b", "c", "d", "e", "f", "g", "h"];
 /// It starts anew, cold, in the midst.
--- a/crates/core/src/engine/tests.rs
+++ b/crates/core/src/engine/tests.rs
@@ -353,12 +353,13 @@
 
 fn handed(lines: &[&str], told_at: Duration) -> Handed {
     let line = |id: &&str| {
-        let line = crate::versions::SaidLine { address: format!("{id}:1").into(), zone: 0, weight: 1000 };
+        let line =
+            crate::table_versions::SaidLine { address: format!("{id}:1").into(), zone: 0, weight: 1000 };
         (ReplicaId::from(*id), line)
     };
     let said = Said {
         lines: lines.iter().map(line).collect(),
-        level: crate::versions::MILLION,
+        level: crate::table_versions::MILLION,
         tries: FurtherTries::Never,
     };
     Handed { from: "g0".into(), whole: Whole { groups: vec![Some(said), None] }, told_at, report: None }
--- a/crates/core/src/suspect.rs
+++ b/crates/core/src/fault_injection.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use wrenthread::interface::{Decision, FurtherTries, ReplicaId, TableId};
+use wrenthread::types::{Decision, FurtherTries, ReplicaId, TableId};
 
 use crate::engine::Suspect;
 
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wrenthread::interface::{FurtherTries, ProxyId, ReplicaId, TableId};
+use wrenthread::types::{FurtherTries, ProxyId, ReplicaId, TableId};
 
 use crate::tables::Kept;
 
--- a/crates/core/src/holds.rs
+++ b/crates/core/src/frozen_tables.rs
@@ -8,11 +8,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wrenthread::interface::{Phase, ReplicaId};
+use wrenthread::types::{Phase, ReplicaId};
 
 use crate::roster::Roster;
+use crate::table_versions::Said;
 use crate::tables::{Line, Table};
-use crate::versions::Said;
 
 /// An earlier table of a proxy's group, in force until released.
 #[derive(Debug, Clone, PartialEq)]
@@ -123,8 +123,8 @@
 mod tests {
     use super::*;
     use crate::roster::Entry;
-    use crate::versions::{MILLION, SaidLine};
-    use wrenthread::interface::FurtherTries;
+    use crate::table_versions::{MILLION, SaidLine};
+    use wrenthread::types::FurtherTries;
 
     const fn s(seconds: u64) -> Duration {
         Duration::from_secs(seconds)
--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use wrenthread::interface::{FurtherTries, GroupSet, Phase, ProxyId, ReplicaId};
+use wrenthread::types::{FurtherTries, GroupSet, Phase, ProxyId, ReplicaId};
 
 use crate::roster::Roster;
 use crate::tables::{Line, Table};
--- a/crates/core/src/history.rs
+++ b/crates/core/src/history.rs
@@ -10,9 +10,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wrenthread::interface::ProxyId;
+use wrenthread::types::ProxyId;
 
-use crate::versions::{Digest, Whole};
+use crate::table_versions::{Digest, Whole};
 
 /// One version of one proxy.
 #[derive(Debug, Clone, PartialEq)]
@@ -109,8 +109,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::versions::{MILLION, Said, SaidLine};
-    use wrenthread::interface::FurtherTries;
+    use crate::table_versions::{MILLION, Said, SaidLine};
+    use wrenthread::types::FurtherTries;
 
     fn version(version: u64, lines: usize) -> Version {
         let line = |n: usize| {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -10,33 +10,33 @@
 //! | [`roster`] | the list of replicas, their starts and drains, and whether an empty list is believed |
 //! | [`fleet`] | who is joined under which number, what each holds, what is sent and not yet acknowledged |
 //! | [`snapshot`] | what is known beyond a governor's life, and how much of it counts |
-//! | [`standby`] | replicas that are on the list only while no other is ready |
+//! | [`backup_replicas`] | replicas that are on the list only while no other is ready |
 //! | [`tables`] | what the module's decisions make of each proxy's tables |
-//! | [`pace`] | which proxy may be written to next, and what waits |
+//! | [`send_limiter`] | which proxy may be written to next, and what waits |
 //! | [`reports`] | load reports, folded to what the module hears |
 //! | [`guard`] | what may not reach a proxy, whoever made it |
-//! | [`history`], [`versions`] | what was told, in versions, and the deltas between them |
-//! | [`holds`] | tables that operators stepped back to, or that another governor handed over |
+//! | [`history`], [`table_versions`] | what was told, in versions, and the deltas between them |
+//! | [`frozen_tables`] | tables that operators stepped back to, or that another governor handed over |
 //! | [`overrides`] | what operators say of a replica for a while |
 //! | [`recording`] | what was known at one moment, and tables tried against it |
-//! | [`takeover`] | whose care a proxy is in, where nobody can be asked |
+//! | [`ownership`] | whose care a proxy is in, where nobody can be asked |
 //! | [`weights`] | weights as whole numbers, without losing a line |
 
+pub mod backup_replicas;
 pub mod engine;
+#[cfg(any(test, feature = "suspect"))]
+pub mod fault_injection;
 pub mod fleet;
+pub mod frozen_tables;
 pub mod guard;
 pub mod history;
-pub mod holds;
 pub mod overrides;
-pub mod pace;
+pub mod ownership;
 pub mod recording;
 pub mod reports;
 pub mod roster;
+pub mod send_limiter;
 pub mod snapshot;
-pub mod standby;
-#[cfg(any(test, feature = "suspect"))]
-pub mod suspect;
+pub mod table_versions;
 pub mod tables;
-pub mod takeover;
-pub mod versions;
 pub mod weights;
--- a/crates/core/src/overrides.rs
+++ b/crates/core/src/overrides.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wrenthread::interface::ReplicaId;
+use wrenthread::types::ReplicaId;
 
 use crate::tables::Table;
 
--- a/crates/core/src/takeover.rs
+++ b/crates/core/src/ownership.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::versions::{hex, unhex};
+use crate::table_versions::{hex, unhex};
 
 /// The order in which a proxy dials governors: best first, by rendezvous hashing of both names. A dead
 /// governor's proxies spread evenly over the others, nobody else moves, and each comes home to the same one.
--- a/crates/core/src/recording.rs
+++ b/crates/core/src/recording.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
-use wrenthread::interface::{Phase, ProxyId, ReplicaId};
+use wrenthread::types::{Phase, ProxyId, ReplicaId};
 
 use crate::guard::{Change, Guard, Limits, Refusal};
 use crate::roster::{Entry, Roster};
--- a/crates/core/src/reports.rs
+++ b/crates/core/src/reports.rs
@@ -16,7 +16,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-use wrenthread::interface::{Came, Met, ProxyId, ReplicaId};
+use wrenthread::types::{Came, Met, ProxyId, ReplicaId};
 
 use crate::fleet::StreamId;
 
--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wrenthread::interface::{Listed, Phase, ReplicaId};
+use wrenthread::types::{Listed, Phase, ReplicaId};
 
 /// One replica, as its source names it.
 #[derive(Debug, Clone, PartialEq)]
@@ -23,7 +23,7 @@
     pub phase: Phase,
     /// When its process started, on the host's clock; none for long ago.
     pub started: Option<Duration>,
-    /// It is on the list only while no other is ready: [`crate::standby`].
+    /// It is on the list only while no other is ready: [`crate::backup_replicas`].
     pub backup: bool,
 }
 
--- a/crates/core/src/pace.rs
+++ b/crates/core/src/send_limiter.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use wrenthread::interface::ProxyId;
+use wrenthread::types::ProxyId;
 
 /// How much of a second's lines may go at once after a pause, so that a flush leaves in one go.
 const BURST: Duration = Duration::from_millis(250);
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -11,10 +11,10 @@
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
-use wrenthread::interface::{FurtherTries, ReplicaId};
+use wrenthread::types::{FurtherTries, ReplicaId};
 
+use crate::table_versions::{MILLION, Said, SaidLine};
 use crate::tables::{Line, Table};
-use crate::versions::{MILLION, Said, SaidLine};
 
 /// How long until knowledge counts half: of demand and of what was delivered; of withdrawals.
 pub const DEMAND: Duration = Duration::from_secs(60);
--- a/crates/core/src/versions.rs
+++ b/crates/core/src/table_versions.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use wrenthread::interface::{FurtherTries, ReplicaId};
+use wrenthread::types::{FurtherTries, ReplicaId};
 
 use crate::tables::Table;
 use crate::weights;
--- a/crates/core/src/tables.rs
+++ b/crates/core/src/tables.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use wrenthread::interface::{FurtherTries, GroupSet, ReplicaId, TableId};
+use wrenthread::types::{FurtherTries, GroupSet, ReplicaId, TableId};
 
 use crate::roster::Roster;
 
@@ -156,7 +156,7 @@
     use super::*;
     use crate::roster::Entry;
     use std::time::Duration;
-    use wrenthread::interface::Phase;
+    use wrenthread::types::Phase;
 
     fn roster(names: &[&str]) -> Roster {
         let mut roster = Roster::new(Duration::ZERO);
--- a/crates/daemon/benches/fronts.rs
+++ b/crates/daemon/benches/fronts.rs
@@ -15,7 +15,7 @@
 use tokio::task::LocalSet;
 use tokio_stream::StreamExt;
 use tokio_stream::wrappers::ReceiverStream;
-use wrenthread_long_poll::forms::{JoinAsked, JoinTold, TablesTold};
+use wrenthread_long_poll::messages::{JoinAsked, JoinTold, TablesTold};
 use wrenthread_xds::clients::ads::AggregatedDiscoveryServiceClient;
 use wrenthread_xds::encode::Kind;
 use wrenthread_xds::pb::envoy::config::core::v3::{Locality, Node};
--- a/crates/daemon/benches/scale.rs
+++ b/crates/daemon/benches/scale.rs
@@ -13,7 +13,7 @@
 use tokio::task::LocalSet;
 use tokio_stream::StreamExt;
 use tokio_stream::wrappers::ReceiverStream;
-use wrenthread::interface::Phase;
+use wrenthread::types::Phase;
 use wrenthread_core::engine::{Engine, Setup, Step};
 use wrenthread_core::fleet::Join;
 use wrenthread_core::roster::Entry;
--- a/crates/daemon/src/trial.rs
+++ b/crates/daemon/src/dry_run.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use wrenthread_core::recording::{Recording, Tried, Wanted};
 
-use crate::show;
+use crate::render;
 
 /// A recording of a file, or of the governor that answers at an address.
 ///
@@ -16,7 +16,7 @@
         let text = std::fs::read_to_string(against).with_context(|| format!("the recording {against}"))?;
         return serde_json::from_str(&text).with_context(|| format!("{against} is no recording"));
     }
-    let told = show::fetch(against, "/recording", None)
+    let told = render::fetch(against, "/recording", None)
         .with_context(|| format!("no file `{against}` is there to try against, nor a governor"))?;
     serde_json::from_value(told).with_context(|| format!("what {against} tells is no recording"))
 }
--- a/crates/daemon/src/export.rs
+++ b/crates/daemon/src/export.rs
@@ -21,7 +21,7 @@
 use wrenthread_client::{Ordered, Watch, Who, poll};
 use wrenthread_nginx::access_log::{self, Lines as LogLines};
 use wrenthread_nginx::blocks::{self, Lines, Tables};
-use wrenthread_nginx::pacer::Pacer;
+use wrenthread_nginx::write_debouncer::Pacer;
 use wrenthread_settings::{Nginx, Settings};
 
 /// How long until a governor is asked again that could not be had.
--- a/crates/daemon/src/host.rs
+++ b/crates/daemon/src/host.rs
@@ -8,19 +8,19 @@
 
 use serde_json::{Value, json};
 use tonic::Status;
-use wrenthread::interface::{Phase, ProxyId};
+use wrenthread::types::{Phase, ProxyId};
 use wrenthread_core::engine::{Engine, NoStepBack, Note, Scope, Setup, Step, What};
 use wrenthread_core::fleet::{self, Kind, Proxy, Refused};
 use wrenthread_core::guard::Refusal;
 use wrenthread_core::overrides::What as Overridden;
+use wrenthread_core::ownership::{self, Key};
 use wrenthread_core::recording::Recording;
 use wrenthread_core::roster::Entry;
 use wrenthread_core::snapshot::Knowledge;
-use wrenthread_core::takeover::{self, Key};
-use wrenthread_core::versions;
-use wrenthread_long_poll::forms::{JoinTold, ReportTold, TablesTold, Terms, digest_of, tries_word};
-use wrenthread_long_poll::polls::{Due, Polls, Told};
+use wrenthread_core::table_versions;
+use wrenthread_long_poll::messages::{JoinTold, ReportTold, TablesTold, Terms, digest_of, tries_word};
 use wrenthread_long_poll::service as poll;
+use wrenthread_long_poll::sessions::{Due, Polls, Told};
 use wrenthread_membership::{Note as TalkNote, Step as TalkStep, Talk};
 use wrenthread_xds::pb::envoy::admin::v3::ClientResourceStatus;
 use wrenthread_xds::pb::envoy::config::core::v3::{Locality, Node};
@@ -33,7 +33,7 @@
 use wrenthread_xds::session::{Heard, Request, Session, Standing};
 use wrenthread_xds::{GO_TO, Wire, decode, encode};
 
-use crate::talk;
+use crate::membership;
 
 /// The longest that a long-poll question waits.
 pub const WAIT_MOST: Duration = Duration::from_secs(60);
@@ -237,7 +237,7 @@
     /// orders is given a whole state by the module, so neither a stale claim nor a forged one brings old
     /// orders back.
     fn claimed(&mut self, now: Duration, proxy: &str, claim: Option<&str>) -> Option<String> {
-        match takeover::prove(&self.keys, proxy, claim?) {
+        match ownership::prove(&self.keys, proxy, claim?) {
             Ok(claim) if claim.governor == self.wire.governor && claim.epoch <= self.wire.epoch => {
                 Some(claim.governor)
             }
@@ -290,7 +290,7 @@
         if claimed.is_some_and(|governor| governor != ahead.from) {
             return tracing::info!(proxy = %name, from = ahead.from, "it has been elsewhere since");
         }
-        match talk::read(&self.terms, now, ahead) {
+        match membership::read(&self.terms, now, ahead) {
             Ok(handed) => {
                 let from = handed.from.clone();
                 let tables = self.engine.handed(now, number, handed);
@@ -413,9 +413,10 @@
         now: Duration,
         session: u64,
         proxy: &str,
-        asked: wrenthread_long_poll::forms::JoinAsked,
+        asked: wrenthread_long_poll::messages::JoinAsked,
     ) -> Result<JoinTold, poll::Refusal> {
-        let unclear = |error: wrenthread_long_poll::forms::Unclear| poll::Refusal::Unclear(error.to_string());
+        let unclear =
+            |error: wrenthread_long_poll::messages::Unclear| poll::Refusal::Unclear(error.to_string());
         let mut join = self.terms.join(proxy, asked, self.usual).map_err(unclear)?;
         join.proven = self.proven(proxy, join.claim.as_deref());
         let joined = self.engine.joined(now, session, &join).map_err(|refused| match refused {
@@ -441,7 +442,7 @@
     ) {
         // A version of another life is none of this one's, but its content may be the same.
         let held = held.map(|(version, digest)| {
-            Ok::<_, wrenthread_long_poll::forms::Unclear>((
+            Ok::<_, wrenthread_long_poll::messages::Unclear>((
                 self.terms.number(&version)?.unwrap_or(0),
                 digest_of(&digest)?,
             ))
@@ -480,7 +481,7 @@
         now: Duration,
         session: u64,
         number: u64,
-        report: &wrenthread_long_poll::forms::ReportAsked,
+        report: &wrenthread_long_poll::messages::ReportAsked,
     ) -> Result<ReportTold, poll::Refusal> {
         let read = self.terms.report(report).map_err(|error| poll::Refusal::Unclear(error.to_string()))?;
         let name = self.polls.name(session).cloned().ok_or(poll::Refusal::NoSession)?;
@@ -554,7 +555,8 @@
                 TalkStep::Send(at, datagram) => chore(Chore::Say(at, datagram)),
                 TalkStep::Gather { proxy, to } => {
                     let number = self.engine.fleet().named(&proxy).map(|(number, _)| number);
-                    let known = number.map(|number| talk::gather(&self.engine, &self.terms, now, number));
+                    let known =
+                        number.map(|number| membership::gather(&self.engine, &self.terms, now, number));
                     self.talk.offer(now, &proxy, &to, known.unwrap_or_default());
                 }
                 TalkStep::Move { proxy, to } => self.send_on(now, &proxy, to),
@@ -894,7 +896,7 @@
 
     /// The life and version that a proxy's word proves to be this governor's, whichever life of it.
     fn proven(&self, proxy: &str, claim: Option<&str>) -> Option<(u64, u64)> {
-        let claim = takeover::prove(&self.keys, proxy, claim?).ok()?;
+        let claim = ownership::prove(&self.keys, proxy, claim?).ok()?;
         (claim.governor == self.wire.governor).then_some((claim.epoch, claim.version))
     }
 
@@ -919,7 +921,7 @@
             .map(|one| {
                 json!({
                     "version": one.version, "age_s": now.saturating_sub(one.at).as_secs_f64(),
-                    "lines": one.whole.lines(), "digest": versions::hex(&one.digest)[..16],
+                    "lines": one.whole.lines(), "digest": table_versions::hex(&one.digest)[..16],
                     "acked": one.version <= proxy.acked,
                 })
             })
@@ -936,7 +938,7 @@
             of.ok_or_else(|| format!("of `{name}` nothing as old as version {version} is kept"))
         };
         let (from, to) = (of(one)?, of(other)?);
-        let delta = versions::delta(&from.whole, from.digest, &to.whole, to.digest);
+        let delta = table_versions::delta(&from.whole, from.digest, &to.whole, to.digest);
         let told = self.terms.delta(to.version, &delta);
         let groups = serde_json::to_value(&told.groups).map_err(|error| error.to_string())?;
         Ok(json!({"name": name, "from": from.version, "to": to.version, "groups": groups}))
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,17 +1,17 @@
 //! `wrenthread`: a control service that hands weights to plain proxies.
 
 mod clock;
+mod dry_run;
 mod export;
 mod host;
 mod http;
+mod membership;
 mod nginx;
-mod node;
+mod platform;
+mod render;
 mod roster_file;
 mod run;
-mod show;
 mod state;
-mod talk;
-mod trial;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -91,7 +91,7 @@
         let asked = serde_json::json!({
             "replica": replica, "weight": weight, "why": self.why, "for_s": self.lasts, "undo": self.undo,
         });
-        let told = show::fetch(&self.at, "/override", Some(&asked))?;
+        let told = render::fetch(&self.at, "/override", Some(&asked))?;
         match (told["ended"].as_bool(), told["refused"].as_u64()) {
             (Some(false), _) => println!("nothing was said of {replica}"),
             (Some(true), _) => println!("{replica} is as the module has it again"),
@@ -201,7 +201,7 @@
     fn carry_out(self) -> Result<()> {
         let settings = run::load(&self.settings)?;
         if let Some(proxy) = &self.print {
-            let tables = show::fetch(&settings.http.to_string(), &format!("/tables/{proxy}"), None)?;
+            let tables = render::fetch(&settings.http.to_string(), &format!("/tables/{proxy}"), None)?;
             print!("{}", export::print(&tables)?);
             return Ok(());
         }
@@ -514,10 +514,10 @@
         Command::Run { settings } => run::run(&settings, &[])?,
         #[cfg(feature = "suspect")]
         Command::Run { settings, suspect } => run::run(&settings, &suspect)?,
-        Command::Node => node::run()?,
+        Command::Node => platform::run()?,
         Command::Check { settings, output } => {
             let settings = run::load(&settings)?;
-            let text = show::settings(&settings)?;
+            let text = render::settings(&settings)?;
             print(output, &serde_json::to_value(&settings)?, || text);
         }
         Command::ReadSettings { settings } => {
@@ -525,64 +525,64 @@
             println!("{}", serde_json::to_string(&wrenthread_settings::load(&settings))?);
         }
         Command::Status { at, governors: true, output } => {
-            let seen = show::fetch(&at, "/governors", None)?;
-            print(output, &seen, || show::governors(&seen));
+            let seen = render::fetch(&at, "/governors", None)?;
+            print(output, &seen, || render::governors(&seen));
         }
         Command::Why { name, at, output } => {
-            let why = show::fetch(&at, &format!("/why/{name}"), None)?;
-            print(output, &why, || show::why(&why));
+            let why = render::fetch(&at, &format!("/why/{name}"), None)?;
+            print(output, &why, || render::why(&why));
         }
-        Command::DrainGovernor { at, wait, undo } => show::drain(&at, wait, undo)?,
+        Command::DrainGovernor { at, wait, undo } => render::drain(&at, wait, undo)?,
         Command::Status { at, governors: false, output } => {
-            let status = show::fetch(&at, "/status", None)?;
-            print(output, &status, || show::status(&status));
+            let status = render::fetch(&at, "/status", None)?;
+            print(output, &status, || render::status(&status));
         }
         Command::Tables { proxy, what, at, output } => {
             if let Some(Versions::Check { file, against }) = what {
-                let would = trial::tried(&file, proxy.as_deref(), against.as_deref().unwrap_or(&at))?;
-                print(output, &would, || show::would(&would));
+                let would = dry_run::tried(&file, proxy.as_deref(), against.as_deref().unwrap_or(&at))?;
+                print(output, &would, || render::would(&would));
                 if would["refused"].as_array().is_none_or(|refused| !refused.is_empty()) {
                     return Ok(ExitCode::from(3));
                 }
                 return Ok(ExitCode::SUCCESS);
             }
             let proxy = proxy.context("whose tables? `wrenthread tables PROXY`")?;
-            let fetch = |more: &str| show::fetch(&at, &format!("/tables/{proxy}{more}"), None);
+            let fetch = |more: &str| render::fetch(&at, &format!("/tables/{proxy}{more}"), None);
             match what {
                 Some(Versions::History) => {
                     let history = fetch("/history")?;
-                    print(output, &history, || show::history(&history));
+                    print(output, &history, || render::history(&history));
                 }
                 Some(Versions::Diff { one, other }) => {
                     let diff = fetch(&format!("/diff/{one}/{other}"))?;
-                    print(output, &diff, || show::diff(&diff));
+                    print(output, &diff, || render::diff(&diff));
                 }
                 Some(Versions::Check { .. }) | None => {
                     let tables = fetch("")?;
-                    print(output, &tables, || show::tables(&tables));
+                    print(output, &tables, || render::tables(&tables));
                 }
             }
         }
         Command::Record { at } => {
-            println!("{}", show::fetch(&at, "/recording", None)?);
+            println!("{}", render::fetch(&at, "/recording", None)?);
         }
         Command::Rollback { version, scope, why, lasts, at, output } => {
             let mut asked = scope.said();
             (asked["version"], asked["why"], asked["for_s"]) = (version.into(), why.into(), lasts.into());
-            let rolled = show::fetch(&at, "/rollback", Some(&asked))?;
-            print(output, &rolled, || show::rolled(&rolled));
+            let rolled = render::fetch(&at, "/rollback", Some(&asked))?;
+            print(output, &rolled, || render::rolled(&rolled));
         }
         Command::Pin { scope, why, lasts, at } => {
-            let status = show::fetch(&at, "/status", None)?;
+            let status = render::fetch(&at, "/status", None)?;
             let mut asked = scope.said();
             asked["version"] = status["governor"]["version"].clone();
             (asked["why"], asked["for_s"]) = (why.into(), lasts.into());
-            print!("{}", show::rolled(&show::fetch(&at, "/rollback", Some(&asked))?));
+            print!("{}", render::rolled(&render::fetch(&at, "/rollback", Some(&asked))?));
         }
         Command::Exclude { replica, said } => said.say(&replica, None)?,
         Command::Weight { replica, factor, said } => said.say(&replica, Some(factor))?,
         Command::Release { scope, at } => {
-            let released = show::fetch(&at, "/release", Some(&scope.said()))?;
+            let released = render::fetch(&at, "/release", Some(&scope.said()))?;
             println!("{} tables are released", released["released"]);
         }
         Command::Import { from: Source::Nginx(nginx) } => return nginx.carry_out(),
@@ -634,7 +634,7 @@
         Err(error) => {
             eprintln!("wrenthread: {error:#}");
             let settings = error.downcast_ref::<wrenthread_settings::Faults>().is_some();
-            let told = error.downcast_ref::<node::config::Fault>().is_some();
+            let told = error.downcast_ref::<platform::config::Fault>().is_some();
             if settings || told { ExitCode::from(2) } else { ExitCode::FAILURE }
         }
     }
--- a/crates/daemon/src/talk.rs
+++ b/crates/daemon/src/membership.rs
@@ -7,11 +7,11 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
-use wrenthread::interface::ProxyId;
+use wrenthread::types::ProxyId;
 use wrenthread_core::engine::{Engine, Handed};
-use wrenthread_long_poll::forms::{ReportAsked, TablesTold, Terms};
-use wrenthread_membership::handover::Ahead;
-use wrenthread_membership::words::MOST_BYTES;
+use wrenthread_long_poll::messages::{ReportAsked, TablesTold, Terms};
+use wrenthread_membership::messages::MOST_BYTES;
+use wrenthread_membership::migration::Ahead;
 
 /// A report older than this says nothing of the present, wherever it was heard.
 const FRESH: Duration = Duration::from_secs(5);
--- a/crates/daemon/src/nginx.rs
+++ b/crates/daemon/src/nginx.rs
@@ -7,13 +7,13 @@
 use anyhow::{Context, Result, bail};
 use serde_json::{Value, json};
 use wrenthread_nginx::difference::{self, Known};
-use wrenthread_nginx::fates::{self, Outcome};
+use wrenthread_nginx::directive_support::{self, Outcome};
 use wrenthread_nginx::files::{self, Disk, Whole};
 use wrenthread_nginx::fleet::{self, Fleet, Imported, Zones};
 use wrenthread_nginx::write::{self, Terms};
 use wrenthread_settings::{PathRoute, Route};
 
-use crate::{show, trial};
+use crate::{dry_run, render};
 
 /// An import: the configuration as it was read, and what it came to.
 pub struct Import {
@@ -100,7 +100,7 @@
                 ]
             })
             .collect();
-        let mut text = show::columns(&["fleet", "groups", "ready", "zones", "from"], &rows);
+        let mut text = render::columns(&["fleet", "groups", "ready", "zones", "from"], &rows);
         let told = account.told(&self.whole);
         let rows: Vec<Vec<String>> = told
             .iter()
@@ -116,7 +116,7 @@
             })
             .collect();
         if !rows.is_empty() {
-            text += &format!("\n{}", show::columns(&["at", "directive", "outcome", "why"], &rows));
+            text += &format!("\n{}", render::columns(&["at", "directive", "outcome", "why"], &rows));
         }
         let tally = account.tally();
         let count = |outcome| tally.get(&outcome).copied().unwrap_or(0);
@@ -139,7 +139,7 @@
         let folder = Path::new(against);
         let mut all = Vec::new();
         if !folder.is_dir() {
-            let recording = trial::recording(against)?;
+            let recording = dry_run::recording(against)?;
             let known = running(&recording);
             // A governor runs one of the fleets: the one with most of its groups and replicas.
             let shared = |fleet: &&Fleet| {
@@ -257,7 +257,7 @@
     }
     match rows.is_empty() {
         true => "nothing differs\n".to_string(),
-        false => show::columns(&["fleet", "kind", "name", "what", "from", "to"], &rows),
+        false => render::columns(&["fleet", "kind", "name", "what", "from", "to"], &rows),
     }
 }
 
@@ -265,7 +265,7 @@
 ///
 /// Errors: it is not known.
 pub fn explain(name: &str) -> Result<(Value, String)> {
-    let Some(rule) = fates::explain(name) else {
+    let Some(rule) = directive_support::explain(name) else {
         bail!("this importer does not know `{name}`: where it stands it is not carried over");
     };
     let outcome = match (rule.outcome, rule.routing) {
--- a/crates/daemon/src/node/connection.rs
+++ b/crates/daemon/src/platform/connection.rs
@@ -15,7 +15,7 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::task::{AbortHandle, spawn_local, yield_now};
 use tokio::time::{Instant, sleep, sleep_until};
-use wrenthread::interface::{Came, ProxyId, ReplicaId};
+use wrenthread::types::{Came, ProxyId, ReplicaId};
 use wrenthread_platform_governor::Joining;
 use wrenthread_platform_protocol::decode::{Decoder, Fault, Message};
 use wrenthread_platform_protocol::frames::Frames;
--- a/crates/daemon/src/roster_file.rs
+++ b/crates/daemon/src/roster_file.rs
@@ -6,7 +6,7 @@
 
 use serde::Deserialize;
 use tokio::sync::mpsc;
-use wrenthread::interface::Phase;
+use wrenthread::types::Phase;
 use wrenthread_core::roster::Entry;
 
 use crate::clock::Clock;
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -10,9 +10,9 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::{JoinHandle, LocalSet};
 use tokio_stream::wrappers::TcpListenerStream;
+use wrenthread_core::ownership::Key;
 use wrenthread_core::roster::Entry;
 use wrenthread_core::snapshot::Item;
-use wrenthread_core::takeover::Key;
 use wrenthread_membership::{Talk, Terms};
 use wrenthread_settings::{PathRoute, RosterSource, Route, Settings};
 use wrenthread_xds::service::Front;
@@ -21,7 +21,7 @@
 use crate::clock::Clock;
 use crate::host::{Chore, Host, WAIT_MOST};
 use crate::http::{self, Query};
-use crate::{roster_file, state, talk};
+use crate::{membership, roster_file, state};
 
 /// Events that may wait for the one task; streams beyond it wait on their sockets.
 const EVENTS: usize = 1024;
@@ -157,7 +157,8 @@
         Some(at) => Some(Rc::new(UdpSocket::bind(at).await.with_context(|| format!("talk on {at}"))?)),
     };
     let (datagrams, mut said) = mpsc::channel(EVENTS);
-    let listening = socket.clone().map(|socket| tokio::task::spawn_local(talk::listen(socket, datagrams)));
+    let listening =
+        socket.clone().map(|socket| tokio::task::spawn_local(membership::listen(socket, datagrams)));
     let (events, mut heard) = mpsc::channel(EVENTS);
     let (questions, mut polled) = mpsc::channel(EVENTS);
     let (queries, mut asked) = mpsc::channel(64);
@@ -279,7 +280,7 @@
         let began = std::time::Instant::now();
         let _span = tracing::debug_span!("pump").entered();
         host.pump(clock.now(), |chore| match chore {
-            Chore::Say(at, datagram) => talk::say(socket.as_ref(), at, &datagram),
+            Chore::Say(at, datagram) => membership::say(socket.as_ref(), at, &datagram),
             Chore::AwaitRoom(stream, answers) => {
                 let chores = chores.clone();
                 tokio::task::spawn_local(async move {
@@ -305,7 +306,7 @@
         keeper.keep(host.known(now, clock.calendar(now), keeper.before()), clock.calendar(now));
         keeper.end().await;
     }
-    host.stop(clock.now(), |at, datagram| talk::say(socket.as_ref(), at, datagram));
+    host.stop(clock.now(), |at, datagram| membership::say(socket.as_ref(), at, datagram));
     if let Some(listening) = listening {
         listening.abort();
     }
@@ -325,11 +326,12 @@
 fn distrust(host: &mut Host, suspect: &[String]) -> Result<()> {
     for kind in suspect {
         #[cfg(feature = "suspect")]
-        match wrenthread_core::suspect::of(kind) {
+        match wrenthread_core::fault_injection::of(kind) {
             Some(decider) => host.engine.suspect(decider),
             None if kind == "none" => host.engine.switch_guard_off(),
             None => {
-                let known: Vec<_> = wrenthread_core::suspect::KINDS.iter().map(|(name, _)| *name).collect();
+                let known: Vec<_> =
+                    wrenthread_core::fault_injection::KINDS.iter().map(|(name, _)| *name).collect();
                 anyhow::bail!("no decider `{kind}`; there are {}, and `none` for no guard", known.join(", "));
             }
         }
--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -260,7 +260,7 @@
     }
     let rows: Vec<Vec<String>> =
         kinds.iter().map(|(kind, count)| vec![(*kind).to_string(), count.to_string()]).collect();
-    let mut text = crate::show::columns(&["kind", "entries"], &rows);
+    let mut text = crate::render::columns(&["kind", "entries"], &rows);
     text += &format!(
         "\n{} bytes, and {} in the journal of generation {}\n",
         shown["bytes"], shown["journal_bytes"], shown["generation"]
--- a/crates/daemon/tests/sharing.rs
+++ b/crates/daemon/tests/sharing.rs
@@ -13,7 +13,7 @@
 use wrenthread_client::keeper::Keeper;
 use wrenthread_client::poll::Session;
 use wrenthread_client::{Error, Unwatched, Who, answers, grpc};
-use wrenthread_core::takeover::{Claim, Key, ranking, sign};
+use wrenthread_core::ownership::{Claim, Key, ranking, sign};
 
 const SECRET: [u8; 32] = [b'k'; 32];
 
--- a/crates/deployment-config/src/lib.rs
+++ b/crates/deployment-config/src/lib.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Map, Value};
 use thiserror::Error;
-use wrenthread::interface::{Dedupers, Effect, FurtherTries, Group, LevelKind, LoadField, Settings};
+use wrenthread::types::{Dedupers, Effect, FurtherTries, Group, LevelKind, LoadField, Settings};
 
 /// What is wrong with a field.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
--- a/crates/durable-store/tests/lives.rs
+++ b/crates/durable-store/tests/lives.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wrenthread::interface::Phase;
+use wrenthread::types::Phase;
 use wrenthread_core::engine::{Engine, Setup, Step};
 use wrenthread_core::fleet::Join;
 use wrenthread_core::overrides::What;
--- a/crates/long-poll/src/lib.rs
+++ b/crates/long-poll/src/lib.rs
@@ -5,9 +5,9 @@
 //! the whole where that version is not kept; a question waits for as long as it says if there is nothing to
 //! tell.
 //!
-//! [`polls::Polls`] is what is behind that, without I/O; [`forms`] are the messages, [`service`] the
+//! [`sessions::Polls`] is what is behind that, without I/O; [`messages`] are the messages, [`service`] the
 //! handlers.
 
-pub mod forms;
-pub mod polls;
+pub mod messages;
 pub mod service;
+pub mod sessions;
--- a/crates/long-poll/src/forms.rs
+++ b/crates/long-poll/src/messages.rs
@@ -5,10 +5,10 @@
 
 use serde::{Deserialize, Serialize};
 use utoipa::ToSchema;
-use wrenthread::interface::{FurtherTries, ReplicaId};
+use wrenthread::types::{FurtherTries, ReplicaId};
 use wrenthread_core::fleet::Join;
 use wrenthread_core::reports::{AtReplica, Report};
-use wrenthread_core::versions::{self, Change, ChangedLine, Delta, Digest, Said, SaidLine, Whole, hex};
+use wrenthread_core::table_versions::{self, Change, ChangedLine, Delta, Digest, Said, SaidLine, Whole, hex};
 
 /// What names and numbers on the wire stand for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, ToSchema)]
@@ -162,7 +162,7 @@
 }
 
 pub fn digest_of(text: &str) -> Result<Digest, Unclear> {
-    let digest = versions::unhex(text).and_then(|bytes| bytes.try_into().ok());
+    let digest = table_versions::unhex(text).and_then(|bytes| bytes.try_into().ok());
     digest.ok_or_else(|| Unclear::Digest(text.chars().take(80).collect()))
 }
 
@@ -321,7 +321,7 @@
                     standing: true,
                     lines: Vec::new(),
                     removed: Vec::new(),
-                    level: versions::MILLION,
+                    level: table_versions::MILLION,
                     tries: "never".into(),
                 },
                 Change::Lines { changed, removed, level, tries } => GroupTold {
@@ -438,9 +438,9 @@
             let (one, two, terms) = (state(&one, both), state(&two, other), terms());
             let whole = terms.whole(7, &one.digest(), &one);
             prop_assert_eq!(terms.read(&whole).unwrap(), Ok(one.clone()));
-            let delta = versions::delta(&one, one.digest(), &two, two.digest());
+            let delta = table_versions::delta(&one, one.digest(), &two, two.digest());
             let Err(read) = terms.read(&terms.delta(8, &delta)).unwrap() else { panic!() };
-            prop_assert_eq!(versions::apply(&one, one.digest(), &read).unwrap(), two);
+            prop_assert_eq!(table_versions::apply(&one, one.digest(), &read).unwrap(), two);
         }
 
         /// Cut off or changed bytes: an error, or something with another digest; never a panic.
--- a/crates/long-poll/src/service.rs
+++ b/crates/long-poll/src/service.rs
@@ -18,7 +18,7 @@
 use tower_http::limit::RequestBodyLimitLayer;
 use utoipa::{IntoParams, OpenApi};
 
-use crate::forms::{
+use crate::messages::{
     GroupTold, JoinAsked, JoinTold, LineTold, MetTold, ReportAsked, ReportTold, StandingLine, TablesTold,
     Terms, Trouble,
 };
--- a/crates/long-poll/src/polls.rs
+++ b/crates/long-poll/src/sessions.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wrenthread::interface::ProxyId;
+use wrenthread::types::ProxyId;
 use wrenthread_core::fleet::StreamId;
 use wrenthread_core::history::{History, Version};
-use wrenthread_core::versions::{self, Delta, Digest};
+use wrenthread_core::table_versions::{self, Delta, Digest};
 
 /// A proxy is taken for gone when it has asked nothing for so long after its last question was answered.
 const LOST_AFTER: Duration = Duration::from_secs(15);
@@ -156,10 +156,12 @@
         let whole_lines = newest.whole.lines().max(1);
         let (told, lines) = match base {
             Some(base) => {
-                let delta = versions::delta(&base.whole, base.digest, &newest.whole, newest.digest);
+                let delta = table_versions::delta(&base.whole, base.digest, &newest.whole, newest.digest);
                 let lines = delta.changes.values().map(|change| match change {
-                    versions::Change::Gone => 1,
-                    versions::Change::Lines { changed, removed, .. } => 1 + changed.len() + removed.len(),
+                    table_versions::Change::Gone => 1,
+                    table_versions::Change::Lines { changed, removed, .. } => {
+                        1 + changed.len() + removed.len()
+                    }
                 });
                 (Told::Delta(newest.version, delta.clone()), lines.sum())
             }
@@ -235,8 +237,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use wrenthread::interface::FurtherTries;
-    use wrenthread_core::versions::{MILLION, Said, SaidLine, Whole};
+    use wrenthread::types::FurtherTries;
+    use wrenthread_core::table_versions::{MILLION, Said, SaidLine, Whole};
 
     const fn s(seconds: u64) -> Duration {
         Duration::from_secs(seconds)
--- a/crates/membership/benches/gossip.rs
+++ b/crates/membership/benches/gossip.rs
@@ -5,10 +5,10 @@
 mod net;
 
 use net::Net;
-use wrenthread_core::takeover::ranking;
+use wrenthread_core::ownership::ranking;
 use wrenthread_membership::Note;
-use wrenthread_membership::sharing::assign;
-use wrenthread_membership::words::Standing;
+use wrenthread_membership::assignment::assign;
+use wrenthread_membership::messages::Standing;
 
 /// Whom each proxy is with, by a seeded chance.
 fn by_chance(proxies: usize, among: &[usize], seed: u64) -> Vec<usize> {
--- a/crates/membership/src/sharing.rs
+++ b/crates/membership/src/assignment.rs
@@ -2,7 +2,7 @@
 //!
 //! A proxy belongs with the governor that ranks first for it, of those that are there and are not full. None
 //! takes more than its even part and a quarter. The ranking is the one by which proxies dial by themselves
-//! ([`wrenthread_core::takeover::ranking`]), so what talk settles and what happens without talk differ only
+//! ([`wrenthread_core::ownership::ranking`]), so what talk settles and what happens without talk differ only
 //! by the bound.
 //!
 //! Nobody needs to know all proxies for that: each governor judges those that it has, by how many the others
@@ -13,7 +13,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use wrenthread_core::takeover::ranking;
+use wrenthread_core::ownership::ranking;
 
 /// How far beyond its even part a governor may go. Less means more moves whenever a governor comes or goes;
 /// more, and the fullest has more to bear.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -10,7 +10,7 @@
 //!
 //! ```
 //! use std::time::Duration;
-//! use wrenthread_core::takeover::Key;
+//! use wrenthread_core::ownership::Key;
 //! use wrenthread_membership::{Step, Talk, Terms};
 //!
 //! let key = Key::new("k", &[7; 32]).unwrap();
@@ -27,22 +27,22 @@
 //! assert!(other.members().get("g0").unwrap().is_there());
 //! ```
 
-pub mod handover;
+pub mod assignment;
 pub mod members;
-pub mod sharing;
-pub mod words;
+pub mod messages;
+pub mod migration;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-use wrenthread_core::takeover::{Key, ranking};
+use wrenthread_core::ownership::{Key, ranking};
 
-use handover::{Ahead, Handover};
+use assignment::{Here, Room, SETTLE};
 use members::{Members, Pace};
-use sharing::{Here, Room, SETTLE};
-use words::{Body, Standing, Unheard};
+use messages::{Body, Standing, Unheard};
+use migration::{Ahead, Handover};
 
 /// Who a governor is, and whom it talks to.
 #[derive(Debug, Clone)]
@@ -144,7 +144,7 @@
     ///
     /// Errors: it tells nothing, and why; they are counted.
     pub fn heard(&mut self, now: Duration, datagram: &[u8]) -> Result<(), Unheard> {
-        let message = words::read(&self.keys, datagram).inspect_err(|_| self.unheard += 1)?;
+        let message = messages::read(&self.keys, datagram).inspect_err(|_| self.unheard += 1)?;
         if !self.members.heard(now, &message) {
             return Ok(());
         }
@@ -155,7 +155,7 @@
                 let (joined, draining) = (self.here.len(), self.draining);
                 let giver_drains = message.from.figures.draining;
                 let admits =
-                    |expected: usize| sharing::admits(joined + expected, &rooms, draining, giver_drains);
+                    |expected: usize| assignment::admits(joined + expected, &rooms, draining, giver_drains);
                 self.handover.offered(now, from, *number, proxy, *part, *parts, bytes, admits);
             }
             Body::Accept { number, proxy } => self.handover.answered(now, from, *number, proxy, true),
@@ -225,12 +225,12 @@
             }
             if let Some(out) = self.handover.step(now) {
                 match out {
-                    handover::Out::Say(to, body) => self.members.say(&to, body),
-                    handover::Out::Move { proxy, to } => {
+                    migration::Out::Say(to, body) => self.members.say(&to, body),
+                    migration::Out::Move { proxy, to } => {
                         self.moved += 1;
                         self.out.push_back(Step::Move { proxy: proxy.into(), to: Some(to) });
                     }
-                    handover::Out::Unanswered { proxy, to } => {
+                    migration::Out::Unanswered { proxy, to } => {
                         self.out.push_back(Step::Note(Note::Unanswered { proxy, to }));
                     }
                 }
@@ -240,7 +240,7 @@
                 let step = match out {
                     // Without a key nobody would believe it.
                     members::Out::Send(at, message) => {
-                        self.keys.first().map(|key| Step::Send(at, words::write(key, &message)))
+                        self.keys.first().map(|key| Step::Send(at, messages::write(key, &message)))
                     }
                     members::Out::Stands(name, standing) => {
                         self.judge_at = self.judge_at.min(now);
@@ -300,7 +300,9 @@
             staying.map(|(proxy, one)| Here { proxy, ranked: &one.ranked, movable: movable(proxy, one) });
         let rooms = rooms(&self.open, &self.members, &self.handover);
         let joined = self.here.len().saturating_sub(self.handover.on_way()) + self.handover.expected();
-        let Some((proxy, to)) = sharing::next_move(&rooms, joined, self.draining, here) else { return false };
+        let Some((proxy, to)) = assignment::next_move(&rooms, joined, self.draining, here) else {
+            return false;
+        };
         let step = Step::Gather { proxy: proxy.into(), to: to.to_string() };
         self.out.push_back(step);
         self.move_made(now)
@@ -342,7 +344,10 @@
     /// How many proxies this governor takes of all, as things stand.
     pub fn bound(&self) -> usize {
         let rooms = rooms(&self.open, &self.members, &self.handover);
-        sharing::bound(self.here.len() + rooms.iter().map(|room| room.joined).sum::<usize>(), rooms.len() + 1)
+        assignment::bound(
+            self.here.len() + rooms.iter().map(|room| room.joined).sum::<usize>(),
+            rooms.len() + 1,
+        )
     }
 
     pub fn tally(&self) -> Tally {
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::words::{Body, Figures, Message, Standing, Word, length};
+use crate::messages::{Body, Figures, Message, Standing, Word, length};
 
 /// How membership is kept.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/membership/src/words.rs
+++ b/crates/membership/src/messages.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
-use wrenthread_core::takeover::{Key, Unproven, seal, unseal};
+use wrenthread_core::ownership::{Key, Unproven, seal, unseal};
 
 /// What a datagram may have and still cross common networks in one piece.
 pub const MOST_BYTES: usize = 1200;
--- a/crates/membership/src/handover.rs
+++ b/crates/membership/src/migration.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use crate::words::Body;
+use crate::messages::Body;
 
 /// Offers open at a time.
 const AT_ONCE: usize = 16;
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -9,9 +9,9 @@
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::time::Duration;
 
-use wrenthread_core::takeover::{Dialer, Fence};
-use wrenthread_membership::handover::{Handover, Out};
-use wrenthread_membership::words::Body;
+use wrenthread_core::ownership::{Dialer, Fence};
+use wrenthread_membership::messages::Body;
+use wrenthread_membership::migration::{Handover, Out};
 
 const NAMES: [&str; 2] = ["g0", "g1"];
 const NOW: Duration = Duration::ZERO;
--- a/crates/membership/tests/net/mod.rs
+++ b/crates/membership/tests/net/mod.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wrenthread_core::takeover::Key;
-use wrenthread_membership::handover::Ahead;
+use wrenthread_core::ownership::Key;
+use wrenthread_membership::migration::Ahead;
 use wrenthread_membership::{Note, Step, Talk, Terms};
 
 pub const fn ms(millis: u64) -> Duration {
--- a/crates/membership/tests/talk.rs
+++ b/crates/membership/tests/talk.rs
@@ -6,7 +6,7 @@
 
 use net::{Net, ms};
 use wrenthread_membership::Note;
-use wrenthread_membership::words::Standing;
+use wrenthread_membership::messages::Standing;
 
 fn proxies(count: usize) -> Vec<Arc<str>> {
     (0..count).map(|n| format!("relay-{n}").into()).collect()
@@ -44,7 +44,7 @@
         assert_eq!(dead.count(), 0, "seed {seed}");
         // Some were doubted, and said otherwise: the loss was met.
         assert!(net.notes.iter().any(|(_, _, note)| matches!(note, Note::Stands(_, Standing::Suspect))));
-        assert!(net.longest <= wrenthread_membership::words::MOST_BYTES);
+        assert!(net.longest <= wrenthread_membership::messages::MOST_BYTES);
     }
 }
 
--- a/crates/nginx-importer/benches/import.rs
+++ b/crates/nginx-importer/benches/import.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::time::Instant;
 
-use wrenthread_nginx::fates::Outcome;
+use wrenthread_nginx::directive_support::Outcome;
 use wrenthread_nginx::files::{self, Disk, Whole};
 use wrenthread_nginx::fleet::{Zones, import};
 use wrenthread_nginx::syntax::{self, MOST};
--- a/crates/nginx-importer/src/blocks.rs
+++ b/crates/nginx-importer/src/blocks.rs
@@ -86,8 +86,8 @@
         }
         for ((address, _), weight) in table.lines.iter().zip(weights(&table.lines)) {
             if !matches!(
-                crate::words::target(address, 80),
-                Some(crate::words::Target::Address(_) | crate::words::Target::Name(_))
+                crate::values::target(address, 80),
+                Some(crate::values::Target::Address(_) | crate::values::Target::Name(_))
             ) {
                 return Err(Wrong::Address(address.clone()));
             }
@@ -151,7 +151,7 @@
             };
             let part = |entry: &syntax::Directive| match entry.is("*") {
                 true => Some(1.0),
-                false => crate::words::share(&entry.name.text()),
+                false => crate::values::share(&entry.name.text()),
             };
             let blocked = directive.block().iter().find(|entry| entry.word(0).as_deref() == Some("1"));
             said.entry(name.to_string()).or_default().1 = blocked.and_then(part).unwrap_or(0.0);
--- a/crates/nginx-importer/src/fleet.rs
+++ b/crates/nginx-importer/src/fleet.rs
@@ -7,10 +7,10 @@
 
 use serde::Serialize;
 
-use crate::fates::{Account, Fate, Outcome};
+use crate::directive_support::{Account, Fate, Outcome};
 use crate::files::Whole;
 use crate::syntax::{Body, Directive, Place, Word};
-use crate::words::{Target, name, seconds, share, target};
+use crate::values::{Target, name, seconds, share, target};
 
 /// Groups of one governor, at the most.
 const MOST_GROUPS: usize = 64;
--- a/crates/nginx-importer/src/lib.rs
+++ b/crates/nginx-importer/src/lib.rs
@@ -19,10 +19,10 @@
 pub mod access_log;
 pub mod blocks;
 pub mod difference;
-pub mod fates;
+pub mod directive_support;
 pub mod files;
 pub mod fleet;
-pub mod pacer;
 pub mod syntax;
-pub mod words;
+pub mod values;
 pub mod write;
+pub mod write_debouncer;
--- a/crates/nginx-importer/tests/corpus.rs
+++ b/crates/nginx-importer/tests/corpus.rs
@@ -8,7 +8,7 @@
 
 use proptest::prelude::*;
 use wrenthread_nginx::blocks;
-use wrenthread_nginx::fates::{Outcome, TABLES};
+use wrenthread_nginx::directive_support::{Outcome, TABLES};
 use wrenthread_nginx::files::{self, Disk, Whole};
 use wrenthread_nginx::fleet::{Imported, Routes, Zones, import};
 use wrenthread_nginx::syntax::{self, Body, Directive, MOST};
--- a/crates/platform-governor/src/lib.rs
+++ b/crates/platform-governor/src/lib.rs
@@ -15,8 +15,8 @@
 use std::time::Duration;
 
 use serde_json::Value;
-use wrenthread::interface::{Beliefs, Decision, ProxyId, ReplicaId};
 use wrenthread::rules::Governor;
+use wrenthread::types::{Beliefs, Decision, ProxyId, ReplicaId};
 use wrenthread_deployment_config::Info;
 use wrenthread_platform_protocol::decode::Message;
 use wrenthread_platform_protocol::outbox::Outbox;
--- a/crates/platform-governor/src/list.rs
+++ b/crates/platform-governor/src/list.rs
@@ -8,7 +8,7 @@
 
 use serde_json::Value;
 use thiserror::Error;
-use wrenthread::interface::{Listed, Phase, ReplicaId};
+use wrenthread::types::{Listed, Phase, ReplicaId};
 
 /// Why nothing of an object can be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
--- a/crates/platform-protocol/src/decode.rs
+++ b/crates/platform-protocol/src/decode.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Map, Value};
 use thiserror::Error;
-use wrenthread::interface::{Came, Met, ProxyId, ReplicaId};
+use wrenthread::types::{Came, Met, ProxyId, ReplicaId};
 use wrenthread_deployment_config::Info;
 
 /// What one message says.
--- a/crates/platform-protocol/src/outbox.rs
+++ b/crates/platform-protocol/src/outbox.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use serde::Serialize;
-use wrenthread::interface::{Decision, FurtherTries, GroupSet, ProxyId, ReplicaId, TableId};
+use wrenthread::types::{Decision, FurtherTries, GroupSet, ProxyId, ReplicaId, TableId};
 
 /// Lines in a part at most, so that none comes near the size that a message may have.
 const PART_MOST: usize = 2000;
--- a/crates/rehearsal/src/check.rs
+++ b/crates/rehearsal/src/check.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use wrenthread_settings::day::Day;
 
-use crate::tape::{
+use crate::event_log::{
     Entry, FLOWS, GROUPS, HEAD_LINES, LINES_PER_S, MESSAGES, NON_RETRIABLE, WAITING_MOST, What, capacity,
 };
 
@@ -347,7 +347,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::tape::{End, Listed};
+    use crate::event_log::{End, Listed};
 
     fn day() -> Day {
         wrenthread_settings::day::parse("d.star", "day(seconds = 10, halls = ['a'], bare_for = 1)").unwrap()
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -6,9 +6,9 @@
 //! fleet has the same day on standing tables only.
 
 pub mod check;
-pub mod links;
+pub mod event_log;
+pub mod network_links;
 pub mod relay;
-pub mod tape;
 pub mod worker;
 
 use std::cell::{Cell, RefCell};
@@ -33,9 +33,9 @@
 use wrenthread_settings::day::{self, Day, Planned, Trouble};
 
 use check::Ruled;
-use links::Links;
+use event_log::{End, Entry, FLOWS, GROUPS, Listed, Tape, What};
+use network_links::Links;
 use relay::{Front, Relay};
-use tape::{End, Entry, FLOWS, GROUPS, Listed, Tape, What};
 use worker::{Mode, Worker};
 use wrenthread_client::Who;
 
@@ -670,7 +670,7 @@
             .zip(FLOWS)
             .enumerate()
             .map(|(place, (group, (budget, expiry, _)))| {
-                let effect = if place == tape::NON_RETRIABLE { "non-retriable" } else { "retriable" };
+                let effect = if place == event_log::NON_RETRIABLE { "non-retriable" } else { "retriable" };
                 let utility = if place == 1 { 1.0 } else { 3.0 };
                 format!(
                     "group(\"{group}\", effect = \"{effect}\", latency_budget = {budget}, expiry = {expiry}, \
@@ -695,11 +695,11 @@
             day.governors,
             day.cold_share,
             day.warm_after,
-            tape::LINES_PER_S,
-            tape::HEAD_LINES,
-            tape::WAITING_MOST,
-            tape::MESSAGES.0,
-            tape::MESSAGES.1,
+            event_log::LINES_PER_S,
+            event_log::HEAD_LINES,
+            event_log::WAITING_MOST,
+            event_log::MESSAGES.0,
+            event_log::MESSAGES.1,
         );
         std::fs::write(self.folder.join("settings.star"), settings)?;
         Ok(())
@@ -713,7 +713,7 @@
         };
         let servers: String = workers.iter().map(server).collect();
         let location = |(place, (group, (budget, _, _))): (usize, (&&str, (f64, f64, f64)))| {
-            let repeats = if place == tape::NON_RETRIABLE { "" } else { "error timeout non_idempotent" };
+            let repeats = if place == event_log::NON_RETRIABLE { "" } else { "error timeout non_idempotent" };
             let next =
                 if repeats.is_empty() { String::new() } else { format!("proxy_next_upstream {repeats}; ") };
             let read = (budget * 1000.0) as u64 - 250;
@@ -746,11 +746,11 @@
              messages_most = {}, messages_over = {})\n\
              reports(every = 0.5, metrics = [\"waiting\"])",
             self.place,
-            tape::LINES_PER_S,
-            tape::HEAD_LINES,
-            tape::WAITING_MOST,
-            tape::MESSAGES.0,
-            tape::MESSAGES.1,
+            event_log::LINES_PER_S,
+            event_log::HEAD_LINES,
+            event_log::WAITING_MOST,
+            event_log::MESSAGES.0,
+            event_log::MESSAGES.1,
         );
         let settings = imported.replace("roster(file = \"roster.json\")", &added);
         std::fs::write(self.folder.join("settings.star"), settings)?;
--- a/crates/rehearsal/src/relay.rs
+++ b/crates/rehearsal/src/relay.rs
@@ -14,12 +14,12 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
-use wrenthread::interface::FurtherTries;
+use wrenthread::types::FurtherTries;
 use wrenthread_client::keeper::{Keeper, Outcome, Standing};
 use wrenthread_client::{Error, Governor, Ordered, Watch, Who, answers, grpc, poll};
-use wrenthread_core::takeover::Dialer;
+use wrenthread_core::ownership::Dialer;
 
-use crate::tape::{End, FLOWS, GROUPS, Tape, What};
+use crate::event_log::{End, FLOWS, GROUPS, Tape, What};
 use crate::worker::Worker;
 
 /// A relay keeps away from a worker for so long after so many of its own tries in a row were dropped there.
--- a/crates/rehearsal/src/worker.rs
+++ b/crates/rehearsal/src/worker.rs
@@ -13,7 +13,7 @@
 use tokio::sync::Semaphore;
 use wrenthread_settings::day::Day;
 
-use crate::tape::{Tape, What, capacity};
+use crate::event_log::{Tape, What, capacity};
 
 /// Flows worked on at once.
 const HANDS: usize = 2;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -22,7 +22,7 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use wrenthread::interface::{self, Dedupers, Effect, FurtherTries, LevelKind, LoadField};
+use wrenthread::types::{self, Dedupers, Effect, FurtherTries, LevelKind, LoadField};
 use wrenthread_core::engine::Setup;
 
 pub mod day;
@@ -578,7 +578,7 @@
 impl Settings {
     /// What an engine is told at its start.
     pub fn setup(&self) -> Setup {
-        let group = |group: &Group| interface::Group {
+        let group = |group: &Group| types::Group {
             effect: match group.effect.as_str() {
                 "retriable" => Effect::Retriable,
                 "deduped" => Effect::Deduped {
@@ -597,7 +597,7 @@
             own_zone: group.own_zone,
         };
         Setup {
-            module: interface::Settings {
+            module: types::Settings {
                 governors: self.governors,
                 groups: self.groups.iter().map(group).collect(),
                 slices: 0,
--- a/crates/xds/src/decode.rs
+++ b/crates/xds/src/decode.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wrenthread::interface::{Phase, ReplicaId};
+use wrenthread::types::{Phase, ReplicaId};
 use wrenthread_core::fleet::Join;
 use wrenthread_core::reports::{AtReplica, Report};
 use wrenthread_core::roster::Entry;
--- a/crates/xds/src/encode.rs
+++ b/crates/xds/src/encode.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use prost::{Message, Name};
-use wrenthread::interface::FurtherTries;
+use wrenthread::types::FurtherTries;
 use wrenthread_core::fleet::Proxy;
 use wrenthread_core::tables::Table;
 use wrenthread_core::weights;
--- a/crates/xds/src/session/tests.rs
+++ b/crates/xds/src/session/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use std::time::Duration;
-use wrenthread::interface::Phase;
+use wrenthread::types::Phase;
 use wrenthread_core::engine::{Engine, Setup, Step};
 use wrenthread_core::fleet::Join;
 use wrenthread_core::roster::Entry;
--- a/crates/xds/src/upstream.rs
+++ b/crates/xds/src/upstream.rs
@@ -129,7 +129,7 @@
     use crate::pb::envoy::config::endpoint::v3::lb_endpoint::HostIdentifier;
     use crate::pb::envoy::config::endpoint::v3::{Endpoint, LbEndpoint, LocalityLbEndpoints};
     use crate::pb::google::protobuf::Any;
-    use wrenthread::interface::Phase;
+    use wrenthread::types::Phase;
 
     fn response(cluster: &str, zone: &str, addresses: &[(&str, HealthStatus)]) -> DiscoveryResponse {
         let endpoint = |(at, health): &(&str, HealthStatus)| LbEndpoint {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,5 +3,5 @@
 //! A host (the bench's adapter today, a daemon later) feeds one [`rules::Governor`] what one governor hears
 //! and carries out what it decides. The governor reads no clock, opens no socket and shares nothing.
 
-pub mod interface;
 pub mod rules;
+pub mod types;
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,13 +1,13 @@
 //! All decisions: which tables a service's plain proxies hold, and when they hear of it.
 //! A host makes one [`Governor`] for each governor process, calls its inputs as things happen, and pulls
 //! [`Governor::decide`] until it gives `None`: what comes in one go is one message to each proxy concerned.
-//! The types of both sides stand in `interface.rs`. The mechanism is FlexDATE's (`docs/design.md`); parts, in
+//! The types of both sides stand in `types.rs`. The mechanism is FlexDATE's (`docs/design.md`); parts, in
 //! order of precedence: withdraw, health, cold, default repair, critical set, levels and tries, pace.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use crate::interface::*;
+use crate::types::*;
 
 #[cfg(test)]
 mod tests;
--- a/src/interface.rs
+++ b/src/types.rs
@@ -14,7 +14,7 @@
 //!
 //! ```
 //! use std::time::Duration;
-//! use wrenthread::interface::*;
+//! use wrenthread::types::*;
 //! use wrenthread::rules::Governor;
 //!
 //! let group = Group {
