--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -12,8 +12,11 @@
 use std::time::Duration;
 
 use serde_json::{Map, Value, json};
-use wrenthread::rules::Governor;
-use wrenthread::types::{Came, Decision, FurtherTries, Listed, Met, Phase, ReplicaId};
+use wrenthread::governor::Governor;
+use wrenthread::types::{
+    Decision, DemandStatistics, Phase, ProxyConnection, ReplicaEntry, ReplicaId, ReplicaStatistics,
+    RetryPolicy, RosterScope, TableEntry,
+};
 use wrenthread_deployment_config::Fields;
 
 /// The table number that stands for all joined proxies in `admit`.
@@ -75,7 +78,7 @@
     governors: BTreeMap<u64, Governor>,
     /// Instances with an event in the batch: only these may act.
     touched: BTreeSet<u64>,
-    lists: BTreeMap<u64, Vec<Listed>>,
+    lists: BTreeMap<u64, Vec<ReplicaEntry>>,
     /// Instances whose list comes only to those who subscribe, and those that are to do so now.
     asking: BTreeSet<u64>,
     unsubscribed: BTreeSet<u64>,
@@ -124,51 +127,54 @@
                 kind @ 0..=2 => {
                     let number = fields.whole("list")?;
                     let list = self.lists.get(&number).ok_or_else(|| format!("no list {number}"))?;
-                    governor.listed(now, list, kind != 0);
+                    let scope = if kind == 0 { RosterScope::Changes } else { RosterScope::Complete };
+                    governor.update_replicas(now, list, scope);
                 }
                 kind => return Err(format!("no such kind of update: {kind}")),
             },
-            "subscribed" => governor.joined(
+            "subscribed" => governor.proxy_connected(
                 now,
-                fields.small("forwarder")?,
-                fields.small("hall")?,
-                fields.number("weight", 0.0),
-                fields.flag("set"),
+                ProxyConnection {
+                    proxy: fields.small("forwarder")?,
+                    zone: fields.small("hall")?,
+                    requests_per_second: fields.number("weight", 0.0),
+                    holds_default_table: fields.flag("set"),
+                },
             ),
-            "left" => governor.left(fields.small("forwarder")?),
-            "tally" => governor.met(
+            "left" => governor.proxy_disconnected(fields.small("forwarder")?),
+            "tally" => governor.record_replica_statistics(
                 now,
-                Met {
+                ReplicaStatistics {
                     zone: fields.small("hall")?,
                     replica: replica()?,
-                    tries: fields.whole("total")?,
-                    dropped: fields.whole("errors").unwrap_or(0),
-                    mean: fields.span("took_us").ok().filter(|mean| !mean.is_zero()),
-                    span: fields.span("elapsed_us")?,
+                    attempts: fields.whole("total")?,
+                    failed: fields.whole("errors").unwrap_or(0),
+                    mean_latency: fields.span("took_us").ok().filter(|mean| !mean.is_zero()),
+                    interval: fields.span("elapsed_us")?,
                     load: load(&fields),
                 },
             ),
-            "demand" => governor.came(
+            "demand" => governor.record_demand(
                 now,
-                Came {
+                DemandStatistics {
                     proxy: fields.small("forwarder")?,
-                    group: fields.small("cls")?,
-                    flows: fields.whole("total")?,
-                    dropped: fields.whole("errors").unwrap_or(0),
-                    span: fields.span("elapsed_us")?,
+                    class: fields.small("cls")?,
+                    requests: fields.whole("total")?,
+                    failed: fields.whole("errors").unwrap_or(0),
+                    interval: fields.span("elapsed_us")?,
                 },
             ),
             "health_result" => {
                 let took = fields.span("took_us")?;
-                governor.probed(
+                governor.record_health_check(
                     now,
                     &replica()?,
                     (fields.whole("how")? == 1).then_some(took),
                     &load(&fields),
                 );
             }
-            "deadline_hit" => governor.beat(),
-            "acked" => governor.acked(fields.span("took_us")?),
+            "deadline_hit" => governor.tick(),
+            "acked" => governor.acknowledged(fields.span("took_us")?),
             // Governors tell each other nothing, and slices are not served yet.
             "message" | "custody" | "on_record" | "key_load" => {}
             _ => return Err(format!("no such event: `{name}`")),
@@ -186,9 +192,9 @@
         new
     }
 
-    fn entry(&mut self, entry: &Value) -> Result<Listed, String> {
+    fn entry(&mut self, entry: &Value) -> Result<ReplicaEntry, String> {
         let fields = Fields(entry.as_object().ok_or("a list's entry is no object")?);
-        Ok(Listed {
+        Ok(ReplicaEntry {
             id: self.name(fields.text("replica")?),
             phase: match fields.whole("phase").unwrap_or(0) {
                 0 => Phase::Gone,
@@ -198,7 +204,7 @@
             },
             zone: fields.small("hall").unwrap_or(0),
             weight: fields.number("weight", 1.0),
-            started: fields.span("started_at_us").ok().filter(|at| !at.is_zero()),
+            started_at: fields.span("started_at_us").ok().filter(|at| !at.is_zero()),
         })
     }
 
@@ -209,7 +215,7 @@
                 let watch = json!({"watch": {"governor_id": id, "set": true}});
                 writeln!(output, "{watch}")?;
             }
-            while let Some(decision) = governor.decide(self.now) {
+            while let Some(decision) = governor.next_decision(self.now) {
                 encode(id, decision, output)?;
             }
         }
@@ -228,27 +234,27 @@
         output.write_all(b"\n")
     };
     match decision {
-        Decision::Wake(after) => {
+        Decision::ScheduleTick(after) => {
             put(json!({"schedule": {"governor_id": id, "handle": 0, "wait_us": after.as_micros() as u64}}))
         }
-        Decision::Withdraw(replica, out) => {
+        Decision::SetEjected { replica, ejected: out } => {
             put(json!({"hold_back": {"governor_id": id, "replica": &*replica, "set": out}}))
         }
-        Decision::Lines(table, lines) => lines.into_iter().try_for_each(|(replica, weight)| {
+        Decision::UpdateTable { table, entries } => entries.into_iter().try_for_each(|TableEntry { replica, weight }| {
             put(json!({"assign": {"governor_id": id, "tbl": table, "replica": &*replica, "weight": weight}}))
         }),
-        Decision::Follow(proxy, table, groups) => put(json!({"bind": {
+        Decision::AssignTable { proxy, table, classes: groups } => put(json!({"bind": {
             "governor_id": id, "forwarder": proxy, "tbl": table, "class_bits": groups}})),
-        Decision::Level(groups, level, tries) => {
+        Decision::SetAdmission { classes: groups, fraction: level, retry_policy: tries } => {
             let tries = match tries {
-                FurtherTries::Never => 0,
-                FurtherTries::IfNeverRan => 1,
-                FurtherTries::Once => 2,
+                RetryPolicy::Never => 0,
+                RetryPolicy::IfNotExecuted => 1,
+                RetryPolicy::OnAnyFailure => 2,
             };
             put(json!({"admit": {"governor_id": id, "tbl": EVERY_TABLE, "class_bits": groups,
                 "let_in": level, "on_failure": tries}}))
         }
-        Decision::Mark(number) => put(json!({"seal": {"governor_id": id, "version": number, "set": false}})),
-        Decision::Probe(replica) => put(json!({"touch": {"governor_id": id, "replica": &*replica}})),
+        Decision::RequestAcknowledgement(number) => put(json!({"seal": {"governor_id": id, "version": number, "set": false}})),
+        Decision::CheckHealth(replica) => put(json!({"touch": {"governor_id": id, "replica": &*replica}})),
     }
 }
--- a/crates/client/src/grpc.rs
+++ b/crates/client/src/grpc.rs
@@ -12,7 +12,7 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::Streaming;
 use tonic::transport::{Channel, Endpoint};
-use wrenthread::types::FurtherTries;
+use wrenthread::types::RetryPolicy;
 use wrenthread_xds::clients::ads::AggregatedDiscoveryServiceClient;
 use wrenthread_xds::clients::lrs::LoadReportingServiceClient;
 use wrenthread_xds::decode::{METADATA, host_port};
@@ -262,9 +262,9 @@
                         let Some(route::Action::Route(action)) = &one.action else { continue };
                         let on = action.retry_policy.as_ref().map(|policy| policy.retry_on.as_str());
                         let allowed = match on {
-                            None => FurtherTries::Never,
-                            Some(on) if on.contains("5xx") => FurtherTries::Once,
-                            Some(_) => FurtherTries::IfNeverRan,
+                            None => RetryPolicy::Never,
+                            Some(on) if on.contains("5xx") => RetryPolicy::OnAnyFailure,
+                            Some(_) => RetryPolicy::IfNotExecuted,
                         };
                         tries.push((one.name.clone(), allowed));
                         lines += 1;
--- a/crates/client/src/keeper.rs
+++ b/crates/client/src/keeper.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wrenthread::types::FurtherTries;
+use wrenthread::types::RetryPolicy;
 use wrenthread_core::ownership::{Fence, Fenced};
 use wrenthread_core::table_versions::{self, Delta, Digest, MILLION, Mismatch, Said, Whole};
 
@@ -55,7 +55,7 @@
     groups: Vec<String>,
     standing: Vec<Standing>,
     told: Vec<Option<Lines>>,
-    tries: Vec<FurtherTries>,
+    tries: Vec<RetryPolicy>,
     /// Long-poll: what is held, to make deltas take effect on.
     whole: Whole,
     held: Option<(String, Digest)>,
@@ -78,7 +78,7 @@
             groups,
             standing,
             told: vec![None; count],
-            tries: vec![FurtherTries::Never; count],
+            tries: vec![RetryPolicy::Never; count],
             whole: Whole { groups: vec![None; count] },
             held: None,
             fence: Fence::default(),
@@ -146,7 +146,7 @@
         }
     }
 
-    pub fn tell_tries(&mut self, group: &str, tries: FurtherTries) {
+    pub fn tell_tries(&mut self, group: &str, tries: RetryPolicy) {
         if let Some(place) = self.place(group) {
             self.tries[place] = tries;
         }
@@ -254,7 +254,7 @@
         picked
     }
 
-    pub fn tries(&self, group: usize) -> FurtherTries {
+    pub fn tries(&self, group: usize) -> RetryPolicy {
         self.tries.get(group).copied().unwrap_or_default()
     }
 
@@ -350,13 +350,13 @@
         let mut keeper = keeper();
         let line = table_versions::SaidLine { address: "c:1".into(), zone: 0, weight: 7 };
         let said =
-            Said { lines: [("c".into(), line)].into(), level: MILLION, tries: FurtherTries::IfNeverRan };
+            Said { lines: [("c".into(), line)].into(), level: MILLION, tries: RetryPolicy::IfNotExecuted };
         let whole = Whole { groups: vec![Some(said)] };
         keeper.tell_whole("e.1".into(), whole.clone());
         let delta = table_versions::delta(&whole, whole.digest(), &Whole { groups: vec![None] }, [9; 32]);
         assert_eq!(keeper.tell_delta("e.2".into(), &delta), Err(Mismatch::Digest));
         assert!(keeper.held().is_none() && keeper.has_orders());
         assert_eq!(at(&mut keeper, 0, 0.5), Some("c:1".into()));
-        assert_eq!(keeper.tries(0), FurtherTries::IfNeverRan);
+        assert_eq!(keeper.tries(0), RetryPolicy::IfNotExecuted);
     }
 }
--- a/crates/core/benches/guard.rs
+++ b/crates/core/benches/guard.rs
@@ -40,8 +40,8 @@
 /// Microseconds a roster event, and a beat; what passed, and what was refused.
 fn measure(proxies: usize, guarded: bool) -> (f64, f64, u64, u64) {
     let mut setup = Setup::example(3);
-    (setup.module.proxies, setup.proxies) = (proxies as u64, proxies);
-    (setup.module.lines_per_s, setup.module.waiting_most) = (1e6, 1e6);
+    (setup.module.proxy_count, setup.proxies) = (proxies as u64, proxies);
+    (setup.module.entries_per_second, setup.module.max_queued_entries) = (1e6, 1e6);
     let mut now = Duration::from_secs(100);
     let mut engine = Engine::new(setup, now);
     if !guarded {
--- a/crates/core/benches/restart.rs
+++ b/crates/core/benches/restart.rs
@@ -53,10 +53,10 @@
 impl Run {
     fn new(relays: usize, now: u64) -> Run {
         let mut setup = Setup::example(GROUPS);
-        setup.module.proxies = relays as u64;
+        setup.module.proxy_count = relays as u64;
         setup.reports_per_s = 20_000.0;
-        setup.module.lines_per_s = 20_000.0;
-        setup.module.waiting_most = 400_000.0;
+        setup.module.entries_per_second = 20_000.0;
+        setup.module.max_queued_entries = 400_000.0;
         let engine = Engine::new(setup, ms(now));
         Run {
             engine,
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -38,9 +38,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wrenthread::rules::Governor;
+use wrenthread::governor::Governor;
 use wrenthread::types::{
-    Decision, Effect, FurtherTries, Group, GroupSet, Met, Phase, ProxyId, ReplicaId, Settings, TableId,
+    ClassSet, Decision, Idempotency, Phase, ProxyConnection, ProxyId, ReplicaId, ReplicaStatistics,
+    RetryPolicy, RosterScope, Settings, TableId, TrafficClass,
 };
 
 use crate::backup_replicas::Standby;
@@ -74,35 +75,35 @@
 impl Setup {
     /// Plain settings with so many like groups, for examples and tests.
     pub fn example(groups: usize) -> Setup {
-        use wrenthread::types::{LevelKind, LoadField};
-        let group = Group {
-            effect: Effect::NonRetriable,
-            latency_budget: Duration::from_secs(1),
-            expiry: Duration::from_secs(3),
-            utility: 1.0,
-            own_zone: false,
+        use wrenthread::types::{AdmissionControl, LoadField};
+        let group = TrafficClass {
+            idempotency: Idempotency::NotIdempotent,
+            latency_objective: Duration::from_secs(1),
+            request_deadline: Duration::from_secs(3),
+            priority_weight: 1.0,
+            same_zone_only: false,
         };
         Setup {
             module: Settings {
-                governors: 1,
-                groups: vec![group; groups],
-                slices: 0,
-                proxies: 16,
-                standing_lines: 12,
-                cold_share: 0.25,
-                warm_after: Duration::from_secs(20),
-                proxies_avoid: true,
-                sums_every: Duration::from_millis(500),
-                lines_per_s: 10_000.0,
-                head_lines: 10.0,
-                waiting_most: 20_000.0,
-                transit_most: Duration::from_millis(500),
-                messages_most: None,
-                level_kind: LevelKind::Share,
-                usual_tries: FurtherTries::Never,
-                crossing_cost: 0.05,
-                probe_cost: None,
-                load_fields: vec![LoadField::Waiting],
+                governor_count: 1,
+                classes: vec![group; groups],
+                key_slices: 0,
+                proxy_count: 16,
+                default_table_size: 12,
+                initial_capacity_fraction: 0.25,
+                slow_start_duration: Duration::from_secs(20),
+                proxies_eject_locally: true,
+                report_interval: Duration::from_millis(500),
+                entries_per_second: 10_000.0,
+                message_overhead_entries: 10.0,
+                max_queued_entries: 20_000.0,
+                max_transit_delay: Duration::from_millis(500),
+                message_limit: None,
+                admission_control: AdmissionControl::Fraction,
+                default_retry_policy: RetryPolicy::Never,
+                cross_zone_cost: 0.05,
+                health_check_cost: None,
+                load_fields: vec![LoadField::Queued],
             },
             proxies: 1000,
             reports_per_s: 1000.0,
@@ -219,8 +220,8 @@
     Withdraw(ReplicaId, bool),
     /// Changed lines of a table, and the proxy that it is for.
     Lines(Arc<str>, usize),
-    Follow(Arc<str>, GroupSet),
-    Level(GroupSet, f64, FurtherTries),
+    Follow(Arc<str>, ClassSet),
+    Level(ClassSet, f64, RetryPolicy),
 }
 
 pub struct Engine {
@@ -269,34 +270,35 @@
 impl Engine {
     pub fn new(setup: Setup, now: Duration) -> Self {
         let Setup { module, proxies, reports_per_s, empty_after, history } = setup;
-        let groups = module.groups.len().min(64);
+        let groups = module.classes.len().min(64);
         let channel = Channel {
-            lines_per_s: module.lines_per_s.max(1.0),
-            head_lines: module.head_lines,
-            waiting_most: module.waiting_most,
-            messages_most: module.messages_most,
+            lines_per_s: module.entries_per_second.max(1.0),
+            head_lines: module.message_overhead_entries,
+            waiting_most: module.max_queued_entries,
+            messages_most: module.message_limit,
         };
         let limits = Limits {
-            cold_share: module.cold_share,
-            warm_after: module.warm_after,
-            proxies: usize::try_from(module.proxies).unwrap_or(usize::MAX),
-            lines_most: module.waiting_most,
-            own_zone: module.groups.iter().take(groups).map(|group| group.own_zone).collect(),
+            cold_share: module.initial_capacity_fraction,
+            warm_after: module.slow_start_duration,
+            proxies: usize::try_from(module.proxy_count).unwrap_or(usize::MAX),
+            lines_most: module.max_queued_entries,
+            own_zone: module.classes.iter().take(groups).map(|group| group.same_zone_only).collect(),
             once_only: module
-                .groups
+                .classes
                 .iter()
                 .take(groups)
-                .map(|one| one.effect == Effect::NonRetriable)
+                .map(|one| one.idempotency == Idempotency::NotIdempotent)
                 .collect(),
         };
-        let join_cost = module.head_lines + (groups * module.standing_lines.clamp(1, 100)) as f64;
+        let join_cost =
+            module.message_overhead_entries + (groups * module.default_table_size.clamp(1, 100)) as f64;
         Engine {
-            standby: Standby::new(module.warm_after),
+            standby: Standby::new(module.slow_start_duration),
             roster: Roster::new(empty_after),
             fleet: Fleet::new(proxies),
-            tables: Tables::new(groups, module.usual_tries),
+            tables: Tables::new(groups, module.default_retry_policy),
             pace: Pace::new(channel, now),
-            reports: Reports::new(module.sums_every, reports_per_s),
+            reports: Reports::new(module.report_interval, reports_per_s),
             history: History::new(history.0, history.1),
             holds: BTreeMap::new(),
             overrides: Overrides::default(),
@@ -313,7 +315,7 @@
             version: 1,
             beat_at: now,
             catching_up: false,
-            sums_every: module.sums_every,
+            sums_every: module.report_interval,
             causes: BTreeSet::new(),
             out: VecDeque::new(),
             offered: None,
@@ -379,7 +381,7 @@
         self.pace.forget(joined.number);
         self.lobby.retain(|(waiting, _)| *waiting != joined.number);
         if joined.replaced.is_some() {
-            self.rules.left(joined.number);
+            self.rules.proxy_disconnected(joined.number);
         }
         self.out.extend(joined.replaced.map(Step::Close));
         self.guard.left(joined.number);
@@ -414,7 +416,7 @@
     /// of the module's hold until it has spoken, less what the rules forbid.
     fn resume(&mut self, now: Duration, number: ProxyId, known: snapshot::Proxy) {
         let version = self.version;
-        let tries: Vec<FurtherTries> = known.tries.iter().map(|tries| (*tries).into()).collect();
+        let tries: Vec<RetryPolicy> = known.tries.iter().map(|tries| (*tries).into()).collect();
         let why: Arc<str> = "known from before a restart".into();
         for (group, held) in known.tables.into_iter().enumerate().take(self.groups) {
             let Some(held) = held else { continue };
@@ -545,7 +547,18 @@
 
     fn tell_met(&mut self, now: Duration, zone: usize, replica: ReplicaId, tries: u64, dropped: u64) {
         let (span, load) = (self.sums_every, Vec::new());
-        self.rules.met(now, Met { zone, replica, tries, dropped, mean: None, span, load });
+        self.rules.record_replica_statistics(
+            now,
+            ReplicaStatistics {
+                zone,
+                replica,
+                attempts: tries,
+                failed: dropped,
+                mean_latency: None,
+                interval: span,
+                load,
+            },
+        );
         self.causes.insert(Cause::Reports);
     }
 
@@ -630,7 +643,7 @@
         self.pace.forget(number);
         self.lobby.retain(|(waiting, _)| *waiting != number);
         self.holds.retain(|(of, _), hold| *of != number || !hold.handed);
-        self.rules.left(number);
+        self.rules.proxy_disconnected(number);
         self.guard.left(number);
         self.causes.insert(Cause::Left);
     }
@@ -657,7 +670,7 @@
     pub fn acked(&mut self, now: Duration, stream: StreamId, version: u64) {
         let Some(number) = self.fleet.number_of(stream) else { return };
         for ordered in self.fleet.acked(stream, version) {
-            self.rules.acked(now.saturating_sub(ordered));
+            self.rules.acknowledged(now.saturating_sub(ordered));
             self.causes.insert(Cause::Acked);
         }
         if self.fleet.get(number).is_some_and(|proxy| proxy.acked >= proxy.sent) {
@@ -715,7 +728,7 @@
 
     /// What a probe found: how long the answer took, if one came.
     pub fn probed(&mut self, now: Duration, replica: &ReplicaId, took: Option<Duration>, load: &[f64]) {
-        self.rules.probed(now, replica, took, load);
+        self.rules.record_health_check(now, replica, took, load);
         self.causes.insert(Cause::Probed);
     }
 
@@ -926,14 +939,14 @@
         for told in self.reports.due(now) {
             self.causes.insert(Cause::Reports);
             match told {
-                Told::Met(met) => {
-                    let delivered = met.tries.saturating_sub(met.dropped);
-                    self.guard.met(now, &met.replica, met.zone, delivered, met.span);
-                    self.rules.met(now, met);
+                Told::ReplicaStatistics(met) => {
+                    let delivered = met.attempts.saturating_sub(met.failed);
+                    self.guard.met(now, &met.replica, met.zone, delivered, met.interval);
+                    self.rules.record_replica_statistics(now, met);
                 }
-                Told::Came(came) => {
-                    self.guard.came(came.proxy, came.group, came.flows, came.span);
-                    self.rules.came(now, came);
+                Told::DemandStatistics(came) => {
+                    self.guard.came(came.proxy, came.class, came.requests, came.interval);
+                    self.rules.record_demand(now, came);
                 }
             }
         }
@@ -946,7 +959,13 @@
             }
             self.lobby.pop_front();
             let Some(proxy) = self.fleet.get(number) else { continue };
-            self.rules.joined(now, number, proxy.zone, usual, proxy.fresh);
+            let connection = ProxyConnection {
+                proxy: number,
+                zone: proxy.zone,
+                requests_per_second: usual,
+                holds_default_table: proxy.fresh,
+            };
+            self.rules.proxy_connected(now, connection);
             self.set_aside += self.join_cost;
             self.causes.insert(Cause::Joined);
         }
@@ -957,7 +976,7 @@
             self.causes.insert(Cause::Beat);
             self.catching_up = false;
             self.set_aside = 0.0;
-            self.rules.beat();
+            self.rules.tick();
         }
         if !self.causes.is_empty() {
             let beat = self.causes.contains(&Cause::Beat);
@@ -996,8 +1015,8 @@
         }
     }
 
-    fn listed(&mut self, now: Duration, listed: &[wrenthread::types::Listed]) {
-        self.rules.listed(now, listed, true);
+    fn listed(&mut self, now: Duration, listed: &[wrenthread::types::ReplicaEntry]) {
+        self.rules.update_replicas(now, listed, RosterScope::Complete);
         self.recall_replicas(now);
         let tables = &self.tables;
         let held: BTreeSet<&ReplicaId> =
@@ -1023,32 +1042,32 @@
         let mut asked = answers.iter().any(|cause| moving.contains(cause));
         while let Some(decision) = self.decide(now) {
             let what = match decision {
-                Decision::Wake(after) => {
+                Decision::ScheduleTick(after) => {
                     // Neither at once, for ever, nor never again.
                     self.beat_at = now + after.clamp(SOONEST, LATEST);
                     continue;
                 }
-                Decision::Mark(_) => {
+                Decision::RequestAcknowledgement(_) => {
                     marked = true;
                     continue;
                 }
-                Decision::Probe(replica) => {
+                Decision::CheckHealth(replica) => {
                     self.out.push_back(Step::Probe(replica));
                     continue;
                 }
-                Decision::Withdraw(replica, out) => {
+                Decision::SetEjected { replica, ejected: out } => {
                     self.tables.withdraw(replica.clone(), out);
                     (everyone, asked) = (true, true);
                     What::Withdraw(replica, out)
                 }
-                Decision::Lines(table, lines) => {
+                Decision::UpdateTable { table, entries } => {
                     // Who follows it may be said only later in the same go.
                     touched.push((decided.len(), table));
-                    let count = lines.len();
-                    self.tables.lay(table, lines);
+                    let count = entries.len();
+                    self.tables.lay(table, entries);
                     What::Lines("".into(), count)
                 }
-                Decision::Follow(number, table, groups) => {
+                Decision::AssignTable { proxy: number, table, classes: groups } => {
                     if let Some(proxy) = self.fleet.get_mut(number) {
                         for (place, follows) in proxy.follows.iter_mut().enumerate() {
                             if groups >> place & 1 == 1 {
@@ -1063,7 +1082,7 @@
                     }
                     What::Follow(self.name_of(Some(number)), groups)
                 }
-                Decision::Level(groups, level, tries) => {
+                Decision::SetAdmission { classes: groups, fraction: level, retry_policy: tries } => {
                     // It has seen for itself: what an earlier life said of these gives way. That all is let
                     // in it says at its start, having seen nothing.
                     if level < 1.0 {
@@ -1105,7 +1124,7 @@
         if let Some(distort) = &mut self.suspect {
             return distort(now, &mut self.rules);
         }
-        self.rules.decide(now)
+        self.rules.next_decision(now)
     }
 
     /// Puts something between the module and what becomes of its decisions: for tests and rehearsals of a
@@ -1272,7 +1291,7 @@
     /// Keeps what a proxy is told by now as a version of it.
     fn remember(&mut self, now: Duration, number: ProxyId) {
         let Some(proxy) = self.fleet.get(number) else { return };
-        let said = |(kept, tries): (&Option<Kept>, &FurtherTries)| {
+        let said = |(kept, tries): (&Option<Kept>, &RetryPolicy)| {
             kept.as_ref().map(|kept| Said::of(&kept.table, *tries))
         };
         let whole = Whole { groups: proxy.tables.iter().zip(&proxy.tries.1).map(said).collect() };
@@ -1309,7 +1328,7 @@
 
     /// Why the module has a ready replica out, in its own words.
     pub fn why_out(&self, replica: &ReplicaId) -> Option<&'static str> {
-        self.rules.why_out(replica)
+        self.rules.ejection_reason(replica)
     }
 
     /// Whether a proxy is one of the few on solved tables.
@@ -1318,7 +1337,7 @@
     }
 
     /// By group.
-    pub fn levels(&self) -> &[(f64, FurtherTries)] {
+    pub fn levels(&self) -> &[(f64, RetryPolicy)] {
         self.tables.levels()
     }
 
--- a/crates/core/src/engine/hostile.rs
+++ b/crates/core/src/engine/hostile.rs
@@ -32,7 +32,7 @@
 /// Runs four proxies through a drain and a cold start; the rules that were broken, and how often.
 fn broken(wrong: Wrong, guarded: bool) -> BTreeMap<&'static str, usize> {
     let mut setup = Setup::example(2);
-    setup.module.proxies = 4;
+    setup.module.proxy_count = 4;
     let mut engine = Engine::new(setup, at(0));
     engine.suspect(decider(wrong));
     if !guarded {
@@ -77,7 +77,7 @@
                 let cold = lines.iter().filter(|line| &*line.replica == COLD);
                 on_cold += 10.0 * cold.map(|line| line.weight).sum::<f64>() / all;
             }
-            fault("an effect twice", proxy.tries.1.contains(&FurtherTries::Once));
+            fault("an effect twice", proxy.tries.1.contains(&RetryPolicy::OnAnyFailure));
         }
         // 80 flows over six that are warm and one that has a quarter of its capacity, and all 20 s later.
         let warmth = 0.25 + 0.75 * now.saturating_sub(cold_from) as f64 / 20_000.0;
@@ -155,13 +155,15 @@
 
 #[test]
 fn a_module_that_never_ends_and_one_that_never_wakes_are_asked_again_all_the_same() {
-    let forever: Suspect = Box::new(|_, _| Some(Decision::Level(1, 0.5, FurtherTries::Never)));
-    let never: Suspect = Box::new(|now, rules| match rules.decide(now)? {
-        Decision::Wake(_) => Some(Decision::Wake(Duration::MAX / 4)),
+    let forever: Suspect = Box::new(|_, _| {
+        Some(Decision::SetAdmission { classes: 1, fraction: 0.5, retry_policy: RetryPolicy::Never })
+    });
+    let never: Suspect = Box::new(|now, rules| match rules.next_decision(now)? {
+        Decision::ScheduleTick(_) => Some(Decision::ScheduleTick(Duration::MAX / 4)),
         other => Some(other),
     });
-    let at_once: Suspect = Box::new(|now, rules| match rules.decide(now)? {
-        Decision::Wake(_) => Some(Decision::Wake(Duration::ZERO)),
+    let at_once: Suspect = Box::new(|now, rules| match rules.next_decision(now)? {
+        Decision::ScheduleTick(_) => Some(Decision::ScheduleTick(Duration::ZERO)),
         other => Some(other),
     });
     for decider in [forever, never, at_once] {
--- a/crates/core/src/engine/tests.rs
+++ b/crates/core/src/engine/tests.rs
@@ -190,8 +190,8 @@
     let names: Vec<String> = (0..24).map(|n| format!("r{n:02}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut setup = Setup::example(2);
-    (setup.module.lines_per_s, setup.module.waiting_most) = (5000.0, 4000.0);
-    let most = setup.module.waiting_most;
+    (setup.module.entries_per_second, setup.module.max_queued_entries) = (5000.0, 4000.0);
+    let most = setup.module.max_queued_entries;
     let mut engine = Engine::new(setup, ms(0));
     engine.roster(ms(0), ready(&names));
     for number in 0..1000 {
@@ -360,7 +360,7 @@
     let said = Said {
         lines: lines.iter().map(line).collect(),
         level: crate::table_versions::MILLION,
-        tries: FurtherTries::Never,
+        tries: RetryPolicy::Never,
     };
     Handed { from: "g0".into(), whole: Whole { groups: vec![Some(said), None] }, told_at, report: None }
 }
@@ -634,7 +634,7 @@
     run(&mut before, ms(600));
     before.tables.withdraw("b".into(), true);
     ["a", "c", "d"].into_iter().for_each(|id| before.guard.saw(ms(5000), &id.into(), 0, 20.0));
-    before.tables.level(1, 0.25, FurtherTries::Never);
+    before.tables.level(1, 0.25, RetryPolicy::Never);
     let mut after = next_life(&before, 1.0, &all);
     after.joined(ms(1), 1, &join("p", &all)).unwrap();
     let mut out_at = None;
--- a/crates/core/src/fault_injection.rs
+++ b/crates/core/src/fault_injection.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use wrenthread::types::{Decision, FurtherTries, ReplicaId, TableId};
+use wrenthread::types::{Decision, ReplicaId, RetryPolicy, TableEntry, TableId};
 
 use crate::engine::Suspect;
 
@@ -25,15 +25,16 @@
         if let Some(decision) = ahead.pop_front() {
             return Some(decision);
         }
-        let decision = rules.decide(now)?;
+        let decision = rules.next_decision(now)?;
         match &decision {
-            Decision::Lines(table, lines) => {
-                seen.replicas.extend(lines.iter().map(|(id, _)| id.clone()));
-                seen.laid.entry(*table).or_default().extend(lines.iter().cloned());
+            Decision::UpdateTable { table, entries } => {
+                seen.replicas.extend(entries.iter().map(|entry| entry.replica.clone()));
+                let entries = entries.iter().map(|entry| (entry.replica.clone(), entry.weight));
+                seen.laid.entry(*table).or_default().extend(entries);
             }
-            Decision::Withdraw(id, true) => drop(seen.out.insert(id.clone())),
-            Decision::Withdraw(id, false) => drop(seen.out.remove(id)),
-            Decision::Wake(_) => seen.beats += 1,
+            Decision::SetEjected { replica: id, ejected: true } => drop(seen.out.insert(id.clone())),
+            Decision::SetEjected { replica: id, ejected: false } => drop(seen.out.remove(id)),
+            Decision::ScheduleTick(_) => seen.beats += 1,
             _ => {}
         }
         ahead.extend(wrong(decision, &seen));
@@ -44,17 +45,18 @@
 /// With each beat, lines for every table that was laid; by a replica's place among all.
 fn every_table(decision: Decision, seen: &Seen, weight: impl Fn(usize, &ReplicaId) -> f64) -> Vec<Decision> {
     let mut all = vec![decision.clone()];
-    if matches!(decision, Decision::Wake(_)) {
+    if matches!(decision, Decision::ScheduleTick(_)) {
         for table in seen.laid.keys() {
-            let lines = seen.replicas.iter().enumerate().map(|(at, id)| (id.clone(), weight(at, id)));
-            all.push(Decision::Lines(*table, lines.collect()));
+            let entries = seen.replicas.iter().enumerate();
+            let entries = entries.map(|(at, id)| TableEntry { replica: id.clone(), weight: weight(at, id) });
+            all.push(Decision::UpdateTable { table: *table, entries: entries.collect() });
         }
     }
     all
 }
 
 fn with_each_beat(decision: Decision, more: Vec<Decision>) -> Vec<Decision> {
-    let more = if matches!(decision, Decision::Wake(_)) { more } else { Vec::new() };
+    let more = if matches!(decision, Decision::ScheduleTick(_)) { more } else { Vec::new() };
     more.into_iter().chain([decision]).collect()
 }
 
@@ -66,7 +68,9 @@
 pub const KINDS: [(&str, Wrong); 13] = [
     ("empty-tables", |decision, seen| every_table(decision, seen, |_, _| 0.0)),
     ("all-onto-a-drain", |decision, seen| match decision {
-        Decision::Withdraw(id, _) => vec![Decision::Withdraw(id, false)],
+        Decision::SetEjected { replica: id, .. } => {
+            vec![Decision::SetEjected { replica: id, ejected: false }]
+        }
         other => {
             let drain = seen.out.first().or(seen.replicas.first()).cloned();
             every_table(other, seen, |_, id| one(Some(id) == drain.as_ref()))
@@ -77,7 +81,9 @@
         every_table(decision, seen, |_, id| if Some(id) == last.as_ref() { 1e3 } else { 1.0 })
     }),
     ("flapping", |decision, seen| match decision {
-        Decision::Withdraw(id, _) => vec![Decision::Withdraw(id, false)],
+        Decision::SetEjected { replica: id, .. } => {
+            vec![Decision::SetEjected { replica: id, ejected: false }]
+        }
         other => every_table(other, seen, |at, _| one((at as u64 + seen.beats).is_multiple_of(2))),
     }),
     ("infinite-weights", |decision, seen| {
@@ -87,25 +93,47 @@
         every_table(decision, seen, |at, _| if at == 2 { 1e200 } else { 1e-200 })
     }),
     ("levels-out-of-bounds", |decision, _| {
-        with_each_beat(decision, vec![Decision::Level(3, 7.0, FurtherTries::Never)])
+        with_each_beat(
+            decision,
+            vec![Decision::SetAdmission { classes: 3, fraction: 7.0, retry_policy: RetryPolicy::Never }],
+        )
     }),
     ("levels-not-a-number", |decision, _| {
-        with_each_beat(decision, vec![Decision::Level(1, f64::NAN, FurtherTries::Never)])
+        with_each_beat(
+            decision,
+            vec![Decision::SetAdmission { classes: 1, fraction: f64::NAN, retry_policy: RetryPolicy::Never }],
+        )
     }),
     ("tries-twice", |decision, _| {
-        with_each_beat(decision, vec![Decision::Level(u64::MAX, 1.0, FurtherTries::Once)])
+        with_each_beat(
+            decision,
+            vec![Decision::SetAdmission {
+                classes: u64::MAX,
+                fraction: 1.0,
+                retry_policy: RetryPolicy::OnAnyFailure,
+            }],
+        )
     }),
     ("all-withdrawn", |decision, seen| {
-        let out = seen.replicas.iter().map(|id| Decision::Withdraw(id.clone(), true));
+        let out = seen.replicas.iter().map(|id| Decision::SetEjected { replica: id.clone(), ejected: true });
         with_each_beat(decision, out.collect())
     }),
     ("tables-not-laid", |decision, _| {
-        with_each_beat(decision, (0..64).map(|proxy| Decision::Follow(proxy, 60_000, u64::MAX)).collect())
+        with_each_beat(
+            decision,
+            (0..64).map(|proxy| Decision::AssignTable { proxy, table: 60_000, classes: u64::MAX }).collect(),
+        )
     }),
     ("replicas-not-listed", |decision, _| match decision {
-        Decision::Lines(table, lines) => {
-            let made_up = |(at, (_, weight))| (ReplicaId::from(format!("made up {at}")), weight);
-            vec![Decision::Lines(table, lines.into_iter().enumerate().map(made_up).collect())]
+        Decision::UpdateTable { table, entries } => {
+            let made_up = |(at, entry): (usize, TableEntry)| TableEntry {
+                replica: ReplicaId::from(format!("made up {at}")),
+                weight: entry.weight,
+            };
+            vec![Decision::UpdateTable {
+                table,
+                entries: entries.into_iter().enumerate().map(made_up).collect(),
+            }]
         }
         other => vec![other],
     }),
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wrenthread::types::{FurtherTries, ProxyId, ReplicaId, TableId};
+use wrenthread::types::{ProxyId, ReplicaId, RetryPolicy, TableId};
 
 use crate::tables::Kept;
 
@@ -80,7 +80,7 @@
     /// By group: what it should hold, if the governor has anything to say about it.
     pub tables: Vec<Option<Kept>>,
     /// By group, and the version of the last change.
-    pub tries: (u64, Vec<FurtherTries>),
+    pub tries: (u64, Vec<RetryPolicy>),
     pub sent: u64,
     pub acked: u64,
     /// Version and words of the last table that the proxy would not take, until it takes a later one.
@@ -220,7 +220,7 @@
         join: &Join,
         fresh: bool,
         groups: usize,
-        tries: (u64, Vec<FurtherTries>),
+        tries: (u64, Vec<RetryPolicy>),
     ) -> Result<Joined, Refused> {
         if join.name.is_empty() {
             return Err(Refused::Nameless);
--- a/crates/core/src/frozen_tables.rs
+++ b/crates/core/src/frozen_tables.rs
@@ -124,7 +124,7 @@
     use super::*;
     use crate::roster::Entry;
     use crate::table_versions::{MILLION, SaidLine};
-    use wrenthread::types::FurtherTries;
+    use wrenthread::types::RetryPolicy;
 
     const fn s(seconds: u64) -> Duration {
         Duration::from_secs(seconds)
@@ -136,7 +136,7 @@
         Hold {
             version: 3,
             told_at: s(10),
-            said: Said { lines, level: MILLION, tries: FurtherTries::Never },
+            said: Said { lines, level: MILLION, tries: RetryPolicy::Never },
             since: s(50),
             until: s(100),
             why: "".into(),
--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use wrenthread::types::{FurtherTries, GroupSet, Phase, ProxyId, ReplicaId};
+use wrenthread::types::{ClassSet, Phase, ProxyId, ReplicaId, RetryPolicy};
 
 use crate::roster::Roster;
 use crate::tables::{Line, Table};
@@ -584,17 +584,17 @@
     pub fn tries(
         &mut self,
         now: Duration,
-        groups: GroupSet,
-        tries: FurtherTries,
-    ) -> Vec<(GroupSet, FurtherTries)> {
+        groups: ClassSet,
+        tries: RetryPolicy,
+    ) -> Vec<(ClassSet, RetryPolicy)> {
         let bars = |group: &usize| self.limits.once_only.get(*group).copied().unwrap_or(false);
         let barred: Vec<usize> = (0..64).filter(|group| groups >> group & 1 == 1).filter(bars).collect();
-        if self.off || tries != FurtherTries::Once || barred.is_empty() {
+        if self.off || tries != RetryPolicy::OnAnyFailure || barred.is_empty() {
             return vec![(groups, tries)];
         }
-        let set: GroupSet = barred.iter().map(|group| 1 << group).sum();
+        let set: ClassSet = barred.iter().map(|group| 1 << group).sum();
         barred.into_iter().for_each(|group| self.refuse(now, group, Reason::Tries, 2.0, 1.0));
-        vec![(groups & !set, tries), (set, FurtherTries::IfNeverRan)]
+        vec![(groups & !set, tries), (set, RetryPolicy::IfNotExecuted)]
     }
 
     /// A proxy's group holds what is wanted: nothing of it is refused any more.
@@ -919,10 +919,10 @@
     #[test]
     fn what_may_have_run_is_not_tried_again_where_it_must_not_run_twice() {
         let mut guard = guard(false);
-        let split = vec![(0b10, FurtherTries::Once), (0b01, FurtherTries::IfNeverRan)];
-        assert_eq!(guard.tries(s(1), 0b11, FurtherTries::Once), split);
-        let kept = vec![(0b11, FurtherTries::IfNeverRan)];
-        assert_eq!(guard.tries(s(1), 0b11, FurtherTries::IfNeverRan), kept);
+        let split = vec![(0b10, RetryPolicy::OnAnyFailure), (0b01, RetryPolicy::IfNotExecuted)];
+        assert_eq!(guard.tries(s(1), 0b11, RetryPolicy::OnAnyFailure), split);
+        let kept = vec![(0b11, RetryPolicy::IfNotExecuted)];
+        assert_eq!(guard.tries(s(1), 0b11, RetryPolicy::IfNotExecuted), kept);
         assert_eq!(guard.tally().0[&Reason::Tries], 1);
     }
 
--- a/crates/core/src/history.rs
+++ b/crates/core/src/history.rs
@@ -110,7 +110,7 @@
 mod tests {
     use super::*;
     use crate::table_versions::{MILLION, Said, SaidLine};
-    use wrenthread::types::FurtherTries;
+    use wrenthread::types::RetryPolicy;
 
     fn version(version: u64, lines: usize) -> Version {
         let line = |n: usize| {
@@ -119,7 +119,7 @@
                 SaidLine { address: "a".into(), zone: 0, weight: version as u32 },
             )
         };
-        let said = Said { lines: (0..lines).map(line).collect(), level: MILLION, tries: FurtherTries::Never };
+        let said = Said { lines: (0..lines).map(line).collect(), level: MILLION, tries: RetryPolicy::Never };
         let whole = Whole { groups: vec![Some(said)] };
         Version { version, at: Duration::ZERO, digest: whole.digest(), whole: Arc::new(whole) }
     }
--- a/crates/core/src/reports.rs
+++ b/crates/core/src/reports.rs
@@ -16,7 +16,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-use wrenthread::types::{Came, Met, ProxyId, ReplicaId};
+use wrenthread::types::{DemandStatistics, ProxyId, ReplicaId, ReplicaStatistics};
 
 use crate::fleet::StreamId;
 
@@ -84,8 +84,8 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Key {
-    Met(usize, ReplicaId),
-    Came(ProxyId, usize),
+    ReplicaStatistics(usize, ReplicaId),
+    DemandStatistics(ProxyId, usize),
 }
 
 #[derive(Debug, Default, Clone)]
@@ -99,8 +99,8 @@
 /// A line for the module.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Told {
-    Met(Met),
-    Came(Came),
+    ReplicaStatistics(ReplicaStatistics),
+    DemandStatistics(DemandStatistics),
 }
 
 #[derive(Debug)]
@@ -152,7 +152,7 @@
     /// A number goes to another proxy: what its former holder reported is over.
     pub fn forget(&mut self, proxy: ProxyId) {
         self.sources.remove(&proxy);
-        let gone = |key: &Key| matches!(key, Key::Came(of, _) if *of == proxy);
+        let gone = |key: &Key| matches!(key, Key::DemandStatistics(of, _) if *of == proxy);
         self.sums.retain(|key, _| !gone(key));
         self.order.retain(|(_, key)| !gone(key));
         self.last.retain(|key, _| !gone(key));
@@ -196,7 +196,7 @@
                 continue;
             }
             if met.delivered + met.dropped > 0 || !met.load.is_empty() {
-                let sum = self.sum(now, Key::Met(zone, met.replica.clone()));
+                let sum = self.sum(now, Key::ReplicaStatistics(zone, met.replica.clone()));
                 sum.tries += met.delivered + met.dropped;
                 sum.dropped += met.dropped;
                 sum.answers.0 = sum.answers.0.saturating_add(met.answers.0);
@@ -207,7 +207,7 @@
             }
         }
         for (group, (flows, dropped)) in came {
-            let sum = self.sum(now, Key::Came(proxy, group));
+            let sum = self.sum(now, Key::DemandStatistics(proxy, group));
             sum.tries += flows;
             sum.dropped += dropped;
         }
@@ -288,18 +288,22 @@
             let from = before.unwrap_or_default().max(since.saturating_sub(self.period));
             let span = now.saturating_sub(from).max(self.period);
             told.push(match key {
-                Key::Met(zone, replica) => Told::Met(Met {
+                Key::ReplicaStatistics(zone, replica) => Told::ReplicaStatistics(ReplicaStatistics {
                     zone,
                     replica,
-                    tries: sum.tries,
-                    dropped: sum.dropped,
-                    mean: (sum.answers.1 > 0).then(|| sum.answers.0.div_f64(sum.answers.1 as f64)),
-                    span,
+                    attempts: sum.tries,
+                    failed: sum.dropped,
+                    mean_latency: (sum.answers.1 > 0).then(|| sum.answers.0.div_f64(sum.answers.1 as f64)),
+                    interval: span,
                     load: sum.load,
                 }),
-                Key::Came(proxy, group) => {
-                    Told::Came(Came { proxy, group, flows: sum.tries, dropped: sum.dropped, span })
-                }
+                Key::DemandStatistics(proxy, group) => Told::DemandStatistics(DemandStatistics {
+                    proxy,
+                    class: group,
+                    requests: sum.tries,
+                    failed: sum.dropped,
+                    interval: span,
+                }),
             });
         }
         self.last.retain(|_, at| *at + LONGEST > now);
@@ -362,10 +366,10 @@
         take(&mut reports, 11_300, 1, &report(500, 10, 0)).unwrap();
         assert_eq!(reports.due(ms(11_499)), []);
         let told = reports.due(ms(11_500));
-        let Told::Met(met) = &told[0] else { panic!("{told:?}") };
-        assert_eq!((met.zone, met.tries, met.dropped, met.mean), (2, 20, 1, Some(ms(20))));
-        let Told::Came(came) = told[1] else { panic!("{told:?}") };
-        assert_eq!((came.proxy, came.flows, came.dropped), (7, 22, 1));
+        let Told::ReplicaStatistics(met) = &told[0] else { panic!("{told:?}") };
+        assert_eq!((met.zone, met.attempts, met.failed, met.mean_latency), (2, 20, 1, Some(ms(20))));
+        let Told::DemandStatistics(came) = told[1] else { panic!("{told:?}") };
+        assert_eq!((came.proxy, came.requests, came.failed), (7, 22, 1));
         assert_eq!(reports.next_due(), None);
     }
 
@@ -422,8 +426,8 @@
         }
         let told = |told: Vec<Told>| -> Vec<(ProxyId, u64)> {
             let came = told.into_iter().map(|one| match one {
-                Told::Came(came) => (came.proxy, came.flows),
-                Told::Met(met) => panic!("{met:?}"),
+                Told::DemandStatistics(came) => (came.proxy, came.requests),
+                Told::ReplicaStatistics(met) => panic!("{met:?}"),
             });
             came.collect()
         };
--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wrenthread::types::{Listed, Phase, ReplicaId};
+use wrenthread::types::{Phase, ReplicaEntry, ReplicaId};
 
 /// One replica, as its source names it.
 #[derive(Debug, Clone, PartialEq)]
@@ -52,7 +52,7 @@
     /// Nothing differs from what was known.
     Same,
     /// What the module is to be told, whole.
-    Changed(Vec<Listed>),
+    Changed(Vec<ReplicaEntry>),
     /// The list is empty and the last one stays in force until the time given.
     Doubted(Duration),
 }
@@ -79,7 +79,7 @@
     }
 
     /// To be called when an empty list's time is over: it is believed then.
-    pub fn due(&mut self, now: Duration) -> Option<Vec<Listed>> {
+    pub fn due(&mut self, now: Duration) -> Option<Vec<ReplicaEntry>> {
         let since = self.empty_since.filter(|since| now >= *since + self.empty_after)?;
         match self.replace(since, Vec::new()) {
             Taken::Changed(listed) => Some(listed),
@@ -115,12 +115,12 @@
         let listed = self.known.iter().filter(|(_, one)| one.phase != Phase::Gone);
         Taken::Changed(
             listed
-                .map(|(id, one)| Listed {
+                .map(|(id, one)| ReplicaEntry {
                     id: id.clone(),
                     phase: one.phase,
                     zone: one.zone,
                     weight: one.weight,
-                    started: one.started,
+                    started_at: one.started,
                 })
                 .collect(),
         )
@@ -208,7 +208,7 @@
         let Taken::Changed(listed) = roster.take(s(20), vec![entry("a", Phase::Ready, Some(15))]) else {
             panic!("the start differs")
         };
-        assert_eq!(listed[0].started, Some(s(15)));
+        assert_eq!(listed[0].started_at, Some(s(15)));
     }
 
     #[test]
--- a/crates/core/src/send_limiter.rs
+++ b/crates/core/src/send_limiter.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use wrenthread::types::ProxyId;
+use wrenthread::types::{MessageLimit, ProxyId};
 
 /// How much of a second's lines may go at once after a pause, so that a flush leaves in one go.
 const BURST: Duration = Duration::from_millis(250);
@@ -26,8 +26,8 @@
     pub head_lines: f64,
     /// Lines that may wait, in all.
     pub waiting_most: f64,
-    /// Messages that one proxy may be sent within the span.
-    pub messages_most: Option<(usize, Duration)>,
+    /// Messages that one proxy may be sent within an interval.
+    pub messages_most: Option<MessageLimit>,
 }
 
 #[derive(Debug, Default, Clone)]
@@ -114,7 +114,7 @@
         }
         let (before, since) = line.in_flight.unwrap_or((0, now));
         line.in_flight = Some((before + lines, since));
-        if let Some((most, over)) = self.channel.messages_most {
+        if let Some(MessageLimit { messages: most, interval: over }) = self.channel.messages_most {
             line.written.extend(std::iter::repeat_n(now, messages));
             while line.written.len() > most || line.written.front().is_some_and(|at| *at + over <= now) {
                 line.written.pop_front();
@@ -221,7 +221,8 @@
             Some((_, since)) if !urgent => since + STALLED_AFTER,
             _ => now,
         };
-        let Some((most, over)) = self.channel.messages_most else { return answered };
+        let Some(limit) = self.channel.messages_most else { return answered };
+        let MessageLimit { messages: most, interval: over } = limit;
         let most = (most + 1).saturating_sub(FLUSH_MESSAGES + usize::from(!urgent)).max(1);
         let full = line.written.len().checked_sub(most).and_then(|at| line.written.get(at));
         full.map_or(answered, |at| answered.max(*at + over))
@@ -236,7 +237,8 @@
         Duration::from_millis(ms)
     }
 
-    fn pace(lines_per_s: f64, messages_most: Option<(usize, Duration)>) -> Pace {
+    fn pace(lines_per_s: f64, limit: Option<(usize, Duration)>) -> Pace {
+        let messages_most = limit.map(|(messages, interval)| MessageLimit { messages, interval });
         Pace::new(Channel { lines_per_s, head_lines: 10.0, waiting_most: 100.0, messages_most }, ms(0))
     }
 
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
-use wrenthread::types::{FurtherTries, ReplicaId};
+use wrenthread::types::{ReplicaId, RetryPolicy};
 
 use crate::table_versions::{MILLION, Said, SaidLine};
 use crate::tables::{Line, Table};
@@ -119,26 +119,26 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Tries {
     Never,
-    IfNeverRan,
+    IfNotExecuted,
     Once,
 }
 
-impl From<FurtherTries> for Tries {
-    fn from(tries: FurtherTries) -> Self {
+impl From<RetryPolicy> for Tries {
+    fn from(tries: RetryPolicy) -> Self {
         match tries {
-            FurtherTries::Never => Tries::Never,
-            FurtherTries::IfNeverRan => Tries::IfNeverRan,
-            FurtherTries::Once => Tries::Once,
+            RetryPolicy::Never => Tries::Never,
+            RetryPolicy::IfNotExecuted => Tries::IfNotExecuted,
+            RetryPolicy::OnAnyFailure => Tries::Once,
         }
     }
 }
 
-impl From<Tries> for FurtherTries {
+impl From<Tries> for RetryPolicy {
     fn from(tries: Tries) -> Self {
         match tries {
-            Tries::Never => FurtherTries::Never,
-            Tries::IfNeverRan => FurtherTries::IfNeverRan,
-            Tries::Once => FurtherTries::Once,
+            Tries::Never => RetryPolicy::Never,
+            Tries::IfNotExecuted => RetryPolicy::IfNotExecuted,
+            Tries::Once => RetryPolicy::OnAnyFailure,
         }
     }
 }
@@ -370,7 +370,7 @@
             version: 9,
             own: false,
             tables: vec![Some(Held { level: 0.5, lines: vec![line] })],
-            tries: vec![Tries::IfNeverRan],
+            tries: vec![Tries::IfNotExecuted],
             flows: vec![3.0],
             away: 0.0,
         }
--- a/crates/core/src/table_versions.rs
+++ b/crates/core/src/table_versions.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use wrenthread::types::{FurtherTries, ReplicaId};
+use wrenthread::types::{ReplicaId, RetryPolicy};
 
 use crate::tables::Table;
 use crate::weights;
@@ -29,7 +29,7 @@
     pub lines: BTreeMap<ReplicaId, SaidLine>,
     /// Flows let in, in parts of a million.
     pub level: u32,
-    pub tries: FurtherTries,
+    pub tries: RetryPolicy,
 }
 
 /// All that a proxy is told, by group. None: it stays on its standing table.
@@ -53,7 +53,7 @@
 }
 
 impl Said {
-    pub fn of(table: &Table, tries: FurtherTries) -> Said {
+    pub fn of(table: &Table, tries: RetryPolicy) -> Said {
         let open: Vec<_> = table.lines.iter().filter(|line| line.open).collect();
         let weights = weights::whole(&open.iter().map(|line| line.weight).collect::<Vec<_>>());
         let lines = open.into_iter().zip(weights).map(|(line, weight)| {
@@ -115,7 +115,7 @@
         changed: Vec<ChangedLine>,
         removed: Vec<ReplicaId>,
         level: u32,
-        tries: FurtherTries,
+        tries: RetryPolicy,
     },
 }
 
@@ -186,7 +186,7 @@
         let said = group.get_or_insert_with(|| Said {
             lines: BTreeMap::new(),
             level: MILLION,
-            tries: FurtherTries::Never,
+            tries: RetryPolicy::Never,
         });
         (said.level, said.tries) = (*level, *tries);
         for id in removed {
@@ -227,7 +227,7 @@
                     })
                     .collect(),
                 level,
-                tries: [FurtherTries::Never, FurtherTries::IfNeverRan, FurtherTries::Once][tries],
+                tries: [RetryPolicy::Never, RetryPolicy::IfNotExecuted, RetryPolicy::OnAnyFailure][tries],
             })
         });
         prop::collection::vec(group, 3).prop_map(|groups| Whole { groups })
@@ -277,7 +277,7 @@
     fn said(weight: u32) -> Whole {
         let line = SaidLine { address: "a:1".into(), zone: 0, weight };
         let said =
-            Said { lines: BTreeMap::from([("a".into(), line)]), level: MILLION, tries: FurtherTries::Never };
+            Said { lines: BTreeMap::from([("a".into(), line)]), level: MILLION, tries: RetryPolicy::Never };
         Whole { groups: vec![Some(said)] }
     }
 
@@ -292,7 +292,7 @@
         assert_eq!(apply(&two, two.digest(), &collides), Ok(two.clone()), "the same weight again");
         let stranger = ChangedLine { replica: "b".into(), weight: 1, at: None };
         let lines =
-            Change::Lines { changed: vec![stranger], removed: vec![], level: 0, tries: FurtherTries::Never };
+            Change::Lines { changed: vec![stranger], removed: vec![], level: 0, tries: RetryPolicy::Never };
         let unknown = Delta { changes: BTreeMap::from([(0, lines.clone())]), ..good.clone() };
         assert_eq!(apply(&one, one.digest(), &unknown), Err(Mismatch::Unknown));
         let beyond = Delta { changes: BTreeMap::from([(5, lines)]), ..good };
--- a/crates/core/src/tables.rs
+++ b/crates/core/src/tables.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use wrenthread::types::{FurtherTries, GroupSet, ReplicaId, TableId};
+use wrenthread::types::{ClassSet, ReplicaId, RetryPolicy, TableEntry, TableId};
 
 use crate::roster::Roster;
 
@@ -58,19 +58,19 @@
 pub struct Tables {
     laid: BTreeMap<TableId, BTreeMap<ReplicaId, f64>>,
     withdrawn: BTreeSet<ReplicaId>,
-    levels: Vec<(f64, FurtherTries)>,
+    levels: Vec<(f64, RetryPolicy)>,
 }
 
 impl Tables {
     /// So many groups, all of their flows let in, with these further tries.
-    pub fn new(groups: usize, tries: FurtherTries) -> Self {
+    pub fn new(groups: usize, tries: RetryPolicy) -> Self {
         Tables { levels: vec![(1.0, tries); groups], ..Tables::default() }
     }
 
     /// Changed lines of a table; a weight of 0 takes the line out.
-    pub fn lay(&mut self, table: TableId, lines: Vec<(ReplicaId, f64)>) {
+    pub fn lay(&mut self, table: TableId, entries: Vec<TableEntry>) {
         let laid = self.laid.entry(table).or_default();
-        laid.extend(lines);
+        laid.extend(entries.into_iter().map(|entry| (entry.replica, entry.weight)));
         laid.retain(|_, weight| *weight > 0.0);
     }
 
@@ -82,7 +82,7 @@
         }
     }
 
-    pub fn level(&mut self, groups: GroupSet, level: f64, tries: FurtherTries) {
+    pub fn level(&mut self, groups: ClassSet, level: f64, tries: RetryPolicy) {
         for (place, kept) in self.levels.iter_mut().enumerate().take(64) {
             if groups >> place & 1 == 1 {
                 *kept = (level, tries);
@@ -90,11 +90,11 @@
         }
     }
 
-    pub fn levels(&self) -> &[(f64, FurtherTries)] {
+    pub fn levels(&self) -> &[(f64, RetryPolicy)] {
         &self.levels
     }
 
-    pub fn tries(&self) -> Vec<FurtherTries> {
+    pub fn tries(&self) -> Vec<RetryPolicy> {
         self.levels.iter().map(|(_, tries)| *tries).collect()
     }
 
@@ -154,6 +154,10 @@
 #[cfg(test)]
 mod tests {
     use super::*;
+
+    fn entry(replica: &str, weight: f64) -> TableEntry {
+        TableEntry { replica: replica.into(), weight }
+    }
     use crate::roster::Entry;
     use std::time::Duration;
     use wrenthread::types::Phase;
@@ -175,7 +179,7 @@
 
     #[test]
     fn a_standing_table_is_spoken_of_only_once_there_is_something_to_say() {
-        let (roster, mut tables) = (roster(&["a", "b"]), Tables::new(1, FurtherTries::Never));
+        let (roster, mut tables) = (roster(&["a", "b"]), Tables::new(1, RetryPolicy::Never));
         let standing = [("b".into(), 1.0), ("a".into(), 2.0)];
         assert_eq!(tables.wanted(&roster, 0, None, &standing, false), None);
         tables.withdraw("a".into(), true);
@@ -188,10 +192,10 @@
 
     #[test]
     fn a_withdrawal_shuts_lines_laid_before_and_after_it() {
-        let (roster, mut tables) = (roster(&["a", "b"]), Tables::new(1, FurtherTries::Never));
-        tables.lay(4, vec![("a".into(), 1.0)]);
+        let (roster, mut tables) = (roster(&["a", "b"]), Tables::new(1, RetryPolicy::Never));
+        tables.lay(4, vec![entry("a", 1.0)]);
         tables.withdraw("b".into(), true);
-        tables.lay(4, vec![("b".into(), 1.0), ("a".into(), 0.0), ("unlisted".into(), 1.0)]);
+        tables.lay(4, vec![entry("b", 1.0), entry("a", 0.0), entry("unlisted", 1.0)]);
         let table = tables.wanted(&roster, 0, Some(4), &[], false).unwrap();
         assert_eq!(table.lines.len(), 1);
         assert!(!table.lines[0].open && &*table.lines[0].replica == "b");
@@ -209,7 +213,7 @@
         let one = Table { lines: vec![line("a", 1.0, true), line("c", 1.0, true)], level: 1.0 };
         let two = Table { lines: vec![line("b", 1.0, true), line("c", 2.0, true)], level: 0.5 };
         assert_eq!((two.differing(&one), one.differing(&one)), (4, 0));
-        let mut tables = Tables::new(1, FurtherTries::Never);
+        let mut tables = Tables::new(1, RetryPolicy::Never);
         assert!(!tables.outdates(&one));
         tables.withdraw("c".into(), true);
         assert!(tables.outdates(&one));
--- a/crates/daemon/benches/scale.rs
+++ b/crates/daemon/benches/scale.rs
@@ -176,8 +176,8 @@
 fn engine_drain(relays: usize) -> f64 {
     let mut now = Duration::from_secs(1000);
     let mut setup = Setup::example(3);
-    (setup.module.lines_per_s, setup.module.waiting_most) = (200_000.0, 400_000.0);
-    (setup.module.proxies, setup.proxies) = (relays as u64, relays);
+    (setup.module.entries_per_second, setup.module.max_queued_entries) = (200_000.0, 400_000.0);
+    (setup.module.proxy_count, setup.proxies) = (relays as u64, relays);
     let mut engine = Engine::new(setup, now);
     let list = |draining: Option<usize>| -> Vec<Entry> {
         let entry = |n: usize| Entry {
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -134,7 +134,7 @@
 
     fn limit(&self) {
         let (config, info) = (&self.config, &self.config.info);
-        self.connections.limit(config.sockets, config.memory, info.settings.proxies, info.zones.len());
+        self.connections.limit(config.sockets, config.memory, info.settings.proxy_count, info.zones.len());
     }
 
     /// Waits for what comes next, and takes it in.
--- a/crates/daemon/src/platform/config.rs
+++ b/crates/daemon/src/platform/config.rs
@@ -87,7 +87,7 @@
         let settings = Fields(settings.ok_or("`settings` is no object")?);
         let info = wrenthread_deployment_config::read(&settings)?;
         // Where the simulator tells of no number there is one proxy; here it would be ready and serve nobody.
-        if settings.part("extra").get("agents").is_none() || info.settings.proxies == 0 {
+        if settings.part("extra").get("agents").is_none() || info.settings.proxy_count == 0 {
             return Err("`settings.extra.agents` is missing or 0: no proxy could join".into());
         }
         named("settings.zones", &info.zones)?;
--- a/crates/daemon/src/platform/connection.rs
+++ b/crates/daemon/src/platform/connection.rs
@@ -15,7 +15,7 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::task::{AbortHandle, spawn_local, yield_now};
 use tokio::time::{Instant, sleep, sleep_until};
-use wrenthread::types::{Came, ProxyId, ReplicaId};
+use wrenthread::types::{DemandStatistics, ProxyId, ReplicaId};
 use wrenthread_platform_governor::Joining;
 use wrenthread_platform_protocol::decode::{Decoder, Fault, Message};
 use wrenthread_platform_protocol::frames::Frames;
@@ -412,11 +412,12 @@
                 let joining = Joining { proxy, zone, usual, fresh };
                 self.tell(Event::Joined { connection: self.connection, joining, handle }).await;
             }
-            (message @ (Message::Met(_) | Message::Came(_)), Party::Collector) => {
+            (message @ (Message::ReplicaStatistics(_) | Message::DemandStatistics(_)), Party::Collector) => {
                 self.tell(Event::Handed(message)).await;
             }
             (
-                message @ (Message::Came(Came { proxy, .. }) | Message::Acked { proxy, .. }),
+                message @ (Message::DemandStatistics(DemandStatistics { proxy, .. })
+                | Message::Acked { proxy, .. }),
                 Party::Proxy(own),
             ) if proxy == own => {
                 self.tell(Event::Said { connection: self.connection, proxy, message }).await;
--- a/crates/deployment-config/src/lib.rs
+++ b/crates/deployment-config/src/lib.rs
@@ -5,7 +5,10 @@
 
 use serde_json::{Map, Value};
 use thiserror::Error;
-use wrenthread::types::{Dedupers, Effect, FurtherTries, Group, LevelKind, LoadField, Settings};
+use wrenthread::types::{
+    AdmissionControl, DeduplicationScope, Idempotency, LoadField, MessageLimit, RetryPolicy, Settings,
+    TrafficClass,
+};
 
 /// What is wrong with a field.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
@@ -120,59 +123,59 @@
         let group = Fields(group.as_object().ok_or(Fault::Object("categories".into()))?);
         let window = group.or("key_ttl_us", Duration::ZERO, Fields::span)?;
         let by = match group.word("group") {
-            "all" => Dedupers::All,
-            "cell" => Dedupers::SamePack,
-            _ => Dedupers::SameZone,
+            "all" => DeduplicationScope::All,
+            "cell" => DeduplicationScope::SameCell,
+            _ => DeduplicationScope::SameZone,
         };
-        Ok(Group {
-            effect: match group.word("effect") {
-                "retryable" => Effect::Retriable,
-                "dedup" => Effect::Deduped { by, window },
-                _ => Effect::NonRetriable,
+        Ok(TrafficClass {
+            idempotency: match group.word("effect") {
+                "retryable" => Idempotency::Idempotent,
+                "dedup" => Idempotency::IdempotentWithKey { scope: by, window },
+                _ => Idempotency::NotIdempotent,
             },
-            latency_budget: group.span("objective_us")?,
-            expiry: group.span("deadline_us")?,
-            utility: group.or("worth", 1.0, Fields::figure)?,
-            own_zone: own_zone.get(place).and_then(Value::as_bool).unwrap_or(false),
+            latency_objective: group.span("objective_us")?,
+            request_deadline: group.span("deadline_us")?,
+            priority_weight: group.or("worth", 1.0, Fields::figure)?,
+            same_zone_only: own_zone.get(place).and_then(Value::as_bool).unwrap_or(false),
         })
     });
     let groups = groups.collect::<Result<Vec<_>, Fault>>()?;
     let report = info.section("report")?;
     let load_fields = report.row("fields").iter().map(|field| match field.as_str() {
-        Some("inflight") => LoadField::InHand,
-        Some("queue") => LoadField::Waiting,
+        Some("inflight") => LoadField::InFlight,
+        Some("queue") => LoadField::Queued,
         Some("latency_ms") => LoadField::ServiceMillis,
         _ => LoadField::Other,
     });
     let cap = extra.or("update_cap", 0, Fields::whole)? as usize;
     let over = extra.or("messages_over_us", None, |fields, name| fields.span(name).map(Some))?;
     let settings = Settings {
-        governors: info.or("siblings", 1, Fields::whole)?,
-        groups,
-        slices: extra.or("shards", 0, Fields::whole)?,
-        proxies: extra.or("agents", 1, Fields::whole)?,
-        standing_lines: extra.or("bootstrap", u64::MAX, Fields::whole)? as usize,
-        cold_share: rules.or("cold_from", 1.0, Fields::figure)?,
-        warm_after: rules.or("warm_after_us", Duration::ZERO, Fields::span)?,
-        proxies_avoid: extra.or("ejects", 0, Fields::whole)? > 0,
-        sums_every: extra.or("cycle_us", Duration::from_secs(1), Fields::span)?,
-        lines_per_s: extra.or("channel_rate", f64::MAX, Fields::figure)?,
-        head_lines: extra.or("per_message", 0.0, Fields::figure)?,
-        waiting_most: extra.or("most_waiting", f64::MAX, Fields::figure)?,
-        transit_most: extra.or("worst_transit_us", Duration::ZERO, Fields::span)?,
-        messages_most: over.filter(|_| cap > 0).map(|over| (cap, over)),
-        level_kind: match extra.word("level_kind") {
-            "ratio" => LevelKind::Share,
-            "rps" => LevelKind::Rate,
-            _ => LevelKind::None,
+        governor_count: info.or("siblings", 1, Fields::whole)?,
+        classes: groups,
+        key_slices: extra.or("shards", 0, Fields::whole)?,
+        proxy_count: extra.or("agents", 1, Fields::whole)?,
+        default_table_size: extra.or("bootstrap", u64::MAX, Fields::whole)? as usize,
+        initial_capacity_fraction: rules.or("cold_from", 1.0, Fields::figure)?,
+        slow_start_duration: rules.or("warm_after_us", Duration::ZERO, Fields::span)?,
+        proxies_eject_locally: extra.or("ejects", 0, Fields::whole)? > 0,
+        report_interval: extra.or("cycle_us", Duration::from_secs(1), Fields::span)?,
+        entries_per_second: extra.or("channel_rate", f64::MAX, Fields::figure)?,
+        message_overhead_entries: extra.or("per_message", 0.0, Fields::figure)?,
+        max_queued_entries: extra.or("most_waiting", f64::MAX, Fields::figure)?,
+        max_transit_delay: extra.or("worst_transit_us", Duration::ZERO, Fields::span)?,
+        message_limit: over.filter(|_| cap > 0).map(|interval| MessageLimit { messages: cap, interval }),
+        admission_control: match extra.word("level_kind") {
+            "ratio" => AdmissionControl::Fraction,
+            "rps" => AdmissionControl::Rate,
+            _ => AdmissionControl::Unsupported,
         },
-        usual_tries: match extra.or("retry_default", 2, Fields::whole)? {
-            0 => FurtherTries::Never,
-            1 => FurtherTries::IfNeverRan,
-            _ => FurtherTries::Once,
+        default_retry_policy: match extra.or("retry_default", 2, Fields::whole)? {
+            0 => RetryPolicy::Never,
+            1 => RetryPolicy::IfNotExecuted,
+            _ => RetryPolicy::OnAnyFailure,
         },
-        crossing_cost: penalties.or("cross_zone", 0.0, Fields::figure)?,
-        probe_cost: limits.flag("probes").then(|| penalties.number("probe", 0.0)),
+        cross_zone_cost: penalties.or("cross_zone", 0.0, Fields::figure)?,
+        health_check_cost: limits.flag("probes").then(|| penalties.number("probe", 0.0)),
         load_fields: load_fields.collect(),
     };
     let texts =
@@ -205,8 +208,11 @@
         let info = told(INFO).expect("it is whole");
         assert_eq!((info.zones, info.groups), (vec!["a".into(), "b".into()], vec!["find".to_string()]));
         assert_eq!(info.load, ["queue", "latency_ms"]);
-        assert_eq!(info.settings.load_fields, [LoadField::Waiting, LoadField::ServiceMillis]);
-        assert_eq!(info.settings.messages_most, Some((30, Duration::from_secs(10))));
+        assert_eq!(info.settings.load_fields, [LoadField::Queued, LoadField::ServiceMillis]);
+        assert_eq!(
+            info.settings.message_limit,
+            Some(MessageLimit { messages: 30, interval: Duration::from_secs(10) })
+        );
     }
 
     #[test]
--- a/crates/durable-store/tests/lives.rs
+++ b/crates/durable-store/tests/lives.rs
@@ -57,7 +57,7 @@
             .filter_map(|(name, bytes)| Some((name.clone(), Arc::new(snapshot::decode(bytes)?))))
             .collect();
         let mut setup = Setup::example(2);
-        setup.module.proxies = PROXIES as u64;
+        setup.module.proxy_count = PROXIES as u64;
         let mut engine = Engine::new(setup, ms(0));
         engine.recall(ms(0), snapshot::recall(known.clone(), calendar, &names()).0);
         Life { engine, epoch, store, before: known }
--- a/crates/long-poll/src/messages.rs
+++ b/crates/long-poll/src/messages.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 use utoipa::ToSchema;
-use wrenthread::types::{FurtherTries, ReplicaId};
+use wrenthread::types::{ReplicaId, RetryPolicy};
 use wrenthread_core::fleet::Join;
 use wrenthread_core::reports::{AtReplica, Report};
 use wrenthread_core::table_versions::{self, Change, ChangedLine, Delta, Digest, Said, SaidLine, Whole, hex};
@@ -166,19 +166,19 @@
     digest.ok_or_else(|| Unclear::Digest(text.chars().take(80).collect()))
 }
 
-pub fn tries_word(tries: FurtherTries) -> &'static str {
+pub fn tries_word(tries: RetryPolicy) -> &'static str {
     match tries {
-        FurtherTries::Never => "never",
-        FurtherTries::IfNeverRan => "if-never-ran",
-        FurtherTries::Once => "once",
+        RetryPolicy::Never => "never",
+        RetryPolicy::IfNotExecuted => "if-never-ran",
+        RetryPolicy::OnAnyFailure => "once",
     }
 }
 
-fn tries_of(word: &str) -> Result<FurtherTries, Unclear> {
+fn tries_of(word: &str) -> Result<RetryPolicy, Unclear> {
     match word {
-        "never" => Ok(FurtherTries::Never),
-        "if-never-ran" => Ok(FurtherTries::IfNeverRan),
-        "once" => Ok(FurtherTries::Once),
+        "never" => Ok(RetryPolicy::Never),
+        "if-never-ran" => Ok(RetryPolicy::IfNotExecuted),
+        "once" => Ok(RetryPolicy::OnAnyFailure),
         other => Err(Unclear::Field("tries", other.into())),
     }
 }
@@ -424,8 +424,11 @@
                 SaidLine { address: format!("a:{id}").into(), zone, weight: *weight },
             )
         };
-        let said =
-            Said { lines: lines.iter().map(line).collect(), level: 500_000, tries: FurtherTries::IfNeverRan };
+        let said = Said {
+            lines: lines.iter().map(line).collect(),
+            level: 500_000,
+            tries: RetryPolicy::IfNotExecuted,
+        };
         Whole { groups: vec![Some(said.clone()), both.then_some(said)] }
     }
 
--- a/crates/long-poll/src/sessions.rs
+++ b/crates/long-poll/src/sessions.rs
@@ -237,7 +237,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use wrenthread::types::FurtherTries;
+    use wrenthread::types::RetryPolicy;
     use wrenthread_core::table_versions::{MILLION, Said, SaidLine, Whole};
 
     const fn s(seconds: u64) -> Duration {
@@ -247,7 +247,7 @@
     fn version(version: u64, weight: u32) -> Version {
         let line = SaidLine { address: "a:1".into(), zone: 0, weight };
         let lines = [("a".into(), line)].into();
-        let said = Said { lines, level: MILLION, tries: FurtherTries::Never };
+        let said = Said { lines, level: MILLION, tries: RetryPolicy::Never };
         let whole = Whole { groups: vec![Some(said)] };
         Version { version, at: s(0), digest: whole.digest(), whole: Arc::new(whole) }
     }
--- a/crates/nginx-importer/src/fleet.rs
+++ b/crates/nginx-importer/src/fleet.rs
@@ -56,7 +56,7 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Tries {
     Never,
-    IfNeverRan,
+    IfNotExecuted,
     Once,
 }
 
@@ -64,7 +64,7 @@
     pub fn word(self) -> &'static str {
         match self {
             Tries::Never => "never",
-            Tries::IfNeverRan => "if-never-ran",
+            Tries::IfNotExecuted => "if-never-ran",
             Tries::Once => "once",
         }
     }
@@ -572,7 +572,7 @@
         let repeats = next.contains(&"non_idempotent");
         let tries = match (next.contains(&"off") || here.tries == Some(1), repeats) {
             (true, _) => Tries::Never,
-            (false, false) => Tries::IfNeverRan,
+            (false, false) => Tries::IfNotExecuted,
             (false, true) => Tries::Once,
         };
         let expiry = match (tries, here.next_within.unwrap_or(0.0)) {
--- a/crates/platform-governor/src/lib.rs
+++ b/crates/platform-governor/src/lib.rs
@@ -15,8 +15,8 @@
 use std::time::Duration;
 
 use serde_json::Value;
-use wrenthread::rules::Governor;
-use wrenthread::types::{Beliefs, Decision, ProxyId, ReplicaId};
+use wrenthread::governor::Governor;
+use wrenthread::types::{Decision, ProxyConnection, ProxyId, ReplicaId, RosterScope, StateEstimate};
 use wrenthread_deployment_config::Info;
 use wrenthread_platform_protocol::decode::Message;
 use wrenthread_platform_protocol::outbox::Outbox;
@@ -98,9 +98,9 @@
     pub fn new(info: &Info, now: Duration) -> Self {
         Node {
             governor: Governor::new(info.settings.clone(), now),
-            outbox: Outbox::new(info.groups.clone(), info.settings.usual_tries),
+            outbox: Outbox::new(info.groups.clone(), info.settings.default_retry_policy),
             list: List::new(&info.zones),
-            sums_every: info.settings.sums_every,
+            sums_every: info.settings.report_interval,
             streams: BTreeMap::new(),
             follower: Follower::default(),
             names: BTreeSet::new(),
@@ -163,7 +163,8 @@
         let before = self.names.len();
         self.names.extend(change.entries.iter().map(|entry| entry.id.clone()));
         self.outputs.extend((self.names.len() != before).then_some(Output::Names));
-        self.governor.listed(now, &change.entries, change.complete);
+        let scope = if change.complete { RosterScope::Complete } else { RosterScope::Changes };
+        self.governor.update_replicas(now, &change.entries, scope);
     }
 
     /// A connection says that it is a proxy's stream.
@@ -180,7 +181,9 @@
         }
         self.streams.insert(proxy, Stream { connection, usual });
         self.outbox.joined(proxy);
-        self.governor.joined(now, proxy, zone, usual, fresh);
+        let connection =
+            ProxyConnection { proxy, zone, requests_per_second: usual, holds_default_table: fresh };
+        self.governor.proxy_connected(now, connection);
     }
 
     /// A connection that said it was this proxy's has ended.
@@ -206,10 +209,10 @@
             return;
         }
         match message {
-            Message::Came(came) => self.governor.came(now, came),
+            Message::DemandStatistics(came) => self.governor.record_demand(now, came),
             Message::Acked { nonce, took, .. } => {
                 if self.outbox.acked(now, proxy, nonce, took) {
-                    self.governor.acked(took);
+                    self.governor.acknowledged(took);
                 } else {
                     self.fault("spoilt: an answer to no nonce");
                 }
@@ -221,8 +224,8 @@
     /// What a collector hands on, of whichever proxies.
     pub fn handed(&mut self, now: Duration, message: Message) {
         match message {
-            Message::Met(met) => self.governor.met(now, met),
-            Message::Came(came) => self.governor.came(now, came),
+            Message::ReplicaStatistics(met) => self.governor.record_replica_statistics(now, met),
+            Message::DemandStatistics(came) => self.governor.record_demand(now, came),
             _ => {}
         }
     }
@@ -232,15 +235,15 @@
     pub fn pull(&mut self, now: Duration, heard: impl Fn(u64) -> Duration) {
         if now >= self.due {
             self.due = now + NEVER;
-            self.governor.beat();
+            self.governor.tick();
         }
         if now >= self.housekeeping {
             let late = now > self.housekeeping + HOUSEKEEPING;
             self.housekeeping = now + HOUSEKEEPING;
             self.keep_house(now, late, heard);
         }
-        while let Some(decision) = self.governor.decide(now) {
-            if let Some(Decision::Wake(after)) = self.outbox.take(decision) {
+        while let Some(decision) = self.governor.next_decision(now) {
+            if let Some(Decision::ScheduleTick(after)) = self.outbox.take(decision) {
                 self.due = now + after;
             }
         }
@@ -272,8 +275,8 @@
         self.streams.get(&proxy).map(|stream| stream.connection)
     }
 
-    pub fn beliefs(&self) -> Beliefs {
-        self.governor.beliefs()
+    pub fn beliefs(&self) -> StateEstimate {
+        self.governor.state_estimate()
     }
 
     /// What was left out, by reason, since this was last asked.
@@ -294,7 +297,7 @@
             self.outputs.push_back(Output::Close { connection });
         }
         self.outbox.left(proxy);
-        self.governor.left(proxy);
+        self.governor.proxy_disconnected(proxy);
     }
 
     fn keep_house(&mut self, now: Duration, late: bool, heard: impl Fn(u64) -> Duration) {
@@ -311,9 +314,9 @@
             self.follow();
         }
         let governor = &self.governor;
-        self.outbox.retain(|id| governor.knows(id));
+        self.outbox.retain(|id| governor.tracks(id));
         let before = self.names.len();
-        self.names.retain(|id| governor.knows(id));
+        self.names.retain(|id| governor.tracks(id));
         self.outputs.extend((self.names.len() != before).then_some(Output::Names));
     }
 
--- a/crates/platform-governor/src/list.rs
+++ b/crates/platform-governor/src/list.rs
@@ -8,7 +8,7 @@
 
 use serde_json::Value;
 use thiserror::Error;
-use wrenthread::types::{Listed, Phase, ReplicaId};
+use wrenthread::types::{Phase, ReplicaEntry, ReplicaId};
 
 /// Why nothing of an object can be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
@@ -21,13 +21,13 @@
 
 /// A name that is longer is no name: it would be carried in every table.
 const NAME_MOST: usize = 256;
-/// Listed weights beyond it are taken for spoilt.
+/// ReplicaEntry weights beyond it are taken for spoilt.
 const WEIGHT_MOST: f64 = 1e6;
 
 /// What an object changes.
 #[derive(Debug, Default, PartialEq)]
 pub struct Change {
-    pub entries: Vec<Listed>,
+    pub entries: Vec<ReplicaEntry>,
     /// What is not among the entries is gone.
     pub complete: bool,
     /// Why entries were left out.
@@ -39,7 +39,7 @@
 pub struct List {
     zones: BTreeMap<String, usize>,
     version: Option<u64>,
-    entries: BTreeMap<ReplicaId, Listed>,
+    entries: BTreeMap<ReplicaId, ReplicaEntry>,
     incomplete: bool,
     behind: bool,
 }
@@ -128,7 +128,11 @@
         Ok(Some(change))
     }
 
-    fn entry(&self, row: &Value, started: impl Fn(f64) -> Option<Duration>) -> Result<Listed, &'static str> {
+    fn entry(
+        &self,
+        row: &Value,
+        started: impl Fn(f64) -> Option<Duration>,
+    ) -> Result<ReplicaEntry, &'static str> {
         let name = row["name"].as_str().filter(|name| !name.is_empty() && name.len() <= NAME_MOST);
         let name = name.ok_or("name")?;
         let known = self.entries.get_key_value(name);
@@ -151,12 +155,12 @@
             None => 0.0,
             Some(since) => since.as_f64().filter(|since| *since >= 0.0).ok_or("since_ms")?,
         };
-        Ok(Listed {
+        Ok(ReplicaEntry {
             id: known.map_or_else(|| name.into(), |(id, _)| id.clone()),
             phase,
             zone: zone.or((phase == Phase::Gone).then_some(0)).ok_or("zone")?,
             weight: weight.ok_or("weight")?,
-            started: (since > 0.0).then(|| started(since / 1000.0)).flatten(),
+            started_at: (since > 0.0).then(|| started(since / 1000.0)).flatten(),
         })
     }
 }
--- a/crates/platform-governor/src/list/tests.rs
+++ b/crates/platform-governor/src/list/tests.rs
@@ -70,6 +70,6 @@
     let mut started = row("r1", "up");
     started["since_ms"] = json!(90500);
     let change = take(&mut list, 1, true, &[started, row("r2", "up")]).expect("newer");
-    assert_eq!(change.entries[0].started, Some(Duration::from_millis(90500)));
-    assert_eq!(change.entries[1].started, None);
+    assert_eq!(change.entries[0].started_at, Some(Duration::from_millis(90500)));
+    assert_eq!(change.entries[1].started_at, None);
 }
--- a/crates/platform-protocol/src/decode.rs
+++ b/crates/platform-protocol/src/decode.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Map, Value};
 use thiserror::Error;
-use wrenthread::types::{Came, Met, ProxyId, ReplicaId};
+use wrenthread::types::{DemandStatistics, ProxyId, ReplicaId, ReplicaStatistics};
 use wrenthread_deployment_config::Info;
 
 /// What one message says.
@@ -20,8 +20,8 @@
         usual: f64,
         fresh: bool,
     },
-    Met(Met),
-    Came(Came),
+    ReplicaStatistics(ReplicaStatistics),
+    DemandStatistics(DemandStatistics),
     Acked {
         proxy: ProxyId,
         nonce: u16,
@@ -102,12 +102,13 @@
     pub fn new(info: &Info) -> Self {
         let places =
             |names: &[String]| names.iter().cloned().enumerate().map(|(at, name)| (name, at)).collect();
-        let expiry = info.settings.groups.iter().map(|group| group.expiry).max().unwrap_or(Duration::MAX);
+        let expiry =
+            info.settings.classes.iter().map(|group| group.request_deadline).max().unwrap_or(Duration::MAX);
         Decoder {
             zones: places(&info.zones),
             groups: places(&info.groups),
             load: info.load.clone(),
-            proxies: info.settings.proxies,
+            proxies: info.settings.proxy_count,
             answer_most: 2000.0 * expiry.as_secs_f64(), // noise is on top of what a client waits for
         }
     }
@@ -143,20 +144,26 @@
                     None | Some(Value::Null) if !answered => Duration::ZERO,
                     _ => fields.millis("rtt", self.answer_most)?,
                 };
-                Ok(Message::Met(Met {
+                Ok(Message::ReplicaStatistics(ReplicaStatistics {
                     zone: self.zone(&fields)?,
                     replica: replica(fields.text("endpoint")?).ok_or(Fault::Unknown("endpoint"))?,
-                    tries,
-                    dropped,
-                    mean: Some(mean).filter(|mean| answered && !mean.is_zero()),
-                    span,
+                    attempts: tries,
+                    failed: dropped,
+                    mean_latency: Some(mean).filter(|mean| answered && !mean.is_zero()),
+                    interval: span,
                     load: self.load(&fields)?,
                 }))
             }
             "RATE" => {
                 let (flows, dropped, span) = fields.sums(false)?;
                 let group = self.groups.get(fields.text("route")?).ok_or(Fault::Unknown("route"))?;
-                Ok(Message::Came(Came { proxy: self.proxy(&fields)?, group: *group, flows, dropped, span }))
+                Ok(Message::DemandStatistics(DemandStatistics {
+                    proxy: self.proxy(&fields)?,
+                    class: *group,
+                    requests: flows,
+                    failed: dropped,
+                    interval: span,
+                }))
             }
             _ => Err(Fault::Unknown("@type")),
         }
@@ -220,11 +227,14 @@
 
     #[test]
     fn a_load_report_stands_in_the_settings_order() {
-        let Ok(Message::Met(met)) = read(LOAD) else { panic!("{:?}", read(LOAD)) };
-        assert_eq!((met.zone, met.tries, met.dropped, &*met.replica), (1, 4, 1, "r1"));
-        assert_eq!((met.mean, met.span), (Some(Duration::from_micros(41500)), Duration::from_millis(500)));
+        let Ok(Message::ReplicaStatistics(met)) = read(LOAD) else { panic!("{:?}", read(LOAD)) };
+        assert_eq!((met.zone, met.attempts, met.failed, &*met.replica), (1, 4, 1, "r1"));
+        assert_eq!(
+            (met.mean_latency, met.interval),
+            (Some(Duration::from_micros(41500)), Duration::from_millis(500))
+        );
         assert_eq!(met.load, [2.0, 7.0]);
-        let Ok(Message::Met(met)) = read(&LOAD.replace("\"queue\":2", "\"qps\":2")) else {
+        let Ok(Message::ReplicaStatistics(met)) = read(&LOAD.replace("\"queue\":2", "\"qps\":2")) else {
             panic!("not read")
         };
         assert!(met.load.is_empty(), "an absent value is not 0, nor another's");
@@ -251,13 +261,19 @@
         assert_eq!(read(&RATE.replace("17", "20")), Err(Fault::Unknown("node")));
         assert_eq!(read(&RATE.replace("find", "lose")), Err(Fault::Unknown("route")));
         assert!(matches!(read("{\"@type\":"), Err(Fault::Unreadable(_))));
-        assert!(matches!(read(RATE), Ok(Message::Came(Came { proxy: 17, group: 0, flows: 19, .. }))));
+        assert!(matches!(
+            read(RATE),
+            Ok(Message::DemandStatistics(DemandStatistics { proxy: 17, class: 0, requests: 19, .. }))
+        ));
     }
 
     #[test]
     fn flows_of_an_earlier_span_may_be_dropped_in_this_one() {
         let late = RATE.replace("\"total\":19,\"errors\":0", "\"total\":0,\"errors\":2");
-        assert!(matches!(read(&late), Ok(Message::Came(Came { flows: 0, dropped: 2, .. }))));
+        assert!(matches!(
+            read(&late),
+            Ok(Message::DemandStatistics(DemandStatistics { requests: 0, failed: 2, .. }))
+        ));
         assert_eq!(read(&late.replace(":2", ":2e9")), Err(Fault::Field("errors")));
     }
 
--- a/crates/platform-protocol/src/outbox.rs
+++ b/crates/platform-protocol/src/outbox.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use serde::Serialize;
-use wrenthread::types::{Decision, FurtherTries, GroupSet, ProxyId, ReplicaId, TableId};
+use wrenthread::types::{ClassSet, Decision, ProxyId, ReplicaId, RetryPolicy, TableId};
 
 /// Lines in a part at most, so that none comes near the size that a message may have.
 const PART_MOST: usize = 2000;
@@ -23,11 +23,11 @@
 const SLACK: Duration = Duration::from_millis(100);
 
 type Lines = BTreeMap<ReplicaId, f64>;
-type Level = (f64, FurtherTries);
+type Level = (f64, RetryPolicy);
 
 #[derive(Default)]
 struct Stream {
-    follows: BTreeMap<TableId, GroupSet>,
+    follows: BTreeMap<TableId, ClassSet>,
     /// Whether a replica was last said to be shut out (true) or let back; of others nothing is known.
     said: BTreeMap<ReplicaId, bool>,
     /// By group, as the proxy holds it; none where it may hold one that it brought.
@@ -83,17 +83,17 @@
     more: bool,
 }
 
-fn retry(tries: FurtherTries) -> u8 {
+fn retry(tries: RetryPolicy) -> u8 {
     match tries {
-        FurtherTries::Never => 0,
-        FurtherTries::IfNeverRan => 1,
-        FurtherTries::Once => 2,
+        RetryPolicy::Never => 0,
+        RetryPolicy::IfNotExecuted => 1,
+        RetryPolicy::OnAnyFailure => 2,
     }
 }
 
 impl Outbox {
     /// `usual`: what proxies do about further tries until told otherwise.
-    pub fn new(groups: Vec<String>, usual: FurtherTries) -> Self {
+    pub fn new(groups: Vec<String>, usual: RetryPolicy) -> Self {
         Outbox {
             levels: vec![None; groups.len()],
             groups,
@@ -143,8 +143,8 @@
     pub fn take(&mut self, decision: Decision) -> Option<Decision> {
         self.pull.any = true;
         match decision {
-            Decision::Wake(_) | Decision::Probe(_) => return Some(decision),
-            Decision::Withdraw(id, out) => {
+            Decision::ScheduleTick(_) | Decision::CheckHealth(_) => return Some(decision),
+            Decision::SetEjected { replica: id, ejected: out } => {
                 if out {
                     self.out.insert(id.clone());
                 } else {
@@ -152,13 +152,15 @@
                 }
                 self.pull.out.insert(id);
             }
-            Decision::Lines(table, lines) => {
+            Decision::UpdateTable { table, entries } => {
                 let held = self.tables.entry(table).or_default();
+                let entries = entries.into_iter().map(|entry| (entry.replica, entry.weight));
+                let lines: Vec<_> = entries.collect();
                 held.extend(lines.iter().cloned());
                 held.retain(|_, weight| *weight > 0.0);
                 self.pull.lines.entry(table).or_default().extend(lines);
             }
-            Decision::Follow(proxy, table, groups) => {
+            Decision::AssignTable { proxy, table, classes: groups } => {
                 let stream = self.streams.get_mut(&proxy)?;
                 let all = every(self.groups.len());
                 let groups = if groups == 0 { all } else { groups & all };
@@ -167,7 +169,7 @@
                 stream.follows.retain(|_, held| *held != 0);
                 stream.bound.insert(table);
             }
-            Decision::Level(groups, level, tries) => {
+            Decision::SetAdmission { classes: groups, fraction: level, retry_policy: tries } => {
                 let all = every(self.groups.len());
                 let groups = if groups == 0 { all } else { groups & all };
                 for (place, held) in self.levels.iter_mut().enumerate() {
@@ -177,7 +179,7 @@
                 }
                 self.pull.levels = true;
             }
-            Decision::Mark(nonce) => self.pull.nonce = Some(nonce),
+            Decision::RequestAcknowledgement(nonce) => self.pull.nonce = Some(nonce),
         }
         None
     }
@@ -212,8 +214,8 @@
     }
 }
 
-fn every(groups: usize) -> GroupSet {
-    if groups >= 64 { GroupSet::MAX } else { (1 << groups) - 1 }
+fn every(groups: usize) -> ClassSet {
+    if groups >= 64 { ClassSet::MAX } else { (1 << groups) - 1 }
 }
 
 fn encode(parts: &mut [Part], nonce: Option<u16>) -> Vec<u8> {
@@ -284,7 +286,7 @@
 
     /// Levels travel with each message: those in force that the proxy does not hold.
     fn bring_levels(&self, stream: &mut Stream, parts: &mut Vec<Part<'a>>) {
-        let mut due: Vec<(Level, GroupSet)> = Vec::new();
+        let mut due: Vec<(Level, ClassSet)> = Vec::new();
         for (place, (held, wanted)) in stream.levels.iter_mut().zip(self.levels).enumerate().take(64) {
             let Some(wanted) = wanted.filter(|wanted| *held != Some(*wanted)) else { continue };
             *held = Some(wanted);
@@ -332,7 +334,7 @@
         (shut, back)
     }
 
-    fn classes(&self, groups: GroupSet) -> Option<Vec<&'a str>> {
+    fn classes(&self, groups: ClassSet) -> Option<Vec<&'a str>> {
         let named = self.groups.iter().enumerate().filter(|(place, _)| groups >> (*place).min(63) & 1 == 1);
         (groups != every(self.groups.len())).then(|| named.map(|(_, name)| name.as_str()).collect())
     }
--- a/crates/platform-protocol/src/outbox/tests.rs
+++ b/crates/platform-protocol/src/outbox/tests.rs
@@ -3,6 +3,8 @@
 use proptest::prelude::*;
 use serde_json::Value;
 
+use wrenthread::types::TableEntry;
+
 use super::*;
 
 const GROUPS: [&str; 2] = ["find", "pay"];
@@ -65,14 +67,18 @@
 #[derive(Debug, Clone)]
 enum Step {
     Lines(TableId, Vec<(usize, u8)>),
-    Follow(ProxyId, TableId, GroupSet),
+    Follow(ProxyId, TableId, ClassSet),
     Withdraw(usize, bool),
-    Level(GroupSet, u8),
+    Level(ClassSet, u8),
     /// The proxy has been elsewhere, where a replica was withdrawn and its levels were cut.
     Rejoin(ProxyId, Option<usize>),
     Flush,
 }
 
+fn entry(replica: impl Into<ReplicaId>, weight: f64) -> TableEntry {
+    TableEntry { replica: replica.into(), weight }
+}
+
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         3 => (0u16..4, proptest::collection::vec((0usize..5, 0u8..3), 1..4))
@@ -114,24 +120,24 @@
 proptest! {
     #[test]
     fn a_proxy_holds_what_was_decided(steps in steps()) {
-        let mut outbox = Outbox::new(GROUPS.map(String::from).to_vec(), FurtherTries::Never);
+        let mut outbox = Outbox::new(GROUPS.map(String::from).to_vec(), RetryPolicy::Never);
         let proxy = |_| Proxy { levels: [USUAL; 2], ..Proxy::default() };
         let mut proxies: Vec<Proxy> = (0..3).map(proxy).collect();
         (0..3).for_each(|proxy| outbox.joined(proxy));
         for step in steps.into_iter().chain([Step::Flush]) {
             match step {
                 Step::Lines(table, lines) => {
-                    let lines = lines.iter().map(|(at, weight)| (name(*at).into(), f64::from(*weight)));
-                    outbox.take(Decision::Lines(table, lines.collect()));
+                    let lines = lines.iter().map(|(at, weight)| entry(name(*at), f64::from(*weight)));
+                    outbox.take(Decision::UpdateTable { table, entries: lines.collect() });
                 }
                 Step::Follow(proxy, table, groups) => {
-                    outbox.take(Decision::Follow(proxy, table, groups));
+                    outbox.take(Decision::AssignTable { proxy, table, classes: groups });
                 }
                 Step::Withdraw(at, out) => {
-                    outbox.take(Decision::Withdraw(name(at).into(), out));
+                    outbox.take(Decision::SetEjected { replica: name(at).into(), ejected: out });
                 }
                 Step::Level(groups, level) => {
-                    outbox.take(Decision::Level(groups, f64::from(level) / 4.0, FurtherTries::IfNeverRan));
+                    outbox.take(Decision::SetAdmission { classes: groups, fraction: f64::from(level) / 4.0, retry_policy: RetryPolicy::IfNotExecuted });
                 }
                 Step::Rejoin(proxy, out) => {
                     let held = &mut proxies[usize::from(proxy)];
@@ -140,7 +146,7 @@
                     outbox.joined(proxy);
                 }
                 Step::Flush => {
-                    outbox.take(Decision::Mark(7));
+                    outbox.take(Decision::RequestAcknowledgement(7));
                     let before: Vec<usize> = proxies.iter().map(|proxy| proxy.tickets.len()).collect();
                     outbox.flush(Duration::ZERO, |proxy, bytes| proxies[usize::from(proxy)].heed(&bytes));
                     let news = proxies.iter().zip(before).map(|(proxy, before)| proxy.tickets.len() - before);
@@ -154,26 +160,26 @@
 
 #[test]
 fn nothing_empty_is_sent_and_what_stands_is_not_sent_again() {
-    let mut outbox = Outbox::new(GROUPS.map(String::from).to_vec(), FurtherTries::Never);
+    let mut outbox = Outbox::new(GROUPS.map(String::from).to_vec(), RetryPolicy::Never);
     let mut proxies = [Proxy::default(), Proxy::default()];
     (0..2).for_each(|proxy| outbox.joined(proxy));
-    outbox.take(Decision::Lines(1, vec![("r1".into(), 1.0), ("r2".into(), 2.0)]));
-    outbox.take(Decision::Follow(0, 1, 0));
+    outbox.take(Decision::UpdateTable { table: 1, entries: vec![entry("r1", 1.0), entry("r2", 2.0)] });
+    outbox.take(Decision::AssignTable { proxy: 0, table: 1, classes: 0 });
     outbox.flush(Duration::ZERO, |proxy, bytes| proxies[usize::from(proxy)].heed(&bytes));
-    outbox.take(Decision::Lines(1, vec![("r2".into(), 0.0)]));
+    outbox.take(Decision::UpdateTable { table: 1, entries: vec![entry("r2", 0.0)] });
     outbox.flush(Duration::ZERO, |proxy, bytes| proxies[usize::from(proxy)].heed(&bytes));
-    outbox.take(Decision::Mark(3));
+    outbox.take(Decision::RequestAcknowledgement(3));
     outbox.flush(Duration::ZERO, |_, bytes| panic!("{}", String::from_utf8_lossy(&bytes)));
     assert_eq!((proxies[0].lines, proxies[1].lines), (3, 0));
 }
 
 #[test]
 fn an_answer_counts_once_and_only_if_it_is_owed() {
-    let mut outbox = Outbox::new(GROUPS.map(String::from).to_vec(), FurtherTries::Never);
+    let mut outbox = Outbox::new(GROUPS.map(String::from).to_vec(), RetryPolicy::Never);
     outbox.joined(0);
     let (sent, later) = (Duration::from_secs(10), Duration::from_secs(12));
-    outbox.take(Decision::Follow(0, 1, 0));
-    outbox.take(Decision::Mark(9));
+    outbox.take(Decision::AssignTable { proxy: 0, table: 1, classes: 0 });
+    outbox.take(Decision::RequestAcknowledgement(9));
     outbox.flush(sent, |_, _| {});
     assert!(!outbox.acked(later, 0, 8, Duration::from_secs(1)), "no such nonce");
     assert!(!outbox.acked(later, 0, 9, Duration::from_secs(3)), "it took longer than it has been");
--- a/crates/rehearsal/src/relay.rs
+++ b/crates/rehearsal/src/relay.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
-use wrenthread::types::FurtherTries;
+use wrenthread::types::RetryPolicy;
 use wrenthread_client::keeper::{Keeper, Outcome, Standing};
 use wrenthread_client::{Error, Governor, Ordered, Watch, Who, answers, grpc, poll};
 use wrenthread_core::ownership::Dialer;
@@ -194,8 +194,8 @@
         let tries = self.keeper.borrow().tries(group);
         let again = match outcome {
             Tried::Ok(_) => return End::Delivered,
-            Tried::Refused => tries != FurtherTries::Never,
-            Tried::Bad => tries == FurtherTries::Once,
+            Tried::Refused => tries != RetryPolicy::Never,
+            Tried::Bad => tries == RetryPolicy::OnAnyFailure,
         };
         let chance = (0.0, self.chance());
         let second = again.then(|| self.keeper.borrow_mut().pick(self.now(), group, chance, Some(&first)));
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -22,7 +22,7 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use wrenthread::types::{self, Dedupers, Effect, FurtherTries, LevelKind, LoadField};
+use wrenthread::types::{self, AdmissionControl, DeduplicationScope, Idempotency, LoadField, RetryPolicy};
 use wrenthread_core::engine::Setup;
 
 pub mod day;
@@ -390,8 +390,8 @@
 }
 
 const LOAD_FIELDS: [(&str, LoadField); 3] = [
-    ("waiting", LoadField::Waiting),
-    ("in_hand", LoadField::InHand),
+    ("waiting", LoadField::Queued),
+    ("in_hand", LoadField::InFlight),
     ("service_ms", LoadField::ServiceMillis),
 ];
 
@@ -578,48 +578,55 @@
 impl Settings {
     /// What an engine is told at its start.
     pub fn setup(&self) -> Setup {
-        let group = |group: &Group| types::Group {
-            effect: match group.effect.as_str() {
-                "retriable" => Effect::Retriable,
-                "deduped" => Effect::Deduped {
-                    by: match group.deduped_by.as_deref() {
-                        Some("all") => Dedupers::All,
-                        Some("pack") => Dedupers::SamePack,
-                        _ => Dedupers::SameZone,
+        let group = |group: &Group| types::TrafficClass {
+            idempotency: match group.effect.as_str() {
+                "retriable" => Idempotency::Idempotent,
+                "deduped" => Idempotency::IdempotentWithKey {
+                    scope: match group.deduped_by.as_deref() {
+                        Some("all") => DeduplicationScope::All,
+                        Some("pack") => DeduplicationScope::SameCell,
+                        _ => DeduplicationScope::SameZone,
                     },
                     window: span(group.deduped_for.unwrap_or_default()),
                 },
-                _ => Effect::NonRetriable,
+                _ => Idempotency::NotIdempotent,
             },
-            latency_budget: span(group.latency_budget),
-            expiry: span(group.expiry),
-            utility: group.utility,
-            own_zone: group.own_zone,
+            latency_objective: span(group.latency_budget),
+            request_deadline: span(group.expiry),
+            priority_weight: group.utility,
+            same_zone_only: group.own_zone,
         };
         Setup {
             module: types::Settings {
-                governors: self.governors,
-                groups: self.groups.iter().map(group).collect(),
-                slices: 0,
-                proxies: self.proxies,
-                standing_lines: self.standing_lines as usize,
-                cold_share: self.cold_share,
-                warm_after: span(self.warm_after),
-                proxies_avoid: self.proxies_avoid,
-                sums_every: span(self.report_every),
-                lines_per_s: self.lines_per_s,
-                head_lines: self.head_lines,
-                waiting_most: self.waiting_most,
-                transit_most: span(self.transit_most),
-                messages_most: self.messages_most.map(|most| (most as usize, span(self.messages_over))),
-                level_kind: if self.levels { LevelKind::Share } else { LevelKind::None },
-                usual_tries: match self.tries.as_str() {
-                    "once" => FurtherTries::Once,
-                    "if-never-ran" => FurtherTries::IfNeverRan,
-                    _ => FurtherTries::Never,
+                governor_count: self.governors,
+                classes: self.groups.iter().map(group).collect(),
+                key_slices: 0,
+                proxy_count: self.proxies,
+                default_table_size: self.standing_lines as usize,
+                initial_capacity_fraction: self.cold_share,
+                slow_start_duration: span(self.warm_after),
+                proxies_eject_locally: self.proxies_avoid,
+                report_interval: span(self.report_every),
+                entries_per_second: self.lines_per_s,
+                message_overhead_entries: self.head_lines,
+                max_queued_entries: self.waiting_most,
+                max_transit_delay: span(self.transit_most),
+                message_limit: self.messages_most.map(|most| types::MessageLimit {
+                    messages: most as usize,
+                    interval: span(self.messages_over),
+                }),
+                admission_control: if self.levels {
+                    AdmissionControl::Fraction
+                } else {
+                    AdmissionControl::Unsupported
+                },
+                default_retry_policy: match self.tries.as_str() {
+                    "once" => RetryPolicy::OnAnyFailure,
+                    "if-never-ran" => RetryPolicy::IfNotExecuted,
+                    _ => RetryPolicy::Never,
                 },
-                crossing_cost: self.crossing_cost,
-                probe_cost: None,
+                cross_zone_cost: self.crossing_cost,
+                health_check_cost: None,
                 load_fields: self.load.iter().filter_map(|name| load_field(name)).collect(),
             },
             proxies: self.joined_most as usize,
@@ -674,9 +681,12 @@
         assert_eq!(names, ["match", "count", "charge"]);
         assert_eq!(settings.groups[2].route, Route::Header("x-group".into(), "charge".into()));
         let setup = settings.setup();
-        assert_eq!(setup.module.usual_tries, FurtherTries::IfNeverRan);
-        assert!(matches!(setup.module.groups[2].effect, Effect::Deduped { by: Dedupers::All, .. }));
-        assert_eq!(setup.module.sums_every, Duration::from_millis(500));
+        assert_eq!(setup.module.default_retry_policy, RetryPolicy::IfNotExecuted);
+        assert!(matches!(
+            setup.module.classes[2].idempotency,
+            Idempotency::IdempotentWithKey { scope: DeduplicationScope::All, .. }
+        ));
+        assert_eq!(setup.module.report_interval, Duration::from_millis(500));
     }
 
     #[test]
--- a/crates/xds/src/encode.rs
+++ b/crates/xds/src/encode.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use prost::{Message, Name};
-use wrenthread::types::FurtherTries;
+use wrenthread::types::RetryPolicy;
 use wrenthread_core::fleet::Proxy;
 use wrenthread_core::tables::Table;
 use wrenthread_core::weights;
@@ -32,8 +32,8 @@
 use crate::pb::envoy::config::route::v3::header_matcher::HeaderMatchSpecifier;
 use crate::pb::envoy::config::route::v3::route_match::PathSpecifier;
 use crate::pb::envoy::config::route::v3::{
-    HeaderMatcher, RetryPolicy, Route as WireRoute, RouteAction, RouteConfiguration, RouteMatch, VirtualHost,
-    route, route_action,
+    HeaderMatcher, RetryPolicy as WireRetryPolicy, Route as WireRoute, RouteAction, RouteConfiguration,
+    RouteMatch, VirtualHost, route, route_action,
 };
 use crate::pb::envoy::extensions::filters::http::router::v3::Router;
 use crate::pb::envoy::extensions::filters::network::http_connection_manager::v3::{
@@ -235,18 +235,18 @@
 }
 
 /// What a proxy may do after a try without a good answer, as a route's policy.
-fn retries(tries: FurtherTries) -> Option<RetryPolicy> {
+fn retries(tries: RetryPolicy) -> Option<WireRetryPolicy> {
     let on = match tries {
-        FurtherTries::Never => return None,
+        RetryPolicy::Never => return None,
         // Both prove that the first try never ran.
-        FurtherTries::IfNeverRan => "connect-failure,refused-stream",
-        FurtherTries::Once => "5xx,reset,connect-failure,refused-stream",
+        RetryPolicy::IfNotExecuted => "connect-failure,refused-stream",
+        RetryPolicy::OnAnyFailure => "5xx,reset,connect-failure,refused-stream",
     };
-    Some(RetryPolicy {
+    Some(WireRetryPolicy {
         retry_on: on.to_string(),
         num_retries: Some(UInt32Value { value: 1 }),
         host_selection_retry_max_attempts: 3,
-        ..RetryPolicy::default()
+        ..WireRetryPolicy::default()
     })
 }
 
@@ -303,7 +303,7 @@
     routes
 }
 
-fn routes(wire: &Wire, tries: &[FurtherTries]) -> RouteConfiguration {
+fn routes(wire: &Wire, tries: &[RetryPolicy]) -> RouteConfiguration {
     let routes = ordered(&wire.groups).into_iter().filter_map(|(place, path, header)| {
         let (group, tries) = (&wire.groups[place], tries.get(place)?);
         let header = header.map(|(name, value)| {
@@ -391,7 +391,7 @@
 
     #[test]
     fn further_tries_are_only_what_the_module_allows() {
-        let said = routes(&wire(), &[FurtherTries::Never, FurtherTries::IfNeverRan]);
+        let said = routes(&wire(), &[RetryPolicy::Never, RetryPolicy::IfNotExecuted]);
         let policies: Vec<Option<String>> = said.virtual_hosts[0]
             .routes
             .iter()
@@ -419,7 +419,7 @@
             ],
             ..wire()
         };
-        let said = routes(&wire, &[FurtherTries::Never; 3]).virtual_hosts.remove(0).routes;
+        let said = routes(&wire, &[RetryPolicy::Never; 3]).virtual_hosts.remove(0).routes;
         let path = |route: &WireRoute| match route.r#match.as_ref().unwrap().path_specifier.clone().unwrap() {
             PathSpecifier::Path(path) => format!("= {path}"),
             PathSpecifier::Prefix(prefix) => prefix,
--- a/src/rules.rs
+++ b/src/governor.rs
@@ -32,7 +32,7 @@
 
 #[derive(Default)]
 struct Figures {
-    groups: [GroupSet; 2], // by kind of table: free to cross, and bound to the proxy's own zone
+    groups: [ClassSet; 2], // by kind of table: free to cross, and bound to the proxy's own zone
     values: Vec<f64>,      // by group: utility per work
     levels: bool,
     budget: f64,
@@ -131,7 +131,7 @@
     cut: (f64, Duration), // what was answered at the last one, beyond which levels feel their way; when
     pulse: (f64, f64),
     unanswered: Vec<f64>, // by group, of the flows let in, over some hundred lines of the sums
-    levels: Vec<(f64, FurtherTries)>,
+    levels: Vec<(f64, RetryPolicy)>,
     due: BTreeSet<(Duration, ReplicaId)>,
     beats: u64,
     publish_at: Duration,
@@ -154,36 +154,40 @@
 
 impl Figures {
     fn new(settings: &Settings) -> Self {
-        let tabled = if settings.slices > 0 { 0 } else { 64 }; // slices' own tables are not laid into yet
-        let groups = || settings.groups.iter().take(tabled).enumerate();
-        let set = |own| groups().filter(|(_, one)| one.own_zone == own).map(|(place, _)| 1 << place).sum();
+        let tabled = if settings.key_slices > 0 { 0 } else { 64 }; // slices' own tables are not laid into yet
+        let groups = || settings.classes.iter().take(tabled).enumerate();
+        let set =
+            |own| groups().filter(|(_, one)| one.same_zone_only == own).map(|(place, _)| 1 << place).sum();
         // The wire tells no group's work: its latency budget stands in, as what needs longer is given longer.
-        let budget = |place: usize| settings.groups[place].latency_budget.as_secs_f64();
-        let value = |place: usize| per(settings.groups[place].utility, budget(place));
-        let places = 0..settings.groups.len().min(64);
+        let budget = |place: usize| settings.classes[place].latency_objective.as_secs_f64();
+        let value = |place: usize| per(settings.classes[place].priority_weight, budget(place));
+        let places = 0..settings.classes.len().min(64);
         let field = |wanted| settings.load_fields.iter().position(|field| *field == wanted);
-        let (most, over) = settings.messages_most.unwrap_or((usize::MAX, Duration::ZERO));
-        let cold = settings.cold_share.clamp(0.01, 1.0);
+        let (most, over) = match settings.message_limit {
+            Some(limit) => (limit.messages, limit.interval),
+            None => (usize::MAX, Duration::ZERO),
+        };
+        let cold = settings.initial_capacity_fraction.clamp(0.01, 1.0);
         Figures {
             groups: [set(false), set(true)],
-            levels: settings.level_kind == LevelKind::Share,
+            levels: settings.admission_control == AdmissionControl::Fraction,
             budget: per(places.clone().map(budget).sum(), places.len() as f64),
             values: places.map(value).collect(),
-            shared: if settings.governors > 1 { settings.proxies as f64 } else { 0.0 },
-            cold: (cold, per(1.0 - cold, settings.warm_after.as_secs_f64())),
-            wariness: if settings.proxies_avoid { WARINESS.1 } else { WARINESS.0 },
-            crossing: 1.0 + 4.0 * settings.crossing_cost,
-            averaged: 5.0 * settings.sums_every.as_secs_f64(),
-            subset: settings.standing_lines.max(1),
-            settling: settings.transit_most + 3 * settings.sums_every,
+            shared: if settings.governor_count > 1 { settings.proxy_count as f64 } else { 0.0 },
+            cold: (cold, per(1.0 - cold, settings.slow_start_duration.as_secs_f64())),
+            wariness: if settings.proxies_eject_locally { WARINESS.1 } else { WARINESS.0 },
+            crossing: 1.0 + 4.0 * settings.cross_zone_cost,
+            averaged: 5.0 * settings.report_interval.as_secs_f64(),
+            subset: settings.default_table_size.max(1),
+            settling: settings.max_transit_delay + 3 * settings.report_interval,
             every: (2 * BEAT).max(over.mul_f64(1.5 / most.max(1) as f64)),
             flushes: (most.saturating_sub(2), over),
-            lines_per_s: 0.2 * settings.lines_per_s.max(1.0), // as in trouble, while no answer tells more
-            head: settings.head_lines + settings.groups.len() as f64, // levels travel with each message
-            waiting_most: 0.8 * settings.waiting_most,
-            transit: settings.transit_most,
-            probe_every: settings.probe_cost.map(|_| Duration::from_secs(1)), // each costs its replica work
-            load_at: [field(LoadField::InHand), field(LoadField::Waiting)],
+            lines_per_s: 0.2 * settings.entries_per_second.max(1.0), // as in trouble, while no answer tells more
+            head: settings.message_overhead_entries + settings.classes.len() as f64, // levels travel with each message
+            waiting_most: 0.8 * settings.max_queued_entries,
+            transit: settings.max_transit_delay,
+            probe_every: settings.health_check_cost.map(|_| Duration::from_secs(1)), // each costs its replica work
+            load_at: [field(LoadField::InFlight), field(LoadField::Queued)],
         }
     }
 }
@@ -225,23 +229,24 @@
             unheard: true,
             let_in: 1.0,
             cut: (1.0, Duration::ZERO),
-            levels: vec![(1.0, settings.usual_tries); settings.groups.len().min(64)],
+            levels: vec![(1.0, settings.default_retry_policy); settings.classes.len().min(64)],
             drained_at: now,
-            unanswered: vec![0.0; settings.groups.len()],
+            unanswered: vec![0.0; settings.classes.len()],
             wake: true,
             ..Governor::default()
         }
     }
 
     /// The list, or what changed in it. What a complete list leaves out is gone.
-    pub fn listed(&mut self, now: Duration, entries: &[Listed], complete: bool) {
+    pub fn update_replicas(&mut self, now: Duration, entries: &[ReplicaEntry], scope: RosterScope) {
+        let complete = scope == RosterScope::Complete;
         let named: BTreeSet<&ReplicaId> = entries.iter().map(|entry| &entry.id).collect();
         let unnamed = self.replicas.iter_mut().filter(|(id, _)| complete && !named.contains(id));
         unnamed.for_each(|(_, replica)| (replica.ready, replica.gone) = (false, replica.gone.or(Some(now))));
         for entry in entries {
             let replica = self.replicas.entry(entry.id.clone()).or_default();
-            if replica.started != entry.started || replica.weight == 0.0 {
-                replica.started = entry.started;
+            if replica.started != entry.started_at || replica.weight == 0.0 {
+                replica.started = entry.started_at;
                 replica.judge_anew(now, Health::Fit); // the old process's faults are not its own
             }
             let ready = entry.phase == Phase::Ready;
@@ -273,8 +278,10 @@
     }
 
     /// A proxy's stream is up; `fresh` if it holds only its standing table.
-    pub fn joined(&mut self, now: Duration, proxy: ProxyId, zone: usize, usual: f64, fresh: bool) {
-        self.left(proxy);
+    pub fn proxy_connected(&mut self, now: Duration, connection: ProxyConnection) {
+        let ProxyConnection { proxy, zone, requests_per_second: usual, holds_default_table: fresh } =
+            connection;
+        self.proxy_disconnected(proxy);
         let mut here = self.replicas.values().filter(|one| one.zone == zone);
         let few = here.clone().filter(|one| one.ready).count() < 3; // it draws from all zones then
         let unsure = !fresh || few || here.any(|one| self.part(one, now) < 1.0);
@@ -285,51 +292,58 @@
         self.joined.insert(zone, now);
     }
 
-    pub fn left(&mut self, proxy: ProxyId) {
+    pub fn proxy_disconnected(&mut self, proxy: ProxyId) {
         self.proxies.remove(&proxy);
         self.critical.retain(|(critical, _), _| *critical != proxy);
     }
 
-    pub fn met(&mut self, now: Duration, met: Met) {
+    pub fn record_replica_statistics(&mut self, now: Duration, met: ReplicaStatistics) {
         self.heard.insert(met.zone, now);
         // What comes all the time has a span as long as its lines wait; that of rare lines is longer.
-        self.least = self.least.or(Some(met.span)).min(Some(met.span));
+        self.least = self.least.or(Some(met.interval)).min(Some(met.interval));
         let Some(replica) = self.replicas.get_mut(&met.replica) else { return };
         let waiting = self.figures.load_at[1].and_then(|at| met.load.get(at));
         replica.waiting = waiting.map(|waiting| (*waiting, now)).or(replica.waiting);
-        let span = met.span.as_secs_f64().max(0.001);
+        let span = met.interval.as_secs_f64().max(0.001);
         let kept = (-span / self.figures.averaged).exp();
-        let delivered = met.tries.saturating_sub(met.dropped) as f64;
+        let delivered = met.attempts.saturating_sub(met.failed) as f64;
         let sight = replica.sights.entry(met.zone).or_default();
         sight.delivered = sight.delivered * kept + delivered;
-        sight.dropped = sight.dropped * kept + met.dropped as f64;
+        sight.dropped = sight.dropped * kept + met.failed as f64;
         let kept = if sight.last.is_zero() { 0.0 } else { kept }; // else early answers look like few
-        sight.rate += (met.tries as f64 / span - sight.rate) * (1.0 - kept);
+        sight.rate += (met.attempts as f64 / span - sight.rate) * (1.0 - kept);
         (sight.last, sight.last_answer) = (now, if delivered > 0.0 { now } else { sight.last_answer });
-        if let Some(mean) = met.mean.map(|mean| mean.as_secs_f64()) {
+        if let Some(mean) = met.mean_latency.map(|mean| mean.as_secs_f64()) {
             self.pulse = (self.pulse.0 + delivered, self.pulse.1 + delivered * mean);
             let share = if sight.time > 0.0 { per(delivered, sight.delivered.max(1.0)) } else { 1.0 };
             sight.time += (mean - sight.time) * share;
         }
     }
 
-    pub fn came(&mut self, now: Duration, came: Came) {
-        self.least = self.least.or(Some(came.span)).min(Some(came.span));
+    pub fn record_demand(&mut self, now: Duration, came: DemandStatistics) {
+        self.least = self.least.or(Some(came.interval)).min(Some(came.interval));
         let Some(proxy) = self.proxies.get_mut(&came.proxy) else { return };
-        let (rate, heard) = (proxy.rates.get_mut(came.group), proxy.heard.get_mut(came.group));
+        let (rate, heard) = (proxy.rates.get_mut(came.class), proxy.heard.get_mut(came.class));
         let Some((rate, heard)) = rate.zip(heard) else { return };
-        let unanswered = &mut self.unanswered[came.group];
-        let share = per(came.dropped as f64, came.flows as f64 * self.levels[came.group].0).min(1.0);
-        *unanswered += 0.01 * self.levels[came.group].0 * (share - *unanswered);
+        let unanswered = &mut self.unanswered[came.class];
+        let share = per(came.failed as f64, came.requests as f64 * self.levels[came.class].0).min(1.0);
+        *unanswered += 0.01 * self.levels[came.class].0 * (share - *unanswered);
         // A line's span may be cut short, and silence has none: where flows are rare both would look like
         // more of them. Over fewer than some four flows chance would do the same.
-        let span = came.span.max(now.saturating_sub(std::mem::replace(heard, now))).as_secs_f64().max(0.001);
+        let span =
+            came.interval.max(now.saturating_sub(std::mem::replace(heard, now))).as_secs_f64().max(0.001);
         let averaged = per(4.0, *rate).clamp(self.figures.averaged, 12.0 * self.figures.averaged);
-        *rate += (came.flows as f64 / span - *rate) * (1.0 - (-span / averaged).exp());
+        *rate += (came.requests as f64 / span - *rate) * (1.0 - (-span / averaged).exp());
     }
 
     /// What a probe found: how long the answer took, if one came.
-    pub fn probed(&mut self, now: Duration, id: &ReplicaId, took: Option<Duration>, load: &[f64]) {
+    pub fn record_health_check(
+        &mut self,
+        now: Duration,
+        id: &ReplicaId,
+        took: Option<Duration>,
+        load: &[f64],
+    ) {
         let Some(replica) = self.replicas.get_mut(id) else { return };
         replica.unanswered_probes = if took.is_some() { 0 } else { replica.unanswered_probes + 1 };
         let known = replica.in_hand.unwrap_or(1.0);
@@ -344,27 +358,35 @@
     }
 
     /// A marked message took effect this long after it was ordered: what went well before it has left.
-    pub fn acked(&mut self, took: Duration) {
+    pub fn acknowledged(&mut self, took: Duration) {
         let ordered = self.drained_at.saturating_sub(took + self.figures.transit);
         self.ordered.retain(|(at, _)| *at >= ordered);
         self.waiting = self.waiting.min(self.ordered.iter().map(|(_, lines)| lines).sum());
     }
 
-    pub fn beat(&mut self) {
+    pub fn tick(&mut self) {
         self.wake = true;
     }
 
     /// Whether anything is still known of a replica; of what is gone and in no table nothing is.
-    pub fn knows(&self, id: &ReplicaId) -> bool {
+    pub fn tracks(&self, id: &ReplicaId) -> bool {
         self.replicas.contains_key(id)
     }
 
-    pub fn beliefs(&self) -> Beliefs {
+    pub fn state_estimate(&self) -> StateEstimate {
         let (offered, answered) = (self.proxies.values().flat_map(|one| &one.rates).sum(), self.answered());
         let out = self.replicas.values().filter(|one| one.ready && one.out()).count();
         let open = self.replicas.values().filter(|one| one.ready && !one.out()).count();
         let unsure = self.proxies.values().filter(|one| one.unsure).count();
-        Beliefs { offered, answered, let_in: self.let_in, open, out, proxies: self.proxies.len(), unsure }
+        StateEstimate {
+            offered_per_second: offered,
+            answered_per_second: answered,
+            admission_fraction: self.let_in,
+            available_replicas: open,
+            ejected_replicas: out,
+            proxies: self.proxies.len(),
+            unsynchronised_proxies: unsure,
+        }
     }
 
     pub fn is_critical(&self, proxy: ProxyId) -> bool {
@@ -372,7 +394,7 @@
     }
 
     /// For operators: why a replica gets nothing, or little, if that is so.
-    pub fn why_out(&self, id: &ReplicaId) -> Option<&'static str> {
+    pub fn ejection_reason(&self, id: &ReplicaId) -> Option<&'static str> {
         let replica = self.replicas.get(id)?;
         match replica.health {
             _ if !replica.ready => Some("drains or is gone"),
@@ -384,7 +406,7 @@
     }
 
     /// The next decision. What was put in is settled by the first pull after a `None`.
-    pub fn decide(&mut self, now: Duration) -> Option<Decision> {
+    pub fn next_decision(&mut self, now: Duration) -> Option<Decision> {
         if !self.settled {
             self.settle(now);
         }
@@ -395,7 +417,7 @@
     fn settle(&mut self, now: Duration) {
         let beat = std::mem::take(&mut self.wake);
         if beat {
-            self.out.push_back(Decision::Wake(BEAT));
+            self.out.push_back(Decision::ScheduleTick(BEAT));
             self.beats += 1;
             self.judge(now);
             if self.beats.is_multiple_of(4) {
@@ -409,7 +431,8 @@
             }
         }
         for (_, id) in self.due.extract_if(.., |(at, _)| *at <= now) {
-            self.out.extend(self.replicas.get(&id).filter(|one| one.ready).map(|_| Decision::Probe(id)));
+            self.out
+                .extend(self.replicas.get(&id).filter(|one| one.ready).map(|_| Decision::CheckHealth(id)));
         }
         let ordinary = beat && now >= self.publish_at;
         self.publish_at = if ordinary { now + self.figures.every } else { self.publish_at };
@@ -431,7 +454,7 @@
         }
     }
 
-    fn demand(&self, proxy: &Proxy, groups: GroupSet) -> f64 {
+    fn demand(&self, proxy: &Proxy, groups: ClassSet) -> f64 {
         let rates = proxy.rates.iter().zip(&self.levels).enumerate();
         rates
             .filter(|(at, _)| groups >> (*at).min(63) & 1 == 1)
@@ -575,7 +598,7 @@
         for one in self.proxies.values() {
             *joined.entry(one.zone).or_insert(0.0) += 1.0;
             *bound.entry(one.zone).or_insert(0.0) += self.demand(one, self.figures.groups[1]);
-            *all.entry(one.zone).or_insert(0.0) += self.demand(one, GroupSet::MAX);
+            *all.entry(one.zone).or_insert(0.0) += self.demand(one, ClassSet::MAX);
         }
         // Other governors' proxies are unheard: taken to be where fewer are here than the fleet's sizes tell.
         let (here, mine) = (self.proxies.len() as f64, all.values().sum::<f64>());
@@ -666,7 +689,7 @@
         self.ordered.extend((self.waiting > before).then_some((now, self.waiting - before)));
         if flush && self.out.len() > first {
             self.flushes.push_back(now);
-            self.out.push_back(Decision::Mark((self.beats % u64::from(u16::MAX)) as u16));
+            self.out.push_back(Decision::RequestAcknowledgement((self.beats % u64::from(u16::MAX)) as u16));
         }
     }
 
@@ -686,7 +709,7 @@
         let gone = self.replicas.extract_if(.., |id, one| !named.contains(id) && forgotten(one));
         let told: Vec<_> = gone.filter(|(_, one)| one.withdrawn).collect();
         self.waiting += self.told(told.len());
-        self.out.extend(told.into_iter().map(|(id, _)| Decision::Withdraw(id, false)));
+        self.out.extend(told.into_iter().map(|(id, _)| Decision::SetEjected { replica: id, ejected: false }));
     }
 
     /// The lines of so many withdrawals: to all whose tables can't be read, and twice as many as name one.
@@ -706,7 +729,7 @@
         self.waiting += self.told(fitting);
         for (_, id) in concerned.into_iter().take(fitting) {
             self.replicas.entry(id.clone()).and_modify(|one| one.withdrawn = out);
-            self.out.push_back(Decision::Withdraw(id, out));
+            self.out.push_back(Decision::SetEjected { replica: id, ejected: out });
         }
     }
 
@@ -723,13 +746,13 @@
             let rot = |draw| *draws.entry(draw).or_insert_with(|| self.rotten(draw, default));
             let (rotten, pressing) = proxy.standing.map_or((false, false), rot);
             let unread = || proxy.standing.is_some_and(|draw| self.unread(draw));
-            let busy = self.demand(proxy, GroupSet::MAX) > 0.07 * like * due && unread();
+            let busy = self.demand(proxy, ClassSet::MAX) > 0.07 * like * due && unread();
             let bind = proxy.unsure || flush && (rotten || busy || stands && critical.contains(&id));
             if bind || flush && !stands {
                 let open = |kind| field.units.get(&(id, kind)).map_or(0, |(.., at)| field.shares[*at].len());
                 let few = !stands && (0..2).any(|kind| self.figures.groups[kind] != 0 && open(kind) < 3);
                 let rank = if proxy.unsure { 0 } else { 2 - usize::from(pressing || few) };
-                concerned.push((rank, -self.demand(proxy, GroupSet::MAX), id, bind));
+                concerned.push((rank, -self.demand(proxy, ClassSet::MAX), id, bind));
             }
         }
         // Who can't wait first, then the busiest: the channel may not bear all at once.
@@ -793,8 +816,15 @@
         // A proxy whose number leaves none for two tables stays on what it holds.
         let Some(n) = unit.0.checked_mul(2).filter(|n| *n < TableId::MAX - 2) else { return 0 };
         let (n, cost) = (n + unit.1 as TableId, if bind { 1 + 2 * table.len() } else { lines.len() });
-        self.out.extend((!lines.is_empty()).then_some(Decision::Lines(n, lines)));
-        self.out.extend(bind.then_some(Decision::Follow(unit.0, n, self.figures.groups[unit.1])));
+        self.out.extend((!lines.is_empty()).then(|| {
+            let entries = lines.into_iter().map(|(replica, weight)| TableEntry { replica, weight });
+            Decision::UpdateTable { table: n, entries: entries.collect() }
+        }));
+        self.out.extend(bind.then_some(Decision::AssignTable {
+            proxy: unit.0,
+            table: n,
+            classes: self.figures.groups[unit.1],
+        }));
         cost
     }
 
@@ -936,7 +966,7 @@
         let cut = if self.figures.levels { 1.0 - self.let_in.min(most) } else { 0.0 };
         let mut excess = cut * demand.iter().sum::<f64>();
         // A further try in overload takes a place from a first one; a proven first drop is safe to try again.
-        let tries = if self.let_in < 1.0 { FurtherTries::Never } else { FurtherTries::IfNeverRan };
+        let tries = if self.let_in < 1.0 { RetryPolicy::Never } else { RetryPolicy::IfNotExecuted };
         for (place, demand) in ladder.into_iter().zip(demand) {
             let level = 1.0 - per(excess.clamp(0.0, demand), demand).min(1.0);
             excess -= demand;
@@ -947,7 +977,11 @@
             let fits = self.waiting + cost <= spared * self.figures.waiting_most;
             if self.levels[place] != level && !self.unheard && fits {
                 self.levels[place] = level;
-                self.out.push_back(Decision::Level(1 << place, level.0, tries));
+                self.out.push_back(Decision::SetAdmission {
+                    classes: 1 << place,
+                    fraction: level.0,
+                    retry_policy: tries,
+                });
                 self.waiting += cost;
             }
         }
--- a/src/rules/tests.rs
+++ b/src/governor/tests.rs
@@ -4,35 +4,58 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
+/// A proxy of zone 0 that holds its default table and nothing else.
+fn with_default_table(proxy: ProxyId, requests_per_second: f64) -> ProxyConnection {
+    ProxyConnection { proxy, zone: 0, requests_per_second, holds_default_table: true }
+}
+
+/// A proxy of zone 0 of which it is not known what it holds.
+fn with_unknown_tables(proxy: ProxyId, requests_per_second: f64) -> ProxyConnection {
+    ProxyConnection { holds_default_table: false, ..with_default_table(proxy, requests_per_second) }
+}
+
+fn entry(replica: ReplicaId, weight: f64) -> TableEntry {
+    TableEntry { replica, weight }
+}
+
 fn id(name: &str) -> ReplicaId {
     name.into()
 }
 
-fn group(effect: Effect, own_zone: bool, utility: f64) -> Group {
-    Group { effect, latency_budget: SECOND, expiry: 3 * SECOND, utility, own_zone }
+fn group(effect: Idempotency, own_zone: bool, utility: f64) -> TrafficClass {
+    TrafficClass {
+        idempotency: effect,
+        latency_objective: SECOND,
+        request_deadline: 3 * SECOND,
+        priority_weight: utility,
+        same_zone_only: own_zone,
+    }
 }
 
 fn settings() -> Settings {
     Settings {
-        governors: 1,
-        groups: vec![group(Effect::Retriable, false, 1.0), group(Effect::NonRetriable, false, 3.0)],
-        slices: 0,
-        proxies: 4,
-        standing_lines: 8,
-        cold_share: 0.2,
-        warm_after: 10 * SECOND,
-        proxies_avoid: true,
-        sums_every: SECOND / 2,
-        lines_per_s: 1000.0,
-        head_lines: 5.0,
-        waiting_most: 1000.0,
-        transit_most: SECOND / 2,
-        messages_most: Some((10, 10 * SECOND)),
-        level_kind: LevelKind::Share,
-        usual_tries: FurtherTries::Never,
-        crossing_cost: 0.05,
-        probe_cost: None,
-        load_fields: vec![LoadField::Waiting],
+        governor_count: 1,
+        classes: vec![
+            group(Idempotency::Idempotent, false, 1.0),
+            group(Idempotency::NotIdempotent, false, 3.0),
+        ],
+        key_slices: 0,
+        proxy_count: 4,
+        default_table_size: 8,
+        initial_capacity_fraction: 0.2,
+        slow_start_duration: 10 * SECOND,
+        proxies_eject_locally: true,
+        report_interval: SECOND / 2,
+        entries_per_second: 1000.0,
+        message_overhead_entries: 5.0,
+        max_queued_entries: 1000.0,
+        max_transit_delay: SECOND / 2,
+        message_limit: Some(MessageLimit { messages: 10, interval: 10 * SECOND }),
+        admission_control: AdmissionControl::Fraction,
+        default_retry_policy: RetryPolicy::Never,
+        cross_zone_cost: 0.05,
+        health_check_cost: None,
+        load_fields: vec![LoadField::Queued],
     }
 }
 
@@ -42,8 +65,8 @@
 
 /// One whose second group is bound to the proxy's own zone.
 fn bound() -> Governor {
-    let groups = vec![group(Effect::Retriable, false, 1.0), group(Effect::Retriable, true, 3.0)];
-    Governor { unheard: false, ..Governor::new(Settings { groups, ..settings() }, Duration::ZERO) }
+    let groups = vec![group(Idempotency::Idempotent, false, 1.0), group(Idempotency::Idempotent, true, 3.0)];
+    Governor { unheard: false, ..Governor::new(Settings { classes: groups, ..settings() }, Duration::ZERO) }
 }
 
 fn warm(zone: usize) -> Replica {
@@ -80,8 +103,8 @@
     }
 }
 
-fn listed(name: &str, phase: Phase) -> Listed {
-    Listed { id: id(name), phase, zone: 0, weight: 1.0, started: None }
+fn listed(name: &str, phase: Phase) -> ReplicaEntry {
+    ReplicaEntry { id: id(name), phase, zone: 0, weight: 1.0, started_at: None }
 }
 
 fn out(governor: &Governor) -> Vec<&Decision> {
@@ -92,7 +115,7 @@
 fn what_a_complete_list_leaves_out_is_gone() {
     let mut governor = governor();
     governor.replicas.insert(id("a"), warm(0));
-    governor.listed(SECOND, &[listed("b", Phase::Ready)], true);
+    governor.update_replicas(SECOND, &[listed("b", Phase::Ready)], RosterScope::Complete);
     assert!(!governor.replicas[&id("a")].ready);
 }
 
@@ -101,8 +124,18 @@
     let mut governor = governor();
     governor.replicas.insert(id("a"), warm(0));
     let (replica, mean) = (id("a"), Some(SECOND));
-    governor
-        .met(SECOND, Met { zone: 0, replica, tries: 5, dropped: 0, mean, span: SECOND / 2, load: vec![] });
+    governor.record_replica_statistics(
+        SECOND,
+        ReplicaStatistics {
+            zone: 0,
+            replica,
+            attempts: 5,
+            failed: 0,
+            mean_latency: mean,
+            interval: SECOND / 2,
+            load: vec![],
+        },
+    );
     assert_eq!(governor.answered(), 10.0);
 }
 
@@ -110,7 +143,11 @@
 fn a_new_start_clears_what_was_held_against_the_old_process() {
     let mut governor = governor();
     governor.replicas.insert(id("a"), Replica { health: Health::Out(SECOND, 3), ..warm(0) });
-    governor.listed(SECOND, &[Listed { started: Some(SECOND), ..listed("a", Phase::Ready) }], false);
+    governor.update_replicas(
+        SECOND,
+        &[ReplicaEntry { started_at: Some(SECOND), ..listed("a", Phase::Ready) }],
+        RosterScope::Changes,
+    );
     assert_eq!(governor.replicas[&id("a")].health, Health::Fit);
 }
 
@@ -118,8 +155,8 @@
 fn a_joiner_with_unknown_holdings_is_unsure_and_a_fresh_one_stands() {
     let mut governor = governor();
     ["a", "b", "c"].iter().for_each(|name| drop(governor.replicas.insert(id(name), warm(0))));
-    governor.joined(SECOND, 1, 0, 4.0, false);
-    governor.joined(SECOND, 2, 0, 4.0, true);
+    governor.proxy_connected(SECOND, with_unknown_tables(1, 4.0));
+    governor.proxy_connected(SECOND, with_default_table(2, 4.0));
     assert!(governor.proxies[&1].unsure && !governor.proxies[&2].unsure);
     assert_eq!(governor.proxies[&2].rates, vec![2.0, 2.0]);
 }
@@ -128,7 +165,7 @@
 fn a_fresh_joiner_may_hold_a_cold_replica_so_it_is_unsure() {
     let mut governor = governor();
     governor.replicas.insert(id("a"), cold(0, SECOND));
-    governor.joined(2 * SECOND, 1, 0, 4.0, true);
+    governor.proxy_connected(2 * SECOND, with_default_table(1, 4.0));
     assert!(governor.proxies[&1].unsure);
 }
 
@@ -139,8 +176,8 @@
     governor.replicas.insert(id("a"), Replica { ready: false, ..warm(0) });
     governor.replicas.insert(id("b"), warm(0));
     governor.publish(SECOND, false, false);
-    assert_eq!(out(&governor)[0], &Decision::Withdraw(id("a"), true));
-    assert_eq!(out(&governor)[1], &Decision::Lines(2, vec![(id("a"), 0.0)]));
+    assert_eq!(out(&governor)[0], &Decision::SetEjected { replica: id("a"), ejected: true });
+    assert_eq!(out(&governor)[1], &Decision::UpdateTable { table: 2, entries: vec![entry(id("a"), 0.0)] });
 }
 
 #[test]
@@ -151,9 +188,10 @@
     governor.replicas.insert(id("b"), warm(0));
     governor.publish(SECOND, false, true);
     let orders = out(&governor);
-    let widens = |one: &&&Decision| matches!(one, Decision::Lines(2, lines) if lines[0].0 == id("a"));
+    let widens = |one: &&&Decision| matches!(one, Decision::UpdateTable { table: 2, entries: lines } if lines[0].replica == id("a"));
     let line = orders.iter().position(|one| widens(&one));
-    let back = orders.iter().position(|one| **one == Decision::Withdraw(id("a"), false));
+    let back =
+        orders.iter().position(|one| **one == Decision::SetEjected { replica: id("a"), ejected: false });
     assert!(line.is_some() && line < back);
 }
 
@@ -162,11 +200,11 @@
     let mut governor = governor();
     governor.replicas.insert(id("a"), Replica { ready: false, ..warm(0) });
     governor.replicas.insert(id("b"), warm(0));
-    governor.joined(SECOND, 3, 0, 4.0, false);
+    governor.proxy_connected(SECOND, with_unknown_tables(3, 4.0));
     governor.publish(SECOND, true, false);
     let orders = out(&governor);
-    assert!(orders.contains(&&Decision::Lines(6, vec![(id("b"), 1.0)])));
-    assert!(orders.contains(&&Decision::Follow(3, 6, 0b11)));
+    assert!(orders.contains(&&Decision::UpdateTable { table: 6, entries: vec![entry(id("b"), 1.0)] }));
+    assert!(orders.contains(&&Decision::AssignTable { proxy: 3, table: 6, classes: 0b11 }));
 }
 
 #[test]
@@ -189,19 +227,19 @@
     assert!(governor.out.is_empty());
     // Nor for one whose holdings are unknown, though it may send to what drains: a storm of them would
     // break the rule.
-    governor.joined(Duration::ZERO, 2, 0, 1.0, false);
+    governor.proxy_connected(Duration::ZERO, with_unknown_tables(2, 1.0));
     governor.tables(Duration::ZERO, false);
     assert!(governor.out.is_empty());
     governor.waiting = 500.0;
     governor.tables(Duration::ZERO, false);
-    assert!(governor.out.contains(&Decision::Follow(2, 4, 0b11)));
+    assert!(governor.out.contains(&Decision::AssignTable { proxy: 2, table: 4, classes: 0b11 }));
 }
 
 /// A hundred joiners whose holdings are unknown, and a few replicas.
 fn storm(names: &[&str]) -> Governor {
     let mut governor = governor();
     governor.replicas.extend(names.iter().map(|name| (id(name), warm(0))));
-    (0..100).for_each(|proxy| governor.joined(Duration::ZERO, proxy, 0, 1.0, false));
+    (0..100).for_each(|proxy| governor.proxy_connected(Duration::ZERO, with_unknown_tables(proxy, 1.0)));
     governor
 }
 
@@ -220,14 +258,14 @@
     governor.replicas.values_mut().for_each(|one| one.health = Health::Out(SECOND, 1));
     governor.replicas.insert(id("d"), Replica { ready: false, ..warm(0) });
     governor.withdraw(true);
-    assert_eq!(out(&governor), [&Decision::Withdraw(id("d"), true)]);
+    assert_eq!(out(&governor), [&Decision::SetEjected { replica: id("d"), ejected: true }]);
     // A line and a head for each proxy whose table can't be read.
     assert_eq!(governor.waiting, 100.0 * (1.0 + 7.0));
     governor.withdraw(true);
     assert_eq!(out(&governor).len(), 1, "the others wait");
     governor.waiting = 0.0;
     governor.withdraw(true);
-    assert_eq!(out(&governor)[1], &Decision::Withdraw(id("a"), true));
+    assert_eq!(out(&governor)[1], &Decision::SetEjected { replica: id("a"), ejected: true });
 }
 
 #[test]
@@ -246,13 +284,13 @@
     let ordered = || (1..=4).map(|at| (at * SECOND, 100.0)).collect();
     let channel = || Governor { ordered: ordered(), waiting: 400.0, drained_at: 5 * SECOND, ..governor() };
     let mut quick = channel();
-    quick.acked(SECOND);
+    quick.acknowledged(SECOND);
     assert_eq!(
         quick.waiting, 100.0,
         "it was ordered at 3.5 s at the soonest, as its answer was on its way as well"
     );
     let mut slow = channel();
-    slow.acked(4 * SECOND);
+    slow.acknowledged(4 * SECOND);
     assert_eq!(slow.waiting, 400.0);
     // Without answers time counts, at a bad channel's pace.
     slow.publish(6 * SECOND, false, false);
@@ -294,7 +332,7 @@
     let mut governor = Governor { unheard: true, ..governor() };
     follower(&mut governor, 1, 0, &[]);
     governor.publish(SECOND, false, true);
-    assert!(!out(&governor).iter().any(|one| matches!(one, Decision::Level(..))));
+    assert!(!out(&governor).iter().any(|one| matches!(one, Decision::SetAdmission { .. })));
 }
 
 /// Two replicas sent 5 flows a second each, `a` last heard of 10 s ago.
@@ -375,10 +413,11 @@
 
 #[test]
 fn an_unanswered_probe_raises_what_a_replica_is_taken_to_hold() {
-    let probed = Settings { probe_cost: Some(0.0), load_fields: vec![LoadField::InHand], ..settings() };
+    let probed =
+        Settings { health_check_cost: Some(0.0), load_fields: vec![LoadField::InFlight], ..settings() };
     let mut governor = Governor::new(probed, Duration::ZERO);
     governor.replicas.insert(id("a"), Replica { in_hand: Some(2.0), ..warm(0) });
-    governor.probed(SECOND, &id("a"), None, &[]);
+    governor.record_health_check(SECOND, &id("a"), None, &[]);
     assert_eq!(governor.replicas[&id("a")].in_hand, Some(2.6));
 }
 
@@ -529,7 +568,10 @@
     let mut governor = governor();
     follower(&mut governor, 1, 0, &[("a", 1.0), ("b", 1.0)]);
     let cost = governor.lay((1, 0), [(id("a"), 1.05), (id("b"), 1.5)].into(), false);
-    assert_eq!((cost, out(&governor)), (1, vec![&Decision::Lines(2, vec![(id("b"), 1.5)])]));
+    assert_eq!(
+        (cost, out(&governor)),
+        (1, vec![&Decision::UpdateTable { table: 2, entries: vec![entry(id("b"), 1.5)] }])
+    );
 }
 
 #[test]
@@ -628,7 +670,7 @@
     let mut governor = late(4);
     governor.let_in = 0.7;
     governor.level(10 * SECOND);
-    let never = FurtherTries::Never;
+    let never = RetryPolicy::Never;
     assert_eq!(governor.levels, vec![(0.4, never), (1.0, never)]);
 }
 
@@ -637,7 +679,7 @@
     let mut governor = late(0);
     governor.level(10 * SECOND);
     let tries = governor.levels.iter().map(|(_, tries)| *tries);
-    assert!(tries.into_iter().all(|tries| tries == FurtherTries::IfNeverRan));
+    assert!(tries.into_iter().all(|tries| tries == RetryPolicy::IfNotExecuted));
 }
 
 #[test]
@@ -718,7 +760,7 @@
     governor.publish(SECOND + SECOND / 2, false, false);
     assert!(governor.out.is_empty());
     governor.publish(3 * SECOND, false, false);
-    assert_eq!(out(&governor)[0], &Decision::Withdraw(id("a"), true));
+    assert_eq!(out(&governor)[0], &Decision::SetEjected { replica: id("a"), ejected: true });
 }
 
 #[test]
@@ -736,7 +778,7 @@
         governor.replicas.insert(id(&format!("r{place:02}")), warm(0));
     }
     (governor.listed_at, governor.thin) = (SECOND, BTreeSet::new());
-    (0..10).for_each(|proxy| governor.joined(SECOND, proxy, 0, 10.0, true));
+    (0..10).for_each(|proxy| governor.proxy_connected(SECOND, with_default_table(proxy, 10.0)));
     governor
 }
 
@@ -758,7 +800,7 @@
 #[test]
 fn own_defaults_of_a_large_zone_are_small_and_cover_it_evenly() {
     let mut governor = losing(large(), 1);
-    (0..10).for_each(|proxy| governor.joined(SECOND, proxy, 0, 10.0, false));
+    (0..10).for_each(|proxy| governor.proxy_connected(SECOND, with_unknown_tables(proxy, 10.0)));
     governor.tables(SECOND, true);
     let mut named: BTreeMap<&ReplicaId, usize> = BTreeMap::new();
     for lines in governor.tables.iter().filter(|((_, kind), _)| *kind == 0).map(|(_, lines)| lines) {
@@ -771,12 +813,13 @@
 #[test]
 fn an_own_default_keeps_its_lines_when_another_zone_replica_goes() {
     let mut governor = losing(large(), 1);
-    (0..10).for_each(|proxy| governor.joined(SECOND, proxy, 0, 10.0, false));
+    (0..10).for_each(|proxy| governor.proxy_connected(SECOND, with_unknown_tables(proxy, 10.0)));
     governor.tables(SECOND, true);
     governor.out.clear();
     governor.replicas.entry(id("r39")).and_modify(|one| one.ready = false);
     governor.tables(SECOND, true);
-    let lines = |one: &Decision| if let Decision::Lines(_, lines) = one { lines.len() } else { 0 };
+    let lines =
+        |one: &Decision| if let Decision::UpdateTable { entries: lines, .. } = one { lines.len() } else { 0 };
     let moved: usize = governor.out.iter().map(lines).sum();
     assert!((2..=6).contains(&moved), "{moved}");
 }
@@ -816,7 +859,10 @@
     let mut governor = governor();
     follower(&mut governor, 1, 0, &[]);
     for span in [3, 2, 4] {
-        governor.came(SECOND, Came { proxy: 1, group: 0, flows: 9, dropped: 0, span: span * SECOND });
+        governor.record_demand(
+            SECOND,
+            DemandStatistics { proxy: 1, class: 0, requests: 9, failed: 0, interval: span * SECOND },
+        );
     }
     (governor.wake, governor.beats) = (true, 7);
     governor.settle(SECOND);
@@ -826,10 +872,11 @@
 #[test]
 fn who_cannot_wait_and_who_is_busiest_is_bound_first() {
     let mut governor = losing(large(), 17);
-    governor.joined(SECOND, 20, 0, 1.0, false);
+    governor.proxy_connected(SECOND, with_unknown_tables(20, 1.0));
     governor.proxies.entry(5).and_modify(|one| one.rates = vec![90.0, 90.0]);
     governor.tables(SECOND, true);
-    let follow = |one: &Decision| if let Decision::Follow(proxy, ..) = one { Some(*proxy) } else { None };
+    let follow =
+        |one: &Decision| if let Decision::AssignTable { proxy, .. } = one { Some(*proxy) } else { None };
     let bound: Vec<ProxyId> = governor.out.iter().filter_map(follow).collect();
     assert_eq!(bound[..2], [20, 5]);
 }
@@ -846,7 +893,9 @@
 fn a_proxy_beyond_the_last_table_number_is_left_on_what_it_holds() {
     let mut governor = governor();
     governor.replicas.insert(id("a"), warm(0));
-    [ProxyId::MAX, ProxyId::MAX / 2].iter().for_each(|proxy| governor.joined(SECOND, *proxy, 0, 1.0, false));
+    [ProxyId::MAX, ProxyId::MAX / 2]
+        .iter()
+        .for_each(|proxy| governor.proxy_connected(SECOND, with_unknown_tables(*proxy, 1.0)));
     governor.tables(SECOND, true);
     assert!(governor.out.is_empty());
 }
@@ -924,10 +973,10 @@
     let mut governor = Governor { waiting: 900.0, ordered, ..governor() };
     governor.publish(SECOND / 2, false, false);
     assert_eq!(governor.waiting, 900.0 - 0.2 * 500.0);
-    governor.acked(SECOND / 2);
+    governor.acknowledged(SECOND / 2);
     assert_eq!(governor.waiting, 900.0 - 0.2 * 500.0, "others of the same order may wait yet");
     governor.publish(3 * SECOND / 2, false, false);
-    governor.acked(SECOND / 2);
+    governor.acknowledged(SECOND / 2);
     assert_eq!(governor.waiting, 0.0, "it was ordered later, and has left");
 }
 
@@ -955,7 +1004,7 @@
     governor.waiting = 550.0;
     governor.tables(SECOND, true);
     let numbers = governor.out.iter().filter_map(|one| match one {
-        Decision::Lines(number, _) => Some(*number),
+        Decision::UpdateTable { table: number, .. } => Some(*number),
         _ => None,
     });
     let numbers: Vec<TableId> = numbers.collect();
@@ -974,7 +1023,10 @@
 fn what_levels_block_does_not_count_as_unanswered_or_answered() {
     let mut governor = late(0);
     let came = |governor: &mut Governor, dropped| {
-        governor.came(SECOND, Came { proxy: 1, group: 1, flows: 100, dropped, span: SECOND });
+        governor.record_demand(
+            SECOND,
+            DemandStatistics { proxy: 1, class: 1, requests: 100, failed: dropped, interval: SECOND },
+        );
         governor.unanswered[1]
     };
     assert!((came(&mut governor, 50) - 0.005).abs() < 1e-9);
@@ -997,16 +1049,19 @@
     governor.forget(now);
     let left: Vec<&str> = governor.replicas.keys().map(|id| &**id).collect();
     assert_eq!(left, ["b", "c", "d"], "a table may still name it, or one drawn lately");
-    assert_eq!(governor.out, [Decision::Withdraw(id("a"), false)]);
+    assert_eq!(governor.out, [Decision::SetEjected { replica: id("a"), ejected: false }]);
 }
 
 #[test]
 fn rare_flows_are_not_taken_for_more_as_silence_has_no_line() {
     let mut governor = governor();
-    governor.joined(Duration::ZERO, 1, 0, 0.4, false);
+    governor.proxy_connected(Duration::ZERO, with_unknown_tables(1, 0.4));
     // A flow every five seconds; its line tells of the last half second only.
     for second in (5..200).step_by(5) {
-        governor.came(second * SECOND, Came { proxy: 1, group: 0, flows: 1, dropped: 0, span: SECOND / 2 });
+        governor.record_demand(
+            second * SECOND,
+            DemandStatistics { proxy: 1, class: 0, requests: 1, failed: 0, interval: SECOND / 2 },
+        );
     }
     let rate = governor.proxies[&1].rates[0];
     assert!((0.19..0.21).contains(&rate), "{rate}");
@@ -1016,7 +1071,7 @@
 fn who_joins_as_another_governor_ends_is_not_taken_for_overload() {
     let mut governor = late(4);
     for proxy in 2..4 {
-        governor.joined(9 * SECOND, proxy, 0, 100.0, false);
+        governor.proxy_connected(9 * SECOND, with_unknown_tables(proxy, 100.0));
     }
     governor.shed(10 * SECOND);
     assert!((governor.let_in - DRAINING * 0.4).abs() < 1e-9, "{}", governor.let_in);
