--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -119,6 +119,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Tries {
     Never,
+    #[serde(rename = "IfNeverRan")]
     IfNotExecuted,
     Once,
 }
--- a/crates/nginx-importer/src/fleet.rs
+++ b/crates/nginx-importer/src/fleet.rs
@@ -56,6 +56,7 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Tries {
     Never,
+    #[serde(rename = "if-never-ran")]
     IfNotExecuted,
     Once,
 }
