--- a/crates/client/src/keeper.rs
+++ b/crates/client/src/keeper.rs
@@ -5,8 +5,10 @@
 use std::time::Duration;
 
 use wrenthread::types::RetryPolicy;
-use wrenthread_core::ownership::{Fence, Fenced};
-use wrenthread_core::table_versions::{self, Delta, Digest, MILLION, Mismatch, Said, Whole};
+use wrenthread_core::ownership::{FencingError, FencingState};
+use wrenthread_core::table_versions::{
+    self, Delta, Digest, MILLION, Mismatch, PublishedState, PublishedTable,
+};
 
 /// Names are forgotten all at once beyond so many, and learnt anew from the next table.
 const MOST_NAMES: usize = 100_000;
@@ -57,10 +59,10 @@
     told: Vec<Option<Lines>>,
     tries: Vec<RetryPolicy>,
     /// Long-poll: what is held, to make deltas take effect on.
-    whole: Whole,
+    whole: PublishedState,
     held: Option<(String, Digest)>,
     /// Whose orders count, and the signed word of whose they are that are held.
-    fence: Fence,
+    fence: FencingState,
     claim: Option<String>,
     /// Addresses that tables have told, and the replicas there.
     names: BTreeMap<Arc<str>, String>,
@@ -79,9 +81,9 @@
             standing,
             told: vec![None; count],
             tries: vec![RetryPolicy::Never; count],
-            whole: Whole { groups: vec![None; count] },
+            whole: PublishedState { groups: vec![None; count] },
             held: None,
-            fence: Fence::default(),
+            fence: FencingState::default(),
             claim: None,
             names: BTreeMap::new(),
             avoid,
@@ -115,7 +117,7 @@
         epoch: u64,
         version: u64,
         claim: Option<&str>,
-    ) -> Result<(), Fenced> {
+    ) -> Result<(), FencingError> {
         self.fence.heed(governor, epoch, version)?;
         self.claim = claim.map(str::to_string);
         Ok(())
@@ -164,7 +166,7 @@
     }
 
     /// A whole state, checked already.
-    pub fn tell_whole(&mut self, version: String, whole: Whole) {
+    pub fn tell_whole(&mut self, version: String, whole: PublishedState) {
         self.held = Some((version, whole.digest()));
         if self.names.len() > MOST_NAMES {
             self.names.clear();
@@ -174,7 +176,7 @@
         }
         for (place, said) in whole.groups.iter().enumerate().take(self.told.len()) {
             self.told[place] = said.as_ref().map(|said| {
-                let Said { lines, level, tries } = said;
+                let PublishedTable { lines, level, tries } = said;
                 self.tries[place] = *tries;
                 Lines {
                     lines: lines
@@ -348,12 +350,16 @@
     #[test]
     fn a_delta_that_does_not_come_out_leaves_what_is_held_and_asks_for_the_whole() {
         let mut keeper = keeper();
-        let line = table_versions::SaidLine { address: "c:1".into(), zone: 0, weight: 7 };
-        let said =
-            Said { lines: [("c".into(), line)].into(), level: MILLION, tries: RetryPolicy::IfNotExecuted };
-        let whole = Whole { groups: vec![Some(said)] };
+        let line = table_versions::PublishedEntry { address: "c:1".into(), zone: 0, weight: 7 };
+        let said = PublishedTable {
+            lines: [("c".into(), line)].into(),
+            level: MILLION,
+            tries: RetryPolicy::IfNotExecuted,
+        };
+        let whole = PublishedState { groups: vec![Some(said)] };
         keeper.tell_whole("e.1".into(), whole.clone());
-        let delta = table_versions::delta(&whole, whole.digest(), &Whole { groups: vec![None] }, [9; 32]);
+        let delta =
+            table_versions::delta(&whole, whole.digest(), &PublishedState { groups: vec![None] }, [9; 32]);
         assert_eq!(keeper.tell_delta("e.2".into(), &delta), Err(Mismatch::Digest));
         assert!(keeper.held().is_none() && keeper.has_orders());
         assert_eq!(at(&mut keeper, 0, 0.5), Some("c:1".into()));
--- a/crates/client/tests/model.rs
+++ b/crates/client/tests/model.rs
@@ -8,10 +8,10 @@
 use prost::Message;
 use wrenthread::types::{Phase, ProxyId};
 use wrenthread_client::keeper::Keeper;
-use wrenthread_core::engine::{Engine, Setup, Step};
-use wrenthread_core::fleet::Join;
-use wrenthread_core::roster::Entry;
-use wrenthread_core::table_versions::Said;
+use wrenthread_core::engine::{Action, Engine, EngineSettings};
+use wrenthread_core::fleet::JoinRequest;
+use wrenthread_core::roster::RosterEntry;
+use wrenthread_core::table_versions::PublishedTable;
 use wrenthread_long_poll::messages::Terms;
 use wrenthread_long_poll::sessions::{Polls, Told};
 use wrenthread_xds::encode::Kind;
@@ -73,7 +73,7 @@
         let ads = |delta| Proxy::Ads { delta, session: None, held: None };
         let keeper = || Keeper::new(vec!["match".into(), "charge".into()], vec![], None);
         let proxies = vec![ads(false), ads(true), Proxy::Poll(Box::new(keeper()))];
-        let engine = Engine::new(Setup::example(2), now);
+        let engine = Engine::new(EngineSettings::example(2), now);
         let mut world = World { engine, now, streams: 0, polls: Polls::default(), proxies };
         world.list(0b1111);
         (0..3).for_each(|place| world.start_over(place));
@@ -81,7 +81,7 @@
     }
 
     fn list(&mut self, ready: u8) {
-        let entry = |n: u8| Entry {
+        let entry = |n: u8| RosterEntry {
             id: format!("r{n}").as_str().into(),
             address: format!("10.0.0.{n}:80").as_str().into(),
             zone: 0,
@@ -103,7 +103,7 @@
             Proxy::Poll(keeper) => (None, keeper.held().is_some()),
         };
         let name = format!("p{place}");
-        let join = Join {
+        let join = JoinRequest {
             name: name.as_str().into(),
             zone: 0,
             usual: 1.0,
@@ -145,7 +145,7 @@
         self.now += Duration::from_secs(6);
         let mut broken = Vec::new();
         while let Some(step) = self.engine.step(self.now) {
-            if let Step::Flush(number) = step {
+            if let Action::Flush(number) = step {
                 broken.extend(self.flush(number, reached, lost));
             }
         }
@@ -211,7 +211,7 @@
     /// What the engine says a proxy's first group is, and what the proxy holds.
     fn both(&self, place: usize) -> (Table, Table) {
         let (_, proxy) = self.engine.fleet().named(&format!("p{place}")).unwrap();
-        let said = Said::of(&proxy.tables[0].as_ref().unwrap().table, proxy.tries.1[0]);
+        let said = PublishedTable::of(&proxy.tables[0].as_ref().unwrap().table, proxy.tries.1[0]);
         let said = said.lines.values().map(|line| (line.address.to_string(), line.weight)).collect();
         let held = match &self.proxies[place] {
             Proxy::Ads { held, .. } => held.as_ref().unwrap().0.clone(),
--- a/crates/core/benches/guard.rs
+++ b/crates/core/benches/guard.rs
@@ -5,15 +5,15 @@
 use std::time::{Duration, Instant};
 
 use wrenthread::types::Phase;
-use wrenthread_core::engine::{Engine, Setup, Step};
-use wrenthread_core::fleet::Join;
-use wrenthread_core::roster::Entry;
+use wrenthread_core::engine::{Action, Engine, EngineSettings};
+use wrenthread_core::fleet::JoinRequest;
+use wrenthread_core::roster::RosterEntry;
 
 const REPLICAS: usize = 48;
 const EVENTS: u32 = 40;
 
-fn list(draining: Option<usize>) -> Vec<Entry> {
-    let entry = |n: usize| Entry {
+fn list(draining: Option<usize>) -> Vec<RosterEntry> {
+    let entry = |n: usize| RosterEntry {
         id: format!("r{n:02}").into(),
         address: format!("10.0.0.{n}:80").into(),
         zone: n % 3,
@@ -27,7 +27,7 @@
 
 fn run(engine: &mut Engine, now: Duration) {
     while let Some(step) = engine.step(now) {
-        if let Step::Flush(number) = step {
+        if let Action::Flush(number) = step {
             engine.sent(now, number, 12, 1);
             let proxy = engine.proxy(number).map(|proxy| (proxy.stream, proxy.newest()));
             if let Some((stream, newest)) = proxy {
@@ -39,7 +39,7 @@
 
 /// Microseconds a roster event, and a beat; what passed, and what was refused.
 fn measure(proxies: usize, guarded: bool) -> (f64, f64, u64, u64) {
-    let mut setup = Setup::example(3);
+    let mut setup = EngineSettings::example(3);
     (setup.module.proxy_count, setup.proxies) = (proxies as u64, proxies);
     (setup.module.entries_per_second, setup.module.max_queued_entries) = (1e6, 1e6);
     let mut now = Duration::from_secs(100);
@@ -50,8 +50,15 @@
     engine.roster(now, list(None));
     for n in 0..proxies {
         let (name, standing) = (format!("relay-{n}").into(), vec![]);
-        let join =
-            Join { name, zone: n % 3, usual: 5.0, standing, holds_orders: true, claim: None, proven: None };
+        let join = JoinRequest {
+            name,
+            zone: n % 3,
+            usual: 5.0,
+            standing,
+            holds_orders: true,
+            claim: None,
+            proven: None,
+        };
         engine.joined(now, n as u64, &join).expect("there is room");
     }
     for _ in 0..100 {
--- a/crates/core/benches/restart.rs
+++ b/crates/core/benches/restart.rs
@@ -6,13 +6,13 @@
 use std::time::{Duration, Instant};
 
 use wrenthread::types::Phase;
-use wrenthread_core::engine::{Engine, Setup, Step};
-use wrenthread_core::fleet::Join;
-use wrenthread_core::overrides::What;
-use wrenthread_core::reports::{AtReplica, Report};
-use wrenthread_core::roster::Entry;
-use wrenthread_core::snapshot::{self, Item, Knowledge};
-use wrenthread_core::table_versions::{Digest, Whole};
+use wrenthread_core::engine::{Action, Engine, EngineSettings};
+use wrenthread_core::fleet::JoinRequest;
+use wrenthread_core::overrides::OverrideKind;
+use wrenthread_core::reports::{LoadReport, ReplicaObservation};
+use wrenthread_core::roster::RosterEntry;
+use wrenthread_core::snapshot::{self, StoredItem, StoredItems};
+use wrenthread_core::table_versions::{Digest, PublishedState};
 
 const REPLICAS: usize = 48;
 const GROUPS: usize = 3;
@@ -21,8 +21,8 @@
     Duration::from_millis(100_000 + at)
 }
 
-fn list() -> Vec<Entry> {
-    let entry = |n: usize| Entry {
+fn list() -> Vec<RosterEntry> {
+    let entry = |n: usize| RosterEntry {
         id: format!("r{n:02}").into(),
         address: format!("10.0.0.{n}:80").into(),
         zone: n % 3,
@@ -52,7 +52,7 @@
 
 impl Run {
     fn new(relays: usize, now: u64) -> Run {
-        let mut setup = Setup::example(GROUPS);
+        let mut setup = EngineSettings::example(GROUPS);
         setup.module.proxy_count = relays as u64;
         setup.reports_per_s = 20_000.0;
         setup.module.entries_per_second = 20_000.0;
@@ -74,7 +74,7 @@
     fn join(&mut self, now: u64, relay: usize, epoch: u64) {
         let standing = (0..REPLICAS).filter(|n| n % 3 == relay % 3).skip(relay % 5).take(8);
         let proven = self.held.get(&relay).map(|(version, _)| (epoch, *version));
-        let join = Join {
+        let join = JoinRequest {
             name: format!("p{relay}").into(),
             zone: relay % 3,
             usual: 5.0,
@@ -90,7 +90,7 @@
     /// Proxies that take all at once, and are told only what differs from what they hold.
     fn pump(&mut self, now: u64) {
         while let Some(step) = self.engine.step(ms(now)) {
-            let Step::Flush(number) = step else { continue };
+            let Action::Flush(number) = step else { continue };
             let relay = self.numbers[&number];
             let newest =
                 self.engine.history().newest(number).map(|one| (one.version, one.digest, one.whole.clone()));
@@ -100,7 +100,7 @@
             };
             let known = self.held.get(&relay).is_some_and(|(_, held)| *held == digest);
             let has_word = self.engine.proxy(number).is_some_and(|proxy| proxy.has_word());
-            let lines = if known || !has_word { 0 } else { Whole::lines(&whole) };
+            let lines = if known || !has_word { 0 } else { PublishedState::lines(&whole) };
             if lines > 0 {
                 self.held.insert(relay, (version, digest));
                 (self.lines, self.messages, self.last) = (self.lines + lines, self.messages + 1, now);
@@ -117,8 +117,8 @@
     /// All that proxies met in a second, with one replica that drops everything.
     fn report(&mut self, now: u64, relays: usize) {
         for relay in 0..relays {
-            let met =
-                (0..REPLICAS).filter(|n| n % 3 == relay % 3).skip(relay % 5).take(8).map(|n| AtReplica {
+            let met = (0..REPLICAS).filter(|n| n % 3 == relay % 3).skip(relay % 5).take(8).map(|n| {
+                ReplicaObservation {
                     group: 0,
                     replica: format!("r{n:02}").into(),
                     issued: 4,
@@ -132,8 +132,10 @@
                         (Duration::from_micros(80_000 + now), 4)
                     },
                     load: vec![0.0],
-                });
-            let report = Report { interval: Duration::from_secs(1), met: met.collect(), blocked: Vec::new() };
+                }
+            });
+            let report =
+                LoadReport { interval: Duration::from_secs(1), met: met.collect(), blocked: Vec::new() };
             let _ = self.engine.report(ms(now), &format!("p{relay}"), relay as u64, &report);
         }
     }
@@ -149,7 +151,7 @@
                 before.report(now, relays);
             }
             if now == 15_000 {
-                let (what, why) = (What::Weight(0.5), "half its cores are gone");
+                let (what, why) = (OverrideKind::Weight(0.5), "half its cores are gone");
                 before
                     .engine
                     .override_replica(ms(now), &"r07".into(), what, ms(900_000), why)
@@ -158,12 +160,12 @@
             before.pump(now);
         }
         let groups: Vec<String> = (0..GROUPS).map(|group| format!("g{group}")).collect();
-        let names = Item::Names {
+        let names = StoredItem::Names {
             governor: "g".into(),
             zones: ["a", "b", "c"].map(String::from).into(),
             groups: groups.clone(),
         };
-        let took = |before_known: &Knowledge| {
+        let took = |before_known: &StoredItems| {
             let began = Instant::now();
             let known = before.engine.known(ms(20_000), before_known, 1000.0, 1, &groups);
             let changed: usize = snapshot::changes(before_known, &known)
@@ -172,10 +174,10 @@
                 .sum();
             (began.elapsed().as_secs_f64() * 1e3, changed, known)
         };
-        let (whole_ms, whole_bytes, mut known) = took(&Knowledge::new());
+        let (whole_ms, whole_bytes, mut known) = took(&StoredItems::new());
         let (again_ms, again_bytes, _) = took(&known);
         known.insert(snapshot::NAMES.into(), std::sync::Arc::new(names.clone()));
-        known.insert(snapshot::ALIVE.into(), std::sync::Arc::new(Item::Alive { at: 1000.0 }));
+        known.insert(snapshot::ALIVE.into(), std::sync::Arc::new(StoredItem::Alive { at: 1000.0 }));
         let withdrawn = before.engine.is_withdrawn(&"r04".into());
         for age in [None, Some(1.0), Some(600.0), Some(36_000.0)] {
             let mut after = Run::new(relays, 20_500);
--- a/crates/core/src/backup_replicas.rs
+++ b/crates/core/src/backup_replicas.rs
@@ -8,27 +8,27 @@
 
 use wrenthread::types::Phase;
 
-use crate::roster::Entry;
+use crate::roster::RosterEntry;
 
 #[derive(Debug)]
-pub struct Standby {
+pub struct BackupReplicas {
     hold: Duration,
     /// The list as its source said it last; kept only while it has backups.
-    last: Vec<Entry>,
+    last: Vec<RosterEntry>,
     /// Backups are on the list, as nobody else was ready.
     called: bool,
     /// Since when some other one is ready without a break.
     back: Option<Duration>,
 }
 
-impl Standby {
+impl BackupReplicas {
     /// `hold`: for how long one of the others must be ready before backups are let go.
     pub fn new(hold: Duration) -> Self {
-        Standby { hold, last: Vec::new(), called: false, back: None }
+        BackupReplicas { hold, last: Vec::new(), called: false, back: None }
     }
 
     /// A whole list, as its source says it: what is on it now.
-    pub fn take(&mut self, now: Duration, entries: Vec<Entry>) -> Vec<Entry> {
+    pub fn take(&mut self, now: Duration, entries: Vec<RosterEntry>) -> Vec<RosterEntry> {
         let any = entries.iter().any(|entry| entry.backup);
         let ready = entries.iter().any(|entry| !entry.backup && entry.phase == Phase::Ready);
         match ready {
@@ -42,17 +42,17 @@
     }
 
     /// The list anew, when backups are let go.
-    pub fn due(&mut self, now: Duration) -> Option<Vec<Entry>> {
+    pub fn due(&mut self, now: Duration) -> Option<Vec<RosterEntry>> {
         self.next_due().filter(|due| now >= *due)?;
         Some(self.listed(now, self.last.clone()))
     }
 
-    /// When [`Standby::due`] is next to be called.
+    /// When [`BackupReplicas::due`] is next to be called.
     pub fn next_due(&self) -> Option<Duration> {
         self.back.filter(|_| self.called && !self.last.is_empty()).map(|back| back + self.hold)
     }
 
-    fn listed(&mut self, now: Duration, mut entries: Vec<Entry>) -> Vec<Entry> {
+    fn listed(&mut self, now: Duration, mut entries: Vec<RosterEntry>) -> Vec<RosterEntry> {
         if self.back.is_some_and(|back| now >= back + self.hold) {
             self.called = false;
         }
@@ -71,8 +71,8 @@
         Duration::from_secs(seconds)
     }
 
-    fn list(first: Phase) -> Vec<Entry> {
-        let entry = |id: &str, phase, backup| Entry {
+    fn list(first: Phase) -> Vec<RosterEntry> {
+        let entry = |id: &str, phase, backup| RosterEntry {
             id: id.into(),
             address: format!("{id}:1").into(),
             zone: 0,
@@ -86,8 +86,9 @@
 
     #[test]
     fn backups_come_when_nobody_else_is_ready_and_go_once_one_has_been_for_a_while() {
-        let mut standby = Standby::new(s(20));
-        let ids = |list: &[Entry]| list.iter().map(|one| one.id.to_string()).collect::<Vec<_>>().join(" ");
+        let mut standby = BackupReplicas::new(s(20));
+        let ids =
+            |list: &[RosterEntry]| list.iter().map(|one| one.id.to_string()).collect::<Vec<_>>().join(" ");
         assert_eq!(ids(&standby.take(s(1), list(Phase::Ready))), "a");
         assert_eq!((standby.next_due(), standby.due(s(100))), (None, None));
         assert_eq!(ids(&standby.take(s(2), list(Phase::Draining))), "a z");
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -44,23 +44,23 @@
     RetryPolicy, RosterScope, Settings, TableId, TrafficClass,
 };
 
-use crate::backup_replicas::Standby;
-use crate::fleet::{Fleet, Join, Joined, Kind, Proxy, Refused, StreamId};
-use crate::frozen_tables::{self, Hold, LeftOut, Over};
-use crate::guard::{Change, Guard, Limits, Reason, Refusal};
-use crate::history::{History, Version};
-use crate::overrides::{NoOverride, Override, Overrides, What as Overridden};
+use crate::backup_replicas::BackupReplicas;
+use crate::fleet::{Fleet, JoinError, JoinOutcome, JoinRequest, Proxy, StreamId, TableKind};
+use crate::frozen_tables::{self, FrozenTable, OmissionReason, ReleaseReason};
+use crate::guard::{Guard, GuardLimits, ProposedTable, Refusal, RefusalReason};
+use crate::history::{History, HistoryEntry};
+use crate::overrides::{Override, OverrideError, OverrideKind, Overrides};
 use crate::recording::{self, Recording};
-use crate::reports::{Discarded, Report, Reports, Told};
-use crate::roster::{Entry, Known, Roster, Taken};
-use crate::send_limiter::{Channel, Pace};
-use crate::snapshot::{self, Item, Knowledge, Recalled};
-use crate::table_versions::{Said, Whole};
-use crate::tables::{Kept, Table, Tables};
+use crate::reports::{AggregatedStatistics, DiscardReason, LoadReport, ReportAggregator};
+use crate::roster::{KnownReplica, Roster, RosterChange, RosterEntry};
+use crate::send_limiter::{ChannelLimits, SendLimiter};
+use crate::snapshot::{self, RestoredState, StoredItem, StoredItems};
+use crate::table_versions::{PublishedState, PublishedTable};
+use crate::tables::{Table, Tables, VersionedTable};
 
 /// What an engine is told at its start.
 #[derive(Debug, Clone)]
-pub struct Setup {
+pub struct EngineSettings {
     pub module: Settings,
     /// Proxies at once.
     pub proxies: usize,
@@ -72,9 +72,9 @@
     pub history: (usize, usize),
 }
 
-impl Setup {
+impl EngineSettings {
     /// Plain settings with so many like groups, for examples and tests.
-    pub fn example(groups: usize) -> Setup {
+    pub fn example(groups: usize) -> EngineSettings {
         use wrenthread::types::{AdmissionControl, LoadField};
         let group = TrafficClass {
             idempotency: Idempotency::NotIdempotent,
@@ -83,7 +83,7 @@
             priority_weight: 1.0,
             same_zone_only: false,
         };
-        Setup {
+        EngineSettings {
             module: Settings {
                 governor_count: 1,
                 classes: vec![group; groups],
@@ -115,7 +115,7 @@
 
 /// One thing for the host to do.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Step {
+pub enum Action {
     /// Have the proxy's front write what it should hold and was not sent; then call [`Engine::sent`], or
     /// [`Engine::stalled`] if its stream has no room.
     Flush(ProxyId),
@@ -123,7 +123,7 @@
     Close(StreamId),
     Probe(ReplicaId),
     /// Something to write to the log.
-    Note(Note),
+    Note(EngineEvent),
 }
 
 /// What the engine was told since the module was last asked.
@@ -140,9 +140,9 @@
 
 /// One line for the log.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Note {
+pub enum EngineEvent {
     /// What the module decided, and the inputs that it answers.
-    Decided { what: What, version: u64, answers: Arc<[Cause]> },
+    Decided { what: DecisionSummary, version: u64, answers: Arc<[Cause]> },
     /// An empty roster is not believed before this time.
     Doubted(Duration),
     /// A proxy would not take a version; its last good tables stand.
@@ -154,12 +154,12 @@
     /// Something is not sent as it was decided. What goes on being refused is said once.
     Refused(Refusal),
     /// A hold has ended.
-    HoldOver { proxy: Arc<str>, group: usize, over: Over },
+    HoldOver { proxy: Arc<str>, group: usize, over: ReleaseReason },
 }
 
 /// Whose tables an operator means.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Scope {
+pub enum TableScope {
     Proxy(Arc<str>),
     Group(usize),
     All,
@@ -167,26 +167,26 @@
 
 /// What a step back came to.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Rolled {
+pub struct RollbackReport {
     /// Tables that are held now.
     pub held: usize,
     /// Proxies of which so old a version is not kept, or which were on their standing tables then.
     pub without: Vec<Arc<str>>,
     /// What is not told of the held tables, by proxy and group.
-    pub left_out: Vec<(Arc<str>, usize, ReplicaId, LeftOut)>,
+    pub left_out: Vec<(Arc<str>, usize, ReplicaId, OmissionReason)>,
     /// Tables that can't be held, as nothing of them is left.
     pub bare: usize,
 }
 
 /// What another governor knew of a proxy that it handed over.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Handed {
+pub struct MigratedProxy {
     pub from: Arc<str>,
     /// What it was told there, and when that was, by the clock here.
-    pub whole: Whole,
+    pub whole: PublishedState,
     pub told_at: Duration,
     /// What it met last, if that is not long ago.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// The module is asked again this long after it was, at the soonest and at the latest, whatever it says.
@@ -206,7 +206,7 @@
 const HANDED_FOR: Duration = Duration::from_secs(30);
 
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub enum NoStepBack {
+pub enum RollbackError {
     #[error("no proxy `{0}` is joined")]
     NoProxy(Arc<str>),
     #[error("version {0} is not given out yet; the newest is {1}")]
@@ -216,7 +216,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum What {
+pub enum DecisionSummary {
     Withdraw(ReplicaId, bool),
     /// Changed lines of a table, and the proxy that it is for.
     Lines(Arc<str>, usize),
@@ -226,23 +226,23 @@
 
 pub struct Engine {
     rules: Governor,
-    standby: Standby,
+    standby: BackupReplicas,
     roster: Roster,
     fleet: Fleet,
     tables: Tables,
-    pace: Pace,
-    reports: Reports,
+    pace: SendLimiter,
+    reports: ReportAggregator,
     history: History,
-    holds: BTreeMap<(ProxyId, usize), Hold>,
+    holds: BTreeMap<(ProxyId, usize), FrozenTable>,
     overrides: Overrides,
     guard: Guard,
     recheck_all: bool,
     /// What an earlier life knew, as far as it is not used yet; and until when its levels hold.
-    recalled: Recalled,
+    recalled: RestoredState,
     recalled_at: Duration,
     levels_until: Duration,
     /// Holds of proxies that are not back yet: when they were told, and until when they hold.
-    recalled_holds: BTreeMap<(Arc<str>, usize), (Duration, Duration, snapshot::Hold)>,
+    recalled_holds: BTreeMap<(Arc<str>, usize), (Duration, Duration, snapshot::StoredFrozenTable)>,
     groups: usize,
     /// Lines that a proxy costs which is given all of its tables.
     join_cost: f64,
@@ -256,28 +256,28 @@
     catching_up: bool,
     sums_every: Duration,
     causes: BTreeSet<Cause>,
-    out: VecDeque<Step>,
+    out: VecDeque<Action>,
     offered: Option<ProxyId>,
     pulls: u64,
     #[cfg(any(test, feature = "suspect"))]
-    suspect: Option<Suspect>,
+    suspect: Option<FaultyDecider>,
 }
 
 /// Decides in the module's stead, with the module at hand.
 #[cfg(any(test, feature = "suspect"))]
-pub type Suspect = Box<dyn FnMut(Duration, &mut Governor) -> Option<Decision>>;
+pub type FaultyDecider = Box<dyn FnMut(Duration, &mut Governor) -> Option<Decision>>;
 
 impl Engine {
-    pub fn new(setup: Setup, now: Duration) -> Self {
-        let Setup { module, proxies, reports_per_s, empty_after, history } = setup;
+    pub fn new(setup: EngineSettings, now: Duration) -> Self {
+        let EngineSettings { module, proxies, reports_per_s, empty_after, history } = setup;
         let groups = module.classes.len().min(64);
-        let channel = Channel {
+        let channel = ChannelLimits {
             lines_per_s: module.entries_per_second.max(1.0),
             head_lines: module.message_overhead_entries,
             waiting_most: module.max_queued_entries,
             messages_most: module.message_limit,
         };
-        let limits = Limits {
+        let limits = GuardLimits {
             cold_share: module.initial_capacity_fraction,
             warm_after: module.slow_start_duration,
             proxies: usize::try_from(module.proxy_count).unwrap_or(usize::MAX),
@@ -293,18 +293,18 @@
         let join_cost =
             module.message_overhead_entries + (groups * module.default_table_size.clamp(1, 100)) as f64;
         Engine {
-            standby: Standby::new(module.slow_start_duration),
+            standby: BackupReplicas::new(module.slow_start_duration),
             roster: Roster::new(empty_after),
             fleet: Fleet::new(proxies),
             tables: Tables::new(groups, module.default_retry_policy),
-            pace: Pace::new(channel, now),
-            reports: Reports::new(module.report_interval, reports_per_s),
+            pace: SendLimiter::new(channel, now),
+            reports: ReportAggregator::new(module.report_interval, reports_per_s),
             history: History::new(history.0, history.1),
             holds: BTreeMap::new(),
             overrides: Overrides::default(),
             guard: Guard::new(limits),
             recheck_all: false,
-            recalled: Recalled::default(),
+            recalled: RestoredState::default(),
             recalled_at: now,
             levels_until: Duration::ZERO,
             recalled_holds: BTreeMap::new(),
@@ -329,16 +329,16 @@
     // ---- inputs
 
     /// The whole list of replicas, as its source now says it.
-    pub fn roster(&mut self, now: Duration, entries: Vec<Entry>) {
+    pub fn roster(&mut self, now: Duration, entries: Vec<RosterEntry>) {
         let entries = self.standby.take(now, entries);
         self.take_list(now, entries);
     }
 
-    fn take_list(&mut self, now: Duration, entries: Vec<Entry>) {
+    fn take_list(&mut self, now: Duration, entries: Vec<RosterEntry>) {
         match self.roster.take(now, entries) {
-            Taken::Same => {}
-            Taken::Doubted(until) => self.out.push_back(Step::Note(Note::Doubted(until))),
-            Taken::Changed(listed) => self.listed(now, &listed),
+            RosterChange::Same => {}
+            RosterChange::Doubted(until) => self.out.push_back(Action::Note(EngineEvent::Doubted(until))),
+            RosterChange::Changed(listed) => self.listed(now, &listed),
         }
     }
 
@@ -347,8 +347,13 @@
     /// are there. The module takes a standing table for such a draw; one that names what drains or is gone is
     /// nobody knows what, and is answered by tables of its own at once.
     ///
-    /// Errors: as [`Refused`]; nothing is changed by a join that is refused.
-    pub fn joined(&mut self, now: Duration, stream: StreamId, join: &Join) -> Result<Joined, Refused> {
+    /// Errors: as [`JoinError`]; nothing is changed by a join that is refused.
+    pub fn joined(
+        &mut self,
+        now: Duration,
+        stream: StreamId,
+        join: &JoinRequest,
+    ) -> Result<JoinOutcome, JoinError> {
         let drawn = |(id, weight): &(ReplicaId, f64)| {
             let known = self.roster.get(id).filter(|one| one.phase == Phase::Ready);
             known.is_some_and(|one| one.zone == join.zone || self.roster.ready_in(join.zone) < 3)
@@ -371,19 +376,19 @@
             self.reports.forget(joined.number);
             self.history.forget(joined.number);
             let former = self.holds.extract_if(.., |(number, _), _| *number == joined.number);
-            let over = former.map(|((_, group), _)| Note::HoldOver {
+            let over = former.map(|((_, group), _)| EngineEvent::HoldOver {
                 proxy: join.name.clone(),
                 group,
-                over: Over::Reused,
+                over: ReleaseReason::Reused,
             });
-            self.out.extend(over.map(Step::Note));
+            self.out.extend(over.map(Action::Note));
         }
         self.pace.forget(joined.number);
         self.lobby.retain(|(waiting, _)| *waiting != joined.number);
         if joined.replaced.is_some() {
             self.rules.proxy_disconnected(joined.number);
         }
-        self.out.extend(joined.replaced.map(Step::Close));
+        self.out.extend(joined.replaced.map(Action::Close));
         self.guard.left(joined.number);
         let usual = self.usual(join, recalled.as_ref());
         self.guard.joined(joined.number, usual, &join.standing);
@@ -393,7 +398,7 @@
         for group in 0..self.groups {
             if let Some((told_at, until, held)) = self.recalled_holds.remove(&(join.name.clone(), group)) {
                 let (version, said, why) = (held.version, held.said(), held.why);
-                let hold = Hold { version, told_at, said, since: now, until, why, handed: false };
+                let hold = FrozenTable { version, told_at, said, since: now, until, why, handed: false };
                 self.holds.insert((joined.number, group), hold);
             }
         }
@@ -406,7 +411,7 @@
     }
 
     /// What a proxy ordinarily receives: its own word, mixed with what an earlier life saw of it.
-    fn usual(&self, join: &Join, recalled: Option<&snapshot::Proxy>) -> f64 {
+    fn usual(&self, join: &JoinRequest, recalled: Option<&snapshot::StoredProxy>) -> f64 {
         let Some(known) = recalled else { return join.usual };
         let left = snapshot::counts(self.recalled.age, snapshot::DEMAND);
         join.usual + (known.flows.iter().sum::<f64>() - join.usual) * left
@@ -414,7 +419,7 @@
 
     /// A proxy that has just joined holds what an earlier life told it: it is told only what differs. Tables
     /// of the module's hold until it has spoken, less what the rules forbid.
-    fn resume(&mut self, now: Duration, number: ProxyId, known: snapshot::Proxy) {
+    fn resume(&mut self, now: Duration, number: ProxyId, known: snapshot::StoredProxy) {
         let version = self.version;
         let tries: Vec<RetryPolicy> = known.tries.iter().map(|tries| (*tries).into()).collect();
         let why: Arc<str> = "known from before a restart".into();
@@ -423,13 +428,14 @@
             let table = Table::from(held);
             self.guard.stands(number, group, known.flows.get(group).copied().unwrap_or(0.0), Some(&table));
             if known.own {
-                let said = Said::of(&table, tries.get(group).copied().unwrap_or_default());
+                let said = PublishedTable::of(&table, tries.get(group).copied().unwrap_or_default());
                 let (told_at, until) = (now.saturating_sub(self.recalled.age), now + HANDED_FOR);
-                let hold = Hold { version, told_at, said, since: now, until, why: why.clone(), handed: true };
+                let hold =
+                    FrozenTable { version, told_at, said, since: now, until, why: why.clone(), handed: true };
                 self.holds.entry((number, group)).or_insert(hold);
             }
             if let Some(proxy) = self.fleet.get_mut(number) {
-                proxy.tables[group] = Some(Kept { version, table: Arc::new(table) });
+                proxy.tables[group] = Some(VersionedTable { version, table: Arc::new(table) });
             }
         }
         if let Some(proxy) = self.fleet.get_mut(number).filter(|proxy| proxy.tries.1.len() == tries.len()) {
@@ -438,9 +444,9 @@
     }
 
     /// What an earlier life knew. To be told before the first list and the first proxy.
-    pub fn recall(&mut self, now: Duration, recalled: Recalled) {
+    pub fn recall(&mut self, now: Duration, recalled: RestoredState) {
         (self.recalled_at, self.levels_until) = (now, now + recalled.levels_for);
-        let times = |(place, (ago, left, hold)): (_, (Duration, Duration, snapshot::Hold))| {
+        let times = |(place, (ago, left, hold)): (_, (Duration, Duration, snapshot::StoredFrozenTable))| {
             (place, (now.saturating_sub(ago), now + left, hold))
         };
         self.recalled_holds = recalled.holds.clone().into_iter().map(times).collect();
@@ -455,56 +461,57 @@
     pub fn known(
         &self,
         now: Duration,
-        before: &Knowledge,
+        before: &StoredItems,
         calendar: f64,
         epoch: u64,
         groups: &[String],
-    ) -> Knowledge {
-        let mut known = Knowledge::new();
+    ) -> StoredItems {
+        let mut known = StoredItems::new();
         for (number, proxy) in self.fleet.iter() {
             let (name, version) = (format!("proxy/{}", proxy.name), proxy.newest());
             let flows: Vec<f64> =
                 (0..self.groups).map(|group| snapshot::stepped(self.guard.flows(number, group))).collect();
             // Tables are of their version: they are not copied and compared again each time.
             let same = before.get(&name).filter(|item| {
-                matches!(&***item, Item::Proxy(old)
+                matches!(&***item, StoredItem::Proxy(old)
                     if old.epoch == epoch && old.version == version && old.flows == flows)
             });
             if let Some(same) = same {
                 known.insert(name, same.clone());
                 continue;
             }
-            let held = |kept: &Option<Kept>| kept.as_ref().map(|kept| (&*kept.table).into());
-            let item = snapshot::Proxy {
+            let held = |kept: &Option<VersionedTable>| kept.as_ref().map(|kept| (&*kept.table).into());
+            let item = snapshot::StoredProxy {
                 zone: proxy.zone,
                 epoch,
                 version,
-                own: proxy.kind() == Kind::Own,
+                own: proxy.kind() == TableKind::Own,
                 tables: proxy.tables.iter().map(held).collect(),
                 tries: proxy.tries.1.iter().map(|tries| (*tries).into()).collect(),
                 flows,
                 away: 0.0,
             };
-            known.insert(name, Arc::new(Item::Proxy(item)));
+            known.insert(name, Arc::new(StoredItem::Proxy(item)));
         }
         // Who has not come back yet is not forgotten by a second restart.
         // Minutes: what grows all the time is not written all the time.
         let since = (self.recalled.age + now.saturating_sub(self.recalled_at)).as_secs() / 60 * 60;
         for (name, proxy) in &self.recalled.proxies {
-            let item = || snapshot::Proxy { away: proxy.away + since as f64, ..proxy.clone() };
-            known.entry(format!("proxy/{name}")).or_insert_with(|| Arc::new(Item::Proxy(item())));
+            let item = || snapshot::StoredProxy { away: proxy.away + since as f64, ..proxy.clone() };
+            known.entry(format!("proxy/{name}")).or_insert_with(|| Arc::new(StoredItem::Proxy(item())));
         }
-        let mut replicas: BTreeMap<&ReplicaId, snapshot::Replica> = BTreeMap::new();
+        let mut replicas: BTreeMap<&ReplicaId, snapshot::StoredReplica> = BTreeMap::new();
         for (id, zone, per_s) in self.guard.seen(now) {
             replicas.entry(id).or_default().seen.push((zone, snapshot::stepped(per_s)));
         }
-        let ready =
-            |one: &(&ReplicaId, &Known)| one.1.phase == Phase::Ready && self.tables.is_withdrawn(one.0);
+        let ready = |one: &(&ReplicaId, &KnownReplica)| {
+            one.1.phase == Phase::Ready && self.tables.is_withdrawn(one.0)
+        };
         for (id, _) in self.roster.iter().filter(ready) {
             replicas.entry(id).or_default().withdrawn = true;
         }
-        let named = |(id, item): (&ReplicaId, snapshot::Replica)| {
-            (format!("replica/{id}"), Arc::new(Item::Replica(item)))
+        let named = |(id, item): (&ReplicaId, snapshot::StoredReplica)| {
+            (format!("replica/{id}"), Arc::new(StoredItem::Replica(item)))
         };
         known.extend(replicas.into_iter().map(named));
         for ((level, tries), group) in
@@ -512,14 +519,14 @@
         {
             known.insert(
                 format!("level/{group}"),
-                Arc::new(Item::Level { level: *level, tries: (*tries).into() }),
+                Arc::new(StoredItem::Level { level: *level, tries: (*tries).into() }),
             );
         }
         for (name, group, hold) in self.holds().filter(|(.., hold)| !hold.handed) {
-            let line = |(id, line): (&ReplicaId, &crate::table_versions::SaidLine)| {
+            let line = |(id, line): (&ReplicaId, &crate::table_versions::PublishedEntry)| {
                 (id.clone(), line.address.clone(), line.zone, line.weight)
             };
-            let item = snapshot::Hold {
+            let item = snapshot::StoredFrozenTable {
                 version: hold.version,
                 told_at: (calendar - now.saturating_sub(hold.told_at).as_secs_f64()).round(),
                 until: (calendar + hold.until.saturating_sub(now).as_secs_f64()).round(),
@@ -529,17 +536,17 @@
                 tries: hold.said.tries.into(),
             };
             let group = groups.get(group).map_or("", String::as_str);
-            known.insert(format!("hold/{group}/{name}"), Arc::new(Item::Hold(item)));
+            known.insert(format!("hold/{group}/{name}"), Arc::new(StoredItem::Hold(item)));
         }
         for (id, one) in self.overrides.iter() {
             let weight = match one.what {
-                Overridden::Exclude => None,
-                Overridden::Weight(factor) => Some(factor),
+                OverrideKind::Exclude => None,
+                OverrideKind::Weight(factor) => Some(factor),
             };
             let until = (calendar + one.until.saturating_sub(now).as_secs_f64()).round();
             known.insert(
                 format!("override/{id}"),
-                Arc::new(Item::Override { weight, until, why: one.why.clone() }),
+                Arc::new(StoredItem::Override { weight, until, why: one.why.clone() }),
             );
         }
         known
@@ -585,7 +592,7 @@
             self.tell_met(now, known.zone, id, tries, tries);
         }
         for (id, (weight, left, why)) in std::mem::take(&mut self.recalled.overrides) {
-            let what = weight.map_or(Overridden::Exclude, Overridden::Weight);
+            let what = weight.map_or(OverrideKind::Exclude, OverrideKind::Weight);
             // One that is not listed any more needs no word.
             let _ = self.override_replica(now, &id, what, now + left, &why);
         }
@@ -594,9 +601,9 @@
     /// A proxy that has just joined was handed over by another governor: until the module speaks for it, it
     /// is told what it was told there, less what the rules forbid here now; and what it met last is heard.
     /// How many of its tables that keeps. A proxy that the module has spoken for is left as it is.
-    pub fn handed(&mut self, now: Duration, number: ProxyId, handed: Handed) -> usize {
+    pub fn handed(&mut self, now: Duration, number: ProxyId, handed: MigratedProxy) -> usize {
         let Some(proxy) = self.fleet.get(number) else { return 0 };
-        if proxy.fresh || proxy.kind() == Kind::Own {
+        if proxy.fresh || proxy.kind() == TableKind::Own {
             return 0;
         }
         let (zone, stream) = (proxy.zone, proxy.stream);
@@ -605,7 +612,8 @@
         let mut kept = 0;
         for (group, said) in handed.whole.groups.into_iter().enumerate().take(self.groups) {
             let Some(said) = said else { continue };
-            let hold = Hold { version, told_at, said, since: now, until, why: why.clone(), handed: true };
+            let hold =
+                FrozenTable { version, told_at, said, since: now, until, why: why.clone(), handed: true };
             let present = self.present(number, group);
             let withdrawn = |id: &ReplicaId| self.tables.is_withdrawn(id);
             // An operator's hold here goes before.
@@ -631,7 +639,7 @@
         &self,
         now: Duration,
         number: ProxyId,
-    ) -> Option<(&Version, Option<(Duration, &Report)>)> {
+    ) -> Option<(&HistoryEntry, Option<(Duration, &LoadReport)>)> {
         let newest = self.history.newest(number)?;
         let last = self.reports.last(number).map(|(at, report)| (now.saturating_sub(*at), report));
         Some((newest, last))
@@ -656,10 +664,10 @@
         now: Duration,
         name: &str,
         stream: StreamId,
-        report: &Report,
-    ) -> Result<(), Discarded> {
+        report: &LoadReport,
+    ) -> Result<(), DiscardReason> {
         let Some((number, proxy)) = self.fleet.named(name) else {
-            return Err(self.reports.discard(Discarded::NotJoined));
+            return Err(self.reports.discard(DiscardReason::NotJoined));
         };
         let (zone, roster) = (proxy.zone, &self.roster);
         let listed = |id: &ReplicaId| roster.get(id).is_some_and(|one| one.phase != Phase::Gone);
@@ -686,7 +694,11 @@
         self.pace.answered(number);
         if let Some(proxy) = self.fleet.get(number) {
             let words = proxy.nacked.as_ref().map(|(_, words)| words.clone()).unwrap_or_default();
-            self.out.push_back(Step::Note(Note::Nacked { proxy: proxy.name.clone(), version, words }));
+            self.out.push_back(Action::Note(EngineEvent::Nacked {
+                proxy: proxy.name.clone(),
+                version,
+                words,
+            }));
         }
     }
 
@@ -739,17 +751,17 @@
     pub fn rollback(
         &mut self,
         now: Duration,
-        scope: &Scope,
+        scope: &TableScope,
         version: u64,
         why: &str,
         until: Duration,
-    ) -> Result<Rolled, NoStepBack> {
+    ) -> Result<RollbackReport, RollbackError> {
         if version > self.version {
-            return Err(NoStepBack::NotYet(version, self.version));
+            return Err(RollbackError::NotYet(version, self.version));
         }
         let (numbers, groups) = self.scoped(scope)?;
         let why: Arc<str> = why.chars().take(500).collect::<String>().into();
-        let mut rolled = Rolled::default();
+        let mut rolled = RollbackReport::default();
         let mut touched = Vec::new();
         for number in numbers {
             let Some(name) = self.fleet.get(number).map(|proxy| proxy.name.clone()) else { continue };
@@ -761,7 +773,7 @@
                 any = true;
                 let told_at = then.at;
                 let (version, why) = (then.version, why.clone());
-                let hold = Hold { version, told_at, said, since: now, until, why, handed: false };
+                let hold = FrozenTable { version, told_at, said, since: now, until, why, handed: false };
                 let present = self.present(number, group);
                 let (told, left_out) =
                     frozen_tables::told(&hold, &present, &self.roster, |id| self.tables.is_withdrawn(id));
@@ -773,9 +785,9 @@
                 rolled.left_out.extend(left_out.into_iter().map(named));
                 rolled.held += 1;
                 if let Some(before) = self.holds.insert((number, group), hold) {
-                    let over = Over::Replaced(before.why);
-                    let over = Note::HoldOver { proxy: name.clone(), group, over };
-                    self.out.push_back(Step::Note(over));
+                    let over = ReleaseReason::Replaced(before.why);
+                    let over = EngineEvent::HoldOver { proxy: name.clone(), group, over };
+                    self.out.push_back(Action::Note(over));
                 }
             }
             match any {
@@ -784,7 +796,7 @@
             }
         }
         if touched.is_empty() {
-            return Err(NoStepBack::NotKept(version));
+            return Err(RollbackError::NotKept(version));
         }
         self.refresh(now, &touched, None);
         Ok(rolled)
@@ -793,26 +805,26 @@
     /// Ends holds: the module's present tables are told again. How many there were.
     ///
     /// Errors: no such proxy.
-    pub fn release(&mut self, now: Duration, scope: &Scope) -> Result<usize, NoStepBack> {
+    pub fn release(&mut self, now: Duration, scope: &TableScope) -> Result<usize, RollbackError> {
         let (numbers, groups) = self.scoped(scope)?;
         let (numbers, groups): (BTreeSet<_>, BTreeSet<_>) = (numbers.into_iter().collect(), groups.collect());
         let meant = |(number, group): &(ProxyId, usize)| numbers.contains(number) && groups.contains(group);
-        Ok(self.end_holds(now, Over::Released, |key, _| meant(key)))
+        Ok(self.end_holds(now, ReleaseReason::Released, |key, _| meant(key)))
     }
 
     /// Operators say of a replica that nothing, or another part, is to be sent there, until a time.
     ///
-    /// Errors: as [`NoOverride`].
+    /// Errors: as [`OverrideError`].
     pub fn override_replica(
         &mut self,
         now: Duration,
         replica: &ReplicaId,
-        what: Overridden,
+        what: OverrideKind,
         until: Duration,
         why: &str,
-    ) -> Result<(), NoOverride> {
+    ) -> Result<(), OverrideError> {
         if self.roster.get(replica).is_none_or(|known| known.phase == Phase::Gone) {
-            return Err(NoOverride::NoReplica(replica.clone()));
+            return Err(OverrideError::NoReplica(replica.clone()));
         }
         let why = why.chars().take(500).collect::<String>().into();
         self.overrides.set(replica.clone(), Override { what, since: now, until, why })?;
@@ -835,28 +847,31 @@
     fn end_holds(
         &mut self,
         now: Duration,
-        over: Over,
-        meant: impl Fn(&(ProxyId, usize), &Hold) -> bool,
+        over: ReleaseReason,
+        meant: impl Fn(&(ProxyId, usize), &FrozenTable) -> bool,
     ) -> usize {
         let ended: Vec<(ProxyId, usize)> =
             self.holds.extract_if(.., |key, hold| meant(key, hold)).map(|(key, _)| key).collect();
         for (number, group) in &ended {
-            let over =
-                Note::HoldOver { proxy: self.name_of(Some(*number)), group: *group, over: over.clone() };
-            self.out.push_back(Step::Note(over));
+            let over = EngineEvent::HoldOver {
+                proxy: self.name_of(Some(*number)),
+                group: *group,
+                over: over.clone(),
+            };
+            self.out.push_back(Action::Note(over));
         }
         let numbers: BTreeSet<ProxyId> = ended.iter().map(|(number, _)| *number).collect();
         self.refresh(now, &numbers.into_iter().collect::<Vec<_>>(), None);
         ended.len()
     }
 
-    fn scoped(&self, scope: &Scope) -> Result<(Vec<ProxyId>, std::ops::Range<usize>), NoStepBack> {
+    fn scoped(&self, scope: &TableScope) -> Result<(Vec<ProxyId>, std::ops::Range<usize>), RollbackError> {
         Ok(match scope {
-            Scope::All => (self.fleet.numbers(), 0..self.groups),
-            Scope::Group(group) => (self.fleet.numbers(), *group..(group + 1).min(self.groups)),
-            Scope::Proxy(name) => {
+            TableScope::All => (self.fleet.numbers(), 0..self.groups),
+            TableScope::Group(group) => (self.fleet.numbers(), *group..(group + 1).min(self.groups)),
+            TableScope::Proxy(name) => {
                 let named = self.fleet.named(name);
-                let (number, _) = named.ok_or_else(|| NoStepBack::NoProxy(name.clone()))?;
+                let (number, _) = named.ok_or_else(|| RollbackError::NoProxy(name.clone()))?;
                 (vec![number], 0..self.groups)
             }
         })
@@ -878,7 +893,7 @@
     // ---- steps
 
     /// The next thing to do, until there is none.
-    pub fn step(&mut self, now: Duration) -> Option<Step> {
+    pub fn step(&mut self, now: Duration) -> Option<Action> {
         // A host that left a flush undone would be offered it for ever.
         if let Some(number) = self.offered.take() {
             self.pace.stalled(number);
@@ -889,7 +904,7 @@
         }
         let number = self.pace.next(now)?;
         self.offered = Some(number);
-        Some(Step::Flush(number))
+        Some(Action::Flush(number))
     }
 
     /// When to pull [`Engine::step`] again, if nothing else happens.
@@ -920,7 +935,7 @@
             self.take_list(now, entries);
         }
         if self.holds.values().any(|hold| hold.until <= now) {
-            self.end_holds(now, Over::Time, |_, hold| hold.until <= now);
+            self.end_holds(now, ReleaseReason::Time, |_, hold| hold.until <= now);
         }
         if !self.recalled.levels.is_empty() && now >= self.levels_until {
             self.recalled.levels.clear();
@@ -933,18 +948,18 @@
         self.recalled_holds.retain(|_, (_, until, _)| now < *until);
         let over = self.overrides.due(now);
         if !over.is_empty() {
-            self.out.extend(over.into_iter().map(|id| Step::Note(Note::OverrideOver(id))));
+            self.out.extend(over.into_iter().map(|id| Action::Note(EngineEvent::OverrideOver(id))));
             self.refresh(now, &self.fleet.numbers(), None);
         }
         for told in self.reports.due(now) {
             self.causes.insert(Cause::Reports);
             match told {
-                Told::ReplicaStatistics(met) => {
+                AggregatedStatistics::ReplicaStatistics(met) => {
                     let delivered = met.attempts.saturating_sub(met.failed);
                     self.guard.met(now, &met.replica, met.zone, delivered, met.interval);
                     self.rules.record_replica_statistics(now, met);
                 }
-                Told::DemandStatistics(came) => {
+                AggregatedStatistics::DemandStatistics(came) => {
                     self.guard.came(came.proxy, came.class, came.requests, came.interval);
                     self.rules.record_demand(now, came);
                 }
@@ -970,7 +985,7 @@
             self.causes.insert(Cause::Joined);
         }
         if waited > 0 && !self.lobby.is_empty() && waited != self.lobby.len() {
-            self.out.push_back(Step::Note(Note::Lobby(self.lobby.len())));
+            self.out.push_back(Action::Note(EngineEvent::Lobby(self.lobby.len())));
         }
         if now >= self.beat_at {
             self.causes.insert(Cause::Beat);
@@ -992,7 +1007,7 @@
 
     /// Replicas for whose sake a table that stands is judged again: they are shut by now, or sent too much.
     fn suspects(&self, now: Duration) -> BTreeSet<ReplicaId> {
-        let shut = |(id, known): &(&ReplicaId, &Known)| known.phase != Phase::Ready || self.is_out(id);
+        let shut = |(id, known): &(&ReplicaId, &KnownReplica)| known.phase != Phase::Ready || self.is_out(id);
         let mut suspects = self.guard.troubled(now, &self.roster, |id| self.is_out(id));
         suspects.extend(self.roster.iter().filter(shut).map(|(id, _)| id.clone()));
         suspects
@@ -1052,20 +1067,20 @@
                     continue;
                 }
                 Decision::CheckHealth(replica) => {
-                    self.out.push_back(Step::Probe(replica));
+                    self.out.push_back(Action::Probe(replica));
                     continue;
                 }
                 Decision::SetEjected { replica, ejected: out } => {
                     self.tables.withdraw(replica.clone(), out);
                     (everyone, asked) = (true, true);
-                    What::Withdraw(replica, out)
+                    DecisionSummary::Withdraw(replica, out)
                 }
                 Decision::UpdateTable { table, entries } => {
                     // Who follows it may be said only later in the same go.
                     touched.push((decided.len(), table));
                     let count = entries.len();
                     self.tables.lay(table, entries);
-                    What::Lines("".into(), count)
+                    DecisionSummary::Lines("".into(), count)
                 }
                 Decision::AssignTable { proxy: number, table, classes: groups } => {
                     if let Some(proxy) = self.fleet.get_mut(number) {
@@ -1080,7 +1095,7 @@
                         }
                         concerned.insert(number);
                     }
-                    What::Follow(self.name_of(Some(number)), groups)
+                    DecisionSummary::Follow(self.name_of(Some(number)), groups)
                 }
                 Decision::SetAdmission { classes: groups, fraction: level, retry_policy: tries } => {
                     // It has seen for itself: what an earlier life said of these gives way. That all is let
@@ -1092,13 +1107,13 @@
                         self.tables.level(groups, level, tries);
                     }
                     everyone = true;
-                    What::Level(groups, level, tries)
+                    DecisionSummary::Level(groups, level, tries)
                 }
             };
             decided.push(what);
             if decided.len() >= MOST_DECISIONS {
                 // A module that goes on for ever must not hold up drains: the rest is asked for next time.
-                self.guard.refuse(now, 0, Reason::Flood, decided.len() as f64, MOST_DECISIONS as f64);
+                self.guard.refuse(now, 0, RefusalReason::Flood, decided.len() as f64, MOST_DECISIONS as f64);
                 self.beat_at = now + Duration::from_millis(250);
                 break;
             }
@@ -1107,11 +1122,11 @@
         for (place, table) in touched {
             let Some(number) = followers.get(&table) else { continue };
             concerned.insert(*number);
-            if let What::Lines(name, _) = &mut decided[place] {
+            if let DecisionSummary::Lines(name, _) = &mut decided[place] {
                 *name = self.name_of(Some(*number));
             }
         }
-        let note = |what| Step::Note(Note::Decided { what, version, answers: answers.clone() });
+        let note = |what| Action::Note(EngineEvent::Decided { what, version, answers: answers.clone() });
         self.out.extend(decided.into_iter().map(note));
         let concerned: Vec<ProxyId> =
             if everyone { self.fleet.numbers() } else { concerned.into_iter().collect() };
@@ -1130,7 +1145,7 @@
     /// Puts something between the module and what becomes of its decisions: for tests and rehearsals of a
     /// module that has gone wrong. It is asked as the module would be.
     #[cfg(any(test, feature = "suspect"))]
-    pub fn suspect(&mut self, decider: Suspect) {
+    pub fn suspect(&mut self, decider: FaultyDecider) {
         self.suspect = Some(decider);
     }
 
@@ -1210,15 +1225,15 @@
             let Some((table, bare)) = self.wanted(number, group) else { continue };
             if bare {
                 self.holds.remove(&(number, group));
-                let (proxy, over) = (self.name_of(Some(number)), Over::Bare);
-                self.out.push_back(Step::Note(Note::HoldOver { proxy, group, over }));
+                let (proxy, over) = (self.name_of(Some(number)), ReleaseReason::Bare);
+                self.out.push_back(Action::Note(EngineEvent::HoldOver { proxy, group, over }));
             }
             let kept = self.fleet.get(number).and_then(|proxy| proxy.tables[group].as_ref());
             let same = kept.is_some_and(|kept| *kept.table == table);
             if same {
                 self.guard.settled(number, group);
             }
-            let suspect = |line: &crate::tables::Line| line.open && suspects.contains(&line.replica);
+            let suspect = |line: &crate::tables::ResolvedEntry| line.open && suspects.contains(&line.replica);
             let again = recheck && (held.contains(&number) || table.lines.iter().any(suspect));
             if (!same || again) && (kept.is_some() || !table.lines.is_empty()) {
                 wanted.push((number, group, table));
@@ -1230,14 +1245,21 @@
         let change = |(number, group, wanted): (ProxyId, usize, Table)| {
             let proxy = fleet.get(number)?;
             let held = proxy.tables[group].as_ref().map(|kept| &*kept.table);
-            Some(Change { proxy: number, zone: proxy.zone, group, held, standing: &proxy.standing, wanted })
+            Some(ProposedTable {
+                proxy: number,
+                zone: proxy.zone,
+                group,
+                held,
+                standing: &proxy.standing,
+                wanted,
+            })
         };
-        let changes: Vec<Change> = wanted.into_iter().filter_map(change).collect();
+        let changes: Vec<ProposedTable> = wanted.into_iter().filter_map(change).collect();
         let withdrawn = |id: &ReplicaId| tables.is_withdrawn(id) || overrides.excludes(id);
         let judged = self.guard.judge(now, &self.roster, withdrawn, asked, changes);
         let mut judged: BTreeMap<(ProxyId, usize), Table> = places.into_iter().zip(judged).collect();
         while let Some(refusal) = self.guard.news() {
-            self.out.push_back(Step::Note(Note::Refused(refusal)));
+            self.out.push_back(Action::Note(EngineEvent::Refused(refusal)));
         }
         let mut changed = Vec::new();
         let tries = self.tables.tries();
@@ -1256,7 +1278,7 @@
                         let drains = |(id, _): &(ReplicaId, f64)| self.tables.is_withdrawn(id);
                         urgent |= match &kept {
                             Some(kept) => {
-                                let excluded = |line: &crate::tables::Line| {
+                                let excluded = |line: &crate::tables::ResolvedEntry| {
                                     line.open && self.overrides.excludes(&line.replica)
                                 };
                                 self.tables.outdates(&kept.table) || kept.table.lines.iter().any(excluded)
@@ -1266,7 +1288,7 @@
                         // Groups that follow one table share one copy.
                         let alike = proxy.tables[..group].iter().flatten().find(|one| *one.table == table);
                         let table = alike.map_or_else(|| Arc::new(table), |one| one.table.clone());
-                        Some(Kept { version, table })
+                        Some(VersionedTable { version, table })
                     }
                 };
             }
@@ -1291,12 +1313,12 @@
     /// Keeps what a proxy is told by now as a version of it.
     fn remember(&mut self, now: Duration, number: ProxyId) {
         let Some(proxy) = self.fleet.get(number) else { return };
-        let said = |(kept, tries): (&Option<Kept>, &RetryPolicy)| {
-            kept.as_ref().map(|kept| Said::of(&kept.table, *tries))
+        let said = |(kept, tries): (&Option<VersionedTable>, &RetryPolicy)| {
+            kept.as_ref().map(|kept| PublishedTable::of(&kept.table, *tries))
         };
-        let whole = Whole { groups: proxy.tables.iter().zip(&proxy.tries.1).map(said).collect() };
+        let whole = PublishedState { groups: proxy.tables.iter().zip(&proxy.tries.1).map(said).collect() };
         let version =
-            Version { version: proxy.newest(), at: now, digest: whole.digest(), whole: Arc::new(whole) };
+            HistoryEntry { version: proxy.newest(), at: now, digest: whole.digest(), whole: Arc::new(whole) };
         self.history.push(number, version);
     }
 
@@ -1314,7 +1336,7 @@
         &self.fleet
     }
 
-    pub fn replicas(&self) -> impl Iterator<Item = (&ReplicaId, &Known)> {
+    pub fn replicas(&self) -> impl Iterator<Item = (&ReplicaId, &KnownReplica)> {
         self.roster.iter()
     }
 
@@ -1341,14 +1363,14 @@
         self.tables.levels()
     }
 
-    pub fn reports(&self) -> (&BTreeMap<Discarded, u64>, u64) {
+    pub fn reports(&self) -> (&BTreeMap<DiscardReason, u64>, u64) {
         self.reports.tally()
     }
 
     /// What is known now, as far as the guard judges by it, for tables to be tried against. Names of zones
     /// and groups are the caller's to fill in.
     pub fn record(&self, now: Duration) -> Recording {
-        let replica = |(id, known): (&ReplicaId, &Known)| recording::Replica {
+        let replica = |(id, known): (&ReplicaId, &KnownReplica)| recording::RecordedReplica {
             id: id.clone(),
             address: known.address.clone(),
             zone: known.zone,
@@ -1358,23 +1380,24 @@
             out: self.is_out(id),
         };
         let held = |(number, proxy): (ProxyId, &Proxy)| {
-            let table = |(group, kept): (usize, &Option<Kept>)| {
+            let table = |(group, kept): (usize, &Option<VersionedTable>)| {
                 let table = kept.as_ref().map(|kept| &*kept.table);
-                let line = |line: &crate::tables::Line| (line.replica.clone(), line.weight, line.open);
-                recording::HeldTable {
+                let line =
+                    |line: &crate::tables::ResolvedEntry| (line.replica.clone(), line.weight, line.open);
+                recording::RecordedTable {
                     flows: self.guard.flows(number, group),
                     level: table.map_or(1.0, |table| table.level),
                     lines: table.map(|table| table.lines.iter().map(line).collect()),
                 }
             };
-            recording::Held {
+            recording::RecordedProxy {
                 name: proxy.name.clone(),
                 zone: proxy.zone,
                 standing: proxy.standing.clone(),
                 groups: proxy.tables.iter().enumerate().map(table).collect(),
             }
         };
-        let seen = |(id, zone, per_s): (&ReplicaId, usize, f64)| recording::Seen {
+        let seen = |(id, zone, per_s): (&ReplicaId, usize, f64)| recording::RecordedThroughput {
             replica: id.clone(),
             zone,
             per_s,
@@ -1403,14 +1426,14 @@
     }
 
     /// Holds in force, by proxy and group.
-    pub fn holds(&self) -> impl Iterator<Item = (&Arc<str>, usize, &Hold)> {
+    pub fn holds(&self) -> impl Iterator<Item = (&Arc<str>, usize, &FrozenTable)> {
         self.holds
             .iter()
             .filter_map(|((number, group), hold)| Some((&self.fleet.get(*number)?.name, *group, hold)))
     }
 
-    pub fn figures(&self, now: Duration) -> Figures {
-        Figures {
+    pub fn figures(&self, now: Duration) -> EngineStatus {
+        EngineStatus {
             version: self.version,
             pulls: self.pulls,
             joined: self.fleet.len(),
@@ -1427,7 +1450,7 @@
 
 /// Counts for status pages and metrics.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Figures {
+pub struct EngineStatus {
     pub version: u64,
     pub pulls: u64,
     pub joined: usize,
--- a/crates/core/src/engine/hostile.rs
+++ b/crates/core/src/engine/hostile.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 
 use super::*;
-use crate::fault_injection::{KINDS, Wrong, decider};
+use crate::fault_injection::{FAULTS, Fault, decider};
 use crate::guard::COLD_MARGIN;
-use crate::roster::Entry;
+use crate::roster::RosterEntry;
 
 const REPLICAS: [&str; 8] = ["a", "b", "c", "d", "e", "f", "g", "h"];
 /// It starts anew, cold, in the midst.
@@ -16,8 +16,8 @@
     Duration::from_millis(100_000 + ms)
 }
 
-fn list(draining: &[&str], started: Option<Duration>) -> Vec<Entry> {
-    let entry = |id: &&str| Entry {
+fn list(draining: &[&str], started: Option<Duration>) -> Vec<RosterEntry> {
+    let entry = |id: &&str| RosterEntry {
         id: (*id).into(),
         address: format!("{id}:1").into(),
         zone: 0,
@@ -30,8 +30,8 @@
 }
 
 /// Runs four proxies through a drain and a cold start; the rules that were broken, and how often.
-fn broken(wrong: Wrong, guarded: bool) -> BTreeMap<&'static str, usize> {
-    let mut setup = Setup::example(2);
+fn broken(wrong: Fault, guarded: bool) -> BTreeMap<&'static str, usize> {
+    let mut setup = EngineSettings::example(2);
     setup.module.proxy_count = 4;
     let mut engine = Engine::new(setup, at(0));
     engine.suspect(decider(wrong));
@@ -42,7 +42,8 @@
     for (stream, name) in ["p", "q", "r", "s"].into_iter().enumerate() {
         let standing = if stream < 2 { vec![] } else { REPLICAS.map(|id| (id.into(), 1.0)).to_vec() };
         let (name, holds_orders) = (name.into(), stream < 2);
-        let join = Join { name, zone: 0, usual: 20.0, standing, holds_orders, claim: None, proven: None };
+        let join =
+            JoinRequest { name, zone: 0, usual: 20.0, standing, holds_orders, claim: None, proven: None };
         engine.joined(at(1), stream as u64, &join).unwrap();
     }
     let mut broken: BTreeMap<&'static str, usize> = BTreeMap::new();
@@ -55,7 +56,7 @@
             engine.roster(at(now), list(&["a"], Some(at(now))));
         }
         while let Some(step) = engine.step(at(now)) {
-            if let Step::Flush(number) = step {
+            if let Action::Flush(number) = step {
                 engine.sent(at(now), number, 8, 1);
                 let (stream, newest) = engine.proxy(number).map(|one| (one.stream, one.newest())).unwrap();
                 engine.acked(at(now), stream, newest);
@@ -106,7 +107,7 @@
 
 #[test]
 fn no_decider_however_wrong_has_a_table_stand_that_breaks_a_rule() {
-    for (kind, wrong) in KINDS {
+    for (kind, wrong) in FAULTS {
         assert_eq!(broken(wrong, true), BTreeMap::new(), "{kind}");
     }
 }
@@ -114,7 +115,7 @@
 #[test]
 fn each_of_these_breaks_its_rule_where_nothing_guards_it() {
     for (kind, rule) in BREAKS {
-        let (_, wrong) = KINDS.iter().find(|(name, _)| *name == kind).expect("a kind of that name");
+        let (_, wrong) = FAULTS.iter().find(|(name, _)| *name == kind).expect("a kind of that name");
         let broken = broken(*wrong, false);
         assert!(broken.contains_key(rule), "{kind}: {broken:?}");
     }
@@ -123,12 +124,19 @@
 #[test]
 fn the_module_as_it_is_passes_unchanged() {
     assert_eq!(broken(|decision, _| vec![decision], true), BTreeMap::new());
-    let mut engine = Engine::new(Setup::example(2), at(0));
+    let mut engine = Engine::new(EngineSettings::example(2), at(0));
     engine.roster(at(0), list(&[], None));
     for n in 0..8 {
         let (name, standing) = (format!("p{n}").into(), vec![]);
-        let join =
-            Join { name, zone: 0, usual: 20.0, standing, holds_orders: true, claim: None, proven: None };
+        let join = JoinRequest {
+            name,
+            zone: 0,
+            usual: 20.0,
+            standing,
+            holds_orders: true,
+            claim: None,
+            proven: None,
+        };
         engine.joined(at(1), n, &join).unwrap();
     }
     for now in (100..30_000).step_by(100) {
@@ -138,7 +146,7 @@
             _ => {}
         }
         while let Some(step) = engine.step(at(now)) {
-            if let Step::Flush(number) = step {
+            if let Action::Flush(number) = step {
                 engine.sent(at(now), number, 8, 1);
             }
         }
@@ -146,7 +154,7 @@
     // Of what the module says nothing is refused. Tables that stand are judged again when a replica starts
     // anew: there the guard is earlier than the module, by a beat.
     let early = |one: &crate::guard::Refusal| {
-        one.reason == Reason::Cold && one.replica.as_deref() == Some(COLD) && one.at < at(9500)
+        one.reason == RefusalReason::Cold && one.replica.as_deref() == Some(COLD) && one.at < at(9500)
     };
     let (_, passed) = engine.guard().tally();
     let refusals: Vec<_> = engine.guard().refusals().collect();
@@ -155,19 +163,19 @@
 
 #[test]
 fn a_module_that_never_ends_and_one_that_never_wakes_are_asked_again_all_the_same() {
-    let forever: Suspect = Box::new(|_, _| {
+    let forever: FaultyDecider = Box::new(|_, _| {
         Some(Decision::SetAdmission { classes: 1, fraction: 0.5, retry_policy: RetryPolicy::Never })
     });
-    let never: Suspect = Box::new(|now, rules| match rules.next_decision(now)? {
+    let never: FaultyDecider = Box::new(|now, rules| match rules.next_decision(now)? {
         Decision::ScheduleTick(_) => Some(Decision::ScheduleTick(Duration::MAX / 4)),
         other => Some(other),
     });
-    let at_once: Suspect = Box::new(|now, rules| match rules.next_decision(now)? {
+    let at_once: FaultyDecider = Box::new(|now, rules| match rules.next_decision(now)? {
         Decision::ScheduleTick(_) => Some(Decision::ScheduleTick(Duration::ZERO)),
         other => Some(other),
     });
     for decider in [forever, never, at_once] {
-        let mut engine = Engine::new(Setup::example(1), at(0));
+        let mut engine = Engine::new(EngineSettings::example(1), at(0));
         engine.suspect(decider);
         engine.roster(at(0), list(&[], None));
         let steps = std::iter::from_fn(|| engine.step(at(1))).take(300_000).count();
--- a/crates/core/src/engine/tests.rs
+++ b/crates/core/src/engine/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
-use crate::recording::{Untried, Wanted};
-use crate::reports::AtReplica;
+use crate::recording::{CandidateError, CandidateTable};
+use crate::reports::ReplicaObservation;
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(100_000 + ms)
 }
 
-fn entry(id: &str, phase: Phase) -> Entry {
-    Entry {
+fn entry(id: &str, phase: Phase) -> RosterEntry {
+    RosterEntry {
         id: id.into(),
         address: format!("{id}:1").into(),
         zone: 0,
@@ -18,32 +18,40 @@
     }
 }
 
-fn ready(names: &[&str]) -> Vec<Entry> {
+fn ready(names: &[&str]) -> Vec<RosterEntry> {
     names.iter().map(|name| entry(name, Phase::Ready)).collect()
 }
 
-fn join(name: &str, standing: &[&str]) -> Join {
+fn join(name: &str, standing: &[&str]) -> JoinRequest {
     let standing = standing.iter().map(|id| ((*id).into(), 1.0)).collect();
-    Join { name: name.into(), zone: 0, usual: 5.0, standing, holds_orders: false, claim: None, proven: None }
+    JoinRequest {
+        name: name.into(),
+        zone: 0,
+        usual: 5.0,
+        standing,
+        holds_orders: false,
+        claim: None,
+        proven: None,
+    }
 }
 
 fn engine(names: &[&str]) -> Engine {
-    let mut engine = Engine::new(Setup::example(2), ms(0));
+    let mut engine = Engine::new(EngineSettings::example(2), ms(0));
     engine.roster(ms(0), ready(names));
     engine
 }
 
 /// A host whose proxies take all at once: what was flushed, by proxy, and the notes.
-fn run(engine: &mut Engine, now: Duration) -> (Vec<ProxyId>, Vec<Note>) {
+fn run(engine: &mut Engine, now: Duration) -> (Vec<ProxyId>, Vec<EngineEvent>) {
     let (mut flushed, mut notes) = (Vec::new(), Vec::new());
     while let Some(step) = engine.step(now) {
         match step {
-            Step::Flush(number) => {
+            Action::Flush(number) => {
                 flushed.push(number);
                 engine.sent(now, number, 3, 1);
             }
-            Step::Note(note) => notes.push(note),
-            Step::Close(_) | Step::Probe(_) => {}
+            Action::Note(note) => notes.push(note),
+            Action::Close(_) | Action::Probe(_) => {}
         }
     }
     (flushed, notes)
@@ -70,7 +78,7 @@
 fn a_standing_table_that_could_not_be_drawn_now_is_not_taken_for_one() {
     let mut engine = engine(&["a", "b", "c"]);
     engine.joined(ms(1), 1, &join("p", &["a", "gone"])).unwrap();
-    engine.joined(ms(1), 2, &Join { holds_orders: true, ..join("q", &["a", "b", "c"]) }).unwrap();
+    engine.joined(ms(1), 2, &JoinRequest { holds_orders: true, ..join("q", &["a", "b", "c"]) }).unwrap();
     let (flushed, _) = run(&mut engine, ms(300));
     assert_eq!(flushed, [0, 1]);
 }
@@ -88,7 +96,7 @@
     let (flushed, notes) = run(&mut engine, ms(1600));
     assert_eq!(flushed, [0, 1]);
     assert!(notes.iter().any(|note| matches!(note,
-        Note::Decided { what: What::Withdraw(id, true), answers, .. } if &**id == "a"
+        EngineEvent::Decided { what: DecisionSummary::Withdraw(id, true), answers, .. } if &**id == "a"
             && answers.contains(&Cause::Roster) | answers.contains(&Cause::Beat))));
     assert!((0..2).all(|number| !open(&engine, number).contains(&"a".to_string())));
     assert!(!open(&engine, 0).is_empty(), "a standing table is told of whole, but for the drain");
@@ -114,7 +122,7 @@
     run(&mut engine, ms(600));
     engine.roster(ms(700), vec![]);
     let (flushed, notes) = run(&mut engine, ms(5000));
-    assert!(flushed.is_empty() && matches!(notes[0], Note::Doubted(_)));
+    assert!(flushed.is_empty() && matches!(notes[0], EngineEvent::Doubted(_)));
     assert_eq!(open(&engine, 0).len(), 3);
     engine.roster(ms(6000), ready(&["a", "b", "c"]));
     assert!(!engine.figures(ms(6000)).roster_doubted);
@@ -132,7 +140,7 @@
     engine.acked(ms(700), 2, version);
     let (flushed, notes) = run(&mut engine, ms(3000));
     assert!(flushed.is_empty());
-    assert!(matches!(&notes[0], Note::Nacked { words, .. } if words == "no such locality"));
+    assert!(matches!(&notes[0], EngineEvent::Nacked { words, .. } if words == "no such locality"));
     assert_eq!(engine.proxy(0).unwrap().acked, 0);
     engine.roster(ms(3100), ready(&["a", "b"]));
     assert_eq!(run(&mut engine, ms(4000)).0, [0, 1]);
@@ -160,7 +168,7 @@
 #[test]
 fn a_proxy_that_comes_back_to_a_new_governor_with_its_old_orders_is_given_a_whole_state() {
     let mut engine = engine(&["a", "b", "c"]);
-    let back = Join { holds_orders: true, ..join("p", &[]) };
+    let back = JoinRequest { holds_orders: true, ..join("p", &[]) };
     engine.joined(ms(1), 1, &back).unwrap();
     assert_eq!(run(&mut engine, ms(300)).0, [0]);
     assert_eq!(open(&engine, 0), ["a", "b", "c"]);
@@ -171,7 +179,7 @@
     let mut engine = engine(&["a", "b", "c", "d"]);
     engine.joined(ms(1), 1, &join("p", &[])).unwrap();
     while let Some(step) = engine.step(ms(300)) {
-        if let Step::Flush(number) = step {
+        if let Action::Flush(number) = step {
             engine.stalled(number);
         }
     }
@@ -189,7 +197,7 @@
 fn a_thousand_relays_in_one_second_are_let_in_as_the_channel_bears() {
     let names: Vec<String> = (0..24).map(|n| format!("r{n:02}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let mut setup = Setup::example(2);
+    let mut setup = EngineSettings::example(2);
     (setup.module.entries_per_second, setup.module.max_queued_entries) = (5000.0, 4000.0);
     let most = setup.module.max_queued_entries;
     let mut engine = Engine::new(setup, ms(0));
@@ -198,7 +206,7 @@
         engine.joined(ms(number), number, &join(&format!("p{number:04}"), &[])).unwrap();
     }
     let late = engine.joined(ms(999), 5000, &join("late", &[]));
-    assert_eq!(late, Err(Refused::Full { joined: 1000, most: 1000 }));
+    assert_eq!(late, Err(JoinError::Full { joined: 1000, most: 1000 }));
     let mut done = BTreeSet::new();
     for tick in 0..2000 {
         let now = ms(1000 + tick * 20);
@@ -225,7 +233,7 @@
         for tick in 1..40 {
             engine.roster(ms(tick * 250), ready(if tick % 3 == 0 { &["a", "b"] } else { &["a", "b", "c"] }));
             while let Some(step) = engine.step(ms(tick * 250)) {
-                if let Step::Flush(number) = step {
+                if let Action::Flush(number) = step {
                     engine.sent(ms(tick * 250), number, 2, 1);
                     let proxy = engine.proxy(number).unwrap();
                     let (stream, newest) = (proxy.stream, proxy.newest());
@@ -251,7 +259,7 @@
     (engine, newest)
 }
 
-fn pass(engine: &mut Engine, now: Duration) -> Vec<Note> {
+fn pass(engine: &mut Engine, now: Duration) -> Vec<EngineEvent> {
     let (_, notes) = run(engine, now);
     engine.acked(now, 1, engine.proxy(0).unwrap().newest());
     notes
@@ -266,9 +274,9 @@
     // One replica of the old table drains, and is done with it, before the step back.
     engine.roster(ms(3000), ready(&["b", "c", "d", "e"]));
     pass(&mut engine, ms(4000));
-    let rolled = engine.rollback(ms(5000), &Scope::All, before, "too wide", ms(60_000)).unwrap();
+    let rolled = engine.rollback(ms(5000), &TableScope::All, before, "too wide", ms(60_000)).unwrap();
     assert_eq!((rolled.held, rolled.bare, rolled.left_out.len()), (2, 0, 2));
-    assert_eq!(rolled.left_out[0].3, LeftOut::Gone);
+    assert_eq!(rolled.left_out[0].3, OmissionReason::Gone);
     pass(&mut engine, ms(5100));
     assert_eq!(open(&engine, 0), ["b", "c"]);
     // While it is held the module's news waits, and drains go through.
@@ -277,9 +285,9 @@
     engine.roster(ms(6000), list);
     pass(&mut engine, ms(7000));
     assert_eq!(open(&engine, 0), ["c"]);
-    assert_eq!(engine.release(ms(8000), &Scope::Proxy("p".into())), Ok(2));
+    assert_eq!(engine.release(ms(8000), &TableScope::Proxy("p".into())), Ok(2));
     let notes = pass(&mut engine, ms(8100));
-    assert!(matches!(notes[0], Note::HoldOver { over: Over::Released, .. }));
+    assert!(matches!(notes[0], EngineEvent::HoldOver { over: ReleaseReason::Released, .. }));
     assert_eq!(open(&engine, 0), ["c", "d", "e", "f"]);
 }
 
@@ -288,17 +296,21 @@
     let (mut engine, before) = settled(&["a", "b"]);
     engine.roster(ms(1000), ready(&["a", "b", "c"]));
     pass(&mut engine, ms(2000));
-    engine.rollback(ms(3000), &Scope::Group(1), before, "", ms(9000)).unwrap();
+    engine.rollback(ms(3000), &TableScope::Group(1), before, "", ms(9000)).unwrap();
     assert_eq!(engine.holds().count(), 1);
     pass(&mut engine, ms(8990));
     assert_eq!(engine.next_due(ms(8990)).min(ms(9000)), engine.next_due(ms(8990)));
     let notes = pass(&mut engine, ms(9000));
-    assert!(notes.iter().any(|note| matches!(note, Note::HoldOver { group: 1, over: Over::Time, .. })));
-    engine.rollback(ms(10_000), &Scope::All, before, "", ms(90_000)).unwrap();
+    assert!(
+        notes
+            .iter()
+            .any(|note| matches!(note, EngineEvent::HoldOver { group: 1, over: ReleaseReason::Time, .. }))
+    );
+    engine.rollback(ms(10_000), &TableScope::All, before, "", ms(90_000)).unwrap();
     pass(&mut engine, ms(10_100));
     engine.roster(ms(11_000), ready(&["c"]));
     let notes = pass(&mut engine, ms(12_000));
-    assert!(notes.iter().any(|note| matches!(note, Note::HoldOver { over: Over::Bare, .. })));
+    assert!(notes.iter().any(|note| matches!(note, EngineEvent::HoldOver { over: ReleaseReason::Bare, .. })));
     assert_eq!(open(&engine, 0), ["c"], "the module's own table");
     assert_eq!(engine.holds().count(), 0);
 }
@@ -308,11 +320,11 @@
     let (mut engine, before) = settled(&["a", "b", "c"]);
     engine.roster(ms(1000), ready(&["a", "b"]));
     pass(&mut engine, ms(2000));
-    engine.rollback(ms(3000), &Scope::All, before, "first", ms(60_000)).unwrap();
-    engine.rollback(ms(3001), &Scope::All, before, "second", ms(60_000)).unwrap();
+    engine.rollback(ms(3000), &TableScope::All, before, "first", ms(60_000)).unwrap();
+    engine.rollback(ms(3001), &TableScope::All, before, "second", ms(60_000)).unwrap();
     let notes = pass(&mut engine, ms(3100));
     assert!(notes.iter().any(|note| matches!(note,
-        Note::HoldOver { over: Over::Replaced(why), .. } if &**why == "first")));
+        EngineEvent::HoldOver { over: ReleaseReason::Replaced(why), .. } if &**why == "first")));
     assert!(engine.holds().all(|(_, _, hold)| &*hold.why == "second"));
 }
 
@@ -321,10 +333,10 @@
     let (mut engine, before) = settled(&["a", "b", "c"]);
     let later = engine.figures(ms(0)).version + 1;
     let back = |engine: &mut Engine, scope, version| engine.rollback(ms(1000), &scope, version, "", ms(9000));
-    assert!(matches!(back(&mut engine, Scope::All, later), Err(NoStepBack::NotYet(..))));
-    assert_eq!(back(&mut engine, Scope::All, 0), Err(NoStepBack::NotKept(0)));
-    let nobody = Scope::Proxy("nobody".into());
-    assert_eq!(back(&mut engine, nobody.clone(), before), Err(NoStepBack::NoProxy("nobody".into())));
+    assert!(matches!(back(&mut engine, TableScope::All, later), Err(RollbackError::NotYet(..))));
+    assert_eq!(back(&mut engine, TableScope::All, 0), Err(RollbackError::NotKept(0)));
+    let nobody = TableScope::Proxy("nobody".into());
+    assert_eq!(back(&mut engine, nobody.clone(), before), Err(RollbackError::NoProxy("nobody".into())));
     assert!(engine.release(ms(1000), &nobody).is_err());
     assert_eq!(engine.holds().count(), 0);
 }
@@ -347,22 +359,30 @@
     let cap =
         present.lines.iter().filter(|line| &*line.replica == "c").map(|line| line.weight / all).sum::<f64>();
     assert!(cap < 0.2, "the module spares it: {cap}");
-    engine.rollback(ms(2000), &Scope::All, before, "", ms(60_000)).unwrap();
+    engine.rollback(ms(2000), &TableScope::All, before, "", ms(60_000)).unwrap();
     assert!(share(&engine) <= cap + 1e-9, "{} {cap}", share(&engine));
 }
 
-fn handed(lines: &[&str], told_at: Duration) -> Handed {
+fn handed(lines: &[&str], told_at: Duration) -> MigratedProxy {
     let line = |id: &&str| {
-        let line =
-            crate::table_versions::SaidLine { address: format!("{id}:1").into(), zone: 0, weight: 1000 };
+        let line = crate::table_versions::PublishedEntry {
+            address: format!("{id}:1").into(),
+            zone: 0,
+            weight: 1000,
+        };
         (ReplicaId::from(*id), line)
     };
-    let said = Said {
+    let said = PublishedTable {
         lines: lines.iter().map(line).collect(),
         level: crate::table_versions::MILLION,
         tries: RetryPolicy::Never,
     };
-    Handed { from: "g0".into(), whole: Whole { groups: vec![Some(said), None] }, told_at, report: None }
+    MigratedProxy {
+        from: "g0".into(),
+        whole: PublishedState { groups: vec![Some(said), None] },
+        told_at,
+        report: None,
+    }
 }
 
 #[test]
@@ -375,7 +395,7 @@
     list[2].started = Some(ms(500));
     engine.roster(ms(700), list);
     run(&mut engine, ms(1000));
-    let with_orders = Join { holds_orders: true, ..join("p", &["a"]) };
+    let with_orders = JoinRequest { holds_orders: true, ..join("p", &["a"]) };
     let number = engine.joined(ms(1001), 1, &with_orders).unwrap().number;
     assert_eq!(engine.handed(ms(1001), number, handed(&["a", "b", "c", "never"], ms(400))), 1);
     assert_eq!(open(&engine, number), ["a"], "at once, without what drains, is cold or nobody knows");
@@ -388,7 +408,8 @@
     let fresh = engine.joined(ms(1700), 2, &join("q", &["a", "d", "e"])).unwrap().number;
     assert_eq!(engine.handed(ms(1700), fresh, handed(&["a"], ms(400))), 0);
     // Nothing of it is left here: it would be bare, so it keeps what it has until the module speaks.
-    let number = engine.joined(ms(1700), 3, &Join { holds_orders: true, ..join("r", &[]) }).unwrap().number;
+    let number =
+        engine.joined(ms(1700), 3, &JoinRequest { holds_orders: true, ..join("r", &[]) }).unwrap().number;
     assert_eq!(engine.handed(ms(1700), number, handed(&["b", "never"], ms(400))), 0);
     assert!(!engine.proxy(number).unwrap().has_word());
 }
@@ -406,21 +427,21 @@
             ..engine.record(ms(700))
         };
         let lines = lines.iter().map(|(id, weight)| ((*id).into(), *weight)).collect();
-        let tried = named.would(&[Wanted { proxy: "p".into(), group, lines, level }]).unwrap()?;
-        let reasons: Vec<Reason> = tried.refusals.iter().map(|one| one.refusal.reason).collect();
-        Ok::<_, Untried>((tried.tables[0].clone(), reasons))
+        let tried = named.would(&[CandidateTable { proxy: "p".into(), group, lines, level }]).unwrap()?;
+        let reasons: Vec<RefusalReason> = tried.refusals.iter().map(|one| one.refusal.reason).collect();
+        Ok::<_, CandidateError>((tried.tables[0].clone(), reasons))
     };
     let (table, reasons) = would(&engine, 0, 2.0, &[("a", 1.0), ("b", -1.0)]).unwrap();
-    assert_eq!((table.lines.len(), reasons), (1, vec![Reason::Level, Reason::Weight]));
+    assert_eq!((table.lines.len(), reasons), (1, vec![RefusalReason::Level, RefusalReason::Weight]));
     let (table, reasons) = would(&engine, 0, 1.0, &[("never", 1.0)]).unwrap();
-    assert_eq!((table.lines.len(), reasons.last()), (3, Some(&Reason::Bare)), "the last good one");
+    assert_eq!((table.lines.len(), reasons.last()), (3, Some(&RefusalReason::Bare)), "the last good one");
     assert_eq!(would(&engine, 1, 1.0, &[("a", 1.0), ("c", 1.0)]).unwrap().1, []);
     // What an operator excludes is out here, too.
-    engine.override_replica(ms(700), &"a".into(), Overridden::Exclude, ms(701), "x").unwrap();
+    engine.override_replica(ms(700), &"a".into(), OverrideKind::Exclude, ms(701), "x").unwrap();
     let (table, _) = would(&engine, 0, 1.0, &[("a", 1.0), ("c", 1.0)]).unwrap();
     assert_eq!(table.lines.iter().filter(|line| line.open).count(), 1);
     engine.end_override(ms(700), "a");
-    assert_eq!(would(&engine, 2, 1.0, &[]), Err(Untried::NoGroup(2)));
+    assert_eq!(would(&engine, 2, 1.0, &[]), Err(CandidateError::NoGroup(2)));
     assert_eq!((open(&engine, number), engine.guard().refusals().count()), (before, 0));
 }
 
@@ -431,14 +452,14 @@
     let own = engine.joined(ms(1), 2, &join("q", &[])).unwrap().number;
     run(&mut engine, ms(600));
     let exclude = |engine: &mut Engine, at: u64, id: &str| {
-        engine.override_replica(ms(at), &id.into(), Overridden::Exclude, ms(5000), "it smells")
+        engine.override_replica(ms(at), &id.into(), OverrideKind::Exclude, ms(5000), "it smells")
     };
     exclude(&mut engine, 700, "a").unwrap();
     let (mut flushed, _) = run(&mut engine, ms(800));
     flushed.sort_unstable();
     assert_eq!(flushed, [fresh, own], "also who is on its standing table hears of it");
     assert!([fresh, own].iter().all(|one| open(&engine, *one) == ["b", "c"]));
-    let half = Overridden::Weight(0.5);
+    let half = OverrideKind::Weight(0.5);
     engine.override_replica(ms(900), &"b".into(), half, ms(5000), "half of it").unwrap();
     let table = engine.proxy(own).unwrap().tables[0].as_ref().unwrap().table.clone();
     let weight = |id: &str| table.lines.iter().find(|line| &*line.replica == id).unwrap().weight;
@@ -447,14 +468,14 @@
     exclude(&mut engine, 1000, "b").unwrap();
     exclude(&mut engine, 1000, "c").unwrap();
     assert!([fresh, own].iter().all(|one| !open(&engine, *one).is_empty()));
-    assert_eq!(exclude(&mut engine, 1000, "never"), Err(NoOverride::NoReplica("never".into())));
-    let far = engine.override_replica(ms(1000), &"a".into(), Overridden::Weight(0.0), ms(5000), "");
-    assert_eq!(far, Err(NoOverride::Factor(0.0)));
+    assert_eq!(exclude(&mut engine, 1000, "never"), Err(OverrideError::NoReplica("never".into())));
+    let far = engine.override_replica(ms(1000), &"a".into(), OverrideKind::Weight(0.0), ms(5000), "");
+    assert_eq!(far, Err(OverrideError::Factor(0.0)));
     assert!(engine.end_override(ms(1100), "c") && !engine.end_override(ms(1100), "c"));
     assert!([fresh, own].iter().all(|one| open(&engine, *one) == ["c"]));
     assert!(engine.next_due(ms(4990)) <= ms(5000));
     let (_, notes) = run(&mut engine, ms(5000));
-    assert_eq!(notes.iter().filter(|note| matches!(note, Note::OverrideOver(_))).count(), 2);
+    assert_eq!(notes.iter().filter(|note| matches!(note, EngineEvent::OverrideOver(_))).count(), 2);
     assert!([fresh, own].iter().all(|one| open(&engine, *one).len() == 3));
 }
 
@@ -464,20 +485,25 @@
     let number = one.joined(ms(1), 1, &join("p", &[])).unwrap().number;
     run(&mut one, ms(600));
     let blocked = vec![(0, 7)];
-    let report = Report { interval: Duration::from_millis(500), met: vec![], blocked };
+    let report = LoadReport { interval: Duration::from_millis(500), met: vec![], blocked };
     one.report(ms(700), "p", 1, &report).unwrap();
     let (newest, last) = one.known_of(ms(900), number).unwrap();
     let (age, known) = last.unwrap();
     assert_eq!((age, known, newest.version), (Duration::from_millis(200), &report, newest.version));
     let told_at = newest.at;
-    let handed =
-        Handed { from: "g0".into(), whole: (*newest.whole).clone(), told_at, report: Some(report.clone()) };
-    let there = other.joined(ms(901), 1, &Join { holds_orders: true, ..join("p", &[]) }).unwrap().number;
+    let handed = MigratedProxy {
+        from: "g0".into(),
+        whole: (*newest.whole).clone(),
+        told_at,
+        report: Some(report.clone()),
+    };
+    let there =
+        other.joined(ms(901), 1, &JoinRequest { holds_orders: true, ..join("p", &[]) }).unwrap().number;
     assert_eq!(other.handed(ms(901), there, handed), 2);
     assert_eq!(open(&other, there), open(&one, number));
     assert_eq!(other.reports().1, 1);
     // The proxy sends it again, as it heard no answer.
-    assert_eq!(other.report(ms(1000), "p", 1, &report), Err(Discarded::Copy));
+    assert_eq!(other.report(ms(1000), "p", 1, &report), Err(DiscardReason::Copy));
     other.left(ms(1100), 1);
     assert_eq!(other.holds().count(), 0, "what was handed over goes with the stream");
 }
@@ -518,7 +544,7 @@
                     list[place].phase = [Phase::Ready, Phase::Draining, Phase::Gone][phase];
                     list[place].started = cold.then(|| ms(now));
                 }
-                let is_ready = |entry: &Entry| entry.phase == Phase::Ready;
+                let is_ready = |entry: &RosterEntry| entry.phase == Phase::Ready;
                 listed[of] = std::array::from_fn(|place| is_ready(&list[place]));
                 engines[of].roster(ms(now), list);
             }
@@ -527,12 +553,12 @@
             let known = known.map(|(newest, _)| (newest.whole.clone(), newest.at));
             engines[at].left(ms(now), stream);
             (at, stream) = (1 - at, stream + 1);
-            let holds = Join { holds_orders: true, ..join("p", &[]) };
+            let holds = JoinRequest { holds_orders: true, ..join("p", &[]) };
             number = engines[at].joined(ms(now), stream, &holds).unwrap().number;
             if let Some((whole, told_at)) = known {
                 let whole = (*whole).clone();
                 let from = "g".into();
-                engines[at].handed(ms(now), number, Handed { from, whole, told_at, report: None });
+                engines[at].handed(ms(now), number, MigratedProxy { from, whole, told_at, report: None });
             }
         }
     }
@@ -541,23 +567,29 @@
 /// A life that ends, and the next one with what is known of it, so many seconds later.
 fn next_life(before: &Engine, later: f64, names: &[&str]) -> Engine {
     let groups = ["one".to_string(), "other".to_string()];
-    let names_of = Item::Names { governor: "g".into(), zones: vec!["z".into()], groups: groups.to_vec() };
-    let mut known = before.known(ms(5000), &Knowledge::new(), 1000.0, 7, &groups);
+    let names_of =
+        StoredItem::Names { governor: "g".into(), zones: vec!["z".into()], groups: groups.to_vec() };
+    let mut known = before.known(ms(5000), &StoredItems::new(), 1000.0, 7, &groups);
     known.insert(snapshot::NAMES.into(), Arc::new(names_of.clone()));
-    known.insert(snapshot::ALIVE.into(), Arc::new(Item::Alive { at: 1000.0 }));
+    known.insert(snapshot::ALIVE.into(), Arc::new(StoredItem::Alive { at: 1000.0 }));
     let known = known
         .into_iter()
         .map(|(name, item)| (name, Arc::new(snapshot::decode(&snapshot::encode(&item)).unwrap())));
     let (recalled, unfit) = snapshot::recall(known.collect(), 1000.0 + later, &names_of);
     assert_eq!(unfit, []);
-    let mut engine = Engine::new(Setup::example(2), ms(0));
+    let mut engine = Engine::new(EngineSettings::example(2), ms(0));
     engine.recall(ms(0), recalled);
     engine.roster(ms(0), ready(names));
     engine
 }
 
-fn proven(name: &str, standing: &[&str], version: u64) -> Join {
-    Join { holds_orders: true, claim: Some("x".into()), proven: Some((7, version)), ..join(name, standing) }
+fn proven(name: &str, standing: &[&str], version: u64) -> JoinRequest {
+    JoinRequest {
+        holds_orders: true,
+        claim: Some("x".into()),
+        proven: Some((7, version)),
+        ..join(name, standing)
+    }
 }
 
 #[test]
@@ -568,7 +600,7 @@
     let bound = before.joined(ms(1), 2, &join("q", &[])).unwrap().number;
     run(&mut before, ms(600));
     // Something is said of the standing one, too: it is told a table from then on.
-    before.override_replica(ms(700), &"c".into(), Overridden::Exclude, ms(60_000), "its disk").unwrap();
+    before.override_replica(ms(700), &"c".into(), OverrideKind::Exclude, ms(60_000), "its disk").unwrap();
     run(&mut before, ms(800));
     let held = [number, bound].map(|number| (before.proxy(number).unwrap().newest(), open(&before, number)));
     assert_eq!(held[0].1.len(), 2);
@@ -594,7 +626,7 @@
     // Who does not come back is not carried along for ever.
     let mut alone = next_life(&before, 1.0, &all);
     let is_known =
-        |engine: &Engine, now| engine.known(now, &Knowledge::new(), 0.0, 8, &[]).contains_key("proxy/p");
+        |engine: &Engine, now| engine.known(now, &StoredItems::new(), 0.0, 8, &[]).contains_key("proxy/p");
     run(&mut alone, ms(500_000));
     assert!(is_known(&alone, ms(500_000)));
     run(&mut alone, ms(600_000));
@@ -681,7 +713,7 @@
     run(&mut before, ms(1500));
     // `c` is back, and the operator has the table of before it went.
     before.roster(ms(1600), ready(&all));
-    before.rollback(ms(1700), &Scope::All, version, "a mistake", ms(15_000)).unwrap();
+    before.rollback(ms(1700), &TableScope::All, version, "a mistake", ms(15_000)).unwrap();
     run(&mut before, ms(1800));
     assert_eq!(before.holds().count(), 2);
     let mut after = next_life(&before, 1.0, &all);
@@ -706,7 +738,7 @@
     engine.joined(ms(1), 1, &join("p", &all)).unwrap();
     engine.joined(ms(1), 2, &join("q", &all)).unwrap();
     let met = |engine: &mut Engine, now: u64, name: &str, stream, ids: &[&str]| {
-        let one = |id: &&str| AtReplica {
+        let one = |id: &&str| ReplicaObservation {
             group: 0,
             replica: (*id).into(),
             delivered: 10,
@@ -717,7 +749,7 @@
             load: vec![1.0],
         };
         let report =
-            Report { interval: ms(500) - ms(0), met: ids.iter().map(one).collect(), blocked: vec![] };
+            LoadReport { interval: ms(500) - ms(0), met: ids.iter().map(one).collect(), blocked: vec![] };
         let _ = engine.report(ms(now), name, stream, &report);
     };
     for now in (500..5000).step_by(100) {
--- a/crates/core/src/fault_injection.rs
+++ b/crates/core/src/fault_injection.rs
@@ -4,11 +4,11 @@
 
 use wrenthread::types::{Decision, ReplicaId, RetryPolicy, TableEntry, TableId};
 
-use crate::engine::Suspect;
+use crate::engine::FaultyDecider;
 
 /// What was seen of the module's decisions so far.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct ObservedDecisions {
     laid: BTreeMap<TableId, BTreeMap<ReplicaId, f64>>,
     replicas: BTreeSet<ReplicaId>,
     out: BTreeSet<ReplicaId>,
@@ -16,11 +16,11 @@
 }
 
 /// What one that has gone wrong makes of a decision.
-pub type Wrong = fn(Decision, &Seen) -> Vec<Decision>;
+pub type Fault = fn(Decision, &ObservedDecisions) -> Vec<Decision>;
 
 /// A decider that asks the module, and does not do as it says.
-pub fn decider(wrong: Wrong) -> Suspect {
-    let (mut seen, mut ahead) = (Seen::default(), VecDeque::new());
+pub fn decider(wrong: Fault) -> FaultyDecider {
+    let (mut seen, mut ahead) = (ObservedDecisions::default(), VecDeque::new());
     Box::new(move |now, rules| {
         if let Some(decision) = ahead.pop_front() {
             return Some(decision);
@@ -43,7 +43,11 @@
 }
 
 /// With each beat, lines for every table that was laid; by a replica's place among all.
-fn every_table(decision: Decision, seen: &Seen, weight: impl Fn(usize, &ReplicaId) -> f64) -> Vec<Decision> {
+fn every_table(
+    decision: Decision,
+    seen: &ObservedDecisions,
+    weight: impl Fn(usize, &ReplicaId) -> f64,
+) -> Vec<Decision> {
     let mut all = vec![decision.clone()];
     if matches!(decision, Decision::ScheduleTick(_)) {
         for table in seen.laid.keys() {
@@ -65,7 +69,7 @@
 }
 
 /// Kinds of wrong, by what they are.
-pub const KINDS: [(&str, Wrong); 13] = [
+pub const FAULTS: [(&str, Fault); 13] = [
     ("empty-tables", |decision, seen| every_table(decision, seen, |_, _| 0.0)),
     ("all-onto-a-drain", |decision, seen| match decision {
         Decision::SetEjected { replica: id, .. } => {
@@ -148,6 +152,6 @@
 ];
 
 /// The decider of a kind, by its name.
-pub fn of(kind: &str) -> Option<Suspect> {
-    KINDS.iter().find(|(name, _)| *name == kind).map(|(_, wrong)| decider(*wrong))
+pub fn of(kind: &str) -> Option<FaultyDecider> {
+    FAULTS.iter().find(|(name, _)| *name == kind).map(|(_, wrong)| decider(*wrong))
 }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -11,7 +11,7 @@
 
 use wrenthread::types::{ProxyId, ReplicaId, RetryPolicy, TableId};
 
-use crate::tables::Kept;
+use crate::tables::VersionedTable;
 
 /// Numbers are 16 bits wide, and the module gives two tables to each proxy out of as many table numbers,
 /// three of which are kept for other ends: a proxy numbered from here on would never get a table of its own.
@@ -29,7 +29,7 @@
 
 /// What a proxy says of itself when its stream opens.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Join {
+pub struct JoinRequest {
     pub name: Arc<str>,
     pub zone: usize,
     /// Flows a second that it ordinarily receives.
@@ -45,7 +45,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub enum Refused {
+pub enum JoinError {
     #[error(
         "{joined} proxies are joined, and no more numbers are free (at most {most}); join another governor"
     )]
@@ -61,7 +61,7 @@
 
 /// Which kind of tables a proxy stands on; told to operators only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum TableKind {
     Standing,
     Own,
 }
@@ -78,7 +78,7 @@
     /// By group: the table that it follows.
     pub follows: Vec<Option<TableId>>,
     /// By group: what it should hold, if the governor has anything to say about it.
-    pub tables: Vec<Option<Kept>>,
+    pub tables: Vec<Option<VersionedTable>>,
     /// By group, and the version of the last change.
     pub tries: (u64, Vec<RetryPolicy>),
     pub sent: u64,
@@ -94,8 +94,8 @@
         self.tables.iter().flatten().map(|kept| kept.version).fold(self.tries.0, u64::max)
     }
 
-    pub fn kind(&self) -> Kind {
-        if self.follows.iter().any(Option::is_some) { Kind::Own } else { Kind::Standing }
+    pub fn kind(&self) -> TableKind {
+        if self.follows.iter().any(Option::is_some) { TableKind::Own } else { TableKind::Standing }
     }
 
     /// Whether there is a word for it: tables, or that it stays on its standing one. Of a proxy that came
@@ -132,7 +132,7 @@
 
 /// Gives a number back to its name, or a free one, or none.
 #[derive(Debug)]
-pub struct Numbers {
+pub struct ProxyIdAllocator {
     by_name: BTreeMap<Arc<str>, ProxyId>,
     /// Names that are away, by since when.
     away: BTreeSet<(Duration, Arc<str>)>,
@@ -140,9 +140,14 @@
     most: usize,
 }
 
-impl Numbers {
+impl ProxyIdAllocator {
     pub fn new(most: usize) -> Self {
-        Numbers { by_name: BTreeMap::new(), away: BTreeSet::new(), next: 0, most: most.min(MOST_PROXIES) }
+        ProxyIdAllocator {
+            by_name: BTreeMap::new(),
+            away: BTreeSet::new(),
+            next: 0,
+            most: most.min(MOST_PROXIES),
+        }
     }
 
     /// The second value is the name that loses the number.
@@ -183,14 +188,14 @@
     proxies: BTreeMap<ProxyId, Proxy>,
     by_stream: BTreeMap<StreamId, ProxyId>,
     by_name: BTreeMap<Arc<str>, ProxyId>,
-    numbers: Numbers,
+    numbers: ProxyIdAllocator,
     /// By name: when streams under it were replaced while they were still up.
     contests: BTreeMap<Arc<str>, VecDeque<Duration>>,
 }
 
 /// A join that was let in.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Joined {
+pub struct JoinOutcome {
     pub number: ProxyId,
     /// An older stream under the same name, which is over with this.
     pub replaced: Option<StreamId>,
@@ -205,7 +210,7 @@
             proxies: BTreeMap::new(),
             by_stream: BTreeMap::new(),
             by_name: BTreeMap::new(),
-            numbers: Numbers::new(most),
+            numbers: ProxyIdAllocator::new(most),
             contests: BTreeMap::new(),
         }
     }
@@ -217,13 +222,13 @@
         &mut self,
         now: Duration,
         stream: StreamId,
-        join: &Join,
+        join: &JoinRequest,
         fresh: bool,
         groups: usize,
         tries: (u64, Vec<RetryPolicy>),
-    ) -> Result<Joined, Refused> {
+    ) -> Result<JoinOutcome, JoinError> {
         if join.name.is_empty() {
-            return Err(Refused::Nameless);
+            return Err(JoinError::Nameless);
         }
         let held = self.by_name.get(&join.name).and_then(|number| self.proxies.get(number));
         let replaced = held.map(|held| held.stream);
@@ -231,7 +236,7 @@
             let times = self.contests.entry(join.name.clone()).or_default();
             while times.pop_front_if(|at| *at + CONTEST_OVER <= now).is_some() {}
             if times.len() >= CONTESTED {
-                return Err(Refused::Contested {
+                return Err(JoinError::Contested {
                     name: join.name.clone(),
                     times: times.len(),
                     over: CONTEST_OVER,
@@ -241,7 +246,7 @@
         }
         self.contests.retain(|_, times| times.back().is_some_and(|last| *last + CONTEST_OVER > now));
         let Some((number, former)) = self.numbers.give(now, &join.name) else {
-            return Err(Refused::Full { joined: self.proxies.len(), most: self.numbers.most() });
+            return Err(JoinError::Full { joined: self.proxies.len(), most: self.numbers.most() });
         };
         if let Some(old) = replaced {
             self.by_stream.remove(&old);
@@ -264,7 +269,7 @@
             marks: VecDeque::new(),
         };
         self.proxies.insert(number, proxy);
-        Ok(Joined { number, replaced, reused: former.is_some() })
+        Ok(JoinOutcome { number, replaced, reused: former.is_some() })
     }
 
     /// A stream is over. None if a later one under the same name has taken its place.
@@ -335,8 +340,8 @@
 mod tests {
     use super::*;
 
-    fn join(name: &str) -> Join {
-        Join {
+    fn join(name: &str) -> JoinRequest {
+        JoinRequest {
             name: name.into(),
             zone: 0,
             usual: 1.0,
@@ -347,7 +352,7 @@
         }
     }
 
-    fn put(fleet: &mut Fleet, now: u64, stream: StreamId, name: &str) -> Result<Joined, Refused> {
+    fn put(fleet: &mut Fleet, now: u64, stream: StreamId, name: &str) -> Result<JoinOutcome, JoinError> {
         fleet.join(Duration::from_secs(now), stream, &join(name), false, 1, (0, vec![]))
     }
 
@@ -357,7 +362,7 @@
         assert_eq!(put(&mut fleet, 1, 1, "a").unwrap().number, 0);
         assert_eq!(put(&mut fleet, 1, 2, "b").unwrap().number, 1);
         fleet.leave(Duration::from_secs(2), 1);
-        assert!(matches!(put(&mut fleet, 3, 3, "c"), Err(Refused::Full { joined: 1, most: 2 })));
+        assert!(matches!(put(&mut fleet, 3, 3, "c"), Err(JoinError::Full { joined: 1, most: 2 })));
         assert_eq!(put(&mut fleet, 4, 4, "a").unwrap().number, 0, "its own again");
         fleet.leave(Duration::from_secs(5), 4);
         assert_eq!(put(&mut fleet, 700, 5, "c").unwrap().number, 0);
@@ -366,7 +371,7 @@
 
     #[test]
     fn no_number_is_given_beyond_those_that_can_hold_tables() {
-        let mut numbers = Numbers::new(usize::MAX);
+        let mut numbers = ProxyIdAllocator::new(usize::MAX);
         let given = (0..70_000).map_while(|n| numbers.give(Duration::ZERO, &format!("p{n}").into()));
         assert_eq!(given.map(|(number, _)| number).last(), Some(32_765));
     }
@@ -387,7 +392,7 @@
         for stream in 0..5 {
             put(&mut fleet, 1, stream, "a").unwrap();
         }
-        assert!(matches!(put(&mut fleet, 2, 9, "a"), Err(Refused::Contested { times: 4, .. })));
+        assert!(matches!(put(&mut fleet, 2, 9, "a"), Err(JoinError::Contested { times: 4, .. })));
         assert_eq!(fleet.number_of(4), Some(0), "who is in stays in");
         assert!(put(&mut fleet, 12, 10, "a").is_ok());
     }
--- a/crates/core/src/frozen_tables.rs
+++ b/crates/core/src/frozen_tables.rs
@@ -11,16 +11,16 @@
 use wrenthread::types::{Phase, ReplicaId};
 
 use crate::roster::Roster;
-use crate::table_versions::Said;
-use crate::tables::{Line, Table};
+use crate::table_versions::PublishedTable;
+use crate::tables::{ResolvedEntry, Table};
 
 /// An earlier table of a proxy's group, in force until released.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Hold {
+pub struct FrozenTable {
     /// The version that was stepped back to, and when it was told.
     pub version: u64,
     pub told_at: Duration,
-    pub said: Said,
+    pub said: PublishedTable,
     pub since: Duration,
     pub until: Duration,
     pub why: Arc<str>,
@@ -30,7 +30,7 @@
 
 /// Why a line of a held table is not told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
-pub enum LeftOut {
+pub enum OmissionReason {
     #[error("gone or draining")]
     Gone,
     #[error("withdrawn by the module")]
@@ -41,7 +41,7 @@
 
 /// Why a hold is over.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub enum Over {
+pub enum ReleaseReason {
     #[error("released")]
     Released,
     #[error("its time is over")]
@@ -63,13 +63,13 @@
 ///
 /// None where no line is left: the hold is over then.
 pub fn told(
-    hold: &Hold,
+    hold: &FrozenTable,
     present: &Table,
     roster: &Roster,
     withdrawn: impl Fn(&ReplicaId) -> bool,
-) -> (Option<Table>, BTreeMap<ReplicaId, LeftOut>) {
+) -> (Option<Table>, BTreeMap<ReplicaId, OmissionReason>) {
     let mut left_out = BTreeMap::new();
-    let open = |line: &&Line| line.open;
+    let open = |line: &&ResolvedEntry| line.open;
     let all: f64 = present.lines.iter().filter(open).map(|line| line.weight).sum();
     let held: f64 = hold.said.lines.values().map(|line| f64::from(line.weight)).sum();
     let mut lines = Vec::new();
@@ -77,15 +77,15 @@
     for (id, line) in &hold.said.lines {
         let known = roster.get(id).filter(|known| known.phase == Phase::Ready);
         let Some(known) = known else {
-            left_out.insert(id.clone(), LeftOut::Gone);
+            left_out.insert(id.clone(), OmissionReason::Gone);
             continue;
         };
         if withdrawn(id) {
-            left_out.insert(id.clone(), LeftOut::Withdrawn);
+            left_out.insert(id.clone(), OmissionReason::Withdrawn);
             continue;
         }
         let share = f64::from(line.weight) / held;
-        let made = |weight| Line {
+        let made = |weight| ResolvedEntry {
             replica: id.clone(),
             address: known.address.clone(),
             zone: known.zone,
@@ -98,7 +98,7 @@
         }
         match present.lines.iter().filter(open).find(|present| present.replica == *id) {
             Some(now) => capped.push((made(share), now.weight / all)),
-            None => drop(left_out.insert(id.clone(), LeftOut::Cold)),
+            None => drop(left_out.insert(id.clone(), OmissionReason::Cold)),
         }
     }
     if lines.is_empty() {
@@ -122,21 +122,22 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::roster::Entry;
-    use crate::table_versions::{MILLION, SaidLine};
+    use crate::roster::RosterEntry;
+    use crate::table_versions::{MILLION, PublishedEntry};
     use wrenthread::types::RetryPolicy;
 
     const fn s(seconds: u64) -> Duration {
         Duration::from_secs(seconds)
     }
 
-    fn hold(names: &[&str]) -> Hold {
-        let line = |name: &&str| ((**name).into(), SaidLine { address: "x".into(), zone: 0, weight: 1000 });
+    fn hold(names: &[&str]) -> FrozenTable {
+        let line =
+            |name: &&str| ((**name).into(), PublishedEntry { address: "x".into(), zone: 0, weight: 1000 });
         let lines = names.iter().map(line).collect();
-        Hold {
+        FrozenTable {
             version: 3,
             told_at: s(10),
-            said: Said { lines, level: MILLION, tries: RetryPolicy::Never },
+            said: PublishedTable { lines, level: MILLION, tries: RetryPolicy::Never },
             since: s(50),
             until: s(100),
             why: "".into(),
@@ -146,7 +147,7 @@
 
     fn roster(entries: &[(&str, Phase, Option<u64>)]) -> Roster {
         let mut roster = Roster::new(Duration::ZERO);
-        let entry = |(name, phase, started): &(&str, Phase, Option<u64>)| Entry {
+        let entry = |(name, phase, started): &(&str, Phase, Option<u64>)| RosterEntry {
             id: (*name).into(),
             address: format!("{name}:1").into(),
             zone: 0,
@@ -160,7 +161,7 @@
     }
 
     fn present(lines: &[(&str, f64)]) -> Table {
-        let line = |(name, weight): &(&str, f64)| Line {
+        let line = |(name, weight): &(&str, f64)| ResolvedEntry {
             replica: (*name).into(),
             address: "x".into(),
             zone: 0,
@@ -181,8 +182,11 @@
         assert_eq!(table.lines.iter().map(|line| &*line.replica).collect::<Vec<_>>(), ["a"]);
         assert_eq!(&*table.lines[0].address, "a:1", "where it is now");
         assert_eq!(table.level, 0.5);
-        let why: Vec<LeftOut> = left_out.into_values().collect();
-        assert_eq!(why, [LeftOut::Gone, LeftOut::Gone, LeftOut::Withdrawn, LeftOut::Gone]);
+        let why: Vec<OmissionReason> = left_out.into_values().collect();
+        assert_eq!(
+            why,
+            [OmissionReason::Gone, OmissionReason::Gone, OmissionReason::Withdrawn, OmissionReason::Gone]
+        );
     }
 
     #[test]
@@ -197,7 +201,7 @@
         let lines = table.unwrap().lines;
         let all: f64 = lines.iter().map(|line| line.weight).sum();
         assert!((lines[1].weight / all - 0.1).abs() < 1e-9, "{lines:?}");
-        assert_eq!(left_out[&ReplicaId::from("c")], LeftOut::Cold);
+        assert_eq!(left_out[&ReplicaId::from("c")], OmissionReason::Cold);
     }
 
     #[test]
--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -17,7 +17,7 @@
 use wrenthread::types::{ClassSet, Phase, ProxyId, ReplicaId, RetryPolicy};
 
 use crate::roster::Roster;
-use crate::tables::{Line, Table};
+use crate::tables::{ResolvedEntry, Table};
 
 /// A cold replica may be brought so many times its present part, by this account: the account is of means,
 /// and half a second old. Where it falls is beyond that.
@@ -58,7 +58,7 @@
 
 /// What the guard is told at its start.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Limits {
+pub struct GuardLimits {
     /// A replica's share at its start, and how long until it has all.
     pub cold_share: f64,
     pub warm_after: Duration,
@@ -74,7 +74,7 @@
 
 /// Why something of a change does not go out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
-pub enum Reason {
+pub enum RefusalReason {
     #[error("no line of it is open, though a replica is ready")]
     Bare,
     #[error("all of its lines are to replicas that drain or are gone")]
@@ -107,7 +107,7 @@
 
 /// What was done about it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Done {
+pub enum RefusalOutcome {
     /// The rest of the table goes out.
     Corrected,
     /// The last good table stands, less what drains or is withdrawn.
@@ -125,8 +125,8 @@
     /// None where it is about all of them.
     pub proxy: Option<ProxyId>,
     pub group: usize,
-    pub reason: Reason,
-    pub done: Done,
+    pub reason: RefusalReason,
+    pub done: RefusalOutcome,
     /// The replica that it is about, if it is about one.
     pub replica: Option<ReplicaId>,
     /// What was asked, and what is allowed: flows a second, shares, lines; by the reason.
@@ -138,7 +138,7 @@
 
 /// A table on its way out.
 #[derive(Debug, Clone)]
-pub struct Change<'a> {
+pub struct ProposedTable<'a> {
     pub proxy: ProxyId,
     pub zone: usize,
     pub group: usize,
@@ -150,7 +150,7 @@
 }
 
 /// Of which change, why, what was done, about which replica, what was asked and what is allowed.
-type Refused = (usize, Reason, Done, Option<ReplicaId>, f64, f64);
+type Refused = (usize, RefusalReason, RefusalOutcome, Option<ReplicaId>, f64, f64);
 
 /// What the account of one proxy's group stands on.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -171,7 +171,7 @@
 
 #[derive(Debug, Clone)]
 pub struct Guard {
-    limits: Limits,
+    limits: GuardLimits,
     shares: BTreeMap<(ProxyId, usize), Share>,
     account: BTreeMap<ReplicaId, f64>,
     /// By replica and zone: the most that was delivered a second lately, and when.
@@ -179,21 +179,21 @@
     refusals: VecDeque<Refusal>,
     /// Refusals that are news, for the log.
     news: VecDeque<Refusal>,
-    lasting: BTreeMap<(ProxyId, usize, Reason), Duration>,
-    counts: BTreeMap<Reason, u64>,
+    lasting: BTreeMap<(ProxyId, usize, RefusalReason), Duration>,
+    counts: BTreeMap<RefusalReason, u64>,
     passed: u64,
     off: bool,
 }
 
 /// Open lines as parts of the whole.
 fn parts(table: &Table) -> Vec<(ReplicaId, f64)> {
-    let sound = |line: &&Line| line.open && line.weight.is_finite() && line.weight > 0.0;
+    let sound = |line: &&ResolvedEntry| line.open && line.weight.is_finite() && line.weight > 0.0;
     let all: f64 = table.lines.iter().filter(sound).map(|line| line.weight).sum();
     table.lines.iter().filter(sound).map(|line| (line.replica.clone(), line.weight / all)).collect()
 }
 
 impl Guard {
-    pub fn new(limits: Limits) -> Self {
+    pub fn new(limits: GuardLimits) -> Self {
         Guard {
             limits,
             shares: BTreeMap::new(),
@@ -352,7 +352,7 @@
         roster: &Roster,
         withdrawn: impl Fn(&ReplicaId) -> bool,
         asked: bool,
-        mut changes: Vec<Change>,
+        mut changes: Vec<ProposedTable>,
     ) -> Vec<Table> {
         if self.off {
             return changes.into_iter().map(|change| change.wanted).collect();
@@ -366,7 +366,14 @@
             let shut = change.wanted.lines.iter_mut().filter(|line| !line.open && open(&line.replica));
             let again = shut.map(|line| line.open = true).count();
             if again > 0 {
-                refused.push((place, Reason::Withdrawn, Done::Corrected, None, again as f64, 0.0));
+                refused.push((
+                    place,
+                    RefusalReason::Withdrawn,
+                    RefusalOutcome::Corrected,
+                    None,
+                    again as f64,
+                    0.0,
+                ));
             }
         }
         let mut tables: Vec<Table> = Vec::with_capacity(changes.len());
@@ -386,8 +393,8 @@
                 if let Some(held) = held.filter(|_| room < 0.0) {
                     refused.push((
                         place,
-                        Reason::Lines,
-                        Done::Kept,
+                        RefusalReason::Lines,
+                        RefusalOutcome::Kept,
                         None,
                         lines as f64,
                         self.limits.lines_most,
@@ -399,12 +406,13 @@
         let moved = self.moved(&changes, &tables);
         if !asked && moved > AT_ONCE {
             for (place, change) in changes.iter().enumerate() {
-                let since = self.lasting.get(&(change.proxy, change.group, Reason::Sweep));
+                let since = self.lasting.get(&(change.proxy, change.group, RefusalReason::Sweep));
                 let lasted = since.is_some_and(|since| now >= *since + HELD_FOR);
                 let held = self.last(change, &open);
-                let done = if lasted || held.is_none() { Done::LetThrough } else { Done::Kept };
-                refused.push((place, Reason::Sweep, done, None, moved, AT_ONCE));
-                if let (Done::Kept, Some(held)) = (done, held) {
+                let done =
+                    if lasted || held.is_none() { RefusalOutcome::LetThrough } else { RefusalOutcome::Kept };
+                refused.push((place, RefusalReason::Sweep, done, None, moved, AT_ONCE));
+                if let (RefusalOutcome::Kept, Some(held)) = (done, held) {
                     tables[place] = held;
                 }
             }
@@ -418,7 +426,7 @@
     }
 
     /// The last good table of a change's place, as it may be told now, if anything of it is left.
-    fn last(&self, change: &Change, open: &impl Fn(&ReplicaId) -> bool) -> Option<Table> {
+    fn last(&self, change: &ProposedTable, open: &impl Fn(&ReplicaId) -> bool) -> Option<Table> {
         let own_zone = self.limits.own_zone.get(change.group).copied().unwrap_or(false);
         let mut last = change.held.map(|held| shut(held, open))?;
         if own_zone {
@@ -428,7 +436,7 @@
     }
 
     /// The part of all flows that a change moves to other replicas.
-    fn moved(&self, changes: &[Change], tables: &[Table]) -> f64 {
+    fn moved(&self, changes: &[ProposedTable], tables: &[Table]) -> f64 {
         let all: f64 = self.shares.values().map(|share| share.flows).sum();
         let mut moved = 0.0;
         for (change, table) in changes.iter().zip(tables) {
@@ -454,7 +462,7 @@
         now: Duration,
         roster: &Roster,
         open: &impl Fn(&ReplicaId) -> bool,
-        changes: &[Change],
+        changes: &[ProposedTable],
         tables: &mut [Table],
         refused: &mut Vec<Refused>,
     ) {
@@ -470,7 +478,8 @@
             let lines = tables.iter().flat_map(|table| &table.lines).filter(|line| line.open);
             let touched: BTreeSet<ReplicaId> = lines.map(|line| line.replica.clone()).collect();
             let cap = |id: &ReplicaId| Some((id.clone(), self.cap(now, roster, unit, id)?));
-            let caps: BTreeMap<ReplicaId, (Reason, f64, f64)> = touched.iter().filter_map(cap).collect();
+            let caps: BTreeMap<ReplicaId, (RefusalReason, f64, f64)> =
+                touched.iter().filter_map(cap).collect();
             if caps.is_empty() {
                 return;
             }
@@ -483,7 +492,9 @@
                     continue;
                 }
                 let mut all = over == lines.count();
-                let cold = |line: &Line| caps.get(&line.replica).is_some_and(|cap| cap.0 == Reason::Cold);
+                let cold = |line: &ResolvedEntry| {
+                    caps.get(&line.replica).is_some_and(|cap| cap.0 == RefusalReason::Cold)
+                };
                 let cold = table.lines.iter().any(|line| line.open && cold(line));
                 // All of it is too much, and for a cold one: what is good of the last table, or of its own
                 // lines, has others, too. What is too much for warm ones only goes out as it was asked.
@@ -501,7 +512,7 @@
                             refused.push((
                                 place,
                                 *reason,
-                                Done::Kept,
+                                RefusalOutcome::Kept,
                                 Some(line.replica.clone()),
                                 *sent,
                                 *can,
@@ -514,7 +525,7 @@
                 for line in table.lines.iter_mut().filter(|line| line.open) {
                     let Some((reason, sent, can)) = caps.get(&line.replica) else { continue };
                     // With nothing else to send to, over is better than bare.
-                    let done = if all { Done::LetThrough } else { Done::Corrected };
+                    let done = if all { RefusalOutcome::LetThrough } else { RefusalOutcome::Corrected };
                     if pass == 0 {
                         refused.push((place, *reason, done, Some(line.replica.clone()), *sent, *can));
                     }
@@ -534,21 +545,22 @@
         }
     }
 
-    fn remember(&mut self, now: Duration, changes: &[Change], refused: Vec<Refused>) {
+    fn remember(&mut self, now: Duration, changes: &[ProposedTable], refused: Vec<Refused>) {
         let places: BTreeSet<usize> = refused.iter().map(|(place, ..)| *place).collect();
         self.passed += (changes.len() - places.len()) as u64;
-        let still: BTreeSet<(ProxyId, usize, Reason)> = refused
+        let still: BTreeSet<(ProxyId, usize, RefusalReason)> = refused
             .iter()
             .map(|(place, reason, ..)| (changes[*place].proxy, changes[*place].group, *reason))
             .collect();
         for change in changes {
-            let of = |key: &(ProxyId, usize, Reason)| (key.0, key.1) == (change.proxy, change.group);
+            let of = |key: &(ProxyId, usize, RefusalReason)| (key.0, key.1) == (change.proxy, change.group);
             self.lasting.retain(|key, _| !of(key) || still.contains(key));
         }
         for (place, reason, done, replica, asked, allowed) in refused {
-            let Change { proxy, group, .. } = changes[place];
+            let ProposedTable { proxy, group, .. } = changes[place];
             let since = *self.lasting.entry((proxy, group, reason)).or_insert(now);
-            if done == Done::LetThrough && reason == Reason::Sweep && now >= since + HELD_FOR {
+            if done == RefusalOutcome::LetThrough && reason == RefusalReason::Sweep && now >= since + HELD_FOR
+            {
                 self.lasting.remove(&(proxy, group, reason));
             }
             *self.counts.entry(reason).or_default() += 1;
@@ -573,9 +585,9 @@
     }
 
     /// Something that is about no one proxy is refused.
-    pub fn refuse(&mut self, now: Duration, group: usize, reason: Reason, asked: f64, allowed: f64) {
+    pub fn refuse(&mut self, now: Duration, group: usize, reason: RefusalReason, asked: f64, allowed: f64) {
         *self.counts.entry(reason).or_default() += 1;
-        let (at, since, done) = (now, now, Done::Corrected);
+        let (at, since, done) = (now, now, RefusalOutcome::Corrected);
         self.keep(Refusal { at, proxy: None, group, reason, done, replica: None, asked, allowed, since });
     }
 
@@ -593,7 +605,7 @@
             return vec![(groups, tries)];
         }
         let set: ClassSet = barred.iter().map(|group| 1 << group).sum();
-        barred.into_iter().for_each(|group| self.refuse(now, group, Reason::Tries, 2.0, 1.0));
+        barred.into_iter().for_each(|group| self.refuse(now, group, RefusalReason::Tries, 2.0, 1.0));
         vec![(groups & !set, tries), (set, RetryPolicy::IfNotExecuted)]
     }
 
@@ -624,16 +636,22 @@
     /// nobody sees all of it.
     ///
     /// Why a replica is sent too much, what it is sent, and what it may be; none if it is not.
-    fn cap(&self, now: Duration, roster: &Roster, unit: Unit, id: &ReplicaId) -> Option<(Reason, f64, f64)> {
+    fn cap(
+        &self,
+        now: Duration,
+        roster: &Roster,
+        unit: Unit,
+        id: &ReplicaId,
+    ) -> Option<(RefusalReason, f64, f64)> {
         let known = roster.get(id).filter(|one| one.phase == Phase::Ready)?;
         let (warmth, sent) = (self.warmth(now, roster, id), self.account.get(id).copied().unwrap_or(0.0));
         let weight = known.weight.max(0.0);
         let (reason, most) = match warmth < 1.0 {
             true => {
                 let part = unit.even * warmth * weight;
-                (Reason::Cold, if unit.all <= NEARLY_ALL { bearable(part) } else { COLD_FALL * part })
+                (RefusalReason::Cold, if unit.all <= NEARLY_ALL { bearable(part) } else { COLD_FALL * part })
             }
-            false => (Reason::Over, unit.known * weight * WARM_MARGIN),
+            false => (RefusalReason::Over, unit.known * weight * WARM_MARGIN),
         };
         let can = most.max(1.0);
         (can.is_finite() && sent > can).then_some((reason, sent, can))
@@ -657,7 +675,7 @@
     }
 
     /// By reason; and tables that passed as they were.
-    pub fn tally(&self) -> (&BTreeMap<Reason, u64>, u64) {
+    pub fn tally(&self) -> (&BTreeMap<RefusalReason, u64>, u64) {
         (&self.counts, self.passed)
     }
 
@@ -671,7 +689,7 @@
         self.seen.iter().map(move |((id, zone), one)| (id, *zone, aged(*one, now)))
     }
 
-    pub fn limits(&self) -> &Limits {
+    pub fn limits(&self) -> &GuardLimits {
         &self.limits
     }
 
@@ -713,39 +731,51 @@
 
 /// What a table must be in itself, whatever the others are.
 fn single(
-    change: &Change,
+    change: &ProposedTable,
     own_zone: bool,
     roster: &Roster,
     open: &impl Fn(&ReplicaId) -> bool,
-    mut refuse: impl FnMut(Reason, Done, Option<ReplicaId>, f64, f64),
+    mut refuse: impl FnMut(RefusalReason, RefusalOutcome, Option<ReplicaId>, f64, f64),
 ) -> Table {
     let mut table = change.wanted.clone();
     if !(0.0..=1.0).contains(&table.level) {
-        refuse(Reason::Level, Done::Corrected, None, table.level, 1.0);
+        refuse(RefusalReason::Level, RefusalOutcome::Corrected, None, table.level, 1.0);
         table.level = change.held.map_or(1.0, |held| held.level);
     }
     let asked = table.lines.iter().filter(|line| line.open).count();
-    let sound = |line: &Line| line.weight.is_finite() && line.weight > 0.0;
+    let sound = |line: &ResolvedEntry| line.weight.is_finite() && line.weight > 0.0;
     for line in table.lines.iter().filter(|line| line.open && !sound(line)) {
-        refuse(Reason::Weight, Done::Corrected, Some(line.replica.clone()), line.weight, f64::MAX);
+        refuse(
+            RefusalReason::Weight,
+            RefusalOutcome::Corrected,
+            Some(line.replica.clone()),
+            line.weight,
+            f64::MAX,
+        );
     }
     // A shut line says only that nothing is to be sent there: its weight is never used.
     table.lines.retain(|line| !line.open || sound(line));
     table.lines.iter_mut().filter(|line| !sound(line)).for_each(|line| line.weight = 1.0);
     let largest = table.lines.iter().filter(|line| line.open).map(|line| line.weight).fold(0.0, f64::max);
     for line in table.lines.iter_mut().filter(|line| line.open && line.weight * APART < largest) {
-        refuse(Reason::Wire, Done::Corrected, Some(line.replica.clone()), line.weight / largest, 1.0 / APART);
+        refuse(
+            RefusalReason::Wire,
+            RefusalOutcome::Corrected,
+            Some(line.replica.clone()),
+            line.weight / largest,
+            1.0 / APART,
+        );
         line.weight = largest / APART;
     }
     let draining = table.lines.iter().filter(|line| line.open && !open(&line.replica)).count();
     if draining > 0 && draining == table.lines.iter().filter(|line| line.open).count() {
-        refuse(Reason::Draining, Done::Kept, None, draining as f64, 0.0);
+        refuse(RefusalReason::Draining, RefusalOutcome::Kept, None, draining as f64, 0.0);
     }
     table.lines.iter_mut().for_each(|line| line.open &= open(&line.replica));
     if own_zone {
-        let away = |line: &Line| line.open && line.zone != change.zone;
+        let away = |line: &ResolvedEntry| line.open && line.zone != change.zone;
         for line in table.lines.iter_mut().filter(|line| away(line)) {
-            refuse(Reason::OutOfZone, Done::Corrected, Some(line.replica.clone()), 0.0, 0.0);
+            refuse(RefusalReason::OutOfZone, RefusalOutcome::Corrected, Some(line.replica.clone()), 0.0, 0.0);
             line.open = false;
         }
     }
@@ -762,24 +792,31 @@
         // Nobody is there: as asked, less what is shut.
         return table;
     }
-    let reason = if own_zone { Reason::ZoneBare } else { Reason::Bare };
+    let reason = if own_zone { RefusalReason::ZoneBare } else { RefusalReason::Bare };
     let held = change.held.map(|held| shut(held, &fits)).filter(is_open);
     if let Some(held) = held {
-        refuse(reason, Done::Kept, None, asked as f64, 1.0);
+        refuse(reason, RefusalOutcome::Kept, None, asked as f64, 1.0);
         return held;
     }
-    refuse(reason, Done::LastResort, None, asked as f64, 1.0);
+    refuse(reason, RefusalOutcome::LastResort, None, asked as f64, 1.0);
     Table { level: table.level, ..standing(change, roster, &fits) }
 }
 
 /// A proxy's own lines, as far as they fit; else all that do, in its zone if somebody is there.
-fn standing(change: &Change, roster: &Roster, fits: &impl Fn(&ReplicaId) -> bool) -> Table {
+fn standing(change: &ProposedTable, roster: &Roster, fits: &impl Fn(&ReplicaId) -> bool) -> Table {
     let line = |id: &ReplicaId, weight: f64| {
         let known = roster.get(id).filter(|_| fits(id))?;
         let (replica, address, zone) = (id.clone(), known.address.clone(), known.zone);
-        Some(Line { replica, address, zone, weight: if weight > 0.0 { weight } else { 1.0 }, open: true })
+        Some(ResolvedEntry {
+            replica,
+            address,
+            zone,
+            weight: if weight > 0.0 { weight } else { 1.0 },
+            open: true,
+        })
     };
-    let mut lines: Vec<Line> = change.standing.iter().filter_map(|(id, weight)| line(id, *weight)).collect();
+    let mut lines: Vec<ResolvedEntry> =
+        change.standing.iter().filter_map(|(id, weight)| line(id, *weight)).collect();
     if lines.is_empty() {
         let near = |id: &ReplicaId| roster.get(id).is_some_and(|one| one.zone == change.zone);
         let any_near = roster.iter().any(|(id, _)| fits(id) && near(id));
@@ -793,7 +830,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::roster::Entry;
+    use crate::roster::RosterEntry;
 
     const fn s(seconds: u64) -> Duration {
         Duration::from_secs(seconds)
@@ -802,7 +839,7 @@
     /// Replicas a to f in zone 0 and g in zone 1; what drains, and what started a second ago.
     fn roster(draining: &[&str], cold: &[&str]) -> Roster {
         let mut roster = Roster::new(s(30));
-        let entry = |id: &str| Entry {
+        let entry = |id: &str| RosterEntry {
             id: id.into(),
             address: format!("{id}:1").into(),
             zone: usize::from(id == "g"),
@@ -816,7 +853,7 @@
     }
 
     fn guard(own_zone: bool) -> Guard {
-        let mut guard = Guard::new(Limits {
+        let mut guard = Guard::new(GuardLimits {
             cold_share: 0.25,
             warm_after: s(20),
             proxies: 4,
@@ -831,7 +868,7 @@
     }
 
     fn table(lines: &[(&str, f64)]) -> Table {
-        let line = |(id, weight): &(&str, f64)| Line {
+        let line = |(id, weight): &(&str, f64)| ResolvedEntry {
             replica: (*id).into(),
             address: format!("{id}:1").into(),
             zone: usize::from(*id == "g"),
@@ -841,8 +878,8 @@
         Table { lines: lines.iter().map(line).collect(), level: 1.0 }
     }
 
-    fn change(proxy: ProxyId, held: Option<&Table>, wanted: Table) -> Change<'_> {
-        Change { proxy, zone: 0, group: 0, held, standing: &[], wanted }
+    fn change(proxy: ProxyId, held: Option<&Table>, wanted: Table) -> ProposedTable<'_> {
+        ProposedTable { proxy, zone: 0, group: 0, held, standing: &[], wanted }
     }
 
     /// Judges one change of proxy 0: what goes out, and what was refused.
@@ -851,7 +888,7 @@
         roster: &Roster,
         held: Option<&Table>,
         wanted: Table,
-    ) -> (Table, Vec<(Reason, Done)>) {
+    ) -> (Table, Vec<(RefusalReason, RefusalOutcome)>) {
         let before = guard.refusals().count();
         let out = guard.judge(s(100), roster, |_| false, true, vec![change(0, held, wanted)]).remove(0);
         (out, guard.refusals().skip(before).map(|one| (one.reason, one.done)).collect())
@@ -868,12 +905,18 @@
         let held = table(&[("a", 2.0), ("b", 1.0), ("c", 1.0)]);
         let (out, why) = judged(&mut guard, &roster, Some(&held), table(&[]));
         assert_eq!(open(&out), [("a".to_string(), 2.0), ("c".into(), 1.0)]);
-        assert_eq!(why, [(Reason::Bare, Done::Kept)]);
+        assert_eq!(why, [(RefusalReason::Bare, RefusalOutcome::Kept)]);
         let (out, why) = judged(&mut guard, &roster, None, table(&[("b", 1.0)]));
-        assert_eq!(why, [(Reason::Draining, Done::Kept), (Reason::Bare, Done::LastResort)]);
+        assert_eq!(
+            why,
+            [
+                (RefusalReason::Draining, RefusalOutcome::Kept),
+                (RefusalReason::Bare, RefusalOutcome::LastResort)
+            ]
+        );
         assert_eq!(open(&out).len(), 5, "all that are ready in its zone");
         let standing = [("b".into(), 1.0), ("d".into(), 3.0)];
-        let own = Change { standing: &standing, ..change(0, None, table(&[])) };
+        let own = ProposedTable { standing: &standing, ..change(0, None, table(&[])) };
         assert_eq!(
             open(&guard.judge(s(100), &roster, |_| false, true, vec![own])[0]),
             [("d".to_string(), 3.0)]
@@ -890,9 +933,11 @@
     fn lines_out_of_the_zone_and_numbers_that_mean_nothing_do_not_go_out() {
         let (mut own, roster) = (guard(true), roster(&[], &[]));
         let (out, why) = judged(&mut own, &roster, None, table(&[("a", 1.0), ("g", 1.0)]));
-        assert_eq!((open(&out).len(), why), (1, vec![(Reason::OutOfZone, Done::Corrected)]));
+        assert_eq!((open(&out).len(), why), (1, vec![(RefusalReason::OutOfZone, RefusalOutcome::Corrected)]));
         let (out, why) = judged(&mut own, &roster, None, table(&[("g", 1.0)]));
-        assert!(why.contains(&(Reason::ZoneBare, Done::LastResort)) && open(&out).len() == 6);
+        assert!(
+            why.contains(&(RefusalReason::ZoneBare, RefusalOutcome::LastResort)) && open(&out).len() == 6
+        );
         // A last good table that was shut in a line for a drain has it back once that is over.
         let mut held = table(&[("a", 1.0), ("b", 1.0), ("g", 1.0)]);
         held.lines.iter_mut().for_each(|line| line.open = &*line.replica == "b");
@@ -905,14 +950,17 @@
         let odd = [("a", f64::NAN), ("b", f64::INFINITY), ("c", -1.0), ("d", 1.0), ("e", 2.0)];
         let (out, why) = judged(&mut guard, &roster, None, table(&odd));
         assert_eq!(open(&out), [("d".to_string(), 1.0), ("e".into(), 2.0)]);
-        assert_eq!(why, [(Reason::Weight, Done::Corrected); 3]);
+        assert_eq!(why, [(RefusalReason::Weight, RefusalOutcome::Corrected); 3]);
         let (out, why) = judged(&mut guard, &roster, None, table(&[("a", 1.0), ("b", 1.0), ("c", 1e-9)]));
-        assert_eq!((open(&out)[2].1, why), (1.0 / APART, vec![(Reason::Wire, Done::Corrected)]));
+        assert_eq!(
+            (open(&out)[2].1, why),
+            (1.0 / APART, vec![(RefusalReason::Wire, RefusalOutcome::Corrected)])
+        );
         for level in [f64::NAN, -0.1, 1.1] {
             let wanted = Table { level, ..table(&[("a", 1.0), ("b", 1.0), ("c", 1.0)]) };
             let held = Table { level: 0.4, ..wanted.clone() };
             let (out, why) = judged(&mut guard, &roster, Some(&held), wanted);
-            assert_eq!((out.level, why), (0.4, vec![(Reason::Level, Done::Corrected)]));
+            assert_eq!((out.level, why), (0.4, vec![(RefusalReason::Level, RefusalOutcome::Corrected)]));
         }
     }
 
@@ -923,7 +971,7 @@
         assert_eq!(guard.tries(s(1), 0b11, RetryPolicy::OnAnyFailure), split);
         let kept = vec![(0b11, RetryPolicy::IfNotExecuted)];
         assert_eq!(guard.tries(s(1), 0b11, RetryPolicy::IfNotExecuted), kept);
-        assert_eq!(guard.tally().0[&Reason::Tries], 1);
+        assert_eq!(guard.tally().0[&RefusalReason::Tries], 1);
     }
 
     #[test]
@@ -938,7 +986,7 @@
             .map(|out| 30.0 * open(out)[0].1 / open(out).iter().map(|one| one.1).sum::<f64>())
             .sum();
         assert!(sent < 12.5 && sent > 4.0, "{sent}");
-        assert!(guard.refusals().all(|one| one.reason == Reason::Cold));
+        assert!(guard.refusals().all(|one| one.reason == RefusalReason::Cold));
         assert!((guard.sent_to(&"a".into()) - sent).abs() < 1e-6, "the account is of what goes out");
         // Few flows come in bursts; of many the means say enough.
         let times = [1.0, 3.5, 20.0, 500.0].map(|part| (bearable(part) / part * 100.0).round());
@@ -948,7 +996,7 @@
         let changes = (0..4).map(|proxy| change(proxy, None, heavy())).collect();
         guard.judge(s(100), &warm, |_| false, true, changes);
         assert!(guard.sent_to(&"a".into()) < 52.0, "{}", guard.sent_to(&"a".into()));
-        assert!(guard.tally().0[&Reason::Over] > 0);
+        assert!(guard.tally().0[&RefusalReason::Over] > 0);
         // Where all but a cold one are withdrawn, they are not.
         let mut most = super::tests::guard(false);
         let mut wanted = heavy();
@@ -956,7 +1004,7 @@
         let change_of = |proxy| change(proxy, None, wanted.clone());
         let out = most.judge(s(100), &cold, |id| &**id != "a", true, (0..4).map(change_of).collect());
         assert!(out.iter().all(|out| open(out).len() == 4) && most.sent_to(&"a".into()) < 12.5);
-        assert!(most.tally().0[&Reason::Withdrawn] > 0);
+        assert!(most.tally().0[&RefusalReason::Withdrawn] > 0);
         // Also where all are withdrawn, and what is ready is told all the same.
         let mut out = super::tests::guard(false);
         let held = heavy();
@@ -970,7 +1018,7 @@
         let mut fresh = super::tests::guard(false);
         let changes = (0..4).map(|proxy| change(proxy, None, table(&[("a", 1.0)]))).collect();
         assert!(fresh.judge(s(100), &warm, |_| false, true, changes).iter().all(|out| open(out).len() == 1));
-        assert!(fresh.refusals().all(|one| one.done == Done::LetThrough));
+        assert!(fresh.refusals().all(|one| one.done == RefusalOutcome::LetThrough));
         // Four proxies of eighty here: what is much for them is little for a replica.
         let mut few = super::tests::guard(false);
         few.limits.proxies = 80;
--- a/crates/core/src/history.rs
+++ b/crates/core/src/history.rs
@@ -12,20 +12,20 @@
 
 use wrenthread::types::ProxyId;
 
-use crate::table_versions::{Digest, Whole};
+use crate::table_versions::{Digest, PublishedState};
 
 /// One version of one proxy.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Version {
+pub struct HistoryEntry {
     pub version: u64,
     pub at: Duration,
     pub digest: Digest,
-    pub whole: Arc<Whole>,
+    pub whole: Arc<PublishedState>,
 }
 
 #[derive(Debug)]
 pub struct History {
-    kept: BTreeMap<ProxyId, VecDeque<Version>>,
+    kept: BTreeMap<ProxyId, VecDeque<HistoryEntry>>,
     /// All but the newest of each proxy, oldest first.
     order: BTreeSet<(u64, ProxyId)>,
     each: usize,
@@ -36,7 +36,7 @@
 /// What a version costs besides its lines, in lines.
 const HEAD: usize = 2;
 
-fn cost(version: &Version) -> usize {
+fn cost(version: &HistoryEntry) -> usize {
     HEAD + version.whole.lines()
 }
 
@@ -47,7 +47,7 @@
     }
 
     /// A proxy is told something new. Versions grow.
-    pub fn push(&mut self, proxy: ProxyId, version: Version) {
+    pub fn push(&mut self, proxy: ProxyId, version: HistoryEntry) {
         let kept = self.kept.entry(proxy).or_default();
         if let Some(last) = kept.back() {
             if version.version <= last.version {
@@ -73,23 +73,23 @@
     }
 
     /// The newest version of a proxy.
-    pub fn newest(&self, proxy: ProxyId) -> Option<&Version> {
+    pub fn newest(&self, proxy: ProxyId) -> Option<&HistoryEntry> {
         self.kept.get(&proxy)?.back()
     }
 
     /// A version that a proxy says it holds, if it is kept and its content is what the proxy says.
-    pub fn held(&self, proxy: ProxyId, version: u64, digest: &Digest) -> Option<&Version> {
+    pub fn held(&self, proxy: ProxyId, version: u64, digest: &Digest) -> Option<&HistoryEntry> {
         let kept = self.kept.get(&proxy)?;
         kept.iter().rev().find(|one| one.version == version && one.digest == *digest)
     }
 
     /// What a proxy was told as of a version: the newest one up to it.
-    pub fn as_of(&self, proxy: ProxyId, version: u64) -> Option<&Version> {
+    pub fn as_of(&self, proxy: ProxyId, version: u64) -> Option<&HistoryEntry> {
         self.kept.get(&proxy)?.iter().rev().find(|one| one.version <= version)
     }
 
     /// Oldest first.
-    pub fn of(&self, proxy: ProxyId) -> impl Iterator<Item = &Version> {
+    pub fn of(&self, proxy: ProxyId) -> impl Iterator<Item = &HistoryEntry> {
         self.kept.get(&proxy).into_iter().flatten()
     }
 
@@ -109,19 +109,23 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::table_versions::{MILLION, Said, SaidLine};
+    use crate::table_versions::{MILLION, PublishedEntry, PublishedTable};
     use wrenthread::types::RetryPolicy;
 
-    fn version(version: u64, lines: usize) -> Version {
+    fn version(version: u64, lines: usize) -> HistoryEntry {
         let line = |n: usize| {
             (
                 format!("r{n}").as_str().into(),
-                SaidLine { address: "a".into(), zone: 0, weight: version as u32 },
+                PublishedEntry { address: "a".into(), zone: 0, weight: version as u32 },
             )
         };
-        let said = Said { lines: (0..lines).map(line).collect(), level: MILLION, tries: RetryPolicy::Never };
-        let whole = Whole { groups: vec![Some(said)] };
-        Version { version, at: Duration::ZERO, digest: whole.digest(), whole: Arc::new(whole) }
+        let said = PublishedTable {
+            lines: (0..lines).map(line).collect(),
+            level: MILLION,
+            tries: RetryPolicy::Never,
+        };
+        let whole = PublishedState { groups: vec![Some(said)] };
+        HistoryEntry { version, at: Duration::ZERO, digest: whole.digest(), whole: Arc::new(whole) }
     }
 
     fn versions(history: &History, proxy: ProxyId) -> Vec<u64> {
--- a/crates/core/src/overrides.rs
+++ b/crates/core/src/overrides.rs
@@ -16,7 +16,7 @@
 pub const MOST: usize = 1000;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum What {
+pub enum OverrideKind {
     Exclude,
     /// Its weights, times this.
     Weight(f64),
@@ -24,14 +24,14 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct Override {
-    pub what: What,
+    pub what: OverrideKind,
     pub since: Duration,
     pub until: Duration,
     pub why: Arc<str>,
 }
 
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub enum NoOverride {
+pub enum OverrideError {
     #[error("no replica `{0}` is listed")]
     NoReplica(ReplicaId),
     #[error("a factor is from 0.01 to 100, and not {0}")]
@@ -49,14 +49,14 @@
     /// A later word about a replica takes an earlier one's place.
     ///
     /// Errors: a factor that can't be meant, or too many; nothing is changed.
-    pub fn set(&mut self, replica: ReplicaId, one: Override) -> Result<(), NoOverride> {
-        if let What::Weight(factor) = one.what
+    pub fn set(&mut self, replica: ReplicaId, one: Override) -> Result<(), OverrideError> {
+        if let OverrideKind::Weight(factor) = one.what
             && !(FACTORS.0..=FACTORS.1).contains(&factor)
         {
-            return Err(NoOverride::Factor(factor));
+            return Err(OverrideError::Factor(factor));
         }
         if self.of.len() >= MOST && !self.of.contains_key(&replica) {
-            return Err(NoOverride::Full);
+            return Err(OverrideError::Full);
         }
         self.of.insert(replica, one);
         Ok(())
@@ -76,7 +76,7 @@
     }
 
     pub fn excludes(&self, replica: &ReplicaId) -> bool {
-        self.of.get(replica).is_some_and(|one| one.what == What::Exclude)
+        self.of.get(replica).is_some_and(|one| one.what == OverrideKind::Exclude)
     }
 
     pub fn names(&self, replica: &ReplicaId) -> bool {
@@ -94,8 +94,8 @@
         }
         for line in &mut table.lines {
             match self.of.get(&line.replica).map(|one| one.what) {
-                Some(What::Exclude) => line.open = false,
-                Some(What::Weight(factor)) => line.weight *= factor,
+                Some(OverrideKind::Exclude) => line.open = false,
+                Some(OverrideKind::Weight(factor)) => line.weight *= factor,
                 None => {}
             }
         }
--- a/crates/core/src/ownership.rs
+++ b/crates/core/src/ownership.rs
@@ -25,7 +25,7 @@
 
 /// Whose orders a proxy holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Claim {
+pub struct OwnershipClaim {
     pub governor: String,
     /// The governor's life.
     pub epoch: u64,
@@ -37,12 +37,12 @@
 /// A secret that all governors share, by its name. Two live ones make a change of keys possible: the first
 /// signs, all are believed.
 #[derive(Clone, PartialEq, Eq)]
-pub struct Key {
+pub struct SigningKey {
     id: String,
     key: [u8; 32],
 }
 
-impl std::fmt::Debug for Key {
+impl std::fmt::Debug for SigningKey {
     /// Without the secret: keys must not show in logs.
     fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(to, "Key({})", self.id)
@@ -50,32 +50,32 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum NoKey {
+pub enum KeyError {
     #[error("a key's name has 1 to 32 letters, digits, `-` or `_`")]
     Name,
     #[error("the secret of key `{0}` has {1} bytes; it takes 32 at least")]
     Short(String, usize),
 }
 
-impl Key {
+impl SigningKey {
     /// A key from a secret of any length from 32 bytes on.
     ///
     /// Errors: a name that could not stand in a claim, a secret that could be guessed.
-    pub fn new(id: &str, secret: &[u8]) -> Result<Key, NoKey> {
+    pub fn new(id: &str, secret: &[u8]) -> Result<SigningKey, KeyError> {
         let fits = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
         if id.is_empty() || id.len() > 32 || !id.chars().all(fits) {
-            return Err(NoKey::Name);
+            return Err(KeyError::Name);
         }
         if secret.len() < 32 {
-            return Err(NoKey::Short(id.into(), secret.len()));
+            return Err(KeyError::Short(id.into(), secret.len()));
         }
-        Ok(Key { id: id.into(), key: blake3::derive_key("wrenthread 2026 claims", secret) })
+        Ok(SigningKey { id: id.into(), key: blake3::derive_key("wrenthread 2026 claims", secret) })
     }
 }
 
 /// What governors say to each other, sealed: `LENGTH NAME MAC BODY`. It shows who may speak, and hides
 /// nothing.
-pub fn seal(key: &Key, body: &[u8]) -> Vec<u8> {
+pub fn seal(key: &SigningKey, body: &[u8]) -> Vec<u8> {
     let mut sealed = Vec::with_capacity(33 + key.id.len() + body.len());
     sealed.push(key.id.len() as u8);
     sealed.extend_from_slice(key.id.as_bytes());
@@ -87,24 +87,24 @@
 /// The body of what was sealed with any live key. An old one is as good as a new one: who hears it must bear
 /// copies anyhow.
 ///
-/// Errors: as [`Unproven`].
-pub fn unseal<'a>(keys: &[Key], sealed: &'a [u8]) -> Result<&'a [u8], Unproven> {
-    let (length, rest) = sealed.split_first().ok_or(Unproven::Unclear)?;
-    let (id, rest) = rest.split_at_checked(usize::from(*length)).ok_or(Unproven::Unclear)?;
-    let (mac, body) = rest.split_at_checked(32).ok_or(Unproven::Unclear)?;
-    let key = keys.iter().find(|key| key.id.as_bytes() == id).ok_or(Unproven::Key)?;
-    let mac = blake3::Hash::from_slice(mac).map_err(|_| Unproven::Unclear)?;
-    if talk_mac(key, body) == mac { Ok(body) } else { Err(Unproven::Signature) }
+/// Errors: as [`ProofError`].
+pub fn unseal<'a>(keys: &[SigningKey], sealed: &'a [u8]) -> Result<&'a [u8], ProofError> {
+    let (length, rest) = sealed.split_first().ok_or(ProofError::Unclear)?;
+    let (id, rest) = rest.split_at_checked(usize::from(*length)).ok_or(ProofError::Unclear)?;
+    let (mac, body) = rest.split_at_checked(32).ok_or(ProofError::Unclear)?;
+    let key = keys.iter().find(|key| key.id.as_bytes() == id).ok_or(ProofError::Key)?;
+    let mac = blake3::Hash::from_slice(mac).map_err(|_| ProofError::Unclear)?;
+    if talk_mac(key, body) == mac { Ok(body) } else { Err(ProofError::Signature) }
 }
 
 /// A claim is text: no body that begins with a zero is ever one.
-fn talk_mac(key: &Key, body: &[u8]) -> blake3::Hash {
+fn talk_mac(key: &SigningKey, body: &[u8]) -> blake3::Hash {
     let mut hasher = blake3::Hasher::new_keyed(&key.key);
     hasher.update(&[0]).update(body).finalize()
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Unproven {
+pub enum ProofError {
     #[error("it is no claim")]
     Unclear,
     #[error("it is signed with a key that is not live")]
@@ -120,7 +120,7 @@
 
 /// Signs a claim: `KEY.GOVERNOR.EPOCH.VERSION.PROXY.MAC`, names in hexadecimal, so that nothing needs
 /// quoting.
-pub fn sign(key: &Key, claim: &Claim) -> String {
+pub fn sign(key: &SigningKey, claim: &OwnershipClaim) -> String {
     let (governor, proxy) = (hex(claim.governor.as_bytes()), hex(claim.proxy.as_bytes()));
     let said = format!("{}.{governor}.{:x}.{:x}.{proxy}", key.id, claim.epoch, claim.version);
     let mac = blake3::keyed_hash(&key.key, said.as_bytes());
@@ -129,34 +129,34 @@
 
 /// What a signed claim of a proxy says.
 ///
-/// Errors: as [`Unproven`]; a claim that is not proven tells nothing.
-pub fn prove(keys: &[Key], proxy: &str, signed: &str) -> Result<Claim, Unproven> {
+/// Errors: as [`ProofError`]; a claim that is not proven tells nothing.
+pub fn prove(keys: &[SigningKey], proxy: &str, signed: &str) -> Result<OwnershipClaim, ProofError> {
     if signed.len() > LONGEST {
-        return Err(Unproven::Unclear);
+        return Err(ProofError::Unclear);
     }
-    let (said, mac) = signed.rsplit_once('.').ok_or(Unproven::Unclear)?;
+    let (said, mac) = signed.rsplit_once('.').ok_or(ProofError::Unclear)?;
     let parts: Vec<&str> = said.split('.').collect();
-    let [id, governor, epoch, version, of] = parts[..] else { return Err(Unproven::Unclear) };
-    let key = keys.iter().find(|key| key.id == id).ok_or(Unproven::Key)?;
-    let mac = blake3::Hash::from_hex(mac).map_err(|_| Unproven::Unclear)?;
+    let [id, governor, epoch, version, of] = parts[..] else { return Err(ProofError::Unclear) };
+    let key = keys.iter().find(|key| key.id == id).ok_or(ProofError::Key)?;
+    let mac = blake3::Hash::from_hex(mac).map_err(|_| ProofError::Unclear)?;
     // Compared in a time that does not tell how much of it was right.
     if blake3::keyed_hash(&key.key, said.as_bytes()) != mac {
-        return Err(Unproven::Signature);
+        return Err(ProofError::Signature);
     }
-    let name = |text| unhex(text).and_then(|bytes| String::from_utf8(bytes).ok()).ok_or(Unproven::Unclear);
-    let number = |text| u64::from_str_radix(text, 16).map_err(|_| Unproven::Unclear);
-    let claim = Claim {
+    let name = |text| unhex(text).and_then(|bytes| String::from_utf8(bytes).ok()).ok_or(ProofError::Unclear);
+    let number = |text| u64::from_str_radix(text, 16).map_err(|_| ProofError::Unclear);
+    let claim = OwnershipClaim {
         governor: name(governor)?,
         epoch: number(epoch)?,
         version: number(version)?,
         proxy: name(of)?,
     };
-    if claim.proxy == proxy { Ok(claim) } else { Err(Unproven::NotItsOwn) }
+    if claim.proxy == proxy { Ok(claim) } else { Err(ProofError::NotItsOwn) }
 }
 
 /// Why an order is not heeded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Fenced {
+pub enum FencingError {
     #[error("it comes from another governor than the one that is followed")]
     NotFollowed,
     #[error("it comes from an older life of its governor than one that was heeded")]
@@ -171,7 +171,7 @@
 /// older life than the newest that was ever heeded; so two that both believe they own a proxy, and one that
 /// stalls and wakes with old orders, do no harm.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Fence {
+pub struct FencingState {
     following: Option<String>,
     newest: BTreeMap<String, (u64, u64)>,
     /// The newest that was heeded of the one that is followed, before its stream of now began.
@@ -182,7 +182,7 @@
 /// it.
 const MOST_GOVERNORS: usize = 64;
 
-impl Fence {
+impl FencingState {
     /// From now on this governor's orders count, and no other's; a new stream of its begins. What it said on
     /// an older one doesn't count again: each join gets a version of its own, beyond all that was said
     /// before.
@@ -193,17 +193,17 @@
 
     /// Takes an order in, or refuses it. Within a life versions never go back, and on one stream the same may
     /// come in several pieces.
-    pub fn heed(&mut self, governor: &str, epoch: u64, version: u64) -> Result<(), Fenced> {
+    pub fn heed(&mut self, governor: &str, epoch: u64, version: u64) -> Result<(), FencingError> {
         if self.following.as_deref() != Some(governor) {
-            return Err(Fenced::NotFollowed);
+            return Err(FencingError::NotFollowed);
         }
         match self.newest.get(governor) {
-            Some((newest, _)) if epoch < *newest => return Err(Fenced::OlderLife),
+            Some((newest, _)) if epoch < *newest => return Err(FencingError::OlderLife),
             Some((newest, heeded)) if epoch == *newest && version < *heeded => {
-                return Err(Fenced::OlderVersion);
+                return Err(FencingError::OlderVersion);
             }
             _ if self.before.is_some_and(|(before, heeded)| epoch == before && version <= heeded) => {
-                return Err(Fenced::OlderStream);
+                return Err(FencingError::OlderStream);
             }
             _ => {}
         }
@@ -217,20 +217,20 @@
 
 /// When a proxy that lives elsewhere goes home.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Homeward {
+pub struct Failback {
     steady: Duration,
     delay: Duration,
     well_since: Option<Duration>,
 }
 
-impl Homeward {
+impl Failback {
     /// `steady`: its home must have answered for so long without a break; then it goes within `over`, at a
     /// moment that its name settles, so that a fleet comes home evenly and the same way each time.
     pub fn new(proxy: &str, steady: Duration, over: Duration) -> Self {
         let hash = blake3::derive_key("wrenthread 2026 homeward", proxy.as_bytes());
         let part = u32::from_le_bytes([hash[0], hash[1], hash[2], hash[3]]);
         let delay = over.mul_f64(f64::from(part) / f64::from(u32::MAX));
-        Homeward { steady, delay, well_since: None }
+        Failback { steady, delay, well_since: None }
     }
 
     /// Its home was asked, and answered or did not.
@@ -253,20 +253,20 @@
 /// A governor that can't be had is passed over for the next in rank; after the last it begins anew at home.
 /// So a proxy whose governors are all dead goes round until one is back.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Dialer {
+pub struct GovernorSelector {
     ranking: Vec<usize>,
     at: usize,
     /// Its governors sent it where it is: it stays there until that one is lost, or sends it on.
     placed: bool,
-    homeward: Homeward,
+    homeward: Failback,
 }
 
-impl Dialer {
+impl GovernorSelector {
     /// `governors`: their names, the same list at every proxy; empty is of no use, and dials the first for
     /// ever.
     pub fn new(proxy: &str, governors: &[&str], steady: Duration, over: Duration) -> Self {
         let ranking = ranking(proxy, governors);
-        Dialer { ranking, at: 0, placed: false, homeward: Homeward::new(proxy, steady, over) }
+        GovernorSelector { ranking, at: 0, placed: false, homeward: Failback::new(proxy, steady, over) }
     }
 
     /// The governor to dial, by its place in the list.
@@ -344,12 +344,12 @@
         assert!(taken.iter().all(|count| (280..390).contains(count)), "{taken:?}");
     }
 
-    fn key(id: &str, byte: u8) -> Key {
-        Key::new(id, &[byte; 32]).unwrap()
+    fn key(id: &str, byte: u8) -> SigningKey {
+        SigningKey::new(id, &[byte; 32]).unwrap()
     }
 
-    fn claim() -> Claim {
-        Claim { governor: "g.1".into(), epoch: 7, version: 99, proxy: "relay é".into() }
+    fn claim() -> OwnershipClaim {
+        OwnershipClaim { governor: "g.1".into(), epoch: 7, version: 99, proxy: "relay é".into() }
     }
 
     #[test]
@@ -357,12 +357,12 @@
         let (old, new) = (key("2026-a", 1), key("2026-b", 2));
         let signed = sign(&old, &claim());
         assert_eq!(prove(&[new.clone(), old], "relay é", &signed), Ok(claim()));
-        assert_eq!(prove(&[new], "relay é", &signed), Err(Unproven::Key), "out of rotation");
-        assert_eq!(prove(&[key("2026-a", 3)], "relay é", &signed), Err(Unproven::Signature));
-        assert_eq!(prove(&[key("2026-a", 1)], "relay-2", &signed), Err(Unproven::NotItsOwn));
-        assert_eq!(prove(&[key("2026-a", 1)], "relay é", "nothing"), Err(Unproven::Unclear));
+        assert_eq!(prove(&[new], "relay é", &signed), Err(ProofError::Key), "out of rotation");
+        assert_eq!(prove(&[key("2026-a", 3)], "relay é", &signed), Err(ProofError::Signature));
+        assert_eq!(prove(&[key("2026-a", 1)], "relay-2", &signed), Err(ProofError::NotItsOwn));
+        assert_eq!(prove(&[key("2026-a", 1)], "relay é", "nothing"), Err(ProofError::Unclear));
         assert_eq!(format!("{:?}", key("a", 1)), "Key(a)");
-        assert!(Key::new("a.b", &[0; 32]).is_err() && Key::new("a", &[0; 31]).is_err());
+        assert!(SigningKey::new("a.b", &[0; 32]).is_err() && SigningKey::new("a", &[0; 31]).is_err());
     }
 
     proptest! {
@@ -381,19 +381,19 @@
 
     #[test]
     fn of_two_governors_that_believe_they_own_a_proxy_one_is_heeded() {
-        let mut fence = Fence::default();
-        assert_eq!(fence.heed("g1", 1, 1), Err(Fenced::NotFollowed));
+        let mut fence = FencingState::default();
+        assert_eq!(fence.heed("g1", 1, 1), Err(FencingError::NotFollowed));
         fence.follow("g1");
         assert_eq!(fence.heed("g1", 5, 10), Ok(()));
-        assert_eq!(fence.heed("g2", 9, 1), Err(Fenced::NotFollowed));
+        assert_eq!(fence.heed("g2", 9, 1), Err(FencingError::NotFollowed));
         fence.follow("g2");
         assert_eq!(fence.heed("g2", 9, 1), Ok(()));
-        assert_eq!(fence.heed("g1", 5, 11), Err(Fenced::NotFollowed), "it stalled, and wakes");
+        assert_eq!(fence.heed("g1", 5, 11), Err(FencingError::NotFollowed), "it stalled, and wakes");
         // It comes back after another has taken over, with its old orders or as an older life.
         fence.follow("g1");
-        assert_eq!(fence.heed("g1", 4, 99), Err(Fenced::OlderLife));
-        assert_eq!(fence.heed("g1", 5, 9), Err(Fenced::OlderVersion));
-        assert_eq!(fence.heed("g1", 5, 10), Err(Fenced::OlderStream), "a copy of the stream before");
+        assert_eq!(fence.heed("g1", 4, 99), Err(FencingError::OlderLife));
+        assert_eq!(fence.heed("g1", 5, 9), Err(FencingError::OlderVersion));
+        assert_eq!(fence.heed("g1", 5, 10), Err(FencingError::OlderStream), "a copy of the stream before");
         assert_eq!((fence.heed("g1", 5, 11), fence.heed("g1", 5, 11)), (Ok(()), Ok(())), "in two pieces");
         assert_eq!(fence.heed("g1", 6, 1), Ok(()));
         (0..200).for_each(|n| {
@@ -408,7 +408,7 @@
         let (old, new) = (key("a", 1), key("b", 2));
         let sealed = seal(&old, b"hello");
         assert_eq!(unseal(&[new.clone(), old.clone()], &sealed), Ok(&b"hello"[..]));
-        assert_eq!(unseal(&[new], &sealed), Err(Unproven::Key));
+        assert_eq!(unseal(&[new], &sealed), Err(ProofError::Key));
         for place in 0..sealed.len() {
             let mut changed = sealed.clone();
             changed[place] ^= 1;
@@ -420,13 +420,13 @@
         let mut forged = vec![1, b'a'];
         forged.extend_from_slice(blake3::Hash::from_hex(mac).unwrap().as_bytes());
         forged.extend_from_slice(said.as_bytes());
-        assert_eq!(unseal(&[old], &forged), Err(Unproven::Signature));
+        assert_eq!(unseal(&[old], &forged), Err(ProofError::Signature));
     }
 
     #[test]
     fn who_is_sent_on_stays_there_until_it_is_lost() {
         let names = ["g0", "g1", "g2"];
-        let mut dialer = Dialer::new("relay-1", &names, s(2), Duration::ZERO);
+        let mut dialer = GovernorSelector::new("relay-1", &names, s(2), Duration::ZERO);
         let ranked = ranking("relay-1", &names);
         dialer.sent_on(Some(ranked[2]));
         assert_eq!(dialer.dials(), ranked[2]);
@@ -444,7 +444,7 @@
     fn a_fleet_comes_home_evenly_and_not_to_one_that_comes_and_goes() {
         let mut seconds = [0; 10];
         for n in 0..1000 {
-            let mut homeward = Homeward::new(&format!("relay-{n}"), s(5), s(10));
+            let mut homeward = Failback::new(&format!("relay-{n}"), s(5), s(10));
             homeward.asked(s(100), true);
             homeward.asked(s(103), false);
             assert_eq!(homeward.goes_at(), None);
@@ -460,7 +460,7 @@
     #[test]
     fn a_proxy_goes_round_its_governors_and_home_once_home_is_steady() {
         let names = ["g0", "g1", "g2"];
-        let mut dialer = Dialer::new("relay-1", &names, s(2), Duration::ZERO);
+        let mut dialer = GovernorSelector::new("relay-1", &names, s(2), Duration::ZERO);
         let ranked = ranking("relay-1", &names);
         assert_eq!((dialer.dials(), dialer.is_home()), (ranked[0], true));
         dialer.lost();
@@ -472,6 +472,6 @@
         assert!(!dialer.home_asked(s(15), true), "it is there");
         (0..3).for_each(|_| dialer.lost());
         assert_eq!(dialer.dials(), dialer.home(), "all dead: round again");
-        assert_eq!(Dialer::new("p", &[], s(1), s(1)).dials(), 0);
+        assert_eq!(GovernorSelector::new("p", &[], s(1), s(1)).dials(), 0);
     }
 }
--- a/crates/core/src/recording.rs
+++ b/crates/core/src/recording.rs
@@ -10,9 +10,9 @@
 use serde::{Deserialize, Serialize};
 use wrenthread::types::{Phase, ProxyId, ReplicaId};
 
-use crate::guard::{Change, Guard, Limits, Refusal};
-use crate::roster::{Entry, Roster};
-use crate::tables::{Line, Table};
+use crate::guard::{Guard, GuardLimits, ProposedTable, Refusal};
+use crate::roster::{Roster, RosterEntry};
+use crate::tables::{ResolvedEntry, Table};
 
 /// The form of recordings that this version writes, and the only one that it reads.
 pub const FORM: u32 = 1;
@@ -30,16 +30,16 @@
     pub taken_at: f64,
     pub zones: Vec<String>,
     pub groups: Vec<String>,
-    pub limits: Bounds,
-    pub replicas: Vec<Replica>,
-    pub proxies: Vec<Held>,
-    pub seen: Vec<Seen>,
+    pub limits: RecordedLimits,
+    pub replicas: Vec<RecordedReplica>,
+    pub proxies: Vec<RecordedProxy>,
+    pub seen: Vec<RecordedThroughput>,
 }
 
-/// As [`Limits`].
+/// As [`GuardLimits`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Bounds {
+pub struct RecordedLimits {
     pub cold_share: f64,
     pub warm_after_s: f64,
     pub proxies: usize,
@@ -50,7 +50,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Stage {
+pub enum RecordedPhase {
     Ready,
     Draining,
     Gone,
@@ -58,12 +58,12 @@
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Replica {
+pub struct RecordedReplica {
     pub id: Arc<str>,
     pub address: Arc<str>,
     pub zone: usize,
     pub weight: f64,
-    pub phase: Stage,
+    pub phase: RecordedPhase,
     /// How long ago it started; none for long ago.
     pub age_s: Option<f64>,
     /// Withdrawn by the module, or excluded by operators.
@@ -72,17 +72,17 @@
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Held {
+pub struct RecordedProxy {
     pub name: Arc<str>,
     pub zone: usize,
     pub standing: Vec<(Arc<str>, f64)>,
     /// In the order of the recording's groups.
-    pub groups: Vec<HeldTable>,
+    pub groups: Vec<RecordedTable>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct HeldTable {
+pub struct RecordedTable {
     /// Flows a second, by the guard's account.
     pub flows: f64,
     pub level: f64,
@@ -93,7 +93,7 @@
 /// What was delivered lately at a replica by the proxies of a zone.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Seen {
+pub struct RecordedThroughput {
     pub replica: Arc<str>,
     pub zone: usize,
     /// The most in a second, counting less with age already.
@@ -102,7 +102,7 @@
 
 /// Why a recording can't be tried against.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub enum Unfit {
+pub enum RecordingError {
     #[error("it is of form {0}, and this version reads form {FORM}")]
     Form(u32),
     #[error("it has more {0} than any governor's")]
@@ -119,7 +119,7 @@
 
 /// A table to try.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Wanted {
+pub struct CandidateTable {
     pub proxy: Arc<str>,
     pub group: usize,
     pub lines: Vec<(ReplicaId, f64)>,
@@ -128,7 +128,7 @@
 
 /// Why a table can't be tried.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub enum Untried {
+pub enum CandidateError {
     #[error("no proxy `{0}` is joined there")]
     NoProxy(Arc<str>),
     #[error("no group number {0} is there")]
@@ -139,22 +139,22 @@
 
 /// What would become of tables, and what of them would be refused.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Tried {
+pub struct DryRun {
     /// In the order in which they were wanted.
     pub tables: Vec<Table>,
-    pub refusals: Vec<Refused>,
+    pub refusals: Vec<DryRunRefusal>,
 }
 
 /// One refusal, by the proxy's name.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Refused {
+pub struct DryRunRefusal {
     pub proxy: Option<Arc<str>>,
     pub refusal: Refusal,
 }
 
-impl From<&Limits> for Bounds {
-    fn from(limits: &Limits) -> Self {
-        Bounds {
+impl From<&GuardLimits> for RecordedLimits {
+    fn from(limits: &GuardLimits) -> Self {
+        RecordedLimits {
             cold_share: limits.cold_share,
             warm_after_s: limits.warm_after.as_secs_f64(),
             proxies: limits.proxies,
@@ -169,47 +169,47 @@
     Duration::try_from_secs_f64(seconds).unwrap_or(NOW).min(NOW)
 }
 
-impl From<Phase> for Stage {
+impl From<Phase> for RecordedPhase {
     fn from(phase: Phase) -> Self {
         match phase {
-            Phase::Ready => Stage::Ready,
-            Phase::Draining => Stage::Draining,
-            Phase::Gone => Stage::Gone,
+            Phase::Ready => RecordedPhase::Ready,
+            Phase::Draining => RecordedPhase::Draining,
+            Phase::Gone => RecordedPhase::Gone,
         }
     }
 }
 
 impl Recording {
     /// Whether it is whole and can be meant.
-    fn fit(&self) -> Result<(), Unfit> {
+    fn fit(&self) -> Result<(), RecordingError> {
         if self.form != FORM {
-            return Err(Unfit::Form(self.form));
+            return Err(RecordingError::Form(self.form));
         }
         if self.replicas.len() > MOST {
-            return Err(Unfit::Size("replicas"));
+            return Err(RecordingError::Size("replicas"));
         }
         if self.proxies.len() > usize::from(ProxyId::MAX) {
-            return Err(Unfit::Size("proxies"));
+            return Err(RecordingError::Size("proxies"));
         }
         let groups = self.groups.len();
         let settings: Arc<str> = "limits".into();
         for given in [self.limits.own_zone.len(), self.limits.once_only.len()] {
             if given != groups || groups > 64 {
-                return Err(Unfit::Groups(settings, given, groups));
+                return Err(RecordingError::Groups(settings, given, groups));
             }
         }
         let limits = [self.limits.cold_share, self.limits.warm_after_s, self.limits.lines_most];
         if let Some(odd) = limits.into_iter().find(|one| !(one.is_finite() && *one >= 0.0)) {
-            return Err(Unfit::Number("the recording's", settings, odd));
+            return Err(RecordingError::Number("the recording's", settings, odd));
         }
         let zones = self.zones.len();
         let zone = |what, name: &Arc<str>, zone| match zone < zones {
             true => Ok(()),
-            false => Err(Unfit::Zone(what, name.clone(), zone, zones)),
+            false => Err(RecordingError::Zone(what, name.clone(), zone, zones)),
         };
         let number = |what, name: &Arc<str>, number: f64| match number.is_finite() && number >= 0.0 {
             true => Ok(()),
-            false => Err(Unfit::Number(what, name.clone(), number)),
+            false => Err(RecordingError::Number(what, name.clone(), number)),
         };
         let mut known = BTreeSet::new();
         for replica in &self.replicas {
@@ -217,20 +217,20 @@
             number("replica", &replica.id, replica.weight)?;
             number("replica", &replica.id, replica.age_s.unwrap_or(0.0))?;
             if !known.insert(&replica.id) {
-                return Err(Unfit::Twice("replica", replica.id.clone()));
+                return Err(RecordingError::Twice("replica", replica.id.clone()));
             }
         }
         let mut known = BTreeSet::new();
         for proxy in &self.proxies {
             zone("proxy", &proxy.name, proxy.zone)?;
             if proxy.groups.len() != groups {
-                return Err(Unfit::Groups(proxy.name.clone(), proxy.groups.len(), groups));
+                return Err(RecordingError::Groups(proxy.name.clone(), proxy.groups.len(), groups));
             }
             for group in &proxy.groups {
                 number("proxy", &proxy.name, group.flows)?;
             }
             if !known.insert(&proxy.name) {
-                return Err(Unfit::Twice("proxy", proxy.name.clone()));
+                return Err(RecordingError::Twice("proxy", proxy.name.clone()));
             }
         }
         self.seen.iter().try_for_each(|seen| number("replica", &seen.replica, seen.per_s))
@@ -241,18 +241,18 @@
     /// A replica that the recording does not name is taken for one that is gone.
     ///
     /// Errors: a recording that can't be meant.
-    pub fn would(&self, wanted: &[Wanted]) -> Result<Result<Tried, Untried>, Unfit> {
+    pub fn would(&self, wanted: &[CandidateTable]) -> Result<Result<DryRun, CandidateError>, RecordingError> {
         self.fit()?;
         let mut roster = Roster::new(Duration::ZERO);
-        let entry = |one: &Replica| Entry {
+        let entry = |one: &RecordedReplica| RosterEntry {
             id: one.id.clone(),
             address: one.address.clone(),
             zone: one.zone,
             weight: one.weight,
             phase: match one.phase {
-                Stage::Ready => Phase::Ready,
-                Stage::Draining => Phase::Draining,
-                Stage::Gone => Phase::Gone,
+                RecordedPhase::Ready => Phase::Ready,
+                RecordedPhase::Draining => Phase::Draining,
+                RecordedPhase::Gone => Phase::Gone,
             },
             started: one.age_s.map(|age| NOW - span(age)),
             backup: false,
@@ -260,7 +260,7 @@
         roster.take(NOW, self.replicas.iter().map(entry).collect());
         let out: BTreeSet<&Arc<str>> =
             self.replicas.iter().filter(|one| one.out).map(|one| &one.id).collect();
-        let mut guard = Guard::new(Limits {
+        let mut guard = Guard::new(GuardLimits {
             cold_share: self.limits.cold_share,
             warm_after: span(self.limits.warm_after_s),
             proxies: self.limits.proxies,
@@ -273,7 +273,7 @@
         }
         let line = |zone: usize, (replica, weight, open): (&Arc<str>, f64, bool)| {
             let known = roster.get(replica);
-            Line {
+            ResolvedEntry {
                 replica: replica.clone(),
                 address: known.map_or_else(|| "".into(), |known| known.address.clone()),
                 zone: known.map_or(zone, |known| known.zone),
@@ -298,19 +298,19 @@
         let (mut places, mut changes) = (BTreeSet::new(), Vec::new());
         for one in wanted {
             let Some(number) = numbers.get(&*one.proxy).copied() else {
-                return Ok(Err(Untried::NoProxy(one.proxy.clone())));
+                return Ok(Err(CandidateError::NoProxy(one.proxy.clone())));
             };
             if one.group >= self.groups.len() {
-                return Ok(Err(Untried::NoGroup(one.group)));
+                return Ok(Err(CandidateError::NoGroup(one.group)));
             }
             if !places.insert((number, one.group)) {
-                return Ok(Err(Untried::Twice(one.proxy.clone())));
+                return Ok(Err(CandidateError::Twice(one.proxy.clone())));
             }
             let proxy = &self.proxies[number];
             let open = |(id, weight): &(ReplicaId, f64)| line(proxy.zone, (id, *weight, true));
             let mut table = Table { lines: one.lines.iter().map(open).collect(), level: one.level };
             table.lines.sort_by(|one, other| one.replica.cmp(&other.replica));
-            changes.push(Change {
+            changes.push(ProposedTable {
                 proxy: number as ProxyId,
                 zone: proxy.zone,
                 group: one.group,
@@ -321,32 +321,32 @@
         }
         let tables = guard.judge(NOW, &roster, |id| out.contains(id), false, changes);
         let name = |number: ProxyId| self.proxies.get(usize::from(number)).map(|one| one.name.clone());
-        let refused = |refusal: Refusal| Refused { proxy: refusal.proxy.and_then(name), refusal };
+        let refused = |refusal: Refusal| DryRunRefusal { proxy: refusal.proxy.and_then(name), refusal };
         let refusals = std::iter::from_fn(|| guard.news()).map(refused).collect();
-        Ok(Ok(Tried { tables, refusals }))
+        Ok(Ok(DryRun { tables, refusals }))
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::guard::{Done, Reason};
+    use crate::guard::{RefusalOutcome, RefusalReason};
 
     /// Two proxies with ten flows a second each on four replicas, of which the last drains.
     fn recording() -> Recording {
         let id = |at: usize| Arc::<str>::from(["a", "b", "c", "d"][at]);
-        let replica = |at| Replica {
+        let replica = |at| RecordedReplica {
             id: id(at),
             address: format!("{}:1", id(at)).into(),
             zone: 0,
             weight: 1.0,
-            phase: if at == 3 { Stage::Draining } else { Stage::Ready },
+            phase: if at == 3 { RecordedPhase::Draining } else { RecordedPhase::Ready },
             age_s: None,
             out: false,
         };
         let lines = Some((0..3).map(|at| (id(at), 1.0, true)).collect());
-        let group = HeldTable { flows: 10.0, level: 1.0, lines };
-        let proxy = |name: &str| Held {
+        let group = RecordedTable { flows: 10.0, level: 1.0, lines };
+        let proxy = |name: &str| RecordedProxy {
             name: name.into(),
             zone: 0,
             standing: vec![(id(0), 1.0)],
@@ -358,7 +358,7 @@
             taken_at: 0.0,
             zones: vec!["z".into()],
             groups: vec!["entry".into()],
-            limits: Bounds {
+            limits: RecordedLimits {
                 cold_share: 0.25,
                 warm_after_s: 20.0,
                 proxies: 2,
@@ -372,9 +372,9 @@
         }
     }
 
-    fn wanted(proxy: &str, lines: &[(&str, f64)]) -> Wanted {
+    fn wanted(proxy: &str, lines: &[(&str, f64)]) -> CandidateTable {
         let lines = lines.iter().map(|(id, weight)| ((*id).into(), *weight)).collect();
-        Wanted { proxy: proxy.into(), group: 0, lines, level: 1.0 }
+        CandidateTable { proxy: proxy.into(), group: 0, lines, level: 1.0 }
     }
 
     #[test]
@@ -387,15 +387,15 @@
         assert_eq!(tried.tables[0].lines.len(), 3);
         let said: Vec<_> =
             tried.refusals.iter().map(|one| (one.proxy.as_deref(), one.refusal.reason)).collect();
-        assert_eq!(said, [(Some("q"), Reason::Draining), (Some("q"), Reason::Bare)]);
+        assert_eq!(said, [(Some("q"), RefusalReason::Draining), (Some("q"), RefusalReason::Bare)]);
         assert_eq!(tried.tables[1].lines.len(), 3, "the last good one stands");
         // Each alone is well; together they would have all flows on a cold one.
         let mut cold = recording;
         cold.replicas[0].age_s = Some(1.0);
         let heavy = |proxy| wanted(proxy, &[("a", 1.0), ("b", 1.0)]);
         let tried = cold.would(&[heavy("p"), heavy("q")]).unwrap().unwrap();
-        assert!(tried.refusals.iter().all(|one| one.refusal.reason == Reason::Cold));
-        assert!(tried.refusals.iter().any(|one| one.refusal.done == Done::Corrected));
+        assert!(tried.refusals.iter().all(|one| one.refusal.reason == RefusalReason::Cold));
+        assert!(tried.refusals.iter().any(|one| one.refusal.done == RefusalOutcome::Corrected));
         cold.replicas[0].out = true;
         let tried = cold.would(&[heavy("p")]).unwrap().unwrap();
         assert!(!tried.tables[0].lines[0].open, "what is out stays so");
@@ -404,9 +404,9 @@
     #[test]
     fn what_can_not_be_meant_is_said() {
         let twice = [wanted("p", &[("a", 1.0)]), wanted("p", &[("b", 1.0)])];
-        assert_eq!(recording().would(&twice).unwrap(), Err(Untried::Twice("p".into())));
+        assert_eq!(recording().would(&twice).unwrap(), Err(CandidateError::Twice("p".into())));
         let nobody = recording().would(&[wanted("x", &[])]).unwrap();
-        assert_eq!(nobody, Err(Untried::NoProxy("x".into())));
+        assert_eq!(nobody, Err(CandidateError::NoProxy("x".into())));
         let spoilt = |spoil: fn(&mut Recording)| {
             let mut recording = recording();
             spoil(&mut recording);
--- a/crates/core/src/reports.rs
+++ b/crates/core/src/reports.rs
@@ -31,7 +31,7 @@
 
 /// What a proxy met at one replica within the interval.
 #[derive(Debug, Clone, PartialEq)]
-pub struct AtReplica {
+pub struct ReplicaObservation {
     pub group: usize,
     pub replica: ReplicaId,
     pub delivered: u64,
@@ -46,16 +46,16 @@
 
 /// One report of one proxy.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     pub interval: Duration,
-    pub met: Vec<AtReplica>,
+    pub met: Vec<ReplicaObservation>,
     /// By group: flows that were blocked before any try.
     pub blocked: Vec<(usize, u64)>,
 }
 
 /// Why a report, or a line of one, did not count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
-pub enum Discarded {
+pub enum DiscardReason {
     #[error("from a proxy that has not joined")]
     NotJoined,
     #[error("from an older stream of the proxy")]
@@ -79,7 +79,7 @@
     covered: Duration,
     seen: VecDeque<u64>,
     /// The last report that counted, and when: to be handed over with the proxy.
-    last: Option<(Duration, Report)>,
+    last: Option<(Duration, LoadReport)>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -98,13 +98,13 @@
 
 /// A line for the module.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Told {
+pub enum AggregatedStatistics {
     ReplicaStatistics(ReplicaStatistics),
     DemandStatistics(DemandStatistics),
 }
 
 #[derive(Debug)]
-pub struct Reports {
+pub struct ReportAggregator {
     period: Duration,
     lines_per_s: f64,
     sources: BTreeMap<ProxyId, Source>,
@@ -114,14 +114,14 @@
     last: BTreeMap<Key, Duration>,
     next: Option<Duration>,
     spare: f64,
-    discarded: BTreeMap<Discarded, u64>,
+    discarded: BTreeMap<DiscardReason, u64>,
     counted: u64,
 }
 
-impl Reports {
+impl ReportAggregator {
     /// `period`: how often sums are passed on; `lines_per_s`: how many lines a second at most.
     pub fn new(period: Duration, lines_per_s: f64) -> Self {
-        Reports {
+        ReportAggregator {
             period: period.max(Duration::from_millis(10)),
             lines_per_s,
             sources: BTreeMap::new(),
@@ -139,13 +139,13 @@
         self.lines_per_s = lines_per_s;
     }
 
-    pub fn discard(&mut self, why: Discarded) -> Discarded {
+    pub fn discard(&mut self, why: DiscardReason) -> DiscardReason {
         *self.discarded.entry(why).or_default() += 1;
         why
     }
 
     /// Reports thrown away, by why; and those that counted.
-    pub fn tally(&self) -> (&BTreeMap<Discarded, u64>, u64) {
+    pub fn tally(&self) -> (&BTreeMap<DiscardReason, u64>, u64) {
         (&self.discarded, self.counted)
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// The last report of a proxy that counted, and when.
-    pub fn last(&self, proxy: ProxyId) -> Option<&(Duration, Report)> {
+    pub fn last(&self, proxy: ProxyId) -> Option<&(Duration, LoadReport)> {
         self.sources.get(&proxy)?.last.as_ref()
     }
 
@@ -171,9 +171,9 @@
         proxy: ProxyId,
         zone: usize,
         stream: StreamId,
-        report: &Report,
+        report: &LoadReport,
         listed: impl Fn(&ReplicaId) -> bool,
-    ) -> Result<(), Discarded> {
+    ) -> Result<(), DiscardReason> {
         let verdict = self.judge(now, proxy, stream, report);
         if let Err(why) = verdict {
             return Err(self.discard(why));
@@ -192,7 +192,7 @@
             *flows += met.issued.max(met.delivered + met.dropped);
             *dropped += met.dropped;
             if !listed(&met.replica) {
-                self.discard(Discarded::Unlisted);
+                self.discard(DiscardReason::Unlisted);
                 continue;
             }
             if met.delivered + met.dropped > 0 || !met.load.is_empty() {
@@ -220,31 +220,31 @@
         now: Duration,
         proxy: ProxyId,
         stream: StreamId,
-        report: &Report,
-    ) -> Result<(), Discarded> {
+        report: &LoadReport,
+    ) -> Result<(), DiscardReason> {
         if report.interval.is_zero() || report.interval > LONGEST {
-            return Err(Discarded::Interval);
+            return Err(DiscardReason::Interval);
         }
         let since = now.saturating_sub(report.interval);
         let source = self.sources.entry(proxy).or_insert_with(|| Source { since, ..Source::default() });
         if stream < source.stream {
-            return Err(Discarded::OldStream);
+            return Err(DiscardReason::OldStream);
         }
         // What it met while its stream was broken comes on the next one: the account goes on.
         source.stream = stream;
-        let odd = |met: &AtReplica| {
+        let odd = |met: &ReplicaObservation| {
             let most = met.delivered.max(met.dropped).max(met.issued);
             most > MOST_TRIES || met.answers.1 > met.delivered || met.load.iter().any(|one| !one.is_finite())
         };
         if report.met.iter().any(odd) || report.blocked.iter().any(|(_, blocked)| *blocked > MOST_TRIES) {
-            return Err(Discarded::Counters);
+            return Err(DiscardReason::Counters);
         }
         let mark = digest(report);
         if source.seen.contains(&mark) {
-            return Err(Discarded::Copy);
+            return Err(DiscardReason::Copy);
         }
         if source.covered + report.interval > now.saturating_sub(source.since) + AHEAD + report.interval / 2 {
-            return Err(Discarded::OutOfOrder);
+            return Err(DiscardReason::OutOfOrder);
         }
         source.covered += report.interval;
         source.seen.push_back(mark);
@@ -270,7 +270,7 @@
     }
 
     /// Lines for the module, if a period is over.
-    pub fn due(&mut self, now: Duration) -> Vec<Told> {
+    pub fn due(&mut self, now: Duration) -> Vec<AggregatedStatistics> {
         if self.next.is_none_or(|next| now < next) {
             return Vec::new();
         }
@@ -288,22 +288,27 @@
             let from = before.unwrap_or_default().max(since.saturating_sub(self.period));
             let span = now.saturating_sub(from).max(self.period);
             told.push(match key {
-                Key::ReplicaStatistics(zone, replica) => Told::ReplicaStatistics(ReplicaStatistics {
-                    zone,
-                    replica,
-                    attempts: sum.tries,
-                    failed: sum.dropped,
-                    mean_latency: (sum.answers.1 > 0).then(|| sum.answers.0.div_f64(sum.answers.1 as f64)),
-                    interval: span,
-                    load: sum.load,
-                }),
-                Key::DemandStatistics(proxy, group) => Told::DemandStatistics(DemandStatistics {
-                    proxy,
-                    class: group,
-                    requests: sum.tries,
-                    failed: sum.dropped,
-                    interval: span,
-                }),
+                Key::ReplicaStatistics(zone, replica) => {
+                    AggregatedStatistics::ReplicaStatistics(ReplicaStatistics {
+                        zone,
+                        replica,
+                        attempts: sum.tries,
+                        failed: sum.dropped,
+                        mean_latency: (sum.answers.1 > 0)
+                            .then(|| sum.answers.0.div_f64(sum.answers.1 as f64)),
+                        interval: span,
+                        load: sum.load,
+                    })
+                }
+                Key::DemandStatistics(proxy, group) => {
+                    AggregatedStatistics::DemandStatistics(DemandStatistics {
+                        proxy,
+                        class: group,
+                        requests: sum.tries,
+                        failed: sum.dropped,
+                        interval: span,
+                    })
+                }
             });
         }
         self.last.retain(|_, at| *at + LONGEST > now);
@@ -317,7 +322,7 @@
     }
 }
 
-fn digest(report: &Report) -> u64 {
+fn digest(report: &LoadReport) -> u64 {
     let mut hasher = DefaultHasher::new();
     report.interval.hash(&mut hasher);
     report.blocked.hash(&mut hasher);
@@ -337,8 +342,8 @@
         Duration::from_millis(ms)
     }
 
-    fn report(interval: u64, delivered: u64, dropped: u64) -> Report {
-        let met = AtReplica {
+    fn report(interval: u64, delivered: u64, dropped: u64) -> LoadReport {
+        let met = ReplicaObservation {
             group: 0,
             replica: "a".into(),
             delivered,
@@ -348,14 +353,19 @@
             answers: (ms(20u64.saturating_mul(delivered)), delivered),
             load: vec![],
         };
-        Report { interval: ms(interval), met: vec![met], blocked: vec![(0, 1)] }
+        LoadReport { interval: ms(interval), met: vec![met], blocked: vec![(0, 1)] }
     }
 
-    fn reports() -> Reports {
-        Reports::new(ms(500), 1000.0)
+    fn reports() -> ReportAggregator {
+        ReportAggregator::new(ms(500), 1000.0)
     }
 
-    fn take(reports: &mut Reports, now: u64, stream: StreamId, report: &Report) -> Result<(), Discarded> {
+    fn take(
+        reports: &mut ReportAggregator,
+        now: u64,
+        stream: StreamId,
+        report: &LoadReport,
+    ) -> Result<(), DiscardReason> {
         reports.take(ms(now), 7, 2, stream, report, |id| &**id == "a")
     }
 
@@ -366,9 +376,9 @@
         take(&mut reports, 11_300, 1, &report(500, 10, 0)).unwrap();
         assert_eq!(reports.due(ms(11_499)), []);
         let told = reports.due(ms(11_500));
-        let Told::ReplicaStatistics(met) = &told[0] else { panic!("{told:?}") };
+        let AggregatedStatistics::ReplicaStatistics(met) = &told[0] else { panic!("{told:?}") };
         assert_eq!((met.zone, met.attempts, met.failed, met.mean_latency), (2, 20, 1, Some(ms(20))));
-        let Told::DemandStatistics(came) = told[1] else { panic!("{told:?}") };
+        let AggregatedStatistics::DemandStatistics(came) = told[1] else { panic!("{told:?}") };
         assert_eq!((came.proxy, came.requests, came.failed), (7, 22, 1));
         assert_eq!(reports.next_due(), None);
     }
@@ -377,9 +387,9 @@
     fn a_copy_counts_once_on_whichever_stream_it_comes() {
         let mut reports = reports();
         take(&mut reports, 11_000, 1, &report(1000, 9, 1)).unwrap();
-        assert_eq!(take(&mut reports, 30_000, 1, &report(1000, 9, 1)), Err(Discarded::Copy));
-        assert_eq!(take(&mut reports, 31_000, 2, &report(1000, 9, 1)), Err(Discarded::Copy));
-        assert_eq!(take(&mut reports, 31_000, 1, &report(1000, 8, 1)), Err(Discarded::OldStream));
+        assert_eq!(take(&mut reports, 30_000, 1, &report(1000, 9, 1)), Err(DiscardReason::Copy));
+        assert_eq!(take(&mut reports, 31_000, 2, &report(1000, 9, 1)), Err(DiscardReason::Copy));
+        assert_eq!(take(&mut reports, 31_000, 1, &report(1000, 8, 1)), Err(DiscardReason::OldStream));
         assert_eq!(reports.tally().1, 1);
     }
 
@@ -391,19 +401,19 @@
             take(&mut reports, 15_000, 1, &report(1000, late, 0)).unwrap();
         }
         take(&mut reports, 15_000, 1, &report(1001, 6, 0)).unwrap();
-        assert_eq!(take(&mut reports, 15_000, 1, &report(1002, 7, 0)), Err(Discarded::OutOfOrder));
+        assert_eq!(take(&mut reports, 15_000, 1, &report(1002, 7, 0)), Err(DiscardReason::OutOfOrder));
         take(&mut reports, 17_000, 1, &report(1002, 7, 0)).unwrap();
     }
 
     #[test]
     fn spans_of_nothing_and_impossible_counters_do_not_count() {
         let mut reports = reports();
-        assert_eq!(take(&mut reports, 11_000, 1, &report(0, 1, 0)), Err(Discarded::Interval));
-        assert_eq!(take(&mut reports, 11_000, 1, &report(400_000, 1, 0)), Err(Discarded::Interval));
-        assert_eq!(take(&mut reports, 11_000, 1, &report(1000, u64::MAX, 0)), Err(Discarded::Counters));
+        assert_eq!(take(&mut reports, 11_000, 1, &report(0, 1, 0)), Err(DiscardReason::Interval));
+        assert_eq!(take(&mut reports, 11_000, 1, &report(400_000, 1, 0)), Err(DiscardReason::Interval));
+        assert_eq!(take(&mut reports, 11_000, 1, &report(1000, u64::MAX, 0)), Err(DiscardReason::Counters));
         let mut odd = report(1000, 5, 0);
         odd.met[0].answers.1 = 6;
-        assert_eq!(take(&mut reports, 11_000, 1, &odd), Err(Discarded::Counters));
+        assert_eq!(take(&mut reports, 11_000, 1, &odd), Err(DiscardReason::Counters));
         assert_eq!(reports.due(ms(99_000)), []);
     }
 
@@ -411,28 +421,29 @@
     fn lines_on_unlisted_replicas_are_left_out_and_the_rest_counts() {
         let mut reports = reports();
         let mut both = report(1000, 5, 0);
-        both.met.push(AtReplica { replica: "gone".into(), ..both.met[0].clone() });
+        both.met.push(ReplicaObservation { replica: "gone".into(), ..both.met[0].clone() });
         take(&mut reports, 11_000, 1, &both).unwrap();
-        assert_eq!(reports.tally().0[&Discarded::Unlisted], 1);
+        assert_eq!(reports.tally().0[&DiscardReason::Unlisted], 1);
         assert_eq!(reports.due(ms(12_000)).len(), 2);
     }
 
     #[test]
     fn the_limit_holds_and_the_oldest_lines_go_first() {
-        let mut reports = Reports::new(ms(500), 4.0);
+        let mut reports = ReportAggregator::new(ms(500), 4.0);
         for proxy in 0..6 {
-            let idle = Report { interval: ms(1000), met: vec![], blocked: vec![(0, u64::from(proxy) + 1)] };
+            let idle =
+                LoadReport { interval: ms(1000), met: vec![], blocked: vec![(0, u64::from(proxy) + 1)] };
             reports.take(ms(11_000 + u64::from(proxy)), proxy, 0, 1, &idle, |_| true).unwrap();
         }
-        let told = |told: Vec<Told>| -> Vec<(ProxyId, u64)> {
+        let told = |told: Vec<AggregatedStatistics>| -> Vec<(ProxyId, u64)> {
             let came = told.into_iter().map(|one| match one {
-                Told::DemandStatistics(came) => (came.proxy, came.requests),
-                Told::ReplicaStatistics(met) => panic!("{met:?}"),
+                AggregatedStatistics::DemandStatistics(came) => (came.proxy, came.requests),
+                AggregatedStatistics::ReplicaStatistics(met) => panic!("{met:?}"),
             });
             came.collect()
         };
         assert_eq!(told(reports.due(ms(11_500))), [(0, 1), (1, 2)]);
-        let more = Report { interval: ms(1000), met: vec![], blocked: vec![(0, 50)] };
+        let more = LoadReport { interval: ms(1000), met: vec![], blocked: vec![(0, 50)] };
         reports.take(ms(11_600), 5, 0, 1, &more, |_| true).unwrap();
         assert_eq!(told(reports.due(ms(12_000))), [(2, 3), (3, 4)]);
         assert_eq!(told(reports.due(ms(12_500))), [(4, 5), (5, 56)], "and what waits is summed");
