--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -13,7 +13,7 @@
 
 /// One replica, as its source names it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Entry {
+pub struct RosterEntry {
     pub id: ReplicaId,
     /// Where proxies reach it, `host:port`.
     pub address: Arc<str>,
@@ -29,7 +29,7 @@
 
 /// What the engine knows of a replica beyond what the module needs.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Known {
+pub struct KnownReplica {
     pub address: Arc<str>,
     pub zone: usize,
     pub weight: f64,
@@ -39,7 +39,7 @@
 
 #[derive(Debug)]
 pub struct Roster {
-    known: BTreeMap<ReplicaId, Known>,
+    known: BTreeMap<ReplicaId, KnownReplica>,
     by_address: BTreeMap<Arc<str>, ReplicaId>,
     empty_after: Duration,
     /// Since when the source has said that there are no replicas at all.
@@ -48,7 +48,7 @@
 
 /// What became of a list.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Taken {
+pub enum RosterChange {
     /// Nothing differs from what was known.
     Same,
     /// What the module is to be told, whole.
@@ -65,12 +65,12 @@
 
     /// Takes a whole list. What it leaves out is gone. A start later than `now` is taken for `now`: the
     /// source's clock runs ahead, and a replica from the future would count as cold for too long.
-    pub fn take(&mut self, now: Duration, entries: Vec<Entry>) -> Taken {
+    pub fn take(&mut self, now: Duration, entries: Vec<RosterEntry>) -> RosterChange {
         let held = self.known.values().any(|one| one.phase != Phase::Gone);
         if entries.is_empty() && held {
             let since = *self.empty_since.get_or_insert(now);
             if now < since + self.empty_after {
-                return Taken::Doubted(since + self.empty_after);
+                return RosterChange::Doubted(since + self.empty_after);
             }
         } else {
             self.empty_since = None;
@@ -82,7 +82,7 @@
     pub fn due(&mut self, now: Duration) -> Option<Vec<ReplicaEntry>> {
         let since = self.empty_since.filter(|since| now >= *since + self.empty_after)?;
         match self.replace(since, Vec::new()) {
-            Taken::Changed(listed) => Some(listed),
+            RosterChange::Changed(listed) => Some(listed),
             _ => None,
         }
     }
@@ -93,18 +93,18 @@
         self.empty_since.filter(|_| held).map(|since| since + self.empty_after)
     }
 
-    fn replace(&mut self, now: Duration, entries: Vec<Entry>) -> Taken {
+    fn replace(&mut self, now: Duration, entries: Vec<RosterEntry>) -> RosterChange {
         let before = self.known.clone();
         self.known.values_mut().for_each(|one| one.phase = Phase::Gone);
         for entry in entries {
-            let Entry { id, address, zone, weight, phase, started, backup: _ } = entry;
+            let RosterEntry { id, address, zone, weight, phase, started, backup: _ } = entry;
             // Clamped once: a start that moved with each list would make a new process of each.
             let known = before.get(&id).and_then(|known| known.started);
             let started = started.map(|at| if at > now { known.unwrap_or(now) } else { at });
-            self.known.insert(id, Known { address, zone, weight, phase, started });
+            self.known.insert(id, KnownReplica { address, zone, weight, phase, started });
         }
         if self.known == before {
-            return Taken::Same;
+            return RosterChange::Same;
         }
         // Two replicas may have had one address, one after the other: the one that is not gone has it.
         self.by_address.clear();
@@ -113,7 +113,7 @@
             self.by_address.insert(one.address.clone(), id.clone());
         }
         let listed = self.known.iter().filter(|(_, one)| one.phase != Phase::Gone);
-        Taken::Changed(
+        RosterChange::Changed(
             listed
                 .map(|(id, one)| ReplicaEntry {
                     id: id.clone(),
@@ -127,7 +127,7 @@
     }
 
     /// What was last known of a replica, also of one that is gone.
-    pub fn get(&self, id: &ReplicaId) -> Option<&Known> {
+    pub fn get(&self, id: &ReplicaId) -> Option<&KnownReplica> {
         self.known.get(id)
     }
 
@@ -144,7 +144,7 @@
         self.known.values().filter(|one| one.zone == zone && one.phase == Phase::Ready).count()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (&ReplicaId, &Known)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&ReplicaId, &KnownReplica)> {
         self.known.iter()
     }
 
@@ -163,8 +163,8 @@
 mod tests {
     use super::*;
 
-    fn entry(id: &str, phase: Phase, started: Option<u64>) -> Entry {
-        Entry {
+    fn entry(id: &str, phase: Phase, started: Option<u64>) -> RosterEntry {
+        RosterEntry {
             id: id.into(),
             address: format!("10.0.0.1:{}", id.len()).into(),
             zone: 0,
@@ -183,12 +183,12 @@
     fn an_empty_list_is_believed_only_once_it_has_stood() {
         let mut roster = Roster::new(s(30));
         roster.take(s(1), vec![entry("a", Phase::Ready, None)]);
-        assert_eq!(roster.take(s(10), vec![]), Taken::Doubted(s(40)));
+        assert_eq!(roster.take(s(10), vec![]), RosterChange::Doubted(s(40)));
         assert_eq!(roster.due(s(39)), None);
         assert!(roster.is_ready(&"a".into()));
-        assert_eq!(roster.take(s(20), vec![entry("a", Phase::Ready, None)]), Taken::Same);
+        assert_eq!(roster.take(s(20), vec![entry("a", Phase::Ready, None)]), RosterChange::Same);
         assert_eq!(roster.next_due(), None, "the list is back");
-        assert_eq!(roster.take(s(50), vec![]), Taken::Doubted(s(80)));
+        assert_eq!(roster.take(s(50), vec![]), RosterChange::Doubted(s(80)));
         assert_eq!(roster.due(s(80)), Some(vec![]));
         assert!(!roster.is_ready(&"a".into()));
     }
@@ -198,14 +198,15 @@
         let mut roster = Roster::new(s(30));
         roster.take(s(10), vec![entry("a", Phase::Ready, Some(500))]);
         assert_eq!(roster.get(&"a".into()).unwrap().started, Some(s(10)));
-        assert_eq!(roster.take(s(11), vec![entry("a", Phase::Ready, Some(500))]), Taken::Same);
+        assert_eq!(roster.take(s(11), vec![entry("a", Phase::Ready, Some(500))]), RosterChange::Same);
     }
 
     #[test]
     fn a_new_process_under_an_old_name_is_told_of() {
         let mut roster = Roster::new(s(30));
         roster.take(s(10), vec![entry("a", Phase::Ready, Some(1))]);
-        let Taken::Changed(listed) = roster.take(s(20), vec![entry("a", Phase::Ready, Some(15))]) else {
+        let RosterChange::Changed(listed) = roster.take(s(20), vec![entry("a", Phase::Ready, Some(15))])
+        else {
             panic!("the start differs")
         };
         assert_eq!(listed[0].started_at, Some(s(15)));
--- a/crates/core/src/send_limiter.rs
+++ b/crates/core/src/send_limiter.rs
@@ -20,7 +20,7 @@
 
 /// The channel, as the settings state it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Channel {
+pub struct ChannelLimits {
     pub lines_per_s: f64,
     /// Lines that a message costs on top of its own.
     pub head_lines: f64,
@@ -48,8 +48,8 @@
 }
 
 #[derive(Debug)]
-pub struct Pace {
-    channel: Channel,
+pub struct SendLimiter {
+    channel: ChannelLimits,
     tokens: f64,
     filled_at: Duration,
     proxies: BTreeMap<ProxyId, Line>,
@@ -58,10 +58,10 @@
     most_waited: usize,
 }
 
-impl Pace {
-    pub fn new(channel: Channel, now: Duration) -> Self {
+impl SendLimiter {
+    pub fn new(channel: ChannelLimits, now: Duration) -> Self {
         let tokens = channel.lines_per_s * BURST.as_secs_f64();
-        Pace {
+        SendLimiter {
             channel,
             tokens,
             filled_at: now,
@@ -93,8 +93,8 @@
         line.due = Some(due);
     }
 
-    /// The next proxy that may be written to, in the order of turns. It stays due until [`Pace::sent`] or
-    /// [`Pace::stalled`].
+    /// The next proxy that may be written to, in the order of turns. It stays due until [`SendLimiter::sent`] or
+    /// [`SendLimiter::stalled`].
     pub fn next(&mut self, now: Duration) -> Option<ProxyId> {
         self.fill(now);
         let free = |(ordinary, _, proxy): &&(bool, Duration, ProxyId)| {
@@ -123,7 +123,7 @@
         self.tokens -= self.channel.head_lines * messages.max(1) as f64 + lines as f64;
     }
 
-    /// A proxy's stream has no room: it is left out until [`Pace::roomy`], and its state goes on being
+    /// A proxy's stream has no room: it is left out until [`SendLimiter::roomy`], and its state goes on being
     /// merged.
     pub fn stalled(&mut self, proxy: ProxyId) {
         let Some(due) = self.proxies.get_mut(&proxy).and_then(|line| line.due.as_mut()) else { return };
@@ -156,7 +156,7 @@
         }
     }
 
-    /// When [`Pace::next`] is worth asking again, if nothing else happens.
+    /// When [`SendLimiter::next`] is worth asking again, if nothing else happens.
     pub fn next_due(&self, now: Duration) -> Option<Duration> {
         let lines = self.turns.iter().filter_map(|(ordinary, _, proxy)| {
             let line = self.proxies.get(proxy)?;
@@ -237,9 +237,12 @@
         Duration::from_millis(ms)
     }
 
-    fn pace(lines_per_s: f64, limit: Option<(usize, Duration)>) -> Pace {
+    fn pace(lines_per_s: f64, limit: Option<(usize, Duration)>) -> SendLimiter {
         let messages_most = limit.map(|(messages, interval)| MessageLimit { messages, interval });
-        Pace::new(Channel { lines_per_s, head_lines: 10.0, waiting_most: 100.0, messages_most }, ms(0))
+        SendLimiter::new(
+            ChannelLimits { lines_per_s, head_lines: 10.0, waiting_most: 100.0, messages_most },
+            ms(0),
+        )
     }
 
     #[test]
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -13,8 +13,8 @@
 use serde::{Deserialize, Serialize};
 use wrenthread::types::{ReplicaId, RetryPolicy};
 
-use crate::table_versions::{MILLION, Said, SaidLine};
-use crate::tables::{Line, Table};
+use crate::table_versions::{MILLION, PublishedEntry, PublishedTable};
+use crate::tables::{ResolvedEntry, Table};
 
 /// How long until knowledge counts half: of demand and of what was delivered; of withdrawals.
 pub const DEMAND: Duration = Duration::from_secs(60);
@@ -34,9 +34,9 @@
 /// Fewer say nothing.
 const LEAST_TRIES: u64 = 4;
 
-/// One entry. Groups and zones are by their places in [`Item::Names`].
+/// One entry. Groups and zones are by their places in [`StoredItem::Names`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Item {
+pub enum StoredItem {
     Names {
         governor: String,
         zones: Vec<String>,
@@ -46,23 +46,23 @@
     Alive {
         at: f64,
     },
-    Proxy(Proxy),
-    Replica(Replica),
+    Proxy(StoredProxy),
+    Replica(StoredReplica),
     Level {
         level: f64,
-        tries: Tries,
+        tries: StoredRetryPolicy,
     },
     Override {
         weight: Option<f64>,
         until: f64,
         why: Arc<str>,
     },
-    Hold(Hold),
+    Hold(StoredFrozenTable),
 }
 
 /// A table that operators stepped back to or pinned, by proxy and group.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Hold {
+pub struct StoredFrozenTable {
     pub version: u64,
     /// When it was told, and until when it holds, by the calendar.
     pub told_at: f64,
@@ -72,28 +72,32 @@
     pub lines: Vec<(Arc<str>, Arc<str>, usize, u32)>,
     /// In parts of a million.
     pub level: u32,
-    pub tries: Tries,
+    pub tries: StoredRetryPolicy,
 }
 
-impl Hold {
-    pub fn said(&self) -> Said {
+impl StoredFrozenTable {
+    pub fn said(&self) -> PublishedTable {
         let line = |(replica, address, zone, weight): &(Arc<str>, Arc<str>, usize, u32)| {
-            (replica.clone(), SaidLine { address: address.clone(), zone: *zone, weight: *weight })
+            (replica.clone(), PublishedEntry { address: address.clone(), zone: *zone, weight: *weight })
         };
-        Said { lines: self.lines.iter().map(line).collect(), level: self.level, tries: self.tries.into() }
+        PublishedTable {
+            lines: self.lines.iter().map(line).collect(),
+            level: self.level,
+            tries: self.tries.into(),
+        }
     }
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Proxy {
+pub struct StoredProxy {
     pub zone: usize,
     /// The life and the version in which it was told its tables last.
     pub epoch: u64,
     pub version: u64,
     /// It was bound to a table of the module's.
     pub own: bool,
-    pub tables: Vec<Option<Held>>,
-    pub tries: Vec<Tries>,
+    pub tables: Vec<Option<StoredTable>>,
+    pub tries: Vec<StoredRetryPolicy>,
     /// Flows a second by group, in steps of a tenth.
     pub flows: Vec<f64>,
     /// How long it has not been joined, in seconds, over however many restarts.
@@ -101,51 +105,51 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Held {
+pub struct StoredTable {
     pub level: f64,
-    pub lines: Vec<HeldLine>,
+    pub lines: Vec<StoredTableEntry>,
 }
 
 /// Replica, address, zone, weight, and whether it is open.
-pub type HeldLine = (Arc<str>, Arc<str>, usize, f64, bool);
+pub type StoredTableEntry = (Arc<str>, Arc<str>, usize, f64, bool);
 
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Replica {
+pub struct StoredReplica {
     pub withdrawn: bool,
     /// By zone: the most that was delivered a second lately, in steps of a tenth.
     pub seen: Vec<(usize, f64)>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Tries {
+pub enum StoredRetryPolicy {
     Never,
     #[serde(rename = "IfNeverRan")]
     IfNotExecuted,
     Once,
 }
 
-impl From<RetryPolicy> for Tries {
+impl From<RetryPolicy> for StoredRetryPolicy {
     fn from(tries: RetryPolicy) -> Self {
         match tries {
-            RetryPolicy::Never => Tries::Never,
-            RetryPolicy::IfNotExecuted => Tries::IfNotExecuted,
-            RetryPolicy::OnAnyFailure => Tries::Once,
+            RetryPolicy::Never => StoredRetryPolicy::Never,
+            RetryPolicy::IfNotExecuted => StoredRetryPolicy::IfNotExecuted,
+            RetryPolicy::OnAnyFailure => StoredRetryPolicy::Once,
         }
     }
 }
 
-impl From<Tries> for RetryPolicy {
-    fn from(tries: Tries) -> Self {
+impl From<StoredRetryPolicy> for RetryPolicy {
+    fn from(tries: StoredRetryPolicy) -> Self {
         match tries {
-            Tries::Never => RetryPolicy::Never,
-            Tries::IfNotExecuted => RetryPolicy::IfNotExecuted,
-            Tries::Once => RetryPolicy::OnAnyFailure,
+            StoredRetryPolicy::Never => RetryPolicy::Never,
+            StoredRetryPolicy::IfNotExecuted => RetryPolicy::IfNotExecuted,
+            StoredRetryPolicy::Once => RetryPolicy::OnAnyFailure,
         }
     }
 }
 
 /// Entries by name. What does not change is shared with what was known before.
-pub type Knowledge = BTreeMap<String, Arc<Item>>;
+pub type StoredItems = BTreeMap<String, Arc<StoredItem>>;
 
 /// Names of entries.
 pub const NAMES: &str = "names";
@@ -159,24 +163,26 @@
     1.1f64.powf((figure.ln() / 1.1f64.ln()).round())
 }
 
-impl From<&Table> for Held {
+impl From<&Table> for StoredTable {
     fn from(table: &Table) -> Self {
-        let line =
-            |line: &Line| (line.replica.clone(), line.address.clone(), line.zone, line.weight, line.open);
-        Held { level: table.level, lines: table.lines.iter().map(line).collect() }
+        let line = |line: &ResolvedEntry| {
+            (line.replica.clone(), line.address.clone(), line.zone, line.weight, line.open)
+        };
+        StoredTable { level: table.level, lines: table.lines.iter().map(line).collect() }
     }
 }
 
-impl From<Held> for Table {
-    fn from(held: Held) -> Self {
-        let line = |(replica, address, zone, weight, open)| Line { replica, address, zone, weight, open };
+impl From<StoredTable> for Table {
+    fn from(held: StoredTable) -> Self {
+        let line =
+            |(replica, address, zone, weight, open)| ResolvedEntry { replica, address, zone, weight, open };
         Table { lines: held.lines.into_iter().map(line).collect(), level: held.level }
     }
 }
 
 /// An entry that can't be meant, by its name: it is left out, and the rest counts.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Unfit {
+pub enum RestoreError {
     #[error("`{0}` is no entry that this version knows")]
     Unknown(String),
     #[error("`{0}` names a zone or a group that is not there")]
@@ -193,10 +199,10 @@
 
 /// What counts of what was known, at a start.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Recalled {
+pub struct RestoredState {
     /// How long ago it was known, as far as the calendar can tell.
     pub age: Duration,
-    pub proxies: BTreeMap<Arc<str>, Proxy>,
+    pub proxies: BTreeMap<Arc<str>, StoredProxy>,
     /// Replicas that were withdrawn, and the dropped tries that are left of that.
     pub withdrawn: BTreeMap<ReplicaId, u64>,
     /// Delivered a second, by replica and zone, counting less with age.
@@ -207,7 +213,7 @@
     /// By replica: nothing or a multiple, for how long, and why.
     pub overrides: BTreeMap<ReplicaId, (Option<f64>, Duration, Arc<str>)>,
     /// By proxy and group: how long ago it was told, how long it holds, and what it is.
-    pub holds: BTreeMap<(Arc<str>, usize), (Duration, Duration, Hold)>,
+    pub holds: BTreeMap<(Arc<str>, usize), (Duration, Duration, StoredFrozenTable)>,
 }
 
 /// How much of knowledge counts after a time.
@@ -217,38 +223,39 @@
 
 /// What is left of knowledge at a start, and what of it can't be meant. `calendar`: what time it is;
 /// `names`: this governor's own.
-pub fn recall(known: Knowledge, calendar: f64, names: &Item) -> (Recalled, Vec<Unfit>) {
+pub fn recall(known: StoredItems, calendar: f64, names: &StoredItem) -> (RestoredState, Vec<RestoreError>) {
     let mut unfit = Vec::new();
-    let none = |why| (Recalled::default(), vec![why]);
+    let none = |why| (RestoredState::default(), vec![why]);
     let own = |name: &str| known.get(name).map(|item| (**item).clone());
-    let Some(Item::Names { governor, zones, groups }) = own(NAMES) else {
-        return none(Unfit::Nameless);
+    let Some(StoredItem::Names { governor, zones, groups }) = own(NAMES) else {
+        return none(RestoreError::Nameless);
     };
-    let Item::Names { governor: here, zones: our_zones, groups: ours } = names else {
-        return none(Unfit::Nameless);
+    let StoredItem::Names { governor: here, zones: our_zones, groups: ours } = names else {
+        return none(RestoreError::Nameless);
     };
     // A folder that was copied for another governor is not this one's memory.
     if governor != *here {
-        return none(Unfit::Another(governor));
+        return none(RestoreError::Another(governor));
     }
     let same = zones == *our_zones && groups == *ours;
     if !same {
-        unfit.push(Unfit::Changed);
+        unfit.push(RestoreError::Changed);
     }
-    let Some(Item::Alive { at: alive }) = own(ALIVE) else { return none(Unfit::Nameless) };
+    let Some(StoredItem::Alive { at: alive }) = own(ALIVE) else { return none(RestoreError::Nameless) };
     // A machine that slept has a calendar that went on; one whose calendar was set back can't tell.
     let age = if calendar >= alive {
         Duration::try_from_secs_f64(calendar - alive).unwrap_or(Duration::MAX)
     } else {
         UNKNOWN
     };
-    let mut recalled = Recalled { age, levels_for: LEVELS.saturating_sub(age), ..Recalled::default() };
+    let mut recalled =
+        RestoredState { age, levels_for: LEVELS.saturating_sub(age), ..RestoredState::default() };
     let sound = |figure: f64| figure.is_finite() && (0.0..1e12).contains(&figure);
     for (name, item) in known {
         let (kind, of) = name.split_once('/').unwrap_or((name.as_str(), ""));
         match (kind, Arc::unwrap_or_clone(item)) {
             (NAMES | ALIVE, _) => {}
-            ("proxy", Item::Proxy(proxy)) => {
+            ("proxy", StoredItem::Proxy(proxy)) => {
                 let lines = proxy.tables.iter().flatten().flat_map(|held| &held.lines);
                 let placed = proxy.zone < zones.len()
                     && proxy.tables.len() == groups.len()
@@ -261,17 +268,17 @@
                     && lines.clone().all(|(_, _, _, weight, _)| sound(*weight))
                     && proxy.flows.iter().all(|flows| sound(*flows));
                 match (placed, figures) {
-                    (false, _) => unfit.push(Unfit::Place(name)),
-                    (_, false) => unfit.push(Unfit::Figure(name)),
+                    (false, _) => unfit.push(RestoreError::Place(name)),
+                    (_, false) => unfit.push(RestoreError::Figure(name)),
                     _ if same && age.as_secs_f64() + proxy.away < TABLES.as_secs_f64() => {
                         recalled.proxies.insert(of.into(), proxy);
                     }
                     _ => {}
                 }
             }
-            ("replica", Item::Replica(replica)) => {
+            ("replica", StoredItem::Replica(replica)) => {
                 if !replica.seen.iter().all(|(_, per_s)| sound(*per_s)) {
-                    unfit.push(Unfit::Figure(name));
+                    unfit.push(RestoreError::Figure(name));
                     continue;
                 }
                 let id: ReplicaId = of.into();
@@ -283,24 +290,26 @@
                 let seen = replica.seen.into_iter().filter(|(zone, _)| same && *zone < zones.len());
                 recalled.seen.extend(seen.map(|(zone, per_s)| ((id.clone(), zone), per_s * left)));
             }
-            ("level", Item::Level { level, .. }) => match groups.iter().position(|group| *group == of) {
-                Some(_) if !(0.0..=1.0).contains(&level) => unfit.push(Unfit::Figure(name)),
-                Some(group) if same && age < LEVELS => drop(recalled.levels.insert(group, level)),
-                Some(_) => {}
-                None => unfit.push(Unfit::Place(name)),
-            },
-            ("override", Item::Override { weight, until, why }) => {
+            ("level", StoredItem::Level { level, .. }) => {
+                match groups.iter().position(|group| *group == of) {
+                    Some(_) if !(0.0..=1.0).contains(&level) => unfit.push(RestoreError::Figure(name)),
+                    Some(group) if same && age < LEVELS => drop(recalled.levels.insert(group, level)),
+                    Some(_) => {}
+                    None => unfit.push(RestoreError::Place(name)),
+                }
+            }
+            ("override", StoredItem::Override { weight, until, why }) => {
                 // As long as it would have held, and never longer for a calendar that was set back.
                 let left = (until - calendar).min(until - alive);
                 if !until.is_finite() || weight.is_some_and(|weight| !sound(weight)) {
-                    unfit.push(Unfit::Figure(name));
+                    unfit.push(RestoreError::Figure(name));
                 } else if let Some(left) =
                     Duration::try_from_secs_f64(left).ok().filter(|left| !left.is_zero())
                 {
                     recalled.overrides.insert(of.into(), (weight, left, why));
                 }
             }
-            ("hold", Item::Hold(hold)) => {
+            ("hold", StoredItem::Hold(hold)) => {
                 // A group's name may hold a `/`, and a proxy's, too: the group is one of those that are
                 // known.
                 let place = groups.iter().enumerate().find_map(|(place, group)| {
@@ -308,27 +317,29 @@
                 });
                 let placed = hold.lines.iter().all(|(_, _, zone, weight)| *zone < zones.len() && *weight > 0);
                 let (Some((proxy, group)), true) = (place, placed) else {
-                    unfit.push(Unfit::Place(name));
+                    unfit.push(RestoreError::Place(name));
                     continue;
                 };
                 let left = (hold.until - calendar).min(hold.until - alive);
                 let ago = Duration::try_from_secs_f64((calendar - hold.told_at).max(0.0));
                 match (ago, Duration::try_from_secs_f64(left)) {
-                    _ if hold.level > MILLION || !hold.until.is_finite() => unfit.push(Unfit::Figure(name)),
+                    _ if hold.level > MILLION || !hold.until.is_finite() => {
+                        unfit.push(RestoreError::Figure(name))
+                    }
                     (Ok(ago), Ok(left)) if same && !left.is_zero() => {
                         recalled.holds.insert((proxy.into(), group), (ago, left, hold));
                     }
                     _ => {}
                 }
             }
-            _ => unfit.push(Unfit::Unknown(name)),
+            _ => unfit.push(RestoreError::Unknown(name)),
         }
     }
     (recalled, unfit)
 }
 
 /// An entry as bytes.
-pub fn encode(item: &Item) -> Vec<u8> {
+pub fn encode(item: &StoredItem) -> Vec<u8> {
     let mut bytes = Vec::new();
     // Into memory, and of plain types: it can't fail but for a bug, and then nothing is kept.
     if ciborium::into_writer(item, &mut bytes).is_err() {
@@ -338,13 +349,13 @@
 }
 
 /// What [`encode`] made; none if it is not of its making.
-pub fn decode(bytes: &[u8]) -> Option<Item> {
+pub fn decode(bytes: &[u8]) -> Option<StoredItem> {
     ciborium::from_reader(bytes).ok()
 }
 
 /// What differs from what was written before: names, and what they are from now on.
-pub fn changes<'a>(before: &Knowledge, now: &'a Knowledge) -> Vec<(String, Option<&'a Item>)> {
-    let same = |one: &Arc<Item>, other: &Arc<Item>| Arc::ptr_eq(one, other) || one == other;
+pub fn changes<'a>(before: &StoredItems, now: &'a StoredItems) -> Vec<(String, Option<&'a StoredItem>)> {
+    let same = |one: &Arc<StoredItem>, other: &Arc<StoredItem>| Arc::ptr_eq(one, other) || one == other;
     let changed = now.iter().filter(|(name, item)| before.get(*name).is_none_or(|old| !same(old, item)));
     let gone = before.keys().filter(|name| !now.contains_key(*name));
     changed
@@ -358,45 +369,48 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn names(groups: &[&str]) -> Item {
+    fn names(groups: &[&str]) -> StoredItem {
         let groups = groups.iter().map(|group| (*group).to_string()).collect();
-        Item::Names { governor: "g".into(), zones: vec!["z".into()], groups }
+        StoredItem::Names { governor: "g".into(), zones: vec!["z".into()], groups }
     }
 
-    fn proxy() -> Proxy {
+    fn proxy() -> StoredProxy {
         let line = ("a".into(), "a:1".into(), 0, 2.5, true);
-        Proxy {
+        StoredProxy {
             zone: 0,
             epoch: 7,
             version: 9,
             own: false,
-            tables: vec![Some(Held { level: 0.5, lines: vec![line] })],
-            tries: vec![Tries::IfNotExecuted],
+            tables: vec![Some(StoredTable { level: 0.5, lines: vec![line] })],
+            tries: vec![StoredRetryPolicy::IfNotExecuted],
             flows: vec![3.0],
             away: 0.0,
         }
     }
 
-    fn hold() -> Hold {
+    fn hold() -> StoredFrozenTable {
         let lines = vec![("a".into(), "a:1".into(), 0, 7)];
-        let (level, tries, why) = (MILLION, Tries::Never, "y".into());
-        Hold { version: 3, told_at: 900.0, until: 1200.0, why, lines, level, tries }
+        let (level, tries, why) = (MILLION, StoredRetryPolicy::Never, "y".into());
+        StoredFrozenTable { version: 3, told_at: 900.0, until: 1200.0, why, lines, level, tries }
     }
 
-    fn known() -> Knowledge {
+    fn known() -> StoredItems {
         let all = [
             (NAMES.to_string(), names(&["entry"])),
-            (ALIVE.to_string(), Item::Alive { at: 1000.0 }),
-            ("proxy/p".to_string(), Item::Proxy(proxy())),
-            ("replica/a".to_string(), Item::Replica(Replica { withdrawn: true, seen: vec![(0, 8.0)] })),
-            ("level/entry".to_string(), Item::Level { level: 0.5, tries: Tries::Never }),
-            ("hold/entry/p".to_string(), Item::Hold(hold())),
-            ("override/a".to_string(), Item::Override { weight: None, until: 1100.0, why: "x".into() }),
+            (ALIVE.to_string(), StoredItem::Alive { at: 1000.0 }),
+            ("proxy/p".to_string(), StoredItem::Proxy(proxy())),
+            (
+                "replica/a".to_string(),
+                StoredItem::Replica(StoredReplica { withdrawn: true, seen: vec![(0, 8.0)] }),
+            ),
+            ("level/entry".to_string(), StoredItem::Level { level: 0.5, tries: StoredRetryPolicy::Never }),
+            ("hold/entry/p".to_string(), StoredItem::Hold(hold())),
+            ("override/a".to_string(), StoredItem::Override { weight: None, until: 1100.0, why: "x".into() }),
         ];
         all.map(|(name, item)| (name, Arc::new(item))).into()
     }
 
-    fn at(calendar: f64) -> Recalled {
+    fn at(calendar: f64) -> RestoredState {
         let (recalled, unfit) = recall(known(), calendar, &names(&["entry"]));
         assert_eq!(unfit, []);
         recalled
@@ -421,7 +435,7 @@
         );
         assert!((later.seen[&("a".into(), 0)] - 4.0).abs() < 1e-9);
         let (mut known, names) = (known(), names(&["entry"]));
-        known.insert("proxy/p".into(), Arc::new(Item::Proxy(Proxy { away: 590.0, ..proxy() })));
+        known.insert("proxy/p".into(), Arc::new(StoredItem::Proxy(StoredProxy { away: 590.0, ..proxy() })));
         assert_eq!(recall(known.clone(), 1009.0, &names).0.proxies.len(), 1);
         assert_eq!(recall(known, 1010.0, &names).0.proxies.len(), 0, "over however many restarts");
         let stale = at(1000.0 + 36_000.0);
@@ -440,7 +454,7 @@
 
     #[test]
     fn what_is_anothers_or_of_other_settings_or_can_not_be_is_left_out_and_said() {
-        let with = |change: fn(&mut Knowledge)| {
+        let with = |change: fn(&mut StoredItems)| {
             let mut known = known();
             change(&mut known);
             let (recalled, unfit) = recall(known, 1001.0, &names(&["entry"]));
@@ -450,24 +464,36 @@
         assert!(said.contains("do not say whose"));
         let (_, said) = with(|known| drop(known.remove(ALIVE)));
         assert!(said.contains("do not say whose"));
-        let another = Item::Names { governor: "h".into(), zones: vec![], groups: vec![] };
+        let another = StoredItem::Names { governor: "h".into(), zones: vec![], groups: vec![] };
         let (recalled, unfit) = recall(known(), 1001.0, &another);
-        assert_eq!((recalled, unfit), (Recalled::default(), vec![Unfit::Another("g".into())]));
+        assert_eq!((recalled, unfit), (RestoredState::default(), vec![RestoreError::Another("g".into())]));
         let (recalled, unfit) = recall(known(), 1001.0, &names(&["entry", "exit"]));
-        assert_eq!((recalled.proxies.len(), recalled.levels.len(), unfit), (0, 0, vec![Unfit::Changed]));
+        assert_eq!(
+            (recalled.proxies.len(), recalled.levels.len(), unfit),
+            (0, 0, vec![RestoreError::Changed])
+        );
         assert_eq!(recalled.withdrawn.len(), 1, "replicas are by name");
         let (recalled, said) = with(|known| {
-            let far = Proxy { zone: 4, ..proxy() };
-            known.insert("proxy/far".into(), Arc::new(Item::Proxy(far)));
+            let far = StoredProxy { zone: 4, ..proxy() };
+            known.insert("proxy/far".into(), Arc::new(StoredItem::Proxy(far)));
             known.insert(
                 "proxy/odd".into(),
-                Arc::new(Item::Proxy(Proxy { flows: vec![f64::NAN], ..proxy() })),
+                Arc::new(StoredItem::Proxy(StoredProxy { flows: vec![f64::NAN], ..proxy() })),
+            );
+            known.insert("hold/none/p".into(), Arc::new(StoredItem::Hold(hold())));
+            known.insert(
+                "hold/entry/q".into(),
+                Arc::new(StoredItem::Hold(StoredFrozenTable { level: MILLION + 1, ..hold() })),
+            );
+            known.insert(
+                "level/none".into(),
+                Arc::new(StoredItem::Level { level: 1.0, tries: StoredRetryPolicy::Once }),
+            );
+            known.insert(
+                "level/entry".into(),
+                Arc::new(StoredItem::Level { level: 7.0, tries: StoredRetryPolicy::Once }),
             );
-            known.insert("hold/none/p".into(), Arc::new(Item::Hold(hold())));
-            known.insert("hold/entry/q".into(), Arc::new(Item::Hold(Hold { level: MILLION + 1, ..hold() })));
-            known.insert("level/none".into(), Arc::new(Item::Level { level: 1.0, tries: Tries::Once }));
-            known.insert("level/entry".into(), Arc::new(Item::Level { level: 7.0, tries: Tries::Once }));
-            known.insert("proxy/q".into(), Arc::new(Item::Alive { at: 0.0 }));
+            known.insert("proxy/q".into(), Arc::new(StoredItem::Alive { at: 0.0 }));
         });
         assert_eq!((recalled.proxies.len(), recalled.levels.len()), (1, 0));
         assert!(said.contains("`proxy/far` names a zone") && said.contains("`level/none` names"), "{said}");
@@ -487,7 +513,7 @@
         let (before, mut now) = (known(), known());
         assert_eq!(changes(&before, &now), []);
         now.remove("level/entry");
-        now.insert(ALIVE.into(), Arc::new(Item::Alive { at: 1005.0 }));
+        now.insert(ALIVE.into(), Arc::new(StoredItem::Alive { at: 1005.0 }));
         let said: Vec<_> =
             changes(&before, &now).into_iter().map(|(name, item)| (name, item.is_some())).collect();
         assert_eq!(said, [(ALIVE.to_string(), true), ("level/entry".to_string(), false)]);
@@ -500,8 +526,8 @@
         fn entries_come_back_as_they_were(weight in 1e-300f64..1e300, open in any::<bool>(), id in ".{0,9}") {
             let mut proxy = proxy();
             let lines = vec![(id.as_str().into(), "x".into(), 3, weight, open)];
-            proxy.tables = vec![None, Some(Held { level: 0.1, lines })];
-            let item = Item::Proxy(proxy);
+            proxy.tables = vec![None, Some(StoredTable { level: 0.1, lines })];
+            let item = StoredItem::Proxy(proxy);
             prop_assert_eq!(decode(&encode(&item)), Some(item));
         }
 
--- a/crates/core/src/table_versions.rs
+++ b/crates/core/src/table_versions.rs
@@ -17,7 +17,7 @@
 
 /// One open line, as proxies hear it: weights are whole, so that everybody's digest is over the same numbers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SaidLine {
+pub struct PublishedEntry {
     pub address: Arc<str>,
     pub zone: usize,
     pub weight: u32,
@@ -25,8 +25,8 @@
 
 /// A group's table as a proxy is told it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Said {
-    pub lines: BTreeMap<ReplicaId, SaidLine>,
+pub struct PublishedTable {
+    pub lines: BTreeMap<ReplicaId, PublishedEntry>,
     /// Flows let in, in parts of a million.
     pub level: u32,
     pub tries: RetryPolicy,
@@ -34,8 +34,8 @@
 
 /// All that a proxy is told, by group. None: it stays on its standing table.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Whole {
-    pub groups: Vec<Option<Said>>,
+pub struct PublishedState {
+    pub groups: Vec<Option<PublishedTable>>,
 }
 
 pub type Digest = [u8; 32];
@@ -52,19 +52,19 @@
     pairs.then(|| (0..text.len()).step_by(2).map(pair).collect())?
 }
 
-impl Said {
-    pub fn of(table: &Table, tries: RetryPolicy) -> Said {
+impl PublishedTable {
+    pub fn of(table: &Table, tries: RetryPolicy) -> PublishedTable {
         let open: Vec<_> = table.lines.iter().filter(|line| line.open).collect();
         let weights = weights::whole(&open.iter().map(|line| line.weight).collect::<Vec<_>>());
         let lines = open.into_iter().zip(weights).map(|(line, weight)| {
-            (line.replica.clone(), SaidLine { address: line.address.clone(), zone: line.zone, weight })
+            (line.replica.clone(), PublishedEntry { address: line.address.clone(), zone: line.zone, weight })
         });
         let level = (table.level.clamp(0.0, 1.0) * f64::from(MILLION)).round() as u32;
-        Said { lines: lines.collect(), level, tries }
+        PublishedTable { lines: lines.collect(), level, tries }
     }
 }
 
-impl Whole {
+impl PublishedState {
     /// Over all content, each part with its length, so that no two states are spelled alike.
     pub fn digest(&self) -> Digest {
         let mut hasher = blake3::Hasher::new();
@@ -99,7 +99,7 @@
 
 /// A line that changed: what a proxy does not know of the replica yet, or what is different, is said.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ChangedLine {
+pub struct ChangedEntry {
     pub replica: ReplicaId,
     pub weight: u32,
     /// None: as in the base.
@@ -108,11 +108,11 @@
 
 /// What changes in a group.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Change {
+pub enum TableChange {
     /// The proxy stays on its standing table from here on.
     Gone,
     Lines {
-        changed: Vec<ChangedLine>,
+        changed: Vec<ChangedEntry>,
         removed: Vec<ReplicaId>,
         level: u32,
         tries: RetryPolicy,
@@ -125,7 +125,7 @@
     pub base: Digest,
     pub digest: Digest,
     /// By group's place.
-    pub changes: BTreeMap<usize, Change>,
+    pub changes: BTreeMap<usize, TableChange>,
 }
 
 /// Why a delta can't take effect. The answer to each is to ask for the whole.
@@ -142,13 +142,13 @@
 }
 
 /// The delta from one state to another. `base` and `digest` are theirs.
-pub fn delta(from: &Whole, base: Digest, to: &Whole, digest: Digest) -> Delta {
+pub fn delta(from: &PublishedState, base: Digest, to: &PublishedState, digest: Digest) -> Delta {
     let mut changes = BTreeMap::new();
     for (place, new) in to.groups.iter().enumerate() {
         let old = from.groups.get(place).and_then(Option::as_ref);
         let Some(new) = new else {
             if old.is_some() {
-                changes.insert(place, Change::Gone);
+                changes.insert(place, TableChange::Gone);
             }
             continue;
         };
@@ -159,11 +159,12 @@
         let changed = new.lines.iter().filter(|(id, line)| held(id) != Some(line)).map(|(id, line)| {
             let same = held(id).is_some_and(|held| held.address == line.address && held.zone == line.zone);
             let at = (!same).then(|| (line.address.clone(), line.zone));
-            ChangedLine { replica: id.clone(), weight: line.weight, at }
+            ChangedEntry { replica: id.clone(), weight: line.weight, at }
         });
         let removed = old.into_iter().flat_map(|old| old.lines.keys());
         let removed = removed.filter(|id| !new.lines.contains_key(*id)).cloned().collect();
-        let lines = Change::Lines { changed: changed.collect(), removed, level: new.level, tries: new.tries };
+        let lines =
+            TableChange::Lines { changed: changed.collect(), removed, level: new.level, tries: new.tries };
         changes.insert(place, lines);
     }
     Delta { base, digest, changes }
@@ -172,18 +173,18 @@
 /// What a delta comes to from a state that is held.
 ///
 /// Errors: as [`Mismatch`]; the state held stays as it is.
-pub fn apply(held: &Whole, held_digest: Digest, delta: &Delta) -> Result<Whole, Mismatch> {
+pub fn apply(held: &PublishedState, held_digest: Digest, delta: &Delta) -> Result<PublishedState, Mismatch> {
     if delta.base != held_digest {
         return Err(Mismatch::Base);
     }
     let mut whole = held.clone();
     for (place, change) in &delta.changes {
         let group = whole.groups.get_mut(*place).ok_or(Mismatch::Group)?;
-        let Change::Lines { changed, removed, level, tries } = change else {
+        let TableChange::Lines { changed, removed, level, tries } = change else {
             *group = None;
             continue;
         };
-        let said = group.get_or_insert_with(|| Said {
+        let said = group.get_or_insert_with(|| PublishedTable {
             lines: BTreeMap::new(),
             level: MILLION,
             tries: RetryPolicy::Never,
@@ -192,12 +193,12 @@
         for id in removed {
             said.lines.remove(id);
         }
-        for ChangedLine { replica, weight, at } in changed {
+        for ChangedEntry { replica, weight, at } in changed {
             let line = match (at, said.lines.get(replica)) {
                 (Some((address, zone)), _) => {
-                    SaidLine { address: address.clone(), zone: *zone, weight: *weight }
+                    PublishedEntry { address: address.clone(), zone: *zone, weight: *weight }
                 }
-                (None, Some(held)) => SaidLine { weight: *weight, ..held.clone() },
+                (None, Some(held)) => PublishedEntry { weight: *weight, ..held.clone() },
                 (None, None) => return Err(Mismatch::Unknown),
             };
             said.lines.insert(replica.clone(), line);
@@ -214,23 +215,23 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn states() -> impl Strategy<Value = Whole> {
+    fn states() -> impl Strategy<Value = PublishedState> {
         let line = (0usize..8, 0usize..2, 1u32..5000);
         let said = prop::option::of((prop::collection::vec(line, 0..6), 0u32..=MILLION, 0usize..3));
         let group = said.prop_map(|said| {
-            said.map(|(lines, level, tries)| Said {
+            said.map(|(lines, level, tries)| PublishedTable {
                 lines: lines
                     .into_iter()
                     .map(|(id, zone, weight)| {
                         let address = format!("10.0.{zone}.{id}:80").as_str().into();
-                        (format!("r{id}").as_str().into(), SaidLine { address, zone, weight })
+                        (format!("r{id}").as_str().into(), PublishedEntry { address, zone, weight })
                     })
                     .collect(),
                 level,
                 tries: [RetryPolicy::Never, RetryPolicy::IfNotExecuted, RetryPolicy::OnAnyFailure][tries],
             })
         });
-        prop::collection::vec(group, 3).prop_map(|groups| Whole { groups })
+        prop::collection::vec(group, 3).prop_map(|groups| PublishedState { groups })
     }
 
     proptest! {
@@ -251,7 +252,7 @@
             history in prop::collection::vec(states(), 2..10),
             deliveries in prop::collection::vec((0usize..10, 0usize..10), 0..40),
         ) {
-            let mut held = Whole::default();
+            let mut held = PublishedState::default();
             for (from, to) in deliveries {
                 let (from, to) = (&history[from % history.len()], &history[to % history.len()]);
                 let change = delta(from, from.digest(), to, to.digest());
@@ -274,11 +275,14 @@
         }
     }
 
-    fn said(weight: u32) -> Whole {
-        let line = SaidLine { address: "a:1".into(), zone: 0, weight };
-        let said =
-            Said { lines: BTreeMap::from([("a".into(), line)]), level: MILLION, tries: RetryPolicy::Never };
-        Whole { groups: vec![Some(said)] }
+    fn said(weight: u32) -> PublishedState {
+        let line = PublishedEntry { address: "a:1".into(), zone: 0, weight };
+        let said = PublishedTable {
+            lines: BTreeMap::from([("a".into(), line)]),
+            level: MILLION,
+            tries: RetryPolicy::Never,
+        };
+        PublishedState { groups: vec![Some(said)] }
     }
 
     #[test]
@@ -290,9 +294,13 @@
         assert_eq!(apply(&one, one.digest(), &wrong), Err(Mismatch::Digest));
         let collides = Delta { base: two.digest(), ..good.clone() };
         assert_eq!(apply(&two, two.digest(), &collides), Ok(two.clone()), "the same weight again");
-        let stranger = ChangedLine { replica: "b".into(), weight: 1, at: None };
-        let lines =
-            Change::Lines { changed: vec![stranger], removed: vec![], level: 0, tries: RetryPolicy::Never };
+        let stranger = ChangedEntry { replica: "b".into(), weight: 1, at: None };
+        let lines = TableChange::Lines {
+            changed: vec![stranger],
+            removed: vec![],
+            level: 0,
+            tries: RetryPolicy::Never,
+        };
         let unknown = Delta { changes: BTreeMap::from([(0, lines.clone())]), ..good.clone() };
         assert_eq!(apply(&one, one.digest(), &unknown), Err(Mismatch::Unknown));
         let beyond = Delta { changes: BTreeMap::from([(5, lines)]), ..good };
@@ -303,10 +311,10 @@
     fn only_what_a_proxy_does_not_know_is_said_of_a_line() {
         let (one, two) = (said(1), said(2));
         let change = delta(&one, one.digest(), &two, two.digest());
-        let Change::Lines { changed, .. } = &change.changes[&0] else { panic!() };
+        let TableChange::Lines { changed, .. } = &change.changes[&0] else { panic!() };
         assert_eq!(changed[0].at, None);
-        let first = delta(&Whole { groups: vec![None] }, [0; 32], &two, two.digest());
-        let Change::Lines { changed, .. } = &first.changes[&0] else { panic!() };
+        let first = delta(&PublishedState { groups: vec![None] }, [0; 32], &two, two.digest());
+        let TableChange::Lines { changed, .. } = &first.changes[&0] else { panic!() };
         assert_eq!(changed[0].at, Some(("a:1".into(), 0)));
     }
 }
--- a/crates/core/src/tables.rs
+++ b/crates/core/src/tables.rs
@@ -12,7 +12,7 @@
 
 /// One line of a proxy's table, with all that a front needs to say it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Line {
+pub struct ResolvedEntry {
     pub replica: ReplicaId,
     pub address: Arc<str>,
     pub zone: usize,
@@ -24,7 +24,7 @@
 /// A group's table, as one proxy should hold it. Lines are in the order of their replicas' names.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Table {
-    pub lines: Vec<Line>,
+    pub lines: Vec<ResolvedEntry>,
     /// The share of the group's flows to let in.
     pub level: f64,
 }
@@ -49,7 +49,7 @@
 
 /// A table with the version of its last change.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Kept {
+pub struct VersionedTable {
     pub version: u64,
     pub table: Arc<Table>,
 }
@@ -118,7 +118,7 @@
         let level = self.levels.get(group).map_or(1.0, |(level, _)| *level);
         let line = |(replica, weight): (&ReplicaId, f64)| {
             let known = roster.get(replica)?;
-            Some(Line {
+            Some(ResolvedEntry {
                 replica: replica.clone(),
                 address: known.address.clone(),
                 zone: known.zone,
@@ -133,7 +133,7 @@
                 level,
             });
         }
-        let mut lines: Vec<Line> =
+        let mut lines: Vec<ResolvedEntry> =
             standing.iter().map(|(id, weight)| (id, *weight)).filter_map(line).collect();
         lines.sort_by(|one, other| one.replica.cmp(&other.replica));
         let told = told || level < 1.0 || lines.iter().any(|line| !line.open);
@@ -158,13 +158,13 @@
     fn entry(replica: &str, weight: f64) -> TableEntry {
         TableEntry { replica: replica.into(), weight }
     }
-    use crate::roster::Entry;
+    use crate::roster::RosterEntry;
     use std::time::Duration;
     use wrenthread::types::Phase;
 
     fn roster(names: &[&str]) -> Roster {
         let mut roster = Roster::new(Duration::ZERO);
-        let entry = |name: &&str| Entry {
+        let entry = |name: &&str| RosterEntry {
             id: (**name).into(),
             address: format!("{name}:1").into(),
             zone: 0,
@@ -203,7 +203,7 @@
 
     #[test]
     fn differing_lines_are_counted_and_what_lets_flows_to_drains_is_known() {
-        let line = |name: &str, weight, open| Line {
+        let line = |name: &str, weight, open| ResolvedEntry {
             replica: name.into(),
             address: "x".into(),
             zone: 0,
--- a/crates/daemon/benches/scale.rs
+++ b/crates/daemon/benches/scale.rs
@@ -14,9 +14,9 @@
 use tokio_stream::StreamExt;
 use tokio_stream::wrappers::ReceiverStream;
 use wrenthread::types::Phase;
-use wrenthread_core::engine::{Engine, Setup, Step};
-use wrenthread_core::fleet::Join;
-use wrenthread_core::roster::Entry;
+use wrenthread_core::engine::{Action, Engine, EngineSettings};
+use wrenthread_core::fleet::JoinRequest;
+use wrenthread_core::roster::RosterEntry;
 use wrenthread_xds::clients::ads::AggregatedDiscoveryServiceClient;
 use wrenthread_xds::clients::lrs::LoadReportingServiceClient;
 use wrenthread_xds::encode::{self, Kind};
@@ -175,12 +175,12 @@
 /// between.
 fn engine_drain(relays: usize) -> f64 {
     let mut now = Duration::from_secs(1000);
-    let mut setup = Setup::example(3);
+    let mut setup = EngineSettings::example(3);
     (setup.module.entries_per_second, setup.module.max_queued_entries) = (200_000.0, 400_000.0);
     (setup.module.proxy_count, setup.proxies) = (relays as u64, relays);
     let mut engine = Engine::new(setup, now);
-    let list = |draining: Option<usize>| -> Vec<Entry> {
-        let entry = |n: usize| Entry {
+    let list = |draining: Option<usize>| -> Vec<RosterEntry> {
+        let entry = |n: usize| RosterEntry {
             id: format!("r{n:02}").into(),
             address: format!("10.0.0.{n}:80").into(),
             zone: n % 3,
@@ -193,7 +193,7 @@
     };
     let pass = |engine: &mut Engine, now: Duration| {
         while let Some(step) = engine.step(now) {
-            if let Step::Flush(number) = step {
+            if let Action::Flush(number) = step {
                 engine.sent(now, number, 12, 1);
                 let proxy = engine.proxy(number).unwrap();
                 let (stream, newest) = (proxy.stream, proxy.newest());
@@ -203,7 +203,7 @@
     };
     engine.roster(now, list(None));
     for place in 0..relays {
-        let join = Join {
+        let join = JoinRequest {
             name: format!("relay-{place}").into(),
             zone: place % 3,
             usual: 1.0,
--- a/crates/daemon/benches/takeover.rs
+++ b/crates/daemon/benches/takeover.rs
@@ -16,7 +16,7 @@
 use tokio::task::LocalSet;
 use wrenthread_client::keeper::Keeper;
 use wrenthread_client::{Error, Watch, Who, answers, grpc};
-use wrenthread_core::ownership::Dialer;
+use wrenthread_core::ownership::GovernorSelector;
 
 const HOME: (Duration, Duration) = (Duration::from_secs(2), Duration::from_secs(4));
 
@@ -53,7 +53,7 @@
     let names: Vec<&str> = governors.iter().map(|one| one.name.as_str()).collect();
     let who = Who { name: format!("relay-{number}"), zone: ZONES[number % 3].into(), usual: 1.0 };
     let mut rng = ChaCha8Rng::seed_from_u64(number as u64);
-    let mut dialer = Dialer::new(&who.name, &names, HOME.0, HOME.1);
+    let mut dialer = GovernorSelector::new(&who.name, &names, HOME.0, HOME.1);
     let keeper = Keeper::new(common::GROUPS.map(str::to_string).to_vec(), vec![], None);
     let (keeper, versions, began) = (Rc::new(RefCell::new(keeper)), Rc::default(), Instant::now());
     let mut place = dialer.dials();
--- a/crates/daemon/src/dry_run.rs
+++ b/crates/daemon/src/dry_run.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{Context, Result, bail};
 use serde_json::{Value, json};
-use wrenthread_core::recording::{Recording, Tried, Wanted};
+use wrenthread_core::recording::{CandidateTable, DryRun, Recording};
 
 use crate::render;
 
@@ -23,7 +23,7 @@
 
 /// Tables as `tables PROXY --output json` tells them: one proxy's, or a list of such. `proxy`: whose they
 /// are, whatever the file says.
-fn wanted(recording: &Recording, file: &Value, proxy: Option<&str>) -> Result<Vec<Wanted>> {
+fn wanted(recording: &Recording, file: &Value, proxy: Option<&str>) -> Result<Vec<CandidateTable>> {
     let all = match file {
         Value::Array(all) => all.iter().collect(),
         one => vec![one],
@@ -51,7 +51,7 @@
             };
             let lines = lines.iter().map(line).collect::<Result<_>>()?;
             let level = said["level"].as_f64().unwrap_or(1.0);
-            wanted.push(Wanted { proxy: name.into(), group: place, lines, level });
+            wanted.push(CandidateTable { proxy: name.into(), group: place, lines, level });
         }
     }
     Ok(wanted)
@@ -67,7 +67,7 @@
     let recording = recording(against)?;
     let wanted = wanted(&recording, &asked, proxy).with_context(|| name.clone())?;
     let would = recording.would(&wanted).with_context(|| format!("what is told by {against}"))?;
-    let Tried { tables, refusals } = would.with_context(|| name)?;
+    let DryRun { tables, refusals } = would.with_context(|| name)?;
     let group = |place: usize| recording.groups.get(place);
     let refused: Vec<Value> = refusals
         .iter()
@@ -79,7 +79,7 @@
             })
         })
         .collect();
-    let concerned = |wanted: &Wanted| {
+    let concerned = |wanted: &CandidateTable| {
         refusals.iter().any(|one| {
             one.proxy.as_ref().is_none_or(|name| *name == wanted.proxy) && one.refusal.group == wanted.group
         })
--- a/crates/daemon/src/host.rs
+++ b/crates/daemon/src/host.rs
@@ -9,14 +9,16 @@
 use serde_json::{Value, json};
 use tonic::Status;
 use wrenthread::types::{Phase, ProxyId};
-use wrenthread_core::engine::{Engine, NoStepBack, Note, Scope, Setup, Step, What};
-use wrenthread_core::fleet::{self, Kind, Proxy, Refused};
+use wrenthread_core::engine::{
+    Action, DecisionSummary, Engine, EngineEvent, EngineSettings, RollbackError, TableScope,
+};
+use wrenthread_core::fleet::{self, JoinError, Proxy, TableKind};
 use wrenthread_core::guard::Refusal;
-use wrenthread_core::overrides::What as Overridden;
-use wrenthread_core::ownership::{self, Key};
+use wrenthread_core::overrides::OverrideKind;
+use wrenthread_core::ownership::{self, SigningKey};
 use wrenthread_core::recording::Recording;
-use wrenthread_core::roster::Entry;
-use wrenthread_core::snapshot::Knowledge;
+use wrenthread_core::roster::RosterEntry;
+use wrenthread_core::snapshot::StoredItems;
 use wrenthread_core::table_versions;
 use wrenthread_long_poll::messages::{JoinTold, ReportTold, TablesTold, Terms, digest_of, tries_word};
 use wrenthread_long_poll::service as poll;
@@ -68,7 +70,7 @@
 pub struct Host {
     pub engine: Engine,
     wire: Wire,
-    keys: Vec<Key>,
+    keys: Vec<SigningKey>,
     /// Proxies that came with another governor's orders, or another life's.
     taken_over: u64,
     /// It learnt that an earlier life of its own had a later calendar, and took that up.
@@ -85,7 +87,14 @@
 }
 
 impl Host {
-    pub fn new(setup: Setup, wire: Wire, keys: Vec<Key>, usual: f64, talk: Talk, now: Duration) -> Self {
+    pub fn new(
+        setup: EngineSettings,
+        wire: Wire,
+        keys: Vec<SigningKey>,
+        usual: f64,
+        talk: Talk,
+        now: Duration,
+    ) -> Self {
         let terms = Terms {
             epoch: format!("{:x}", wire.epoch),
             governor: wire.governor.clone(),
@@ -117,7 +126,7 @@
         self.listed
     }
 
-    pub fn roster(&mut self, now: Duration, entries: Vec<Entry>) {
+    pub fn roster(&mut self, now: Duration, entries: Vec<RosterEntry>) {
         tracing::info!(replicas = entries.len(), "a roster came");
         metrics::counter!("wrenthread_rosters_total").increment(1);
         self.listed = true;
@@ -154,15 +163,15 @@
             let join = decode::join(&self.wire, request.node(), self.usual, request.holds_orders());
             let join = join.map(|join| {
                 let proven = self.proven(&join.name, join.claim.as_deref());
-                fleet::Join { proven, ..join }
+                fleet::JoinRequest { proven, ..join }
             });
             let Some(open) = self.streams.get_mut(&stream) else { return };
             let joined =
                 join.map_err(|unclear| Status::invalid_argument(unclear.to_string())).and_then(|join| {
                     let joined = self.engine.joined(now, stream, &join).map_err(|refused| match refused {
-                        Refused::Full { .. } => Status::resource_exhausted(refused.to_string()),
-                        Refused::Contested { .. } => Status::already_exists(refused.to_string()),
-                        Refused::Nameless => Status::invalid_argument(refused.to_string()),
+                        JoinError::Full { .. } => Status::resource_exhausted(refused.to_string()),
+                        JoinError::Contested { .. } => Status::already_exists(refused.to_string()),
+                        JoinError::Nameless => Status::invalid_argument(refused.to_string()),
                     })?;
                     (claim, newly) = (Some((join.name.clone(), join.claim.clone())), Some(joined.number));
                     let fresh = self.engine.proxy(joined.number).is_some_and(|proxy| proxy.fresh);
@@ -420,9 +429,9 @@
         let mut join = self.terms.join(proxy, asked, self.usual).map_err(unclear)?;
         join.proven = self.proven(proxy, join.claim.as_deref());
         let joined = self.engine.joined(now, session, &join).map_err(|refused| match refused {
-            Refused::Full { .. } => poll::Refusal::Full(refused.to_string()),
-            Refused::Contested { .. } => poll::Refusal::Conflict(refused.to_string()),
-            Refused::Nameless => poll::Refusal::Unclear(refused.to_string()),
+            JoinError::Full { .. } => poll::Refusal::Full(refused.to_string()),
+            JoinError::Contested { .. } => poll::Refusal::Conflict(refused.to_string()),
+            JoinError::Nameless => poll::Refusal::Unclear(refused.to_string()),
         })?;
         let fresh = self.engine.proxy(joined.number).is_some_and(|proxy| proxy.fresh);
         tracing::info!(proxy, zone = join.zone, fresh, session, "a proxy joined by long-poll");
@@ -574,21 +583,21 @@
         }
         while let Some(step) = self.engine.step(now) {
             match step {
-                Step::Flush(number) => self.flush(now, number).into_iter().for_each(&mut chore),
-                Step::Close(session) if self.polls.name(session).is_some() => {
+                Action::Flush(number) => self.flush(now, number).into_iter().for_each(&mut chore),
+                Action::Close(session) if self.polls.name(session).is_some() => {
                     if let Some(reply) = self.polls.close(session) {
                         let why = "a later stream or session of this name took over";
                         let _ = reply.send(Err(poll::Refusal::Conflict(why.into())));
                     }
                 }
-                Step::Close(stream) => {
+                Action::Close(stream) => {
                     if let Some(old) = self.streams.remove(&stream) {
                         let why = "a later stream of this node id took over";
                         old.answers.end(Status::aborted(why));
                     }
                 }
-                Step::Probe(_) => {}
-                Step::Note(note) => self.note(&note),
+                Action::Probe(_) => {}
+                Action::Note(note) => self.note(&note),
             }
         }
     }
@@ -659,42 +668,44 @@
         named.map(|(_, group)| group.name.as_str()).collect::<Vec<_>>().join(",")
     }
 
-    fn note(&self, note: &Note) {
+    fn note(&self, note: &EngineEvent) {
         match note {
-            Note::Decided { what, version, answers } => {
+            EngineEvent::Decided { what, version, answers } => {
                 let answers = format!("{answers:?}").to_lowercase();
                 match what {
-                    What::Withdraw(replica, out) => {
+                    DecisionSummary::Withdraw(replica, out) => {
                         metrics::counter!("wrenthread_withdrawals_total").increment(u64::from(*out));
                         let why = self.engine.why_out(replica).unwrap_or("");
                         let decision = if *out { "withdraw" } else { "let back" };
                         tracing::info!(decision, %replica, why, version, answers);
                     }
-                    What::Lines(proxy, lines) => {
+                    DecisionSummary::Lines(proxy, lines) => {
                         tracing::info!(decision = "lines", %proxy, lines, version, answers);
                     }
-                    What::Follow(proxy, groups) => {
+                    DecisionSummary::Follow(proxy, groups) => {
                         let groups = self.groups(*groups);
                         tracing::info!(decision = "bind", %proxy, groups, version, answers);
                     }
-                    What::Level(groups, level, tries) => {
+                    DecisionSummary::Level(groups, level, tries) => {
                         let (groups, tries) = (self.groups(*groups), tries_word(*tries));
                         tracing::info!(decision = "level", groups, level, tries, version, answers);
                     }
                 }
             }
-            Note::Doubted(_) => {
+            EngineEvent::Doubted(_) => {
                 tracing::warn!("the roster is empty; the last one stays until it has been so for long")
             }
-            Note::Nacked { proxy, version, words } => {
+            EngineEvent::Nacked { proxy, version, words } => {
                 tracing::warn!(%proxy, version, words, "turned down; the last good tables stand");
             }
-            Note::HoldOver { proxy, group, over } => {
+            EngineEvent::HoldOver { proxy, group, over } => {
                 let group = self.wire.groups.get(*group).map_or("?", |group| &group.name);
                 tracing::warn!(%proxy, group, %over, "a hold is over; the module's tables are told again");
             }
-            Note::OverrideOver(replica) => tracing::warn!(%replica, "what an operator said of it is over"),
-            Note::Refused(one) => {
+            EngineEvent::OverrideOver(replica) => {
+                tracing::warn!(%replica, "what an operator said of it is over")
+            }
+            EngineEvent::Refused(one) => {
                 metrics::counter!("wrenthread_refusals_total", "reason" => format!("{:?}", one.reason))
                     .increment(1);
                 let proxy = one.proxy.and_then(|number| self.engine.proxy(number));
@@ -705,7 +716,9 @@
                     (one.replica.as_deref().unwrap_or(""), one.asked, one.allowed);
                 tracing::warn!(proxy, group, replica, why, asked, allowed, done, "the guard refuses");
             }
-            Note::Lobby(waiting) => tracing::info!(waiting, "proxies wait to be let in: the channel is full"),
+            EngineEvent::Lobby(waiting) => {
+                tracing::info!(waiting, "proxies wait to be let in: the channel is full")
+            }
         }
     }
 
@@ -730,9 +743,9 @@
 
     fn kind(&self, number: ProxyId, proxy: &Proxy) -> &'static str {
         match proxy.kind() {
-            Kind::Standing => "standing",
-            Kind::Own if self.engine.is_critical(number) => "critical",
-            Kind::Own => "default",
+            TableKind::Standing => "standing",
+            TableKind::Own if self.engine.is_critical(number) => "critical",
+            TableKind::Own => "default",
         }
     }
 
@@ -802,8 +815,8 @@
             .iter()
             .map(|(replica, one)| {
                 let weight = match one.what {
-                    Overridden::Exclude => 0.0,
-                    Overridden::Weight(factor) => factor,
+                    OverrideKind::Exclude => 0.0,
+                    OverrideKind::Weight(factor) => factor,
                 };
                 json!({
                     "replica": &**replica, "weight": weight, "why": &*one.why,
@@ -890,7 +903,7 @@
     }
 
     /// What is to be known beyond this life.
-    pub fn known(&self, now: Duration, calendar: f64, before: &Knowledge) -> Knowledge {
+    pub fn known(&self, now: Duration, calendar: f64, before: &StoredItems) -> StoredItems {
         self.engine.known(now, before, calendar, self.wire.epoch, &self.terms.groups)
     }
 
@@ -944,14 +957,14 @@
         Ok(json!({"name": name, "from": from.version, "to": to.version, "groups": groups}))
     }
 
-    fn scope(&self, asked: &Value) -> Result<Scope, String> {
+    fn scope(&self, asked: &Value) -> Result<TableScope, String> {
         match (asked["proxy"].as_str(), asked["group"].as_str(), asked["all"].as_bool()) {
-            (Some(proxy), None, None) => Ok(Scope::Proxy(proxy.into())),
+            (Some(proxy), None, None) => Ok(TableScope::Proxy(proxy.into())),
             (None, Some(group), None) => {
                 let place = self.wire.groups.iter().position(|known| known.name == group);
-                place.map(Scope::Group).ok_or_else(|| format!("no group `{group}` in the settings"))
+                place.map(TableScope::Group).ok_or_else(|| format!("no group `{group}` in the settings"))
             }
-            (None, None, Some(true)) => Ok(Scope::All),
+            (None, None, Some(true)) => Ok(TableScope::All),
             _ => Err("say one of `proxy`, `group` and `all`".into()),
         }
     }
@@ -990,8 +1003,8 @@
             return Ok(json!({"replica": replica, "ended": self.engine.end_override(now, replica)}));
         }
         let what = match asked["weight"].as_f64() {
-            Some(factor) => Overridden::Weight(factor),
-            None => Overridden::Exclude,
+            Some(factor) => OverrideKind::Weight(factor),
+            None => OverrideKind::Exclude,
         };
         let (lasts, why) = lasting(asked)?;
         let until = now.saturating_add(lasts);
@@ -1005,7 +1018,7 @@
     /// Ends holds, as an operator asks.
     pub fn release(&mut self, now: Duration, asked: &Value) -> Result<Value, String> {
         let scope = self.scope(asked)?;
-        let released = self.engine.release(now, &scope).map_err(|no: NoStepBack| no.to_string())?;
+        let released = self.engine.release(now, &scope).map_err(|no: RollbackError| no.to_string())?;
         Ok(json!({"released": released}))
     }
 
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -8,7 +8,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 use wrenthread::types::ProxyId;
-use wrenthread_core::engine::{Engine, Handed};
+use wrenthread_core::engine::{Engine, MigratedProxy};
 use wrenthread_long_poll::messages::{ReportAsked, TablesTold, Terms};
 use wrenthread_membership::messages::MOST_BYTES;
 use wrenthread_membership::migration::Ahead;
@@ -48,7 +48,7 @@
 /// What another governor knew, for the engine.
 ///
 /// Errors: why it can't be understood, as when that governor's settings are others.
-pub fn read(terms: &Terms, now: Duration, ahead: Ahead) -> Result<Handed, String> {
+pub fn read(terms: &Terms, now: Duration, ahead: Ahead) -> Result<MigratedProxy, String> {
     let known: Known = ciborium::from_reader(ahead.bytes.as_slice()).map_err(|error| error.to_string())?;
     let tables = terms.read(&known.tables).map_err(|error| error.to_string())?;
     let whole = tables.map_err(|_| "a delta went ahead of a proxy, not the whole".to_string())?;
@@ -59,7 +59,7 @@
         _ => None,
     };
     let told_at = now.saturating_sub(Duration::from_millis(known.told_ms).saturating_add(ahead.waited));
-    Ok(Handed { from: ahead.from.into(), whole, told_at, report })
+    Ok(MigratedProxy { from: ahead.from.into(), whole, told_at, report })
 }
 
 /// Carries datagrams to the one task that owns all state. What comes faster than it takes them is lost, as
--- a/crates/daemon/src/nginx.rs
+++ b/crates/daemon/src/nginx.rs
@@ -176,7 +176,7 @@
 
 /// What a governor that runs knows.
 fn running(recording: &wrenthread_core::recording::Recording) -> Known {
-    let replica = |one: &wrenthread_core::recording::Replica| {
+    let replica = |one: &wrenthread_core::recording::RecordedReplica| {
         let zone = recording.zones.get(one.zone).cloned().unwrap_or_default();
         let phase = format!("{:?}", one.phase).to_lowercase();
         let known = [
--- a/crates/daemon/src/roster_file.rs
+++ b/crates/daemon/src/roster_file.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use tokio::sync::mpsc;
 use wrenthread::types::Phase;
-use wrenthread_core::roster::Entry;
+use wrenthread_core::roster::RosterEntry;
 
 use crate::clock::Clock;
 
@@ -79,7 +79,7 @@
 /// Reads a list from a file's text.
 ///
 /// Errors: what is wrong, with line and column.
-pub fn parse(path: &Path, text: &str, zones: &[String], clock: &Clock) -> Result<Vec<Entry>, Unfit> {
+pub fn parse(path: &Path, text: &str, zones: &[String], clock: &Clock) -> Result<Vec<RosterEntry>, Unfit> {
     let placed = |line, column, why| Unfit::Placed { path: path.to_path_buf(), line, column, why };
     let whole: Whole = serde_json::from_str(text)
         .map_err(|error| placed(error.line(), error.column(), error.to_string()))?;
@@ -87,7 +87,7 @@
         let at = text.find(&format!("\"{id}\"")).unwrap_or(0);
         text[..at].matches('\n').count() + 1
     };
-    let mut entries: Vec<Entry> = Vec::with_capacity(whole.replicas.len());
+    let mut entries: Vec<RosterEntry> = Vec::with_capacity(whole.replicas.len());
     let (mut ids, mut addresses) = (std::collections::BTreeSet::new(), std::collections::BTreeMap::new());
     for raw in whole.replicas {
         let fault = |why| placed(line_of(&raw.id), 1, why);
@@ -120,7 +120,7 @@
         if phase == Phase::Gone {
             continue;
         }
-        entries.push(Entry {
+        entries.push(RosterEntry {
             id: raw.id.as_str().into(),
             address: raw.address.as_str().into(),
             zone,
@@ -148,7 +148,7 @@
     every: Duration,
     zones: Vec<String>,
     clock: Clock,
-    lists: mpsc::Sender<Vec<Entry>>,
+    lists: mpsc::Sender<Vec<RosterEntry>>,
 ) {
     let (mut last, mut complained) = (None, String::new());
     let mut ticks = tokio::time::interval(every);
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -10,9 +10,9 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::{JoinHandle, LocalSet};
 use tokio_stream::wrappers::TcpListenerStream;
-use wrenthread_core::ownership::Key;
-use wrenthread_core::roster::Entry;
-use wrenthread_core::snapshot::Item;
+use wrenthread_core::ownership::SigningKey;
+use wrenthread_core::roster::RosterEntry;
+use wrenthread_core::snapshot::StoredItem;
 use wrenthread_membership::{Talk, Terms};
 use wrenthread_settings::{PathRoute, RosterSource, Route, Settings};
 use wrenthread_xds::service::Front;
@@ -75,11 +75,11 @@
 }
 
 /// The keys that the settings name, by their files' names. A file holds nothing but the secret.
-fn keys(settings: &Settings) -> Result<Vec<Key>> {
+fn keys(settings: &Settings) -> Result<Vec<SigningKey>> {
     let key = |path: &PathBuf| {
         let secret = std::fs::read(path).with_context(|| format!("key {}", path.display()))?;
         let name = path.file_stem().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default();
-        Key::new(&name, secret.trim_ascii()).with_context(|| format!("key {}", path.display()))
+        SigningKey::new(&name, secret.trim_ascii()).with_context(|| format!("key {}", path.display()))
     };
     settings.keys.iter().map(key).collect()
 }
@@ -102,7 +102,7 @@
     settings: &Settings,
     wire: &Wire,
     clock: Clock,
-    lists: mpsc::Sender<Vec<Entry>>,
+    lists: mpsc::Sender<Vec<RosterEntry>>,
 ) -> JoinHandle<()> {
     match &settings.roster {
         RosterSource::File(path) => {
@@ -136,7 +136,7 @@
 ) -> Result<()> {
     let clock = Clock::start();
     let keys = keys(&settings)?;
-    let names = Item::Names {
+    let names = StoredItem::Names {
         governor: settings.governor.clone(),
         zones: settings.zones.clone(),
         groups: settings.groups.iter().map(|group| group.name.clone()).collect(),
@@ -331,7 +331,7 @@
             None if kind == "none" => host.engine.switch_guard_off(),
             None => {
                 let known: Vec<_> =
-                    wrenthread_core::fault_injection::KINDS.iter().map(|(name, _)| *name).collect();
+                    wrenthread_core::fault_injection::FAULTS.iter().map(|(name, _)| *name).collect();
                 anyhow::bail!("no decider `{kind}`; there are {}, and `none` for no guard", known.join(", "));
             }
         }
--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -10,7 +10,7 @@
 use anyhow::{Context, Result, bail};
 use serde_json::{Value, json};
 use tokio::sync::{mpsc, watch};
-use wrenthread_core::snapshot::{self, Item, Knowledge, Recalled};
+use wrenthread_core::snapshot::{self, RestoredState, StoredItem, StoredItems};
 use wrenthread_durable_store::disk::{Error, Folder};
 use wrenthread_durable_store::{Change, Found, Store};
 
@@ -31,12 +31,12 @@
 
 /// Hands changes to the thread that writes them. It never waits: what the disk does not take yet is merged.
 pub struct Keeper {
-    before: Knowledge,
+    before: StoredItems,
     pending: BTreeMap<String, Option<Vec<u8>>>,
     /// Since when something waits.
     since: Option<Instant>,
     alive: Option<Instant>,
-    names: Arc<Item>,
+    names: Arc<StoredItem>,
     to: mpsc::Sender<Vec<Change>>,
     progress: watch::Receiver<Progress>,
     handed: u64,
@@ -45,7 +45,7 @@
 /// What a start begins with.
 pub struct Start {
     pub epoch: u64,
-    pub recalled: Recalled,
+    pub recalled: RestoredState,
     pub keeper: Option<Keeper>,
 }
 
@@ -54,8 +54,8 @@
     RandomState::new().hash_one(std::process::id()) as u16
 }
 
-fn decoded(found: &Found) -> (Knowledge, Vec<String>) {
-    let (mut known, mut losses) = (Knowledge::new(), Vec::new());
+fn decoded(found: &Found) -> (StoredItems, Vec<String>) {
+    let (mut known, mut losses) = (StoredItems::new(), Vec::new());
     for (name, bytes) in &found.entries {
         match snapshot::decode(bytes) {
             Some(item) => drop(known.insert(name.clone(), Arc::new(item))),
@@ -67,9 +67,9 @@
 
 /// Reads what an earlier life knew and reserves a number for this one. Whatever is wrong with the folder, the
 /// governor starts: it says what is kept and what not.
-pub fn start(folder: &Path, names: Item, calendar: f64) -> Start {
+pub fn start(folder: &Path, names: StoredItem, calendar: f64) -> Start {
     let micros = (calendar * 1e6) as u64;
-    let bare = Start { epoch: micros, recalled: Recalled::default(), keeper: None };
+    let bare = Start { epoch: micros, recalled: RestoredState::default(), keeper: None };
     let path = folder.display();
     let mut disk = match Folder::take(folder) {
         Ok(disk) => disk,
@@ -94,7 +94,7 @@
     losses.iter().for_each(|why| tracing::warn!(why, "of what was known, this is lost"));
     let recalled = if known.is_empty() {
         tracing::info!(folder = %path, "nothing was known; from now on it is kept");
-        Recalled::default()
+        RestoredState::default()
     } else {
         let (recalled, unfit) = snapshot::recall(known.clone(), calendar, &names);
         unfit.iter().for_each(|why| tracing::warn!(%why, "of what was known, this is not used"));
@@ -159,18 +159,18 @@
 }
 
 impl Keeper {
-    pub fn before(&self) -> &Knowledge {
+    pub fn before(&self) -> &StoredItems {
         &self.before
     }
 
     /// What is known now: what differs is handed on, or waits for the disk.
-    pub fn keep(&mut self, mut known: Knowledge, calendar: f64) {
+    pub fn keep(&mut self, mut known: StoredItems, calendar: f64) {
         known.insert(snapshot::NAMES.into(), self.names.clone());
         let alive = match self.before.get(snapshot::ALIVE) {
             Some(alive) if self.alive.is_some_and(|at| at.elapsed() < ALIVE_EVERY) => alive.clone(),
             _ => {
                 self.alive = Some(Instant::now());
-                Arc::new(Item::Alive { at: calendar })
+                Arc::new(StoredItem::Alive { at: calendar })
             }
         };
         known.insert(snapshot::ALIVE.into(), alive);
@@ -232,7 +232,7 @@
     Ok(found)
 }
 
-fn entry(item: &Item) -> Value {
+fn entry(item: &StoredItem) -> Value {
     serde_json::to_value(item).unwrap_or_default()
 }
 
@@ -281,7 +281,7 @@
     let entries = shown["entries"].as_object().with_context(|| format!("{name} is no export"))?;
     let mut changes: Vec<Change> = Vec::new();
     for (entry, value) in entries {
-        let item: Item =
+        let item: StoredItem =
             serde_json::from_value(value.clone()).with_context(|| format!("{name}: `{entry}`"))?;
         changes.push((entry.clone(), Some(snapshot::encode(&item))));
     }
--- a/crates/daemon/tests/sharing.rs
+++ b/crates/daemon/tests/sharing.rs
@@ -13,7 +13,7 @@
 use wrenthread_client::keeper::Keeper;
 use wrenthread_client::poll::Session;
 use wrenthread_client::{Error, Unwatched, Who, answers, grpc};
-use wrenthread_core::ownership::{Claim, Key, ranking, sign};
+use wrenthread_core::ownership::{OwnershipClaim, SigningKey, ranking, sign};
 
 const SECRET: [u8; 32] = [b'k'; 32];
 
@@ -120,8 +120,8 @@
     let governors = sharing("calendar", 1).await;
     let (governor, _) = &governors[0];
     let join = async |name: &str, epoch: u64| {
-        let claim = Claim { governor: "g0".into(), epoch, version: 3, proxy: name.into() };
-        let claim = sign(&Key::new("fleet", &SECRET).unwrap(), &claim);
+        let claim = OwnershipClaim { governor: "g0".into(), epoch, version: 3, proxy: name.into() };
+        let claim = sign(&SigningKey::new("fleet", &SECRET).unwrap(), &claim);
         let url = format!("http://127.0.0.1:{}/v1/proxies/{name}", governor.poll);
         let asked =
             json!({"zone": "north", "usual": 1.0, "standing": [], "holds_orders": true, "claim": claim});
--- a/crates/durable-store/tests/lives.rs
+++ b/crates/durable-store/tests/lives.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use wrenthread::types::Phase;
-use wrenthread_core::engine::{Engine, Setup, Step};
-use wrenthread_core::fleet::Join;
-use wrenthread_core::overrides::What;
-use wrenthread_core::roster::Entry;
-use wrenthread_core::snapshot::{self, Item, Knowledge};
+use wrenthread_core::engine::{Action, Engine, EngineSettings};
+use wrenthread_core::fleet::JoinRequest;
+use wrenthread_core::overrides::OverrideKind;
+use wrenthread_core::roster::RosterEntry;
+use wrenthread_core::snapshot::{self, StoredItem, StoredItems};
 use wrenthread_durable_store::disk::{Fault, Leaves, Memory};
 use wrenthread_durable_store::{Change, Store, epoch};
 
@@ -20,8 +20,8 @@
     Duration::from_millis(100_000 + at)
 }
 
-fn list(draining: Option<&str>, anew: Option<Duration>) -> Vec<Entry> {
-    let entry = |id: &&str| Entry {
+fn list(draining: Option<&str>, anew: Option<Duration>) -> Vec<RosterEntry> {
+    let entry = |id: &&str| RosterEntry {
         id: (*id).into(),
         address: format!("{id}:1").into(),
         zone: 0,
@@ -33,8 +33,12 @@
     REPLICAS.iter().map(entry).collect()
 }
 
-fn names() -> Item {
-    Item::Names { governor: "g".into(), zones: vec!["z".into()], groups: vec!["one".into(), "other".into()] }
+fn names() -> StoredItem {
+    StoredItem::Names {
+        governor: "g".into(),
+        zones: vec!["z".into()],
+        groups: vec!["one".into(), "other".into()],
+    }
 }
 
 /// What each proxy holds: the life and the version that told it.
@@ -44,19 +48,19 @@
     engine: Engine,
     epoch: u64,
     store: Store<Memory>,
-    before: Knowledge,
+    before: StoredItems,
 }
 
 impl Life {
     fn start(disk: &Memory, calendar: f64, chance: u16) -> Life {
         let (epoch, _) = epoch(&mut disk.clone(), (calendar * 1e6) as u64, chance);
         let (store, found) = Store::open(disk.clone()).expect("a folder can be listed");
-        let known: Knowledge = found
+        let known: StoredItems = found
             .entries
             .iter()
             .filter_map(|(name, bytes)| Some((name.clone(), Arc::new(snapshot::decode(bytes)?))))
             .collect();
-        let mut setup = Setup::example(2);
+        let mut setup = EngineSettings::example(2);
         setup.module.proxy_count = PROXIES as u64;
         let mut engine = Engine::new(setup, ms(0));
         engine.recall(ms(0), snapshot::recall(known.clone(), calendar, &names()).0);
@@ -67,7 +71,7 @@
         let groups = ["one".to_string(), "other".to_string()];
         let mut known = self.engine.known(ms(now), &self.before, calendar, self.epoch, &groups);
         known.insert(snapshot::NAMES.into(), Arc::new(names()));
-        known.insert(snapshot::ALIVE.into(), Arc::new(Item::Alive { at: calendar }));
+        known.insert(snapshot::ALIVE.into(), Arc::new(StoredItem::Alive { at: calendar }));
         let changes: Vec<Change> = snapshot::changes(&self.before, &known)
             .into_iter()
             .map(|(name, item)| (name, item.map(snapshot::encode)))
@@ -81,7 +85,7 @@
             // A standing table that names a drain is no draw, and is answered by another at once.
             let drawn = REPLICAS.into_iter().filter(|id| place < 2 && *id != "b");
             let standing = drawn.map(|id| (id.into(), 1.0)).collect();
-            let join = Join {
+            let join = JoinRequest {
                 name: format!("p{place}").into(),
                 zone: 0,
                 usual: 10.0,
@@ -97,7 +101,7 @@
     /// Proxies that take all at once. No rule is broken at any time.
     fn pump(&mut self, now: u64, held: &mut Held, draining: Option<&str>) {
         while let Some(step) = self.engine.step(ms(now)) {
-            let Step::Flush(number) = step else { continue };
+            let Action::Flush(number) = step else { continue };
             let proxy = self.engine.proxy(number).expect("it is joined");
             let (stream, newest) = (proxy.stream, proxy.newest());
             held[stream as usize] = Some((self.epoch, newest));
@@ -135,7 +139,7 @@
     life.join(1, &held);
     for now in (50..1500).step_by(50) {
         if now == 300 {
-            let (what, why) = (What::Exclude, "its disk is full");
+            let (what, why) = (OverrideKind::Exclude, "its disk is full");
             life.engine.override_replica(ms(now), &"a".into(), what, ms(60_000), why).expect("it is listed");
         }
         if now == 600 {
--- a/crates/long-poll/src/messages.rs
+++ b/crates/long-poll/src/messages.rs
@@ -6,9 +6,11 @@
 use serde::{Deserialize, Serialize};
 use utoipa::ToSchema;
 use wrenthread::types::{ReplicaId, RetryPolicy};
-use wrenthread_core::fleet::Join;
-use wrenthread_core::reports::{AtReplica, Report};
-use wrenthread_core::table_versions::{self, Change, ChangedLine, Delta, Digest, Said, SaidLine, Whole, hex};
+use wrenthread_core::fleet::JoinRequest;
+use wrenthread_core::reports::{LoadReport, ReplicaObservation};
+use wrenthread_core::table_versions::{
+    self, ChangedEntry, Delta, Digest, PublishedEntry, PublishedState, PublishedTable, TableChange, hex,
+};
 
 /// What names and numbers on the wire stand for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, ToSchema)]
@@ -209,7 +211,7 @@
         Ok((epoch == self.epoch).then_some(number))
     }
 
-    pub fn join(&self, name: &str, asked: JoinAsked, usual: f64) -> Result<Join, Unclear> {
+    pub fn join(&self, name: &str, asked: JoinAsked, usual: f64) -> Result<JoinRequest, Unclear> {
         if name.is_empty() || name.len() > 256 {
             return Err(Unclear::Field("proxy", "a name has 1 to 256 bytes".into()));
         }
@@ -225,7 +227,7 @@
             return Err(Unclear::Field("standing", "weights are above 0".into()));
         }
         let standing = asked.standing.into_iter().map(|line| (line.replica.as_str().into(), line.weight));
-        Ok(Join {
+        Ok(JoinRequest {
             name: name.into(),
             zone: self.zone_of(&asked.zone)?,
             usual,
@@ -237,7 +239,7 @@
     }
 
     /// A report as it would have come, to be passed on.
-    pub fn report_again(&self, report: &Report) -> ReportAsked {
+    pub fn report_again(&self, report: &LoadReport) -> ReportAsked {
         let name = |group: usize| self.groups.get(group).cloned();
         let met = report.met.iter().filter_map(|met| {
             Some(MetTold {
@@ -261,7 +263,7 @@
         }
     }
 
-    pub fn report(&self, asked: &ReportAsked) -> Result<Report, Unclear> {
+    pub fn report(&self, asked: &ReportAsked) -> Result<LoadReport, Unclear> {
         let interval = Duration::try_from_secs_f64(asked.interval_ms / 1000.0)
             .map_err(|error| Unclear::Field("interval_ms", error.to_string()))?;
         let met = asked.met.iter().map(|met| {
@@ -269,7 +271,7 @@
                 .map_err(|error| Unclear::Field("answer_ms", error.to_string()))?;
             // A sum of nothing is no time that was measured.
             let timed = if answers.is_zero() { 0 } else { met.delivered };
-            Ok(AtReplica {
+            Ok(ReplicaObservation {
                 group: self.group_of(&met.group)?,
                 replica: met.replica.as_str().into(),
                 delivered: met.delivered,
@@ -282,11 +284,11 @@
         });
         let met = met.collect::<Result<Vec<_>, Unclear>>()?;
         let blocked = asked.blocked.iter().map(|(group, flows)| Ok((self.group_of(group)?, *flows)));
-        Ok(Report { interval, met, blocked: blocked.collect::<Result<Vec<_>, Unclear>>()? })
+        Ok(LoadReport { interval, met, blocked: blocked.collect::<Result<Vec<_>, Unclear>>()? })
     }
 
     /// A whole state, as told.
-    pub fn whole(&self, version: u64, digest: &Digest, whole: &Whole) -> TablesTold {
+    pub fn whole(&self, version: u64, digest: &Digest, whole: &PublishedState) -> TablesTold {
         let groups = self.groups.iter().zip(&whole.groups).filter_map(|(name, said)| {
             let said = said.as_ref()?;
             let lines = said.lines.iter().map(|(id, line)| LineTold {
@@ -317,14 +319,14 @@
     pub fn delta(&self, version: u64, delta: &Delta) -> TablesTold {
         let groups = delta.changes.iter().filter_map(|(place, change)| {
             let told = match change {
-                Change::Gone => GroupTold {
+                TableChange::Gone => GroupTold {
                     standing: true,
                     lines: Vec::new(),
                     removed: Vec::new(),
                     level: table_versions::MILLION,
                     tries: "never".into(),
                 },
-                Change::Lines { changed, removed, level, tries } => GroupTold {
+                TableChange::Lines { changed, removed, level, tries } => GroupTold {
                     standing: false,
                     lines: changed
                         .iter()
@@ -352,24 +354,24 @@
     }
 
     /// What was told, in the core's words: a whole state, or a delta to apply.
-    pub fn read(&self, told: &TablesTold) -> Result<Result<Whole, Delta>, Unclear> {
+    pub fn read(&self, told: &TablesTold) -> Result<Result<PublishedState, Delta>, Unclear> {
         let mut changes = BTreeMap::new();
         for (name, group) in &told.groups {
             let place = self.group_of(name)?;
             if group.standing {
-                changes.insert(place, Change::Gone);
+                changes.insert(place, TableChange::Gone);
                 continue;
             }
             let changed = group.lines.iter().map(|line| {
                 let zone = line.zone.as_ref().map(|zone| self.zone_of(zone)).transpose()?;
                 let address = line.address.as_deref().map(Into::into);
-                Ok(ChangedLine {
+                Ok(ChangedEntry {
                     replica: line.replica.as_str().into(),
                     weight: line.weight,
                     at: address.zip(zone),
                 })
             });
-            let lines = Change::Lines {
+            let lines = TableChange::Lines {
                 changed: changed.collect::<Result<Vec<_>, Unclear>>()?,
                 removed: group.removed.iter().map(|id| id.as_str().into()).collect(),
                 level: group.level,
@@ -381,16 +383,16 @@
         if let Some(base) = &told.base {
             return Ok(Err(Delta { base: digest_of(base)?, digest, changes }));
         }
-        let mut whole = Whole { groups: vec![None; self.groups.len()] };
+        let mut whole = PublishedState { groups: vec![None; self.groups.len()] };
         for (place, change) in changes {
-            let Change::Lines { changed, level, tries, .. } = change else { continue };
+            let TableChange::Lines { changed, level, tries, .. } = change else { continue };
             let lines = changed.into_iter().map(|line| {
                 let (address, zone) =
                     line.at.ok_or_else(|| Unclear::Field("lines", "an address is missing".into()))?;
-                Ok((line.replica, SaidLine { address, zone, weight: line.weight }))
+                Ok((line.replica, PublishedEntry { address, zone, weight: line.weight }))
             });
             let lines = lines.collect::<Result<BTreeMap<_, _>, Unclear>>()?;
-            whole.groups[place] = Some(Said { lines, level, tries });
+            whole.groups[place] = Some(PublishedTable { lines, level, tries });
         }
         if whole.digest() != digest {
             return Err(Unclear::Field("digest", "is not that of the tables beside it".into()));
@@ -416,20 +418,20 @@
         }
     }
 
-    fn state(lines: &[(u8, u32)], both: bool) -> Whole {
+    fn state(lines: &[(u8, u32)], both: bool) -> PublishedState {
         let line = |(id, weight): &(u8, u32)| {
             let zone = usize::from(id % 2);
             (
                 format!("r{id}").as_str().into(),
-                SaidLine { address: format!("a:{id}").into(), zone, weight: *weight },
+                PublishedEntry { address: format!("a:{id}").into(), zone, weight: *weight },
             )
         };
-        let said = Said {
+        let said = PublishedTable {
             lines: lines.iter().map(line).collect(),
             level: 500_000,
             tries: RetryPolicy::IfNotExecuted,
         };
-        Whole { groups: vec![Some(said.clone()), both.then_some(said)] }
+        PublishedState { groups: vec![Some(said.clone()), both.then_some(said)] }
     }
 
     proptest! {
--- a/crates/long-poll/src/sessions.rs
+++ b/crates/long-poll/src/sessions.rs
@@ -7,7 +7,7 @@
 
 use wrenthread::types::ProxyId;
 use wrenthread_core::fleet::StreamId;
-use wrenthread_core::history::{History, Version};
+use wrenthread_core::history::{History, HistoryEntry};
 use wrenthread_core::table_versions::{self, Delta, Digest};
 
 /// A proxy is taken for gone when it has asked nothing for so long after its last question was answered.
@@ -36,7 +36,7 @@
 /// What a question is answered by.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Told {
-    Whole(Version),
+    Whole(HistoryEntry),
     Delta(u64, Delta),
     Unchanged(u64, Digest),
     /// A later question of the same session took its place.
@@ -158,8 +158,8 @@
             Some(base) => {
                 let delta = table_versions::delta(&base.whole, base.digest, &newest.whole, newest.digest);
                 let lines = delta.changes.values().map(|change| match change {
-                    table_versions::Change::Gone => 1,
-                    table_versions::Change::Lines { changed, removed, .. } => {
+                    table_versions::TableChange::Gone => 1,
+                    table_versions::TableChange::Lines { changed, removed, .. } => {
                         1 + changed.len() + removed.len()
                     }
                 });
@@ -238,18 +238,18 @@
 mod tests {
     use super::*;
     use wrenthread::types::RetryPolicy;
-    use wrenthread_core::table_versions::{MILLION, Said, SaidLine, Whole};
+    use wrenthread_core::table_versions::{MILLION, PublishedEntry, PublishedState, PublishedTable};
 
     const fn s(seconds: u64) -> Duration {
         Duration::from_secs(seconds)
     }
 
-    fn version(version: u64, weight: u32) -> Version {
-        let line = SaidLine { address: "a:1".into(), zone: 0, weight };
+    fn version(version: u64, weight: u32) -> HistoryEntry {
+        let line = PublishedEntry { address: "a:1".into(), zone: 0, weight };
         let lines = [("a".into(), line)].into();
-        let said = Said { lines, level: MILLION, tries: RetryPolicy::Never };
-        let whole = Whole { groups: vec![Some(said)] };
-        Version { version, at: s(0), digest: whole.digest(), whole: Arc::new(whole) }
+        let said = PublishedTable { lines, level: MILLION, tries: RetryPolicy::Never };
+        let whole = PublishedState { groups: vec![Some(said)] };
+        HistoryEntry { version, at: s(0), digest: whole.digest(), whole: Arc::new(whole) }
     }
 
     fn polls(versions: &[(u64, u32)]) -> (Polls<u32>, History) {
@@ -305,7 +305,7 @@
     #[test]
     fn digests_that_collide_by_a_fault_leave_nobody_on_an_old_table() {
         let (mut polls, mut history) = polls(&[]);
-        let collide = |at, weight| Version { digest: [7; 32], ..version(at, weight) };
+        let collide = |at, weight| HistoryEntry { digest: [7; 32], ..version(at, weight) };
         history.push(0, collide(1, 5));
         history.push(0, collide(2, 6));
         let asked = polls.asked(s(1), 9, 0, Some((1, [7; 32])), s(30), &history, 1).unwrap();
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -37,7 +37,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wrenthread_core::ownership::{Key, ranking};
+use wrenthread_core::ownership::{SigningKey, ranking};
 
 use assignment::{Here, Room, SETTLE};
 use members::{Members, Pace};
@@ -53,7 +53,7 @@
     /// Where others are, by their names. Those behind them it hears of.
     pub peers: Vec<(String, SocketAddr)>,
     /// The first seals; all are believed. Without any, nothing is said.
-    pub keys: Vec<Key>,
+    pub keys: Vec<SigningKey>,
     /// Proxies that are moved a second, at most.
     pub moves_per_s: f64,
 }
@@ -99,7 +99,7 @@
 pub struct Talk {
     members: Members,
     handover: Handover,
-    keys: Vec<Key>,
+    keys: Vec<SigningKey>,
     here: BTreeMap<Arc<str>, Proxy>,
     /// The others that proxies can be handed to, as the rankings have them.
     open: Vec<String>,
--- a/crates/membership/src/messages.rs
+++ b/crates/membership/src/messages.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
-use wrenthread_core::ownership::{Key, Unproven, seal, unseal};
+use wrenthread_core::ownership::{ProofError, SigningKey, seal, unseal};
 
 /// What a datagram may have and still cross common networks in one piece.
 pub const MOST_BYTES: usize = 1200;
@@ -75,7 +75,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Unheard {
     #[error("it is not proven: {0}")]
-    Unproven(#[from] Unproven),
+    Unproven(#[from] ProofError),
     #[error("it is longer than any that is sent")]
     Long,
     #[error("it is no message")]
@@ -83,7 +83,7 @@
 }
 
 /// A message as a datagram.
-pub fn write(key: &Key, message: &Message) -> Vec<u8> {
+pub fn write(key: &SigningKey, message: &Message) -> Vec<u8> {
     // Only a type that can't be written could fail, and none of these is one.
     seal(key, &postcard::to_allocvec(message).unwrap_or_default())
 }
@@ -91,7 +91,7 @@
 /// What a datagram says.
 ///
 /// Errors: as [`Unheard`]; nothing is known from it.
-pub fn read(keys: &[Key], datagram: &[u8]) -> Result<Message, Unheard> {
+pub fn read(keys: &[SigningKey], datagram: &[u8]) -> Result<Message, Unheard> {
     if datagram.len() > MOST_BYTES {
         return Err(Unheard::Long);
     }
@@ -126,7 +126,7 @@
 
     #[test]
     fn a_message_is_read_as_it_was_written_and_a_long_or_nameless_one_not_at_all() {
-        let key = Key::new("k", &[1; 32]).unwrap();
+        let key = SigningKey::new("k", &[1; 32]).unwrap();
         let keys = [key.clone()];
         assert_eq!(read(&keys, &write(&key, &message())), Ok(message()));
         let mut long = message();
@@ -141,7 +141,7 @@
     proptest! {
         #[test]
         fn bytes_of_any_kind_are_heard_without_harm(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
-            let key = Key::new("k", &[1; 32]).unwrap();
+            let key = SigningKey::new("k", &[1; 32]).unwrap();
             prop_assert!(read(std::slice::from_ref(&key), &bytes).is_err());
             // Even one with the key may be wrong in itself.
             let _ = read(std::slice::from_ref(&key), &seal(&key, &bytes));
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,6 +1,6 @@
 //! Every way in which a small world can go: two governors, two relays, orders and words between governors
 //! lost, doubled and reordered, crashes, streams that break, a governor that wakes with old orders in its
-//! queue. What decides is the real thing: [`Fence`] and [`Dialer`] at the relay, [`Handover`] at the
+//! queue. What decides is the real thing: [`FencingState`] and [`GovernorSelector`] at the relay, [`Handover`] at the
 //! governor.
 //!
 //! A message stays in flight once it is sent: that it may be delivered at any time, again, or never, is loss,
@@ -9,7 +9,7 @@
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::time::Duration;
 
-use wrenthread_core::ownership::{Dialer, Fence};
+use wrenthread_core::ownership::{FencingState, GovernorSelector};
 use wrenthread_membership::messages::Body;
 use wrenthread_membership::migration::{Handover, Out};
 
@@ -30,8 +30,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Relay {
     name: &'static str,
-    dialer: Dialer,
-    fence: Fence,
+    dialer: GovernorSelector,
+    fence: FencingState,
     stream: Option<usize>,
     held: Option<Order>,
     /// All that it ever took in.
@@ -66,8 +66,8 @@
 fn world(budget: Budget) -> World {
     let relay = |name| Relay {
         name,
-        dialer: Dialer::new(name, &NAMES, Duration::ZERO, Duration::ZERO),
-        fence: Fence::default(),
+        dialer: GovernorSelector::new(name, &NAMES, Duration::ZERO, Duration::ZERO),
+        fence: FencingState::default(),
         stream: None,
         held: None,
         applied: BTreeSet::new(),
--- a/crates/membership/tests/net/mod.rs
+++ b/crates/membership/tests/net/mod.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wrenthread_core::ownership::Key;
+use wrenthread_core::ownership::SigningKey;
 use wrenthread_membership::migration::Ahead;
 use wrenthread_membership::{Note, Step, Talk, Terms};
 
@@ -40,8 +40,8 @@
     chance: u64,
 }
 
-pub fn key() -> Key {
-    Key::new("k", &[7; 32]).unwrap()
+pub fn key() -> SigningKey {
+    SigningKey::new("k", &[7; 32]).unwrap()
 }
 
 fn address(place: usize) -> SocketAddr {
--- a/crates/rehearsal/src/relay.rs
+++ b/crates/rehearsal/src/relay.rs
@@ -17,7 +17,7 @@
 use wrenthread::types::RetryPolicy;
 use wrenthread_client::keeper::{Keeper, Outcome, Standing};
 use wrenthread_client::{Error, Governor, Ordered, Watch, Who, answers, grpc, poll};
-use wrenthread_core::ownership::Dialer;
+use wrenthread_core::ownership::GovernorSelector;
 
 use crate::event_log::{End, FLOWS, GROUPS, Tape, What};
 use crate::worker::Worker;
@@ -226,7 +226,7 @@
     /// rank while that can't be had.
     pub async fn follow(self: Rc<Self>, governors: Rc<Vec<Governor>>) {
         let names: Vec<&str> = governors.iter().map(|governor| governor.name.as_str()).collect();
-        let mut dialer = Dialer::new(&self.who.name, &names, HOME.0, HOME.1);
+        let mut dialer = GovernorSelector::new(&self.who.name, &names, HOME.0, HOME.1);
         loop {
             let place = dialer.dials();
             let governor = &governors[place];
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -23,7 +23,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use wrenthread::types::{self, AdmissionControl, DeduplicationScope, Idempotency, LoadField, RetryPolicy};
-use wrenthread_core::engine::Setup;
+use wrenthread_core::engine::EngineSettings;
 
 pub mod day;
 pub mod schema;
@@ -577,7 +577,7 @@
 
 impl Settings {
     /// What an engine is told at its start.
-    pub fn setup(&self) -> Setup {
+    pub fn setup(&self) -> EngineSettings {
         let group = |group: &Group| types::TrafficClass {
             idempotency: match group.effect.as_str() {
                 "retriable" => Idempotency::Idempotent,
@@ -596,7 +596,7 @@
             priority_weight: group.utility,
             same_zone_only: group.own_zone,
         };
-        Setup {
+        EngineSettings {
             module: types::Settings {
                 governor_count: self.governors,
                 classes: self.groups.iter().map(group).collect(),
--- a/crates/xds/src/decode.rs
+++ b/crates/xds/src/decode.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use wrenthread::types::{Phase, ReplicaId};
-use wrenthread_core::fleet::Join;
-use wrenthread_core::reports::{AtReplica, Report};
-use wrenthread_core::roster::Entry;
+use wrenthread_core::fleet::JoinRequest;
+use wrenthread_core::reports::{LoadReport, ReplicaObservation};
+use wrenthread_core::roster::RosterEntry;
 
 use crate::Wire;
 use crate::pb::envoy::config::core::v3::{
@@ -76,7 +76,12 @@
 ///
 /// A node's standing table is its own word, in its metadata:
 /// `{"wrenthread": {"usual": 6.5, "standing": [{"replica": "r1", "weight": 1.0}, ...]}}`.
-pub fn join(wire: &Wire, node: Option<&Node>, usual: f64, holds_orders: bool) -> Result<Join, Unclear> {
+pub fn join(
+    wire: &Wire,
+    node: Option<&Node>,
+    usual: f64,
+    holds_orders: bool,
+) -> Result<JoinRequest, Unclear> {
     let name = name(node)?;
     let node = node.ok_or(Unclear::NoNode)?;
     let said = node.locality.as_ref().map_or("", |locality| &locality.zone);
@@ -89,7 +94,7 @@
         }
     };
     let bad = |field, why: &str| Unclear::Metadata { node: name.into(), field, why: why.into() };
-    let mut join = Join {
+    let mut join = JoinRequest {
         name: Arc::from(name),
         zone,
         usual,
@@ -142,8 +147,8 @@
     wire: &Wire,
     stats: &[ClusterStats],
     at: impl Fn(&str) -> Option<ReplicaId>,
-) -> (Vec<Report>, usize) {
-    let mut by_interval: BTreeMap<Duration, Report> = BTreeMap::new();
+) -> (Vec<LoadReport>, usize) {
+    let mut by_interval: BTreeMap<Duration, LoadReport> = BTreeMap::new();
     let mut unknown = 0;
     for cluster in stats {
         let Some(group) = wire.groups.iter().position(|group| group.name == cluster.cluster_name) else {
@@ -153,8 +158,11 @@
         let interval = cluster.load_report_interval.as_ref().map_or(Duration::ZERO, |span| {
             Duration::new(span.seconds.try_into().unwrap_or(0), span.nanos.clamp(0, 999_999_999) as u32)
         });
-        let report =
-            by_interval.entry(interval).or_insert(Report { interval, met: Vec::new(), blocked: Vec::new() });
+        let report = by_interval.entry(interval).or_insert(LoadReport {
+            interval,
+            met: Vec::new(),
+            blocked: Vec::new(),
+        });
         report.blocked.push((group, cluster.total_dropped_requests));
         for endpoint in cluster.upstream_locality_stats.iter().flat_map(|zone| &zone.upstream_endpoint_stats)
         {
@@ -180,7 +188,7 @@
                 let seconds = Duration::try_from_secs_f64(one.total_metric_value / 1000.0);
                 (seconds.unwrap_or(Duration::MAX), one.num_requests_finished_with_metric)
             });
-            report.met.push(AtReplica {
+            report.met.push(ReplicaObservation {
                 group,
                 replica,
                 delivered: endpoint.total_successful_requests,
@@ -204,7 +212,7 @@
     wire: &Wire,
     assignment: &ClusterLoadAssignment,
     started: impl Fn(f64) -> Option<Duration>,
-) -> Result<Vec<Entry>, Unclear> {
+) -> Result<Vec<RosterEntry>, Unclear> {
     let mut entries = Vec::new();
     for zone in &assignment.endpoints {
         let backup = zone.priority > 0;
@@ -229,7 +237,7 @@
             let started = ours.and_then(|ours| number(field(ours, "started"))).and_then(&started);
             let weight =
                 endpoint.load_balancing_weight.as_ref().map_or(1.0, |weight| f64::from(weight.value));
-            entries.push(Entry {
+            entries.push(RosterEntry {
                 id: id.into(),
                 address: address.as_str().into(),
                 zone,
--- a/crates/xds/src/encode.rs
+++ b/crates/xds/src/encode.rs
@@ -349,7 +349,7 @@
 mod tests {
     use super::*;
     use proptest::prelude::*;
-    use wrenthread_core::tables::Line;
+    use wrenthread_core::tables::ResolvedEntry;
 
     fn wire() -> Wire {
         let group = |name: &str, route| WireGroup {
@@ -372,8 +372,14 @@
         }
     }
 
-    fn line(name: &str, zone: usize, weight: f64, open: bool) -> Line {
-        Line { replica: name.into(), address: format!("10.0.0.1:{}", name.len()).into(), zone, weight, open }
+    fn line(name: &str, zone: usize, weight: f64, open: bool) -> ResolvedEntry {
+        ResolvedEntry {
+            replica: name.into(),
+            address: format!("10.0.0.1:{}", name.len()).into(),
+            zone,
+            weight,
+            open,
+        }
     }
 
     #[test]
--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -35,7 +35,7 @@
     /// This governor's name among those that share the fleet; empty where it is alone.
     pub governor: String,
     /// What it signs claims with; none are given without it.
-    pub key: Option<wrenthread_core::ownership::Key>,
+    pub key: Option<wrenthread_core::ownership::SigningKey>,
     pub zones: Vec<String>,
     pub groups: Vec<WireGroup>,
     /// How often proxies are to report.
@@ -50,7 +50,8 @@
     /// The signed word that a proxy holds this governor's orders up to a version.
     pub fn claim(&self, proxy: &str, version: u64) -> Option<String> {
         let (governor, proxy) = (self.governor.clone(), proxy.to_string());
-        let claim = wrenthread_core::ownership::Claim { governor, epoch: self.epoch, version, proxy };
+        let claim =
+            wrenthread_core::ownership::OwnershipClaim { governor, epoch: self.epoch, version, proxy };
         self.key.as_ref().map(|key| wrenthread_core::ownership::sign(key, &claim))
     }
 
--- a/crates/xds/src/session/tests.rs
+++ b/crates/xds/src/session/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use std::time::Duration;
 use wrenthread::types::Phase;
-use wrenthread_core::engine::{Engine, Setup, Step};
-use wrenthread_core::fleet::Join;
-use wrenthread_core::roster::Entry;
+use wrenthread_core::engine::{Action, Engine, EngineSettings};
+use wrenthread_core::fleet::JoinRequest;
+use wrenthread_core::roster::RosterEntry;
 
 use crate::pb::google::rpc::Status;
 use crate::{Route, WireGroup};
@@ -33,8 +33,8 @@
     session: Session,
 }
 
-fn entries(names: &[&str]) -> Vec<Entry> {
-    let entry = |name: &&str| Entry {
+fn entries(names: &[&str]) -> Vec<RosterEntry> {
+    let entry = |name: &&str| RosterEntry {
         id: (**name).into(),
         address: format!("{name}:1").into(),
         zone: 0,
@@ -49,9 +49,9 @@
 impl Rig {
     fn new(first: Request) -> Rig {
         let now = Duration::from_secs(100);
-        let mut engine = Engine::new(Setup::example(2), now);
+        let mut engine = Engine::new(EngineSettings::example(2), now);
         engine.roster(now, entries(&["a", "b", "c"]));
-        let join = Join {
+        let join = JoinRequest {
             name: "p".into(),
             zone: 0,
             usual: 1.0,
@@ -71,7 +71,7 @@
     fn pass(&mut self) {
         self.now += Duration::from_millis(1000);
         while let Some(step) = self.engine.step(self.now) {
-            if let Step::Flush(number) = step {
+            if let Action::Flush(number) = step {
                 self.engine.sent(self.now, number, 1, 1);
             }
         }
@@ -319,9 +319,9 @@
 #[test]
 fn who_comes_back_with_tables_is_not_told_that_there_are_none_before_there_are() {
     let now = Duration::from_secs(100);
-    let mut engine = Engine::new(Setup::example(2), now);
+    let mut engine = Engine::new(EngineSettings::example(2), now);
     engine.roster(now, entries(&["a", "b", "c"]));
-    let join = Join {
+    let join = JoinRequest {
         name: "p".into(),
         zone: 0,
         usual: 1.0,
--- a/crates/xds/src/upstream.rs
+++ b/crates/xds/src/upstream.rs
@@ -8,7 +8,7 @@
 use tokio_stream::StreamExt;
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::transport::Endpoint;
-use wrenthread_core::roster::Entry;
+use wrenthread_core::roster::RosterEntry;
 
 use crate::Wire;
 use crate::clients::ads::AggregatedDiscoveryServiceClient;
@@ -28,10 +28,10 @@
 /// were.
 pub fn merged(
     wire: &Wire,
-    known: &BTreeMap<String, Vec<Entry>>,
+    known: &BTreeMap<String, Vec<RosterEntry>>,
     response: &DiscoveryResponse,
     started: impl Fn(f64) -> Option<Duration>,
-) -> Result<BTreeMap<String, Vec<Entry>>, String> {
+) -> Result<BTreeMap<String, Vec<RosterEntry>>, String> {
     let mut merged = known.clone();
     for resource in &response.resources {
         let assignment = ClusterLoadAssignment::decode(resource.value.as_slice())
@@ -60,7 +60,7 @@
     uri: String,
     clusters: Vec<String>,
     started: impl Fn(f64) -> Option<Duration> + Clone,
-    lists: mpsc::Sender<Vec<Entry>>,
+    lists: mpsc::Sender<Vec<RosterEntry>>,
 ) {
     let (mut known, mut wait) = (BTreeMap::new(), AGAIN.0);
     while !lists.is_closed() {
@@ -81,8 +81,8 @@
     uri: &str,
     clusters: &[String],
     started: &(impl Fn(f64) -> Option<Duration> + Clone),
-    lists: &mpsc::Sender<Vec<Entry>>,
-    known: &mut BTreeMap<String, Vec<Entry>>,
+    lists: &mpsc::Sender<Vec<RosterEntry>>,
+    known: &mut BTreeMap<String, Vec<RosterEntry>>,
 ) -> Result<bool, Box<dyn std::error::Error>> {
     let endpoint = Endpoint::from_shared(uri.to_string())?
         .connect_timeout(Duration::from_secs(3))
