--- a/crates/client/src/keeper.rs
+++ b/crates/client/src/keeper.rs
@@ -81,7 +81,7 @@
             standing,
             told: vec![None; count],
             tries: vec![RetryPolicy::Never; count],
-            whole: PublishedState { groups: vec![None; count] },
+            whole: PublishedState { classes: vec![None; count] },
             held: None,
             fence: FencingState::default(),
             claim: None,
@@ -118,7 +118,7 @@
         version: u64,
         claim: Option<&str>,
     ) -> Result<(), FencingError> {
-        self.fence.heed(governor, epoch, version)?;
+        self.fence.accept(governor, epoch, version)?;
         self.claim = claim.map(str::to_string);
         Ok(())
     }
@@ -171,12 +171,13 @@
         if self.names.len() > MOST_NAMES {
             self.names.clear();
         }
-        for (id, line) in whole.groups.iter().flatten().flat_map(|said| &said.lines) {
+        for (id, line) in whole.classes.iter().flatten().flat_map(|said| &said.entries) {
             self.names.insert(line.address.clone(), id.to_string());
         }
-        for (place, said) in whole.groups.iter().enumerate().take(self.told.len()) {
+        for (place, said) in whole.classes.iter().enumerate().take(self.told.len()) {
             self.told[place] = said.as_ref().map(|said| {
-                let PublishedTable { lines, level, tries } = said;
+                let PublishedTable { entries: lines, admission_millionths: level, retry_policy: tries } =
+                    said;
                 self.tries[place] = *tries;
                 Lines {
                     lines: lines
@@ -352,14 +353,14 @@
         let mut keeper = keeper();
         let line = table_versions::PublishedEntry { address: "c:1".into(), zone: 0, weight: 7 };
         let said = PublishedTable {
-            lines: [("c".into(), line)].into(),
-            level: MILLION,
-            tries: RetryPolicy::IfNotExecuted,
+            entries: [("c".into(), line)].into(),
+            admission_millionths: MILLION,
+            retry_policy: RetryPolicy::IfNotExecuted,
         };
-        let whole = PublishedState { groups: vec![Some(said)] };
+        let whole = PublishedState { classes: vec![Some(said)] };
         keeper.tell_whole("e.1".into(), whole.clone());
         let delta =
-            table_versions::delta(&whole, whole.digest(), &PublishedState { groups: vec![None] }, [9; 32]);
+            table_versions::delta(&whole, whole.digest(), &PublishedState { classes: vec![None] }, [9; 32]);
         assert_eq!(keeper.tell_delta("e.2".into(), &delta), Err(Mismatch::Digest));
         assert!(keeper.held().is_none() && keeper.has_orders());
         assert_eq!(at(&mut keeper, 0, 0.5), Some("c:1".into()));
--- a/crates/client/tests/model.rs
+++ b/crates/client/tests/model.rs
@@ -87,10 +87,10 @@
             zone: 0,
             weight: f64::from(n + 1),
             phase: if ready >> n & 1 == 1 { Phase::Ready } else { Phase::Draining },
-            started: None,
+            started_at: None,
             backup: false,
         };
-        self.engine.roster(self.now, (0..6).map(entry).collect());
+        self.engine.update_roster(self.now, (0..6).map(entry).collect());
     }
 
     /// The proxy's stream breaks, and it is back with what it holds.
@@ -106,13 +106,13 @@
         let join = JoinRequest {
             name: name.as_str().into(),
             zone: 0,
-            usual: 1.0,
-            standing: vec![],
-            holds_orders,
-            claim: None,
-            proven: None,
+            requests_per_second: 1.0,
+            default_table: vec![],
+            holds_governor_tables: holds_orders,
+            ownership_proof: None,
+            proven_version: None,
         };
-        self.engine.joined(now, stream, &join).unwrap();
+        self.engine.proxy_connected(now, stream, &join).unwrap();
         match &mut self.proxies[place] {
             Proxy::Poll(_) => self.polls.opened(now, stream, name.as_str().into()),
             Proxy::Ads { delta, session, .. } => {
@@ -144,7 +144,7 @@
     fn pass(&mut self, reached: u8, lost: u8) {
         self.now += Duration::from_secs(6);
         let mut broken = Vec::new();
-        while let Some(step) = self.engine.step(self.now) {
+        while let Some(step) = self.engine.next_action(self.now) {
             if let Action::Flush(number) = step {
                 broken.extend(self.flush(number, reached, lost));
             }
@@ -155,9 +155,9 @@
         broken.into_iter().for_each(|place| self.start_over(place));
         for place in 0..3 {
             let stream = self.engine.fleet().named(&format!("p{place}")).unwrap().1.stream;
-            self.engine.roomy(stream);
+            self.engine.stream_has_capacity(stream);
             self.engine.settled(stream);
-            self.engine.wants(self.now, stream, 1);
+            self.engine.resend_requested(self.now, stream, 1);
         }
     }
 
@@ -166,7 +166,7 @@
         let proxy = self.engine.proxy(number).unwrap();
         let place: usize = proxy.name[1..].parse().unwrap();
         if reached >> place & 1 == 0 {
-            self.engine.stalled(number);
+            self.engine.stream_full(number);
             return None;
         }
         let lost = lost >> place & 1 == 1;
@@ -177,7 +177,7 @@
                     flushed.responses.iter().for_each(|response| take(response, held));
                 }
                 let (lines, messages) = (flushed.lines, flushed.responses.len());
-                self.engine.sent(self.now, number, lines, messages);
+                self.engine.tables_sent(self.now, number, lines, messages);
                 (lost && messages > 0).then_some(place)
             }
             Proxy::Poll(keeper) => {
@@ -189,13 +189,13 @@
                 let history = self.engine.history();
                 let asked = self.polls.asked(self.now, session, number, held, wait, history, ());
                 assert!(asked.is_ok());
-                let told = match proxy.has_word() {
+                let told = match proxy.has_known_tables() {
                     true => self.polls.flush(self.now, session, number, history),
                     false => None,
                 };
-                self.engine.sent(self.now, number, usize::from(told.is_some()), 1);
+                self.engine.tables_sent(self.now, number, usize::from(told.is_some()), 1);
                 let told = match told.filter(|_| !lost) {
-                    Some((_, Told::Whole(one), _)) => terms.whole(one.version, &one.digest, &one.whole),
+                    Some((_, Told::Whole(one), _)) => terms.whole(one.version, &one.digest, &one.state),
                     Some((_, Told::Delta(version, delta), _)) => terms.delta(version, &delta),
                     _ => return None,
                 };
@@ -211,8 +211,8 @@
     /// What the engine says a proxy's first group is, and what the proxy holds.
     fn both(&self, place: usize) -> (Table, Table) {
         let (_, proxy) = self.engine.fleet().named(&format!("p{place}")).unwrap();
-        let said = PublishedTable::of(&proxy.tables[0].as_ref().unwrap().table, proxy.tries.1[0]);
-        let said = said.lines.values().map(|line| (line.address.to_string(), line.weight)).collect();
+        let said = PublishedTable::of(&proxy.tables[0].as_ref().unwrap().table, proxy.retry_policies.1[0]);
+        let said = said.entries.values().map(|line| (line.address.to_string(), line.weight)).collect();
         let held = match &self.proxies[place] {
             Proxy::Ads { held, .. } => held.as_ref().unwrap().0.clone(),
             Proxy::Poll(keeper) => {
@@ -308,7 +308,7 @@
         if let Ok(stats) = LoadStatsRequest::decode(bytes.as_slice()) {
             let (reports, _) = decode::reports(&wire(), &stats.cluster_stats, |at| Some(at.into()));
             for report in reports {
-                let _ = world.engine.report(world.now, "p0", 99, &report);
+                let _ = world.engine.record_report(world.now, "p0", 99, &report);
             }
         }
     }
--- a/crates/core/benches/guard.rs
+++ b/crates/core/benches/guard.rs
@@ -19,19 +19,19 @@
         zone: n % 3,
         weight: 1.0,
         phase: if draining == Some(n) { Phase::Draining } else { Phase::Ready },
-        started: None,
+        started_at: None,
         backup: false,
     };
     (0..REPLICAS).map(entry).collect()
 }
 
 fn run(engine: &mut Engine, now: Duration) {
-    while let Some(step) = engine.step(now) {
+    while let Some(step) = engine.next_action(now) {
         if let Action::Flush(number) = step {
-            engine.sent(now, number, 12, 1);
+            engine.tables_sent(now, number, 12, 1);
             let proxy = engine.proxy(number).map(|proxy| (proxy.stream, proxy.newest()));
             if let Some((stream, newest)) = proxy {
-                engine.acked(now, stream, newest);
+                engine.version_acknowledged(now, stream, newest);
             }
         }
     }
@@ -40,26 +40,26 @@
 /// Microseconds a roster event, and a beat; what passed, and what was refused.
 fn measure(proxies: usize, guarded: bool) -> (f64, f64, u64, u64) {
     let mut setup = EngineSettings::example(3);
-    (setup.module.proxy_count, setup.proxies) = (proxies as u64, proxies);
-    (setup.module.entries_per_second, setup.module.max_queued_entries) = (1e6, 1e6);
+    (setup.governor.proxy_count, setup.max_proxies) = (proxies as u64, proxies);
+    (setup.governor.entries_per_second, setup.governor.max_queued_entries) = (1e6, 1e6);
     let mut now = Duration::from_secs(100);
     let mut engine = Engine::new(setup, now);
     if !guarded {
         engine.switch_guard_off();
     }
-    engine.roster(now, list(None));
+    engine.update_roster(now, list(None));
     for n in 0..proxies {
         let (name, standing) = (format!("relay-{n}").into(), vec![]);
         let join = JoinRequest {
             name,
             zone: n % 3,
-            usual: 5.0,
-            standing,
-            holds_orders: true,
-            claim: None,
-            proven: None,
+            requests_per_second: 5.0,
+            default_table: standing,
+            holds_governor_tables: true,
+            ownership_proof: None,
+            proven_version: None,
         };
-        engine.joined(now, n as u64, &join).expect("there is room");
+        engine.proxy_connected(now, n as u64, &join).expect("there is room");
     }
     for _ in 0..100 {
         now += Duration::from_millis(100);
@@ -67,7 +67,7 @@
     }
     let (mut events, mut beats) = (Duration::ZERO, Duration::ZERO);
     for event in 0..EVENTS {
-        engine.roster(now, list((event % 2 == 0).then_some(event as usize % REPLICAS)));
+        engine.update_roster(now, list((event % 2 == 0).then_some(event as usize % REPLICAS)));
         let began = Instant::now();
         run(&mut engine, now);
         events += began.elapsed();
--- a/crates/core/benches/restart.rs
+++ b/crates/core/benches/restart.rs
@@ -28,7 +28,7 @@
         zone: n % 3,
         weight: 1.0,
         phase: Phase::Ready,
-        started: None,
+        started_at: None,
         backup: false,
     };
     (0..REPLICAS).map(entry).collect()
@@ -53,10 +53,10 @@
 impl Run {
     fn new(relays: usize, now: u64) -> Run {
         let mut setup = EngineSettings::example(GROUPS);
-        setup.module.proxy_count = relays as u64;
-        setup.reports_per_s = 20_000.0;
-        setup.module.entries_per_second = 20_000.0;
-        setup.module.max_queued_entries = 400_000.0;
+        setup.governor.proxy_count = relays as u64;
+        setup.max_report_entries_per_second = 20_000.0;
+        setup.governor.entries_per_second = 20_000.0;
+        setup.governor.max_queued_entries = 400_000.0;
         let engine = Engine::new(setup, ms(now));
         Run {
             engine,
@@ -77,30 +77,30 @@
         let join = JoinRequest {
             name: format!("p{relay}").into(),
             zone: relay % 3,
-            usual: 5.0,
-            standing: standing.map(|n| (format!("r{n:02}").into(), 1.0)).collect(),
-            holds_orders: proven.is_some(),
-            claim: proven.map(|_| "a word".into()),
-            proven,
+            requests_per_second: 5.0,
+            default_table: standing.map(|n| (format!("r{n:02}").into(), 1.0)).collect(),
+            holds_governor_tables: proven.is_some(),
+            ownership_proof: proven.map(|_| "a word".into()),
+            proven_version: proven,
         };
-        let joined = self.engine.joined(ms(now), relay as u64, &join).expect("there is room");
-        self.numbers.insert(joined.number, relay);
+        let joined = self.engine.proxy_connected(ms(now), relay as u64, &join).expect("there is room");
+        self.numbers.insert(joined.proxy, relay);
     }
 
     /// Proxies that take all at once, and are told only what differs from what they hold.
     fn pump(&mut self, now: u64) {
-        while let Some(step) = self.engine.step(ms(now)) {
+        while let Some(step) = self.engine.next_action(ms(now)) {
             let Action::Flush(number) = step else { continue };
             let relay = self.numbers[&number];
             let newest =
-                self.engine.history().newest(number).map(|one| (one.version, one.digest, one.whole.clone()));
+                self.engine.history().newest(number).map(|one| (one.version, one.digest, one.state.clone()));
             let Some((version, digest, whole)) = newest else {
-                self.engine.sent(ms(now), number, 0, 0);
+                self.engine.tables_sent(ms(now), number, 0, 0);
                 continue;
             };
             let known = self.held.get(&relay).is_some_and(|(_, held)| *held == digest);
-            let has_word = self.engine.proxy(number).is_some_and(|proxy| proxy.has_word());
-            let lines = if known || !has_word { 0 } else { PublishedState::lines(&whole) };
+            let has_word = self.engine.proxy(number).is_some_and(|proxy| proxy.has_known_tables());
+            let lines = if known || !has_word { 0 } else { PublishedState::entry_count(&whole) };
             if lines > 0 {
                 self.held.insert(relay, (version, digest));
                 (self.lines, self.messages, self.last) = (self.lines + lines, self.messages + 1, now);
@@ -109,8 +109,8 @@
                     self.soon += lines;
                 }
             }
-            self.engine.sent(ms(now), number, lines, usize::from(lines > 0));
-            self.engine.acked(ms(now), relay as u64, version);
+            self.engine.tables_sent(ms(now), number, lines, usize::from(lines > 0));
+            self.engine.version_acknowledged(ms(now), relay as u64, version);
         }
     }
 
@@ -119,12 +119,12 @@
         for relay in 0..relays {
             let met = (0..REPLICAS).filter(|n| n % 3 == relay % 3).skip(relay % 5).take(8).map(|n| {
                 ReplicaObservation {
-                    group: 0,
+                    class: 0,
                     replica: format!("r{n:02}").into(),
                     issued: 4,
-                    in_progress: 0,
-                    delivered: if n == 4 { 0 } else { 4 },
-                    dropped: if n == 4 { 4 } else { 0 },
+                    in_flight: 0,
+                    succeeded: if n == 4 { 0 } else { 4 },
+                    failed: if n == 4 { 4 } else { 0 },
                     // Never quite the same: a report that is comes twice.
                     answers: if n == 4 {
                         (Duration::ZERO, 0)
@@ -134,9 +134,12 @@
                     load: vec![0.0],
                 }
             });
-            let report =
-                LoadReport { interval: Duration::from_secs(1), met: met.collect(), blocked: Vec::new() };
-            let _ = self.engine.report(ms(now), &format!("p{relay}"), relay as u64, &report);
+            let report = LoadReport {
+                interval: Duration::from_secs(1),
+                observations: met.collect(),
+                rejected: Vec::new(),
+            };
+            let _ = self.engine.record_report(ms(now), &format!("p{relay}"), relay as u64, &report);
         }
     }
 }
@@ -144,7 +147,7 @@
 fn main() {
     for relays in [24, 200, 1000] {
         let mut before = Run::new(relays, 0);
-        before.engine.roster(ms(0), list());
+        before.engine.update_roster(ms(0), list());
         (0..relays).for_each(|relay| before.join(10, relay, 1));
         for now in (20..20_000).step_by(20) {
             if now % 1000 == 0 {
@@ -167,7 +170,7 @@
         };
         let took = |before_known: &StoredItems| {
             let began = Instant::now();
-            let known = before.engine.known(ms(20_000), before_known, 1000.0, 1, &groups);
+            let known = before.engine.stored_items(ms(20_000), before_known, 1000.0, 1, &groups);
             let changed: usize = snapshot::changes(before_known, &known)
                 .into_iter()
                 .map(|(_, item)| item.map_or(0, |item| snapshot::encode(item).len()))
@@ -178,16 +181,16 @@
         let (again_ms, again_bytes, _) = took(&known);
         known.insert(snapshot::NAMES.into(), std::sync::Arc::new(names.clone()));
         known.insert(snapshot::ALIVE.into(), std::sync::Arc::new(StoredItem::Alive { at: 1000.0 }));
-        let withdrawn = before.engine.is_withdrawn(&"r04".into());
+        let withdrawn = before.engine.is_ejected(&"r04".into());
         for age in [None, Some(1.0), Some(600.0), Some(36_000.0)] {
             let mut after = Run::new(relays, 20_500);
             if let Some(age) = age {
                 let (recalled, unfit) = snapshot::recall(known.clone(), 1000.0 + age, &names);
                 assert!(unfit.is_empty());
-                after.engine.recall(ms(20_500), recalled);
+                after.engine.restore(ms(20_500), recalled);
             }
             after.held = before.held.clone();
-            after.engine.roster(ms(20_500), list());
+            after.engine.update_roster(ms(20_500), list());
             // They come back within half a second, spread.
             let mut left: BTreeSet<usize> = (0..relays).collect();
             let mut out = None;
@@ -202,7 +205,7 @@
                     after.report(now, relays);
                 }
                 after.pump(now);
-                if out.is_none() && after.engine.is_withdrawn(&"r04".into()) {
+                if out.is_none() && after.engine.is_ejected(&"r04".into()) {
                     out = Some(now - 20_500);
                 }
             }
--- a/crates/core/src/backup_replicas.rs
+++ b/crates/core/src/backup_replicas.rs
@@ -78,7 +78,7 @@
             zone: 0,
             weight: 1.0,
             phase,
-            started: None,
+            started_at: None,
             backup,
         };
         vec![entry("a", first, false), entry("z", Phase::Ready, true)]
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -1,37 +1,44 @@
 //! One instance of the decision module with all that it needs to act on proxies: inputs in, steps out.
 //!
-//! A host calls the inputs as things happen, then pulls [`Engine::step`] until `None`, carries out each step,
-//! and comes back at [`Engine::next_due`] at the latest. All that the module decides in one go is one flush:
+//! A host calls the inputs as things happen, then pulls [`Engine::next_action`] until `None`, carries out each step,
+//! and comes back at [`Engine::next_deadline`] at the latest. All that the module decides in one go is one flush:
 //! it shares a version and reaches each proxy concerned in one piece.
 //!
 //! ```
 //! use std::time::Duration;
 //! use wrenthread::types::*;
-//! use wrenthread_core::engine::{Engine, Setup, Step};
-//! use wrenthread_core::fleet::Join;
-//! use wrenthread_core::roster::Entry;
+//! use wrenthread_core::engine::{Action, Engine, EngineSettings};
+//! use wrenthread_core::fleet::JoinRequest;
+//! use wrenthread_core::roster::RosterEntry;
 //!
 //! let now = Duration::from_secs(100);
-//! let mut engine = Engine::new(Setup::example(1), now);
-//! engine.roster(now, vec![Entry {
+//! let mut engine = Engine::new(EngineSettings::example(1), now);
+//! engine.update_roster(now, vec![RosterEntry {
 //!     id: "r1".into(), address: "10.0.0.1:80".into(), zone: 0, weight: 1.0, phase: Phase::Ready,
-//!     started: None, backup: false,
+//!     started_at: None, backup: false,
 //! }]);
-//! let (name, standing) = ("p".into(), vec![]);
-//! let join = Join { name, zone: 0, usual: 1.0, standing, holds_orders: false, claim: None, proven: None };
-//! let number = engine.joined(now, 1, &join).unwrap().number;
-//! // The module gives its holdings to who came with none that it knows.
+//! let request = JoinRequest {
+//!     name: "p".into(),
+//!     zone: 0,
+//!     requests_per_second: 1.0,
+//!     default_table: vec![],
+//!     holds_governor_tables: false,
+//!     ownership_proof: None,
+//!     proven_version: None,
+//! };
+//! let proxy = engine.proxy_connected(now, 1, &request).unwrap().proxy;
+//! // What the proxy holds is not known: the module gives it tables.
 //! let later = now + Duration::from_millis(250);
-//! let steps: Vec<Step> = std::iter::from_fn(|| {
-//!     let step = engine.step(later)?;
-//!     if let Step::Flush(number) = step {
-//!         engine.sent(later, number, 1, 1); // here a front writes what `Engine::proxy` says
+//! let actions: Vec<Action> = std::iter::from_fn(|| {
+//!     let action = engine.next_action(later)?;
+//!     if let Action::Flush(proxy) = action {
+//!         engine.tables_sent(later, proxy, 1, 1); // here a front writes what `Engine::proxy` says
 //!     }
-//!     Some(step)
+//!     Some(action)
 //! }).collect();
-//! assert!(steps.contains(&Step::Flush(number)));
-//! let table = &engine.proxy(number).unwrap().tables[0].as_ref().unwrap().table;
-//! assert_eq!(&*table.lines[0].address, "10.0.0.1:80");
+//! assert!(actions.contains(&Action::Flush(proxy)));
+//! let table = &engine.proxy(proxy).unwrap().tables[0].as_ref().unwrap().table;
+//! assert_eq!(&*table.entries[0].address, "10.0.0.1:80");
 //! ```
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -61,13 +68,13 @@
 /// What an engine is told at its start.
 #[derive(Debug, Clone)]
 pub struct EngineSettings {
-    pub module: Settings,
+    pub governor: Settings,
     /// Proxies at once.
-    pub proxies: usize,
+    pub max_proxies: usize,
     /// Lines of folded reports that the module is given a second, at most.
-    pub reports_per_s: f64,
+    pub max_report_entries_per_second: f64,
     /// How long an empty roster must stand before it is believed.
-    pub empty_after: Duration,
+    pub empty_roster_timeout: Duration,
     /// Versions of a proxy's tables that are kept, and lines in all of them.
     pub history: (usize, usize),
 }
@@ -84,7 +91,7 @@
             same_zone_only: false,
         };
         EngineSettings {
-            module: Settings {
+            governor: Settings {
                 governor_count: 1,
                 classes: vec![group; groups],
                 key_slices: 0,
@@ -105,9 +112,9 @@
                 health_check_cost: None,
                 load_fields: vec![LoadField::Queued],
             },
-            proxies: 1000,
-            reports_per_s: 1000.0,
-            empty_after: Duration::from_secs(30),
+            max_proxies: 1000,
+            max_report_entries_per_second: 1000.0,
+            empty_roster_timeout: Duration::from_secs(30),
             history: (16, 1_000_000),
         }
     }
@@ -116,14 +123,14 @@
 /// One thing for the host to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Have the proxy's front write what it should hold and was not sent; then call [`Engine::sent`], or
-    /// [`Engine::stalled`] if its stream has no room.
+    /// Have the proxy's front write what it should hold and was not sent; then call [`Engine::tables_sent`], or
+    /// [`Engine::stream_full`] if its stream has no room.
     Flush(ProxyId),
     /// A stream is over, as a later one has taken its place.
-    Close(StreamId),
-    Probe(ReplicaId),
+    CloseStream(StreamId),
+    CheckHealth(ReplicaId),
     /// Something to write to the log.
-    Note(EngineEvent),
+    Report(EngineEvent),
 }
 
 /// What the engine was told since the module was last asked.
@@ -144,17 +151,17 @@
     /// What the module decided, and the inputs that it answers.
     Decided { what: DecisionSummary, version: u64, answers: Arc<[Cause]> },
     /// An empty roster is not believed before this time.
-    Doubted(Duration),
+    EmptyRosterDoubted(Duration),
     /// A proxy would not take a version; its last good tables stand.
-    Nacked { proxy: Arc<str>, version: u64, words: String },
+    VersionRejected { proxy: Arc<str>, version: u64, words: String },
     /// So many proxies wait to be let in, as the channel is full.
-    Lobby(usize),
+    JoinsQueued(usize),
     /// What operators said of a replica is over.
-    OverrideOver(ReplicaId),
+    OverrideExpired(ReplicaId),
     /// Something is not sent as it was decided. What goes on being refused is said once.
-    Refused(Refusal),
+    TableRefused(Refusal),
     /// A hold has ended.
-    HoldOver { proxy: Arc<str>, group: usize, over: ReleaseReason },
+    FrozenTableReleased { proxy: Arc<str>, group: usize, over: ReleaseReason },
 }
 
 /// Whose tables an operator means.
@@ -169,13 +176,13 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RollbackReport {
     /// Tables that are held now.
-    pub held: usize,
+    pub frozen: usize,
     /// Proxies of which so old a version is not kept, or which were on their standing tables then.
     pub without: Vec<Arc<str>>,
     /// What is not told of the held tables, by proxy and group.
     pub left_out: Vec<(Arc<str>, usize, ReplicaId, OmissionReason)>,
     /// Tables that can't be held, as nothing of them is left.
-    pub bare: usize,
+    pub unfreezable: usize,
 }
 
 /// What another governor knew of a proxy that it handed over.
@@ -183,8 +190,8 @@
 pub struct MigratedProxy {
     pub from: Arc<str>,
     /// What it was told there, and when that was, by the clock here.
-    pub whole: PublishedState,
-    pub told_at: Duration,
+    pub state: PublishedState,
+    pub published_at: Duration,
     /// What it met last, if that is not long ago.
     pub report: Option<LoadReport>,
 }
@@ -227,13 +234,13 @@
 pub struct Engine {
     rules: Governor,
     standby: BackupReplicas,
-    roster: Roster,
+    update_roster: Roster,
     fleet: Fleet,
     tables: Tables,
     pace: SendLimiter,
     reports: ReportAggregator,
     history: History,
-    holds: BTreeMap<(ProxyId, usize), FrozenTable>,
+    frozen_tables: BTreeMap<(ProxyId, usize), FrozenTable>,
     overrides: Overrides,
     guard: Guard,
     recheck_all: bool,
@@ -260,7 +267,7 @@
     offered: Option<ProxyId>,
     pulls: u64,
     #[cfg(any(test, feature = "suspect"))]
-    suspect: Option<FaultyDecider>,
+    replace_decider: Option<FaultyDecider>,
 }
 
 /// Decides in the module's stead, with the module at hand.
@@ -269,21 +276,27 @@
 
 impl Engine {
     pub fn new(setup: EngineSettings, now: Duration) -> Self {
-        let EngineSettings { module, proxies, reports_per_s, empty_after, history } = setup;
+        let EngineSettings {
+            governor: module,
+            max_proxies: proxies,
+            max_report_entries_per_second: reports_per_s,
+            empty_roster_timeout: empty_after,
+            history,
+        } = setup;
         let groups = module.classes.len().min(64);
         let channel = ChannelLimits {
-            lines_per_s: module.entries_per_second.max(1.0),
-            head_lines: module.message_overhead_entries,
-            waiting_most: module.max_queued_entries,
-            messages_most: module.message_limit,
+            entries_per_second: module.entries_per_second.max(1.0),
+            message_overhead_entries: module.message_overhead_entries,
+            max_queued_entries: module.max_queued_entries,
+            message_limit: module.message_limit,
         };
         let limits = GuardLimits {
-            cold_share: module.initial_capacity_fraction,
-            warm_after: module.slow_start_duration,
-            proxies: usize::try_from(module.proxy_count).unwrap_or(usize::MAX),
-            lines_most: module.max_queued_entries,
-            own_zone: module.classes.iter().take(groups).map(|group| group.same_zone_only).collect(),
-            once_only: module
+            initial_capacity_fraction: module.initial_capacity_fraction,
+            slow_start_duration: module.slow_start_duration,
+            proxy_count: usize::try_from(module.proxy_count).unwrap_or(usize::MAX),
+            max_entries: module.max_queued_entries,
+            same_zone_only: module.classes.iter().take(groups).map(|group| group.same_zone_only).collect(),
+            not_idempotent: module
                 .classes
                 .iter()
                 .take(groups)
@@ -294,13 +307,13 @@
             module.message_overhead_entries + (groups * module.default_table_size.clamp(1, 100)) as f64;
         Engine {
             standby: BackupReplicas::new(module.slow_start_duration),
-            roster: Roster::new(empty_after),
+            update_roster: Roster::new(empty_after),
             fleet: Fleet::new(proxies),
             tables: Tables::new(groups, module.default_retry_policy),
             pace: SendLimiter::new(channel, now),
             reports: ReportAggregator::new(module.report_interval, reports_per_s),
             history: History::new(history.0, history.1),
-            holds: BTreeMap::new(),
+            frozen_tables: BTreeMap::new(),
             overrides: Overrides::default(),
             guard: Guard::new(limits),
             recheck_all: false,
@@ -321,7 +334,7 @@
             offered: None,
             pulls: 0,
             #[cfg(any(test, feature = "suspect"))]
-            suspect: None,
+            replace_decider: None,
             rules: Governor::new(module, now),
         }
     }
@@ -329,15 +342,17 @@
     // ---- inputs
 
     /// The whole list of replicas, as its source now says it.
-    pub fn roster(&mut self, now: Duration, entries: Vec<RosterEntry>) {
+    pub fn update_roster(&mut self, now: Duration, entries: Vec<RosterEntry>) {
         let entries = self.standby.take(now, entries);
         self.take_list(now, entries);
     }
 
     fn take_list(&mut self, now: Duration, entries: Vec<RosterEntry>) {
-        match self.roster.take(now, entries) {
+        match self.update_roster.take(now, entries) {
             RosterChange::Same => {}
-            RosterChange::Doubted(until) => self.out.push_back(Action::Note(EngineEvent::Doubted(until))),
+            RosterChange::Doubted(until) => {
+                self.out.push_back(Action::Report(EngineEvent::EmptyRosterDoubted(until)))
+            }
             RosterChange::Changed(listed) => self.listed(now, &listed),
         }
     }
@@ -348,73 +363,79 @@
     /// nobody knows what, and is answered by tables of its own at once.
     ///
     /// Errors: as [`JoinError`]; nothing is changed by a join that is refused.
-    pub fn joined(
+    pub fn proxy_connected(
         &mut self,
         now: Duration,
         stream: StreamId,
         join: &JoinRequest,
     ) -> Result<JoinOutcome, JoinError> {
         let drawn = |(id, weight): &(ReplicaId, f64)| {
-            let known = self.roster.get(id).filter(|one| one.phase == Phase::Ready);
-            known.is_some_and(|one| one.zone == join.zone || self.roster.ready_in(join.zone) < 3)
+            let known = self.update_roster.get(id).filter(|one| one.phase == Phase::Ready);
+            known.is_some_and(|one| one.zone == join.zone || self.update_roster.ready_in(join.zone) < 3)
                 && *weight > 0.0
         };
-        let bare = !join.holds_orders && join.claim.is_none();
+        let bare = !join.holds_governor_tables && join.ownership_proof.is_none();
         // It holds what an earlier life told it last, by its own proven word: then it is known what that is.
-        let recalled = self
-            .recalled
-            .proxies
-            .remove(&join.name)
-            .filter(|known| join.proven == Some((known.epoch, known.version)) && known.zone == join.zone);
+        let recalled = self.recalled.proxies.remove(&join.name).filter(|known| {
+            join.proven_version == Some((known.epoch, known.version)) && known.zone == join.zone
+        });
         let still = recalled.as_ref().is_some_and(|known| !known.own);
-        let fresh = (bare || still) && !join.standing.is_empty() && join.standing.iter().all(drawn);
+        let fresh = (bare || still) && !join.default_table.is_empty() && join.default_table.iter().all(drawn);
         // A join has a version of its own: what the number's tables were before is another state.
         let tries = (self.version + 1, self.tables.tries());
         let joined = self.fleet.join(now, stream, join, fresh, self.groups, tries)?;
         self.version += 1;
-        if joined.reused {
-            self.reports.forget(joined.number);
-            self.history.forget(joined.number);
-            let former = self.holds.extract_if(.., |(number, _), _| *number == joined.number);
-            let over = former.map(|((_, group), _)| EngineEvent::HoldOver {
+        if joined.id_reused {
+            self.reports.forget(joined.proxy);
+            self.history.forget(joined.proxy);
+            let former = self.frozen_tables.extract_if(.., |(number, _), _| *number == joined.proxy);
+            let over = former.map(|((_, group), _)| EngineEvent::FrozenTableReleased {
                 proxy: join.name.clone(),
                 group,
                 over: ReleaseReason::Reused,
             });
-            self.out.extend(over.map(Action::Note));
+            self.out.extend(over.map(Action::Report));
         }
-        self.pace.forget(joined.number);
-        self.lobby.retain(|(waiting, _)| *waiting != joined.number);
-        if joined.replaced.is_some() {
-            self.rules.proxy_disconnected(joined.number);
+        self.pace.forget(joined.proxy);
+        self.lobby.retain(|(waiting, _)| *waiting != joined.proxy);
+        if joined.replaced_stream.is_some() {
+            self.rules.proxy_disconnected(joined.proxy);
         }
-        self.out.extend(joined.replaced.map(Action::Close));
-        self.guard.left(joined.number);
+        self.out.extend(joined.replaced_stream.map(Action::CloseStream));
+        self.guard.left(joined.proxy);
         let usual = self.usual(join, recalled.as_ref());
-        self.guard.joined(joined.number, usual, &join.standing);
+        self.guard.joined(joined.proxy, usual, &join.default_table);
         if let Some(known) = recalled {
-            self.resume(now, joined.number, known);
+            self.resume(now, joined.proxy, known);
         }
         for group in 0..self.groups {
             if let Some((told_at, until, held)) = self.recalled_holds.remove(&(join.name.clone(), group)) {
                 let (version, said, why) = (held.version, held.said(), held.why);
-                let hold = FrozenTable { version, told_at, said, since: now, until, why, handed: false };
-                self.holds.insert((joined.number, group), hold);
+                let hold = FrozenTable {
+                    version,
+                    published_at: told_at,
+                    table: said,
+                    since: now,
+                    until,
+                    why,
+                    migrated: false,
+                };
+                self.frozen_tables.insert((joined.proxy, group), hold);
             }
         }
         // What is withdrawn holds for it from now on, whatever it stands on; levels likewise.
-        self.refresh(now, &[joined.number], None);
-        self.remember(now, joined.number);
-        self.lobby.push_back((joined.number, usual));
+        self.refresh(now, &[joined.proxy], None);
+        self.remember(now, joined.proxy);
+        self.lobby.push_back((joined.proxy, usual));
         self.causes.insert(Cause::Joined);
         Ok(joined)
     }
 
     /// What a proxy ordinarily receives: its own word, mixed with what an earlier life saw of it.
     fn usual(&self, join: &JoinRequest, recalled: Option<&snapshot::StoredProxy>) -> f64 {
-        let Some(known) = recalled else { return join.usual };
+        let Some(known) = recalled else { return join.requests_per_second };
         let left = snapshot::counts(self.recalled.age, snapshot::DEMAND);
-        join.usual + (known.flows.iter().sum::<f64>() - join.usual) * left
+        join.requests_per_second + (known.flows.iter().sum::<f64>() - join.requests_per_second) * left
     }
 
     /// A proxy that has just joined holds what an earlier life told it: it is told only what differs. Tables
@@ -430,21 +451,30 @@
             if known.own {
                 let said = PublishedTable::of(&table, tries.get(group).copied().unwrap_or_default());
                 let (told_at, until) = (now.saturating_sub(self.recalled.age), now + HANDED_FOR);
-                let hold =
-                    FrozenTable { version, told_at, said, since: now, until, why: why.clone(), handed: true };
-                self.holds.entry((number, group)).or_insert(hold);
+                let hold = FrozenTable {
+                    version,
+                    published_at: told_at,
+                    table: said,
+                    since: now,
+                    until,
+                    why: why.clone(),
+                    migrated: true,
+                };
+                self.frozen_tables.entry((number, group)).or_insert(hold);
             }
             if let Some(proxy) = self.fleet.get_mut(number) {
                 proxy.tables[group] = Some(VersionedTable { version, table: Arc::new(table) });
             }
         }
-        if let Some(proxy) = self.fleet.get_mut(number).filter(|proxy| proxy.tries.1.len() == tries.len()) {
-            proxy.tries = (version, tries);
+        if let Some(proxy) =
+            self.fleet.get_mut(number).filter(|proxy| proxy.retry_policies.1.len() == tries.len())
+        {
+            proxy.retry_policies = (version, tries);
         }
     }
 
     /// What an earlier life knew. To be told before the first list and the first proxy.
-    pub fn recall(&mut self, now: Duration, recalled: RestoredState) {
+    pub fn restore(&mut self, now: Duration, recalled: RestoredState) {
         (self.recalled_at, self.levels_until) = (now, now + recalled.levels_for);
         let times = |(place, (ago, left, hold)): (_, (Duration, Duration, snapshot::StoredFrozenTable))| {
             (place, (now.saturating_sub(ago), now + left, hold))
@@ -458,7 +488,7 @@
 
     /// What is to be known beyond this life, by name. `before`: what it was the last time; `calendar`: what
     /// time it is; `epoch`: which life it is; `groups`: their names.
-    pub fn known(
+    pub fn stored_items(
         &self,
         now: Duration,
         before: &StoredItems,
@@ -487,7 +517,7 @@
                 version,
                 own: proxy.kind() == TableKind::Own,
                 tables: proxy.tables.iter().map(held).collect(),
-                tries: proxy.tries.1.iter().map(|tries| (*tries).into()).collect(),
+                tries: proxy.retry_policies.1.iter().map(|tries| (*tries).into()).collect(),
                 flows,
                 away: 0.0,
             };
@@ -507,7 +537,7 @@
         let ready = |one: &(&ReplicaId, &KnownReplica)| {
             one.1.phase == Phase::Ready && self.tables.is_withdrawn(one.0)
         };
-        for (id, _) in self.roster.iter().filter(ready) {
+        for (id, _) in self.update_roster.iter().filter(ready) {
             replicas.entry(id).or_default().withdrawn = true;
         }
         let named = |(id, item): (&ReplicaId, snapshot::StoredReplica)| {
@@ -522,18 +552,18 @@
                 Arc::new(StoredItem::Level { level: *level, tries: (*tries).into() }),
             );
         }
-        for (name, group, hold) in self.holds().filter(|(.., hold)| !hold.handed) {
+        for (name, group, hold) in self.frozen_tables().filter(|(.., hold)| !hold.migrated) {
             let line = |(id, line): (&ReplicaId, &crate::table_versions::PublishedEntry)| {
                 (id.clone(), line.address.clone(), line.zone, line.weight)
             };
             let item = snapshot::StoredFrozenTable {
                 version: hold.version,
-                told_at: (calendar - now.saturating_sub(hold.told_at).as_secs_f64()).round(),
+                told_at: (calendar - now.saturating_sub(hold.published_at).as_secs_f64()).round(),
                 until: (calendar + hold.until.saturating_sub(now).as_secs_f64()).round(),
                 why: hold.why.clone(),
-                lines: hold.said.lines.iter().map(line).collect(),
-                level: hold.said.level,
-                tries: hold.said.tries.into(),
+                lines: hold.table.entries.iter().map(line).collect(),
+                level: hold.table.admission_millionths,
+                tries: hold.table.retry_policy.into(),
             };
             let group = groups.get(group).map_or("", String::as_str);
             known.insert(format!("hold/{group}/{name}"), Arc::new(StoredItem::Hold(item)));
@@ -575,18 +605,18 @@
         if !self.recalled.withdrawn.is_empty() {
             for ((id, zone), per_s) in seen {
                 let delivered = (per_s * snapshot::LAST.as_secs_f64()).round().min(1e6) as u64;
-                let here = self.roster.get(&id).is_some_and(|known| known.phase == Phase::Ready);
+                let here = self.update_roster.get(&id).is_some_and(|known| known.phase == Phase::Ready);
                 if here && delivered > 0 && !self.recalled.withdrawn.contains_key(&id) {
                     self.tell_met(now, zone, id, delivered, 0);
                 }
             }
         }
         for (id, tries) in std::mem::take(&mut self.recalled.withdrawn) {
-            let Some(known) = self.roster.get(&id).filter(|known| known.phase == Phase::Ready) else {
+            let Some(known) = self.update_roster.get(&id).filter(|known| known.phase == Phase::Ready) else {
                 continue;
             };
             // Replaced under its name since: what was known is of another process.
-            if known.started.is_some_and(|started| now.saturating_sub(started) < self.recalled.age) {
+            if known.started_at.is_some_and(|started| now.saturating_sub(started) < self.recalled.age) {
                 continue;
             }
             self.tell_met(now, known.zone, id, tries, tries);
@@ -601,32 +631,39 @@
     /// A proxy that has just joined was handed over by another governor: until the module speaks for it, it
     /// is told what it was told there, less what the rules forbid here now; and what it met last is heard.
     /// How many of its tables that keeps. A proxy that the module has spoken for is left as it is.
-    pub fn handed(&mut self, now: Duration, number: ProxyId, handed: MigratedProxy) -> usize {
+    pub fn adopt_migrated_tables(&mut self, now: Duration, number: ProxyId, handed: MigratedProxy) -> usize {
         let Some(proxy) = self.fleet.get(number) else { return 0 };
-        if proxy.fresh || proxy.kind() == TableKind::Own {
+        if proxy.holds_default_table || proxy.kind() == TableKind::Own {
             return 0;
         }
         let (zone, stream) = (proxy.zone, proxy.stream);
         let why: Arc<str> = format!("handed over by {}", handed.from).into();
-        let (version, told_at, until) = (self.version, handed.told_at, now + HANDED_FOR);
+        let (version, told_at, until) = (self.version, handed.published_at, now + HANDED_FOR);
         let mut kept = 0;
-        for (group, said) in handed.whole.groups.into_iter().enumerate().take(self.groups) {
+        for (group, said) in handed.state.classes.into_iter().enumerate().take(self.groups) {
             let Some(said) = said else { continue };
-            let hold =
-                FrozenTable { version, told_at, said, since: now, until, why: why.clone(), handed: true };
+            let hold = FrozenTable {
+                version,
+                published_at: told_at,
+                table: said,
+                since: now,
+                until,
+                why: why.clone(),
+                migrated: true,
+            };
             let present = self.present(number, group);
             let withdrawn = |id: &ReplicaId| self.tables.is_withdrawn(id);
             // An operator's hold here goes before.
-            if !self.holds.contains_key(&(number, group))
-                && frozen_tables::told(&hold, &present, &self.roster, withdrawn).0.is_some()
+            if !self.frozen_tables.contains_key(&(number, group))
+                && frozen_tables::told(&hold, &present, &self.update_roster, withdrawn).0.is_some()
             {
-                self.holds.insert((number, group), hold);
+                self.frozen_tables.insert((number, group), hold);
                 kept += 1;
             }
         }
         self.refresh(now, &[number], None);
         if let Some(report) = handed.report {
-            let roster = &self.roster;
+            let roster = &self.update_roster;
             let listed = |id: &ReplicaId| roster.get(id).is_some_and(|one| one.phase != Phase::Gone);
             // One that does not count is counted as such; the next comes soon.
             let _ = self.reports.take(now, number, zone, stream, &report, listed);
@@ -635,7 +672,7 @@
     }
 
     /// What to hand over with a proxy: what it is told, since when, and what it met last, with its age.
-    pub fn known_of(
+    pub fn migration_state(
         &self,
         now: Duration,
         number: ProxyId,
@@ -646,11 +683,11 @@
     }
 
     /// A stream is over; the proxy may be dead, or still at work with what it holds.
-    pub fn left(&mut self, now: Duration, stream: StreamId) {
+    pub fn stream_closed(&mut self, now: Duration, stream: StreamId) {
         let Some(number) = self.fleet.leave(now, stream) else { return };
         self.pace.forget(number);
         self.lobby.retain(|(waiting, _)| *waiting != number);
-        self.holds.retain(|(of, _), hold| *of != number || !hold.handed);
+        self.frozen_tables.retain(|(of, _), hold| *of != number || !hold.migrated);
         self.rules.proxy_disconnected(number);
         self.guard.left(number);
         self.causes.insert(Cause::Left);
@@ -659,7 +696,7 @@
     /// A load report, by the name of the proxy. Streams are numbered in the order of their opening.
     ///
     /// Errors: why it did not count; it is counted as such.
-    pub fn report(
+    pub fn record_report(
         &mut self,
         now: Duration,
         name: &str,
@@ -669,32 +706,32 @@
         let Some((number, proxy)) = self.fleet.named(name) else {
             return Err(self.reports.discard(DiscardReason::NotJoined));
         };
-        let (zone, roster) = (proxy.zone, &self.roster);
+        let (zone, roster) = (proxy.zone, &self.update_roster);
         let listed = |id: &ReplicaId| roster.get(id).is_some_and(|one| one.phase != Phase::Gone);
         self.reports.take(now, number, zone, stream, report, listed)
     }
 
     /// The proxy on a stream took all that it was sent up to a version.
-    pub fn acked(&mut self, now: Duration, stream: StreamId, version: u64) {
+    pub fn version_acknowledged(&mut self, now: Duration, stream: StreamId, version: u64) {
         let Some(number) = self.fleet.number_of(stream) else { return };
         for ordered in self.fleet.acked(stream, version) {
             self.rules.acknowledged(now.saturating_sub(ordered));
             self.causes.insert(Cause::Acked);
         }
-        if self.fleet.get(number).is_some_and(|proxy| proxy.acked >= proxy.sent) {
-            self.pace.answered(number);
+        if self.fleet.get(number).is_some_and(|proxy| proxy.acknowledged_version >= proxy.sent_version) {
+            self.pace.acknowledged(number);
         }
     }
 
     /// The proxy on a stream would not take a version, and says why. Its last good tables stand; it is sent
     /// nothing again before something has changed.
-    pub fn nacked(&mut self, stream: StreamId, version: u64, words: &str) {
+    pub fn version_rejected(&mut self, stream: StreamId, version: u64, words: &str) {
         let Some(number) = self.fleet.number_of(stream) else { return };
         self.fleet.nacked(stream, version, words);
-        self.pace.answered(number);
+        self.pace.acknowledged(number);
         if let Some(proxy) = self.fleet.get(number) {
-            let words = proxy.nacked.as_ref().map(|(_, words)| words.clone()).unwrap_or_default();
-            self.out.push_back(Action::Note(EngineEvent::Nacked {
+            let words = proxy.rejected.as_ref().map(|(_, words)| words.clone()).unwrap_or_default();
+            self.out.push_back(Action::Report(EngineEvent::VersionRejected {
                 proxy: proxy.name.clone(),
                 version,
                 words,
@@ -705,41 +742,47 @@
     /// The proxy on a stream has answered all that it was sent, whatever that was.
     pub fn settled(&mut self, stream: StreamId) {
         if let Some(number) = self.fleet.number_of(stream) {
-            self.pace.answered(number);
+            self.pace.acknowledged(number);
         }
     }
 
     /// The proxy on a stream asks for something that it was not sent yet.
-    pub fn wants(&mut self, now: Duration, stream: StreamId, lines: usize) {
+    pub fn resend_requested(&mut self, now: Duration, stream: StreamId, lines: usize) {
         if let Some(number) = self.fleet.number_of(stream) {
-            self.pace.want(now, number, lines, true);
+            self.pace.request(now, number, lines, true);
         }
     }
 
     /// A flush was written, as so many lines in so many messages; none if there was nothing to say.
-    pub fn sent(&mut self, now: Duration, number: ProxyId, lines: usize, messages: usize) {
+    pub fn tables_sent(&mut self, now: Duration, number: ProxyId, lines: usize, messages: usize) {
         self.offered = None;
         if let Some(proxy) = self.fleet.get_mut(number).filter(|_| lines > 0) {
-            proxy.sent = proxy.newest();
+            proxy.sent_version = proxy.newest();
         }
         self.pace.sent(now, number, lines, messages);
     }
 
     /// The proxy's stream has no room for a flush.
-    pub fn stalled(&mut self, number: ProxyId) {
+    pub fn stream_full(&mut self, number: ProxyId) {
         self.offered = None;
-        self.pace.stalled(number);
+        self.pace.stream_full(number);
     }
 
     /// The proxy's stream has room again.
-    pub fn roomy(&mut self, stream: StreamId) {
+    pub fn stream_has_capacity(&mut self, stream: StreamId) {
         if let Some(number) = self.fleet.number_of(stream) {
-            self.pace.roomy(number);
+            self.pace.stream_has_capacity(number);
         }
     }
 
     /// What a probe found: how long the answer took, if one came.
-    pub fn probed(&mut self, now: Duration, replica: &ReplicaId, took: Option<Duration>, load: &[f64]) {
+    pub fn health_checked(
+        &mut self,
+        now: Duration,
+        replica: &ReplicaId,
+        took: Option<Duration>,
+        load: &[f64],
+    ) {
         self.rules.record_health_check(now, replica, took, load);
         self.causes.insert(Cause::Probed);
     }
@@ -768,26 +811,35 @@
             let then = self.history.as_of(number, version).cloned();
             let mut any = false;
             for group in groups.clone() {
-                let said = then.as_ref().and_then(|then| then.whole.groups.get(group)?.clone());
+                let said = then.as_ref().and_then(|then| then.state.classes.get(group)?.clone());
                 let (Some(then), Some(said)) = (&then, said) else { continue };
                 any = true;
-                let told_at = then.at;
+                let told_at = then.published_at;
                 let (version, why) = (then.version, why.clone());
-                let hold = FrozenTable { version, told_at, said, since: now, until, why, handed: false };
+                let hold = FrozenTable {
+                    version,
+                    published_at: told_at,
+                    table: said,
+                    since: now,
+                    until,
+                    why,
+                    migrated: false,
+                };
                 let present = self.present(number, group);
-                let (told, left_out) =
-                    frozen_tables::told(&hold, &present, &self.roster, |id| self.tables.is_withdrawn(id));
+                let (told, left_out) = frozen_tables::told(&hold, &present, &self.update_roster, |id| {
+                    self.tables.is_withdrawn(id)
+                });
                 if told.is_none() {
-                    rolled.bare += 1;
+                    rolled.unfreezable += 1;
                     continue;
                 }
                 let named = |(id, why)| (name.clone(), group, id, why);
                 rolled.left_out.extend(left_out.into_iter().map(named));
-                rolled.held += 1;
-                if let Some(before) = self.holds.insert((number, group), hold) {
+                rolled.frozen += 1;
+                if let Some(before) = self.frozen_tables.insert((number, group), hold) {
                     let over = ReleaseReason::Replaced(before.why);
-                    let over = EngineEvent::HoldOver { proxy: name.clone(), group, over };
-                    self.out.push_back(Action::Note(over));
+                    let over = EngineEvent::FrozenTableReleased { proxy: name.clone(), group, over };
+                    self.out.push_back(Action::Report(over));
                 }
             }
             match any {
@@ -823,7 +875,7 @@
         until: Duration,
         why: &str,
     ) -> Result<(), OverrideError> {
-        if self.roster.get(replica).is_none_or(|known| known.phase == Phase::Gone) {
+        if self.update_roster.get(replica).is_none_or(|known| known.phase == Phase::Gone) {
             return Err(OverrideError::NoReplica(replica.clone()));
         }
         let why = why.chars().take(500).collect::<String>().into();
@@ -851,14 +903,14 @@
         meant: impl Fn(&(ProxyId, usize), &FrozenTable) -> bool,
     ) -> usize {
         let ended: Vec<(ProxyId, usize)> =
-            self.holds.extract_if(.., |key, hold| meant(key, hold)).map(|(key, _)| key).collect();
+            self.frozen_tables.extract_if(.., |key, hold| meant(key, hold)).map(|(key, _)| key).collect();
         for (number, group) in &ended {
-            let over = EngineEvent::HoldOver {
+            let over = EngineEvent::FrozenTableReleased {
                 proxy: self.name_of(Some(*number)),
                 group: *group,
                 over: over.clone(),
             };
-            self.out.push_back(Action::Note(over));
+            self.out.push_back(Action::Report(over));
         }
         let numbers: BTreeSet<ProxyId> = ended.iter().map(|(number, _)| *number).collect();
         self.refresh(now, &numbers.into_iter().collect::<Vec<_>>(), None);
@@ -880,9 +932,15 @@
     /// The module's present table for a proxy's group, held or not.
     fn present(&self, number: ProxyId, group: usize) -> Table {
         let present = self.fleet.get(number).and_then(|proxy| {
-            self.tables.wanted(&self.roster, group, proxy.follows[group], &proxy.standing, true)
+            self.tables.wanted(
+                &self.update_roster,
+                group,
+                proxy.assigned_tables[group],
+                &proxy.default_table,
+                true,
+            )
         });
-        present.unwrap_or(Table { lines: Vec::new(), level: 1.0 })
+        present.unwrap_or(Table { entries: Vec::new(), admission_fraction: 1.0 })
     }
 
     /// A changed limit on lines of reports.
@@ -893,10 +951,10 @@
     // ---- steps
 
     /// The next thing to do, until there is none.
-    pub fn step(&mut self, now: Duration) -> Option<Action> {
+    pub fn next_action(&mut self, now: Duration) -> Option<Action> {
         // A host that left a flush undone would be offered it for ever.
         if let Some(number) = self.offered.take() {
-            self.pace.stalled(number);
+            self.pace.stream_full(number);
         }
         self.settle(now);
         if let Some(step) = self.out.pop_front() {
@@ -907,12 +965,12 @@
         Some(Action::Flush(number))
     }
 
-    /// When to pull [`Engine::step`] again, if nothing else happens.
-    pub fn next_due(&self, now: Duration) -> Duration {
-        let holds = self.holds.values().map(|hold| hold.until).min();
+    /// When to pull [`Engine::next_action`] again, if nothing else happens.
+    pub fn next_deadline(&self, now: Duration) -> Duration {
+        let holds = self.frozen_tables.values().map(|hold| hold.until).min();
         let overrides = self.overrides.next_due();
         let dues = [
-            self.roster.next_due(),
+            self.update_roster.next_due(),
             self.standby.next_due(),
             self.reports.next_due(),
             self.pace.next_due(now),
@@ -928,13 +986,13 @@
         if now > self.beat_at + STOOD_STILL && !self.catching_up {
             (self.beat_at, self.catching_up) = (now + CATCH_UP, true);
         }
-        if let Some(listed) = self.roster.due(now) {
+        if let Some(listed) = self.update_roster.due(now) {
             self.listed(now, &listed);
         }
         if let Some(entries) = self.standby.due(now) {
             self.take_list(now, entries);
         }
-        if self.holds.values().any(|hold| hold.until <= now) {
+        if self.frozen_tables.values().any(|hold| hold.until <= now) {
             self.end_holds(now, ReleaseReason::Time, |_, hold| hold.until <= now);
         }
         if !self.recalled.levels.is_empty() && now >= self.levels_until {
@@ -948,18 +1006,18 @@
         self.recalled_holds.retain(|_, (_, until, _)| now < *until);
         let over = self.overrides.due(now);
         if !over.is_empty() {
-            self.out.extend(over.into_iter().map(|id| Action::Note(EngineEvent::OverrideOver(id))));
+            self.out.extend(over.into_iter().map(|id| Action::Report(EngineEvent::OverrideExpired(id))));
             self.refresh(now, &self.fleet.numbers(), None);
         }
         for told in self.reports.due(now) {
             self.causes.insert(Cause::Reports);
             match told {
-                AggregatedStatistics::ReplicaStatistics(met) => {
+                AggregatedStatistics::Replica(met) => {
                     let delivered = met.attempts.saturating_sub(met.failed);
                     self.guard.met(now, &met.replica, met.zone, delivered, met.interval);
                     self.rules.record_replica_statistics(now, met);
                 }
-                AggregatedStatistics::DemandStatistics(came) => {
+                AggregatedStatistics::Demand(came) => {
                     self.guard.came(came.proxy, came.class, came.requests, came.interval);
                     self.rules.record_demand(now, came);
                 }
@@ -968,7 +1026,7 @@
         let waited = self.lobby.len();
         while let Some((number, usual)) = self.lobby.front().copied() {
             // One at a time goes in even where the channel never has room, or nobody ever would.
-            let fits = self.pace.has_room(self.set_aside + self.join_cost);
+            let fits = self.pace.has_capacity(self.set_aside + self.join_cost);
             if !fits && (self.set_aside > 0.0 || self.pace.waiting(now) > 0) {
                 break;
             }
@@ -978,14 +1036,14 @@
                 proxy: number,
                 zone: proxy.zone,
                 requests_per_second: usual,
-                holds_default_table: proxy.fresh,
+                holds_default_table: proxy.holds_default_table,
             };
             self.rules.proxy_connected(now, connection);
             self.set_aside += self.join_cost;
             self.causes.insert(Cause::Joined);
         }
         if waited > 0 && !self.lobby.is_empty() && waited != self.lobby.len() {
-            self.out.push_back(Action::Note(EngineEvent::Lobby(self.lobby.len())));
+            self.out.push_back(Action::Report(EngineEvent::JoinsQueued(self.lobby.len())));
         }
         if now >= self.beat_at {
             self.causes.insert(Cause::Beat);
@@ -1008,18 +1066,18 @@
     /// Replicas for whose sake a table that stands is judged again: they are shut by now, or sent too much.
     fn suspects(&self, now: Duration) -> BTreeSet<ReplicaId> {
         let shut = |(id, known): &(&ReplicaId, &KnownReplica)| known.phase != Phase::Ready || self.is_out(id);
-        let mut suspects = self.guard.troubled(now, &self.roster, |id| self.is_out(id));
-        suspects.extend(self.roster.iter().filter(shut).map(|(id, _)| id.clone()));
+        let mut suspects = self.guard.troubled(now, &self.update_roster, |id| self.is_out(id));
+        suspects.extend(self.update_roster.iter().filter(shut).map(|(id, _)| id.clone()));
         suspects
     }
 
     /// Judges again what was refused, and, if some replica is sent too much by tables that stand, those.
     fn recheck(&mut self, now: Duration) {
-        let troubled = self.guard.troubled(now, &self.roster, |id| self.is_out(id));
+        let troubled = self.guard.troubled(now, &self.update_roster, |id| self.is_out(id));
         let held = self.guard.held();
         let names = |proxy: &Proxy| {
-            let lines = proxy.tables.iter().flatten().flat_map(|kept| &kept.table.lines);
-            lines.filter(|line| line.open).any(|line| troubled.contains(&line.replica))
+            let lines = proxy.tables.iter().flatten().flat_map(|kept| &kept.table.entries);
+            lines.filter(|line| line.routable).any(|line| troubled.contains(&line.replica))
         };
         let concerned = |(number, proxy): (ProxyId, &Proxy)| {
             (held.contains(&number) || !troubled.is_empty() && names(proxy)).then_some(number)
@@ -1035,11 +1093,11 @@
         self.recall_replicas(now);
         let tables = &self.tables;
         let held: BTreeSet<&ReplicaId> =
-            self.fleet.iter().flat_map(|(_, one)| &one.standing).map(|(id, _)| id).collect();
-        self.roster.forget(|id| tables.names(id) || held.contains(id));
+            self.fleet.iter().flat_map(|(_, one)| &one.default_table).map(|(id, _)| id).collect();
+        self.update_roster.forget(|id| tables.names(id) || held.contains(id));
         // Addresses may have changed under the same names.
         let all = self.fleet.numbers();
-        self.guard.listed(&self.roster);
+        self.guard.listed(&self.update_roster);
         self.refresh(now, &all, None);
         // What stands may be harmful by the new list, once the module has had its say.
         self.recheck_all = true;
@@ -1067,7 +1125,7 @@
                     continue;
                 }
                 Decision::CheckHealth(replica) => {
-                    self.out.push_back(Action::Probe(replica));
+                    self.out.push_back(Action::CheckHealth(replica));
                     continue;
                 }
                 Decision::SetEjected { replica, ejected: out } => {
@@ -1084,12 +1142,13 @@
                 }
                 Decision::AssignTable { proxy: number, table, classes: groups } => {
                     if let Some(proxy) = self.fleet.get_mut(number) {
-                        for (place, follows) in proxy.follows.iter_mut().enumerate() {
+                        for (place, follows) in proxy.assigned_tables.iter_mut().enumerate() {
                             if groups >> place & 1 == 1 {
                                 *follows = Some(table);
                                 // It has spoken: what another governor told gives way.
-                                if self.holds.get(&(number, place)).is_some_and(|hold| hold.handed) {
-                                    self.holds.remove(&(number, place));
+                                if self.frozen_tables.get(&(number, place)).is_some_and(|hold| hold.migrated)
+                                {
+                                    self.frozen_tables.remove(&(number, place));
                                 }
                             }
                         }
@@ -1126,7 +1185,7 @@
                 *name = self.name_of(Some(*number));
             }
         }
-        let note = |what| Action::Note(EngineEvent::Decided { what, version, answers: answers.clone() });
+        let note = |what| Action::Report(EngineEvent::Decided { what, version, answers: answers.clone() });
         self.out.extend(decided.into_iter().map(note));
         let concerned: Vec<ProxyId> =
             if everyone { self.fleet.numbers() } else { concerned.into_iter().collect() };
@@ -1136,7 +1195,7 @@
     /// The module's next decision.
     fn decide(&mut self, now: Duration) -> Option<Decision> {
         #[cfg(any(test, feature = "suspect"))]
-        if let Some(distort) = &mut self.suspect {
+        if let Some(distort) = &mut self.replace_decider {
             return distort(now, &mut self.rules);
         }
         self.rules.next_decision(now)
@@ -1145,8 +1204,8 @@
     /// Puts something between the module and what becomes of its decisions: for tests and rehearsals of a
     /// module that has gone wrong. It is asked as the module would be.
     #[cfg(any(test, feature = "suspect"))]
-    pub fn suspect(&mut self, decider: FaultyDecider) {
-        self.suspect = Some(decider);
+    pub fn replace_decider(&mut self, decider: FaultyDecider) {
+        self.replace_decider = Some(decider);
     }
 
     /// Lets all through, for measurements of what the guard is worth.
@@ -1158,7 +1217,7 @@
     /// Who follows which table: each is one proxy's.
     fn followers(&self) -> BTreeMap<TableId, ProxyId> {
         let follows = |(number, proxy): (ProxyId, &Proxy)| {
-            proxy.follows.clone().into_iter().flatten().map(move |table| (table, number))
+            proxy.assigned_tables.clone().into_iter().flatten().map(move |table| (table, number))
         };
         self.fleet.iter().flat_map(follows).collect()
     }
@@ -1176,22 +1235,26 @@
     /// there is nothing to say.
     fn wanted(&self, number: ProxyId, group: usize) -> Option<(Table, bool)> {
         let proxy = self.fleet.get(number)?;
-        let overridden = proxy.standing.iter().any(|(id, _)| self.overrides.names(id));
-        let (follows, told) = (proxy.follows[group], proxy.tables[group].is_some() || overridden);
-        let wanted = self.tables.wanted(&self.roster, group, follows, &proxy.standing, told);
+        let overridden = proxy.default_table.iter().any(|(id, _)| self.overrides.names(id));
+        let (follows, told) = (proxy.assigned_tables[group], proxy.tables[group].is_some() || overridden);
+        let wanted = self.tables.wanted(&self.update_roster, group, follows, &proxy.default_table, told);
         // A level of before a restart holds until the module says another, and for some seconds at the most:
         // it begins with all let in, and an overload that goes on would be let in until it is seen again.
         let level = self.recalled.levels.get(&group).copied();
         let wanted = match (wanted, level) {
-            (Some(wanted), Some(level)) => Some(Table { level: wanted.level.min(level), ..wanted }),
+            (Some(wanted), Some(level)) => {
+                Some(Table { admission_fraction: wanted.admission_fraction.min(level), ..wanted })
+            }
             (wanted, _) => wanted,
         };
-        let nothing = Table { lines: Vec::new(), level: 1.0 };
-        let (mut table, bare) = match self.holds.get(&(number, group)) {
+        let nothing = Table { entries: Vec::new(), admission_fraction: 1.0 };
+        let (mut table, bare) = match self.frozen_tables.get(&(number, group)) {
             None => (wanted?, false),
             Some(hold) => {
                 let present = wanted.as_ref().unwrap_or(&nothing);
-                match frozen_tables::told(hold, present, &self.roster, |id| self.tables.is_withdrawn(id)) {
+                match frozen_tables::told(hold, present, &self.update_roster, |id| {
+                    self.tables.is_withdrawn(id)
+                }) {
                     (Some(held), _) => (held, false),
                     (None, _) => (wanted.unwrap_or(nothing), true),
                 }
@@ -1224,18 +1287,19 @@
         {
             let Some((table, bare)) = self.wanted(number, group) else { continue };
             if bare {
-                self.holds.remove(&(number, group));
+                self.frozen_tables.remove(&(number, group));
                 let (proxy, over) = (self.name_of(Some(number)), ReleaseReason::Bare);
-                self.out.push_back(Action::Note(EngineEvent::HoldOver { proxy, group, over }));
+                self.out.push_back(Action::Report(EngineEvent::FrozenTableReleased { proxy, group, over }));
             }
             let kept = self.fleet.get(number).and_then(|proxy| proxy.tables[group].as_ref());
             let same = kept.is_some_and(|kept| *kept.table == table);
             if same {
                 self.guard.settled(number, group);
             }
-            let suspect = |line: &crate::tables::ResolvedEntry| line.open && suspects.contains(&line.replica);
-            let again = recheck && (held.contains(&number) || table.lines.iter().any(suspect));
-            if (!same || again) && (kept.is_some() || !table.lines.is_empty()) {
+            let suspect =
+                |line: &crate::tables::ResolvedEntry| line.routable && suspects.contains(&line.replica);
+            let again = recheck && (held.contains(&number) || table.entries.iter().any(suspect));
+            if (!same || again) && (kept.is_some() || !table.entries.is_empty()) {
                 wanted.push((number, group, table));
             }
         }
@@ -1248,18 +1312,18 @@
             Some(ProposedTable {
                 proxy: number,
                 zone: proxy.zone,
-                group,
+                class: group,
                 held,
-                standing: &proxy.standing,
+                default_table: &proxy.default_table,
                 wanted,
             })
         };
         let changes: Vec<ProposedTable> = wanted.into_iter().filter_map(change).collect();
         let withdrawn = |id: &ReplicaId| tables.is_withdrawn(id) || overrides.excludes(id);
-        let judged = self.guard.judge(now, &self.roster, withdrawn, asked, changes);
+        let judged = self.guard.judge(now, &self.update_roster, withdrawn, asked, changes);
         let mut judged: BTreeMap<(ProxyId, usize), Table> = places.into_iter().zip(judged).collect();
         while let Some(refusal) = self.guard.news() {
-            self.out.push_back(Action::Note(EngineEvent::Refused(refusal)));
+            self.out.push_back(Action::Report(EngineEvent::TableRefused(refusal)));
         }
         let mut changed = Vec::new();
         let tries = self.tables.tries();
@@ -1272,18 +1336,19 @@
                 proxy.tables[group] = match kept {
                     Some(kept) if *kept.table == table => Some(kept),
                     kept => {
-                        lines +=
-                            kept.as_ref().map_or(table.lines.len() + 1, |kept| table.differing(&kept.table));
+                        lines += kept
+                            .as_ref()
+                            .map_or(table.entries.len() + 1, |kept| table.differing(&kept.table));
                         // Who came with holdings that nobody knows, or may send to a drain, can't wait.
                         let drains = |(id, _): &(ReplicaId, f64)| self.tables.is_withdrawn(id);
                         urgent |= match &kept {
                             Some(kept) => {
                                 let excluded = |line: &crate::tables::ResolvedEntry| {
-                                    line.open && self.overrides.excludes(&line.replica)
+                                    line.routable && self.overrides.excludes(&line.replica)
                                 };
-                                self.tables.outdates(&kept.table) || kept.table.lines.iter().any(excluded)
+                                self.tables.outdates(&kept.table) || kept.table.entries.iter().any(excluded)
                             }
-                            None => !proxy.fresh || proxy.standing.iter().any(drains),
+                            None => !proxy.holds_default_table || proxy.default_table.iter().any(drains),
                         };
                         // Groups that follow one table share one copy.
                         let alike = proxy.tables[..group].iter().flatten().find(|one| *one.table == table);
@@ -1292,16 +1357,16 @@
                     }
                 };
             }
-            if proxy.tries.1 != tries {
-                proxy.tries = (version, tries.clone());
+            if proxy.retry_policies.1 != tries {
+                proxy.retry_policies = (version, tries.clone());
                 lines += self.groups;
             }
             if lines > 0 {
                 changed.push(*number);
                 if let Some(at) = marked {
-                    proxy.mark(version, at);
+                    proxy.request_acknowledgement(version, at);
                 }
-                self.pace.want(now, *number, lines, urgent);
+                self.pace.request(now, *number, lines, urgent);
             }
         }
         self.version += u64::from(!changed.is_empty());
@@ -1316,9 +1381,14 @@
         let said = |(kept, tries): (&Option<VersionedTable>, &RetryPolicy)| {
             kept.as_ref().map(|kept| PublishedTable::of(&kept.table, *tries))
         };
-        let whole = PublishedState { groups: proxy.tables.iter().zip(&proxy.tries.1).map(said).collect() };
-        let version =
-            HistoryEntry { version: proxy.newest(), at: now, digest: whole.digest(), whole: Arc::new(whole) };
+        let whole =
+            PublishedState { classes: proxy.tables.iter().zip(&proxy.retry_policies.1).map(said).collect() };
+        let version = HistoryEntry {
+            version: proxy.newest(),
+            published_at: now,
+            digest: whole.digest(),
+            state: Arc::new(whole),
+        };
         self.history.push(number, version);
     }
 
@@ -1337,19 +1407,19 @@
     }
 
     pub fn replicas(&self) -> impl Iterator<Item = (&ReplicaId, &KnownReplica)> {
-        self.roster.iter()
+        self.update_roster.iter()
     }
 
     pub fn known_roster(&self) -> &Roster {
-        &self.roster
+        &self.update_roster
     }
 
-    pub fn is_withdrawn(&self, replica: &ReplicaId) -> bool {
+    pub fn is_ejected(&self, replica: &ReplicaId) -> bool {
         self.tables.is_withdrawn(replica)
     }
 
     /// Why the module has a ready replica out, in its own words.
-    pub fn why_out(&self, replica: &ReplicaId) -> Option<&'static str> {
+    pub fn ejection_reason(&self, replica: &ReplicaId) -> Option<&'static str> {
         self.rules.ejection_reason(replica)
     }
 
@@ -1359,7 +1429,7 @@
     }
 
     /// By group.
-    pub fn levels(&self) -> &[(f64, RetryPolicy)] {
+    pub fn admission(&self) -> &[(f64, RetryPolicy)] {
         self.tables.levels()
     }
 
@@ -1376,24 +1446,24 @@
             zone: known.zone,
             weight: known.weight,
             phase: known.phase.into(),
-            age_s: known.started.map(|started| now.saturating_sub(started).as_secs_f64()),
+            age_s: known.started_at.map(|started| now.saturating_sub(started).as_secs_f64()),
             out: self.is_out(id),
         };
         let held = |(number, proxy): (ProxyId, &Proxy)| {
             let table = |(group, kept): (usize, &Option<VersionedTable>)| {
                 let table = kept.as_ref().map(|kept| &*kept.table);
                 let line =
-                    |line: &crate::tables::ResolvedEntry| (line.replica.clone(), line.weight, line.open);
+                    |line: &crate::tables::ResolvedEntry| (line.replica.clone(), line.weight, line.routable);
                 recording::RecordedTable {
                     flows: self.guard.flows(number, group),
-                    level: table.map_or(1.0, |table| table.level),
-                    lines: table.map(|table| table.lines.iter().map(line).collect()),
+                    level: table.map_or(1.0, |table| table.admission_fraction),
+                    lines: table.map(|table| table.entries.iter().map(line).collect()),
                 }
             };
             recording::RecordedProxy {
                 name: proxy.name.clone(),
                 zone: proxy.zone,
-                standing: proxy.standing.clone(),
+                standing: proxy.default_table.clone(),
                 groups: proxy.tables.iter().enumerate().map(table).collect(),
             }
         };
@@ -1409,7 +1479,7 @@
             zones: Vec::new(),
             groups: Vec::new(),
             limits: self.guard.limits().into(),
-            replicas: self.roster.iter().map(replica).collect(),
+            replicas: self.update_roster.iter().map(replica).collect(),
             proxies: self.fleet.iter().map(held).collect(),
             seen: self.guard.seen(now).map(seen).collect(),
         }
@@ -1426,24 +1496,24 @@
     }
 
     /// Holds in force, by proxy and group.
-    pub fn holds(&self) -> impl Iterator<Item = (&Arc<str>, usize, &FrozenTable)> {
-        self.holds
+    pub fn frozen_tables(&self) -> impl Iterator<Item = (&Arc<str>, usize, &FrozenTable)> {
+        self.frozen_tables
             .iter()
             .filter_map(|((number, group), hold)| Some((&self.fleet.get(*number)?.name, *group, hold)))
     }
 
-    pub fn figures(&self, now: Duration) -> EngineStatus {
+    pub fn status(&self, now: Duration) -> EngineStatus {
         EngineStatus {
             version: self.version,
-            pulls: self.pulls,
-            joined: self.fleet.len(),
-            lobby: self.lobby.len(),
-            lines_waiting: self.pace.waiting(now),
-            lines_waited_most: self.pace.most_waited(),
-            reports_waiting: self.reports.waiting(),
-            history_lines: self.history.lines(),
-            holds: self.holds.len(),
-            roster_doubted: self.roster.doubted(),
+            flushes: self.pulls,
+            connected_proxies: self.fleet.len(),
+            queued_joins: self.lobby.len(),
+            queued_entries: self.pace.waiting(now),
+            max_queued_entries: self.pace.most_waited(),
+            queued_reports: self.reports.waiting(),
+            history_entries: self.history.lines(),
+            frozen_tables: self.frozen_tables.len(),
+            roster_doubted: self.update_roster.empty_roster_doubted(),
         }
     }
 }
@@ -1452,14 +1522,14 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineStatus {
     pub version: u64,
-    pub pulls: u64,
-    pub joined: usize,
-    pub lobby: usize,
-    pub lines_waiting: usize,
-    pub lines_waited_most: usize,
-    pub reports_waiting: usize,
-    pub history_lines: usize,
-    pub holds: usize,
+    pub flushes: u64,
+    pub connected_proxies: usize,
+    pub queued_joins: usize,
+    pub queued_entries: usize,
+    pub max_queued_entries: usize,
+    pub queued_reports: usize,
+    pub history_entries: usize,
+    pub frozen_tables: usize,
     pub roster_doubted: bool,
 }
 
--- a/crates/core/src/engine/hostile.rs
+++ b/crates/core/src/engine/hostile.rs
@@ -23,7 +23,7 @@
         zone: 0,
         weight: 1.0,
         phase: if draining.contains(id) { Phase::Draining } else { Phase::Ready },
-        started: started.filter(|_| *id == COLD),
+        started_at: started.filter(|_| *id == COLD),
         backup: false,
     };
     REPLICAS.iter().map(entry).collect()
@@ -32,53 +32,60 @@
 /// Runs four proxies through a drain and a cold start; the rules that were broken, and how often.
 fn broken(wrong: Fault, guarded: bool) -> BTreeMap<&'static str, usize> {
     let mut setup = EngineSettings::example(2);
-    setup.module.proxy_count = 4;
+    setup.governor.proxy_count = 4;
     let mut engine = Engine::new(setup, at(0));
-    engine.suspect(decider(wrong));
+    engine.replace_decider(decider(wrong));
     if !guarded {
         engine.switch_guard_off();
     }
-    engine.roster(at(0), list(&[], None));
+    engine.update_roster(at(0), list(&[], None));
     for (stream, name) in ["p", "q", "r", "s"].into_iter().enumerate() {
         let standing = if stream < 2 { vec![] } else { REPLICAS.map(|id| (id.into(), 1.0)).to_vec() };
         let (name, holds_orders) = (name.into(), stream < 2);
-        let join =
-            JoinRequest { name, zone: 0, usual: 20.0, standing, holds_orders, claim: None, proven: None };
-        engine.joined(at(1), stream as u64, &join).unwrap();
+        let join = JoinRequest {
+            name,
+            zone: 0,
+            requests_per_second: 20.0,
+            default_table: standing,
+            holds_governor_tables: holds_orders,
+            ownership_proof: None,
+            proven_version: None,
+        };
+        engine.proxy_connected(at(1), stream as u64, &join).unwrap();
     }
     let mut broken: BTreeMap<&'static str, usize> = BTreeMap::new();
     let cold_from = 10_000;
     for now in (100..25_000).step_by(100) {
         if now == 5000 {
-            engine.roster(at(now), list(&["a", "b"], None));
+            engine.update_roster(at(now), list(&["a", "b"], None));
         }
         if now == cold_from {
-            engine.roster(at(now), list(&["a"], Some(at(now))));
+            engine.update_roster(at(now), list(&["a"], Some(at(now))));
         }
-        while let Some(step) = engine.step(at(now)) {
+        while let Some(step) = engine.next_action(at(now)) {
             if let Action::Flush(number) = step {
-                engine.sent(at(now), number, 8, 1);
+                engine.tables_sent(at(now), number, 8, 1);
                 let (stream, newest) = engine.proxy(number).map(|one| (one.stream, one.newest())).unwrap();
-                engine.acked(at(now), stream, newest);
+                engine.version_acknowledged(at(now), stream, newest);
             }
         }
         let mut fault = |rule, is: bool| *broken.entry(rule).or_default() += usize::from(is);
         let mut on_cold = 0.0;
         for (_, proxy) in engine.fleet().iter() {
             for kept in proxy.tables.iter().flatten() {
-                let lines: Vec<_> = kept.table.lines.iter().filter(|line| line.open).collect();
+                let lines: Vec<_> = kept.table.entries.iter().filter(|line| line.routable).collect();
                 fault("bare", lines.is_empty());
                 let phase = |id: &ReplicaId| engine.known_roster().get(id).map(|one| one.phase);
                 fault("a drain", lines.iter().any(|line| phase(&line.replica) != Some(Phase::Ready)));
                 fault("a weight", lines.iter().any(|one| !(one.weight.is_finite() && one.weight > 0.0)));
-                fault("a level", !(0.0..=1.0).contains(&kept.table.level));
+                fault("a level", !(0.0..=1.0).contains(&kept.table.admission_fraction));
                 let most = lines.iter().map(|line| line.weight).fold(0.0, f64::max);
                 fault("the wire", lines.iter().any(|line| line.weight * 4.1e6 < most));
                 let all: f64 = lines.iter().map(|line| line.weight).sum();
                 let cold = lines.iter().filter(|line| &*line.replica == COLD);
                 on_cold += 10.0 * cold.map(|line| line.weight).sum::<f64>() / all;
             }
-            fault("an effect twice", proxy.tries.1.contains(&RetryPolicy::OnAnyFailure));
+            fault("an effect twice", proxy.retry_policies.1.contains(&RetryPolicy::OnAnyFailure));
         }
         // 80 flows over six that are warm and one that has a quarter of its capacity, and all 20 s later.
         let warmth = 0.25 + 0.75 * now.saturating_sub(cold_from) as f64 / 20_000.0;
@@ -125,29 +132,29 @@
 fn the_module_as_it_is_passes_unchanged() {
     assert_eq!(broken(|decision, _| vec![decision], true), BTreeMap::new());
     let mut engine = Engine::new(EngineSettings::example(2), at(0));
-    engine.roster(at(0), list(&[], None));
+    engine.update_roster(at(0), list(&[], None));
     for n in 0..8 {
         let (name, standing) = (format!("p{n}").into(), vec![]);
         let join = JoinRequest {
             name,
             zone: 0,
-            usual: 20.0,
-            standing,
-            holds_orders: true,
-            claim: None,
-            proven: None,
+            requests_per_second: 20.0,
+            default_table: standing,
+            holds_governor_tables: true,
+            ownership_proof: None,
+            proven_version: None,
         };
-        engine.joined(at(1), n, &join).unwrap();
+        engine.proxy_connected(at(1), n, &join).unwrap();
     }
     for now in (100..30_000).step_by(100) {
         match now {
-            5000 => engine.roster(at(now), list(&["a", "b"], None)),
-            9000 => engine.roster(at(now), list(&[], Some(at(now)))),
+            5000 => engine.update_roster(at(now), list(&["a", "b"], None)),
+            9000 => engine.update_roster(at(now), list(&[], Some(at(now)))),
             _ => {}
         }
-        while let Some(step) = engine.step(at(now)) {
+        while let Some(step) = engine.next_action(at(now)) {
             if let Action::Flush(number) = step {
-                engine.sent(at(now), number, 8, 1);
+                engine.tables_sent(at(now), number, 8, 1);
             }
         }
     }
@@ -176,11 +183,11 @@
     });
     for decider in [forever, never, at_once] {
         let mut engine = Engine::new(EngineSettings::example(1), at(0));
-        engine.suspect(decider);
-        engine.roster(at(0), list(&[], None));
-        let steps = std::iter::from_fn(|| engine.step(at(1))).take(300_000).count();
+        engine.replace_decider(decider);
+        engine.update_roster(at(0), list(&[], None));
+        let steps = std::iter::from_fn(|| engine.next_action(at(1))).take(300_000).count();
         assert!(steps < 300_000);
-        let due = engine.next_due(at(1));
+        let due = engine.next_deadline(at(1));
         assert!(due > at(1) && due <= at(1) + LATEST, "{due:?}");
     }
 }
--- a/crates/core/src/engine/tests.rs
+++ b/crates/core/src/engine/tests.rs
@@ -13,7 +13,7 @@
         zone: 0,
         weight: 1.0,
         phase,
-        started: None,
+        started_at: None,
         backup: false,
     }
 }
@@ -27,31 +27,31 @@
     JoinRequest {
         name: name.into(),
         zone: 0,
-        usual: 5.0,
-        standing,
-        holds_orders: false,
-        claim: None,
-        proven: None,
+        requests_per_second: 5.0,
+        default_table: standing,
+        holds_governor_tables: false,
+        ownership_proof: None,
+        proven_version: None,
     }
 }
 
 fn engine(names: &[&str]) -> Engine {
     let mut engine = Engine::new(EngineSettings::example(2), ms(0));
-    engine.roster(ms(0), ready(names));
+    engine.update_roster(ms(0), ready(names));
     engine
 }
 
 /// A host whose proxies take all at once: what was flushed, by proxy, and the notes.
 fn run(engine: &mut Engine, now: Duration) -> (Vec<ProxyId>, Vec<EngineEvent>) {
     let (mut flushed, mut notes) = (Vec::new(), Vec::new());
-    while let Some(step) = engine.step(now) {
+    while let Some(step) = engine.next_action(now) {
         match step {
             Action::Flush(number) => {
                 flushed.push(number);
-                engine.sent(now, number, 3, 1);
+                engine.tables_sent(now, number, 3, 1);
             }
-            Action::Note(note) => notes.push(note),
-            Action::Close(_) | Action::Probe(_) => {}
+            Action::Report(note) => notes.push(note),
+            Action::CloseStream(_) | Action::CheckHealth(_) => {}
         }
     }
     (flushed, notes)
@@ -59,15 +59,15 @@
 
 fn open(engine: &Engine, number: ProxyId) -> Vec<String> {
     let table = &engine.proxy(number).unwrap().tables[0];
-    let lines = table.iter().flat_map(|kept| &kept.table.lines).filter(|line| line.open);
+    let lines = table.iter().flat_map(|kept| &kept.table.entries).filter(|line| line.routable);
     lines.map(|line| line.replica.to_string()).collect()
 }
 
 #[test]
 fn a_proxy_with_a_standing_table_is_left_alone_and_one_without_is_given_its_tables() {
     let mut engine = engine(&["a", "b", "c"]);
-    let fresh = engine.joined(ms(1), 1, &join("p", &["a", "b", "c"])).unwrap().number;
-    let bare = engine.joined(ms(1), 2, &join("q", &[])).unwrap().number;
+    let fresh = engine.proxy_connected(ms(1), 1, &join("p", &["a", "b", "c"])).unwrap().proxy;
+    let bare = engine.proxy_connected(ms(1), 2, &join("q", &[])).unwrap().proxy;
     let (flushed, _) = run(&mut engine, ms(300));
     assert_eq!(flushed, [bare]);
     assert!(engine.proxy(fresh).unwrap().tables.iter().all(Option::is_none));
@@ -77,8 +77,14 @@
 #[test]
 fn a_standing_table_that_could_not_be_drawn_now_is_not_taken_for_one() {
     let mut engine = engine(&["a", "b", "c"]);
-    engine.joined(ms(1), 1, &join("p", &["a", "gone"])).unwrap();
-    engine.joined(ms(1), 2, &JoinRequest { holds_orders: true, ..join("q", &["a", "b", "c"]) }).unwrap();
+    engine.proxy_connected(ms(1), 1, &join("p", &["a", "gone"])).unwrap();
+    engine
+        .proxy_connected(
+            ms(1),
+            2,
+            &JoinRequest { holds_governor_tables: true, ..join("q", &["a", "b", "c"]) },
+        )
+        .unwrap();
     let (flushed, _) = run(&mut engine, ms(300));
     assert_eq!(flushed, [0, 1]);
 }
@@ -86,13 +92,13 @@
 #[test]
 fn a_drain_reaches_standing_tables_and_own_ones_at_once() {
     let mut engine = engine(&["a", "b", "c", "d"]);
-    engine.joined(ms(1), 1, &join("p", &["a", "b", "c", "d"])).unwrap();
-    engine.joined(ms(1), 2, &join("q", &[])).unwrap();
+    engine.proxy_connected(ms(1), 1, &join("p", &["a", "b", "c", "d"])).unwrap();
+    engine.proxy_connected(ms(1), 2, &join("q", &[])).unwrap();
     run(&mut engine, ms(600));
-    engine.acked(ms(610), 2, engine.proxy(1).unwrap().newest());
+    engine.version_acknowledged(ms(610), 2, engine.proxy(1).unwrap().newest());
     let mut list = ready(&["a", "b", "c", "d"]);
     list[0].phase = Phase::Draining;
-    engine.roster(ms(700), list);
+    engine.update_roster(ms(700), list);
     let (flushed, notes) = run(&mut engine, ms(1600));
     assert_eq!(flushed, [0, 1]);
     assert!(notes.iter().any(|note| matches!(note,
@@ -105,12 +111,12 @@
 #[test]
 fn a_drain_for_a_replica_never_listed_and_a_report_on_it_change_nothing() {
     let mut engine = engine(&["a", "b", "c"]);
-    engine.joined(ms(1), 1, &join("p", &[])).unwrap();
+    engine.proxy_connected(ms(1), 1, &join("p", &[])).unwrap();
     run(&mut engine, ms(600));
     let before = open(&engine, 0);
     let mut list = ready(&["a", "b", "c"]);
     list.push(entry("never", Phase::Draining));
-    engine.roster(ms(700), list);
+    engine.update_roster(ms(700), list);
     run(&mut engine, ms(1600));
     assert_eq!(open(&engine, 0), before);
 }
@@ -118,58 +124,58 @@
 #[test]
 fn an_empty_roster_bares_nobody_and_what_is_back_is_nothing_new() {
     let mut engine = engine(&["a", "b", "c"]);
-    engine.joined(ms(1), 1, &join("p", &[])).unwrap();
+    engine.proxy_connected(ms(1), 1, &join("p", &[])).unwrap();
     run(&mut engine, ms(600));
-    engine.roster(ms(700), vec![]);
+    engine.update_roster(ms(700), vec![]);
     let (flushed, notes) = run(&mut engine, ms(5000));
-    assert!(flushed.is_empty() && matches!(notes[0], EngineEvent::Doubted(_)));
+    assert!(flushed.is_empty() && matches!(notes[0], EngineEvent::EmptyRosterDoubted(_)));
     assert_eq!(open(&engine, 0).len(), 3);
-    engine.roster(ms(6000), ready(&["a", "b", "c"]));
-    assert!(!engine.figures(ms(6000)).roster_doubted);
+    engine.update_roster(ms(6000), ready(&["a", "b", "c"]));
+    assert!(!engine.status(ms(6000)).roster_doubted);
     assert!(run(&mut engine, ms(60_000)).0.is_empty());
 }
 
 #[test]
 fn a_nack_in_the_midst_of_a_flush_holds_still_until_something_changes() {
     let mut engine = engine(&["a", "b", "c"]);
-    engine.joined(ms(1), 1, &join("p", &[])).unwrap();
-    engine.joined(ms(1), 2, &join("q", &[])).unwrap();
+    engine.proxy_connected(ms(1), 1, &join("p", &[])).unwrap();
+    engine.proxy_connected(ms(1), 2, &join("q", &[])).unwrap();
     run(&mut engine, ms(600));
     let version = engine.proxy(0).unwrap().newest();
-    engine.nacked(1, version, "no such locality");
-    engine.acked(ms(700), 2, version);
+    engine.version_rejected(1, version, "no such locality");
+    engine.version_acknowledged(ms(700), 2, version);
     let (flushed, notes) = run(&mut engine, ms(3000));
     assert!(flushed.is_empty());
-    assert!(matches!(&notes[0], EngineEvent::Nacked { words, .. } if words == "no such locality"));
-    assert_eq!(engine.proxy(0).unwrap().acked, 0);
-    engine.roster(ms(3100), ready(&["a", "b"]));
+    assert!(matches!(&notes[0], EngineEvent::VersionRejected { words, .. } if words == "no such locality"));
+    assert_eq!(engine.proxy(0).unwrap().acknowledged_version, 0);
+    engine.update_roster(ms(3100), ready(&["a", "b"]));
     assert_eq!(run(&mut engine, ms(4000)).0, [0, 1]);
-    engine.acked(ms(4100), 1, engine.proxy(0).unwrap().newest());
-    assert_eq!(engine.proxy(0).unwrap().nacked, None);
+    engine.version_acknowledged(ms(4100), 1, engine.proxy(0).unwrap().newest());
+    assert_eq!(engine.proxy(0).unwrap().rejected, None);
 }
 
 #[test]
 fn the_module_hears_of_acks_of_marked_orders_once() {
     let mut engine = engine(&["a", "b", "c"]);
-    engine.joined(ms(1), 1, &join("p", &[])).unwrap();
+    engine.proxy_connected(ms(1), 1, &join("p", &[])).unwrap();
     run(&mut engine, ms(600));
-    engine.acked(ms(650), 1, engine.proxy(0).unwrap().newest());
-    engine.roster(ms(700), ready(&["a", "b"]));
+    engine.version_acknowledged(ms(650), 1, engine.proxy(0).unwrap().newest());
+    engine.update_roster(ms(700), ready(&["a", "b"]));
     run(&mut engine, ms(1600));
     let version = engine.proxy(0).unwrap().newest();
-    engine.acked(ms(1700), 1, version - 1);
+    engine.version_acknowledged(ms(1700), 1, version - 1);
     assert!(!engine.causes.contains(&Cause::Acked), "an older version's answers nothing marked later");
-    engine.acked(ms(1800), 1, version);
+    engine.version_acknowledged(ms(1800), 1, version);
     assert!(engine.causes.remove(&Cause::Acked));
-    engine.acked(ms(1900), 1, version);
+    engine.version_acknowledged(ms(1900), 1, version);
     assert!(!engine.causes.contains(&Cause::Acked));
 }
 
 #[test]
 fn a_proxy_that_comes_back_to_a_new_governor_with_its_old_orders_is_given_a_whole_state() {
     let mut engine = engine(&["a", "b", "c"]);
-    let back = JoinRequest { holds_orders: true, ..join("p", &[]) };
-    engine.joined(ms(1), 1, &back).unwrap();
+    let back = JoinRequest { holds_governor_tables: true, ..join("p", &[]) };
+    engine.proxy_connected(ms(1), 1, &back).unwrap();
     assert_eq!(run(&mut engine, ms(300)).0, [0]);
     assert_eq!(open(&engine, 0), ["a", "b", "c"]);
 }
@@ -177,18 +183,18 @@
 #[test]
 fn a_relay_that_never_reads_gets_the_newest_state_once_it_does() {
     let mut engine = engine(&["a", "b", "c", "d"]);
-    engine.joined(ms(1), 1, &join("p", &[])).unwrap();
-    while let Some(step) = engine.step(ms(300)) {
+    engine.proxy_connected(ms(1), 1, &join("p", &[])).unwrap();
+    while let Some(step) = engine.next_action(ms(300)) {
         if let Action::Flush(number) = step {
-            engine.stalled(number);
+            engine.stream_full(number);
         }
     }
     for round in 0..50 {
         let list = if round % 2 == 0 { ready(&["a", "b", "c"]) } else { ready(&["a", "b", "d"]) };
-        engine.roster(ms(1000 * (round + 1)), list);
+        engine.update_roster(ms(1000 * (round + 1)), list);
         assert!(run(&mut engine, ms(1000 * (round + 1) + 600)).0.is_empty());
     }
-    engine.roomy(1);
+    engine.stream_has_capacity(1);
     assert_eq!(run(&mut engine, ms(60_000)).0, [0], "once, not fifty times");
     assert!(open(&engine, 0).contains(&"d".to_string()));
 }
@@ -198,24 +204,24 @@
     let names: Vec<String> = (0..24).map(|n| format!("r{n:02}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut setup = EngineSettings::example(2);
-    (setup.module.entries_per_second, setup.module.max_queued_entries) = (5000.0, 4000.0);
-    let most = setup.module.max_queued_entries;
+    (setup.governor.entries_per_second, setup.governor.max_queued_entries) = (5000.0, 4000.0);
+    let most = setup.governor.max_queued_entries;
     let mut engine = Engine::new(setup, ms(0));
-    engine.roster(ms(0), ready(&names));
+    engine.update_roster(ms(0), ready(&names));
     for number in 0..1000 {
-        engine.joined(ms(number), number, &join(&format!("p{number:04}"), &[])).unwrap();
+        engine.proxy_connected(ms(number), number, &join(&format!("p{number:04}"), &[])).unwrap();
     }
-    let late = engine.joined(ms(999), 5000, &join("late", &[]));
+    let late = engine.proxy_connected(ms(999), 5000, &join("late", &[]));
     assert_eq!(late, Err(JoinError::Full { joined: 1000, most: 1000 }));
     let mut done = BTreeSet::new();
     for tick in 0..2000 {
         let now = ms(1000 + tick * 20);
         for number in run(&mut engine, now).0 {
-            engine.acked(now, u64::from(number), engine.proxy(number).unwrap().newest());
+            engine.version_acknowledged(now, u64::from(number), engine.proxy(number).unwrap().newest());
             done.insert(number);
         }
-        let figures = engine.figures(now);
-        assert!((figures.lines_waiting as f64) < most, "{figures:?}");
+        let figures = engine.status(now);
+        assert!((figures.queued_entries as f64) < most, "{figures:?}");
         if done.len() == 1000 {
             return;
         }
@@ -227,17 +233,20 @@
 fn the_same_inputs_give_the_same_steps() {
     let steps = || {
         let mut engine = engine(&["a", "b", "c"]);
-        engine.joined(ms(1), 1, &join("p", &["a", "b", "c"])).unwrap();
-        engine.joined(ms(2), 2, &join("q", &[])).unwrap();
+        engine.proxy_connected(ms(1), 1, &join("p", &["a", "b", "c"])).unwrap();
+        engine.proxy_connected(ms(2), 2, &join("q", &[])).unwrap();
         let mut steps = Vec::new();
         for tick in 1..40 {
-            engine.roster(ms(tick * 250), ready(if tick % 3 == 0 { &["a", "b"] } else { &["a", "b", "c"] }));
-            while let Some(step) = engine.step(ms(tick * 250)) {
+            engine.update_roster(
+                ms(tick * 250),
+                ready(if tick % 3 == 0 { &["a", "b"] } else { &["a", "b", "c"] }),
+            );
+            while let Some(step) = engine.next_action(ms(tick * 250)) {
                 if let Action::Flush(number) = step {
-                    engine.sent(ms(tick * 250), number, 2, 1);
+                    engine.tables_sent(ms(tick * 250), number, 2, 1);
                     let proxy = engine.proxy(number).unwrap();
                     let (stream, newest) = (proxy.stream, proxy.newest());
-                    engine.acked(ms(tick * 250), stream, newest);
+                    engine.version_acknowledged(ms(tick * 250), stream, newest);
                 }
                 steps.push(step);
             }
@@ -252,112 +261,123 @@
 /// An engine with one proxy on its own tables, and the version at which it held them all.
 fn settled(names: &[&str]) -> (Engine, u64) {
     let mut engine = engine(names);
-    engine.joined(ms(1), 1, &join("p", &[])).unwrap();
+    engine.proxy_connected(ms(1), 1, &join("p", &[])).unwrap();
     run(&mut engine, ms(600));
     let newest = engine.proxy(0).unwrap().newest();
-    engine.acked(ms(650), 1, newest);
+    engine.version_acknowledged(ms(650), 1, newest);
     (engine, newest)
 }
 
 fn pass(engine: &mut Engine, now: Duration) -> Vec<EngineEvent> {
     let (_, notes) = run(engine, now);
-    engine.acked(now, 1, engine.proxy(0).unwrap().newest());
+    engine.version_acknowledged(now, 1, engine.proxy(0).unwrap().newest());
     notes
 }
 
 #[test]
 fn a_step_back_holds_old_tables_less_what_drained_until_it_is_released() {
     let (mut engine, before) = settled(&["a", "b", "c"]);
-    engine.roster(ms(1000), ready(&["a", "b", "c", "d", "e"]));
+    engine.update_roster(ms(1000), ready(&["a", "b", "c", "d", "e"]));
     pass(&mut engine, ms(2000));
     assert_eq!(open(&engine, 0).len(), 5);
     // One replica of the old table drains, and is done with it, before the step back.
-    engine.roster(ms(3000), ready(&["b", "c", "d", "e"]));
+    engine.update_roster(ms(3000), ready(&["b", "c", "d", "e"]));
     pass(&mut engine, ms(4000));
     let rolled = engine.rollback(ms(5000), &TableScope::All, before, "too wide", ms(60_000)).unwrap();
-    assert_eq!((rolled.held, rolled.bare, rolled.left_out.len()), (2, 0, 2));
+    assert_eq!((rolled.frozen, rolled.unfreezable, rolled.left_out.len()), (2, 0, 2));
     assert_eq!(rolled.left_out[0].3, OmissionReason::Gone);
     pass(&mut engine, ms(5100));
     assert_eq!(open(&engine, 0), ["b", "c"]);
     // While it is held the module's news waits, and drains go through.
     let mut list = ready(&["b", "c", "d", "e", "f"]);
     list[0].phase = Phase::Draining;
-    engine.roster(ms(6000), list);
+    engine.update_roster(ms(6000), list);
     pass(&mut engine, ms(7000));
     assert_eq!(open(&engine, 0), ["c"]);
     assert_eq!(engine.release(ms(8000), &TableScope::Proxy("p".into())), Ok(2));
     let notes = pass(&mut engine, ms(8100));
-    assert!(matches!(notes[0], EngineEvent::HoldOver { over: ReleaseReason::Released, .. }));
+    assert!(matches!(notes[0], EngineEvent::FrozenTableReleased { over: ReleaseReason::Released, .. }));
     assert_eq!(open(&engine, 0), ["c", "d", "e", "f"]);
 }
 
 #[test]
 fn a_hold_ends_by_its_time_or_where_it_would_leave_a_proxy_bare() {
     let (mut engine, before) = settled(&["a", "b"]);
-    engine.roster(ms(1000), ready(&["a", "b", "c"]));
+    engine.update_roster(ms(1000), ready(&["a", "b", "c"]));
     pass(&mut engine, ms(2000));
     engine.rollback(ms(3000), &TableScope::Group(1), before, "", ms(9000)).unwrap();
-    assert_eq!(engine.holds().count(), 1);
+    assert_eq!(engine.frozen_tables().count(), 1);
     pass(&mut engine, ms(8990));
-    assert_eq!(engine.next_due(ms(8990)).min(ms(9000)), engine.next_due(ms(8990)));
+    assert_eq!(engine.next_deadline(ms(8990)).min(ms(9000)), engine.next_deadline(ms(8990)));
     let notes = pass(&mut engine, ms(9000));
+    assert!(notes.iter().any(|note| matches!(
+        note,
+        EngineEvent::FrozenTableReleased { group: 1, over: ReleaseReason::Time, .. }
+    )));
+    engine.rollback(ms(10_000), &TableScope::All, before, "", ms(90_000)).unwrap();
+    pass(&mut engine, ms(10_100));
+    engine.update_roster(ms(11_000), ready(&["c"]));
+    let notes = pass(&mut engine, ms(12_000));
     assert!(
         notes
             .iter()
-            .any(|note| matches!(note, EngineEvent::HoldOver { group: 1, over: ReleaseReason::Time, .. }))
+            .any(|note| matches!(note, EngineEvent::FrozenTableReleased { over: ReleaseReason::Bare, .. }))
     );
-    engine.rollback(ms(10_000), &TableScope::All, before, "", ms(90_000)).unwrap();
-    pass(&mut engine, ms(10_100));
-    engine.roster(ms(11_000), ready(&["c"]));
-    let notes = pass(&mut engine, ms(12_000));
-    assert!(notes.iter().any(|note| matches!(note, EngineEvent::HoldOver { over: ReleaseReason::Bare, .. })));
     assert_eq!(open(&engine, 0), ["c"], "the module's own table");
-    assert_eq!(engine.holds().count(), 0);
+    assert_eq!(engine.frozen_tables().count(), 0);
 }
 
 #[test]
 fn two_operators_at_once_the_later_counts_and_the_earlier_is_named() {
     let (mut engine, before) = settled(&["a", "b", "c"]);
-    engine.roster(ms(1000), ready(&["a", "b"]));
+    engine.update_roster(ms(1000), ready(&["a", "b"]));
     pass(&mut engine, ms(2000));
     engine.rollback(ms(3000), &TableScope::All, before, "first", ms(60_000)).unwrap();
     engine.rollback(ms(3001), &TableScope::All, before, "second", ms(60_000)).unwrap();
     let notes = pass(&mut engine, ms(3100));
     assert!(notes.iter().any(|note| matches!(note,
-        EngineEvent::HoldOver { over: ReleaseReason::Replaced(why), .. } if &**why == "first")));
-    assert!(engine.holds().all(|(_, _, hold)| &*hold.why == "second"));
+        EngineEvent::FrozenTableReleased { over: ReleaseReason::Replaced(why), .. } if &**why == "first")));
+    assert!(engine.frozen_tables().all(|(_, _, hold)| &*hold.why == "second"));
 }
 
 #[test]
 fn steps_back_to_what_is_not_kept_or_not_there_change_nothing() {
     let (mut engine, before) = settled(&["a", "b", "c"]);
-    let later = engine.figures(ms(0)).version + 1;
+    let later = engine.status(ms(0)).version + 1;
     let back = |engine: &mut Engine, scope, version| engine.rollback(ms(1000), &scope, version, "", ms(9000));
     assert!(matches!(back(&mut engine, TableScope::All, later), Err(RollbackError::NotYet(..))));
     assert_eq!(back(&mut engine, TableScope::All, 0), Err(RollbackError::NotKept(0)));
     let nobody = TableScope::Proxy("nobody".into());
     assert_eq!(back(&mut engine, nobody.clone(), before), Err(RollbackError::NoProxy("nobody".into())));
     assert!(engine.release(ms(1000), &nobody).is_err());
-    assert_eq!(engine.holds().count(), 0);
+    assert_eq!(engine.frozen_tables().count(), 0);
 }
 
 #[test]
 fn a_restart_under_an_old_name_gets_no_more_of_a_held_table_than_the_module_gives_it() {
     let (mut engine, before) = settled(&["a", "b", "c"]);
     let mut list = ready(&["a", "b", "c"]);
-    list[2].started = Some(ms(1000));
-    engine.roster(ms(1000), list);
+    list[2].started_at = Some(ms(1000));
+    engine.update_roster(ms(1000), list);
     pass(&mut engine, ms(1600));
     let share = |engine: &Engine| {
-        let lines = &engine.proxy(0).unwrap().tables[0].as_ref().unwrap().table.lines;
-        let all: f64 = lines.iter().filter(|line| line.open).map(|line| line.weight).sum();
-        lines.iter().filter(|line| line.open && &*line.replica == "c").map(|line| line.weight).sum::<f64>()
+        let lines = &engine.proxy(0).unwrap().tables[0].as_ref().unwrap().table.entries;
+        let all: f64 = lines.iter().filter(|line| line.routable).map(|line| line.weight).sum();
+        lines
+            .iter()
+            .filter(|line| line.routable && &*line.replica == "c")
+            .map(|line| line.weight)
+            .sum::<f64>()
             / all
     };
     let present = engine.present(0, 0);
-    let all: f64 = present.lines.iter().map(|line| line.weight).sum();
-    let cap =
-        present.lines.iter().filter(|line| &*line.replica == "c").map(|line| line.weight / all).sum::<f64>();
+    let all: f64 = present.entries.iter().map(|line| line.weight).sum();
+    let cap = present
+        .entries
+        .iter()
+        .filter(|line| &*line.replica == "c")
+        .map(|line| line.weight / all)
+        .sum::<f64>();
     assert!(cap < 0.2, "the module spares it: {cap}");
     engine.rollback(ms(2000), &TableScope::All, before, "", ms(60_000)).unwrap();
     assert!(share(&engine) <= cap + 1e-9, "{} {cap}", share(&engine));
@@ -373,14 +393,14 @@
         (ReplicaId::from(*id), line)
     };
     let said = PublishedTable {
-        lines: lines.iter().map(line).collect(),
-        level: crate::table_versions::MILLION,
-        tries: RetryPolicy::Never,
+        entries: lines.iter().map(line).collect(),
+        admission_millionths: crate::table_versions::MILLION,
+        retry_policy: RetryPolicy::Never,
     };
     MigratedProxy {
         from: "g0".into(),
-        whole: PublishedState { groups: vec![Some(said), None] },
-        told_at,
+        state: PublishedState { classes: vec![Some(said), None] },
+        published_at: told_at,
         report: None,
     }
 }
@@ -392,32 +412,34 @@
     let mut list = ready(&["a", "b", "c", "d", "e"]);
     list[1].phase = Phase::Draining;
     // It started anew after the other governor told it.
-    list[2].started = Some(ms(500));
-    engine.roster(ms(700), list);
+    list[2].started_at = Some(ms(500));
+    engine.update_roster(ms(700), list);
     run(&mut engine, ms(1000));
-    let with_orders = JoinRequest { holds_orders: true, ..join("p", &["a"]) };
-    let number = engine.joined(ms(1001), 1, &with_orders).unwrap().number;
-    assert_eq!(engine.handed(ms(1001), number, handed(&["a", "b", "c", "never"], ms(400))), 1);
+    let with_orders = JoinRequest { holds_governor_tables: true, ..join("p", &["a"]) };
+    let number = engine.proxy_connected(ms(1001), 1, &with_orders).unwrap().proxy;
+    assert_eq!(engine.adopt_migrated_tables(ms(1001), number, handed(&["a", "b", "c", "never"], ms(400))), 1);
     assert_eq!(open(&engine, number), ["a"], "at once, without what drains, is cold or nobody knows");
-    assert_eq!(engine.holds().count(), 1);
+    assert_eq!(engine.frozen_tables().count(), 1);
     run(&mut engine, ms(1600));
     assert!(open(&engine, number).len() >= 3, "the module has spoken: {:?}", open(&engine, number));
-    assert_eq!(engine.holds().count(), 0);
+    assert_eq!(engine.frozen_tables().count(), 0);
     // For whom it has spoken, and who is on a standing table, nothing that comes later counts.
-    assert_eq!(engine.handed(ms(1700), number, handed(&["a"], ms(400))), 0);
-    let fresh = engine.joined(ms(1700), 2, &join("q", &["a", "d", "e"])).unwrap().number;
-    assert_eq!(engine.handed(ms(1700), fresh, handed(&["a"], ms(400))), 0);
+    assert_eq!(engine.adopt_migrated_tables(ms(1700), number, handed(&["a"], ms(400))), 0);
+    let fresh = engine.proxy_connected(ms(1700), 2, &join("q", &["a", "d", "e"])).unwrap().proxy;
+    assert_eq!(engine.adopt_migrated_tables(ms(1700), fresh, handed(&["a"], ms(400))), 0);
     // Nothing of it is left here: it would be bare, so it keeps what it has until the module speaks.
-    let number =
-        engine.joined(ms(1700), 3, &JoinRequest { holds_orders: true, ..join("r", &[]) }).unwrap().number;
-    assert_eq!(engine.handed(ms(1700), number, handed(&["b", "never"], ms(400))), 0);
-    assert!(!engine.proxy(number).unwrap().has_word());
+    let number = engine
+        .proxy_connected(ms(1700), 3, &JoinRequest { holds_governor_tables: true, ..join("r", &[]) })
+        .unwrap()
+        .proxy;
+    assert_eq!(engine.adopt_migrated_tables(ms(1700), number, handed(&["b", "never"], ms(400))), 0);
+    assert!(!engine.proxy(number).unwrap().has_known_tables());
 }
 
 #[test]
 fn what_would_be_refused_is_said_and_nothing_of_it_takes_effect() {
     let mut engine = engine(&["a", "b", "c"]);
-    let number = engine.joined(ms(1), 1, &join("p", &[])).unwrap().number;
+    let number = engine.proxy_connected(ms(1), 1, &join("p", &[])).unwrap().proxy;
     run(&mut engine, ms(600));
     let before = open(&engine, number);
     let would = |engine: &Engine, group, level, lines: &[(&str, f64)]| {
@@ -432,14 +454,14 @@
         Ok::<_, CandidateError>((tried.tables[0].clone(), reasons))
     };
     let (table, reasons) = would(&engine, 0, 2.0, &[("a", 1.0), ("b", -1.0)]).unwrap();
-    assert_eq!((table.lines.len(), reasons), (1, vec![RefusalReason::Level, RefusalReason::Weight]));
+    assert_eq!((table.entries.len(), reasons), (1, vec![RefusalReason::Level, RefusalReason::Weight]));
     let (table, reasons) = would(&engine, 0, 1.0, &[("never", 1.0)]).unwrap();
-    assert_eq!((table.lines.len(), reasons.last()), (3, Some(&RefusalReason::Bare)), "the last good one");
+    assert_eq!((table.entries.len(), reasons.last()), (3, Some(&RefusalReason::Bare)), "the last good one");
     assert_eq!(would(&engine, 1, 1.0, &[("a", 1.0), ("c", 1.0)]).unwrap().1, []);
     // What an operator excludes is out here, too.
     engine.override_replica(ms(700), &"a".into(), OverrideKind::Exclude, ms(701), "x").unwrap();
     let (table, _) = would(&engine, 0, 1.0, &[("a", 1.0), ("c", 1.0)]).unwrap();
-    assert_eq!(table.lines.iter().filter(|line| line.open).count(), 1);
+    assert_eq!(table.entries.iter().filter(|line| line.routable).count(), 1);
     engine.end_override(ms(700), "a");
     assert_eq!(would(&engine, 2, 1.0, &[]), Err(CandidateError::NoGroup(2)));
     assert_eq!((open(&engine, number), engine.guard().refusals().count()), (before, 0));
@@ -448,8 +470,8 @@
 #[test]
 fn what_operators_say_of_a_replica_holds_for_all_until_its_time_and_bares_nobody() {
     let mut engine = engine(&["a", "b", "c"]);
-    let fresh = engine.joined(ms(1), 1, &join("p", &["a", "b", "c"])).unwrap().number;
-    let own = engine.joined(ms(1), 2, &join("q", &[])).unwrap().number;
+    let fresh = engine.proxy_connected(ms(1), 1, &join("p", &["a", "b", "c"])).unwrap().proxy;
+    let own = engine.proxy_connected(ms(1), 2, &join("q", &[])).unwrap().proxy;
     run(&mut engine, ms(600));
     let exclude = |engine: &mut Engine, at: u64, id: &str| {
         engine.override_replica(ms(at), &id.into(), OverrideKind::Exclude, ms(5000), "it smells")
@@ -462,7 +484,7 @@
     let half = OverrideKind::Weight(0.5);
     engine.override_replica(ms(900), &"b".into(), half, ms(5000), "half of it").unwrap();
     let table = engine.proxy(own).unwrap().tables[0].as_ref().unwrap().table.clone();
-    let weight = |id: &str| table.lines.iter().find(|line| &*line.replica == id).unwrap().weight;
+    let weight = |id: &str| table.entries.iter().find(|line| &*line.replica == id).unwrap().weight;
     assert!((weight("b") / weight("c") - 0.5).abs() < 1e-9);
     // All excluded: that would leave nobody with a line, and is not followed.
     exclude(&mut engine, 1000, "b").unwrap();
@@ -473,39 +495,41 @@
     assert_eq!(far, Err(OverrideError::Factor(0.0)));
     assert!(engine.end_override(ms(1100), "c") && !engine.end_override(ms(1100), "c"));
     assert!([fresh, own].iter().all(|one| open(&engine, *one) == ["c"]));
-    assert!(engine.next_due(ms(4990)) <= ms(5000));
+    assert!(engine.next_deadline(ms(4990)) <= ms(5000));
     let (_, notes) = run(&mut engine, ms(5000));
-    assert_eq!(notes.iter().filter(|note| matches!(note, EngineEvent::OverrideOver(_))).count(), 2);
+    assert_eq!(notes.iter().filter(|note| matches!(note, EngineEvent::OverrideExpired(_))).count(), 2);
     assert!([fresh, own].iter().all(|one| open(&engine, *one).len() == 3));
 }
 
 #[test]
 fn the_last_report_goes_with_a_proxy_and_is_heard_once() {
     let (mut one, mut other) = (engine(&["a", "b", "c"]), engine(&["a", "b", "c"]));
-    let number = one.joined(ms(1), 1, &join("p", &[])).unwrap().number;
+    let number = one.proxy_connected(ms(1), 1, &join("p", &[])).unwrap().proxy;
     run(&mut one, ms(600));
     let blocked = vec![(0, 7)];
-    let report = LoadReport { interval: Duration::from_millis(500), met: vec![], blocked };
-    one.report(ms(700), "p", 1, &report).unwrap();
-    let (newest, last) = one.known_of(ms(900), number).unwrap();
+    let report = LoadReport { interval: Duration::from_millis(500), observations: vec![], rejected: blocked };
+    one.record_report(ms(700), "p", 1, &report).unwrap();
+    let (newest, last) = one.migration_state(ms(900), number).unwrap();
     let (age, known) = last.unwrap();
     assert_eq!((age, known, newest.version), (Duration::from_millis(200), &report, newest.version));
-    let told_at = newest.at;
+    let told_at = newest.published_at;
     let handed = MigratedProxy {
         from: "g0".into(),
-        whole: (*newest.whole).clone(),
-        told_at,
+        state: (*newest.state).clone(),
+        published_at: told_at,
         report: Some(report.clone()),
     };
-    let there =
-        other.joined(ms(901), 1, &JoinRequest { holds_orders: true, ..join("p", &[]) }).unwrap().number;
-    assert_eq!(other.handed(ms(901), there, handed), 2);
+    let there = other
+        .proxy_connected(ms(901), 1, &JoinRequest { holds_governor_tables: true, ..join("p", &[]) })
+        .unwrap()
+        .proxy;
+    assert_eq!(other.adopt_migrated_tables(ms(901), there, handed), 2);
     assert_eq!(open(&other, there), open(&one, number));
     assert_eq!(other.reports().1, 1);
     // The proxy sends it again, as it heard no answer.
-    assert_eq!(other.report(ms(1000), "p", 1, &report), Err(DiscardReason::Copy));
-    other.left(ms(1100), 1);
-    assert_eq!(other.holds().count(), 0, "what was handed over goes with the stream");
+    assert_eq!(other.record_report(ms(1000), "p", 1, &report), Err(DiscardReason::Copy));
+    other.stream_closed(ms(1100), 1);
+    assert_eq!(other.frozen_tables().count(), 0, "what was handed over goes with the stream");
 }
 
 proptest::proptest! {
@@ -521,7 +545,7 @@
         let mut listed = [[true; 6]; 2];
         let (mut now, mut stream, mut at) = (1000, 10, 0);
         engines.iter_mut().for_each(|engine| drop(run(engine, ms(900))));
-        let mut number = engines[0].joined(ms(now), stream, &join("p", &[])).unwrap().number;
+        let mut number = engines[0].proxy_connected(ms(now), stream, &join("p", &[])).unwrap().proxy;
         let mut lists = lists.into_iter();
         for wait in moves {
             for _ in 0..4 {
@@ -530,7 +554,7 @@
                 let proxy = engines[at].proxy(number).unwrap();
                 // What it is told always has an open line, as far as any listed replica is ready there.
                 let told = proxy.tables.iter().flatten();
-                let bare = told.filter(|kept| kept.table.lines.iter().all(|line| !line.open)).count();
+                let bare = told.filter(|kept| kept.table.entries.iter().all(|line| !line.routable)).count();
                 proptest::prop_assert!(bare == 0 || listed[at].iter().all(|ready| !ready), "bare at {now}");
             }
             if let Some((of, changes)) = lists.next() {
@@ -542,23 +566,23 @@
                 }
                 for (place, phase, cold) in changes {
                     list[place].phase = [Phase::Ready, Phase::Draining, Phase::Gone][phase];
-                    list[place].started = cold.then(|| ms(now));
+                    list[place].started_at = cold.then(|| ms(now));
                 }
                 let is_ready = |entry: &RosterEntry| entry.phase == Phase::Ready;
                 listed[of] = std::array::from_fn(|place| is_ready(&list[place]));
-                engines[of].roster(ms(now), list);
+                engines[of].update_roster(ms(now), list);
             }
             // It changes hands: what is known goes ahead of it.
-            let known = engines[at].known_of(ms(now), number);
-            let known = known.map(|(newest, _)| (newest.whole.clone(), newest.at));
-            engines[at].left(ms(now), stream);
+            let known = engines[at].migration_state(ms(now), number);
+            let known = known.map(|(newest, _)| (newest.state.clone(), newest.published_at));
+            engines[at].stream_closed(ms(now), stream);
             (at, stream) = (1 - at, stream + 1);
-            let holds = JoinRequest { holds_orders: true, ..join("p", &[]) };
-            number = engines[at].joined(ms(now), stream, &holds).unwrap().number;
+            let holds = JoinRequest { holds_governor_tables: true, ..join("p", &[]) };
+            number = engines[at].proxy_connected(ms(now), stream, &holds).unwrap().proxy;
             if let Some((whole, told_at)) = known {
                 let whole = (*whole).clone();
                 let from = "g".into();
-                engines[at].handed(ms(now), number, MigratedProxy { from, whole, told_at, report: None });
+                engines[at].adopt_migrated_tables(ms(now), number, MigratedProxy { from, state: whole, published_at: told_at, report: None });
             }
         }
     }
@@ -569,7 +593,7 @@
     let groups = ["one".to_string(), "other".to_string()];
     let names_of =
         StoredItem::Names { governor: "g".into(), zones: vec!["z".into()], groups: groups.to_vec() };
-    let mut known = before.known(ms(5000), &StoredItems::new(), 1000.0, 7, &groups);
+    let mut known = before.stored_items(ms(5000), &StoredItems::new(), 1000.0, 7, &groups);
     known.insert(snapshot::NAMES.into(), Arc::new(names_of.clone()));
     known.insert(snapshot::ALIVE.into(), Arc::new(StoredItem::Alive { at: 1000.0 }));
     let known = known
@@ -578,16 +602,16 @@
     let (recalled, unfit) = snapshot::recall(known.collect(), 1000.0 + later, &names_of);
     assert_eq!(unfit, []);
     let mut engine = Engine::new(EngineSettings::example(2), ms(0));
-    engine.recall(ms(0), recalled);
-    engine.roster(ms(0), ready(names));
+    engine.restore(ms(0), recalled);
+    engine.update_roster(ms(0), ready(names));
     engine
 }
 
 fn proven(name: &str, standing: &[&str], version: u64) -> JoinRequest {
     JoinRequest {
-        holds_orders: true,
-        claim: Some("x".into()),
-        proven: Some((7, version)),
+        holds_governor_tables: true,
+        ownership_proof: Some("x".into()),
+        proven_version: Some((7, version)),
         ..join(name, standing)
     }
 }
@@ -596,8 +620,8 @@
 fn a_proxy_that_holds_what_an_earlier_life_told_it_is_not_told_again() {
     let all = ["a", "b", "c", "d"];
     let mut before = engine(&all);
-    let number = before.joined(ms(1), 1, &join("p", &["a", "b", "c"])).unwrap().number;
-    let bound = before.joined(ms(1), 2, &join("q", &[])).unwrap().number;
+    let number = before.proxy_connected(ms(1), 1, &join("p", &["a", "b", "c"])).unwrap().proxy;
+    let bound = before.proxy_connected(ms(1), 2, &join("q", &[])).unwrap().proxy;
     run(&mut before, ms(600));
     // Something is said of the standing one, too: it is told a table from then on.
     before.override_replica(ms(700), &"c".into(), OverrideKind::Exclude, ms(60_000), "its disk").unwrap();
@@ -606,11 +630,17 @@
     assert_eq!(held[0].1.len(), 2);
 
     let mut after = next_life(&before, 1.0, &all);
-    let number = after.joined(ms(1), 1, &proven("p", &["a", "b", "c"], held[0].0)).unwrap().number;
-    let bound = after.joined(ms(1), 2, &proven("q", &[], held[1].0)).unwrap().number;
-    let stranger = after.joined(ms(1), 3, &proven("r", &["a", "b", "c"], 9)).unwrap().number;
-    assert!(after.proxy(number).unwrap().fresh, "the module is told that it stands on its own table");
-    assert!(!after.proxy(bound).unwrap().fresh && !after.proxy(stranger).unwrap().fresh);
+    let number = after.proxy_connected(ms(1), 1, &proven("p", &["a", "b", "c"], held[0].0)).unwrap().proxy;
+    let bound = after.proxy_connected(ms(1), 2, &proven("q", &[], held[1].0)).unwrap().proxy;
+    let stranger = after.proxy_connected(ms(1), 3, &proven("r", &["a", "b", "c"], 9)).unwrap().proxy;
+    assert!(
+        after.proxy(number).unwrap().holds_default_table,
+        "the module is told that it stands on its own table"
+    );
+    assert!(
+        !after.proxy(bound).unwrap().holds_default_table
+            && !after.proxy(stranger).unwrap().holds_default_table
+    );
     let whole = |engine: &Engine, number| engine.history().newest(number).unwrap().digest;
     let now = [number, bound].map(|number| whole(&after, number));
     assert_eq!(now, [whole(&before, 0), whole(&before, 1)]);
@@ -621,12 +651,13 @@
     // Killed again before anybody was back: what is known of them is not forgotten with that.
     let between = next_life(&before, 1.0, &all);
     let mut third = next_life(&between, 1.0, &all);
-    let joined = third.joined(ms(1), 1, &proven("p", &["a", "b", "c"], held[0].0)).unwrap();
-    assert!(third.proxy(joined.number).unwrap().fresh);
+    let joined = third.proxy_connected(ms(1), 1, &proven("p", &["a", "b", "c"], held[0].0)).unwrap();
+    assert!(third.proxy(joined.proxy).unwrap().holds_default_table);
     // Who does not come back is not carried along for ever.
     let mut alone = next_life(&before, 1.0, &all);
-    let is_known =
-        |engine: &Engine, now| engine.known(now, &StoredItems::new(), 0.0, 8, &[]).contains_key("proxy/p");
+    let is_known = |engine: &Engine, now| {
+        engine.stored_items(now, &StoredItems::new(), 0.0, 8, &[]).contains_key("proxy/p")
+    };
     run(&mut alone, ms(500_000));
     assert!(is_known(&alone, ms(500_000)));
     run(&mut alone, ms(600_000));
@@ -634,25 +665,29 @@
     // Without the word, or with that of another version or life, nothing is known of it.
     let mut after = next_life(&before, 1.0, &all);
     let mut odd = proven("p", &["a", "b", "c"], held[0].0 - 1);
-    assert!(!after.joined(ms(1), 1, &odd).is_ok_and(|joined| after.proxy(joined.number).unwrap().fresh));
-    odd.proven = None;
+    assert!(
+        !after
+            .proxy_connected(ms(1), 1, &odd)
+            .is_ok_and(|joined| after.proxy(joined.proxy).unwrap().holds_default_table)
+    );
+    odd.proven_version = None;
     let mut after = next_life(&before, 1.0, &all);
-    let number = after.joined(ms(1), 1, &odd).unwrap().number;
-    assert!(!after.proxy(number).unwrap().fresh);
+    let number = after.proxy_connected(ms(1), 1, &odd).unwrap().proxy;
+    assert!(!after.proxy(number).unwrap().holds_default_table);
     // Nor after so long that it has been elsewhere.
     let mut after = next_life(&before, 700.0, &all);
-    let joined = after.joined(ms(1), 1, &proven("p", &["a", "b", "c"], held[0].0)).unwrap();
-    assert!(!after.proxy(joined.number).unwrap().fresh);
+    let joined = after.proxy_connected(ms(1), 1, &proven("p", &["a", "b", "c"], held[0].0)).unwrap();
+    assert!(!after.proxy(joined.proxy).unwrap().holds_default_table);
 }
 
 #[test]
 fn a_held_table_is_told_less_what_was_lost_while_nobody_looked() {
     let mut before = engine(&["a", "b", "c"]);
-    let number = before.joined(ms(1), 1, &join("q", &[])).unwrap().number;
+    let number = before.proxy_connected(ms(1), 1, &join("q", &[])).unwrap().proxy;
     run(&mut before, ms(600));
     let version = before.proxy(number).unwrap().newest();
     let mut after = next_life(&before, 2.0, &["a", "c"]);
-    let number = after.joined(ms(1), 1, &proven("q", &[], version)).unwrap().number;
+    let number = after.proxy_connected(ms(1), 1, &proven("q", &[], version)).unwrap().proxy;
     assert_eq!(open(&after, number), ["a", "c"], "before the module has spoken");
     let (flushed, _) = run(&mut after, ms(10));
     assert!(flushed.contains(&number), "at once");
@@ -662,29 +697,30 @@
 fn what_was_withdrawn_is_on_trial_by_the_modules_own_eyes_and_a_new_process_is_not() {
     let all = ["a", "b", "c", "d"];
     let mut before = engine(&all);
-    before.joined(ms(1), 1, &join("p", &all)).unwrap();
+    before.proxy_connected(ms(1), 1, &join("p", &all)).unwrap();
     run(&mut before, ms(600));
     before.tables.withdraw("b".into(), true);
     ["a", "c", "d"].into_iter().for_each(|id| before.guard.saw(ms(5000), &id.into(), 0, 20.0));
     before.tables.level(1, 0.25, RetryPolicy::Never);
     let mut after = next_life(&before, 1.0, &all);
-    after.joined(ms(1), 1, &join("p", &all)).unwrap();
+    after.proxy_connected(ms(1), 1, &join("p", &all)).unwrap();
     let mut out_at = None;
     for now in (10..20_000).step_by(50) {
         run(&mut after, ms(now));
-        if out_at.is_none() && after.is_withdrawn(&"b".into()) {
+        if out_at.is_none() && after.is_ejected(&"b".into()) {
             out_at = Some(now);
         }
     }
     assert!(out_at.is_some_and(|at| at < 2000), "{out_at:?}");
-    assert!(!after.is_withdrawn(&"a".into()));
-    assert!(!after.is_withdrawn(&"b".into()), "and let back once its time is over, with nothing against it");
+    assert!(!after.is_ejected(&"a".into()));
+    assert!(!after.is_ejected(&"b".into()), "and let back once its time is over, with nothing against it");
     // The level held for what was left of its time, and no longer.
     let mut levels = next_life(&before, 4.0, &all);
-    let number = levels.joined(ms(1), 1, &join("p", &all)).unwrap().number;
+    let number = levels.proxy_connected(ms(1), 1, &join("p", &all)).unwrap().proxy;
     run(&mut levels, ms(300));
-    let level =
-        |engine: &Engine| engine.proxy(number).unwrap().tables[0].as_ref().map(|kept| kept.table.level);
+    let level = |engine: &Engine| {
+        engine.proxy(number).unwrap().tables[0].as_ref().map(|kept| kept.table.admission_fraction)
+    };
     assert_eq!(level(&levels), Some(0.25));
     for now in (300..6100).step_by(100) {
         run(&mut levels, ms(now));
@@ -693,12 +729,12 @@
     // Replaced under its name while nobody looked: it is judged by nothing that the old one did.
     let mut anew = next_life(&before, 5.0, &[]);
     let mut list = ready(&all);
-    list[1].started = Some(ms(0).saturating_sub(Duration::from_secs(2)));
-    anew.roster(ms(0), list);
-    anew.joined(ms(1), 1, &join("p", &all)).unwrap();
+    list[1].started_at = Some(ms(0).saturating_sub(Duration::from_secs(2)));
+    anew.update_roster(ms(0), list);
+    anew.proxy_connected(ms(1), 1, &join("p", &all)).unwrap();
     for now in (10..4000).step_by(50) {
         run(&mut anew, ms(now));
-        assert!(!anew.is_withdrawn(&"b".into()));
+        assert!(!anew.is_ejected(&"b".into()));
     }
 }
 
@@ -706,28 +742,30 @@
 fn what_operators_stepped_back_to_holds_beyond_a_restart_and_no_longer_than_it_would_have() {
     let all = ["a", "b", "c"];
     let mut before = engine(&all);
-    before.joined(ms(1), 1, &join("q", &[])).unwrap();
+    before.proxy_connected(ms(1), 1, &join("q", &[])).unwrap();
     run(&mut before, ms(600));
-    let version = before.figures(ms(600)).version;
-    before.roster(ms(700), ready(&["a", "b"]));
+    let version = before.status(ms(600)).version;
+    before.update_roster(ms(700), ready(&["a", "b"]));
     run(&mut before, ms(1500));
     // `c` is back, and the operator has the table of before it went.
-    before.roster(ms(1600), ready(&all));
+    before.update_roster(ms(1600), ready(&all));
     before.rollback(ms(1700), &TableScope::All, version, "a mistake", ms(15_000)).unwrap();
     run(&mut before, ms(1800));
-    assert_eq!(before.holds().count(), 2);
+    assert_eq!(before.frozen_tables().count(), 2);
     let mut after = next_life(&before, 1.0, &all);
-    let number = after.joined(ms(1), 1, &join("q", &[])).unwrap().number;
+    let number = after.proxy_connected(ms(1), 1, &join("q", &[])).unwrap().proxy;
     run(&mut after, ms(900));
-    let held: Vec<_> =
-        after.holds().map(|(name, group, hold)| (name.to_string(), group, hold.why.clone())).collect();
+    let held: Vec<_> = after
+        .frozen_tables()
+        .map(|(name, group, hold)| (name.to_string(), group, hold.why.clone()))
+        .collect();
     assert_eq!(held, [("q".into(), 0, "a mistake".into()), ("q".into(), 1, "a mistake".into())]);
     assert!(!open(&after, number).is_empty());
     // Ten seconds were left at the last look.
     for now in (1000..10_500).step_by(100) {
         run(&mut after, ms(now));
     }
-    assert_eq!(after.holds().count(), 0);
+    assert_eq!(after.frozen_tables().count(), 0);
     assert_eq!(next_life(&before, 11.0, &all).recalled_holds.len(), 0);
 }
 
@@ -735,22 +773,25 @@
 fn a_governor_that_stood_still_does_not_take_the_gap_for_the_silence_of_replicas() {
     let all = ["a", "b", "c", "d"];
     let mut engine = engine(&all);
-    engine.joined(ms(1), 1, &join("p", &all)).unwrap();
-    engine.joined(ms(1), 2, &join("q", &all)).unwrap();
+    engine.proxy_connected(ms(1), 1, &join("p", &all)).unwrap();
+    engine.proxy_connected(ms(1), 2, &join("q", &all)).unwrap();
     let met = |engine: &mut Engine, now: u64, name: &str, stream, ids: &[&str]| {
         let one = |id: &&str| ReplicaObservation {
-            group: 0,
+            class: 0,
             replica: (*id).into(),
-            delivered: 10,
-            dropped: 0,
+            succeeded: 10,
+            failed: 0,
             issued: 10,
-            in_progress: 0,
+            in_flight: 0,
             answers: (Duration::from_micros(500_000 + now), 10),
             load: vec![1.0],
         };
-        let report =
-            LoadReport { interval: ms(500) - ms(0), met: ids.iter().map(one).collect(), blocked: vec![] };
-        let _ = engine.report(ms(now), name, stream, &report);
+        let report = LoadReport {
+            interval: ms(500) - ms(0),
+            observations: ids.iter().map(one).collect(),
+            rejected: vec![],
+        };
+        let _ = engine.record_report(ms(now), name, stream, &report);
     };
     for now in (500..5000).step_by(100) {
         if now % 500 == 0 {
@@ -765,15 +806,15 @@
     met(&mut engine, 5200, "p", 1, &["a"]);
     met(&mut engine, 19_000, "q", 2, &["b"]);
     run(&mut engine, ms(19_000));
-    (1..3).for_each(|stream| engine.left(ms(19_150), stream));
+    (1..3).for_each(|stream| engine.stream_closed(ms(19_150), stream));
     run(&mut engine, ms(19_150));
-    engine.joined(ms(19_500), 3, &join("p", &all)).unwrap();
+    engine.proxy_connected(ms(19_500), 3, &join("p", &all)).unwrap();
     for now in (19_500..25_000).step_by(100) {
         if now % 500 == 0 && now >= 20_000 {
             met(&mut engine, now, "p", 3, &all);
         }
         run(&mut engine, ms(now));
-        let out: Vec<&str> = all.into_iter().filter(|id| engine.is_withdrawn(&(*id).into())).collect();
+        let out: Vec<&str> = all.into_iter().filter(|id| engine.is_ejected(&(*id).into())).collect();
         assert!(out.is_empty(), "at {now} ms: {out:?}");
     }
 }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -33,15 +33,15 @@
     pub name: Arc<str>,
     pub zone: usize,
     /// Flows a second that it ordinarily receives.
-    pub usual: f64,
+    pub requests_per_second: f64,
     /// The lines of the standing table that it holds, if it names any.
-    pub standing: Vec<(ReplicaId, f64)>,
+    pub default_table: Vec<(ReplicaId, f64)>,
     /// It says that it holds tables of this or another governor besides.
-    pub holds_orders: bool,
+    pub holds_governor_tables: bool,
     /// Its signed word of whose they are, if it has one.
-    pub claim: Option<String>,
+    pub ownership_proof: Option<String>,
     /// The life and the version of this governor's that the word is proven to name.
-    pub proven: Option<(u64, u64)>,
+    pub proven_version: Option<(u64, u64)>,
 }
 
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
@@ -73,40 +73,40 @@
     pub stream: StreamId,
     pub zone: usize,
     pub joined_at: Duration,
-    pub standing: Vec<(ReplicaId, f64)>,
-    pub fresh: bool,
+    pub default_table: Vec<(ReplicaId, f64)>,
+    pub holds_default_table: bool,
     /// By group: the table that it follows.
-    pub follows: Vec<Option<TableId>>,
+    pub assigned_tables: Vec<Option<TableId>>,
     /// By group: what it should hold, if the governor has anything to say about it.
     pub tables: Vec<Option<VersionedTable>>,
     /// By group, and the version of the last change.
-    pub tries: (u64, Vec<RetryPolicy>),
-    pub sent: u64,
-    pub acked: u64,
+    pub retry_policies: (u64, Vec<RetryPolicy>),
+    pub sent_version: u64,
+    pub acknowledged_version: u64,
     /// Version and words of the last table that the proxy would not take, until it takes a later one.
-    pub nacked: Option<(u64, String)>,
+    pub rejected: Option<(u64, String)>,
     marks: VecDeque<(u64, Duration)>,
 }
 
 impl Proxy {
     /// The version of the newest change to what this proxy should hold.
     pub fn newest(&self) -> u64 {
-        self.tables.iter().flatten().map(|kept| kept.version).fold(self.tries.0, u64::max)
+        self.tables.iter().flatten().map(|kept| kept.version).fold(self.retry_policies.0, u64::max)
     }
 
     pub fn kind(&self) -> TableKind {
-        if self.follows.iter().any(Option::is_some) { TableKind::Own } else { TableKind::Standing }
+        if self.assigned_tables.iter().any(Option::is_some) { TableKind::Own } else { TableKind::Standing }
     }
 
     /// Whether there is a word for it: tables, or that it stays on its standing one. Of a proxy that came
     /// with orders of its own, or with none that are known, nothing can be said before the module has spoken:
     /// "no table" would take away what it holds.
-    pub fn has_word(&self) -> bool {
-        self.fresh || self.tables.iter().any(Option::is_some)
+    pub fn has_known_tables(&self) -> bool {
+        self.holds_default_table || self.tables.iter().any(Option::is_some)
     }
 
     /// A marked order of this version left at this time.
-    pub fn mark(&mut self, version: u64, now: Duration) {
+    pub fn request_acknowledgement(&mut self, version: u64, now: Duration) {
         if self.marks.len() == MOST_MARKS {
             self.marks.pop_front();
         }
@@ -114,14 +114,14 @@
     }
 
     /// How long the oldest marked order has waited for its acknowledgement.
-    pub fn lag(&self, now: Duration) -> Duration {
+    pub fn acknowledgement_delay(&self, now: Duration) -> Duration {
         self.marks.front().map_or(Duration::ZERO, |(_, at)| now.saturating_sub(*at))
     }
 
     /// Marks that an acknowledgement of a version answers, by the time that they were ordered. An older
     /// acknowledgement than one heard before answers nothing.
     fn answered(&mut self, version: u64) -> Vec<Duration> {
-        self.acked = self.acked.max(version);
+        self.acknowledged_version = self.acknowledged_version.max(version);
         let mut answered = Vec::new();
         while let Some((_, at)) = self.marks.pop_front_if(|(marked, _)| *marked <= version) {
             answered.push(at);
@@ -196,11 +196,11 @@
 /// A join that was let in.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JoinOutcome {
-    pub number: ProxyId,
+    pub proxy: ProxyId,
     /// An older stream under the same name, which is over with this.
-    pub replaced: Option<StreamId>,
+    pub replaced_stream: Option<StreamId>,
     /// Its number was another proxy's.
-    pub reused: bool,
+    pub id_reused: bool,
 }
 
 impl Fleet {
@@ -258,18 +258,18 @@
             stream,
             zone: join.zone,
             joined_at: now,
-            standing: join.standing.clone(),
-            fresh,
-            follows: vec![None; groups],
+            default_table: join.default_table.clone(),
+            holds_default_table: fresh,
+            assigned_tables: vec![None; groups],
             tables: vec![None; groups],
-            tries,
-            sent: 0,
-            acked: 0,
-            nacked: None,
+            retry_policies: tries,
+            sent_version: 0,
+            acknowledged_version: 0,
+            rejected: None,
             marks: VecDeque::new(),
         };
         self.proxies.insert(number, proxy);
-        Ok(JoinOutcome { number, replaced, reused: former.is_some() })
+        Ok(JoinOutcome { proxy: number, replaced_stream: replaced, id_reused: former.is_some() })
     }
 
     /// A stream is over. None if a later one under the same name has taken its place.
@@ -284,8 +284,8 @@
     /// A proxy took all up to a version: the times at which the marks that this answers were ordered.
     pub fn acked(&mut self, stream: StreamId, version: u64) -> Vec<Duration> {
         let Some(proxy) = self.on_mut(stream) else { return Vec::new() };
-        if proxy.nacked.as_ref().is_some_and(|(refused, _)| *refused <= version) {
-            proxy.nacked = None;
+        if proxy.rejected.as_ref().is_some_and(|(refused, _)| *refused <= version) {
+            proxy.rejected = None;
         }
         proxy.answered(version)
     }
@@ -294,7 +294,7 @@
     pub fn nacked(&mut self, stream: StreamId, version: u64, words: &str) {
         if let Some(proxy) = self.on_mut(stream) {
             // The words are the proxy's, and might be of any length.
-            proxy.nacked = Some((version, words.chars().take(500).collect()));
+            proxy.rejected = Some((version, words.chars().take(500).collect()));
         }
     }
 
@@ -344,11 +344,11 @@
         JoinRequest {
             name: name.into(),
             zone: 0,
-            usual: 1.0,
-            standing: vec![],
-            holds_orders: false,
-            claim: None,
-            proven: None,
+            requests_per_second: 1.0,
+            default_table: vec![],
+            holds_governor_tables: false,
+            ownership_proof: None,
+            proven_version: None,
         }
     }
 
@@ -359,13 +359,13 @@
     #[test]
     fn numbers_stay_with_names_and_are_reused_only_long_after() {
         let mut fleet = Fleet::new(2);
-        assert_eq!(put(&mut fleet, 1, 1, "a").unwrap().number, 0);
-        assert_eq!(put(&mut fleet, 1, 2, "b").unwrap().number, 1);
+        assert_eq!(put(&mut fleet, 1, 1, "a").unwrap().proxy, 0);
+        assert_eq!(put(&mut fleet, 1, 2, "b").unwrap().proxy, 1);
         fleet.leave(Duration::from_secs(2), 1);
         assert!(matches!(put(&mut fleet, 3, 3, "c"), Err(JoinError::Full { joined: 1, most: 2 })));
-        assert_eq!(put(&mut fleet, 4, 4, "a").unwrap().number, 0, "its own again");
+        assert_eq!(put(&mut fleet, 4, 4, "a").unwrap().proxy, 0, "its own again");
         fleet.leave(Duration::from_secs(5), 4);
-        assert_eq!(put(&mut fleet, 700, 5, "c").unwrap().number, 0);
+        assert_eq!(put(&mut fleet, 700, 5, "c").unwrap().proxy, 0);
         assert!(put(&mut fleet, 701, 6, "a").is_err(), "its number is another's now");
     }
 
@@ -380,7 +380,7 @@
     fn the_newest_stream_of_a_name_counts_and_the_old_ones_end_is_no_leaving() {
         let mut fleet = Fleet::new(9);
         put(&mut fleet, 1, 1, "a").unwrap();
-        assert_eq!(put(&mut fleet, 2, 2, "a").unwrap().replaced, Some(1));
+        assert_eq!(put(&mut fleet, 2, 2, "a").unwrap().replaced_stream, Some(1));
         assert_eq!(fleet.leave(Duration::from_secs(3), 1), None);
         assert_eq!(fleet.len(), 1);
         assert_eq!(fleet.leave(Duration::from_secs(3), 2), Some(0));
@@ -402,10 +402,10 @@
         let mut fleet = Fleet::new(9);
         put(&mut fleet, 1, 1, "a").unwrap();
         let proxy = fleet.get_mut(0).unwrap();
-        (3..6).for_each(|version| proxy.mark(version, Duration::from_secs(version)));
+        (3..6).for_each(|version| proxy.request_acknowledgement(version, Duration::from_secs(version)));
         assert_eq!(fleet.acked(1, 4), [Duration::from_secs(3), Duration::from_secs(4)]);
         assert_eq!(fleet.acked(1, 2), []);
-        assert_eq!(fleet.get(0).unwrap().acked, 4);
+        assert_eq!(fleet.get(0).unwrap().acknowledged_version, 4);
         assert_eq!(fleet.acked(7, 5), [], "no such stream");
     }
 }
--- a/crates/core/src/frozen_tables.rs
+++ b/crates/core/src/frozen_tables.rs
@@ -19,13 +19,13 @@
 pub struct FrozenTable {
     /// The version that was stepped back to, and when it was told.
     pub version: u64,
-    pub told_at: Duration,
-    pub said: PublishedTable,
+    pub published_at: Duration,
+    pub table: PublishedTable,
     pub since: Duration,
     pub until: Duration,
     pub why: Arc<str>,
     /// Another governor told it: it holds until the module here has spoken.
-    pub handed: bool,
+    pub migrated: bool,
 }
 
 /// Why a line of a held table is not told.
@@ -69,12 +69,12 @@
     withdrawn: impl Fn(&ReplicaId) -> bool,
 ) -> (Option<Table>, BTreeMap<ReplicaId, OmissionReason>) {
     let mut left_out = BTreeMap::new();
-    let open = |line: &&ResolvedEntry| line.open;
-    let all: f64 = present.lines.iter().filter(open).map(|line| line.weight).sum();
-    let held: f64 = hold.said.lines.values().map(|line| f64::from(line.weight)).sum();
+    let open = |line: &&ResolvedEntry| line.routable;
+    let all: f64 = present.entries.iter().filter(open).map(|line| line.weight).sum();
+    let held: f64 = hold.table.entries.values().map(|line| f64::from(line.weight)).sum();
     let mut lines = Vec::new();
     let mut capped = Vec::new();
-    for (id, line) in &hold.said.lines {
+    for (id, line) in &hold.table.entries {
         let known = roster.get(id).filter(|known| known.phase == Phase::Ready);
         let Some(known) = known else {
             left_out.insert(id.clone(), OmissionReason::Gone);
@@ -90,13 +90,13 @@
             address: known.address.clone(),
             zone: known.zone,
             weight,
-            open: true,
+            routable: true,
         };
-        if known.started.is_none_or(|at| at <= hold.told_at) {
+        if known.started_at.is_none_or(|at| at <= hold.published_at) {
             lines.push(made(share));
             continue;
         }
-        match present.lines.iter().filter(open).find(|present| present.replica == *id) {
+        match present.entries.iter().filter(open).find(|present| present.replica == *id) {
             Some(now) => capped.push((made(share), now.weight / all)),
             None => drop(left_out.insert(id.clone(), OmissionReason::Cold)),
         }
@@ -116,7 +116,7 @@
     }
     lines.sort_by(|one, other| one.replica.cmp(&other.replica));
     // The level is not held: it says what the fleet bears now.
-    (Some(Table { lines, level: present.level }), left_out)
+    (Some(Table { entries: lines, admission_fraction: present.admission_fraction }), left_out)
 }
 
 #[cfg(test)]
@@ -136,12 +136,16 @@
         let lines = names.iter().map(line).collect();
         FrozenTable {
             version: 3,
-            told_at: s(10),
-            said: PublishedTable { lines, level: MILLION, tries: RetryPolicy::Never },
+            published_at: s(10),
+            table: PublishedTable {
+                entries: lines,
+                admission_millionths: MILLION,
+                retry_policy: RetryPolicy::Never,
+            },
             since: s(50),
             until: s(100),
             why: "".into(),
-            handed: false,
+            migrated: false,
         }
     }
 
@@ -153,7 +157,7 @@
             zone: 0,
             weight: 1.0,
             phase: *phase,
-            started: started.map(s),
+            started_at: started.map(s),
             backup: false,
         };
         roster.take(s(60), entries.iter().map(entry).collect());
@@ -166,9 +170,9 @@
             address: "x".into(),
             zone: 0,
             weight: *weight,
-            open: true,
+            routable: true,
         };
-        Table { lines: lines.iter().map(line).collect(), level: 0.5 }
+        Table { entries: lines.iter().map(line).collect(), admission_fraction: 0.5 }
     }
 
     #[test]
@@ -179,9 +183,9 @@
         let (table, left_out) =
             told(&hold(&["a", "b", "c", "d", "e"]), &present(&[("a", 1.0)]), &roster, |id| &**id == "d");
         let table = table.unwrap();
-        assert_eq!(table.lines.iter().map(|line| &*line.replica).collect::<Vec<_>>(), ["a"]);
-        assert_eq!(&*table.lines[0].address, "a:1", "where it is now");
-        assert_eq!(table.level, 0.5);
+        assert_eq!(table.entries.iter().map(|line| &*line.replica).collect::<Vec<_>>(), ["a"]);
+        assert_eq!(&*table.entries[0].address, "a:1", "where it is now");
+        assert_eq!(table.admission_fraction, 0.5);
         let why: Vec<OmissionReason> = left_out.into_values().collect();
         assert_eq!(
             why,
@@ -198,7 +202,7 @@
         ]);
         let now = present(&[("a", 0.9), ("b", 0.1)]);
         let (table, left_out) = told(&hold(&["a", "b", "c"]), &now, &roster, |_| false);
-        let lines = table.unwrap().lines;
+        let lines = table.unwrap().entries;
         let all: f64 = lines.iter().map(|line| line.weight).sum();
         assert!((lines[1].weight / all - 0.1).abs() < 1e-9, "{lines:?}");
         assert_eq!(left_out[&ReplicaId::from("c")], OmissionReason::Cold);
--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -60,16 +60,16 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct GuardLimits {
     /// A replica's share at its start, and how long until it has all.
-    pub cold_share: f64,
-    pub warm_after: Duration,
+    pub initial_capacity_fraction: f64,
+    pub slow_start_duration: Duration,
     /// Proxies of all governors together.
-    pub proxies: usize,
+    pub proxy_count: usize,
     /// Lines that one change may have.
-    pub lines_most: f64,
+    pub max_entries: f64,
     /// By group: whether its flows may only go to replicas in the proxy's own zone.
-    pub own_zone: Vec<bool>,
+    pub same_zone_only: Vec<bool>,
     /// By group: whether a flow that may have run must never be tried again.
-    pub once_only: Vec<bool>,
+    pub not_idempotent: Vec<bool>,
 }
 
 /// Why something of a change does not go out.
@@ -124,9 +124,9 @@
     pub at: Duration,
     /// None where it is about all of them.
     pub proxy: Option<ProxyId>,
-    pub group: usize,
+    pub class: usize,
     pub reason: RefusalReason,
-    pub done: RefusalOutcome,
+    pub outcome: RefusalOutcome,
     /// The replica that it is about, if it is about one.
     pub replica: Option<ReplicaId>,
     /// What was asked, and what is allowed: flows a second, shares, lines; by the reason.
@@ -141,11 +141,11 @@
 pub struct ProposedTable<'a> {
     pub proxy: ProxyId,
     pub zone: usize,
-    pub group: usize,
+    pub class: usize,
     /// What the proxy holds, if it was told anything.
     pub held: Option<&'a Table>,
     /// The proxy's own standing lines.
-    pub standing: &'a [(ReplicaId, f64)],
+    pub default_table: &'a [(ReplicaId, f64)],
     pub wanted: Table,
 }
 
@@ -187,9 +187,9 @@
 
 /// Open lines as parts of the whole.
 fn parts(table: &Table) -> Vec<(ReplicaId, f64)> {
-    let sound = |line: &&ResolvedEntry| line.open && line.weight.is_finite() && line.weight > 0.0;
-    let all: f64 = table.lines.iter().filter(sound).map(|line| line.weight).sum();
-    table.lines.iter().filter(sound).map(|line| (line.replica.clone(), line.weight / all)).collect()
+    let sound = |line: &&ResolvedEntry| line.routable && line.weight.is_finite() && line.weight > 0.0;
+    let all: f64 = table.entries.iter().filter(sound).map(|line| line.weight).sum();
+    table.entries.iter().filter(sound).map(|line| (line.replica.clone(), line.weight / all)).collect()
 }
 
 impl Guard {
@@ -231,7 +231,7 @@
 
     /// A proxy has joined: its demand as it says it ordinarily is, on its standing lines.
     pub fn joined(&mut self, proxy: ProxyId, flows: f64, standing: &[(ReplicaId, f64)]) {
-        let groups = self.limits.own_zone.len();
+        let groups = self.limits.same_zone_only.len();
         let all: f64 = standing.iter().map(|(_, weight)| weight.max(0.0)).sum();
         for group in 0..groups {
             self.set((proxy, group), |share| {
@@ -296,13 +296,13 @@
 
     /// How much of its capacity a replica has by the settings' word of how one starts.
     fn warmth(&self, now: Duration, roster: &Roster, id: &ReplicaId) -> f64 {
-        let Some(started) = roster.get(id).and_then(|one| one.started) else { return 1.0 };
+        let Some(started) = roster.get(id).and_then(|one| one.started_at) else { return 1.0 };
         let age = now.saturating_sub(started).as_secs_f64();
-        let whole = self.limits.warm_after.as_secs_f64();
+        let whole = self.limits.slow_start_duration.as_secs_f64();
         if age >= whole {
             return 1.0;
         }
-        self.limits.cold_share + (1.0 - self.limits.cold_share) * age / whole
+        self.limits.initial_capacity_fraction + (1.0 - self.limits.initial_capacity_fraction) * age / whole
     }
 
     /// The capacity of ready replicas, as weights of warm ones.
@@ -335,8 +335,8 @@
         let even = if able > 0.0 { all / able } else { f64::INFINITY };
         // A warm one can take its even part of what all governors' proxies bring. With a few proxies here, of
         // one zone, their own lines alone come to several times the even part of theirs.
-        let here = self.shares.len() as f64 / self.limits.own_zone.len().max(1) as f64;
-        let all = (self.limits.proxies as f64 / here.max(1.0)).max(1.0);
+        let here = self.shares.len() as f64 / self.limits.same_zone_only.len().max(1) as f64;
+        let all = (self.limits.proxy_count as f64 / here.max(1.0)).max(1.0);
         Unit { even, known: proven.max(even * all), all }
     }
 
@@ -363,8 +363,8 @@
             roster.get(id).is_some_and(|one| one.phase == Phase::Ready) && !(follows && withdrawn(id))
         };
         for (place, change) in changes.iter_mut().enumerate().filter(|_| !follows) {
-            let shut = change.wanted.lines.iter_mut().filter(|line| !line.open && open(&line.replica));
-            let again = shut.map(|line| line.open = true).count();
+            let shut = change.wanted.entries.iter_mut().filter(|line| !line.routable && open(&line.replica));
+            let again = shut.map(|line| line.routable = true).count();
             if again > 0 {
                 refused.push((
                     place,
@@ -378,17 +378,17 @@
         }
         let mut tables: Vec<Table> = Vec::with_capacity(changes.len());
         for (place, change) in changes.iter().enumerate() {
-            let own_zone = self.limits.own_zone.get(change.group).copied().unwrap_or(false);
+            let own_zone = self.limits.same_zone_only.get(change.class).copied().unwrap_or(false);
             tables.push(single(change, own_zone, roster, &open, |reason, done, replica, asked, allowed| {
                 refused.push((place, reason, done, replica, asked, allowed));
             }));
         }
-        let lines: usize = tables.iter().map(|table| table.lines.len()).sum();
-        if lines as f64 > self.limits.lines_most && tables.len() > 1 {
+        let lines: usize = tables.iter().map(|table| table.entries.len()).sum();
+        if lines as f64 > self.limits.max_entries && tables.len() > 1 {
             // What does not fit waits: the first are carried out, the rest keep what they hold.
-            let mut room = self.limits.lines_most;
+            let mut room = self.limits.max_entries;
             for (place, change) in changes.iter().enumerate() {
-                room -= tables[place].lines.len() as f64;
+                room -= tables[place].entries.len() as f64;
                 let held = self.last(change, &open);
                 if let Some(held) = held.filter(|_| room < 0.0) {
                     refused.push((
@@ -397,7 +397,7 @@
                         RefusalOutcome::Kept,
                         None,
                         lines as f64,
-                        self.limits.lines_most,
+                        self.limits.max_entries,
                     ));
                     tables[place] = held;
                 }
@@ -406,7 +406,7 @@
         let moved = self.moved(&changes, &tables);
         if !asked && moved > AT_ONCE {
             for (place, change) in changes.iter().enumerate() {
-                let since = self.lasting.get(&(change.proxy, change.group, RefusalReason::Sweep));
+                let since = self.lasting.get(&(change.proxy, change.class, RefusalReason::Sweep));
                 let lasted = since.is_some_and(|since| now >= *since + HELD_FOR);
                 let held = self.last(change, &open);
                 let done =
@@ -418,7 +418,7 @@
             }
         }
         for (change, table) in changes.iter().zip(&tables) {
-            self.set((change.proxy, change.group), |share| share.parts = parts(table));
+            self.set((change.proxy, change.class), |share| share.parts = parts(table));
         }
         self.caps(now, roster, &open, &changes, &mut tables, &mut refused);
         self.remember(now, &changes, refused);
@@ -427,10 +427,10 @@
 
     /// The last good table of a change's place, as it may be told now, if anything of it is left.
     fn last(&self, change: &ProposedTable, open: &impl Fn(&ReplicaId) -> bool) -> Option<Table> {
-        let own_zone = self.limits.own_zone.get(change.group).copied().unwrap_or(false);
+        let own_zone = self.limits.same_zone_only.get(change.class).copied().unwrap_or(false);
         let mut last = change.held.map(|held| shut(held, open))?;
         if own_zone {
-            last.lines.iter_mut().for_each(|line| line.open &= line.zone == change.zone);
+            last.entries.iter_mut().for_each(|line| line.routable &= line.zone == change.zone);
         }
         Some(last).filter(is_open)
     }
@@ -440,7 +440,7 @@
         let all: f64 = self.shares.values().map(|share| share.flows).sum();
         let mut moved = 0.0;
         for (change, table) in changes.iter().zip(tables) {
-            let Some(share) = self.shares.get(&(change.proxy, change.group)) else { continue };
+            let Some(share) = self.shares.get(&(change.proxy, change.class)) else { continue };
             let before: BTreeMap<&ReplicaId, f64> =
                 share.parts.iter().map(|(id, part)| (id, *part)).collect();
             // A first word moves nothing that was put there by a word.
@@ -470,12 +470,12 @@
         // A table that is kept was made smaller before: what is left of a line is by the others, not by
         // itself.
         let mean = |table: &Table| {
-            let open = table.lines.iter().filter(|line| line.open);
+            let open = table.entries.iter().filter(|line| line.routable);
             open.clone().map(|line| line.weight).sum::<f64>() / open.count().max(1) as f64
         };
         let mut least: Vec<f64> = tables.iter().map(|table| LEAST * mean(table)).collect();
         for pass in 0..PASSES {
-            let lines = tables.iter().flat_map(|table| &table.lines).filter(|line| line.open);
+            let lines = tables.iter().flat_map(|table| &table.entries).filter(|line| line.routable);
             let touched: BTreeSet<ReplicaId> = lines.map(|line| line.replica.clone()).collect();
             let cap = |id: &ReplicaId| Some((id.clone(), self.cap(now, roster, unit, id)?));
             let caps: BTreeMap<ReplicaId, (RefusalReason, f64, f64)> =
@@ -486,7 +486,7 @@
             let mut any = false;
             for (place, change) in changes.iter().enumerate() {
                 let table = &mut tables[place];
-                let lines = table.lines.iter().filter(|line| line.open);
+                let lines = table.entries.iter().filter(|line| line.routable);
                 let over = lines.clone().filter(|line| caps.contains_key(&line.replica)).count();
                 if over == 0 {
                     continue;
@@ -495,19 +495,19 @@
                 let cold = |line: &ResolvedEntry| {
                     caps.get(&line.replica).is_some_and(|cap| cap.0 == RefusalReason::Cold)
                 };
-                let cold = table.lines.iter().any(|line| line.open && cold(line));
+                let cold = table.entries.iter().any(|line| line.routable && cold(line));
                 // All of it is too much, and for a cold one: what is good of the last table, or of its own
                 // lines, has others, too. What is too much for warm ones only goes out as it was asked.
                 let other = (all && cold && pass == 0).then(|| {
                     let held = self.last(change, open);
                     let own = || Some(standing(change, roster, open)).filter(is_open);
                     let more = |table: &Table| {
-                        table.lines.iter().any(|line| line.open && !caps.contains_key(&line.replica))
+                        table.entries.iter().any(|line| line.routable && !caps.contains_key(&line.replica))
                     };
                     held.filter(more).or_else(own).filter(more)
                 });
                 if let Some(other) = other.flatten() {
-                    for line in table.lines.iter().filter(|line| line.open) {
+                    for line in table.entries.iter().filter(|line| line.routable) {
                         if let Some((reason, sent, can)) = caps.get(&line.replica) {
                             refused.push((
                                 place,
@@ -520,9 +520,9 @@
                         }
                     }
                     (least[place], all) = (LEAST * mean(&other), false);
-                    *table = Table { level: table.level, ..other };
+                    *table = Table { admission_fraction: table.admission_fraction, ..other };
                 }
-                for line in table.lines.iter_mut().filter(|line| line.open) {
+                for line in table.entries.iter_mut().filter(|line| line.routable) {
                     let Some((reason, sent, can)) = caps.get(&line.replica) else { continue };
                     // With nothing else to send to, over is better than bare.
                     let done = if all { RefusalOutcome::LetThrough } else { RefusalOutcome::Corrected };
@@ -537,7 +537,7 @@
                 }
                 any |= !all;
                 let parts = parts(table);
-                self.set((change.proxy, change.group), |share| share.parts = parts);
+                self.set((change.proxy, change.class), |share| share.parts = parts);
             }
             if !any {
                 return;
@@ -550,14 +550,14 @@
         self.passed += (changes.len() - places.len()) as u64;
         let still: BTreeSet<(ProxyId, usize, RefusalReason)> = refused
             .iter()
-            .map(|(place, reason, ..)| (changes[*place].proxy, changes[*place].group, *reason))
+            .map(|(place, reason, ..)| (changes[*place].proxy, changes[*place].class, *reason))
             .collect();
         for change in changes {
-            let of = |key: &(ProxyId, usize, RefusalReason)| (key.0, key.1) == (change.proxy, change.group);
+            let of = |key: &(ProxyId, usize, RefusalReason)| (key.0, key.1) == (change.proxy, change.class);
             self.lasting.retain(|key, _| !of(key) || still.contains(key));
         }
         for (place, reason, done, replica, asked, allowed) in refused {
-            let ProposedTable { proxy, group, .. } = changes[place];
+            let ProposedTable { proxy, class: group, .. } = changes[place];
             let since = *self.lasting.entry((proxy, group, reason)).or_insert(now);
             if done == RefusalOutcome::LetThrough && reason == RefusalReason::Sweep && now >= since + HELD_FOR
             {
@@ -565,7 +565,17 @@
             }
             *self.counts.entry(reason).or_default() += 1;
             let (at, proxy) = (now, Some(proxy));
-            self.keep(Refusal { at, proxy, group, reason, done, replica, asked, allowed, since });
+            self.keep(Refusal {
+                at,
+                proxy,
+                class: group,
+                reason,
+                outcome: done,
+                replica,
+                asked,
+                allowed,
+                since,
+            });
         }
     }
 
@@ -588,7 +598,17 @@
     pub fn refuse(&mut self, now: Duration, group: usize, reason: RefusalReason, asked: f64, allowed: f64) {
         *self.counts.entry(reason).or_default() += 1;
         let (at, since, done) = (now, now, RefusalOutcome::Corrected);
-        self.keep(Refusal { at, proxy: None, group, reason, done, replica: None, asked, allowed, since });
+        self.keep(Refusal {
+            at,
+            proxy: None,
+            class: group,
+            reason,
+            outcome: done,
+            replica: None,
+            asked,
+            allowed,
+            since,
+        });
     }
 
     /// What proxies may do about further tries in each group of a set: a try that may have run is never
@@ -599,7 +619,7 @@
         groups: ClassSet,
         tries: RetryPolicy,
     ) -> Vec<(ClassSet, RetryPolicy)> {
-        let bars = |group: &usize| self.limits.once_only.get(*group).copied().unwrap_or(false);
+        let bars = |group: &usize| self.limits.not_idempotent.get(*group).copied().unwrap_or(false);
         let barred: Vec<usize> = (0..64).filter(|group| groups >> group & 1 == 1).filter(bars).collect();
         if self.off || tries != RetryPolicy::OnAnyFailure || barred.is_empty() {
             return vec![(groups, tries)];
@@ -717,7 +737,7 @@
 }
 
 fn is_open(table: &Table) -> bool {
-    table.lines.iter().any(|line| line.open)
+    table.entries.iter().any(|line| line.routable)
 }
 
 /// A table as it was told, less what drains, is gone or is withdrawn now; a line that was shut for that and
@@ -725,7 +745,7 @@
 /// last lines, and those be overrun.
 fn shut(held: &Table, open: &impl Fn(&ReplicaId) -> bool) -> Table {
     let mut table = held.clone();
-    table.lines.iter_mut().for_each(|line| line.open = open(&line.replica));
+    table.entries.iter_mut().for_each(|line| line.routable = open(&line.replica));
     table
 }
 
@@ -738,13 +758,13 @@
     mut refuse: impl FnMut(RefusalReason, RefusalOutcome, Option<ReplicaId>, f64, f64),
 ) -> Table {
     let mut table = change.wanted.clone();
-    if !(0.0..=1.0).contains(&table.level) {
-        refuse(RefusalReason::Level, RefusalOutcome::Corrected, None, table.level, 1.0);
-        table.level = change.held.map_or(1.0, |held| held.level);
+    if !(0.0..=1.0).contains(&table.admission_fraction) {
+        refuse(RefusalReason::Level, RefusalOutcome::Corrected, None, table.admission_fraction, 1.0);
+        table.admission_fraction = change.held.map_or(1.0, |held| held.admission_fraction);
     }
-    let asked = table.lines.iter().filter(|line| line.open).count();
+    let asked = table.entries.iter().filter(|line| line.routable).count();
     let sound = |line: &ResolvedEntry| line.weight.is_finite() && line.weight > 0.0;
-    for line in table.lines.iter().filter(|line| line.open && !sound(line)) {
+    for line in table.entries.iter().filter(|line| line.routable && !sound(line)) {
         refuse(
             RefusalReason::Weight,
             RefusalOutcome::Corrected,
@@ -754,10 +774,11 @@
         );
     }
     // A shut line says only that nothing is to be sent there: its weight is never used.
-    table.lines.retain(|line| !line.open || sound(line));
-    table.lines.iter_mut().filter(|line| !sound(line)).for_each(|line| line.weight = 1.0);
-    let largest = table.lines.iter().filter(|line| line.open).map(|line| line.weight).fold(0.0, f64::max);
-    for line in table.lines.iter_mut().filter(|line| line.open && line.weight * APART < largest) {
+    table.entries.retain(|line| !line.routable || sound(line));
+    table.entries.iter_mut().filter(|line| !sound(line)).for_each(|line| line.weight = 1.0);
+    let largest =
+        table.entries.iter().filter(|line| line.routable).map(|line| line.weight).fold(0.0, f64::max);
+    for line in table.entries.iter_mut().filter(|line| line.routable && line.weight * APART < largest) {
         refuse(
             RefusalReason::Wire,
             RefusalOutcome::Corrected,
@@ -767,16 +788,16 @@
         );
         line.weight = largest / APART;
     }
-    let draining = table.lines.iter().filter(|line| line.open && !open(&line.replica)).count();
-    if draining > 0 && draining == table.lines.iter().filter(|line| line.open).count() {
+    let draining = table.entries.iter().filter(|line| line.routable && !open(&line.replica)).count();
+    if draining > 0 && draining == table.entries.iter().filter(|line| line.routable).count() {
         refuse(RefusalReason::Draining, RefusalOutcome::Kept, None, draining as f64, 0.0);
     }
-    table.lines.iter_mut().for_each(|line| line.open &= open(&line.replica));
+    table.entries.iter_mut().for_each(|line| line.routable &= open(&line.replica));
     if own_zone {
-        let away = |line: &ResolvedEntry| line.open && line.zone != change.zone;
-        for line in table.lines.iter_mut().filter(|line| away(line)) {
+        let away = |line: &ResolvedEntry| line.routable && line.zone != change.zone;
+        for line in table.entries.iter_mut().filter(|line| away(line)) {
             refuse(RefusalReason::OutOfZone, RefusalOutcome::Corrected, Some(line.replica.clone()), 0.0, 0.0);
-            line.open = false;
+            line.routable = false;
         }
     }
     if is_open(&table) {
@@ -799,7 +820,7 @@
         return held;
     }
     refuse(reason, RefusalOutcome::LastResort, None, asked as f64, 1.0);
-    Table { level: table.level, ..standing(change, roster, &fits) }
+    Table { admission_fraction: table.admission_fraction, ..standing(change, roster, &fits) }
 }
 
 /// A proxy's own lines, as far as they fit; else all that do, in its zone if somebody is there.
@@ -812,11 +833,11 @@
             address,
             zone,
             weight: if weight > 0.0 { weight } else { 1.0 },
-            open: true,
+            routable: true,
         })
     };
     let mut lines: Vec<ResolvedEntry> =
-        change.standing.iter().filter_map(|(id, weight)| line(id, *weight)).collect();
+        change.default_table.iter().filter_map(|(id, weight)| line(id, *weight)).collect();
     if lines.is_empty() {
         let near = |id: &ReplicaId| roster.get(id).is_some_and(|one| one.zone == change.zone);
         let any_near = roster.iter().any(|(id, _)| fits(id) && near(id));
@@ -824,7 +845,7 @@
         lines = ready.filter_map(|(id, one)| line(id, one.weight)).collect();
     }
     lines.sort_by(|one, other| one.replica.cmp(&other.replica));
-    Table { lines, level: 1.0 }
+    Table { entries: lines, admission_fraction: 1.0 }
 }
 
 #[cfg(test)]
@@ -845,7 +866,7 @@
             zone: usize::from(id == "g"),
             weight: 1.0,
             phase: if draining.contains(&id) { Phase::Draining } else { Phase::Ready },
-            started: cold.contains(&id).then_some(s(99)),
+            started_at: cold.contains(&id).then_some(s(99)),
             backup: false,
         };
         roster.take(s(100), ["a", "b", "c", "d", "e", "f", "g"].map(entry).into());
@@ -854,12 +875,12 @@
 
     fn guard(own_zone: bool) -> Guard {
         let mut guard = Guard::new(GuardLimits {
-            cold_share: 0.25,
-            warm_after: s(20),
-            proxies: 4,
-            lines_most: 20.0,
-            own_zone: vec![own_zone],
-            once_only: vec![true],
+            initial_capacity_fraction: 0.25,
+            slow_start_duration: s(20),
+            proxy_count: 4,
+            max_entries: 20.0,
+            same_zone_only: vec![own_zone],
+            not_idempotent: vec![true],
         });
         for proxy in 0..4 {
             guard.joined(proxy, 30.0, &["a", "b", "c", "d", "e", "f"].map(|id| (id.into(), 1.0)));
@@ -873,13 +894,13 @@
             address: format!("{id}:1").into(),
             zone: usize::from(*id == "g"),
             weight: *weight,
-            open: true,
+            routable: true,
         };
-        Table { lines: lines.iter().map(line).collect(), level: 1.0 }
+        Table { entries: lines.iter().map(line).collect(), admission_fraction: 1.0 }
     }
 
     fn change(proxy: ProxyId, held: Option<&Table>, wanted: Table) -> ProposedTable<'_> {
-        ProposedTable { proxy, zone: 0, group: 0, held, standing: &[], wanted }
+        ProposedTable { proxy, zone: 0, class: 0, held, default_table: &[], wanted }
     }
 
     /// Judges one change of proxy 0: what goes out, and what was refused.
@@ -891,11 +912,11 @@
     ) -> (Table, Vec<(RefusalReason, RefusalOutcome)>) {
         let before = guard.refusals().count();
         let out = guard.judge(s(100), roster, |_| false, true, vec![change(0, held, wanted)]).remove(0);
-        (out, guard.refusals().skip(before).map(|one| (one.reason, one.done)).collect())
+        (out, guard.refusals().skip(before).map(|one| (one.reason, one.outcome)).collect())
     }
 
     fn open(table: &Table) -> Vec<(String, f64)> {
-        let lines = table.lines.iter().filter(|line| line.open);
+        let lines = table.entries.iter().filter(|line| line.routable);
         lines.map(|line| (line.replica.to_string(), line.weight)).collect()
     }
 
@@ -916,7 +937,7 @@
         );
         assert_eq!(open(&out).len(), 5, "all that are ready in its zone");
         let standing = [("b".into(), 1.0), ("d".into(), 3.0)];
-        let own = ProposedTable { standing: &standing, ..change(0, None, table(&[])) };
+        let own = ProposedTable { default_table: &standing, ..change(0, None, table(&[])) };
         assert_eq!(
             open(&guard.judge(s(100), &roster, |_| false, true, vec![own])[0]),
             [("d".to_string(), 3.0)]
@@ -940,7 +961,7 @@
         );
         // A last good table that was shut in a line for a drain has it back once that is over.
         let mut held = table(&[("a", 1.0), ("b", 1.0), ("g", 1.0)]);
-        held.lines.iter_mut().for_each(|line| line.open = &*line.replica == "b");
+        held.entries.iter_mut().for_each(|line| line.routable = &*line.replica == "b");
         let back = super::tests::roster(&["b"], &[]);
         let (out, _) = judged(&mut super::tests::guard(true), &back, Some(&held), table(&[]));
         assert_eq!(open(&out), [("a".to_string(), 1.0)], "and none that its group must not go to");
@@ -957,10 +978,13 @@
             (1.0 / APART, vec![(RefusalReason::Wire, RefusalOutcome::Corrected)])
         );
         for level in [f64::NAN, -0.1, 1.1] {
-            let wanted = Table { level, ..table(&[("a", 1.0), ("b", 1.0), ("c", 1.0)]) };
-            let held = Table { level: 0.4, ..wanted.clone() };
+            let wanted = Table { admission_fraction: level, ..table(&[("a", 1.0), ("b", 1.0), ("c", 1.0)]) };
+            let held = Table { admission_fraction: 0.4, ..wanted.clone() };
             let (out, why) = judged(&mut guard, &roster, Some(&held), wanted);
-            assert_eq!((out.level, why), (0.4, vec![(RefusalReason::Level, RefusalOutcome::Corrected)]));
+            assert_eq!(
+                (out.admission_fraction, why),
+                (0.4, vec![(RefusalReason::Level, RefusalOutcome::Corrected)])
+            );
         }
     }
 
@@ -1000,7 +1024,7 @@
         // Where all but a cold one are withdrawn, they are not.
         let mut most = super::tests::guard(false);
         let mut wanted = heavy();
-        wanted.lines.iter_mut().skip(1).for_each(|line| line.open = false);
+        wanted.entries.iter_mut().skip(1).for_each(|line| line.routable = false);
         let change_of = |proxy| change(proxy, None, wanted.clone());
         let out = most.judge(s(100), &cold, |id| &**id != "a", true, (0..4).map(change_of).collect());
         assert!(out.iter().all(|out| open(out).len() == 4) && most.sent_to(&"a".into()) < 12.5);
@@ -1018,10 +1042,10 @@
         let mut fresh = super::tests::guard(false);
         let changes = (0..4).map(|proxy| change(proxy, None, table(&[("a", 1.0)]))).collect();
         assert!(fresh.judge(s(100), &warm, |_| false, true, changes).iter().all(|out| open(out).len() == 1));
-        assert!(fresh.refusals().all(|one| one.done == RefusalOutcome::LetThrough));
+        assert!(fresh.refusals().all(|one| one.outcome == RefusalOutcome::LetThrough));
         // Four proxies of eighty here: what is much for them is little for a replica.
         let mut few = super::tests::guard(false);
-        few.limits.proxies = 80;
+        few.limits.proxy_count = 80;
         let changes = (0..4).map(|proxy| change(proxy, None, heavy())).collect();
         few.judge(s(100), &warm, |_| false, true, changes);
         assert_eq!(few.refusals().count(), 0);
--- a/crates/core/src/history.rs
+++ b/crates/core/src/history.rs
@@ -18,9 +18,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct HistoryEntry {
     pub version: u64,
-    pub at: Duration,
+    pub published_at: Duration,
     pub digest: Digest,
-    pub whole: Arc<PublishedState>,
+    pub state: Arc<PublishedState>,
 }
 
 #[derive(Debug)]
@@ -37,7 +37,7 @@
 const HEAD: usize = 2;
 
 fn cost(version: &HistoryEntry) -> usize {
-    HEAD + version.whole.lines()
+    HEAD + version.state.entry_count()
 }
 
 impl History {
@@ -120,12 +120,12 @@
             )
         };
         let said = PublishedTable {
-            lines: (0..lines).map(line).collect(),
-            level: MILLION,
-            tries: RetryPolicy::Never,
+            entries: (0..lines).map(line).collect(),
+            admission_millionths: MILLION,
+            retry_policy: RetryPolicy::Never,
         };
-        let whole = PublishedState { groups: vec![Some(said)] };
-        HistoryEntry { version, at: Duration::ZERO, digest: whole.digest(), whole: Arc::new(whole) }
+        let whole = PublishedState { classes: vec![Some(said)] };
+        HistoryEntry { version, published_at: Duration::ZERO, digest: whole.digest(), state: Arc::new(whole) }
     }
 
     fn versions(history: &History, proxy: ProxyId) -> Vec<u64> {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -2,7 +2,7 @@
 //! clock: times and names come in as arguments, and the same inputs give the same outputs.
 //!
 //! [`engine::Engine`] holds one instance of the module. A host tells it what happened, then pulls
-//! [`engine::Engine::step`] until it gives `None`, and carries out each step. Fronts read what a proxy should
+//! [`engine::Engine::next_action`] until it gives `None`, and carries out each step. Fronts read what a proxy should
 //! hold from [`engine::Engine::proxy`] and only translate it.
 //!
 //! | module | what it keeps |
--- a/crates/core/src/overrides.rs
+++ b/crates/core/src/overrides.rs
@@ -92,9 +92,9 @@
         if self.of.is_empty() {
             return;
         }
-        for line in &mut table.lines {
+        for line in &mut table.entries {
             match self.of.get(&line.replica).map(|one| one.what) {
-                Some(OverrideKind::Exclude) => line.open = false,
+                Some(OverrideKind::Exclude) => line.routable = false,
                 Some(OverrideKind::Weight(factor)) => line.weight *= factor,
                 None => {}
             }
--- a/crates/core/src/ownership.rs
+++ b/crates/core/src/ownership.rs
@@ -193,7 +193,7 @@
 
     /// Takes an order in, or refuses it. Within a life versions never go back, and on one stream the same may
     /// come in several pieces.
-    pub fn heed(&mut self, governor: &str, epoch: u64, version: u64) -> Result<(), FencingError> {
+    pub fn accept(&mut self, governor: &str, epoch: u64, version: u64) -> Result<(), FencingError> {
         if self.following.as_deref() != Some(governor) {
             return Err(FencingError::NotFollowed);
         }
@@ -270,7 +270,7 @@
     }
 
     /// The governor to dial, by its place in the list.
-    pub fn dials(&self) -> usize {
+    pub fn current(&self) -> usize {
         self.ranking.get(self.at).copied().unwrap_or(0)
     }
 
@@ -283,7 +283,7 @@
     }
 
     /// The governor dialled can't be had, or its stream is over.
-    pub fn lost(&mut self) {
+    pub fn connection_lost(&mut self) {
         self.at = (self.at + 1) % self.ranking.len().max(1);
         self.placed = false;
     }
@@ -293,16 +293,16 @@
     ///
     /// Who is placed doesn't go home by itself: its home may have sent it away for being overrun, and would
     /// again. *Harm:* if governors can't talk any more, it stays where it is placed.
-    pub fn sent_on(&mut self, to: Option<usize>) {
+    pub fn redirected(&mut self, to: Option<usize>) {
         match to.and_then(|to| self.ranking.iter().position(|place| *place == to)) {
             Some(at) => (self.at, self.placed) = (at, true),
-            None => self.lost(),
+            None => self.connection_lost(),
         }
         self.homeward.well_since = None;
     }
 
     /// Its home was asked whether it is there. Whether it goes there now.
-    pub fn home_asked(&mut self, now: Duration, answered: bool) -> bool {
+    pub fn home_checked(&mut self, now: Duration, answered: bool) -> bool {
         if self.is_home() || self.placed {
             return false;
         }
@@ -382,23 +382,23 @@
     #[test]
     fn of_two_governors_that_believe_they_own_a_proxy_one_is_heeded() {
         let mut fence = FencingState::default();
-        assert_eq!(fence.heed("g1", 1, 1), Err(FencingError::NotFollowed));
+        assert_eq!(fence.accept("g1", 1, 1), Err(FencingError::NotFollowed));
         fence.follow("g1");
-        assert_eq!(fence.heed("g1", 5, 10), Ok(()));
-        assert_eq!(fence.heed("g2", 9, 1), Err(FencingError::NotFollowed));
+        assert_eq!(fence.accept("g1", 5, 10), Ok(()));
+        assert_eq!(fence.accept("g2", 9, 1), Err(FencingError::NotFollowed));
         fence.follow("g2");
-        assert_eq!(fence.heed("g2", 9, 1), Ok(()));
-        assert_eq!(fence.heed("g1", 5, 11), Err(FencingError::NotFollowed), "it stalled, and wakes");
+        assert_eq!(fence.accept("g2", 9, 1), Ok(()));
+        assert_eq!(fence.accept("g1", 5, 11), Err(FencingError::NotFollowed), "it stalled, and wakes");
         // It comes back after another has taken over, with its old orders or as an older life.
         fence.follow("g1");
-        assert_eq!(fence.heed("g1", 4, 99), Err(FencingError::OlderLife));
-        assert_eq!(fence.heed("g1", 5, 9), Err(FencingError::OlderVersion));
-        assert_eq!(fence.heed("g1", 5, 10), Err(FencingError::OlderStream), "a copy of the stream before");
-        assert_eq!((fence.heed("g1", 5, 11), fence.heed("g1", 5, 11)), (Ok(()), Ok(())), "in two pieces");
-        assert_eq!(fence.heed("g1", 6, 1), Ok(()));
+        assert_eq!(fence.accept("g1", 4, 99), Err(FencingError::OlderLife));
+        assert_eq!(fence.accept("g1", 5, 9), Err(FencingError::OlderVersion));
+        assert_eq!(fence.accept("g1", 5, 10), Err(FencingError::OlderStream), "a copy of the stream before");
+        assert_eq!((fence.accept("g1", 5, 11), fence.accept("g1", 5, 11)), (Ok(()), Ok(())), "in two pieces");
+        assert_eq!(fence.accept("g1", 6, 1), Ok(()));
         (0..200).for_each(|n| {
             fence.follow(&format!("made up {n}"));
-            assert_eq!(fence.heed(&format!("made up {n}"), 1, 1), Ok(()));
+            assert_eq!(fence.accept(&format!("made up {n}"), 1, 1), Ok(()));
         });
         assert!(fence.newest.len() <= MOST_GOVERNORS);
     }
@@ -428,16 +428,16 @@
         let names = ["g0", "g1", "g2"];
         let mut dialer = GovernorSelector::new("relay-1", &names, s(2), Duration::ZERO);
         let ranked = ranking("relay-1", &names);
-        dialer.sent_on(Some(ranked[2]));
-        assert_eq!(dialer.dials(), ranked[2]);
-        assert!((10..20).all(|at| !dialer.home_asked(s(at), true)), "placed");
-        dialer.lost();
-        assert_eq!(dialer.dials(), dialer.home());
-        dialer.sent_on(None);
-        assert_eq!(dialer.dials(), ranked[1]);
-        assert!(!dialer.home_asked(s(30), true) && dialer.home_asked(s(32), true));
-        dialer.sent_on(Some(9));
-        assert_eq!(dialer.dials(), ranked[1], "not on its list: whoever is next");
+        dialer.redirected(Some(ranked[2]));
+        assert_eq!(dialer.current(), ranked[2]);
+        assert!((10..20).all(|at| !dialer.home_checked(s(at), true)), "placed");
+        dialer.connection_lost();
+        assert_eq!(dialer.current(), dialer.home());
+        dialer.redirected(None);
+        assert_eq!(dialer.current(), ranked[1]);
+        assert!(!dialer.home_checked(s(30), true) && dialer.home_checked(s(32), true));
+        dialer.redirected(Some(9));
+        assert_eq!(dialer.current(), ranked[1], "not on its list: whoever is next");
     }
 
     #[test]
@@ -462,16 +462,16 @@
         let names = ["g0", "g1", "g2"];
         let mut dialer = GovernorSelector::new("relay-1", &names, s(2), Duration::ZERO);
         let ranked = ranking("relay-1", &names);
-        assert_eq!((dialer.dials(), dialer.is_home()), (ranked[0], true));
-        dialer.lost();
-        dialer.lost();
-        assert_eq!(dialer.dials(), ranked[2]);
-        assert!(!dialer.home_asked(s(10), true) && !dialer.home_asked(s(11), false));
-        assert!(!dialer.home_asked(s(12), true) && !dialer.home_asked(s(13), true));
-        assert!(dialer.home_asked(s(14), true) && dialer.is_home());
-        assert!(!dialer.home_asked(s(15), true), "it is there");
-        (0..3).for_each(|_| dialer.lost());
-        assert_eq!(dialer.dials(), dialer.home(), "all dead: round again");
-        assert_eq!(GovernorSelector::new("p", &[], s(1), s(1)).dials(), 0);
+        assert_eq!((dialer.current(), dialer.is_home()), (ranked[0], true));
+        dialer.connection_lost();
+        dialer.connection_lost();
+        assert_eq!(dialer.current(), ranked[2]);
+        assert!(!dialer.home_checked(s(10), true) && !dialer.home_checked(s(11), false));
+        assert!(!dialer.home_checked(s(12), true) && !dialer.home_checked(s(13), true));
+        assert!(dialer.home_checked(s(14), true) && dialer.is_home());
+        assert!(!dialer.home_checked(s(15), true), "it is there");
+        (0..3).for_each(|_| dialer.connection_lost());
+        assert_eq!(dialer.current(), dialer.home(), "all dead: round again");
+        assert_eq!(GovernorSelector::new("p", &[], s(1), s(1)).current(), 0);
     }
 }
--- a/crates/core/src/recording.rs
+++ b/crates/core/src/recording.rs
@@ -155,12 +155,12 @@
 impl From<&GuardLimits> for RecordedLimits {
     fn from(limits: &GuardLimits) -> Self {
         RecordedLimits {
-            cold_share: limits.cold_share,
-            warm_after_s: limits.warm_after.as_secs_f64(),
-            proxies: limits.proxies,
-            lines_most: limits.lines_most,
-            own_zone: limits.own_zone.clone(),
-            once_only: limits.once_only.clone(),
+            cold_share: limits.initial_capacity_fraction,
+            warm_after_s: limits.slow_start_duration.as_secs_f64(),
+            proxies: limits.proxy_count,
+            lines_most: limits.max_entries,
+            own_zone: limits.same_zone_only.clone(),
+            once_only: limits.not_idempotent.clone(),
         }
     }
 }
@@ -254,19 +254,19 @@
                 RecordedPhase::Draining => Phase::Draining,
                 RecordedPhase::Gone => Phase::Gone,
             },
-            started: one.age_s.map(|age| NOW - span(age)),
+            started_at: one.age_s.map(|age| NOW - span(age)),
             backup: false,
         };
         roster.take(NOW, self.replicas.iter().map(entry).collect());
         let out: BTreeSet<&Arc<str>> =
             self.replicas.iter().filter(|one| one.out).map(|one| &one.id).collect();
         let mut guard = Guard::new(GuardLimits {
-            cold_share: self.limits.cold_share,
-            warm_after: span(self.limits.warm_after_s),
-            proxies: self.limits.proxies,
-            lines_most: self.limits.lines_most,
-            own_zone: self.limits.own_zone.clone(),
-            once_only: self.limits.once_only.clone(),
+            initial_capacity_fraction: self.limits.cold_share,
+            slow_start_duration: span(self.limits.warm_after_s),
+            proxy_count: self.limits.proxies,
+            max_entries: self.limits.lines_most,
+            same_zone_only: self.limits.own_zone.clone(),
+            not_idempotent: self.limits.once_only.clone(),
         });
         for seen in &self.seen {
             guard.saw(NOW, &seen.replica, seen.zone, seen.per_s);
@@ -278,7 +278,7 @@
                 address: known.map_or_else(|| "".into(), |known| known.address.clone()),
                 zone: known.map_or(zone, |known| known.zone),
                 weight,
-                open,
+                routable: open,
             }
         };
         let mut held: BTreeMap<(usize, usize), Table> = BTreeMap::new();
@@ -290,7 +290,7 @@
                 let lines = told.lines.as_ref().map(|lines| {
                     lines.iter().map(|(id, weight, open)| line(proxy.zone, (id, *weight, *open))).collect()
                 });
-                let table = lines.map(|lines| Table { lines, level: told.level });
+                let table = lines.map(|lines| Table { entries: lines, admission_fraction: told.level });
                 guard.stands(number as ProxyId, group, told.flows, table.as_ref());
                 held.extend(table.map(|table| ((number, group), table)));
             }
@@ -308,14 +308,15 @@
             }
             let proxy = &self.proxies[number];
             let open = |(id, weight): &(ReplicaId, f64)| line(proxy.zone, (id, *weight, true));
-            let mut table = Table { lines: one.lines.iter().map(open).collect(), level: one.level };
-            table.lines.sort_by(|one, other| one.replica.cmp(&other.replica));
+            let mut table =
+                Table { entries: one.lines.iter().map(open).collect(), admission_fraction: one.level };
+            table.entries.sort_by(|one, other| one.replica.cmp(&other.replica));
             changes.push(ProposedTable {
                 proxy: number as ProxyId,
                 zone: proxy.zone,
-                group: one.group,
+                class: one.group,
                 held: held.get(&(number, one.group)),
-                standing: &proxy.standing,
+                default_table: &proxy.standing,
                 wanted: table,
             });
         }
@@ -384,21 +385,21 @@
         assert_eq!(recording.would(std::slice::from_ref(&even)).unwrap().unwrap().refusals, []);
         let drain = wanted("q", &[("d", 1.0)]);
         let tried = recording.would(&[even.clone(), drain]).unwrap().unwrap();
-        assert_eq!(tried.tables[0].lines.len(), 3);
+        assert_eq!(tried.tables[0].entries.len(), 3);
         let said: Vec<_> =
             tried.refusals.iter().map(|one| (one.proxy.as_deref(), one.refusal.reason)).collect();
         assert_eq!(said, [(Some("q"), RefusalReason::Draining), (Some("q"), RefusalReason::Bare)]);
-        assert_eq!(tried.tables[1].lines.len(), 3, "the last good one stands");
+        assert_eq!(tried.tables[1].entries.len(), 3, "the last good one stands");
         // Each alone is well; together they would have all flows on a cold one.
         let mut cold = recording;
         cold.replicas[0].age_s = Some(1.0);
         let heavy = |proxy| wanted(proxy, &[("a", 1.0), ("b", 1.0)]);
         let tried = cold.would(&[heavy("p"), heavy("q")]).unwrap().unwrap();
         assert!(tried.refusals.iter().all(|one| one.refusal.reason == RefusalReason::Cold));
-        assert!(tried.refusals.iter().any(|one| one.refusal.done == RefusalOutcome::Corrected));
+        assert!(tried.refusals.iter().any(|one| one.refusal.outcome == RefusalOutcome::Corrected));
         cold.replicas[0].out = true;
         let tried = cold.would(&[heavy("p")]).unwrap().unwrap();
-        assert!(!tried.tables[0].lines[0].open, "what is out stays so");
+        assert!(!tried.tables[0].entries[0].routable, "what is out stays so");
     }
 
     #[test]
