--- a/crates/core/src/reports.rs
+++ b/crates/core/src/reports.rs
@@ -32,12 +32,12 @@
 /// What a proxy met at one replica within the interval.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReplicaObservation {
-    pub group: usize,
+    pub class: usize,
     pub replica: ReplicaId,
-    pub delivered: u64,
-    pub dropped: u64,
+    pub succeeded: u64,
+    pub failed: u64,
     pub issued: u64,
-    pub in_progress: u64,
+    pub in_flight: u64,
     /// Sum of the answer times of the delivered ones that tell it, and their number.
     pub answers: (Duration, u64),
     /// The replica's latest word of its load, in the order of the settings' load fields.
@@ -48,9 +48,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadReport {
     pub interval: Duration,
-    pub met: Vec<ReplicaObservation>,
+    pub observations: Vec<ReplicaObservation>,
     /// By group: flows that were blocked before any try.
-    pub blocked: Vec<(usize, u64)>,
+    pub rejected: Vec<(usize, u64)>,
 }
 
 /// Why a report, or a line of one, did not count.
@@ -99,8 +99,8 @@
 /// A line for the module.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AggregatedStatistics {
-    ReplicaStatistics(ReplicaStatistics),
-    DemandStatistics(DemandStatistics),
+    Replica(ReplicaStatistics),
+    Demand(DemandStatistics),
 }
 
 #[derive(Debug)]
@@ -183,22 +183,22 @@
             source.last = Some((now, report.clone()));
         }
         let mut came: BTreeMap<usize, (u64, u64)> = BTreeMap::new();
-        for (group, blocked) in &report.blocked {
+        for (group, blocked) in &report.rejected {
             came.entry(*group).or_default().0 += blocked;
         }
-        for met in &report.met {
-            let (flows, dropped) = came.entry(met.group).or_default();
+        for met in &report.observations {
+            let (flows, dropped) = came.entry(met.class).or_default();
             // A try of which nothing has come yet is a flow that came.
-            *flows += met.issued.max(met.delivered + met.dropped);
-            *dropped += met.dropped;
+            *flows += met.issued.max(met.succeeded + met.failed);
+            *dropped += met.failed;
             if !listed(&met.replica) {
                 self.discard(DiscardReason::Unlisted);
                 continue;
             }
-            if met.delivered + met.dropped > 0 || !met.load.is_empty() {
+            if met.succeeded + met.failed > 0 || !met.load.is_empty() {
                 let sum = self.sum(now, Key::ReplicaStatistics(zone, met.replica.clone()));
-                sum.tries += met.delivered + met.dropped;
-                sum.dropped += met.dropped;
+                sum.tries += met.succeeded + met.failed;
+                sum.dropped += met.failed;
                 sum.answers.0 = sum.answers.0.saturating_add(met.answers.0);
                 sum.answers.1 += met.answers.1;
                 if !met.load.is_empty() {
@@ -233,10 +233,12 @@
         // What it met while its stream was broken comes on the next one: the account goes on.
         source.stream = stream;
         let odd = |met: &ReplicaObservation| {
-            let most = met.delivered.max(met.dropped).max(met.issued);
-            most > MOST_TRIES || met.answers.1 > met.delivered || met.load.iter().any(|one| !one.is_finite())
+            let most = met.succeeded.max(met.failed).max(met.issued);
+            most > MOST_TRIES || met.answers.1 > met.succeeded || met.load.iter().any(|one| !one.is_finite())
         };
-        if report.met.iter().any(odd) || report.blocked.iter().any(|(_, blocked)| *blocked > MOST_TRIES) {
+        if report.observations.iter().any(odd)
+            || report.rejected.iter().any(|(_, blocked)| *blocked > MOST_TRIES)
+        {
             return Err(DiscardReason::Counters);
         }
         let mark = digest(report);
@@ -288,27 +290,22 @@
             let from = before.unwrap_or_default().max(since.saturating_sub(self.period));
             let span = now.saturating_sub(from).max(self.period);
             told.push(match key {
-                Key::ReplicaStatistics(zone, replica) => {
-                    AggregatedStatistics::ReplicaStatistics(ReplicaStatistics {
-                        zone,
-                        replica,
-                        attempts: sum.tries,
-                        failed: sum.dropped,
-                        mean_latency: (sum.answers.1 > 0)
-                            .then(|| sum.answers.0.div_f64(sum.answers.1 as f64)),
-                        interval: span,
-                        load: sum.load,
-                    })
-                }
-                Key::DemandStatistics(proxy, group) => {
-                    AggregatedStatistics::DemandStatistics(DemandStatistics {
-                        proxy,
-                        class: group,
-                        requests: sum.tries,
-                        failed: sum.dropped,
-                        interval: span,
-                    })
-                }
+                Key::ReplicaStatistics(zone, replica) => AggregatedStatistics::Replica(ReplicaStatistics {
+                    zone,
+                    replica,
+                    attempts: sum.tries,
+                    failed: sum.dropped,
+                    mean_latency: (sum.answers.1 > 0).then(|| sum.answers.0.div_f64(sum.answers.1 as f64)),
+                    interval: span,
+                    load: sum.load,
+                }),
+                Key::DemandStatistics(proxy, group) => AggregatedStatistics::Demand(DemandStatistics {
+                    proxy,
+                    class: group,
+                    requests: sum.tries,
+                    failed: sum.dropped,
+                    interval: span,
+                }),
             });
         }
         self.last.retain(|_, at| *at + LONGEST > now);
@@ -325,9 +322,9 @@
 fn digest(report: &LoadReport) -> u64 {
     let mut hasher = DefaultHasher::new();
     report.interval.hash(&mut hasher);
-    report.blocked.hash(&mut hasher);
-    for met in &report.met {
-        (met.group, &met.replica, met.delivered, met.dropped, met.issued, met.in_progress).hash(&mut hasher);
+    report.rejected.hash(&mut hasher);
+    for met in &report.observations {
+        (met.class, &met.replica, met.succeeded, met.failed, met.issued, met.in_flight).hash(&mut hasher);
         met.answers.hash(&mut hasher);
         met.load.iter().for_each(|one| one.to_bits().hash(&mut hasher));
     }
@@ -344,16 +341,16 @@
 
     fn report(interval: u64, delivered: u64, dropped: u64) -> LoadReport {
         let met = ReplicaObservation {
-            group: 0,
+            class: 0,
             replica: "a".into(),
-            delivered,
-            dropped,
+            succeeded: delivered,
+            failed: dropped,
             issued: delivered + dropped,
-            in_progress: 0,
+            in_flight: 0,
             answers: (ms(20u64.saturating_mul(delivered)), delivered),
             load: vec![],
         };
-        LoadReport { interval: ms(interval), met: vec![met], blocked: vec![(0, 1)] }
+        LoadReport { interval: ms(interval), observations: vec![met], rejected: vec![(0, 1)] }
     }
 
     fn reports() -> ReportAggregator {
@@ -376,9 +373,9 @@
         take(&mut reports, 11_300, 1, &report(500, 10, 0)).unwrap();
         assert_eq!(reports.due(ms(11_499)), []);
         let told = reports.due(ms(11_500));
-        let AggregatedStatistics::ReplicaStatistics(met) = &told[0] else { panic!("{told:?}") };
+        let AggregatedStatistics::Replica(met) = &told[0] else { panic!("{told:?}") };
         assert_eq!((met.zone, met.attempts, met.failed, met.mean_latency), (2, 20, 1, Some(ms(20))));
-        let AggregatedStatistics::DemandStatistics(came) = told[1] else { panic!("{told:?}") };
+        let AggregatedStatistics::Demand(came) = told[1] else { panic!("{told:?}") };
         assert_eq!((came.proxy, came.requests, came.failed), (7, 22, 1));
         assert_eq!(reports.next_due(), None);
     }
@@ -412,7 +409,7 @@
         assert_eq!(take(&mut reports, 11_000, 1, &report(400_000, 1, 0)), Err(DiscardReason::Interval));
         assert_eq!(take(&mut reports, 11_000, 1, &report(1000, u64::MAX, 0)), Err(DiscardReason::Counters));
         let mut odd = report(1000, 5, 0);
-        odd.met[0].answers.1 = 6;
+        odd.observations[0].answers.1 = 6;
         assert_eq!(take(&mut reports, 11_000, 1, &odd), Err(DiscardReason::Counters));
         assert_eq!(reports.due(ms(99_000)), []);
     }
@@ -421,7 +418,7 @@
     fn lines_on_unlisted_replicas_are_left_out_and_the_rest_counts() {
         let mut reports = reports();
         let mut both = report(1000, 5, 0);
-        both.met.push(ReplicaObservation { replica: "gone".into(), ..both.met[0].clone() });
+        both.observations.push(ReplicaObservation { replica: "gone".into(), ..both.observations[0].clone() });
         take(&mut reports, 11_000, 1, &both).unwrap();
         assert_eq!(reports.tally().0[&DiscardReason::Unlisted], 1);
         assert_eq!(reports.due(ms(12_000)).len(), 2);
@@ -431,19 +428,22 @@
     fn the_limit_holds_and_the_oldest_lines_go_first() {
         let mut reports = ReportAggregator::new(ms(500), 4.0);
         for proxy in 0..6 {
-            let idle =
-                LoadReport { interval: ms(1000), met: vec![], blocked: vec![(0, u64::from(proxy) + 1)] };
+            let idle = LoadReport {
+                interval: ms(1000),
+                observations: vec![],
+                rejected: vec![(0, u64::from(proxy) + 1)],
+            };
             reports.take(ms(11_000 + u64::from(proxy)), proxy, 0, 1, &idle, |_| true).unwrap();
         }
         let told = |told: Vec<AggregatedStatistics>| -> Vec<(ProxyId, u64)> {
             let came = told.into_iter().map(|one| match one {
-                AggregatedStatistics::DemandStatistics(came) => (came.proxy, came.requests),
-                AggregatedStatistics::ReplicaStatistics(met) => panic!("{met:?}"),
+                AggregatedStatistics::Demand(came) => (came.proxy, came.requests),
+                AggregatedStatistics::Replica(met) => panic!("{met:?}"),
             });
             came.collect()
         };
         assert_eq!(told(reports.due(ms(11_500))), [(0, 1), (1, 2)]);
-        let more = LoadReport { interval: ms(1000), met: vec![], blocked: vec![(0, 50)] };
+        let more = LoadReport { interval: ms(1000), observations: vec![], rejected: vec![(0, 50)] };
         reports.take(ms(11_600), 5, 0, 1, &more, |_| true).unwrap();
         assert_eq!(told(reports.due(ms(12_000))), [(2, 3), (3, 4)]);
         assert_eq!(told(reports.due(ms(12_500))), [(4, 5), (5, 56)], "and what waits is summed");
--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -22,7 +22,7 @@
     pub weight: f64,
     pub phase: Phase,
     /// When its process started, on the host's clock; none for long ago.
-    pub started: Option<Duration>,
+    pub started_at: Option<Duration>,
     /// It is on the list only while no other is ready: [`crate::backup_replicas`].
     pub backup: bool,
 }
@@ -34,7 +34,7 @@
     pub zone: usize,
     pub weight: f64,
     pub phase: Phase,
-    pub started: Option<Duration>,
+    pub started_at: Option<Duration>,
 }
 
 #[derive(Debug)]
@@ -97,11 +97,11 @@
         let before = self.known.clone();
         self.known.values_mut().for_each(|one| one.phase = Phase::Gone);
         for entry in entries {
-            let RosterEntry { id, address, zone, weight, phase, started, backup: _ } = entry;
+            let RosterEntry { id, address, zone, weight, phase, started_at: started, backup: _ } = entry;
             // Clamped once: a start that moved with each list would make a new process of each.
-            let known = before.get(&id).and_then(|known| known.started);
+            let known = before.get(&id).and_then(|known| known.started_at);
             let started = started.map(|at| if at > now { known.unwrap_or(now) } else { at });
-            self.known.insert(id, KnownReplica { address, zone, weight, phase, started });
+            self.known.insert(id, KnownReplica { address, zone, weight, phase, started_at: started });
         }
         if self.known == before {
             return RosterChange::Same;
@@ -120,7 +120,7 @@
                     phase: one.phase,
                     zone: one.zone,
                     weight: one.weight,
-                    started_at: one.started,
+                    started_at: one.started_at,
                 })
                 .collect(),
         )
@@ -148,7 +148,7 @@
         self.known.iter()
     }
 
-    pub fn doubted(&self) -> bool {
+    pub fn empty_roster_doubted(&self) -> bool {
         self.next_due().is_some()
     }
 
@@ -170,7 +170,7 @@
             zone: 0,
             weight: 1.0,
             phase,
-            started: started.map(Duration::from_secs),
+            started_at: started.map(Duration::from_secs),
             backup: false,
         }
     }
@@ -197,7 +197,7 @@
     fn a_start_ahead_of_the_clock_is_taken_for_the_first_sight_of_it() {
         let mut roster = Roster::new(s(30));
         roster.take(s(10), vec![entry("a", Phase::Ready, Some(500))]);
-        assert_eq!(roster.get(&"a".into()).unwrap().started, Some(s(10)));
+        assert_eq!(roster.get(&"a".into()).unwrap().started_at, Some(s(10)));
         assert_eq!(roster.take(s(11), vec![entry("a", Phase::Ready, Some(500))]), RosterChange::Same);
     }
 
--- a/crates/core/src/send_limiter.rs
+++ b/crates/core/src/send_limiter.rs
@@ -21,13 +21,13 @@
 /// The channel, as the settings state it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChannelLimits {
-    pub lines_per_s: f64,
+    pub entries_per_second: f64,
     /// Lines that a message costs on top of its own.
-    pub head_lines: f64,
+    pub message_overhead_entries: f64,
     /// Lines that may wait, in all.
-    pub waiting_most: f64,
+    pub max_queued_entries: f64,
     /// Messages that one proxy may be sent within an interval.
-    pub messages_most: Option<MessageLimit>,
+    pub message_limit: Option<MessageLimit>,
 }
 
 #[derive(Debug, Default, Clone)]
@@ -60,7 +60,7 @@
 
 impl SendLimiter {
     pub fn new(channel: ChannelLimits, now: Duration) -> Self {
-        let tokens = channel.lines_per_s * BURST.as_secs_f64();
+        let tokens = channel.entries_per_second * BURST.as_secs_f64();
         SendLimiter {
             channel,
             tokens,
@@ -74,7 +74,7 @@
 
     /// A proxy's newest state differs from what it was sent by so many lines. What was said of it before is
     /// merged with this; a drain is never held back by the rest.
-    pub fn want(&mut self, now: Duration, proxy: ProxyId, lines: usize, urgent: bool) {
+    pub fn request(&mut self, now: Duration, proxy: ProxyId, lines: usize, urgent: bool) {
         let line = self.proxies.entry(proxy).or_default();
         let old = line.due.take();
         let due = match &old {
@@ -114,32 +114,32 @@
         }
         let (before, since) = line.in_flight.unwrap_or((0, now));
         line.in_flight = Some((before + lines, since));
-        if let Some(MessageLimit { messages: most, interval: over }) = self.channel.messages_most {
+        if let Some(MessageLimit { messages: most, interval: over }) = self.channel.message_limit {
             line.written.extend(std::iter::repeat_n(now, messages));
             while line.written.len() > most || line.written.front().is_some_and(|at| *at + over <= now) {
                 line.written.pop_front();
             }
         }
-        self.tokens -= self.channel.head_lines * messages.max(1) as f64 + lines as f64;
+        self.tokens -= self.channel.message_overhead_entries * messages.max(1) as f64 + lines as f64;
     }
 
     /// A proxy's stream has no room: it is left out until [`SendLimiter::roomy`], and its state goes on being
     /// merged.
-    pub fn stalled(&mut self, proxy: ProxyId) {
+    pub fn stream_full(&mut self, proxy: ProxyId) {
         let Some(due) = self.proxies.get_mut(&proxy).and_then(|line| line.due.as_mut()) else { return };
         due.stalled = true;
         self.turns.remove(&(!due.urgent, due.since, proxy));
     }
 
     /// A proxy's stream has room again.
-    pub fn roomy(&mut self, proxy: ProxyId) {
+    pub fn stream_has_capacity(&mut self, proxy: ProxyId) {
         let Some(due) = self.proxies.get_mut(&proxy).and_then(|line| line.due.as_mut()) else { return };
         due.stalled = false;
         self.turns.insert((!due.urgent, due.since, proxy));
     }
 
     /// A proxy took (or would not take) all that it was sent.
-    pub fn answered(&mut self, proxy: ProxyId) {
+    pub fn acknowledged(&mut self, proxy: ProxyId) {
         if let Some(line) = self.proxies.get_mut(&proxy) {
             line.in_flight = None;
         }
@@ -160,8 +160,9 @@
     pub fn next_due(&self, now: Duration) -> Option<Duration> {
         let lines = self.turns.iter().filter_map(|(ordinary, _, proxy)| {
             let line = self.proxies.get(proxy)?;
-            let short = ((self.least(line, !ordinary) - self.tokens) / self.channel.lines_per_s.max(1e-9))
-                .clamp(0.0, 60.0);
+            let short = ((self.least(line, !ordinary) - self.tokens)
+                / self.channel.entries_per_second.max(1e-9))
+            .clamp(0.0, 60.0);
             let filled = self.filled_at + Duration::from_secs_f64(short) + Duration::from_millis(1);
             Some(self.free_at(line, !ordinary, now).max(filled))
         });
@@ -183,26 +184,26 @@
     }
 
     /// Whether so many more lines may come to wait, with a reserve of a fifth left for drains.
-    pub fn has_room(&self, lines: f64) -> bool {
-        let heads = self.turns.len() as f64 * self.channel.head_lines;
+    pub fn has_capacity(&self, lines: f64) -> bool {
+        let heads = self.turns.len() as f64 * self.channel.message_overhead_entries;
         let debt = (-self.tokens).max(0.0);
-        self.waiting as f64 + heads + debt + lines <= 0.8 * self.channel.waiting_most
+        self.waiting as f64 + heads + debt + lines <= 0.8 * self.channel.max_queued_entries
     }
 
     /// The least that must be in store for a flush. A drain may go into debt with the channel, by one burst
     /// at most; the rest then waits the longer.
     fn least(&self, line: &Line, urgent: bool) -> f64 {
         let lines = line.due.as_ref().map_or(0, |due| due.lines) as f64;
-        if urgent { -self.burst() } else { (self.channel.head_lines + lines).min(self.burst()) }
+        if urgent { -self.burst() } else { (self.channel.message_overhead_entries + lines).min(self.burst()) }
     }
 
     fn burst(&self) -> f64 {
-        self.channel.lines_per_s * BURST.as_secs_f64()
+        self.channel.entries_per_second * BURST.as_secs_f64()
     }
 
     fn fill(&mut self, now: Duration) {
         let passed = now.saturating_sub(self.filled_at).as_secs_f64();
-        self.tokens = (self.tokens + passed * self.channel.lines_per_s).min(self.burst());
+        self.tokens = (self.tokens + passed * self.channel.entries_per_second).min(self.burst());
         self.filled_at = self.filled_at.max(now);
     }
 
@@ -221,7 +222,7 @@
             Some((_, since)) if !urgent => since + STALLED_AFTER,
             _ => now,
         };
-        let Some(limit) = self.channel.messages_most else { return answered };
+        let Some(limit) = self.channel.message_limit else { return answered };
         let MessageLimit { messages: most, interval: over } = limit;
         let most = (most + 1).saturating_sub(FLUSH_MESSAGES + usize::from(!urgent)).max(1);
         let full = line.written.len().checked_sub(most).and_then(|at| line.written.get(at));
@@ -240,7 +241,12 @@
     fn pace(lines_per_s: f64, limit: Option<(usize, Duration)>) -> SendLimiter {
         let messages_most = limit.map(|(messages, interval)| MessageLimit { messages, interval });
         SendLimiter::new(
-            ChannelLimits { lines_per_s, head_lines: 10.0, waiting_most: 100.0, messages_most },
+            ChannelLimits {
+                entries_per_second: lines_per_s,
+                message_overhead_entries: 10.0,
+                max_queued_entries: 100.0,
+                message_limit: messages_most,
+            },
             ms(0),
         )
     }
@@ -253,10 +259,10 @@
             if at % 10 == 0 {
                 pace.forget(1);
             }
-            pace.want(ms(100 * at), 1, 1, true);
+            pace.request(ms(100 * at), 1, 1, true);
             while let Some(proxy) = pace.next(ms(100 * at)) {
                 pace.sent(ms(100 * at), proxy, 1, 1);
-                pace.answered(proxy);
+                pace.acknowledged(proxy);
                 sent += 1;
             }
         }
@@ -266,9 +272,9 @@
     #[test]
     fn drains_go_first_and_the_longest_waiting_next() {
         let mut pace = pace(10_000.0, None);
-        pace.want(ms(1), 1, 5, false);
-        pace.want(ms(2), 2, 5, false);
-        pace.want(ms(3), 3, 1, true);
+        pace.request(ms(1), 1, 5, false);
+        pace.request(ms(2), 2, 5, false);
+        pace.request(ms(3), 3, 1, true);
         let mut order = Vec::new();
         while let Some(proxy) = pace.next(ms(4)) {
             pace.sent(ms(4), proxy, 5, 1);
@@ -281,29 +287,29 @@
     #[test]
     fn what_is_due_to_a_slow_proxy_is_merged_but_a_drain_goes_at_once() {
         let mut pace = pace(10_000.0, None);
-        pace.want(ms(1), 1, 5, false);
+        pace.request(ms(1), 1, 5, false);
         pace.next(ms(1)).unwrap();
         pace.sent(ms(1), 1, 5, 1);
-        pace.want(ms(2), 1, 5, false);
+        pace.request(ms(2), 1, 5, false);
         assert_eq!(pace.next(ms(3)), None, "not acknowledged yet");
-        pace.want(ms(4), 1, 2, true);
+        pace.request(ms(4), 1, 2, true);
         assert_eq!(pace.next(ms(4)), Some(1));
         assert_eq!(pace.waiting(ms(4)), 12);
         pace.sent(ms(4), 1, 6, 1);
-        pace.answered(1);
+        pace.acknowledged(1);
         assert_eq!(pace.waiting(ms(5)), 0);
     }
 
     #[test]
     fn a_proxy_that_never_reads_holds_up_nobody_and_grows_nothing() {
         let mut pace = pace(10_000.0, None);
-        pace.want(ms(1), 1, 5, true);
-        pace.want(ms(2), 2, 5, false);
-        pace.stalled(1);
+        pace.request(ms(1), 1, 5, true);
+        pace.request(ms(2), 2, 5, false);
+        pace.stream_full(1);
         assert_eq!(pace.next(ms(2)), Some(2));
-        (0..1000).for_each(|_| pace.want(ms(3), 1, 1, true));
+        (0..1000).for_each(|_| pace.request(ms(3), 1, 1, true));
         assert_eq!((pace.proxies.len(), pace.turns.len()), (2, 1));
-        pace.roomy(1);
+        pace.stream_has_capacity(1);
         assert_eq!(pace.next(ms(4)), Some(1));
         pace.forget(1);
         assert_eq!(pace.next(ms(4)), Some(2));
@@ -312,32 +318,32 @@
     #[test]
     fn the_channels_pace_is_kept_and_the_time_of_the_next_is_known() {
         let mut pace = pace(100.0, None);
-        pace.want(ms(0), 1, 90, false);
-        pace.want(ms(0), 2, 1, false);
+        pace.request(ms(0), 1, 90, false);
+        pace.request(ms(0), 2, 1, false);
         assert_eq!(pace.next(ms(0)), Some(1), "a state larger than a burst goes once the burst is full");
         pace.sent(ms(0), 1, 90, 1);
         assert_eq!(pace.next(ms(1)), None);
         let due = pace.next_due(ms(1)).unwrap();
         assert!((ms(800)..ms(900)).contains(&due), "{due:?}");
         assert_eq!(pace.next(due), Some(2));
-        pace.want(ms(1), 3, 1, true);
+        pace.request(ms(1), 3, 1, true);
         pace.sent(due, 2, 1, 1);
-        assert!(!pace.has_room(80.0) && pace.has_room(60.0));
+        assert!(!pace.has_capacity(80.0) && pace.has_capacity(60.0));
     }
 
     #[test]
     fn messages_to_a_proxy_are_limited_and_the_last_is_kept_for_a_drain() {
         let mut pace = pace(10_000.0, Some((5, ms(1000))));
-        pace.want(ms(0), 1, 1, false);
+        pace.request(ms(0), 1, 1, false);
         pace.sent(ms(0), 1, 1, 1);
-        pace.answered(1);
-        pace.want(ms(10), 1, 1, false);
+        pace.acknowledged(1);
+        pace.request(ms(10), 1, 1, false);
         assert_eq!(pace.next(ms(10)), None);
         assert_eq!(pace.next_due(ms(10)), Some(ms(1000)));
-        pace.want(ms(20), 1, 1, true);
+        pace.request(ms(20), 1, 1, true);
         assert_eq!(pace.next(ms(20)), Some(1));
         pace.sent(ms(20), 1, 1, 1);
-        pace.want(ms(30), 1, 1, true);
+        pace.request(ms(30), 1, 1, true);
         assert_eq!(pace.next(ms(30)), None);
         assert_eq!(pace.next(ms(1000)), Some(1));
     }
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -81,9 +81,9 @@
             (replica.clone(), PublishedEntry { address: address.clone(), zone: *zone, weight: *weight })
         };
         PublishedTable {
-            lines: self.lines.iter().map(line).collect(),
-            level: self.level,
-            tries: self.tries.into(),
+            entries: self.lines.iter().map(line).collect(),
+            admission_millionths: self.level,
+            retry_policy: self.tries.into(),
         }
     }
 }
@@ -166,17 +166,22 @@
 impl From<&Table> for StoredTable {
     fn from(table: &Table) -> Self {
         let line = |line: &ResolvedEntry| {
-            (line.replica.clone(), line.address.clone(), line.zone, line.weight, line.open)
+            (line.replica.clone(), line.address.clone(), line.zone, line.weight, line.routable)
         };
-        StoredTable { level: table.level, lines: table.lines.iter().map(line).collect() }
+        StoredTable { level: table.admission_fraction, lines: table.entries.iter().map(line).collect() }
     }
 }
 
 impl From<StoredTable> for Table {
     fn from(held: StoredTable) -> Self {
-        let line =
-            |(replica, address, zone, weight, open)| ResolvedEntry { replica, address, zone, weight, open };
-        Table { lines: held.lines.into_iter().map(line).collect(), level: held.level }
+        let line = |(replica, address, zone, weight, open)| ResolvedEntry {
+            replica,
+            address,
+            zone,
+            weight,
+            routable: open,
+        };
+        Table { entries: held.lines.into_iter().map(line).collect(), admission_fraction: held.level }
     }
 }
 
@@ -426,7 +431,7 @@
         assert_eq!(soon.proxies["p"], proxy());
         let held = &soon.holds[&("p".into(), 0)];
         assert_eq!((held.0, held.1), (Duration::from_secs(101), Duration::from_secs(199)));
-        assert_eq!(held.2.said().lines["a"].weight, 7);
+        assert_eq!(held.2.said().entries["a"].weight, 7);
         let later = at(1060.0);
         assert_eq!(
             (later.withdrawn.len(), later.levels.len()),
--- a/crates/core/src/table_versions.rs
+++ b/crates/core/src/table_versions.rs
@@ -26,16 +26,16 @@
 /// A group's table as a proxy is told it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PublishedTable {
-    pub lines: BTreeMap<ReplicaId, PublishedEntry>,
+    pub entries: BTreeMap<ReplicaId, PublishedEntry>,
     /// Flows let in, in parts of a million.
-    pub level: u32,
-    pub tries: RetryPolicy,
+    pub admission_millionths: u32,
+    pub retry_policy: RetryPolicy,
 }
 
 /// All that a proxy is told, by group. None: it stays on its standing table.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PublishedState {
-    pub groups: Vec<Option<PublishedTable>>,
+    pub classes: Vec<Option<PublishedTable>>,
 }
 
 pub type Digest = [u8; 32];
@@ -54,13 +54,13 @@
 
 impl PublishedTable {
     pub fn of(table: &Table, tries: RetryPolicy) -> PublishedTable {
-        let open: Vec<_> = table.lines.iter().filter(|line| line.open).collect();
+        let open: Vec<_> = table.entries.iter().filter(|line| line.routable).collect();
         let weights = weights::whole(&open.iter().map(|line| line.weight).collect::<Vec<_>>());
         let lines = open.into_iter().zip(weights).map(|(line, weight)| {
             (line.replica.clone(), PublishedEntry { address: line.address.clone(), zone: line.zone, weight })
         });
-        let level = (table.level.clamp(0.0, 1.0) * f64::from(MILLION)).round() as u32;
-        PublishedTable { lines: lines.collect(), level, tries }
+        let level = (table.admission_fraction.clamp(0.0, 1.0) * f64::from(MILLION)).round() as u32;
+        PublishedTable { entries: lines.collect(), admission_millionths: level, retry_policy: tries }
     }
 }
 
@@ -72,16 +72,16 @@
             hasher.update(&(text.len() as u64).to_le_bytes());
             hasher.update(text.as_bytes());
         };
-        hasher.update(&(self.groups.len() as u64).to_le_bytes());
-        for said in &self.groups {
+        hasher.update(&(self.classes.len() as u64).to_le_bytes());
+        for said in &self.classes {
             let Some(said) = said else {
                 hasher.update(&[0]);
                 continue;
             };
-            hasher.update(&[1 + said.tries as u8]);
-            hasher.update(&said.level.to_le_bytes());
-            hasher.update(&(said.lines.len() as u64).to_le_bytes());
-            for (replica, line) in &said.lines {
+            hasher.update(&[1 + said.retry_policy as u8]);
+            hasher.update(&said.admission_millionths.to_le_bytes());
+            hasher.update(&(said.entries.len() as u64).to_le_bytes());
+            for (replica, line) in &said.entries {
                 text(&mut hasher, replica);
                 text(&mut hasher, &line.address);
                 hasher.update(&(line.zone as u64).to_le_bytes());
@@ -92,8 +92,8 @@
     }
 
     /// Lines in all groups.
-    pub fn lines(&self) -> usize {
-        self.groups.iter().flatten().map(|said| said.lines.len()).sum()
+    pub fn entry_count(&self) -> usize {
+        self.classes.iter().flatten().map(|said| said.entries.len()).sum()
     }
 }
 
@@ -110,8 +110,8 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TableChange {
     /// The proxy stays on its standing table from here on.
-    Gone,
-    Lines {
+    UseDefaultTable,
+    Entries {
         changed: Vec<ChangedEntry>,
         removed: Vec<ReplicaId>,
         level: u32,
@@ -144,27 +144,31 @@
 /// The delta from one state to another. `base` and `digest` are theirs.
 pub fn delta(from: &PublishedState, base: Digest, to: &PublishedState, digest: Digest) -> Delta {
     let mut changes = BTreeMap::new();
-    for (place, new) in to.groups.iter().enumerate() {
-        let old = from.groups.get(place).and_then(Option::as_ref);
+    for (place, new) in to.classes.iter().enumerate() {
+        let old = from.classes.get(place).and_then(Option::as_ref);
         let Some(new) = new else {
             if old.is_some() {
-                changes.insert(place, TableChange::Gone);
+                changes.insert(place, TableChange::UseDefaultTable);
             }
             continue;
         };
         if old == Some(new) {
             continue;
         }
-        let held = |id: &ReplicaId| old.and_then(|old| old.lines.get(id));
-        let changed = new.lines.iter().filter(|(id, line)| held(id) != Some(line)).map(|(id, line)| {
+        let held = |id: &ReplicaId| old.and_then(|old| old.entries.get(id));
+        let changed = new.entries.iter().filter(|(id, line)| held(id) != Some(line)).map(|(id, line)| {
             let same = held(id).is_some_and(|held| held.address == line.address && held.zone == line.zone);
             let at = (!same).then(|| (line.address.clone(), line.zone));
             ChangedEntry { replica: id.clone(), weight: line.weight, at }
         });
-        let removed = old.into_iter().flat_map(|old| old.lines.keys());
-        let removed = removed.filter(|id| !new.lines.contains_key(*id)).cloned().collect();
-        let lines =
-            TableChange::Lines { changed: changed.collect(), removed, level: new.level, tries: new.tries };
+        let removed = old.into_iter().flat_map(|old| old.entries.keys());
+        let removed = removed.filter(|id| !new.entries.contains_key(*id)).cloned().collect();
+        let lines = TableChange::Entries {
+            changed: changed.collect(),
+            removed,
+            level: new.admission_millionths,
+            tries: new.retry_policy,
+        };
         changes.insert(place, lines);
     }
     Delta { base, digest, changes }
@@ -179,29 +183,29 @@
     }
     let mut whole = held.clone();
     for (place, change) in &delta.changes {
-        let group = whole.groups.get_mut(*place).ok_or(Mismatch::Group)?;
-        let TableChange::Lines { changed, removed, level, tries } = change else {
+        let group = whole.classes.get_mut(*place).ok_or(Mismatch::Group)?;
+        let TableChange::Entries { changed, removed, level, tries } = change else {
             *group = None;
             continue;
         };
         let said = group.get_or_insert_with(|| PublishedTable {
-            lines: BTreeMap::new(),
-            level: MILLION,
-            tries: RetryPolicy::Never,
+            entries: BTreeMap::new(),
+            admission_millionths: MILLION,
+            retry_policy: RetryPolicy::Never,
         });
-        (said.level, said.tries) = (*level, *tries);
+        (said.admission_millionths, said.retry_policy) = (*level, *tries);
         for id in removed {
-            said.lines.remove(id);
+            said.entries.remove(id);
         }
         for ChangedEntry { replica, weight, at } in changed {
-            let line = match (at, said.lines.get(replica)) {
+            let line = match (at, said.entries.get(replica)) {
                 (Some((address, zone)), _) => {
                     PublishedEntry { address: address.clone(), zone: *zone, weight: *weight }
                 }
                 (None, Some(held)) => PublishedEntry { weight: *weight, ..held.clone() },
                 (None, None) => return Err(Mismatch::Unknown),
             };
-            said.lines.insert(replica.clone(), line);
+            said.entries.insert(replica.clone(), line);
         }
     }
     if whole.digest() != delta.digest {
@@ -220,18 +224,19 @@
         let said = prop::option::of((prop::collection::vec(line, 0..6), 0u32..=MILLION, 0usize..3));
         let group = said.prop_map(|said| {
             said.map(|(lines, level, tries)| PublishedTable {
-                lines: lines
+                entries: lines
                     .into_iter()
                     .map(|(id, zone, weight)| {
                         let address = format!("10.0.{zone}.{id}:80").as_str().into();
                         (format!("r{id}").as_str().into(), PublishedEntry { address, zone, weight })
                     })
                     .collect(),
-                level,
-                tries: [RetryPolicy::Never, RetryPolicy::IfNotExecuted, RetryPolicy::OnAnyFailure][tries],
+                admission_millionths: level,
+                retry_policy: [RetryPolicy::Never, RetryPolicy::IfNotExecuted, RetryPolicy::OnAnyFailure]
+                    [tries],
             })
         });
-        prop::collection::vec(group, 3).prop_map(|groups| PublishedState { groups })
+        prop::collection::vec(group, 3).prop_map(|groups| PublishedState { classes: groups })
     }
 
     proptest! {
@@ -278,11 +283,11 @@
     fn said(weight: u32) -> PublishedState {
         let line = PublishedEntry { address: "a:1".into(), zone: 0, weight };
         let said = PublishedTable {
-            lines: BTreeMap::from([("a".into(), line)]),
-            level: MILLION,
-            tries: RetryPolicy::Never,
+            entries: BTreeMap::from([("a".into(), line)]),
+            admission_millionths: MILLION,
+            retry_policy: RetryPolicy::Never,
         };
-        PublishedState { groups: vec![Some(said)] }
+        PublishedState { classes: vec![Some(said)] }
     }
 
     #[test]
@@ -295,7 +300,7 @@
         let collides = Delta { base: two.digest(), ..good.clone() };
         assert_eq!(apply(&two, two.digest(), &collides), Ok(two.clone()), "the same weight again");
         let stranger = ChangedEntry { replica: "b".into(), weight: 1, at: None };
-        let lines = TableChange::Lines {
+        let lines = TableChange::Entries {
             changed: vec![stranger],
             removed: vec![],
             level: 0,
@@ -311,10 +316,10 @@
     fn only_what_a_proxy_does_not_know_is_said_of_a_line() {
         let (one, two) = (said(1), said(2));
         let change = delta(&one, one.digest(), &two, two.digest());
-        let TableChange::Lines { changed, .. } = &change.changes[&0] else { panic!() };
+        let TableChange::Entries { changed, .. } = &change.changes[&0] else { panic!() };
         assert_eq!(changed[0].at, None);
-        let first = delta(&PublishedState { groups: vec![None] }, [0; 32], &two, two.digest());
-        let TableChange::Lines { changed, .. } = &first.changes[&0] else { panic!() };
+        let first = delta(&PublishedState { classes: vec![None] }, [0; 32], &two, two.digest());
+        let TableChange::Entries { changed, .. } = &first.changes[&0] else { panic!() };
         assert_eq!(changed[0].at, Some(("a:1".into(), 0)));
     }
 }
--- a/crates/core/src/tables.rs
+++ b/crates/core/src/tables.rs
@@ -18,23 +18,23 @@
     pub zone: usize,
     pub weight: f64,
     /// Shut lines are not to be sent to: the replica drains, is gone, or is held back.
-    pub open: bool,
+    pub routable: bool,
 }
 
 /// A group's table, as one proxy should hold it. Lines are in the order of their replicas' names.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Table {
-    pub lines: Vec<ResolvedEntry>,
+    pub entries: Vec<ResolvedEntry>,
     /// The share of the group's flows to let in.
-    pub level: f64,
+    pub admission_fraction: f64,
 }
 
 impl Table {
     /// Lines that differ from another table's.
     pub fn differing(&self, other: &Table) -> usize {
-        let mut old = other.lines.iter().peekable();
+        let mut old = other.entries.iter().peekable();
         let mut differing = 0;
-        for line in &self.lines {
+        for line in &self.entries {
             while old.next_if(|old| old.replica < line.replica).is_some() {
                 differing += 1;
             }
@@ -43,7 +43,7 @@
                 _ => differing += 1,
             }
         }
-        differing + old.count() + usize::from(self.level != other.level)
+        differing + old.count() + usize::from(self.admission_fraction != other.admission_fraction)
     }
 }
 
@@ -123,26 +123,26 @@
                 address: known.address.clone(),
                 zone: known.zone,
                 weight,
-                open: !self.withdrawn.contains(replica),
+                routable: !self.withdrawn.contains(replica),
             })
         };
         if let Some(table) = follows {
             let laid = self.laid.get(&table).into_iter().flatten();
             return Some(Table {
-                lines: laid.map(|(id, weight)| (id, *weight)).filter_map(line).collect(),
-                level,
+                entries: laid.map(|(id, weight)| (id, *weight)).filter_map(line).collect(),
+                admission_fraction: level,
             });
         }
         let mut lines: Vec<ResolvedEntry> =
             standing.iter().map(|(id, weight)| (id, *weight)).filter_map(line).collect();
         lines.sort_by(|one, other| one.replica.cmp(&other.replica));
-        let told = told || level < 1.0 || lines.iter().any(|line| !line.open);
-        (told && !lines.is_empty()).then_some(Table { lines, level })
+        let told = told || level < 1.0 || lines.iter().any(|line| !line.routable);
+        (told && !lines.is_empty()).then_some(Table { entries: lines, admission_fraction: level })
     }
 
     /// Whether a table that a proxy holds lets flows go to what is withdrawn by now.
     pub fn outdates(&self, held: &Table) -> bool {
-        held.lines.iter().any(|line| line.open && self.withdrawn.contains(&line.replica))
+        held.entries.iter().any(|line| line.routable && self.withdrawn.contains(&line.replica))
     }
 
     /// Whether any table, withdrawn or not, names a replica.
@@ -170,7 +170,7 @@
             zone: 0,
             weight: 1.0,
             phase: Phase::Ready,
-            started: None,
+            started_at: None,
             backup: false,
         };
         roster.take(Duration::ZERO, names.iter().map(entry).collect());
@@ -184,10 +184,14 @@
         assert_eq!(tables.wanted(&roster, 0, None, &standing, false), None);
         tables.withdraw("a".into(), true);
         let table = tables.wanted(&roster, 0, None, &standing, false).unwrap();
-        let lines: Vec<_> = table.lines.iter().map(|one| (&*one.replica, one.weight, one.open)).collect();
+        let lines: Vec<_> =
+            table.entries.iter().map(|one| (&*one.replica, one.weight, one.routable)).collect();
         assert_eq!(lines, [("a", 2.0, false), ("b", 1.0, true)]);
         tables.withdraw("a".into(), false);
-        assert!(tables.wanted(&roster, 0, None, &standing, true).unwrap().lines[0].open, "and kept up then");
+        assert!(
+            tables.wanted(&roster, 0, None, &standing, true).unwrap().entries[0].routable,
+            "and kept up then"
+        );
     }
 
     #[test]
@@ -197,8 +201,8 @@
         tables.withdraw("b".into(), true);
         tables.lay(4, vec![entry("b", 1.0), entry("a", 0.0), entry("unlisted", 1.0)]);
         let table = tables.wanted(&roster, 0, Some(4), &[], false).unwrap();
-        assert_eq!(table.lines.len(), 1);
-        assert!(!table.lines[0].open && &*table.lines[0].replica == "b");
+        assert_eq!(table.entries.len(), 1);
+        assert!(!table.entries[0].routable && &*table.entries[0].replica == "b");
     }
 
     #[test]
@@ -208,15 +212,17 @@
             address: "x".into(),
             zone: 0,
             weight,
-            open,
+            routable: open,
         };
-        let one = Table { lines: vec![line("a", 1.0, true), line("c", 1.0, true)], level: 1.0 };
-        let two = Table { lines: vec![line("b", 1.0, true), line("c", 2.0, true)], level: 0.5 };
+        let one =
+            Table { entries: vec![line("a", 1.0, true), line("c", 1.0, true)], admission_fraction: 1.0 };
+        let two =
+            Table { entries: vec![line("b", 1.0, true), line("c", 2.0, true)], admission_fraction: 0.5 };
         assert_eq!((two.differing(&one), one.differing(&one)), (4, 0));
         let mut tables = Tables::new(1, RetryPolicy::Never);
         assert!(!tables.outdates(&one));
         tables.withdraw("c".into(), true);
         assert!(tables.outdates(&one));
-        assert!(!tables.outdates(&Table { lines: vec![line("c", 1.0, false)], level: 1.0 }));
+        assert!(!tables.outdates(&Table { entries: vec![line("c", 1.0, false)], admission_fraction: 1.0 }));
     }
 }
--- a/crates/daemon/benches/scale.rs
+++ b/crates/daemon/benches/scale.rs
@@ -176,8 +176,8 @@
 fn engine_drain(relays: usize) -> f64 {
     let mut now = Duration::from_secs(1000);
     let mut setup = EngineSettings::example(3);
-    (setup.module.entries_per_second, setup.module.max_queued_entries) = (200_000.0, 400_000.0);
-    (setup.module.proxy_count, setup.proxies) = (relays as u64, relays);
+    (setup.governor.entries_per_second, setup.governor.max_queued_entries) = (200_000.0, 400_000.0);
+    (setup.governor.proxy_count, setup.max_proxies) = (relays as u64, relays);
     let mut engine = Engine::new(setup, now);
     let list = |draining: Option<usize>| -> Vec<RosterEntry> {
         let entry = |n: usize| RosterEntry {
@@ -186,33 +186,33 @@
             zone: n % 3,
             weight: 1.0,
             phase: if draining == Some(n) { Phase::Draining } else { Phase::Ready },
-            started: None,
+            started_at: None,
             backup: false,
         };
         (0..REPLICAS).map(entry).collect()
     };
     let pass = |engine: &mut Engine, now: Duration| {
-        while let Some(step) = engine.step(now) {
+        while let Some(step) = engine.next_action(now) {
             if let Action::Flush(number) = step {
-                engine.sent(now, number, 12, 1);
+                engine.tables_sent(now, number, 12, 1);
                 let proxy = engine.proxy(number).unwrap();
                 let (stream, newest) = (proxy.stream, proxy.newest());
-                engine.acked(now, stream, newest);
+                engine.version_acknowledged(now, stream, newest);
             }
         }
     };
-    engine.roster(now, list(None));
+    engine.update_roster(now, list(None));
     for place in 0..relays {
         let join = JoinRequest {
             name: format!("relay-{place}").into(),
             zone: place % 3,
-            usual: 1.0,
-            standing: vec![],
-            holds_orders: false,
-            claim: None,
-            proven: None,
+            requests_per_second: 1.0,
+            default_table: vec![],
+            holds_governor_tables: false,
+            ownership_proof: None,
+            proven_version: None,
         };
-        engine.joined(now, place as u64, &join).unwrap();
+        engine.proxy_connected(now, place as u64, &join).unwrap();
     }
     for _ in 0..40 {
         now += Duration::from_millis(100);
@@ -220,12 +220,12 @@
     }
     let began = Instant::now();
     for drain in 0..DRAINS {
-        engine.roster(now, list(Some(drain)));
+        engine.update_roster(now, list(Some(drain)));
         for beat in 0..8 {
             now += Duration::from_millis(250);
             pass(&mut engine, now);
             if beat == 2 {
-                engine.roster(now, list(None));
+                engine.update_roster(now, list(None));
             }
         }
     }
--- a/crates/daemon/benches/takeover.rs
+++ b/crates/daemon/benches/takeover.rs
@@ -56,7 +56,7 @@
     let mut dialer = GovernorSelector::new(&who.name, &names, HOME.0, HOME.1);
     let keeper = Keeper::new(common::GROUPS.map(str::to_string).to_vec(), vec![], None);
     let (keeper, versions, began) = (Rc::new(RefCell::new(keeper)), Rc::default(), Instant::now());
-    let mut place = dialer.dials();
+    let mut place = dialer.current();
     loop {
         let watched = Watched(&relay, place);
         let home = governors[dialer.home()].grpc.clone();
@@ -64,7 +64,7 @@
             loop {
                 tokio::time::sleep(Duration::from_millis(500)).await;
                 let there = by_chance || dialer.is_home() || answers(&home).await;
-                if !by_chance && dialer.home_asked(began.elapsed(), there) {
+                if !by_chance && dialer.home_checked(began.elapsed(), there) {
                     return;
                 }
             }
@@ -76,15 +76,15 @@
         if relay.at.take().is_some() {
             relay.lost.set(Some(Instant::now()));
         } else if ended.is_some() {
-            dialer.lost();
+            dialer.connection_lost();
         }
         if let Some(Error::Moved(to)) = &ended {
             let to = to.as_ref().and_then(|to| names.iter().position(|name| name == to));
-            dialer.sent_on(to);
+            dialer.redirected(to);
         }
         place = match by_chance {
             true => rng.next_u64() as usize % governors.len(),
-            false => dialer.dials(),
+            false => dialer.current(),
         };
         let pause = Duration::from_millis(100 + rng.next_u64() % 200);
         tokio::time::sleep(pause).await;
--- a/crates/daemon/src/dry_run.rs
+++ b/crates/daemon/src/dry_run.rs
@@ -73,22 +73,22 @@
         .iter()
         .map(|one| {
             json!({
-                "proxy": one.proxy, "group": group(one.refusal.group), "replica": one.refusal.replica,
+                "proxy": one.proxy, "group": group(one.refusal.class), "replica": one.refusal.replica,
                 "why": one.refusal.reason.to_string(), "asked": one.refusal.asked,
-                "allowed": one.refusal.allowed, "done": format!("{:?}", one.refusal.done).to_lowercase(),
+                "allowed": one.refusal.allowed, "done": format!("{:?}", one.refusal.outcome).to_lowercase(),
             })
         })
         .collect();
     let concerned = |wanted: &CandidateTable| {
         refusals.iter().any(|one| {
-            one.proxy.as_ref().is_none_or(|name| *name == wanted.proxy) && one.refusal.group == wanted.group
+            one.proxy.as_ref().is_none_or(|name| *name == wanted.proxy) && one.refusal.class == wanted.group
         })
     };
     let told = wanted.iter().zip(&tables).filter(|(wanted, _)| concerned(wanted)).map(|(wanted, table)| {
-        let lines = table.lines.iter().filter(|line| line.open);
+        let lines = table.entries.iter().filter(|line| line.routable);
         let lines = lines.map(|line| json!({"replica": &*line.replica, "weight": line.weight}));
         json!({
-            "proxy": &*wanted.proxy, "group": group(wanted.group), "level": table.level,
+            "proxy": &*wanted.proxy, "group": group(wanted.group), "level": table.admission_fraction,
             "lines": lines.collect::<Vec<_>>(),
         })
     });
--- a/crates/daemon/src/host.rs
+++ b/crates/daemon/src/host.rs
@@ -130,7 +130,7 @@
         tracing::info!(replicas = entries.len(), "a roster came");
         metrics::counter!("wrenthread_rosters_total").increment(1);
         self.listed = true;
-        self.engine.roster(now, entries);
+        self.engine.update_roster(now, entries);
     }
 
     pub fn event(&mut self, now: Duration, event: Event) {
@@ -162,19 +162,22 @@
         if self.streams.get(&stream).is_some_and(|open| open.session.is_none()) {
             let join = decode::join(&self.wire, request.node(), self.usual, request.holds_orders());
             let join = join.map(|join| {
-                let proven = self.proven(&join.name, join.claim.as_deref());
-                fleet::JoinRequest { proven, ..join }
+                let proven = self.proven(&join.name, join.ownership_proof.as_deref());
+                fleet::JoinRequest { proven_version: proven, ..join }
             });
             let Some(open) = self.streams.get_mut(&stream) else { return };
             let joined =
                 join.map_err(|unclear| Status::invalid_argument(unclear.to_string())).and_then(|join| {
-                    let joined = self.engine.joined(now, stream, &join).map_err(|refused| match refused {
-                        JoinError::Full { .. } => Status::resource_exhausted(refused.to_string()),
-                        JoinError::Contested { .. } => Status::already_exists(refused.to_string()),
-                        JoinError::Nameless => Status::invalid_argument(refused.to_string()),
-                    })?;
-                    (claim, newly) = (Some((join.name.clone(), join.claim.clone())), Some(joined.number));
-                    let fresh = self.engine.proxy(joined.number).is_some_and(|proxy| proxy.fresh);
+                    let joined =
+                        self.engine.proxy_connected(now, stream, &join).map_err(|refused| match refused {
+                            JoinError::Full { .. } => Status::resource_exhausted(refused.to_string()),
+                            JoinError::Contested { .. } => Status::already_exists(refused.to_string()),
+                            JoinError::Nameless => Status::invalid_argument(refused.to_string()),
+                        })?;
+                    (claim, newly) =
+                        (Some((join.name.clone(), join.ownership_proof.clone())), Some(joined.proxy));
+                    let fresh =
+                        self.engine.proxy(joined.proxy).is_some_and(|proxy| proxy.holds_default_table);
                     tracing::info!(proxy = %join.name, zone = join.zone, fresh, stream, "a proxy joined");
                     Ok(())
                 });
@@ -198,12 +201,12 @@
                 let settled = session.settled();
                 for heard in heard {
                     match heard {
-                        Heard::Acked(version) => self.engine.acked(now, stream, version),
+                        Heard::Acked(version) => self.engine.version_acknowledged(now, stream, version),
                         Heard::Nacked(version, words) => {
                             metrics::counter!("wrenthread_nacks_total").increment(1);
-                            self.engine.nacked(stream, version, &words);
+                            self.engine.version_rejected(stream, version, &words);
                         }
-                        Heard::Wants => self.engine.wants(now, stream, 1),
+                        Heard::Wants => self.engine.resend_requested(now, stream, 1),
                         Heard::Unserved(url) => tracing::debug!(stream, url, "a type that is not served"),
                     }
                 }
@@ -234,7 +237,7 @@
         }
         for report in reports {
             metrics::counter!("wrenthread_reports_total").increment(1);
-            if let Err(why) = self.engine.report(now, &name, stream, &report) {
+            if let Err(why) = self.engine.record_report(now, &name, stream, &report) {
                 metrics::counter!("wrenthread_reports_discarded_total", "why" => why.to_string())
                     .increment(1);
                 tracing::debug!(proxy = %name, %why, "a load report does not count");
@@ -302,7 +305,7 @@
         match membership::read(&self.terms, now, ahead) {
             Ok(handed) => {
                 let from = handed.from.clone();
-                let tables = self.engine.handed(now, number, handed);
+                let tables = self.engine.adopt_migrated_tables(now, number, handed);
                 metrics::counter!("wrenthread_handed_over_total").increment(1);
                 tracing::info!(proxy = %name, %from, tables, "handed over");
             }
@@ -316,7 +319,7 @@
         if let Some(name) = proxy.map(|proxy| proxy.name.clone()) {
             self.talk.gone(now, &name);
         }
-        self.engine.left(now, stream);
+        self.engine.stream_closed(now, stream);
     }
 
     /// Ends a proxy's stream with word of where to go.
@@ -427,17 +430,17 @@
         let unclear =
             |error: wrenthread_long_poll::messages::Unclear| poll::Refusal::Unclear(error.to_string());
         let mut join = self.terms.join(proxy, asked, self.usual).map_err(unclear)?;
-        join.proven = self.proven(proxy, join.claim.as_deref());
-        let joined = self.engine.joined(now, session, &join).map_err(|refused| match refused {
+        join.proven_version = self.proven(proxy, join.ownership_proof.as_deref());
+        let joined = self.engine.proxy_connected(now, session, &join).map_err(|refused| match refused {
             JoinError::Full { .. } => poll::Refusal::Full(refused.to_string()),
             JoinError::Contested { .. } => poll::Refusal::Conflict(refused.to_string()),
             JoinError::Nameless => poll::Refusal::Unclear(refused.to_string()),
         })?;
-        let fresh = self.engine.proxy(joined.number).is_some_and(|proxy| proxy.fresh);
+        let fresh = self.engine.proxy(joined.proxy).is_some_and(|proxy| proxy.holds_default_table);
         tracing::info!(proxy, zone = join.zone, fresh, session, "a proxy joined by long-poll");
         self.polls.opened(now, session, join.name);
-        let claimed = self.claimed(now, proxy, join.claim.as_deref());
-        self.came(now, joined.number, claimed.as_deref());
+        let claimed = self.claimed(now, proxy, join.ownership_proof.as_deref());
+        self.came(now, joined.proxy, claimed.as_deref());
         Ok(JoinTold { session, terms: self.terms.clone() })
     }
 
@@ -472,15 +475,15 @@
                     self.reply(old, Told::Superseded);
                 }
                 if let Some(version) = asked.acked {
-                    self.engine.acked(now, session, version);
+                    self.engine.version_acknowledged(now, session, version);
                     self.engine.settled(session);
                 }
                 let newest = self.engine.history().newest(number).map(|newest| newest.version);
                 if asked.acked != newest {
                     self.engine.settled(session);
-                    self.engine.wants(now, session, 1);
+                    self.engine.resend_requested(now, session, 1);
                 }
-                self.engine.roomy(session);
+                self.engine.stream_has_capacity(session);
             }
         }
     }
@@ -499,7 +502,7 @@
             return not("this number was taken before".into());
         }
         metrics::counter!("wrenthread_reports_total").increment(1);
-        match self.engine.report(now, &name, session, &read) {
+        match self.engine.record_report(now, &name, session, &read) {
             Ok(()) => Ok(ReportTold { counted: true, why: None }),
             Err(why) => {
                 metrics::counter!("wrenthread_reports_discarded_total", "why" => why.to_string())
@@ -527,7 +530,7 @@
         let claim = |version| self.wire.claim(proxy, version);
         let _ = reply.send(match told {
             Told::Whole(version) => {
-                let told = self.terms.whole(version.version, &version.digest, &version.whole);
+                let told = self.terms.whole(version.version, &version.digest, &version.state);
                 Ok(poll::Answer::Tables(TablesTold { claim: claim(version.version), ..told }))
             }
             Told::Delta(version, delta) => {
@@ -543,12 +546,12 @@
     /// When [`Host::pump`] is to be called at the latest.
     pub fn next_due(&self, now: Duration) -> Duration {
         let polls = self.polls.next_due().unwrap_or(Duration::MAX);
-        self.engine.next_due(now).min(polls).min(self.talk.next_due())
+        self.engine.next_deadline(now).min(polls).min(self.talk.next_due())
     }
 
     /// A stream has room again.
     pub fn roomy(&mut self, stream: u64) {
-        self.engine.roomy(stream);
+        self.engine.stream_has_capacity(stream);
     }
 
     /// Carries out all that there is to do now. What takes waiting is handed to the loop.
@@ -581,23 +584,23 @@
                 },
             }
         }
-        while let Some(step) = self.engine.step(now) {
+        while let Some(step) = self.engine.next_action(now) {
             match step {
                 Action::Flush(number) => self.flush(now, number).into_iter().for_each(&mut chore),
-                Action::Close(session) if self.polls.name(session).is_some() => {
+                Action::CloseStream(session) if self.polls.name(session).is_some() => {
                     if let Some(reply) = self.polls.close(session) {
                         let why = "a later stream or session of this name took over";
                         let _ = reply.send(Err(poll::Refusal::Conflict(why.into())));
                     }
                 }
-                Action::Close(stream) => {
+                Action::CloseStream(stream) => {
                     if let Some(old) = self.streams.remove(&stream) {
                         let why = "a later stream of this node id took over";
                         old.answers.end(Status::aborted(why));
                     }
                 }
-                Action::Probe(_) => {}
-                Action::Note(note) => self.note(&note),
+                Action::CheckHealth(_) => {}
+                Action::Report(note) => self.note(&note),
             }
         }
     }
@@ -610,16 +613,16 @@
         }
         let open = stream.and_then(|stream| self.streams.get_mut(&stream));
         let (Some(stream), Some(open)) = (stream, open) else {
-            self.engine.sent(now, number, 0, 0);
+            self.engine.tables_sent(now, number, 0, 0);
             return None;
         };
         if !open.answers.has_room() {
-            self.engine.stalled(number);
+            self.engine.stream_full(number);
             metrics::counter!("wrenthread_stalls_total").increment(1);
             return Some(Chore::AwaitRoom(stream, open.answers.clone()));
         }
         let (Some(session), Some(proxy)) = (open.session.as_mut(), self.engine.proxy(number)) else {
-            self.engine.sent(now, number, 0, 0);
+            self.engine.tables_sent(now, number, 0, 0);
             return None;
         };
         let flushed = session.flush(&self.wire, proxy);
@@ -630,9 +633,9 @@
         for response in flushed.responses {
             open.answers.send(response);
         }
-        self.engine.sent(now, number, flushed.lines, messages);
+        self.engine.tables_sent(now, number, flushed.lines, messages);
         if let Some(version) = flushed.acked {
-            self.engine.acked(now, stream, version);
+            self.engine.version_acknowledged(now, stream, version);
         }
         if settled {
             self.engine.settled(stream);
@@ -641,8 +644,8 @@
     }
 
     fn flush_poll(&mut self, now: Duration, number: ProxyId, session: u64) {
-        if !self.engine.proxy(number).is_some_and(Proxy::has_word) {
-            return self.engine.sent(now, number, 0, 0);
+        if !self.engine.proxy(number).is_some_and(Proxy::has_known_tables) {
+            return self.engine.tables_sent(now, number, 0, 0);
         }
         match self.polls.flush(now, session, number, self.engine.history()) {
             Some((reply, told, lines)) => {
@@ -650,16 +653,16 @@
                 metrics::counter!("wrenthread_responses_total").increment(1);
                 let name = self.polls.name(session).cloned().unwrap_or_default();
                 self.reply_to(&name, reply, told);
-                self.engine.sent(now, number, lines, 1);
+                self.engine.tables_sent(now, number, lines, 1);
             }
             // It holds that already.
             None if self.polls.waits(session) => {
-                self.engine.sent(now, number, 0, 0);
+                self.engine.tables_sent(now, number, 0, 0);
                 let newest = self.engine.history().newest(number).map_or(0, |newest| newest.version);
-                self.engine.acked(now, session, newest);
+                self.engine.version_acknowledged(now, session, newest);
             }
             // It is told when it asks next.
-            None => self.engine.stalled(number),
+            None => self.engine.stream_full(number),
         }
     }
 
@@ -675,7 +678,7 @@
                 match what {
                     DecisionSummary::Withdraw(replica, out) => {
                         metrics::counter!("wrenthread_withdrawals_total").increment(u64::from(*out));
-                        let why = self.engine.why_out(replica).unwrap_or("");
+                        let why = self.engine.ejection_reason(replica).unwrap_or("");
                         let decision = if *out { "withdraw" } else { "let back" };
                         tracing::info!(decision, %replica, why, version, answers);
                     }
@@ -692,31 +695,31 @@
                     }
                 }
             }
-            EngineEvent::Doubted(_) => {
+            EngineEvent::EmptyRosterDoubted(_) => {
                 tracing::warn!("the roster is empty; the last one stays until it has been so for long")
             }
-            EngineEvent::Nacked { proxy, version, words } => {
+            EngineEvent::VersionRejected { proxy, version, words } => {
                 tracing::warn!(%proxy, version, words, "turned down; the last good tables stand");
             }
-            EngineEvent::HoldOver { proxy, group, over } => {
+            EngineEvent::FrozenTableReleased { proxy, group, over } => {
                 let group = self.wire.groups.get(*group).map_or("?", |group| &group.name);
                 tracing::warn!(%proxy, group, %over, "a hold is over; the module's tables are told again");
             }
-            EngineEvent::OverrideOver(replica) => {
+            EngineEvent::OverrideExpired(replica) => {
                 tracing::warn!(%replica, "what an operator said of it is over")
             }
-            EngineEvent::Refused(one) => {
+            EngineEvent::TableRefused(one) => {
                 metrics::counter!("wrenthread_refusals_total", "reason" => format!("{:?}", one.reason))
                     .increment(1);
                 let proxy = one.proxy.and_then(|number| self.engine.proxy(number));
                 let proxy = proxy.map_or("", |proxy| &proxy.name);
-                let group = self.wire.groups.get(one.group).map_or("?", |group| &group.name);
-                let (why, done) = (one.reason.to_string(), format!("{:?}", one.done).to_lowercase());
+                let group = self.wire.groups.get(one.class).map_or("?", |group| &group.name);
+                let (why, done) = (one.reason.to_string(), format!("{:?}", one.outcome).to_lowercase());
                 let (replica, asked, allowed) =
                     (one.replica.as_deref().unwrap_or(""), one.asked, one.allowed);
                 tracing::warn!(proxy, group, replica, why, asked, allowed, done, "the guard refuses");
             }
-            EngineEvent::Lobby(waiting) => {
+            EngineEvent::JoinsQueued(waiting) => {
                 tracing::info!(waiting, "proxies wait to be let in: the channel is full")
             }
         }
@@ -754,7 +757,7 @@
     }
 
     pub fn status(&self, now: Duration, up: Duration) -> Value {
-        let figures = self.engine.figures(now);
+        let figures = self.engine.status(now);
         let proxies: Vec<Value> = self
             .engine
             .fleet()
@@ -763,9 +766,9 @@
                 let nacked = |(version, words): &(u64, String)| json!({"version": version, "words": words});
                 json!({
                     "name": &*proxy.name, "zone": self.zone(proxy.zone), "kind": self.kind(number, proxy),
-                    "newest": proxy.newest(), "sent": proxy.sent, "acked": proxy.acked,
-                    "lag_s": proxy.lag(now).as_secs_f64(),
-                    "nacked": proxy.nacked.as_ref().map(nacked),
+                    "newest": proxy.newest(), "sent": proxy.sent_version, "acked": proxy.acknowledged_version,
+                    "lag_s": proxy.acknowledgement_delay(now).as_secs_f64(),
+                    "nacked": proxy.rejected.as_ref().map(nacked),
                 })
             })
             .collect();
@@ -773,11 +776,11 @@
             .engine
             .replicas()
             .map(|(id, known)| {
-                let why = self.engine.why_out(id);
+                let why = self.engine.ejection_reason(id);
                 let state = match known.phase {
                     Phase::Gone => "gone",
                     Phase::Draining => "draining",
-                    Phase::Ready if self.engine.is_withdrawn(id) => "withdrawn",
+                    Phase::Ready if self.engine.is_ejected(id) => "withdrawn",
                     Phase::Ready if why.is_some() => "on trial",
                     Phase::Ready => "open",
                 };
@@ -785,7 +788,7 @@
                     "id": &**id, "zone": self.zone(known.zone), "weight": known.weight,
                     "address": &*known.address,
                     "state": state, "why": why,
-                    "up_s": known.started.map(|at| now.saturating_sub(at).as_secs_f64()),
+                    "up_s": known.started_at.map(|at| now.saturating_sub(at).as_secs_f64()),
                 })
             })
             .collect();
@@ -793,14 +796,14 @@
             .wire
             .groups
             .iter()
-            .zip(self.engine.levels())
+            .zip(self.engine.admission())
             .map(|(group, (level, tries))| {
                 json!({"name": group.name, "level": level, "tries": tries_word(*tries)})
             })
             .collect();
         let holds: Vec<Value> = self
             .engine
-            .holds()
+            .frozen_tables()
             .map(|(proxy, group, hold)| {
                 json!({
                     "proxy": &**proxy, "group": self.wire.groups.get(group).map(|group| &group.name),
@@ -837,10 +840,10 @@
             "governor": {
                 "name": self.wire.governor, "taken_over": self.taken_over,
                 "epoch": format!("{:x}", self.wire.epoch), "up_s": up.as_secs_f64(), "ready": self.listed,
-                "version": figures.version, "joined": figures.joined, "lobby": figures.lobby,
-                "lines_waiting": figures.lines_waiting, "lines_waited_most": figures.lines_waited_most,
+                "version": figures.version, "joined": figures.connected_proxies, "lobby": figures.queued_joins,
+                "lines_waiting": figures.queued_entries, "lines_waited_most": figures.max_queued_entries,
                 "roster_doubted": figures.roster_doubted,
-                "reports": {"counted": counted, "waiting": figures.reports_waiting, "discarded": discarded},
+                "reports": {"counted": counted, "waiting": figures.queued_reports, "discarded": discarded},
             },
             "groups": groups, "proxies": proxies, "replicas": replicas, "holds": holds, "guard": guard,
             "overrides": overrides,
@@ -852,21 +855,24 @@
         let (number, proxy) = self.engine.fleet().named(name)?;
         let groups = self.wire.groups.iter().zip(&proxy.tables).map(|(group, kept)| {
             let lines = kept.as_ref().map(|kept| {
-                let lines = kept.table.lines.iter().map(|line| {
+                let lines = kept.table.entries.iter().map(|line| {
                     json!({"replica": &*line.replica, "address": &*line.address, "zone": self.zone(line.zone),
-                        "weight": line.weight, "open": line.open})
+                        "weight": line.weight, "open": line.routable})
                 });
                 lines.collect::<Vec<_>>()
             });
             json!({
                 "group": group.name, "version": kept.as_ref().map(|kept| kept.version),
-                "level": kept.as_ref().map(|kept| kept.table.level), "lines": lines,
+                "level": kept.as_ref().map(|kept| kept.table.admission_fraction), "lines": lines,
             })
         });
-        let standing: Vec<Value> =
-            proxy.standing.iter().map(|(id, weight)| json!({"replica": &**id, "weight": weight})).collect();
+        let standing: Vec<Value> = proxy
+            .default_table
+            .iter()
+            .map(|(id, weight)| json!({"replica": &**id, "weight": weight}))
+            .collect();
         Some(json!({
-            "name": name, "kind": self.kind(number, proxy), "sent": proxy.sent, "acked": proxy.acked,
+            "name": name, "kind": self.kind(number, proxy), "sent": proxy.sent_version, "acked": proxy.acknowledged_version,
             "standing": standing, "groups": groups.collect::<Vec<_>>(),
         }))
     }
@@ -885,7 +891,7 @@
         };
         let refusals = guard.refusals().rev().filter(about).take(50).map(|one| self.refusal(now, one));
         let refusals: Vec<Value> = refusals.collect();
-        let out = known.and_then(|(id, _)| self.engine.why_out(id));
+        let out = known.and_then(|(id, _)| self.engine.ejection_reason(id));
         let sent = known.map(|(id, _)| guard.sent_to(id));
         Some(json!({"name": name, "out": out, "sent_per_s": sent, "refusals": refusals}))
     }
@@ -896,15 +902,15 @@
             "age_s": now.saturating_sub(one.at).as_secs_f64(),
             "lasts_s": one.at.saturating_sub(one.since).as_secs_f64(),
             "proxy": proxy.map(|proxy| &*proxy.name), "replica": one.replica.as_deref(),
-            "group": self.wire.groups.get(one.group).map(|group| &group.name),
+            "group": self.wire.groups.get(one.class).map(|group| &group.name),
             "why": one.reason.to_string(), "asked": one.asked, "allowed": one.allowed,
-            "done": format!("{:?}", one.done).to_lowercase(),
+            "done": format!("{:?}", one.outcome).to_lowercase(),
         })
     }
 
     /// What is to be known beyond this life.
     pub fn known(&self, now: Duration, calendar: f64, before: &StoredItems) -> StoredItems {
-        self.engine.known(now, before, calendar, self.wire.epoch, &self.terms.groups)
+        self.engine.stored_items(now, before, calendar, self.wire.epoch, &self.terms.groups)
     }
 
     /// The life and version that a proxy's word proves to be this governor's, whichever life of it.
@@ -933,9 +939,9 @@
             .of(number)
             .map(|one| {
                 json!({
-                    "version": one.version, "age_s": now.saturating_sub(one.at).as_secs_f64(),
-                    "lines": one.whole.lines(), "digest": table_versions::hex(&one.digest)[..16],
-                    "acked": one.version <= proxy.acked,
+                    "version": one.version, "age_s": now.saturating_sub(one.published_at).as_secs_f64(),
+                    "lines": one.state.entry_count(), "digest": table_versions::hex(&one.digest)[..16],
+                    "acked": one.version <= proxy.acknowledged_version,
                 })
             })
             .collect();
@@ -951,7 +957,7 @@
             of.ok_or_else(|| format!("of `{name}` nothing as old as version {version} is kept"))
         };
         let (from, to) = (of(one)?, of(other)?);
-        let delta = table_versions::delta(&from.whole, from.digest, &to.whole, to.digest);
+        let delta = table_versions::delta(&from.state, from.digest, &to.state, to.digest);
         let told = self.terms.delta(to.version, &delta);
         let groups = serde_json::to_value(&told.groups).map_err(|error| error.to_string())?;
         Ok(json!({"name": name, "from": from.version, "to": to.version, "groups": groups}))
@@ -980,8 +986,8 @@
             ?scope,
             version,
             why,
-            held = rolled.held,
-            bare = rolled.bare,
+            held = rolled.frozen,
+            bare = rolled.unfreezable,
             "an operator steps back"
         );
         let left_out = rolled.left_out.iter().map(|(proxy, group, replica, why)| {
@@ -990,7 +996,7 @@
         });
         let without: Vec<&str> = rolled.without.iter().map(|name| &**name).collect();
         Ok(json!({
-            "held": rolled.held, "bare": rolled.bare, "without": without,
+            "held": rolled.frozen, "bare": rolled.unfreezable, "without": without,
             "left_out": left_out.collect::<Vec<_>>(),
         }))
     }
@@ -1023,25 +1029,31 @@
     }
 
     pub fn measure(&self, now: Duration) {
-        let figures = self.engine.figures(now);
-        metrics::gauge!("wrenthread_proxies_joined").set(figures.joined as f64);
-        metrics::gauge!("wrenthread_proxies_in_lobby").set(figures.lobby as f64);
-        metrics::gauge!("wrenthread_lines_waiting").set(figures.lines_waiting as f64);
-        metrics::gauge!("wrenthread_history_lines").set(figures.history_lines as f64);
+        let figures = self.engine.status(now);
+        metrics::gauge!("wrenthread_proxies_joined").set(figures.connected_proxies as f64);
+        metrics::gauge!("wrenthread_proxies_in_lobby").set(figures.queued_joins as f64);
+        metrics::gauge!("wrenthread_lines_waiting").set(figures.queued_entries as f64);
+        metrics::gauge!("wrenthread_history_lines").set(figures.history_entries as f64);
         metrics::gauge!("wrenthread_guard_alarms").set(self.engine.guard().alarms(now) as f64);
         metrics::gauge!("wrenthread_guard_passed").set(self.engine.guard().tally().1 as f64);
-        metrics::gauge!("wrenthread_holds").set(figures.holds as f64);
+        metrics::gauge!("wrenthread_holds").set(figures.frozen_tables as f64);
         let tally = self.talk.tally();
         metrics::gauge!("wrenthread_governors_there").set(self.talk.members().there() as f64);
         metrics::gauge!("wrenthread_draining").set(f64::from(u8::from(self.talk.is_draining())));
         metrics::gauge!("wrenthread_proxies_sent_on").set(tally.moved as f64);
         metrics::gauge!("wrenthread_datagrams_unheard").set(tally.unheard as f64);
         metrics::gauge!("wrenthread_version").set(figures.version as f64);
-        metrics::gauge!("wrenthread_report_lines_waiting").set(figures.reports_waiting as f64);
-        for (group, (level, _)) in self.wire.groups.iter().zip(self.engine.levels()) {
+        metrics::gauge!("wrenthread_report_lines_waiting").set(figures.queued_reports as f64);
+        for (group, (level, _)) in self.wire.groups.iter().zip(self.engine.admission()) {
             metrics::gauge!("wrenthread_level", "group" => group.name.clone()).set(*level);
         }
-        let lag = self.engine.fleet().iter().map(|(_, proxy)| proxy.lag(now)).max().unwrap_or_default();
+        let lag = self
+            .engine
+            .fleet()
+            .iter()
+            .map(|(_, proxy)| proxy.acknowledgement_delay(now))
+            .max()
+            .unwrap_or_default();
         metrics::gauge!("wrenthread_lag_seconds").set(lag.as_secs_f64());
     }
 
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -31,11 +31,11 @@
 
 /// What this governor knows of a proxy. Nothing, if it has not told it anything: then it goes without.
 pub fn gather(engine: &Engine, terms: &Terms, now: Duration, number: ProxyId) -> Vec<u8> {
-    let Some((newest, last)) = engine.known_of(now, number) else { return Vec::new() };
+    let Some((newest, last)) = engine.migration_state(now, number) else { return Vec::new() };
     let report = last.filter(|(age, _)| *age < FRESH);
     let known = Known {
-        tables: terms.whole(newest.version, &newest.digest, &newest.whole),
-        told_ms: millis(now.saturating_sub(newest.at)),
+        tables: terms.whole(newest.version, &newest.digest, &newest.state),
+        told_ms: millis(now.saturating_sub(newest.published_at)),
         report: report.map(|(age, report)| (millis(age), terms.report_again(report))),
     };
     let mut bytes = Vec::new();
@@ -59,7 +59,7 @@
         _ => None,
     };
     let told_at = now.saturating_sub(Duration::from_millis(known.told_ms).saturating_add(ahead.waited));
-    Ok(MigratedProxy { from: ahead.from.into(), whole, told_at, report })
+    Ok(MigratedProxy { from: ahead.from.into(), state: whole, published_at: told_at, report })
 }
 
 /// Carries datagrams to the one task that owns all state. What comes faster than it takes them is lost, as
--- a/crates/daemon/src/roster_file.rs
+++ b/crates/daemon/src/roster_file.rs
@@ -126,7 +126,7 @@
             zone,
             weight: raw.weight,
             phase,
-            started: raw.started.and_then(|at| clock.at(at)),
+            started_at: raw.started.and_then(|at| clock.at(at)),
             backup: raw.backup,
         });
     }
@@ -201,7 +201,7 @@
         let zones = ["north".to_string(), "south".to_string()];
         let entries = parse(Path::new("r.json"), good, &zones, &Clock::start()).unwrap();
         assert_eq!((entries[1].zone, entries[1].weight, entries[1].phase), (1, 2.0, Phase::Draining));
-        assert_eq!(entries[1].started, None, "long ago");
+        assert_eq!(entries[1].started_at, None, "long ago");
         for cut in 1..good.len() - 1 {
             assert!(why(&good[..cut]).starts_with("r.json:"), "half written, at {cut}");
         }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -211,7 +211,7 @@
     let talking = Talk::new(terms, epoch, clock.now());
     let mut host = Host::new(settings.setup(), wire.clone(), keys, settings.usual, talking, clock.now());
     if let Some(recalled) = recalled {
-        host.engine.recall(clock.now(), recalled);
+        host.engine.restore(clock.now(), recalled);
     }
     let mut keeps = tokio::time::interval(span(settings.state_every));
     keeps.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -327,7 +327,7 @@
     for kind in suspect {
         #[cfg(feature = "suspect")]
         match wrenthread_core::fault_injection::of(kind) {
-            Some(decider) => host.engine.suspect(decider),
+            Some(decider) => host.engine.replace_decider(decider),
             None if kind == "none" => host.engine.switch_guard_off(),
             None => {
                 let known: Vec<_> =
--- a/crates/durable-store/tests/lives.rs
+++ b/crates/durable-store/tests/lives.rs
@@ -27,7 +27,7 @@
         zone: 0,
         weight: 1.0,
         phase: if draining == Some(*id) { Phase::Draining } else { Phase::Ready },
-        started: anew.filter(|_| *id == "f"),
+        started_at: anew.filter(|_| *id == "f"),
         backup: false,
     };
     REPLICAS.iter().map(entry).collect()
@@ -61,15 +61,15 @@
             .filter_map(|(name, bytes)| Some((name.clone(), Arc::new(snapshot::decode(bytes)?))))
             .collect();
         let mut setup = EngineSettings::example(2);
-        setup.module.proxy_count = PROXIES as u64;
+        setup.governor.proxy_count = PROXIES as u64;
         let mut engine = Engine::new(setup, ms(0));
-        engine.recall(ms(0), snapshot::recall(known.clone(), calendar, &names()).0);
+        engine.restore(ms(0), snapshot::recall(known.clone(), calendar, &names()).0);
         Life { engine, epoch, store, before: known }
     }
 
     fn keep(&mut self, now: u64, calendar: f64) -> bool {
         let groups = ["one".to_string(), "other".to_string()];
-        let mut known = self.engine.known(ms(now), &self.before, calendar, self.epoch, &groups);
+        let mut known = self.engine.stored_items(ms(now), &self.before, calendar, self.epoch, &groups);
         known.insert(snapshot::NAMES.into(), Arc::new(names()));
         known.insert(snapshot::ALIVE.into(), Arc::new(StoredItem::Alive { at: calendar }));
         let changes: Vec<Change> = snapshot::changes(&self.before, &known)
@@ -88,36 +88,36 @@
             let join = JoinRequest {
                 name: format!("p{place}").into(),
                 zone: 0,
-                usual: 10.0,
-                standing,
-                holds_orders: held.is_some(),
-                claim: held.map(|_| "a word".into()),
-                proven: *held,
+                requests_per_second: 10.0,
+                default_table: standing,
+                holds_governor_tables: held.is_some(),
+                ownership_proof: held.map(|_| "a word".into()),
+                proven_version: *held,
             };
-            self.engine.joined(ms(now), place as u64, &join).expect("there is room");
+            self.engine.proxy_connected(ms(now), place as u64, &join).expect("there is room");
         }
     }
 
     /// Proxies that take all at once. No rule is broken at any time.
     fn pump(&mut self, now: u64, held: &mut Held, draining: Option<&str>) {
-        while let Some(step) = self.engine.step(ms(now)) {
+        while let Some(step) = self.engine.next_action(ms(now)) {
             let Action::Flush(number) = step else { continue };
             let proxy = self.engine.proxy(number).expect("it is joined");
             let (stream, newest) = (proxy.stream, proxy.newest());
             held[stream as usize] = Some((self.epoch, newest));
-            self.engine.sent(ms(now), number, 6, 1);
-            self.engine.acked(ms(now), stream, newest);
+            self.engine.tables_sent(ms(now), number, 6, 1);
+            self.engine.version_acknowledged(ms(now), stream, newest);
         }
         let mut on_cold = 0.0;
         for (_, proxy) in self.engine.fleet().iter() {
             for kept in proxy.tables.iter().flatten() {
-                let open: Vec<_> = kept.table.lines.iter().filter(|line| line.open).collect();
+                let open: Vec<_> = kept.table.entries.iter().filter(|line| line.routable).collect();
                 assert!(!open.is_empty(), "{now}: `{}` is bare", proxy.name);
                 assert!(
                     open.iter().all(|line| Some(&*line.replica) != draining),
                     "{now}: a drain is not kept"
                 );
-                assert!((0.0..=1.0).contains(&kept.table.level));
+                assert!((0.0..=1.0).contains(&kept.table.admission_fraction));
                 let all: f64 = open.iter().map(|line| line.weight).sum();
                 let cold = open.iter().filter(|line| &*line.replica == "f");
                 on_cold += 5.0 * cold.map(|line| line.weight).sum::<f64>() / all;
@@ -125,7 +125,7 @@
         }
         // Of forty flows a second a replica that starts anew may have twice its part, and nobody looks at
         // warm ones.
-        if self.engine.known_roster().get(&"f".into()).is_some_and(|f| f.started == Some(ms(900))) {
+        if self.engine.known_roster().get(&"f".into()).is_some_and(|f| f.started_at == Some(ms(900))) {
             assert!(on_cold < 2.5 * 40.0 * 0.3 / 4.3, "{now}: {on_cold} on a cold one");
         }
     }
@@ -135,7 +135,7 @@
 fn first(disk: &Memory) -> (Held, u64) {
     let mut life = Life::start(disk, 1000.0, 1);
     let mut held: Held = [None; PROXIES];
-    life.engine.roster(ms(0), list(None, None));
+    life.engine.update_roster(ms(0), list(None, None));
     life.join(1, &held);
     for now in (50..1500).step_by(50) {
         if now == 300 {
@@ -143,7 +143,7 @@
             life.engine.override_replica(ms(now), &"a".into(), what, ms(60_000), why).expect("it is listed");
         }
         if now == 600 {
-            life.engine.roster(ms(now), list(Some("b"), None));
+            life.engine.update_roster(ms(now), list(Some("b"), None));
         }
         life.pump(now, &mut held, (now >= 600).then_some("b"));
         if now % 100 == 0 && !life.keep(now, 1000.0 + now as f64 / 1000.0) {
@@ -166,9 +166,9 @@
             let mut life = Life::start(&disk.after_crash(leaves), 1002.0, 2);
             assert_ne!(life.epoch, epoch, "call {call}, {leaves:?}: two lives of one number");
             // While nobody looked `b` has drained, and `f` was replaced under its name.
-            life.engine.roster(ms(0), list(Some("b"), Some(ms(900))));
+            life.engine.update_roster(ms(0), list(Some("b"), Some(ms(900))));
             life.join(1, &held);
-            resumed += life.engine.fleet().iter().filter(|(_, proxy)| proxy.fresh).count();
+            resumed += life.engine.fleet().iter().filter(|(_, proxy)| proxy.holds_default_table).count();
             for now in (10..3000).step_by(60) {
                 life.pump(now, &mut held, Some("b"));
             }
--- a/crates/long-poll/src/messages.rs
+++ b/crates/long-poll/src/messages.rs
@@ -230,24 +230,24 @@
         Ok(JoinRequest {
             name: name.into(),
             zone: self.zone_of(&asked.zone)?,
-            usual,
-            standing: standing.collect(),
-            holds_orders: asked.holds_orders,
-            claim: asked.claim,
-            proven: None,
+            requests_per_second: usual,
+            default_table: standing.collect(),
+            holds_governor_tables: asked.holds_orders,
+            ownership_proof: asked.claim,
+            proven_version: None,
         })
     }
 
     /// A report as it would have come, to be passed on.
     pub fn report_again(&self, report: &LoadReport) -> ReportAsked {
         let name = |group: usize| self.groups.get(group).cloned();
-        let met = report.met.iter().filter_map(|met| {
+        let met = report.observations.iter().filter_map(|met| {
             Some(MetTold {
-                group: name(met.group)?,
+                group: name(met.class)?,
                 replica: met.replica.to_string(),
                 issued: met.issued,
-                delivered: met.delivered,
-                dropped: met.dropped,
+                delivered: met.succeeded,
+                dropped: met.failed,
                 answer_ms: met.answers.0.as_secs_f64() * 1000.0,
                 load: met.load.clone(),
             })
@@ -256,7 +256,7 @@
             interval_ms: report.interval.as_secs_f64() * 1000.0,
             met: met.collect(),
             blocked: report
-                .blocked
+                .rejected
                 .iter()
                 .filter_map(|(group, flows)| Some((name(*group)?, *flows)))
                 .collect(),
@@ -272,26 +272,30 @@
             // A sum of nothing is no time that was measured.
             let timed = if answers.is_zero() { 0 } else { met.delivered };
             Ok(ReplicaObservation {
-                group: self.group_of(&met.group)?,
+                class: self.group_of(&met.group)?,
                 replica: met.replica.as_str().into(),
-                delivered: met.delivered,
-                dropped: met.dropped,
+                succeeded: met.delivered,
+                failed: met.dropped,
                 issued: met.issued,
-                in_progress: 0,
+                in_flight: 0,
                 answers: (answers, timed),
                 load: if met.load.len() == self.load.len() { met.load.clone() } else { Vec::new() },
             })
         });
         let met = met.collect::<Result<Vec<_>, Unclear>>()?;
         let blocked = asked.blocked.iter().map(|(group, flows)| Ok((self.group_of(group)?, *flows)));
-        Ok(LoadReport { interval, met, blocked: blocked.collect::<Result<Vec<_>, Unclear>>()? })
+        Ok(LoadReport {
+            interval,
+            observations: met,
+            rejected: blocked.collect::<Result<Vec<_>, Unclear>>()?,
+        })
     }
 
     /// A whole state, as told.
     pub fn whole(&self, version: u64, digest: &Digest, whole: &PublishedState) -> TablesTold {
-        let groups = self.groups.iter().zip(&whole.groups).filter_map(|(name, said)| {
+        let groups = self.groups.iter().zip(&whole.classes).filter_map(|(name, said)| {
             let said = said.as_ref()?;
-            let lines = said.lines.iter().map(|(id, line)| LineTold {
+            let lines = said.entries.iter().map(|(id, line)| LineTold {
                 replica: id.to_string(),
                 weight: line.weight,
                 address: Some(line.address.to_string()),
@@ -301,8 +305,8 @@
                 standing: false,
                 lines: lines.collect(),
                 removed: Vec::new(),
-                level: said.level,
-                tries: tries_word(said.tries).into(),
+                level: said.admission_millionths,
+                tries: tries_word(said.retry_policy).into(),
             };
             Some((name.clone(), told))
         });
@@ -319,14 +323,14 @@
     pub fn delta(&self, version: u64, delta: &Delta) -> TablesTold {
         let groups = delta.changes.iter().filter_map(|(place, change)| {
             let told = match change {
-                TableChange::Gone => GroupTold {
+                TableChange::UseDefaultTable => GroupTold {
                     standing: true,
                     lines: Vec::new(),
                     removed: Vec::new(),
                     level: table_versions::MILLION,
                     tries: "never".into(),
                 },
-                TableChange::Lines { changed, removed, level, tries } => GroupTold {
+                TableChange::Entries { changed, removed, level, tries } => GroupTold {
                     standing: false,
                     lines: changed
                         .iter()
@@ -359,7 +363,7 @@
         for (name, group) in &told.groups {
             let place = self.group_of(name)?;
             if group.standing {
-                changes.insert(place, TableChange::Gone);
+                changes.insert(place, TableChange::UseDefaultTable);
                 continue;
             }
             let changed = group.lines.iter().map(|line| {
@@ -371,7 +375,7 @@
                     at: address.zip(zone),
                 })
             });
-            let lines = TableChange::Lines {
+            let lines = TableChange::Entries {
                 changed: changed.collect::<Result<Vec<_>, Unclear>>()?,
                 removed: group.removed.iter().map(|id| id.as_str().into()).collect(),
                 level: group.level,
@@ -383,16 +387,17 @@
         if let Some(base) = &told.base {
             return Ok(Err(Delta { base: digest_of(base)?, digest, changes }));
         }
-        let mut whole = PublishedState { groups: vec![None; self.groups.len()] };
+        let mut whole = PublishedState { classes: vec![None; self.groups.len()] };
         for (place, change) in changes {
-            let TableChange::Lines { changed, level, tries, .. } = change else { continue };
+            let TableChange::Entries { changed, level, tries, .. } = change else { continue };
             let lines = changed.into_iter().map(|line| {
                 let (address, zone) =
                     line.at.ok_or_else(|| Unclear::Field("lines", "an address is missing".into()))?;
                 Ok((line.replica, PublishedEntry { address, zone, weight: line.weight }))
             });
             let lines = lines.collect::<Result<BTreeMap<_, _>, Unclear>>()?;
-            whole.groups[place] = Some(PublishedTable { lines, level, tries });
+            whole.classes[place] =
+                Some(PublishedTable { entries: lines, admission_millionths: level, retry_policy: tries });
         }
         if whole.digest() != digest {
             return Err(Unclear::Field("digest", "is not that of the tables beside it".into()));
@@ -427,11 +432,11 @@
             )
         };
         let said = PublishedTable {
-            lines: lines.iter().map(line).collect(),
-            level: 500_000,
-            tries: RetryPolicy::IfNotExecuted,
+            entries: lines.iter().map(line).collect(),
+            admission_millionths: 500_000,
+            retry_policy: RetryPolicy::IfNotExecuted,
         };
-        PublishedState { groups: vec![Some(said.clone()), both.then_some(said)] }
+        PublishedState { classes: vec![Some(said.clone()), both.then_some(said)] }
     }
 
     proptest! {
--- a/crates/long-poll/src/sessions.rs
+++ b/crates/long-poll/src/sessions.rs
@@ -148,18 +148,18 @@
         let base = poller.held.and_then(|(version, digest)| history.held(number, version, &digest));
         // Who comes back to another life with the very content that this one arrives at holds it already.
         let returned = poller.held.is_none() && poller.said == Some(newest.digest);
-        if returned || base.is_some_and(|base| base.whole == newest.whole) {
+        if returned || base.is_some_and(|base| base.state == newest.state) {
             poller.held = Some((newest.version, newest.digest));
             return None;
         }
         let waiting = poller.waiting.take()?;
-        let whole_lines = newest.whole.lines().max(1);
+        let whole_lines = newest.state.entry_count().max(1);
         let (told, lines) = match base {
             Some(base) => {
-                let delta = table_versions::delta(&base.whole, base.digest, &newest.whole, newest.digest);
+                let delta = table_versions::delta(&base.state, base.digest, &newest.state, newest.digest);
                 let lines = delta.changes.values().map(|change| match change {
-                    table_versions::TableChange::Gone => 1,
-                    table_versions::TableChange::Lines { changed, removed, .. } => {
+                    table_versions::TableChange::UseDefaultTable => 1,
+                    table_versions::TableChange::Entries { changed, removed, .. } => {
                         1 + changed.len() + removed.len()
                     }
                 });
@@ -247,9 +247,13 @@
     fn version(version: u64, weight: u32) -> HistoryEntry {
         let line = PublishedEntry { address: "a:1".into(), zone: 0, weight };
         let lines = [("a".into(), line)].into();
-        let said = PublishedTable { lines, level: MILLION, tries: RetryPolicy::Never };
-        let whole = PublishedState { groups: vec![Some(said)] };
-        HistoryEntry { version, at: s(0), digest: whole.digest(), whole: Arc::new(whole) }
+        let said = PublishedTable {
+            entries: lines,
+            admission_millionths: MILLION,
+            retry_policy: RetryPolicy::Never,
+        };
+        let whole = PublishedState { classes: vec![Some(said)] };
+        HistoryEntry { version, published_at: s(0), digest: whole.digest(), state: Arc::new(whole) }
     }
 
     fn polls(versions: &[(u64, u32)]) -> (Polls<u32>, History) {
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -92,7 +92,7 @@
     }
 
     fn dial(&mut self, relay: usize) {
-        let to = self.relays[relay].dialer.dials();
+        let to = self.relays[relay].dialer.current();
         if self.governors[to].up {
             let one = &mut self.relays[relay];
             (one.stream, one.vain) = (Some(to), 0);
@@ -101,7 +101,7 @@
         } else {
             let somebody = self.governors.iter().any(|one| one.up);
             let one = &mut self.relays[relay];
-            one.dialer.lost();
+            one.dialer.connection_lost();
             one.vain = if somebody { one.vain + 1 } else { 0 };
         }
     }
@@ -110,7 +110,7 @@
     fn deliver(&mut self, relay: usize, order: Order) -> Option<String> {
         let one = &mut self.relays[relay];
         let (governor, epoch, version) = order;
-        if one.fence.heed(NAMES[governor], epoch, version).is_err() || one.held == Some(order) {
+        if one.fence.accept(NAMES[governor], epoch, version).is_err() || one.held == Some(order) {
             return None;
         }
         let newer = |taken: &&Order| taken.0 == governor && (taken.1, taken.2) > (epoch, version);
@@ -164,7 +164,7 @@
                     // Ends the stream, if it is still this governor's to end.
                     if self.relays[of].stream == Some(governor) {
                         self.lose_stream(of);
-                        self.relays[of].dialer.sent_on(to);
+                        self.relays[of].dialer.redirected(to);
                     }
                 }
                 Out::Unanswered { .. } => {}
@@ -194,7 +194,7 @@
                 step(&|world| {
                     world.left.breaks -= 1;
                     world.lose_stream(relay);
-                    world.relays[relay].dialer.lost();
+                    world.relays[relay].dialer.connection_lost();
                     None
                 });
             }
@@ -202,7 +202,7 @@
             if self.relays[relay].stream.is_some() && self.governors[home].up && self.left.homes > 0 {
                 step(&|world| {
                     world.left.homes -= 1;
-                    if world.relays[relay].dialer.home_asked(NOW, true) {
+                    if world.relays[relay].dialer.home_checked(NOW, true) {
                         world.lose_stream(relay);
                     }
                     None
--- a/crates/rehearsal/src/relay.rs
+++ b/crates/rehearsal/src/relay.rs
@@ -228,7 +228,7 @@
         let names: Vec<&str> = governors.iter().map(|governor| governor.name.as_str()).collect();
         let mut dialer = GovernorSelector::new(&self.who.name, &names, HOME.0, HOME.1);
         loop {
-            let place = dialer.dials();
+            let place = dialer.current();
             let governor = &governors[place];
             self.at.replace(governor.clone());
             self.moved.notify_waiters();
@@ -267,7 +267,7 @@
                     sleep(Duration::from_millis(500)).await;
                     let reaches = !self.out_of_reach.borrow().contains(&dialer.home());
                     let there = dialer.is_home() || reaches && answers(&home).await;
-                    if dialer.home_asked(self.now(), there) {
+                    if dialer.home_checked(self.now(), there) {
                         return;
                     }
                 }
@@ -284,10 +284,10 @@
             match ended {
                 Some(Error::Moved(Some(to))) if dialer.is_home() && to == names[dialer.home()] => {}
                 Some(Error::Moved(to)) => {
-                    dialer.sent_on(to.and_then(|to| names.iter().position(|name| *name == to)));
+                    dialer.redirected(to.and_then(|to| names.iter().position(|name| *name == to)));
                 }
                 // A broken stream is tried again where it was; only who can't be had is passed over.
-                _ if !ever || self.out_of_reach.borrow().contains(&place) => dialer.lost(),
+                _ if !ever || self.out_of_reach.borrow().contains(&place) => dialer.connection_lost(),
                 _ => {}
             }
             sleep(Duration::from_secs_f64(0.1 + 0.2 * self.chance())).await;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -597,7 +597,7 @@
             same_zone_only: group.own_zone,
         };
         EngineSettings {
-            module: types::Settings {
+            governor: types::Settings {
                 governor_count: self.governors,
                 classes: self.groups.iter().map(group).collect(),
                 key_slices: 0,
@@ -629,9 +629,9 @@
                 health_check_cost: None,
                 load_fields: self.load.iter().filter_map(|name| load_field(name)).collect(),
             },
-            proxies: self.joined_most as usize,
-            reports_per_s: self.report_lines_per_s,
-            empty_after: span(self.empty_after),
+            max_proxies: self.joined_most as usize,
+            max_report_entries_per_second: self.report_lines_per_s,
+            empty_roster_timeout: span(self.empty_after),
             history: (self.history_versions as usize, self.history_lines as usize),
         }
     }
@@ -681,12 +681,12 @@
         assert_eq!(names, ["match", "count", "charge"]);
         assert_eq!(settings.groups[2].route, Route::Header("x-group".into(), "charge".into()));
         let setup = settings.setup();
-        assert_eq!(setup.module.default_retry_policy, RetryPolicy::IfNotExecuted);
+        assert_eq!(setup.governor.default_retry_policy, RetryPolicy::IfNotExecuted);
         assert!(matches!(
-            setup.module.classes[2].idempotency,
+            setup.governor.classes[2].idempotency,
             Idempotency::IdempotentWithKey { scope: DeduplicationScope::All, .. }
         ));
-        assert_eq!(setup.module.report_interval, Duration::from_millis(500));
+        assert_eq!(setup.governor.report_interval, Duration::from_millis(500));
     }
 
     #[test]
--- a/crates/xds/src/decode.rs
+++ b/crates/xds/src/decode.rs
@@ -97,21 +97,21 @@
     let mut join = JoinRequest {
         name: Arc::from(name),
         zone,
-        usual,
-        standing: Vec::new(),
-        holds_orders,
-        claim: None,
-        proven: None,
+        requests_per_second: usual,
+        default_table: Vec::new(),
+        holds_governor_tables: holds_orders,
+        ownership_proof: None,
+        proven_version: None,
     };
     let metadata = node.metadata.as_ref().and_then(|metadata| field(metadata, METADATA));
     let Some(value::Kind::StructValue(said)) = metadata else { return Ok(join) };
     if said.fields.contains_key("usual") {
         let usual = number(field(said, "usual")).filter(|usual| *usual >= 0.0);
-        join.usual = usual.ok_or_else(|| bad("usual", "is not a number of flows a second"))?;
+        join.requests_per_second = usual.ok_or_else(|| bad("usual", "is not a number of flows a second"))?;
     }
     if let Some(claim) = field(said, "claim") {
         let value::Kind::StringValue(claim) = claim else { return Err(bad("claim", "is not a text")) };
-        join.claim = Some(claim.clone());
+        join.ownership_proof = Some(claim.clone());
     }
     if let Some(standing) = field(said, "standing") {
         let value::Kind::ListValue(lines) = standing else { return Err(bad("standing", "is not a list")) };
@@ -124,7 +124,7 @@
             Some((ReplicaId::from(text(field(line, "replica"))?), weight))
         };
         let lines: Option<Vec<_>> = lines.values.iter().map(line).collect();
-        join.standing =
+        join.default_table =
             lines.ok_or_else(|| bad("standing", "a line needs a `replica` and a `weight` above 0"))?;
     }
     Ok(join)
@@ -160,10 +160,10 @@
         });
         let report = by_interval.entry(interval).or_insert(LoadReport {
             interval,
-            met: Vec::new(),
-            blocked: Vec::new(),
+            observations: Vec::new(),
+            rejected: Vec::new(),
         });
-        report.blocked.push((group, cluster.total_dropped_requests));
+        report.rejected.push((group, cluster.total_dropped_requests));
         for endpoint in cluster.upstream_locality_stats.iter().flat_map(|zone| &zone.upstream_endpoint_stats)
         {
             let Some(replica) = host_port(endpoint.address.as_ref()).and_then(|address| at(&address)) else {
@@ -188,13 +188,13 @@
                 let seconds = Duration::try_from_secs_f64(one.total_metric_value / 1000.0);
                 (seconds.unwrap_or(Duration::MAX), one.num_requests_finished_with_metric)
             });
-            report.met.push(ReplicaObservation {
-                group,
+            report.observations.push(ReplicaObservation {
+                class: group,
                 replica,
-                delivered: endpoint.total_successful_requests,
-                dropped: endpoint.total_error_requests,
+                succeeded: endpoint.total_successful_requests,
+                failed: endpoint.total_error_requests,
                 issued: endpoint.total_issued_requests,
-                in_progress: endpoint.total_requests_in_progress,
+                in_flight: endpoint.total_requests_in_progress,
                 answers,
                 load: load.unwrap_or_default(),
             });
@@ -246,7 +246,7 @@
                     Ok(HealthStatus::Draining) => Phase::Draining,
                     _ => Phase::Ready,
                 },
-                started,
+                started_at: started,
                 backup,
             });
         }
@@ -308,7 +308,10 @@
             ("standing", value::Kind::ListValue(list)),
         ]);
         let join = super::join(&wire(), Some(&node("p", "south", Some(said))), 1.0, false).unwrap();
-        assert_eq!((join.zone, join.usual, join.standing), (1, 6.5, vec![("r1".into(), 2.0)]));
+        assert_eq!(
+            (join.zone, join.requests_per_second, join.default_table),
+            (1, 6.5, vec![("r1".into(), 2.0)])
+        );
     }
 
     #[test]
@@ -358,10 +361,10 @@
         let (reports, unknown) = super::reports(&wire(), &[stats("match"), stats("other")], at);
         assert_eq!((reports.len(), unknown), (1, 2));
         assert_eq!(reports[0].interval, Duration::new(1, 5));
-        assert_eq!(reports[0].blocked, [(0, 3)]);
-        let met = &reports[0].met[0];
+        assert_eq!(reports[0].rejected, [(0, 3)]);
+        let met = &reports[0].observations[0];
         assert_eq!(
-            (met.delivered, met.dropped, met.issued, met.load.as_slice()),
+            (met.succeeded, met.failed, met.issued, met.load.as_slice()),
             (8, 2, 11, [2.0].as_slice())
         );
         assert_eq!(met.answers, (Duration::from_millis(160), 8));
--- a/crates/xds/src/encode.rs
+++ b/crates/xds/src/encode.rs
@@ -91,7 +91,7 @@
             groups.filter_map(|(group, kept)| Some((group.name.clone(), kept.as_ref()?.version))).collect()
         }
         Kind::Listeners => BTreeMap::from([(LISTENER.to_string(), 1)]),
-        Kind::Routes => BTreeMap::from([(ROUTES.to_string(), proxy.tries.0)]),
+        Kind::Routes => BTreeMap::from([(ROUTES.to_string(), proxy.retry_policies.0)]),
     }
 }
 
@@ -102,10 +102,10 @@
         Kind::Clusters => (packed(&cluster(&wire.groups[place()?])), 1),
         Kind::Endpoints => {
             let table = &proxy.tables.get(place()?)?.as_ref()?.table;
-            (packed(&assignment(wire, name, table)), table.lines.len().max(1))
+            (packed(&assignment(wire, name, table)), table.entries.len().max(1))
         }
         Kind::Listeners if name == LISTENER => (packed(&listener()), 1),
-        Kind::Routes if name == ROUTES => (packed(&routes(wire, &proxy.tries.1)), wire.groups.len()),
+        Kind::Routes if name == ROUTES => (packed(&routes(wire, &proxy.retry_policies.1)), wire.groups.len()),
         Kind::Listeners | Kind::Routes => return None,
     })
 }
@@ -172,7 +172,7 @@
 
 /// A table: its open lines by zone, the weight of a zone the sum of theirs.
 pub fn assignment(wire: &Wire, name: &str, table: &Table) -> ClusterLoadAssignment {
-    let open: Vec<_> = table.lines.iter().filter(|line| line.open).collect();
+    let open: Vec<_> = table.entries.iter().filter(|line| line.routable).collect();
     let weights = weights::whole(&open.iter().map(|line| line.weight).collect::<Vec<_>>());
     let mut zones: BTreeMap<usize, (u32, Vec<LbEndpoint>)> = BTreeMap::new();
     for (line, weight) in open.into_iter().zip(weights) {
@@ -197,7 +197,7 @@
         load_balancing_weight: Some(UInt32Value { value: sum }),
         ..LocalityLbEndpoints::default()
     });
-    let blocked = ((1.0 - table.level.clamp(0.0, 1.0)) * MILLION).round() as u32;
+    let blocked = ((1.0 - table.admission_fraction.clamp(0.0, 1.0)) * MILLION).round() as u32;
     let overload = DropOverload {
         category: LEVEL.to_string(),
         drop_percentage: Some(FractionalPercent {
@@ -378,20 +378,20 @@
             address: format!("10.0.0.1:{}", name.len()).into(),
             zone,
             weight,
-            open,
+            routable: open,
         }
     }
 
     #[test]
     fn shut_lines_leave_and_levels_are_said_in_parts_of_a_million() {
         let lines = vec![line("a", 0, 1.0, true), line("bb", 0, 5.0, false), line("ccc", 1, 3.0, true)];
-        let said = assignment(&wire(), "match", &Table { lines, level: 0.85 });
+        let said = assignment(&wire(), "match", &Table { entries: lines, admission_fraction: 0.85 });
         let weights: Vec<u32> =
             said.endpoints.iter().map(|one| one.load_balancing_weight.unwrap().value).collect();
         assert_eq!(weights, [1000, 3000]);
         let dropped = &said.policy.unwrap().drop_overloads[0];
         assert_eq!(dropped.drop_percentage.unwrap().numerator, 150_000);
-        let whole = assignment(&wire(), "match", &Table { lines: vec![], level: 1.0 });
+        let whole = assignment(&wire(), "match", &Table { entries: vec![], admission_fraction: 1.0 });
         assert!(whole.policy.is_none() && whole.endpoints.is_empty());
     }
 
@@ -440,7 +440,7 @@
 
     #[test]
     fn the_same_content_has_the_same_mark() {
-        let table = Table { lines: vec![line("a", 0, 1.0, true)], level: 1.0 };
+        let table = Table { entries: vec![line("a", 0, 1.0, true)], admission_fraction: 1.0 };
         let one = packed(&assignment(&wire(), "match", &table));
         assert_eq!(
             digest(&one),
@@ -450,7 +450,7 @@
                 &table
             )))
         );
-        let other = Table { level: 0.5, ..table };
+        let other = Table { admission_fraction: 0.5, ..table };
         assert_ne!(digest(&one), digest(&packed(&assignment(&wire(), "match", &other))));
     }
 
@@ -461,7 +461,7 @@
         ) {
             let name = |n| "x".repeat(n + 1);
             let make = |(n, (zone, weight)): (usize, &(usize, f64))| line(&name(n), *zone, *weight, true);
-            let table = Table { lines: lines.iter().enumerate().map(make).collect(), level: 1.0 };
+            let table = Table { entries: lines.iter().enumerate().map(make).collect(), admission_fraction: 1.0 };
             let said = assignment(&wire(), "match", &table);
             let weight = |one: &LbEndpoint| f64::from(one.load_balancing_weight.unwrap().value);
             let all: f64 = said.endpoints.iter().flat_map(|zone| &zone.lb_endpoints).map(weight).sum();
--- a/crates/xds/src/session.rs
+++ b/crates/xds/src/session.rs
@@ -362,7 +362,7 @@
             // A table that is not made yet is none that does not exist: who holds one keeps it until then.
             let pending = |name: &String| {
                 kind == Kind::Endpoints
-                    && !proxy.has_word()
+                    && !proxy.has_known_tables()
                     && wire.groups.iter().any(|group| group.name == *name)
             };
             let named = sent.chain(subscription.names.iter());
--- a/crates/xds/src/session/tests.rs
+++ b/crates/xds/src/session/tests.rs
@@ -40,7 +40,7 @@
         zone: 0,
         weight: 1.0,
         phase: Phase::Ready,
-        started: None,
+        started_at: None,
         backup: false,
     };
     names.iter().map(entry).collect()
@@ -50,17 +50,17 @@
     fn new(first: Request) -> Rig {
         let now = Duration::from_secs(100);
         let mut engine = Engine::new(EngineSettings::example(2), now);
-        engine.roster(now, entries(&["a", "b", "c"]));
+        engine.update_roster(now, entries(&["a", "b", "c"]));
         let join = JoinRequest {
             name: "p".into(),
             zone: 0,
-            usual: 1.0,
-            standing: vec![],
-            holds_orders: true,
-            claim: None,
-            proven: None,
+            requests_per_second: 1.0,
+            default_table: vec![],
+            holds_governor_tables: true,
+            ownership_proof: None,
+            proven_version: None,
         };
-        engine.joined(now, 1, &join).unwrap();
+        engine.proxy_connected(now, 1, &join).unwrap();
         let mut rig = Rig { engine, now, session: Session::new(0xabc, &first) };
         rig.session.request(first).unwrap();
         rig.pass();
@@ -70,17 +70,17 @@
     /// Lets the engine decide, without flushing the session.
     fn pass(&mut self) {
         self.now += Duration::from_millis(1000);
-        while let Some(step) = self.engine.step(self.now) {
+        while let Some(step) = self.engine.next_action(self.now) {
             if let Action::Flush(number) = step {
-                self.engine.sent(self.now, number, 1, 1);
+                self.engine.tables_sent(self.now, number, 1, 1);
             }
         }
         let newest = self.engine.proxy(0).unwrap().newest();
-        self.engine.acked(self.now, 1, newest);
+        self.engine.version_acknowledged(self.now, 1, newest);
     }
 
     fn roster(&mut self, names: &[&str]) {
-        self.engine.roster(self.now, entries(names));
+        self.engine.update_roster(self.now, entries(names));
         self.pass();
     }
 
@@ -320,17 +320,17 @@
 fn who_comes_back_with_tables_is_not_told_that_there_are_none_before_there_are() {
     let now = Duration::from_secs(100);
     let mut engine = Engine::new(EngineSettings::example(2), now);
-    engine.roster(now, entries(&["a", "b", "c"]));
+    engine.update_roster(now, entries(&["a", "b", "c"]));
     let join = JoinRequest {
         name: "p".into(),
         zone: 0,
-        usual: 1.0,
-        standing: vec![],
-        holds_orders: true,
-        claim: None,
-        proven: None,
+        requests_per_second: 1.0,
+        default_table: vec![],
+        holds_governor_tables: true,
+        ownership_proof: None,
+        proven_version: None,
     };
-    engine.joined(now, 1, &join).unwrap();
+    engine.proxy_connected(now, 1, &join).unwrap();
     let mut first = delta(Kind::Endpoints, &["match", "nobody"], &[], "");
     first.initial_resource_versions = [("match".to_string(), "0123".to_string())].into();
     let mut session = Session::new(0xabc, &Request::Delta(first.clone()));
@@ -339,7 +339,7 @@
     let Response::Delta(told) = &flushed.responses[0] else { panic!() };
     assert_eq!(told.removed_resources, ["nobody"], "what is unknown for ever, and nothing else");
     let later = now + Duration::from_millis(300);
-    while engine.step(later).is_some() {}
+    while engine.next_action(later).is_some() {}
     let flushed = session.flush(&wire(), engine.proxy(0).unwrap());
     assert_eq!(said(&flushed)[0].2, 1);
 }
