--- a/crates/core/src/send_limiter.rs
+++ b/crates/core/src/send_limiter.rs
@@ -94,7 +94,7 @@
     }
 
     /// The next proxy that may be written to, in the order of turns. It stays due until [`SendLimiter::sent`] or
-    /// [`SendLimiter::stalled`].
+    /// [`SendLimiter::stream_full`].
     pub fn next(&mut self, now: Duration) -> Option<ProxyId> {
         self.fill(now);
         let free = |(ordinary, _, proxy): &&(bool, Duration, ProxyId)| {
@@ -123,7 +123,7 @@
         self.tokens -= self.channel.message_overhead_entries * messages.max(1) as f64 + lines as f64;
     }
 
-    /// A proxy's stream has no room: it is left out until [`SendLimiter::roomy`], and its state goes on being
+    /// A proxy's stream has no room: it is left out until [`SendLimiter::stream_has_capacity`], and its state goes on being
     /// merged.
     pub fn stream_full(&mut self, proxy: ProxyId) {
         let Some(due) = self.proxies.get_mut(&proxy).and_then(|line| line.due.as_mut()) else { return };
--- a/src/governor.rs
+++ b/src/governor.rs
@@ -1,6 +1,6 @@
 //! All decisions: which tables a service's plain proxies hold, and when they hear of it.
 //! A host makes one [`Governor`] for each governor process, calls its inputs as things happen, and pulls
-//! [`Governor::decide`] until it gives `None`: what comes in one go is one message to each proxy concerned.
+//! [`Governor::next_decision`] until it gives `None`: what comes in one go is one message to each proxy concerned.
 //! The types of both sides stand in `types.rs`. The mechanism is FlexDATE's (`docs/design.md`); parts, in
 //! order of precedence: withdraw, health, cold, default repair, critical set, levels and tries, pace.
 
