--- a/crates/core/src/backup_replicas.rs
+++ b/crates/core/src/backup_replicas.rs
@@ -12,51 +12,53 @@
 
 #[derive(Debug)]
 pub struct BackupReplicas {
-    hold: Duration,
+    release_delay: Duration,
     /// The list as its source said it last; kept only while it has backups.
     last: Vec<RosterEntry>,
     /// Backups are on the list, as nobody else was ready.
-    called: bool,
+    active: bool,
     /// Since when some other one is ready without a break.
-    back: Option<Duration>,
+    primary_ready_since: Option<Duration>,
 }
 
 impl BackupReplicas {
     /// `hold`: for how long one of the others must be ready before backups are let go.
     pub fn new(hold: Duration) -> Self {
-        BackupReplicas { hold, last: Vec::new(), called: false, back: None }
+        BackupReplicas { release_delay: hold, last: Vec::new(), active: false, primary_ready_since: None }
     }
 
     /// A whole list, as its source says it: what is on it now.
-    pub fn take(&mut self, now: Duration, entries: Vec<RosterEntry>) -> Vec<RosterEntry> {
+    pub fn update(&mut self, now: Duration, entries: Vec<RosterEntry>) -> Vec<RosterEntry> {
         let any = entries.iter().any(|entry| entry.backup);
         let ready = entries.iter().any(|entry| !entry.backup && entry.phase == Phase::Ready);
         match ready {
-            true => drop(self.back.get_or_insert(now)),
+            true => drop(self.primary_ready_since.get_or_insert(now)),
             // An empty list is doubted by whoever takes it; it calls nobody.
-            false if any => (self.called, self.back) = (true, None),
-            false => self.back = None,
+            false if any => (self.active, self.primary_ready_since) = (true, None),
+            false => self.primary_ready_since = None,
         }
         self.last = if any { entries.clone() } else { Vec::new() };
-        self.listed(now, entries)
+        self.active_entries(now, entries)
     }
 
     /// The list anew, when backups are let go.
-    pub fn due(&mut self, now: Duration) -> Option<Vec<RosterEntry>> {
-        self.next_due().filter(|due| now >= *due)?;
-        Some(self.listed(now, self.last.clone()))
+    pub fn release_due(&mut self, now: Duration) -> Option<Vec<RosterEntry>> {
+        self.next_deadline().filter(|due| now >= *due)?;
+        Some(self.active_entries(now, self.last.clone()))
     }
 
     /// When [`BackupReplicas::due`] is next to be called.
-    pub fn next_due(&self) -> Option<Duration> {
-        self.back.filter(|_| self.called && !self.last.is_empty()).map(|back| back + self.hold)
+    pub fn next_deadline(&self) -> Option<Duration> {
+        self.primary_ready_since
+            .filter(|_| self.active && !self.last.is_empty())
+            .map(|back| back + self.release_delay)
     }
 
-    fn listed(&mut self, now: Duration, mut entries: Vec<RosterEntry>) -> Vec<RosterEntry> {
-        if self.back.is_some_and(|back| now >= back + self.hold) {
-            self.called = false;
+    fn active_entries(&mut self, now: Duration, mut entries: Vec<RosterEntry>) -> Vec<RosterEntry> {
+        if self.primary_ready_since.is_some_and(|back| now >= back + self.release_delay) {
+            self.active = false;
         }
-        if !self.called {
+        if !self.active {
             entries.retain(|entry| !entry.backup);
         }
         entries
--- a/crates/core/src/backup_replicas/tests.rs
+++ b/crates/core/src/backup_replicas/tests.rs
@@ -23,15 +23,15 @@
 fn backups_come_when_nobody_else_is_ready_and_go_once_one_has_been_for_a_while() {
     let mut standby = BackupReplicas::new(s(20));
     let ids = |list: &[RosterEntry]| list.iter().map(|one| one.id.to_string()).collect::<Vec<_>>().join(" ");
-    assert_eq!(ids(&standby.take(s(1), list(Phase::Ready))), "a");
-    assert_eq!((standby.next_due(), standby.due(s(100))), (None, None));
-    assert_eq!(ids(&standby.take(s(2), list(Phase::Draining))), "a z");
-    assert_eq!(ids(&standby.take(s(3), list(Phase::Ready))), "a z", "not at once");
-    assert_eq!(ids(&standby.take(s(10), list(Phase::Draining))), "a z", "it flaps");
-    standby.take(s(12), list(Phase::Ready));
-    assert_eq!((standby.next_due(), standby.due(s(31))), (Some(s(32)), None));
-    assert_eq!(ids(&standby.due(s(32)).unwrap()), "a");
-    assert_eq!((standby.next_due(), standby.due(s(33))), (None, None));
-    assert_eq!(ids(&standby.take(s(40), vec![])), "", "an empty list is no list without the others");
-    assert_eq!(ids(&standby.take(s(41), list(Phase::Ready))), "a");
+    assert_eq!(ids(&standby.update(s(1), list(Phase::Ready))), "a");
+    assert_eq!((standby.next_deadline(), standby.release_due(s(100))), (None, None));
+    assert_eq!(ids(&standby.update(s(2), list(Phase::Draining))), "a z");
+    assert_eq!(ids(&standby.update(s(3), list(Phase::Ready))), "a z", "not at once");
+    assert_eq!(ids(&standby.update(s(10), list(Phase::Draining))), "a z", "it flaps");
+    standby.update(s(12), list(Phase::Ready));
+    assert_eq!((standby.next_deadline(), standby.release_due(s(31))), (Some(s(32)), None));
+    assert_eq!(ids(&standby.release_due(s(32)).unwrap()), "a");
+    assert_eq!((standby.next_deadline(), standby.release_due(s(33))), (None, None));
+    assert_eq!(ids(&standby.update(s(40), vec![])), "", "an empty list is no list without the others");
+    assert_eq!(ids(&standby.update(s(41), list(Phase::Ready))), "a");
 }
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -343,12 +343,12 @@
 
     /// The whole list of replicas, as its source now says it.
     pub fn update_roster(&mut self, now: Duration, entries: Vec<RosterEntry>) {
-        let entries = self.standby.take(now, entries);
+        let entries = self.standby.update(now, entries);
         self.take_list(now, entries);
     }
 
     fn take_list(&mut self, now: Duration, entries: Vec<RosterEntry>) {
-        match self.update_roster.take(now, entries) {
+        match self.update_roster.update(now, entries) {
             RosterChange::Same => {}
             RosterChange::Doubted(until) => {
                 self.out.push_back(Action::Report(EngineEvent::EmptyRosterDoubted(until)))
@@ -371,7 +371,7 @@
     ) -> Result<JoinOutcome, JoinError> {
         let drawn = |(id, weight): &(ReplicaId, f64)| {
             let known = self.update_roster.get(id).filter(|one| one.phase == Phase::Ready);
-            known.is_some_and(|one| one.zone == join.zone || self.update_roster.ready_in(join.zone) < 3)
+            known.is_some_and(|one| one.zone == join.zone || self.update_roster.ready_count(join.zone) < 3)
                 && *weight > 0.0
         };
         let bare = !join.holds_governor_tables && join.ownership_proof.is_none();
@@ -382,8 +382,8 @@
         let still = recalled.as_ref().is_some_and(|known| !known.own);
         let fresh = (bare || still) && !join.default_table.is_empty() && join.default_table.iter().all(drawn);
         // A join has a version of its own: what the number's tables were before is another state.
-        let tries = (self.version + 1, self.tables.tries());
-        let joined = self.fleet.join(now, stream, join, fresh, self.groups, tries)?;
+        let tries = (self.version + 1, self.tables.retry_policies());
+        let joined = self.fleet.connect(now, stream, join, fresh, self.groups, tries)?;
         self.version += 1;
         if joined.id_reused {
             self.reports.forget(joined.proxy);
@@ -402,9 +402,9 @@
             self.rules.proxy_disconnected(joined.proxy);
         }
         self.out.extend(joined.replaced_stream.map(Action::CloseStream));
-        self.guard.left(joined.proxy);
+        self.guard.proxy_disconnected(joined.proxy);
         let usual = self.usual(join, recalled.as_ref());
-        self.guard.joined(joined.proxy, usual, &join.default_table);
+        self.guard.proxy_connected(joined.proxy, usual, &join.default_table);
         if let Some(known) = recalled {
             self.resume(now, joined.proxy, known);
         }
@@ -447,7 +447,12 @@
         for (group, held) in known.tables.into_iter().enumerate().take(self.groups) {
             let Some(held) = held else { continue };
             let table = Table::from(held);
-            self.guard.stands(number, group, known.flows.get(group).copied().unwrap_or(0.0), Some(&table));
+            self.guard.set_current_table(
+                number,
+                group,
+                known.flows.get(group).copied().unwrap_or(0.0),
+                Some(&table),
+            );
             if known.own {
                 let said = PublishedTable::of(&table, tries.get(group).copied().unwrap_or_default());
                 let (told_at, until) = (now.saturating_sub(self.recalled.age), now + HANDED_FOR);
@@ -481,7 +486,7 @@
         };
         self.recalled_holds = recalled.holds.clone().into_iter().map(times).collect();
         for ((id, zone), per_s) in &recalled.seen {
-            self.guard.saw(now, id, *zone, *per_s);
+            self.guard.restore_throughput(now, id, *zone, *per_s);
         }
         self.recalled = recalled;
     }
@@ -499,8 +504,9 @@
         let mut known = StoredItems::new();
         for (number, proxy) in self.fleet.iter() {
             let (name, version) = (format!("proxy/{}", proxy.name), proxy.newest());
-            let flows: Vec<f64> =
-                (0..self.groups).map(|group| snapshot::stepped(self.guard.flows(number, group))).collect();
+            let flows: Vec<f64> = (0..self.groups)
+                .map(|group| snapshot::stepped(self.guard.requests_per_second(number, group)))
+                .collect();
             // Tables are of their version: they are not copied and compared again each time.
             let same = before.get(&name).filter(|item| {
                 matches!(&***item, StoredItem::Proxy(old)
@@ -531,12 +537,11 @@
             known.entry(format!("proxy/{name}")).or_insert_with(|| Arc::new(StoredItem::Proxy(item())));
         }
         let mut replicas: BTreeMap<&ReplicaId, snapshot::StoredReplica> = BTreeMap::new();
-        for (id, zone, per_s) in self.guard.seen(now) {
+        for (id, zone, per_s) in self.guard.throughput(now) {
             replicas.entry(id).or_default().seen.push((zone, snapshot::stepped(per_s)));
         }
-        let ready = |one: &(&ReplicaId, &KnownReplica)| {
-            one.1.phase == Phase::Ready && self.tables.is_withdrawn(one.0)
-        };
+        let ready =
+            |one: &(&ReplicaId, &KnownReplica)| one.1.phase == Phase::Ready && self.tables.is_ejected(one.0);
         for (id, _) in self.update_roster.iter().filter(ready) {
             replicas.entry(id).or_default().withdrawn = true;
         }
@@ -545,7 +550,7 @@
         };
         known.extend(replicas.into_iter().map(named));
         for ((level, tries), group) in
-            self.tables.levels().iter().zip(groups).filter(|((level, _), _)| *level < 1.0)
+            self.tables.admission().iter().zip(groups).filter(|((level, _), _)| *level < 1.0)
         {
             known.insert(
                 format!("level/{group}"),
@@ -652,7 +657,7 @@
                 migrated: true,
             };
             let present = self.present(number, group);
-            let withdrawn = |id: &ReplicaId| self.tables.is_withdrawn(id);
+            let withdrawn = |id: &ReplicaId| self.tables.is_ejected(id);
             // An operator's hold here goes before.
             if !self.frozen_tables.contains_key(&(number, group))
                 && frozen_tables::told(&hold, &present, &self.update_roster, withdrawn).0.is_some()
@@ -666,7 +671,7 @@
             let roster = &self.update_roster;
             let listed = |id: &ReplicaId| roster.get(id).is_some_and(|one| one.phase != Phase::Gone);
             // One that does not count is counted as such; the next comes soon.
-            let _ = self.reports.take(now, number, zone, stream, &report, listed);
+            let _ = self.reports.record(now, number, zone, stream, &report, listed);
         }
         kept
     }
@@ -684,12 +689,12 @@
 
     /// A stream is over; the proxy may be dead, or still at work with what it holds.
     pub fn stream_closed(&mut self, now: Duration, stream: StreamId) {
-        let Some(number) = self.fleet.leave(now, stream) else { return };
+        let Some(number) = self.fleet.disconnect(now, stream) else { return };
         self.pace.forget(number);
         self.lobby.retain(|(waiting, _)| *waiting != number);
         self.frozen_tables.retain(|(of, _), hold| *of != number || !hold.migrated);
         self.rules.proxy_disconnected(number);
-        self.guard.left(number);
+        self.guard.proxy_disconnected(number);
         self.causes.insert(Cause::Left);
     }
 
@@ -708,13 +713,13 @@
         };
         let (zone, roster) = (proxy.zone, &self.update_roster);
         let listed = |id: &ReplicaId| roster.get(id).is_some_and(|one| one.phase != Phase::Gone);
-        self.reports.take(now, number, zone, stream, report, listed)
+        self.reports.record(now, number, zone, stream, report, listed)
     }
 
     /// The proxy on a stream took all that it was sent up to a version.
     pub fn version_acknowledged(&mut self, now: Duration, stream: StreamId, version: u64) {
         let Some(number) = self.fleet.number_of(stream) else { return };
-        for ordered in self.fleet.acked(stream, version) {
+        for ordered in self.fleet.acknowledge(stream, version) {
             self.rules.acknowledged(now.saturating_sub(ordered));
             self.causes.insert(Cause::Acked);
         }
@@ -727,7 +732,7 @@
     /// nothing again before something has changed.
     pub fn version_rejected(&mut self, stream: StreamId, version: u64, words: &str) {
         let Some(number) = self.fleet.number_of(stream) else { return };
-        self.fleet.nacked(stream, version, words);
+        self.fleet.reject(stream, version, words);
         self.pace.acknowledged(number);
         if let Some(proxy) = self.fleet.get(number) {
             let words = proxy.rejected.as_ref().map(|(_, words)| words.clone()).unwrap_or_default();
@@ -827,7 +832,7 @@
                 };
                 let present = self.present(number, group);
                 let (told, left_out) = frozen_tables::told(&hold, &present, &self.update_roster, |id| {
-                    self.tables.is_withdrawn(id)
+                    self.tables.is_ejected(id)
                 });
                 if told.is_none() {
                     rolled.unfreezable += 1;
@@ -880,14 +885,14 @@
         }
         let why = why.chars().take(500).collect::<String>().into();
         self.overrides.set(replica.clone(), Override { what, since: now, until, why })?;
-        self.refresh(now, &self.fleet.numbers(), None);
+        self.refresh(now, &self.fleet.proxy_ids(), None);
         Ok(())
     }
 
     /// Ends what operators said of a replica; whether they said anything.
     pub fn end_override(&mut self, now: Duration, replica: &str) -> bool {
         let ended = self.overrides.end(replica);
-        self.refresh(now, &self.fleet.numbers(), None);
+        self.refresh(now, &self.fleet.proxy_ids(), None);
         ended
     }
 
@@ -919,8 +924,8 @@
 
     fn scoped(&self, scope: &TableScope) -> Result<(Vec<ProxyId>, std::ops::Range<usize>), RollbackError> {
         Ok(match scope {
-            TableScope::All => (self.fleet.numbers(), 0..self.groups),
-            TableScope::Group(group) => (self.fleet.numbers(), *group..(group + 1).min(self.groups)),
+            TableScope::All => (self.fleet.proxy_ids(), 0..self.groups),
+            TableScope::Group(group) => (self.fleet.proxy_ids(), *group..(group + 1).min(self.groups)),
             TableScope::Proxy(name) => {
                 let named = self.fleet.named(name);
                 let (number, _) = named.ok_or_else(|| RollbackError::NoProxy(name.clone()))?;
@@ -932,7 +937,7 @@
     /// The module's present table for a proxy's group, held or not.
     fn present(&self, number: ProxyId, group: usize) -> Table {
         let present = self.fleet.get(number).and_then(|proxy| {
-            self.tables.wanted(
+            self.tables.resolve(
                 &self.update_roster,
                 group,
                 proxy.assigned_tables[group],
@@ -945,7 +950,7 @@
 
     /// A changed limit on lines of reports.
     pub fn limit_reports(&mut self, lines_per_s: f64) {
-        self.reports.limit(lines_per_s);
+        self.reports.set_limit(lines_per_s);
     }
 
     // ---- steps
@@ -960,7 +965,7 @@
         if let Some(step) = self.out.pop_front() {
             return Some(step);
         }
-        let number = self.pace.next(now)?;
+        let number = self.pace.next_proxy(now)?;
         self.offered = Some(number);
         Some(Action::Flush(number))
     }
@@ -968,12 +973,12 @@
     /// When to pull [`Engine::next_action`] again, if nothing else happens.
     pub fn next_deadline(&self, now: Duration) -> Duration {
         let holds = self.frozen_tables.values().map(|hold| hold.until).min();
-        let overrides = self.overrides.next_due();
+        let overrides = self.overrides.next_deadline();
         let dues = [
-            self.update_roster.next_due(),
-            self.standby.next_due(),
-            self.reports.next_due(),
-            self.pace.next_due(now),
+            self.update_roster.next_deadline(),
+            self.standby.next_deadline(),
+            self.reports.next_deadline(),
+            self.pace.next_deadline(now),
             holds,
             overrides,
             (!self.recalled.levels.is_empty()).then_some(self.levels_until),
@@ -986,10 +991,10 @@
         if now > self.beat_at + STOOD_STILL && !self.catching_up {
             (self.beat_at, self.catching_up) = (now + CATCH_UP, true);
         }
-        if let Some(listed) = self.update_roster.due(now) {
+        if let Some(listed) = self.update_roster.believe_empty(now) {
             self.listed(now, &listed);
         }
-        if let Some(entries) = self.standby.due(now) {
+        if let Some(entries) = self.standby.release_due(now) {
             self.take_list(now, entries);
         }
         if self.frozen_tables.values().any(|hold| hold.until <= now) {
@@ -997,28 +1002,28 @@
         }
         if !self.recalled.levels.is_empty() && now >= self.levels_until {
             self.recalled.levels.clear();
-            self.refresh(now, &self.fleet.numbers(), None);
+            self.refresh(now, &self.fleet.proxy_ids(), None);
         }
         if now >= self.recalled_at + snapshot::TABLES {
             // Who has not come back by now was elsewhere, or is no more.
             self.recalled.proxies.clear();
         }
         self.recalled_holds.retain(|_, (_, until, _)| now < *until);
-        let over = self.overrides.due(now);
+        let over = self.overrides.take_expired(now);
         if !over.is_empty() {
             self.out.extend(over.into_iter().map(|id| Action::Report(EngineEvent::OverrideExpired(id))));
-            self.refresh(now, &self.fleet.numbers(), None);
+            self.refresh(now, &self.fleet.proxy_ids(), None);
         }
-        for told in self.reports.due(now) {
+        for told in self.reports.take_due(now) {
             self.causes.insert(Cause::Reports);
             match told {
                 AggregatedStatistics::Replica(met) => {
                     let delivered = met.attempts.saturating_sub(met.failed);
-                    self.guard.met(now, &met.replica, met.zone, delivered, met.interval);
+                    self.guard.record_throughput(now, &met.replica, met.zone, delivered, met.interval);
                     self.rules.record_replica_statistics(now, met);
                 }
                 AggregatedStatistics::Demand(came) => {
-                    self.guard.came(came.proxy, came.class, came.requests, came.interval);
+                    self.guard.record_demand(came.proxy, came.class, came.requests, came.interval);
                     self.rules.record_demand(now, came);
                 }
             }
@@ -1027,7 +1032,7 @@
         while let Some((number, usual)) = self.lobby.front().copied() {
             // One at a time goes in even where the channel never has room, or nobody ever would.
             let fits = self.pace.has_capacity(self.set_aside + self.join_cost);
-            if !fits && (self.set_aside > 0.0 || self.pace.waiting(now) > 0) {
+            if !fits && (self.set_aside > 0.0 || self.pace.queued_entries(now) > 0) {
                 break;
             }
             self.lobby.pop_front();
@@ -1055,7 +1060,7 @@
             let beat = self.causes.contains(&Cause::Beat);
             self.pull(now);
             if std::mem::take(&mut self.recheck_all) {
-                let all = self.fleet.numbers();
+                let all = self.fleet.proxy_ids();
                 self.refresh_as(now, &all, None, true, true);
             } else if beat {
                 self.recheck(now);
@@ -1066,15 +1071,15 @@
     /// Replicas for whose sake a table that stands is judged again: they are shut by now, or sent too much.
     fn suspects(&self, now: Duration) -> BTreeSet<ReplicaId> {
         let shut = |(id, known): &(&ReplicaId, &KnownReplica)| known.phase != Phase::Ready || self.is_out(id);
-        let mut suspects = self.guard.troubled(now, &self.update_roster, |id| self.is_out(id));
+        let mut suspects = self.guard.overloaded_replicas(now, &self.update_roster, |id| self.is_out(id));
         suspects.extend(self.update_roster.iter().filter(shut).map(|(id, _)| id.clone()));
         suspects
     }
 
     /// Judges again what was refused, and, if some replica is sent too much by tables that stand, those.
     fn recheck(&mut self, now: Duration) {
-        let troubled = self.guard.troubled(now, &self.update_roster, |id| self.is_out(id));
-        let held = self.guard.held();
+        let troubled = self.guard.overloaded_replicas(now, &self.update_roster, |id| self.is_out(id));
+        let held = self.guard.proxies_with_refusals();
         let names = |proxy: &Proxy| {
             let lines = proxy.tables.iter().flatten().flat_map(|kept| &kept.table.entries);
             lines.filter(|line| line.routable).any(|line| troubled.contains(&line.replica))
@@ -1094,10 +1099,10 @@
         let tables = &self.tables;
         let held: BTreeSet<&ReplicaId> =
             self.fleet.iter().flat_map(|(_, one)| &one.default_table).map(|(id, _)| id).collect();
-        self.update_roster.forget(|id| tables.names(id) || held.contains(id));
+        self.update_roster.forget_gone(|id| tables.names_replica(id) || held.contains(id));
         // Addresses may have changed under the same names.
-        let all = self.fleet.numbers();
-        self.guard.listed(&self.update_roster);
+        let all = self.fleet.proxy_ids();
+        self.guard.roster_changed(&self.update_roster);
         self.refresh(now, &all, None);
         // What stands may be harmful by the new list, once the module has had its say.
         self.recheck_all = true;
@@ -1129,7 +1134,7 @@
                     continue;
                 }
                 Decision::SetEjected { replica, ejected: out } => {
-                    self.tables.withdraw(replica.clone(), out);
+                    self.tables.set_ejected(replica.clone(), out);
                     (everyone, asked) = (true, true);
                     DecisionSummary::Withdraw(replica, out)
                 }
@@ -1137,7 +1142,7 @@
                     // Who follows it may be said only later in the same go.
                     touched.push((decided.len(), table));
                     let count = entries.len();
-                    self.tables.lay(table, entries);
+                    self.tables.update_entries(table, entries);
                     DecisionSummary::Lines("".into(), count)
                 }
                 Decision::AssignTable { proxy: number, table, classes: groups } => {
@@ -1162,8 +1167,8 @@
                     if level < 1.0 {
                         self.recalled.levels.retain(|group, _| groups >> *group & 1 == 0);
                     }
-                    for (groups, tries) in self.guard.tries(now, groups, tries) {
-                        self.tables.level(groups, level, tries);
+                    for (groups, tries) in self.guard.check_retry_policy(now, groups, tries) {
+                        self.tables.set_admission(groups, level, tries);
                     }
                     everyone = true;
                     DecisionSummary::Level(groups, level, tries)
@@ -1172,7 +1177,13 @@
             decided.push(what);
             if decided.len() >= MOST_DECISIONS {
                 // A module that goes on for ever must not hold up drains: the rest is asked for next time.
-                self.guard.refuse(now, 0, RefusalReason::Flood, decided.len() as f64, MOST_DECISIONS as f64);
+                self.guard.record_refusal(
+                    now,
+                    0,
+                    RefusalReason::Flood,
+                    decided.len() as f64,
+                    MOST_DECISIONS as f64,
+                );
                 self.beat_at = now + Duration::from_millis(250);
                 break;
             }
@@ -1188,7 +1199,7 @@
         let note = |what| Action::Report(EngineEvent::Decided { what, version, answers: answers.clone() });
         self.out.extend(decided.into_iter().map(note));
         let concerned: Vec<ProxyId> =
-            if everyone { self.fleet.numbers() } else { concerned.into_iter().collect() };
+            if everyone { self.fleet.proxy_ids() } else { concerned.into_iter().collect() };
         self.refresh_as(now, &concerned, marked.then_some(now), asked, false);
     }
 
@@ -1235,9 +1246,9 @@
     /// there is nothing to say.
     fn wanted(&self, number: ProxyId, group: usize) -> Option<(Table, bool)> {
         let proxy = self.fleet.get(number)?;
-        let overridden = proxy.default_table.iter().any(|(id, _)| self.overrides.names(id));
+        let overridden = proxy.default_table.iter().any(|(id, _)| self.overrides.contains(id));
         let (follows, told) = (proxy.assigned_tables[group], proxy.tables[group].is_some() || overridden);
-        let wanted = self.tables.wanted(&self.update_roster, group, follows, &proxy.default_table, told);
+        let wanted = self.tables.resolve(&self.update_roster, group, follows, &proxy.default_table, told);
         // A level of before a restart holds until the module says another, and for some seconds at the most:
         // it begins with all let in, and an overload that goes on would be let in until it is seen again.
         let level = self.recalled.levels.get(&group).copied();
@@ -1252,9 +1263,8 @@
             None => (wanted?, false),
             Some(hold) => {
                 let present = wanted.as_ref().unwrap_or(&nothing);
-                match frozen_tables::told(hold, present, &self.update_roster, |id| {
-                    self.tables.is_withdrawn(id)
-                }) {
+                match frozen_tables::told(hold, present, &self.update_roster, |id| self.tables.is_ejected(id))
+                {
                     (Some(held), _) => (held, false),
                     (None, _) => (wanted.unwrap_or(nothing), true),
                 }
@@ -1266,7 +1276,7 @@
 
     /// Whether nothing is to be sent to a replica: by the module, or by an operator.
     fn is_out(&self, replica: &ReplicaId) -> bool {
-        self.tables.is_withdrawn(replica) || self.overrides.excludes(replica)
+        self.tables.is_ejected(replica) || self.overrides.excludes(replica)
     }
 
     /// As [`Engine::refresh`]. `asked`: the cause asks for as many moves as it takes. `recheck`: tables that
@@ -1281,7 +1291,7 @@
     ) {
         let version = self.version + 1;
         let suspects = if recheck { self.suspects(now) } else { BTreeSet::new() };
-        let held = if recheck { self.guard.held() } else { BTreeSet::new() };
+        let held = if recheck { self.guard.proxies_with_refusals() } else { BTreeSet::new() };
         let mut wanted: Vec<(ProxyId, usize, Table)> = Vec::new();
         for (number, group) in numbers.iter().flat_map(|number| (0..self.groups).map(move |at| (*number, at)))
         {
@@ -1294,7 +1304,7 @@
             let kept = self.fleet.get(number).and_then(|proxy| proxy.tables[group].as_ref());
             let same = kept.is_some_and(|kept| *kept.table == table);
             if same {
-                self.guard.settled(number, group);
+                self.guard.clear_refusals(number, group);
             }
             let suspect =
                 |line: &crate::tables::ResolvedEntry| line.routable && suspects.contains(&line.replica);
@@ -1319,14 +1329,14 @@
             })
         };
         let changes: Vec<ProposedTable> = wanted.into_iter().filter_map(change).collect();
-        let withdrawn = |id: &ReplicaId| tables.is_withdrawn(id) || overrides.excludes(id);
-        let judged = self.guard.judge(now, &self.update_roster, withdrawn, asked, changes);
+        let withdrawn = |id: &ReplicaId| tables.is_ejected(id) || overrides.excludes(id);
+        let judged = self.guard.check(now, &self.update_roster, withdrawn, asked, changes);
         let mut judged: BTreeMap<(ProxyId, usize), Table> = places.into_iter().zip(judged).collect();
-        while let Some(refusal) = self.guard.news() {
+        while let Some(refusal) = self.guard.next_new_refusal() {
             self.out.push_back(Action::Report(EngineEvent::TableRefused(refusal)));
         }
         let mut changed = Vec::new();
-        let tries = self.tables.tries();
+        let tries = self.tables.retry_policies();
         for number in numbers {
             let Some(proxy) = self.fleet.get_mut(*number) else { continue };
             let (mut lines, mut urgent) = (0, false);
@@ -1338,15 +1348,16 @@
                     kept => {
                         lines += kept
                             .as_ref()
-                            .map_or(table.entries.len() + 1, |kept| table.differing(&kept.table));
+                            .map_or(table.entries.len() + 1, |kept| table.count_differences(&kept.table));
                         // Who came with holdings that nobody knows, or may send to a drain, can't wait.
-                        let drains = |(id, _): &(ReplicaId, f64)| self.tables.is_withdrawn(id);
+                        let drains = |(id, _): &(ReplicaId, f64)| self.tables.is_ejected(id);
                         urgent |= match &kept {
                             Some(kept) => {
                                 let excluded = |line: &crate::tables::ResolvedEntry| {
                                     line.routable && self.overrides.excludes(&line.replica)
                                 };
-                                self.tables.outdates(&kept.table) || kept.table.entries.iter().any(excluded)
+                                self.tables.routes_to_ejected(&kept.table)
+                                    || kept.table.entries.iter().any(excluded)
                             }
                             None => !proxy.holds_default_table || proxy.default_table.iter().any(drains),
                         };
@@ -1415,7 +1426,7 @@
     }
 
     pub fn is_ejected(&self, replica: &ReplicaId) -> bool {
-        self.tables.is_withdrawn(replica)
+        self.tables.is_ejected(replica)
     }
 
     /// Why the module has a ready replica out, in its own words.
@@ -1430,7 +1441,7 @@
 
     /// By group.
     pub fn admission(&self) -> &[(f64, RetryPolicy)] {
-        self.tables.levels()
+        self.tables.admission()
     }
 
     pub fn reports(&self) -> (&BTreeMap<DiscardReason, u64>, u64) {
@@ -1455,7 +1466,7 @@
                 let line =
                     |line: &crate::tables::ResolvedEntry| (line.replica.clone(), line.weight, line.routable);
                 recording::RecordedTable {
-                    flows: self.guard.flows(number, group),
+                    flows: self.guard.requests_per_second(number, group),
                     level: table.map_or(1.0, |table| table.admission_fraction),
                     lines: table.map(|table| table.entries.iter().map(line).collect()),
                 }
@@ -1481,7 +1492,7 @@
             limits: self.guard.limits().into(),
             replicas: self.update_roster.iter().map(replica).collect(),
             proxies: self.fleet.iter().map(held).collect(),
-            seen: self.guard.seen(now).map(seen).collect(),
+            seen: self.guard.throughput(now).map(seen).collect(),
         }
     }
 
@@ -1508,10 +1519,10 @@
             flushes: self.pulls,
             connected_proxies: self.fleet.len(),
             queued_joins: self.lobby.len(),
-            queued_entries: self.pace.waiting(now),
-            max_queued_entries: self.pace.most_waited(),
-            queued_reports: self.reports.waiting(),
-            history_entries: self.history.lines(),
+            queued_entries: self.pace.queued_entries(now),
+            max_queued_entries: self.pace.max_queued_entries(),
+            queued_reports: self.reports.queued_entries(),
+            history_entries: self.history.entry_count(),
             frozen_tables: self.frozen_tables.len(),
             roster_doubted: self.update_roster.empty_roster_doubted(),
         }
--- a/crates/core/src/engine/tests.rs
+++ b/crates/core/src/engine/tests.rs
@@ -699,9 +699,9 @@
     let mut before = engine(&all);
     before.proxy_connected(ms(1), 1, &join("p", &all)).unwrap();
     run(&mut before, ms(600));
-    before.tables.withdraw("b".into(), true);
-    ["a", "c", "d"].into_iter().for_each(|id| before.guard.saw(ms(5000), &id.into(), 0, 20.0));
-    before.tables.level(1, 0.25, RetryPolicy::Never);
+    before.tables.set_ejected("b".into(), true);
+    ["a", "c", "d"].into_iter().for_each(|id| before.guard.restore_throughput(ms(5000), &id.into(), 0, 20.0));
+    before.tables.set_admission(1, 0.25, RetryPolicy::Never);
     let mut after = next_life(&before, 1.0, &all);
     after.proxy_connected(ms(1), 1, &join("p", &all)).unwrap();
     let mut out_at = None;
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -85,7 +85,7 @@
     pub acknowledged_version: u64,
     /// Version and words of the last table that the proxy would not take, until it takes a later one.
     pub rejected: Option<(u64, String)>,
-    marks: VecDeque<(u64, Duration)>,
+    outstanding_acknowledgements: VecDeque<(u64, Duration)>,
 }
 
 impl Proxy {
@@ -107,23 +107,25 @@
 
     /// A marked order of this version left at this time.
     pub fn request_acknowledgement(&mut self, version: u64, now: Duration) {
-        if self.marks.len() == MOST_MARKS {
-            self.marks.pop_front();
+        if self.outstanding_acknowledgements.len() == MOST_MARKS {
+            self.outstanding_acknowledgements.pop_front();
         }
-        self.marks.push_back((version, now));
+        self.outstanding_acknowledgements.push_back((version, now));
     }
 
     /// How long the oldest marked order has waited for its acknowledgement.
     pub fn acknowledgement_delay(&self, now: Duration) -> Duration {
-        self.marks.front().map_or(Duration::ZERO, |(_, at)| now.saturating_sub(*at))
+        self.outstanding_acknowledgements.front().map_or(Duration::ZERO, |(_, at)| now.saturating_sub(*at))
     }
 
     /// Marks that an acknowledgement of a version answers, by the time that they were ordered. An older
     /// acknowledgement than one heard before answers nothing.
-    fn answered(&mut self, version: u64) -> Vec<Duration> {
+    fn acknowledge(&mut self, version: u64) -> Vec<Duration> {
         self.acknowledged_version = self.acknowledged_version.max(version);
         let mut answered = Vec::new();
-        while let Some((_, at)) = self.marks.pop_front_if(|(marked, _)| *marked <= version) {
+        while let Some((_, at)) =
+            self.outstanding_acknowledgements.pop_front_if(|(marked, _)| *marked <= version)
+        {
             answered.push(at);
         }
         answered
@@ -135,51 +137,51 @@
 pub struct ProxyIdAllocator {
     by_name: BTreeMap<Arc<str>, ProxyId>,
     /// Names that are away, by since when.
-    away: BTreeSet<(Duration, Arc<str>)>,
+    release: BTreeSet<(Duration, Arc<str>)>,
     next: usize,
-    most: usize,
+    capacity: usize,
 }
 
 impl ProxyIdAllocator {
     pub fn new(most: usize) -> Self {
         ProxyIdAllocator {
             by_name: BTreeMap::new(),
-            away: BTreeSet::new(),
+            release: BTreeSet::new(),
             next: 0,
-            most: most.min(MOST_PROXIES),
+            capacity: most.min(MOST_PROXIES),
         }
     }
 
     /// The second value is the name that loses the number.
-    pub fn give(&mut self, now: Duration, name: &Arc<str>) -> Option<(ProxyId, Option<Arc<str>>)> {
+    pub fn assign(&mut self, now: Duration, name: &Arc<str>) -> Option<(ProxyId, Option<Arc<str>>)> {
         if let Some(number) = self.by_name.get(name) {
-            self.away.retain(|(_, away)| away != name);
+            self.release.retain(|(_, away)| away != name);
             return Some((*number, None));
         }
-        if self.next < self.most {
+        if self.next < self.capacity {
             let number = self.next as ProxyId;
             self.next += 1;
             self.by_name.insert(name.clone(), number);
             return Some((number, None));
         }
-        let (since, _) = self.away.first()?;
+        let (since, _) = self.release.first()?;
         if now < *since + REUSE_AFTER {
             return None;
         }
-        let (_, former) = self.away.pop_first()?;
+        let (_, former) = self.release.pop_first()?;
         let number = self.by_name.remove(&former)?;
         self.by_name.insert(name.clone(), number);
         Some((number, Some(former)))
     }
 
-    pub fn away(&mut self, now: Duration, name: &Arc<str>) {
+    pub fn release(&mut self, now: Duration, name: &Arc<str>) {
         if self.by_name.contains_key(name) {
-            self.away.insert((now, name.clone()));
+            self.release.insert((now, name.clone()));
         }
     }
 
-    pub fn most(&self) -> usize {
-        self.most
+    pub fn capacity(&self) -> usize {
+        self.capacity
     }
 }
 
@@ -188,7 +190,7 @@
     proxies: BTreeMap<ProxyId, Proxy>,
     by_stream: BTreeMap<StreamId, ProxyId>,
     by_name: BTreeMap<Arc<str>, ProxyId>,
-    numbers: ProxyIdAllocator,
+    proxy_ids: ProxyIdAllocator,
     /// By name: when streams under it were replaced while they were still up.
     contests: BTreeMap<Arc<str>, VecDeque<Duration>>,
 }
@@ -210,7 +212,7 @@
             proxies: BTreeMap::new(),
             by_stream: BTreeMap::new(),
             by_name: BTreeMap::new(),
-            numbers: ProxyIdAllocator::new(most),
+            proxy_ids: ProxyIdAllocator::new(most),
             contests: BTreeMap::new(),
         }
     }
@@ -218,7 +220,7 @@
     /// Lets a proxy in. The newest stream of a name is the true one: a proxy whose stream broke unnoticed
     /// comes back before its old one is known to be gone. Names that are taken over again and again are
     /// refused to the newcomer for a while, or two proxies of one name would throw each other out for ever.
-    pub fn join(
+    pub fn connect(
         &mut self,
         now: Duration,
         stream: StreamId,
@@ -245,8 +247,8 @@
             times.push_back(now);
         }
         self.contests.retain(|_, times| times.back().is_some_and(|last| *last + CONTEST_OVER > now));
-        let Some((number, former)) = self.numbers.give(now, &join.name) else {
-            return Err(JoinError::Full { joined: self.proxies.len(), most: self.numbers.most() });
+        let Some((number, former)) = self.proxy_ids.assign(now, &join.name) else {
+            return Err(JoinError::Full { joined: self.proxies.len(), most: self.proxy_ids.capacity() });
         };
         if let Some(old) = replaced {
             self.by_stream.remove(&old);
@@ -266,33 +268,33 @@
             sent_version: 0,
             acknowledged_version: 0,
             rejected: None,
-            marks: VecDeque::new(),
+            outstanding_acknowledgements: VecDeque::new(),
         };
         self.proxies.insert(number, proxy);
         Ok(JoinOutcome { proxy: number, replaced_stream: replaced, id_reused: former.is_some() })
     }
 
     /// A stream is over. None if a later one under the same name has taken its place.
-    pub fn leave(&mut self, now: Duration, stream: StreamId) -> Option<ProxyId> {
+    pub fn disconnect(&mut self, now: Duration, stream: StreamId) -> Option<ProxyId> {
         let number = self.by_stream.remove(&stream)?;
         let proxy = self.proxies.remove(&number)?;
         self.by_name.remove(&proxy.name);
-        self.numbers.away(now, &proxy.name);
+        self.proxy_ids.release(now, &proxy.name);
         Some(number)
     }
 
     /// A proxy took all up to a version: the times at which the marks that this answers were ordered.
-    pub fn acked(&mut self, stream: StreamId, version: u64) -> Vec<Duration> {
-        let Some(proxy) = self.on_mut(stream) else { return Vec::new() };
+    pub fn acknowledge(&mut self, stream: StreamId, version: u64) -> Vec<Duration> {
+        let Some(proxy) = self.proxy_on_stream_mut(stream) else { return Vec::new() };
         if proxy.rejected.as_ref().is_some_and(|(refused, _)| *refused <= version) {
             proxy.rejected = None;
         }
-        proxy.answered(version)
+        proxy.acknowledge(version)
     }
 
     /// A proxy would not take a version. What it held before stands.
-    pub fn nacked(&mut self, stream: StreamId, version: u64, words: &str) {
-        if let Some(proxy) = self.on_mut(stream) {
+    pub fn reject(&mut self, stream: StreamId, version: u64, words: &str) {
+        if let Some(proxy) = self.proxy_on_stream_mut(stream) {
             // The words are the proxy's, and might be of any length.
             proxy.rejected = Some((version, words.chars().take(500).collect()));
         }
@@ -319,7 +321,7 @@
         self.proxies.iter().map(|(number, proxy)| (*number, proxy))
     }
 
-    pub fn numbers(&self) -> Vec<ProxyId> {
+    pub fn proxy_ids(&self) -> Vec<ProxyId> {
         self.proxies.keys().copied().collect()
     }
 
@@ -331,7 +333,7 @@
         self.proxies.is_empty()
     }
 
-    fn on_mut(&mut self, stream: StreamId) -> Option<&mut Proxy> {
+    fn proxy_on_stream_mut(&mut self, stream: StreamId) -> Option<&mut Proxy> {
         self.by_stream.get(&stream).and_then(|number| self.proxies.get_mut(number))
     }
 }
--- a/crates/core/src/fleet/tests.rs
+++ b/crates/core/src/fleet/tests.rs
@@ -15,7 +15,7 @@
 }
 
 fn put(fleet: &mut Fleet, now: u64, stream: StreamId, name: &str) -> Result<JoinOutcome, JoinError> {
-    fleet.join(Duration::from_secs(now), stream, &join(name), false, 1, (0, vec![]))
+    fleet.connect(Duration::from_secs(now), stream, &join(name), false, 1, (0, vec![]))
 }
 
 #[test]
@@ -23,10 +23,10 @@
     let mut fleet = Fleet::new(2);
     assert_eq!(put(&mut fleet, 1, 1, "a").unwrap().proxy, 0);
     assert_eq!(put(&mut fleet, 1, 2, "b").unwrap().proxy, 1);
-    fleet.leave(Duration::from_secs(2), 1);
+    fleet.disconnect(Duration::from_secs(2), 1);
     assert!(matches!(put(&mut fleet, 3, 3, "c"), Err(JoinError::Full { joined: 1, most: 2 })));
     assert_eq!(put(&mut fleet, 4, 4, "a").unwrap().proxy, 0, "its own again");
-    fleet.leave(Duration::from_secs(5), 4);
+    fleet.disconnect(Duration::from_secs(5), 4);
     assert_eq!(put(&mut fleet, 700, 5, "c").unwrap().proxy, 0);
     assert!(put(&mut fleet, 701, 6, "a").is_err(), "its number is another's now");
 }
@@ -34,7 +34,7 @@
 #[test]
 fn no_number_is_given_beyond_those_that_can_hold_tables() {
     let mut numbers = ProxyIdAllocator::new(usize::MAX);
-    let given = (0..70_000).map_while(|n| numbers.give(Duration::ZERO, &format!("p{n}").into()));
+    let given = (0..70_000).map_while(|n| numbers.assign(Duration::ZERO, &format!("p{n}").into()));
     assert_eq!(given.map(|(number, _)| number).last(), Some(32_765));
 }
 
@@ -43,9 +43,9 @@
     let mut fleet = Fleet::new(9);
     put(&mut fleet, 1, 1, "a").unwrap();
     assert_eq!(put(&mut fleet, 2, 2, "a").unwrap().replaced_stream, Some(1));
-    assert_eq!(fleet.leave(Duration::from_secs(3), 1), None);
+    assert_eq!(fleet.disconnect(Duration::from_secs(3), 1), None);
     assert_eq!(fleet.len(), 1);
-    assert_eq!(fleet.leave(Duration::from_secs(3), 2), Some(0));
+    assert_eq!(fleet.disconnect(Duration::from_secs(3), 2), Some(0));
 }
 
 #[test]
@@ -65,8 +65,8 @@
     put(&mut fleet, 1, 1, "a").unwrap();
     let proxy = fleet.get_mut(0).unwrap();
     (3..6).for_each(|version| proxy.request_acknowledgement(version, Duration::from_secs(version)));
-    assert_eq!(fleet.acked(1, 4), [Duration::from_secs(3), Duration::from_secs(4)]);
-    assert_eq!(fleet.acked(1, 2), []);
+    assert_eq!(fleet.acknowledge(1, 4), [Duration::from_secs(3), Duration::from_secs(4)]);
+    assert_eq!(fleet.acknowledge(1, 2), []);
     assert_eq!(fleet.get(0).unwrap().acknowledged_version, 4);
-    assert_eq!(fleet.acked(7, 5), [], "no such stream");
+    assert_eq!(fleet.acknowledge(7, 5), [], "no such stream");
 }
--- a/crates/core/src/frozen_tables/tests.rs
+++ b/crates/core/src/frozen_tables/tests.rs
@@ -38,7 +38,7 @@
         started_at: started.map(s),
         backup: false,
     };
-    roster.take(s(60), entries.iter().map(entry).collect());
+    roster.update(s(60), entries.iter().map(entry).collect());
     roster
 }
 
--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -175,10 +175,10 @@
     shares: BTreeMap<(ProxyId, usize), Share>,
     account: BTreeMap<ReplicaId, f64>,
     /// By replica and zone: the most that was delivered a second lately, and when.
-    seen: BTreeMap<(ReplicaId, usize), (f64, Duration)>,
+    throughput: BTreeMap<(ReplicaId, usize), (f64, Duration)>,
     refusals: VecDeque<Refusal>,
     /// Refusals that are news, for the log.
-    news: VecDeque<Refusal>,
+    next_new_refusal: VecDeque<Refusal>,
     lasting: BTreeMap<(ProxyId, usize, RefusalReason), Duration>,
     counts: BTreeMap<RefusalReason, u64>,
     passed: u64,
@@ -198,9 +198,9 @@
             limits,
             shares: BTreeMap::new(),
             account: BTreeMap::new(),
-            seen: BTreeMap::new(),
+            throughput: BTreeMap::new(),
             refusals: VecDeque::new(),
-            news: VecDeque::new(),
+            next_new_refusal: VecDeque::new(),
             lasting: BTreeMap::new(),
             counts: BTreeMap::new(),
             passed: 0,
@@ -230,7 +230,7 @@
     }
 
     /// A proxy has joined: its demand as it says it ordinarily is, on its standing lines.
-    pub fn joined(&mut self, proxy: ProxyId, flows: f64, standing: &[(ReplicaId, f64)]) {
+    pub fn proxy_connected(&mut self, proxy: ProxyId, flows: f64, standing: &[(ReplicaId, f64)]) {
         let groups = self.limits.same_zone_only.len();
         let all: f64 = standing.iter().map(|(_, weight)| weight.max(0.0)).sum();
         for group in 0..groups {
@@ -242,7 +242,7 @@
         }
     }
 
-    pub fn left(&mut self, proxy: ProxyId) {
+    pub fn proxy_disconnected(&mut self, proxy: ProxyId) {
         let keys: Vec<_> = self.shares.range((proxy, 0)..=(proxy, usize::MAX)).map(|(key, _)| *key).collect();
         for key in keys {
             self.book(key, -1.0);
@@ -253,7 +253,7 @@
 
     /// Flows that came to a proxy, as it reports. Half of a new word counts at once, so that one odd report
     /// does not turn the account over.
-    pub fn came(&mut self, proxy: ProxyId, group: usize, flows: u64, span: Duration) {
+    pub fn record_demand(&mut self, proxy: ProxyId, group: usize, flows: u64, span: Duration) {
         let rate = flows as f64 / span.as_secs_f64().max(0.1);
         if self.shares.contains_key(&(proxy, group)) {
             // What came while a stream was broken is told at once, as if it had come within one report.
@@ -264,21 +264,28 @@
     }
 
     /// What was delivered at a replica, as the proxies of a zone report.
-    pub fn met(&mut self, now: Duration, replica: &ReplicaId, zone: usize, delivered: u64, span: Duration) {
+    pub fn record_throughput(
+        &mut self,
+        now: Duration,
+        replica: &ReplicaId,
+        zone: usize,
+        delivered: u64,
+        span: Duration,
+    ) {
         let rate = delivered as f64 / span.as_secs_f64().max(0.1);
-        let seen = self.seen.entry((replica.clone(), zone)).or_insert((0.0, now));
+        let seen = self.throughput.entry((replica.clone(), zone)).or_insert((0.0, now));
         if rate >= aged(*seen, now) {
             *seen = (rate, now);
         }
     }
 
     /// What a replica was seen to deliver a second, as another account has it.
-    pub fn saw(&mut self, now: Duration, replica: &ReplicaId, zone: usize, per_s: f64) {
-        self.seen.insert((replica.clone(), zone), (per_s, now));
+    pub fn restore_throughput(&mut self, now: Duration, replica: &ReplicaId, zone: usize, per_s: f64) {
+        self.throughput.insert((replica.clone(), zone), (per_s, now));
     }
 
     /// A proxy that has joined has so many flows of a group, and stands on a table that it was told.
-    pub fn stands(&mut self, proxy: ProxyId, group: usize, flows: f64, told: Option<&Table>) {
+    pub fn set_current_table(&mut self, proxy: ProxyId, group: usize, flows: f64, told: Option<&Table>) {
         self.set((proxy, group), |share| {
             share.flows = flows;
             share.parts = told.map_or_else(|| std::mem::take(&mut share.parts), parts);
@@ -287,8 +294,8 @@
 
     /// The list has changed: what is not on it any more is forgotten, and the account is made anew, so that
     /// rounding does not add up.
-    pub fn listed(&mut self, roster: &Roster) {
-        self.seen.retain(|(id, _), _| roster.get(id).is_some_and(|one| one.phase != Phase::Gone));
+    pub fn roster_changed(&mut self, roster: &Roster) {
+        self.throughput.retain(|(id, _), _| roster.get(id).is_some_and(|one| one.phase != Phase::Gone));
         self.account.clear();
         let keys: Vec<_> = self.shares.keys().copied().collect();
         keys.into_iter().for_each(|key| self.book(key, 1.0));
@@ -325,7 +332,7 @@
     /// with.
     fn unit(&self, now: Duration, roster: &Roster, withdrawn: &impl Fn(&ReplicaId) -> bool) -> Unit {
         let mut seen: BTreeMap<&ReplicaId, f64> = BTreeMap::new();
-        for ((id, _), one) in &self.seen {
+        for ((id, _), one) in &self.throughput {
             *seen.entry(id).or_default() += aged(*one, now);
         }
         let weight = |id: &ReplicaId| roster.get(id).map_or(1.0, |one| one.weight.max(1e-9));
@@ -346,7 +353,7 @@
     ///
     /// `asked`: its cause asks for as many moves as it takes (the list changed, a proxy came or went,
     /// something was withdrawn, an operator spoke).
-    pub fn judge(
+    pub fn check(
         &mut self,
         now: Duration,
         roster: &Roster,
@@ -580,13 +587,13 @@
     }
 
     /// The next refusal that is news; one that goes on is none.
-    pub fn news(&mut self) -> Option<Refusal> {
-        self.news.pop_front()
+    pub fn next_new_refusal(&mut self) -> Option<Refusal> {
+        self.next_new_refusal.pop_front()
     }
 
     fn keep(&mut self, refusal: Refusal) {
-        if refusal.since == refusal.at && self.news.len() < KEPT {
-            self.news.push_back(refusal.clone());
+        if refusal.since == refusal.at && self.next_new_refusal.len() < KEPT {
+            self.next_new_refusal.push_back(refusal.clone());
         }
         if self.refusals.len() == KEPT {
             self.refusals.pop_front();
@@ -595,7 +602,14 @@
     }
 
     /// Something that is about no one proxy is refused.
-    pub fn refuse(&mut self, now: Duration, group: usize, reason: RefusalReason, asked: f64, allowed: f64) {
+    pub fn record_refusal(
+        &mut self,
+        now: Duration,
+        group: usize,
+        reason: RefusalReason,
+        asked: f64,
+        allowed: f64,
+    ) {
         *self.counts.entry(reason).or_default() += 1;
         let (at, since, done) = (now, now, RefusalOutcome::Corrected);
         self.keep(Refusal {
@@ -613,7 +627,7 @@
 
     /// What proxies may do about further tries in each group of a set: a try that may have run is never
     /// followed by another where its effect must not happen twice.
-    pub fn tries(
+    pub fn check_retry_policy(
         &mut self,
         now: Duration,
         groups: ClassSet,
@@ -625,18 +639,18 @@
             return vec![(groups, tries)];
         }
         let set: ClassSet = barred.iter().map(|group| 1 << group).sum();
-        barred.into_iter().for_each(|group| self.refuse(now, group, RefusalReason::Tries, 2.0, 1.0));
+        barred.into_iter().for_each(|group| self.record_refusal(now, group, RefusalReason::Tries, 2.0, 1.0));
         vec![(groups & !set, tries), (set, RetryPolicy::IfNotExecuted)]
     }
 
     /// A proxy's group holds what is wanted: nothing of it is refused any more.
-    pub fn settled(&mut self, proxy: ProxyId, group: usize) {
+    pub fn clear_refusals(&mut self, proxy: ProxyId, group: usize) {
         self.lasting.retain(|(of, at, _), _| (*of, *at) != (proxy, group));
     }
 
     /// Replicas that are sent more than they may be by the tables that stand, as when one starts anew cold,
     /// or demand grows.
-    pub fn troubled(
+    pub fn overloaded_replicas(
         &self,
         now: Duration,
         roster: &Roster,
@@ -680,7 +694,7 @@
     // ---- what operators read
 
     /// Proxies something of whose tables is being refused: they are to be judged again now and then.
-    pub fn held(&self) -> BTreeSet<ProxyId> {
+    pub fn proxies_with_refusals(&self) -> BTreeSet<ProxyId> {
         self.lasting.keys().map(|(proxy, ..)| *proxy).collect()
     }
 
@@ -700,13 +714,13 @@
     }
 
     /// Flows a second that a proxy has of a group, by the account.
-    pub fn flows(&self, proxy: ProxyId, group: usize) -> f64 {
+    pub fn requests_per_second(&self, proxy: ProxyId, group: usize) -> f64 {
         self.shares.get(&(proxy, group)).map_or(0.0, |share| share.flows)
     }
 
     /// The most that was delivered a second lately, by replica and zone, counting less with age.
-    pub fn seen(&self, now: Duration) -> impl Iterator<Item = (&ReplicaId, usize, f64)> {
-        self.seen.iter().map(move |((id, zone), one)| (id, *zone, aged(*one, now)))
+    pub fn throughput(&self, now: Duration) -> impl Iterator<Item = (&ReplicaId, usize, f64)> {
+        self.throughput.iter().map(move |((id, zone), one)| (id, *zone, aged(*one, now)))
     }
 
     pub fn limits(&self) -> &GuardLimits {
--- a/crates/core/src/history.rs
+++ b/crates/core/src/history.rs
@@ -25,12 +25,12 @@
 
 #[derive(Debug)]
 pub struct History {
-    kept: BTreeMap<ProxyId, VecDeque<HistoryEntry>>,
+    by_proxy: BTreeMap<ProxyId, VecDeque<HistoryEntry>>,
     /// All but the newest of each proxy, oldest first.
     order: BTreeSet<(u64, ProxyId)>,
-    each: usize,
-    lines_most: usize,
-    lines: usize,
+    max_versions: usize,
+    max_entries: usize,
+    entry_count: usize,
 }
 
 /// What a version costs besides its lines, in lines.
@@ -43,66 +43,72 @@
 impl History {
     /// The last `each` versions of a proxy, and `lines_most` lines in all.
     pub fn new(each: usize, lines_most: usize) -> Self {
-        History { kept: BTreeMap::new(), order: BTreeSet::new(), each: each.max(1), lines_most, lines: 0 }
+        History {
+            by_proxy: BTreeMap::new(),
+            order: BTreeSet::new(),
+            max_versions: each.max(1),
+            max_entries: lines_most,
+            entry_count: 0,
+        }
     }
 
     /// A proxy is told something new. Versions grow.
     pub fn push(&mut self, proxy: ProxyId, version: HistoryEntry) {
-        let kept = self.kept.entry(proxy).or_default();
+        let kept = self.by_proxy.entry(proxy).or_default();
         if let Some(last) = kept.back() {
             if version.version <= last.version {
                 return;
             }
             self.order.insert((last.version, proxy));
         }
-        self.lines += cost(&version);
+        self.entry_count += cost(&version);
         kept.push_back(version);
-        if kept.len() > self.each {
+        if kept.len() > self.max_versions {
             self.drop_oldest_of(proxy);
         }
-        while self.lines > self.lines_most {
+        while self.entry_count > self.max_entries {
             let Some((_, oldest)) = self.order.first().copied() else { break };
             self.drop_oldest_of(oldest);
         }
     }
 
     fn drop_oldest_of(&mut self, proxy: ProxyId) {
-        let Some(dropped) = self.kept.get_mut(&proxy).and_then(VecDeque::pop_front) else { return };
-        self.lines -= cost(&dropped);
+        let Some(dropped) = self.by_proxy.get_mut(&proxy).and_then(VecDeque::pop_front) else { return };
+        self.entry_count -= cost(&dropped);
         self.order.remove(&(dropped.version, proxy));
     }
 
     /// The newest version of a proxy.
     pub fn newest(&self, proxy: ProxyId) -> Option<&HistoryEntry> {
-        self.kept.get(&proxy)?.back()
+        self.by_proxy.get(&proxy)?.back()
     }
 
     /// A version that a proxy says it holds, if it is kept and its content is what the proxy says.
     pub fn held(&self, proxy: ProxyId, version: u64, digest: &Digest) -> Option<&HistoryEntry> {
-        let kept = self.kept.get(&proxy)?;
+        let kept = self.by_proxy.get(&proxy)?;
         kept.iter().rev().find(|one| one.version == version && one.digest == *digest)
     }
 
     /// What a proxy was told as of a version: the newest one up to it.
     pub fn as_of(&self, proxy: ProxyId, version: u64) -> Option<&HistoryEntry> {
-        self.kept.get(&proxy)?.iter().rev().find(|one| one.version <= version)
+        self.by_proxy.get(&proxy)?.iter().rev().find(|one| one.version <= version)
     }
 
     /// Oldest first.
     pub fn of(&self, proxy: ProxyId) -> impl Iterator<Item = &HistoryEntry> {
-        self.kept.get(&proxy).into_iter().flatten()
+        self.by_proxy.get(&proxy).into_iter().flatten()
     }
 
     pub fn forget(&mut self, proxy: ProxyId) {
-        for version in self.kept.remove(&proxy).into_iter().flatten() {
-            self.lines -= cost(&version);
+        for version in self.by_proxy.remove(&proxy).into_iter().flatten() {
+            self.entry_count -= cost(&version);
             self.order.remove(&(version.version, proxy));
         }
     }
 
     /// Lines kept in all.
-    pub fn lines(&self) -> usize {
-        self.lines
+    pub fn entry_count(&self) -> usize {
+        self.entry_count
     }
 }
 
--- a/crates/core/src/history/tests.rs
+++ b/crates/core/src/history/tests.rs
@@ -29,7 +29,7 @@
     let mut history = History::new(3, 1000);
     (1..6).for_each(|n| history.push(0, version(n, 8)));
     assert_eq!(versions(&history, 0), [3, 4, 5]);
-    assert_eq!(history.lines(), 30);
+    assert_eq!(history.entry_count(), 30);
     let mut tight = History::new(9, 35);
     (1..4).for_each(|n| tight.push(0, version(n, 8)));
     tight.push(1, version(4, 8));
@@ -37,7 +37,7 @@
     tight.push(1, version(5, 30));
     assert_eq!((versions(&tight, 0), versions(&tight, 1)), (vec![3], vec![5]), "the newest of each stays");
     tight.forget(1);
-    assert_eq!(tight.lines(), 10);
+    assert_eq!(tight.entry_count(), 10);
 }
 
 #[test]
--- a/crates/core/src/overrides.rs
+++ b/crates/core/src/overrides.rs
@@ -42,7 +42,7 @@
 
 #[derive(Debug, Default)]
 pub struct Overrides {
-    of: BTreeMap<ReplicaId, Override>,
+    by_replica: BTreeMap<ReplicaId, Override>,
 }
 
 impl Overrides {
@@ -55,45 +55,45 @@
         {
             return Err(OverrideError::Factor(factor));
         }
-        if self.of.len() >= MOST && !self.of.contains_key(&replica) {
+        if self.by_replica.len() >= MOST && !self.by_replica.contains_key(&replica) {
             return Err(OverrideError::Full);
         }
-        self.of.insert(replica, one);
+        self.by_replica.insert(replica, one);
         Ok(())
     }
 
     pub fn end(&mut self, replica: &str) -> bool {
-        self.of.remove(replica).is_some()
+        self.by_replica.remove(replica).is_some()
     }
 
     /// Replicas whose time is over.
-    pub fn due(&mut self, now: Duration) -> BTreeSet<ReplicaId> {
-        self.of.extract_if(.., |_, one| one.until <= now).map(|(id, _)| id).collect()
+    pub fn take_expired(&mut self, now: Duration) -> BTreeSet<ReplicaId> {
+        self.by_replica.extract_if(.., |_, one| one.until <= now).map(|(id, _)| id).collect()
     }
 
-    pub fn next_due(&self) -> Option<Duration> {
-        self.of.values().map(|one| one.until).min()
+    pub fn next_deadline(&self) -> Option<Duration> {
+        self.by_replica.values().map(|one| one.until).min()
     }
 
     pub fn excludes(&self, replica: &ReplicaId) -> bool {
-        self.of.get(replica).is_some_and(|one| one.what == OverrideKind::Exclude)
+        self.by_replica.get(replica).is_some_and(|one| one.what == OverrideKind::Exclude)
     }
 
-    pub fn names(&self, replica: &ReplicaId) -> bool {
-        self.of.contains_key(replica)
+    pub fn contains(&self, replica: &ReplicaId) -> bool {
+        self.by_replica.contains_key(replica)
     }
 
     pub fn is_empty(&self) -> bool {
-        self.of.is_empty()
+        self.by_replica.is_empty()
     }
 
     /// A table as it is wanted under what operators say.
     pub fn apply(&self, table: &mut Table) {
-        if self.of.is_empty() {
+        if self.by_replica.is_empty() {
             return;
         }
         for line in &mut table.entries {
-            match self.of.get(&line.replica).map(|one| one.what) {
+            match self.by_replica.get(&line.replica).map(|one| one.what) {
                 Some(OverrideKind::Exclude) => line.routable = false,
                 Some(OverrideKind::Weight(factor)) => line.weight *= factor,
                 None => {}
@@ -102,6 +102,6 @@
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (&ReplicaId, &Override)> {
-        self.of.iter()
+        self.by_replica.iter()
     }
 }
--- a/crates/core/src/recording.rs
+++ b/crates/core/src/recording.rs
@@ -257,7 +257,7 @@
             started_at: one.age_s.map(|age| NOW - span(age)),
             backup: false,
         };
-        roster.take(NOW, self.replicas.iter().map(entry).collect());
+        roster.update(NOW, self.replicas.iter().map(entry).collect());
         let out: BTreeSet<&Arc<str>> =
             self.replicas.iter().filter(|one| one.out).map(|one| &one.id).collect();
         let mut guard = Guard::new(GuardLimits {
@@ -269,7 +269,7 @@
             not_idempotent: self.limits.once_only.clone(),
         });
         for seen in &self.seen {
-            guard.saw(NOW, &seen.replica, seen.zone, seen.per_s);
+            guard.restore_throughput(NOW, &seen.replica, seen.zone, seen.per_s);
         }
         let line = |zone: usize, (replica, weight, open): (&Arc<str>, f64, bool)| {
             let known = roster.get(replica);
@@ -285,13 +285,13 @@
         let mut numbers: BTreeMap<&str, usize> = BTreeMap::new();
         for (number, proxy) in self.proxies.iter().enumerate() {
             numbers.insert(&proxy.name, number);
-            guard.joined(number as ProxyId, 0.0, &proxy.standing);
+            guard.proxy_connected(number as ProxyId, 0.0, &proxy.standing);
             for (group, told) in proxy.groups.iter().enumerate() {
                 let lines = told.lines.as_ref().map(|lines| {
                     lines.iter().map(|(id, weight, open)| line(proxy.zone, (id, *weight, *open))).collect()
                 });
                 let table = lines.map(|lines| Table { entries: lines, admission_fraction: told.level });
-                guard.stands(number as ProxyId, group, told.flows, table.as_ref());
+                guard.set_current_table(number as ProxyId, group, told.flows, table.as_ref());
                 held.extend(table.map(|table| ((number, group), table)));
             }
         }
@@ -320,10 +320,10 @@
                 wanted: table,
             });
         }
-        let tables = guard.judge(NOW, &roster, |id| out.contains(id), false, changes);
+        let tables = guard.check(NOW, &roster, |id| out.contains(id), false, changes);
         let name = |number: ProxyId| self.proxies.get(usize::from(number)).map(|one| one.name.clone());
         let refused = |refusal: Refusal| DryRunRefusal { proxy: refusal.proxy.and_then(name), refusal };
-        let refusals = std::iter::from_fn(|| guard.news()).map(refused).collect();
+        let refusals = std::iter::from_fn(|| guard.next_new_refusal()).map(refused).collect();
         Ok(Ok(DryRun { tables, refusals }))
     }
 }
--- a/crates/core/src/reports.rs
+++ b/crates/core/src/reports.rs
@@ -135,7 +135,7 @@
         }
     }
 
-    pub fn limit(&mut self, lines_per_s: f64) {
+    pub fn set_limit(&mut self, lines_per_s: f64) {
         self.lines_per_s = lines_per_s;
     }
 
@@ -165,7 +165,7 @@
 
     /// Counts a report, but for its lines on replicas that `listed` does not know. Streams are numbered in
     /// the order in which they were opened.
-    pub fn take(
+    pub fn record(
         &mut self,
         now: Duration,
         proxy: ProxyId,
@@ -267,12 +267,12 @@
         self.sums.entry(key).or_default()
     }
 
-    pub fn next_due(&self) -> Option<Duration> {
+    pub fn next_deadline(&self) -> Option<Duration> {
         self.next
     }
 
     /// Lines for the module, if a period is over.
-    pub fn due(&mut self, now: Duration) -> Vec<AggregatedStatistics> {
+    pub fn take_due(&mut self, now: Duration) -> Vec<AggregatedStatistics> {
         if self.next.is_none_or(|next| now < next) {
             return Vec::new();
         }
@@ -314,7 +314,7 @@
     }
 
     /// Lines that wait for their turn.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_entries(&self) -> usize {
         self.order.len()
     }
 }
--- a/crates/core/src/reports/tests.rs
+++ b/crates/core/src/reports/tests.rs
@@ -30,7 +30,7 @@
     stream: StreamId,
     report: &LoadReport,
 ) -> Result<(), DiscardReason> {
-    reports.take(ms(now), 7, 2, stream, report, |id| &**id == "a")
+    reports.record(ms(now), 7, 2, stream, report, |id| &**id == "a")
 }
 
 #[test]
@@ -38,13 +38,13 @@
     let mut reports = reports();
     take(&mut reports, 11_000, 1, &report(1000, 9, 1)).unwrap();
     take(&mut reports, 11_300, 1, &report(500, 10, 0)).unwrap();
-    assert_eq!(reports.due(ms(11_499)), []);
-    let told = reports.due(ms(11_500));
+    assert_eq!(reports.take_due(ms(11_499)), []);
+    let told = reports.take_due(ms(11_500));
     let AggregatedStatistics::Replica(met) = &told[0] else { panic!("{told:?}") };
     assert_eq!((met.zone, met.attempts, met.failed, met.mean_latency), (2, 20, 1, Some(ms(20))));
     let AggregatedStatistics::Demand(came) = told[1] else { panic!("{told:?}") };
     assert_eq!((came.proxy, came.requests, came.failed), (7, 22, 1));
-    assert_eq!(reports.next_due(), None);
+    assert_eq!(reports.next_deadline(), None);
 }
 
 #[test]
@@ -78,7 +78,7 @@
     let mut odd = report(1000, 5, 0);
     odd.observations[0].answers.1 = 6;
     assert_eq!(take(&mut reports, 11_000, 1, &odd), Err(DiscardReason::Counters));
-    assert_eq!(reports.due(ms(99_000)), []);
+    assert_eq!(reports.take_due(ms(99_000)), []);
 }
 
 #[test]
@@ -88,7 +88,7 @@
     both.observations.push(ReplicaObservation { replica: "gone".into(), ..both.observations[0].clone() });
     take(&mut reports, 11_000, 1, &both).unwrap();
     assert_eq!(reports.tally().0[&DiscardReason::Unlisted], 1);
-    assert_eq!(reports.due(ms(12_000)).len(), 2);
+    assert_eq!(reports.take_due(ms(12_000)).len(), 2);
 }
 
 #[test]
@@ -100,7 +100,7 @@
             observations: vec![],
             rejected: vec![(0, u64::from(proxy) + 1)],
         };
-        reports.take(ms(11_000 + u64::from(proxy)), proxy, 0, 1, &idle, |_| true).unwrap();
+        reports.record(ms(11_000 + u64::from(proxy)), proxy, 0, 1, &idle, |_| true).unwrap();
     }
     let told = |told: Vec<AggregatedStatistics>| -> Vec<(ProxyId, u64)> {
         let came = told.into_iter().map(|one| match one {
@@ -109,9 +109,9 @@
         });
         came.collect()
     };
-    assert_eq!(told(reports.due(ms(11_500))), [(0, 1), (1, 2)]);
+    assert_eq!(told(reports.take_due(ms(11_500))), [(0, 1), (1, 2)]);
     let more = LoadReport { interval: ms(1000), observations: vec![], rejected: vec![(0, 50)] };
-    reports.take(ms(11_600), 5, 0, 1, &more, |_| true).unwrap();
-    assert_eq!(told(reports.due(ms(12_000))), [(2, 3), (3, 4)]);
-    assert_eq!(told(reports.due(ms(12_500))), [(4, 5), (5, 56)], "and what waits is summed");
+    reports.record(ms(11_600), 5, 0, 1, &more, |_| true).unwrap();
+    assert_eq!(told(reports.take_due(ms(12_000))), [(2, 3), (3, 4)]);
+    assert_eq!(told(reports.take_due(ms(12_500))), [(4, 5), (5, 56)], "and what waits is summed");
 }
--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -41,7 +41,7 @@
 pub struct Roster {
     known: BTreeMap<ReplicaId, KnownReplica>,
     by_address: BTreeMap<Arc<str>, ReplicaId>,
-    empty_after: Duration,
+    empty_roster_timeout: Duration,
     /// Since when the source has said that there are no replicas at all.
     empty_since: Option<Duration>,
 }
@@ -60,17 +60,22 @@
 impl Roster {
     /// `empty_after`: how long an empty list must stand before it is believed.
     pub fn new(empty_after: Duration) -> Self {
-        Roster { known: BTreeMap::new(), by_address: BTreeMap::new(), empty_after, empty_since: None }
+        Roster {
+            known: BTreeMap::new(),
+            by_address: BTreeMap::new(),
+            empty_roster_timeout: empty_after,
+            empty_since: None,
+        }
     }
 
     /// Takes a whole list. What it leaves out is gone. A start later than `now` is taken for `now`: the
     /// source's clock runs ahead, and a replica from the future would count as cold for too long.
-    pub fn take(&mut self, now: Duration, entries: Vec<RosterEntry>) -> RosterChange {
+    pub fn update(&mut self, now: Duration, entries: Vec<RosterEntry>) -> RosterChange {
         let held = self.known.values().any(|one| one.phase != Phase::Gone);
         if entries.is_empty() && held {
             let since = *self.empty_since.get_or_insert(now);
-            if now < since + self.empty_after {
-                return RosterChange::Doubted(since + self.empty_after);
+            if now < since + self.empty_roster_timeout {
+                return RosterChange::Doubted(since + self.empty_roster_timeout);
             }
         } else {
             self.empty_since = None;
@@ -79,8 +84,8 @@
     }
 
     /// To be called when an empty list's time is over: it is believed then.
-    pub fn due(&mut self, now: Duration) -> Option<Vec<ReplicaEntry>> {
-        let since = self.empty_since.filter(|since| now >= *since + self.empty_after)?;
+    pub fn believe_empty(&mut self, now: Duration) -> Option<Vec<ReplicaEntry>> {
+        let since = self.empty_since.filter(|since| now >= *since + self.empty_roster_timeout)?;
         match self.replace(since, Vec::new()) {
             RosterChange::Changed(listed) => Some(listed),
             _ => None,
@@ -88,9 +93,9 @@
     }
 
     /// When [`Roster::due`] is next to be called.
-    pub fn next_due(&self) -> Option<Duration> {
+    pub fn next_deadline(&self) -> Option<Duration> {
         let held = self.known.values().any(|one| one.phase != Phase::Gone);
-        self.empty_since.filter(|_| held).map(|since| since + self.empty_after)
+        self.empty_since.filter(|_| held).map(|since| since + self.empty_roster_timeout)
     }
 
     fn replace(&mut self, now: Duration, entries: Vec<RosterEntry>) -> RosterChange {
@@ -140,7 +145,7 @@
         self.known.get(id).is_some_and(|one| one.phase == Phase::Ready)
     }
 
-    pub fn ready_in(&self, zone: usize) -> usize {
+    pub fn ready_count(&self, zone: usize) -> usize {
         self.known.values().filter(|one| one.zone == zone && one.phase == Phase::Ready).count()
     }
 
@@ -149,11 +154,11 @@
     }
 
     pub fn empty_roster_doubted(&self) -> bool {
-        self.next_due().is_some()
+        self.next_deadline().is_some()
     }
 
     /// Drops what is gone and named nowhere, so that years of deploys under new names don't pile up here.
-    pub fn forget(&mut self, named: impl Fn(&ReplicaId) -> bool) {
+    pub fn forget_gone(&mut self, named: impl Fn(&ReplicaId) -> bool) {
         self.known.retain(|id, one| one.phase != Phase::Gone || named(id));
         self.by_address.retain(|_, id| self.known.contains_key(id));
     }
--- a/crates/core/src/roster/tests.rs
+++ b/crates/core/src/roster/tests.rs
@@ -21,30 +21,30 @@
 #[test]
 fn an_empty_list_is_believed_only_once_it_has_stood() {
     let mut roster = Roster::new(s(30));
-    roster.take(s(1), vec![entry("a", Phase::Ready, None)]);
-    assert_eq!(roster.take(s(10), vec![]), RosterChange::Doubted(s(40)));
-    assert_eq!(roster.due(s(39)), None);
+    roster.update(s(1), vec![entry("a", Phase::Ready, None)]);
+    assert_eq!(roster.update(s(10), vec![]), RosterChange::Doubted(s(40)));
+    assert_eq!(roster.believe_empty(s(39)), None);
     assert!(roster.is_ready(&"a".into()));
-    assert_eq!(roster.take(s(20), vec![entry("a", Phase::Ready, None)]), RosterChange::Same);
-    assert_eq!(roster.next_due(), None, "the list is back");
-    assert_eq!(roster.take(s(50), vec![]), RosterChange::Doubted(s(80)));
-    assert_eq!(roster.due(s(80)), Some(vec![]));
+    assert_eq!(roster.update(s(20), vec![entry("a", Phase::Ready, None)]), RosterChange::Same);
+    assert_eq!(roster.next_deadline(), None, "the list is back");
+    assert_eq!(roster.update(s(50), vec![]), RosterChange::Doubted(s(80)));
+    assert_eq!(roster.believe_empty(s(80)), Some(vec![]));
     assert!(!roster.is_ready(&"a".into()));
 }
 
 #[test]
 fn a_start_ahead_of_the_clock_is_taken_for_the_first_sight_of_it() {
     let mut roster = Roster::new(s(30));
-    roster.take(s(10), vec![entry("a", Phase::Ready, Some(500))]);
+    roster.update(s(10), vec![entry("a", Phase::Ready, Some(500))]);
     assert_eq!(roster.get(&"a".into()).unwrap().started_at, Some(s(10)));
-    assert_eq!(roster.take(s(11), vec![entry("a", Phase::Ready, Some(500))]), RosterChange::Same);
+    assert_eq!(roster.update(s(11), vec![entry("a", Phase::Ready, Some(500))]), RosterChange::Same);
 }
 
 #[test]
 fn a_new_process_under_an_old_name_is_told_of() {
     let mut roster = Roster::new(s(30));
-    roster.take(s(10), vec![entry("a", Phase::Ready, Some(1))]);
-    let RosterChange::Changed(listed) = roster.take(s(20), vec![entry("a", Phase::Ready, Some(15))]) else {
+    roster.update(s(10), vec![entry("a", Phase::Ready, Some(1))]);
+    let RosterChange::Changed(listed) = roster.update(s(20), vec![entry("a", Phase::Ready, Some(15))]) else {
         panic!("the start differs")
     };
     assert_eq!(listed[0].started_at, Some(s(15)));
@@ -53,9 +53,9 @@
 #[test]
 fn an_address_belongs_to_whoever_is_not_gone() {
     let mut roster = Roster::new(s(30));
-    roster.take(s(1), vec![entry("b", Phase::Ready, None)]);
-    roster.take(s(2), vec![entry("a", Phase::Ready, None)]);
+    roster.update(s(1), vec![entry("b", Phase::Ready, None)]);
+    roster.update(s(2), vec![entry("a", Phase::Ready, None)]);
     assert_eq!(roster.at("10.0.0.1:1"), Some(&"a".into()));
-    roster.forget(|_| false);
+    roster.forget_gone(|_| false);
     assert!(roster.get(&"b".into()).is_none());
 }
--- a/crates/core/src/send_limiter.rs
+++ b/crates/core/src/send_limiter.rs
@@ -49,26 +49,26 @@
 
 #[derive(Debug)]
 pub struct SendLimiter {
-    channel: ChannelLimits,
+    limits: ChannelLimits,
     tokens: f64,
     filled_at: Duration,
     proxies: BTreeMap<ProxyId, Line>,
-    turns: BTreeSet<(bool, Duration, ProxyId)>,
-    waiting: usize,
-    most_waited: usize,
+    queue: BTreeSet<(bool, Duration, ProxyId)>,
+    queued_entries: usize,
+    max_queued_entries: usize,
 }
 
 impl SendLimiter {
     pub fn new(channel: ChannelLimits, now: Duration) -> Self {
         let tokens = channel.entries_per_second * BURST.as_secs_f64();
         SendLimiter {
-            channel,
+            limits: channel,
             tokens,
             filled_at: now,
             proxies: BTreeMap::new(),
-            turns: BTreeSet::new(),
-            waiting: 0,
-            most_waited: 0,
+            queue: BTreeSet::new(),
+            queued_entries: 0,
+            max_queued_entries: 0,
         }
     }
 
@@ -82,45 +82,45 @@
             Some(old) => Due { lines: old.lines + lines, urgent: old.urgent || urgent, ..old.clone() },
         };
         if let Some(old) = &old {
-            self.turns.remove(&(!old.urgent, old.since, proxy));
-            self.waiting -= old.lines;
+            self.queue.remove(&(!old.urgent, old.since, proxy));
+            self.queued_entries -= old.lines;
         }
-        self.waiting += due.lines;
-        self.most_waited = self.most_waited.max(self.waiting);
+        self.queued_entries += due.lines;
+        self.max_queued_entries = self.max_queued_entries.max(self.queued_entries);
         if !due.stalled {
-            self.turns.insert((!due.urgent, due.since, proxy));
+            self.queue.insert((!due.urgent, due.since, proxy));
         }
         line.due = Some(due);
     }
 
     /// The next proxy that may be written to, in the order of turns. It stays due until [`SendLimiter::sent`] or
     /// [`SendLimiter::stream_full`].
-    pub fn next(&mut self, now: Duration) -> Option<ProxyId> {
-        self.fill(now);
+    pub fn next_proxy(&mut self, now: Duration) -> Option<ProxyId> {
+        self.refill(now);
         let free = |(ordinary, _, proxy): &&(bool, Duration, ProxyId)| {
-            self.proxies.get(proxy).is_some_and(|line| self.free_at(line, !ordinary, now) <= now)
+            self.proxies.get(proxy).is_some_and(|line| self.ready_at(line, !ordinary, now) <= now)
         };
-        let (ordinary, _, proxy) = *self.turns.iter().find(free)?;
-        (self.tokens >= self.least(self.proxies.get(&proxy)?, !ordinary)).then_some(proxy)
+        let (ordinary, _, proxy) = *self.queue.iter().find(free)?;
+        (self.tokens >= self.required_tokens(self.proxies.get(&proxy)?, !ordinary)).then_some(proxy)
     }
 
     /// A proxy was written so many lines in so many messages: none if there turned out to be nothing to say.
     pub fn sent(&mut self, now: Duration, proxy: ProxyId, lines: usize, messages: usize) {
-        self.fill(now);
-        self.settle(proxy);
+        self.refill(now);
+        self.clear_pending(proxy);
         let Some(line) = self.proxies.get_mut(&proxy) else { return };
         if lines == 0 {
             return;
         }
         let (before, since) = line.in_flight.unwrap_or((0, now));
         line.in_flight = Some((before + lines, since));
-        if let Some(MessageLimit { messages: most, interval: over }) = self.channel.message_limit {
+        if let Some(MessageLimit { messages: most, interval: over }) = self.limits.message_limit {
             line.written.extend(std::iter::repeat_n(now, messages));
             while line.written.len() > most || line.written.front().is_some_and(|at| *at + over <= now) {
                 line.written.pop_front();
             }
         }
-        self.tokens -= self.channel.message_overhead_entries * messages.max(1) as f64 + lines as f64;
+        self.tokens -= self.limits.message_overhead_entries * messages.max(1) as f64 + lines as f64;
     }
 
     /// A proxy's stream has no room: it is left out until [`SendLimiter::stream_has_capacity`], and its state goes on being
@@ -128,14 +128,14 @@
     pub fn stream_full(&mut self, proxy: ProxyId) {
         let Some(due) = self.proxies.get_mut(&proxy).and_then(|line| line.due.as_mut()) else { return };
         due.stalled = true;
-        self.turns.remove(&(!due.urgent, due.since, proxy));
+        self.queue.remove(&(!due.urgent, due.since, proxy));
     }
 
     /// A proxy's stream has room again.
     pub fn stream_has_capacity(&mut self, proxy: ProxyId) {
         let Some(due) = self.proxies.get_mut(&proxy).and_then(|line| line.due.as_mut()) else { return };
         due.stalled = false;
-        self.turns.insert((!due.urgent, due.since, proxy));
+        self.queue.insert((!due.urgent, due.since, proxy));
     }
 
     /// A proxy took (or would not take) all that it was sent.
@@ -149,7 +149,7 @@
     /// the same proxy, and would be sent up to twice as many messages within the span. *Harm:* one that comes
     /// back with its share used up waits for the rest of the span, on the tables that it holds.
     pub fn forget(&mut self, proxy: ProxyId) {
-        self.settle(proxy);
+        self.clear_pending(proxy);
         let written = self.proxies.remove(&proxy).map(|line| line.written).filter(|one| !one.is_empty());
         if let Some(written) = written {
             self.proxies.insert(proxy, Line { written, ..Line::default() });
@@ -157,72 +157,72 @@
     }
 
     /// When [`SendLimiter::next`] is worth asking again, if nothing else happens.
-    pub fn next_due(&self, now: Duration) -> Option<Duration> {
-        let lines = self.turns.iter().filter_map(|(ordinary, _, proxy)| {
+    pub fn next_deadline(&self, now: Duration) -> Option<Duration> {
+        let lines = self.queue.iter().filter_map(|(ordinary, _, proxy)| {
             let line = self.proxies.get(proxy)?;
-            let short = ((self.least(line, !ordinary) - self.tokens)
-                / self.channel.entries_per_second.max(1e-9))
+            let short = ((self.required_tokens(line, !ordinary) - self.tokens)
+                / self.limits.entries_per_second.max(1e-9))
             .clamp(0.0, 60.0);
             let filled = self.filled_at + Duration::from_secs_f64(short) + Duration::from_millis(1);
-            Some(self.free_at(line, !ordinary, now).max(filled))
+            Some(self.ready_at(line, !ordinary, now).max(filled))
         });
         // All wait for the same tokens: the first few in turn tell when it goes on.
         lines.take(64).min().map(|at| at.max(now))
     }
 
     /// Lines that wait: due to proxies, or written to them less than some seconds ago and not acknowledged.
-    pub fn waiting(&self, now: Duration) -> usize {
+    pub fn queued_entries(&self, now: Duration) -> usize {
         let flight = |line: &Line| match line.in_flight {
             Some((lines, since)) if now < since + STALLED_AFTER => lines,
             _ => 0,
         };
-        self.waiting + self.proxies.values().map(flight).sum::<usize>()
+        self.queued_entries + self.proxies.values().map(flight).sum::<usize>()
     }
 
-    pub fn most_waited(&self) -> usize {
-        self.most_waited
+    pub fn max_queued_entries(&self) -> usize {
+        self.max_queued_entries
     }
 
     /// Whether so many more lines may come to wait, with a reserve of a fifth left for drains.
     pub fn has_capacity(&self, lines: f64) -> bool {
-        let heads = self.turns.len() as f64 * self.channel.message_overhead_entries;
+        let heads = self.queue.len() as f64 * self.limits.message_overhead_entries;
         let debt = (-self.tokens).max(0.0);
-        self.waiting as f64 + heads + debt + lines <= 0.8 * self.channel.max_queued_entries
+        self.queued_entries as f64 + heads + debt + lines <= 0.8 * self.limits.max_queued_entries
     }
 
     /// The least that must be in store for a flush. A drain may go into debt with the channel, by one burst
     /// at most; the rest then waits the longer.
-    fn least(&self, line: &Line, urgent: bool) -> f64 {
+    fn required_tokens(&self, line: &Line, urgent: bool) -> f64 {
         let lines = line.due.as_ref().map_or(0, |due| due.lines) as f64;
-        if urgent { -self.burst() } else { (self.channel.message_overhead_entries + lines).min(self.burst()) }
+        if urgent { -self.burst() } else { (self.limits.message_overhead_entries + lines).min(self.burst()) }
     }
 
     fn burst(&self) -> f64 {
-        self.channel.entries_per_second * BURST.as_secs_f64()
+        self.limits.entries_per_second * BURST.as_secs_f64()
     }
 
-    fn fill(&mut self, now: Duration) {
+    fn refill(&mut self, now: Duration) {
         let passed = now.saturating_sub(self.filled_at).as_secs_f64();
-        self.tokens = (self.tokens + passed * self.channel.entries_per_second).min(self.burst());
+        self.tokens = (self.tokens + passed * self.limits.entries_per_second).min(self.burst());
         self.filled_at = self.filled_at.max(now);
     }
 
-    fn settle(&mut self, proxy: ProxyId) {
+    fn clear_pending(&mut self, proxy: ProxyId) {
         if let Some(due) = self.proxies.get_mut(&proxy).and_then(|line| line.due.take()) {
-            self.turns.remove(&(!due.urgent, due.since, proxy));
-            self.waiting -= due.lines;
+            self.queue.remove(&(!due.urgent, due.since, proxy));
+            self.queued_entries -= due.lines;
         }
     }
 
     /// When a proxy may be written to, the channel apart. What is ordinary waits for the acknowledgement of
     /// what went before, so that a slow proxy gets fewer and newer states; a drain waits for nothing but the
     /// limit on messages, of which one is kept for it.
-    fn free_at(&self, line: &Line, urgent: bool, now: Duration) -> Duration {
+    fn ready_at(&self, line: &Line, urgent: bool, now: Duration) -> Duration {
         let answered = match line.in_flight {
             Some((_, since)) if !urgent => since + STALLED_AFTER,
             _ => now,
         };
-        let Some(limit) = self.channel.message_limit else { return answered };
+        let Some(limit) = self.limits.message_limit else { return answered };
         let MessageLimit { messages: most, interval: over } = limit;
         let most = (most + 1).saturating_sub(FLUSH_MESSAGES + usize::from(!urgent)).max(1);
         let full = line.written.len().checked_sub(most).and_then(|at| line.written.get(at));
--- a/crates/core/src/send_limiter/tests.rs
+++ b/crates/core/src/send_limiter/tests.rs
@@ -28,7 +28,7 @@
             pace.forget(1);
         }
         pace.request(ms(100 * at), 1, 1, true);
-        while let Some(proxy) = pace.next(ms(100 * at)) {
+        while let Some(proxy) = pace.next_proxy(ms(100 * at)) {
             pace.sent(ms(100 * at), proxy, 1, 1);
             pace.acknowledged(proxy);
             sent += 1;
@@ -44,28 +44,28 @@
     pace.request(ms(2), 2, 5, false);
     pace.request(ms(3), 3, 1, true);
     let mut order = Vec::new();
-    while let Some(proxy) = pace.next(ms(4)) {
+    while let Some(proxy) = pace.next_proxy(ms(4)) {
         pace.sent(ms(4), proxy, 5, 1);
         order.push(proxy);
     }
     assert_eq!(order, [3, 1, 2]);
-    assert_eq!(pace.waiting, 0);
+    assert_eq!(pace.queued_entries, 0);
 }
 
 #[test]
 fn what_is_due_to_a_slow_proxy_is_merged_but_a_drain_goes_at_once() {
     let mut pace = pace(10_000.0, None);
     pace.request(ms(1), 1, 5, false);
-    pace.next(ms(1)).unwrap();
+    pace.next_proxy(ms(1)).unwrap();
     pace.sent(ms(1), 1, 5, 1);
     pace.request(ms(2), 1, 5, false);
-    assert_eq!(pace.next(ms(3)), None, "not acknowledged yet");
+    assert_eq!(pace.next_proxy(ms(3)), None, "not acknowledged yet");
     pace.request(ms(4), 1, 2, true);
-    assert_eq!(pace.next(ms(4)), Some(1));
-    assert_eq!(pace.waiting(ms(4)), 12);
+    assert_eq!(pace.next_proxy(ms(4)), Some(1));
+    assert_eq!(pace.queued_entries(ms(4)), 12);
     pace.sent(ms(4), 1, 6, 1);
     pace.acknowledged(1);
-    assert_eq!(pace.waiting(ms(5)), 0);
+    assert_eq!(pace.queued_entries(ms(5)), 0);
 }
 
 #[test]
@@ -74,13 +74,13 @@
     pace.request(ms(1), 1, 5, true);
     pace.request(ms(2), 2, 5, false);
     pace.stream_full(1);
-    assert_eq!(pace.next(ms(2)), Some(2));
+    assert_eq!(pace.next_proxy(ms(2)), Some(2));
     (0..1000).for_each(|_| pace.request(ms(3), 1, 1, true));
-    assert_eq!((pace.proxies.len(), pace.turns.len()), (2, 1));
+    assert_eq!((pace.proxies.len(), pace.queue.len()), (2, 1));
     pace.stream_has_capacity(1);
-    assert_eq!(pace.next(ms(4)), Some(1));
+    assert_eq!(pace.next_proxy(ms(4)), Some(1));
     pace.forget(1);
-    assert_eq!(pace.next(ms(4)), Some(2));
+    assert_eq!(pace.next_proxy(ms(4)), Some(2));
 }
 
 #[test]
@@ -88,12 +88,12 @@
     let mut pace = pace(100.0, None);
     pace.request(ms(0), 1, 90, false);
     pace.request(ms(0), 2, 1, false);
-    assert_eq!(pace.next(ms(0)), Some(1), "a state larger than a burst goes once the burst is full");
+    assert_eq!(pace.next_proxy(ms(0)), Some(1), "a state larger than a burst goes once the burst is full");
     pace.sent(ms(0), 1, 90, 1);
-    assert_eq!(pace.next(ms(1)), None);
-    let due = pace.next_due(ms(1)).unwrap();
+    assert_eq!(pace.next_proxy(ms(1)), None);
+    let due = pace.next_deadline(ms(1)).unwrap();
     assert!((ms(800)..ms(900)).contains(&due), "{due:?}");
-    assert_eq!(pace.next(due), Some(2));
+    assert_eq!(pace.next_proxy(due), Some(2));
     pace.request(ms(1), 3, 1, true);
     pace.sent(due, 2, 1, 1);
     assert!(!pace.has_capacity(80.0) && pace.has_capacity(60.0));
@@ -106,12 +106,12 @@
     pace.sent(ms(0), 1, 1, 1);
     pace.acknowledged(1);
     pace.request(ms(10), 1, 1, false);
-    assert_eq!(pace.next(ms(10)), None);
-    assert_eq!(pace.next_due(ms(10)), Some(ms(1000)));
+    assert_eq!(pace.next_proxy(ms(10)), None);
+    assert_eq!(pace.next_deadline(ms(10)), Some(ms(1000)));
     pace.request(ms(20), 1, 1, true);
-    assert_eq!(pace.next(ms(20)), Some(1));
+    assert_eq!(pace.next_proxy(ms(20)), Some(1));
     pace.sent(ms(20), 1, 1, 1);
     pace.request(ms(30), 1, 1, true);
-    assert_eq!(pace.next(ms(30)), None);
-    assert_eq!(pace.next(ms(1000)), Some(1));
+    assert_eq!(pace.next_proxy(ms(30)), None);
+    assert_eq!(pace.next_proxy(ms(1000)), Some(1));
 }
--- a/crates/core/src/tables.rs
+++ b/crates/core/src/tables.rs
@@ -31,7 +31,7 @@
 
 impl Table {
     /// Lines that differ from another table's.
-    pub fn differing(&self, other: &Table) -> usize {
+    pub fn count_differences(&self, other: &Table) -> usize {
         let mut old = other.entries.iter().peekable();
         let mut differing = 0;
         for line in &self.entries {
@@ -56,50 +56,50 @@
 
 #[derive(Debug, Default)]
 pub struct Tables {
-    laid: BTreeMap<TableId, BTreeMap<ReplicaId, f64>>,
-    withdrawn: BTreeSet<ReplicaId>,
-    levels: Vec<(f64, RetryPolicy)>,
+    entries_by_table: BTreeMap<TableId, BTreeMap<ReplicaId, f64>>,
+    ejected: BTreeSet<ReplicaId>,
+    admission: Vec<(f64, RetryPolicy)>,
 }
 
 impl Tables {
     /// So many groups, all of their flows let in, with these further tries.
     pub fn new(groups: usize, tries: RetryPolicy) -> Self {
-        Tables { levels: vec![(1.0, tries); groups], ..Tables::default() }
+        Tables { admission: vec![(1.0, tries); groups], ..Tables::default() }
     }
 
     /// Changed lines of a table; a weight of 0 takes the line out.
-    pub fn lay(&mut self, table: TableId, entries: Vec<TableEntry>) {
-        let laid = self.laid.entry(table).or_default();
+    pub fn update_entries(&mut self, table: TableId, entries: Vec<TableEntry>) {
+        let laid = self.entries_by_table.entry(table).or_default();
         laid.extend(entries.into_iter().map(|entry| (entry.replica, entry.weight)));
         laid.retain(|_, weight| *weight > 0.0);
     }
 
-    pub fn withdraw(&mut self, replica: ReplicaId, out: bool) {
+    pub fn set_ejected(&mut self, replica: ReplicaId, out: bool) {
         if out {
-            self.withdrawn.insert(replica);
+            self.ejected.insert(replica);
         } else {
-            self.withdrawn.remove(&replica);
+            self.ejected.remove(&replica);
         }
     }
 
-    pub fn level(&mut self, groups: ClassSet, level: f64, tries: RetryPolicy) {
-        for (place, kept) in self.levels.iter_mut().enumerate().take(64) {
+    pub fn set_admission(&mut self, groups: ClassSet, level: f64, tries: RetryPolicy) {
+        for (place, kept) in self.admission.iter_mut().enumerate().take(64) {
             if groups >> place & 1 == 1 {
                 *kept = (level, tries);
             }
         }
     }
 
-    pub fn levels(&self) -> &[(f64, RetryPolicy)] {
-        &self.levels
+    pub fn admission(&self) -> &[(f64, RetryPolicy)] {
+        &self.admission
     }
 
-    pub fn tries(&self) -> Vec<RetryPolicy> {
-        self.levels.iter().map(|(_, tries)| *tries).collect()
+    pub fn retry_policies(&self) -> Vec<RetryPolicy> {
+        self.admission.iter().map(|(_, tries)| *tries).collect()
     }
 
-    pub fn is_withdrawn(&self, replica: &ReplicaId) -> bool {
-        self.withdrawn.contains(replica)
+    pub fn is_ejected(&self, replica: &ReplicaId) -> bool {
+        self.ejected.contains(replica)
     }
 
     /// What a proxy should hold for a group: the table that it follows; else its own standing lines, where
@@ -107,7 +107,7 @@
     ///
     /// `told`: the proxy holds something from here for this group already, which must be kept up to date. A
     /// line to a replica that no list ever named is left out, as nobody knows where it is.
-    pub fn wanted(
+    pub fn resolve(
         &self,
         roster: &Roster,
         group: usize,
@@ -115,7 +115,7 @@
         standing: &[(ReplicaId, f64)],
         told: bool,
     ) -> Option<Table> {
-        let level = self.levels.get(group).map_or(1.0, |(level, _)| *level);
+        let level = self.admission.get(group).map_or(1.0, |(level, _)| *level);
         let line = |(replica, weight): (&ReplicaId, f64)| {
             let known = roster.get(replica)?;
             Some(ResolvedEntry {
@@ -123,11 +123,11 @@
                 address: known.address.clone(),
                 zone: known.zone,
                 weight,
-                routable: !self.withdrawn.contains(replica),
+                routable: !self.ejected.contains(replica),
             })
         };
         if let Some(table) = follows {
-            let laid = self.laid.get(&table).into_iter().flatten();
+            let laid = self.entries_by_table.get(&table).into_iter().flatten();
             return Some(Table {
                 entries: laid.map(|(id, weight)| (id, *weight)).filter_map(line).collect(),
                 admission_fraction: level,
@@ -141,13 +141,13 @@
     }
 
     /// Whether a table that a proxy holds lets flows go to what is withdrawn by now.
-    pub fn outdates(&self, held: &Table) -> bool {
-        held.entries.iter().any(|line| line.routable && self.withdrawn.contains(&line.replica))
+    pub fn routes_to_ejected(&self, held: &Table) -> bool {
+        held.entries.iter().any(|line| line.routable && self.ejected.contains(&line.replica))
     }
 
     /// Whether any table, withdrawn or not, names a replica.
-    pub fn names(&self, replica: &ReplicaId) -> bool {
-        self.laid.values().any(|lines| lines.contains_key(replica))
+    pub fn names_replica(&self, replica: &ReplicaId) -> bool {
+        self.entries_by_table.values().any(|lines| lines.contains_key(replica))
     }
 }
 
--- a/crates/core/src/tables/tests.rs
+++ b/crates/core/src/tables/tests.rs
@@ -20,7 +20,7 @@
         started_at: None,
         backup: false,
     };
-    roster.take(Duration::ZERO, names.iter().map(entry).collect());
+    roster.update(Duration::ZERO, names.iter().map(entry).collect());
     roster
 }
 
@@ -28,14 +28,14 @@
 fn a_standing_table_is_spoken_of_only_once_there_is_something_to_say() {
     let (roster, mut tables) = (roster(&["a", "b"]), Tables::new(1, RetryPolicy::Never));
     let standing = [("b".into(), 1.0), ("a".into(), 2.0)];
-    assert_eq!(tables.wanted(&roster, 0, None, &standing, false), None);
-    tables.withdraw("a".into(), true);
-    let table = tables.wanted(&roster, 0, None, &standing, false).unwrap();
+    assert_eq!(tables.resolve(&roster, 0, None, &standing, false), None);
+    tables.set_ejected("a".into(), true);
+    let table = tables.resolve(&roster, 0, None, &standing, false).unwrap();
     let lines: Vec<_> = table.entries.iter().map(|one| (&*one.replica, one.weight, one.routable)).collect();
     assert_eq!(lines, [("a", 2.0, false), ("b", 1.0, true)]);
-    tables.withdraw("a".into(), false);
+    tables.set_ejected("a".into(), false);
     assert!(
-        tables.wanted(&roster, 0, None, &standing, true).unwrap().entries[0].routable,
+        tables.resolve(&roster, 0, None, &standing, true).unwrap().entries[0].routable,
         "and kept up then"
     );
 }
@@ -43,10 +43,10 @@
 #[test]
 fn a_withdrawal_shuts_lines_laid_before_and_after_it() {
     let (roster, mut tables) = (roster(&["a", "b"]), Tables::new(1, RetryPolicy::Never));
-    tables.lay(4, vec![entry("a", 1.0)]);
-    tables.withdraw("b".into(), true);
-    tables.lay(4, vec![entry("b", 1.0), entry("a", 0.0), entry("unlisted", 1.0)]);
-    let table = tables.wanted(&roster, 0, Some(4), &[], false).unwrap();
+    tables.update_entries(4, vec![entry("a", 1.0)]);
+    tables.set_ejected("b".into(), true);
+    tables.update_entries(4, vec![entry("b", 1.0), entry("a", 0.0), entry("unlisted", 1.0)]);
+    let table = tables.resolve(&roster, 0, Some(4), &[], false).unwrap();
     assert_eq!(table.entries.len(), 1);
     assert!(!table.entries[0].routable && &*table.entries[0].replica == "b");
 }
@@ -62,10 +62,12 @@
     };
     let one = Table { entries: vec![line("a", 1.0, true), line("c", 1.0, true)], admission_fraction: 1.0 };
     let two = Table { entries: vec![line("b", 1.0, true), line("c", 2.0, true)], admission_fraction: 0.5 };
-    assert_eq!((two.differing(&one), one.differing(&one)), (4, 0));
+    assert_eq!((two.count_differences(&one), one.count_differences(&one)), (4, 0));
     let mut tables = Tables::new(1, RetryPolicy::Never);
-    assert!(!tables.outdates(&one));
-    tables.withdraw("c".into(), true);
-    assert!(tables.outdates(&one));
-    assert!(!tables.outdates(&Table { entries: vec![line("c", 1.0, false)], admission_fraction: 1.0 }));
+    assert!(!tables.routes_to_ejected(&one));
+    tables.set_ejected("c".into(), true);
+    assert!(tables.routes_to_ejected(&one));
+    assert!(
+        !tables.routes_to_ejected(&Table { entries: vec![line("c", 1.0, false)], admission_fraction: 1.0 })
+    );
 }
