--- /dev/null
+++ b/crates/core/src/engine/decisions.rs
@@ -0,0 +1,190 @@
+//! One flush: everything that the module decides at one time, applied under one version.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+use std::time::Duration;
+
+use wrenthread::types::{ClassSet, Decision, ProxyId, RetryPolicy, TableId};
+
+use crate::fleet::Proxy;
+use crate::guard::{RefusalReason, ShiftLimit};
+
+use super::publishing::RefreshOptions;
+use super::{Action, Cause, DecisionSummary, Engine, EngineEvent};
+
+/// The module is asked again this long after it was, at the soonest and at the latest, whatever it says.
+const MIN_TICK: Duration = Duration::from_millis(1);
+pub(super) const MAX_TICK: Duration = Duration::from_secs(60);
+/// Decisions in one flush. A fleet of the largest size has fewer changes at once.
+const MAX_DECISIONS: usize = 100_000;
+/// When the module is asked again after a flush that was cut off at [`MAX_DECISIONS`].
+const FLOOD_RETRY: Duration = Duration::from_millis(250);
+
+/// Inputs that ask for as many moves as it takes.
+const SHIFTING_CAUSES: [Cause; 4] = [Cause::Roster, Cause::Joined, Cause::Left, Cause::Probed];
+
+/// Whom a flush concerns.
+#[derive(Debug, Default)]
+struct Flush {
+    proxies: BTreeSet<ProxyId>,
+    everyone: bool,
+    acknowledgement_requested: bool,
+    replica_ejected_or_restored: bool,
+    summaries: Vec<DecisionSummary>,
+    updated_tables: Vec<UpdatedTable>,
+}
+
+/// A table that was updated, and the place of its summary.
+#[derive(Debug, Clone, Copy)]
+struct UpdatedTable {
+    summary: usize,
+    table: TableId,
+}
+
+impl Engine {
+    /// Pulls and applies all that the module decides now, and publishes what changes.
+    pub(super) fn flush_decisions(&mut self, now: Duration) {
+        let answers: Arc<[Cause]> = std::mem::take(&mut self.causes).into_iter().collect();
+        let version = self.version + 1;
+        self.flush_count += 1;
+        let mut flush = Flush::default();
+        while let Some(decision) = self.next_decision(now) {
+            let Some(summary) = self.apply_decision(now, decision, &mut flush) else { continue };
+            flush.summaries.push(summary);
+            let decided = flush.summaries.len();
+            if decided >= MAX_DECISIONS {
+                // A module that goes on for ever must not hold up drains: the rest is asked for next time.
+                let (asked, allowed) = (decided as f64, MAX_DECISIONS as f64);
+                self.guard.record_refusal(now, 0, RefusalReason::Flood, asked, allowed);
+                self.next_tick = now + FLOOD_RETRY;
+                break;
+            }
+        }
+        self.find_assigned_proxies(&mut flush);
+
+        let shifting = answers.iter().any(|cause| SHIFTING_CAUSES.contains(cause));
+        let event = |what| Action::Report(EngineEvent::Decided { what, version, answers: answers.clone() });
+        self.pending_actions.extend(flush.summaries.into_iter().map(event));
+        let proxies: Vec<ProxyId> = match flush.everyone {
+            true => self.fleet.proxy_ids(),
+            false => flush.proxies.into_iter().collect(),
+        };
+        let options = RefreshOptions {
+            acknowledgement_requested_at: flush.acknowledgement_requested.then_some(now),
+            shift_limit: match shifting || flush.replica_ejected_or_restored {
+                true => ShiftLimit::Unlimited,
+                false => ShiftLimit::Limited,
+            },
+            ..RefreshOptions::default()
+        };
+        self.refresh_with(now, &proxies, options);
+    }
+
+    fn next_decision(&mut self, now: Duration) -> Option<Decision> {
+        #[cfg(any(test, feature = "suspect"))]
+        if let Some(faulty) = &mut self.replace_decider {
+            return faulty(now, &mut self.governor);
+        }
+        self.governor.next_decision(now)
+    }
+
+    /// Carries out a decision; its summary, if it is one for the log.
+    fn apply_decision(
+        &mut self,
+        now: Duration,
+        decision: Decision,
+        flush: &mut Flush,
+    ) -> Option<DecisionSummary> {
+        match decision {
+            Decision::ScheduleTick(after) => {
+                // Neither at once, for ever, nor never again.
+                self.next_tick = now + after.clamp(MIN_TICK, MAX_TICK);
+                None
+            }
+            Decision::RequestAcknowledgement(_) => {
+                flush.acknowledgement_requested = true;
+                None
+            }
+            Decision::CheckHealth(replica) => {
+                self.pending_actions.push_back(Action::CheckHealth(replica));
+                None
+            }
+            Decision::SetEjected { replica, ejected } => {
+                self.tables.set_ejected(replica.clone(), ejected);
+                flush.everyone = true;
+                flush.replica_ejected_or_restored = true;
+                Some(DecisionSummary::Withdraw(replica, ejected))
+            }
+            Decision::UpdateTable { table, entries } => {
+                // Which proxy it is assigned to may be decided only later in the same flush.
+                flush.updated_tables.push(UpdatedTable { summary: flush.summaries.len(), table });
+                let count = entries.len();
+                self.tables.update_entries(table, entries);
+                Some(DecisionSummary::Lines("".into(), count))
+            }
+            Decision::AssignTable { proxy, table, classes } => {
+                self.assign_table(proxy, table, classes, flush);
+                Some(DecisionSummary::Follow(self.name_of(proxy), classes))
+            }
+            Decision::SetAdmission { classes, fraction, retry_policy } => {
+                self.set_admission(now, classes, fraction, retry_policy);
+                flush.everyone = true;
+                Some(DecisionSummary::Level(classes, fraction, retry_policy))
+            }
+        }
+    }
+
+    fn assign_table(&mut self, id: ProxyId, table: TableId, classes: ClassSet, flush: &mut Flush) {
+        let Some(proxy) = self.fleet.get_mut(id) else { return };
+        for (class, assigned) in proxy.assigned_tables.iter_mut().enumerate() {
+            if classes >> class & 1 == 0 {
+                continue;
+            }
+            *assigned = Some(table);
+            // The module has decided for it: what another governor published gives way.
+            if self.frozen_tables.get(&(id, class)).is_some_and(|frozen| frozen.migrated) {
+                self.frozen_tables.remove(&(id, class));
+            }
+        }
+        flush.proxies.insert(id);
+    }
+
+    fn set_admission(&mut self, now: Duration, classes: ClassSet, fraction: f64, policy: RetryPolicy) {
+        // The module has seen for itself: what was known before a restart gives way. That everything is admitted
+        // it says at its start, having seen nothing.
+        if fraction < 1.0 {
+            self.restored.levels.retain(|class, _| classes >> *class & 1 == 0);
+        }
+        for (classes, policy) in self.guard.check_retry_policy(now, classes, policy) {
+            self.tables.set_admission(classes, fraction, policy);
+        }
+    }
+
+    /// Adds the proxies that updated tables are assigned to, and their names to the summaries.
+    fn find_assigned_proxies(&self, flush: &mut Flush) {
+        if flush.updated_tables.is_empty() {
+            return;
+        }
+        let assigned = self.proxies_by_table();
+        for updated in &flush.updated_tables {
+            let Some(id) = assigned.get(&updated.table) else { continue };
+            flush.proxies.insert(*id);
+            if let DecisionSummary::Lines(name, _) = &mut flush.summaries[updated.summary] {
+                *name = self.name_of(*id);
+            }
+        }
+    }
+
+    /// Which proxy each table is assigned to: each is one proxy's.
+    fn proxies_by_table(&self) -> BTreeMap<TableId, ProxyId> {
+        let assigned = |(id, proxy): (ProxyId, &Proxy)| {
+            proxy.assigned_tables.clone().into_iter().flatten().map(move |table| (table, id))
+        };
+        self.fleet.iter().flat_map(assigned).collect()
+    }
+
+    /// A proxy's name, empty if it is not connected.
+    pub(super) fn name_of(&self, id: ProxyId) -> Arc<str> {
+        self.fleet.get(id).map_or_else(|| "".into(), |proxy| proxy.name.clone())
+    }
+}
--- /dev/null
+++ b/crates/core/src/engine/inputs.rs
@@ -0,0 +1,199 @@
+//! What a host tells the engine: the roster, streams and their acknowledgements, load reports, health checks and
+//! operators' overrides. Proxies that connect are in `joining`.
+
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::time::Duration;
+
+use wrenthread::types::{Phase, ProxyId, ReplicaEntry, ReplicaId, RosterScope};
+
+use crate::fleet::StreamId;
+use crate::overrides::{Override, OverrideError, OverrideKind, Overrides};
+use crate::reports::{DiscardReason, LoadReport};
+use crate::roster::{RosterChange, RosterEntry};
+
+use super::{Action, Cause, Engine, EngineEvent, MAX_REASON_LENGTH};
+
+impl Engine {
+    /// The complete roster, as its source now has it.
+    pub fn update_roster(&mut self, now: Duration, entries: Vec<RosterEntry>) {
+        let active = self.backups.update(now, entries);
+        self.apply_roster(now, active);
+    }
+
+    pub(super) fn apply_roster(&mut self, now: Duration, entries: Vec<RosterEntry>) {
+        match self.roster.update(now, entries) {
+            RosterChange::Same => {}
+            RosterChange::Doubted(until) => {
+                self.pending_actions.push_back(Action::Report(EngineEvent::EmptyRosterDoubted(until)));
+            }
+            RosterChange::Changed(listed) => self.roster_changed(now, &listed),
+        }
+    }
+
+    pub(super) fn roster_changed(&mut self, now: Duration, listed: &[ReplicaEntry]) {
+        self.governor.update_replicas(now, listed, RosterScope::Complete);
+        self.apply_restored_replicas(now);
+        let tables = &self.tables;
+        let in_default_tables: BTreeSet<&ReplicaId> =
+            self.fleet.iter().flat_map(|(_, proxy)| &proxy.default_table).map(|(id, _)| id).collect();
+        self.roster.forget_gone(|id| tables.names_replica(id) || in_default_tables.contains(id));
+        // Addresses may have changed under the same names.
+        let everyone = self.fleet.proxy_ids();
+        self.guard.roster_changed(&self.roster);
+        self.refresh(now, &everyone);
+        // Tables that stand may be harmful by the new roster, once the module has decided on it.
+        self.recheck_all = true;
+        self.causes.insert(Cause::Roster);
+    }
+
+    /// A stream is over; the proxy may be dead, or still serving with what it holds.
+    pub fn stream_closed(&mut self, now: Duration, stream: StreamId) {
+        let Some(proxy) = self.fleet.disconnect(now, stream) else { return };
+        self.send_limiter.forget(proxy);
+        self.join_queue.retain(|join| join.proxy != proxy);
+        self.frozen_tables.retain(|(of, _), frozen| *of != proxy || !frozen.migrated);
+        self.governor.proxy_disconnected(proxy);
+        self.guard.proxy_disconnected(proxy);
+        self.causes.insert(Cause::Left);
+    }
+
+    /// A load report, by the name of the proxy. Streams are numbered in the order of their opening.
+    ///
+    /// # Errors
+    /// Why the report was discarded; it is counted as such.
+    pub fn record_report(
+        &mut self,
+        now: Duration,
+        name: &str,
+        stream: StreamId,
+        report: &LoadReport,
+    ) -> Result<(), DiscardReason> {
+        let Some((id, proxy)) = self.fleet.named(name) else {
+            return Err(self.reports.discard(DiscardReason::NotJoined));
+        };
+        let zone = proxy.zone;
+        let roster = &self.roster;
+        let listed = |id: &ReplicaId| roster.get(id).is_some_and(|known| known.phase != Phase::Gone);
+        self.reports.record(now, id, zone, stream, report, listed)
+    }
+
+    /// The proxy on a stream accepted all that it was sent up to a version.
+    pub fn version_acknowledged(&mut self, now: Duration, stream: StreamId, version: u64) {
+        let Some(id) = self.fleet.number_of(stream) else { return };
+        for requested_at in self.fleet.acknowledge(stream, version) {
+            self.governor.acknowledged(now.saturating_sub(requested_at));
+            self.causes.insert(Cause::Acked);
+        }
+        if self.fleet.get(id).is_some_and(|proxy| proxy.acknowledged_version >= proxy.sent_version) {
+            self.send_limiter.acknowledged(id);
+        }
+    }
+
+    /// The proxy on a stream rejected a version, and says why. Its last good tables stand; it is sent nothing
+    /// again before something has changed.
+    pub fn version_rejected(&mut self, stream: StreamId, version: u64, words: &str) {
+        let Some(id) = self.fleet.number_of(stream) else { return };
+        self.fleet.reject(stream, version, words);
+        self.send_limiter.acknowledged(id);
+        if let Some(proxy) = self.fleet.get(id) {
+            let words = proxy.rejected.as_ref().map(|(_, words)| words.clone()).unwrap_or_default();
+            self.pending_actions.push_back(Action::Report(EngineEvent::VersionRejected {
+                proxy: proxy.name.clone(),
+                version,
+                words,
+            }));
+        }
+    }
+
+    /// The proxy on a stream has answered all that it was sent, whatever that was.
+    pub fn settled(&mut self, stream: StreamId) {
+        if let Some(id) = self.fleet.number_of(stream) {
+            self.send_limiter.acknowledged(id);
+        }
+    }
+
+    /// The proxy on a stream asks for something that it was not sent yet, of so many table entries.
+    pub fn resend_requested(&mut self, now: Duration, stream: StreamId, entries: usize) {
+        if let Some(id) = self.fleet.number_of(stream) {
+            self.send_limiter.request(now, id, entries, true);
+        }
+    }
+
+    /// A flush was written, as so many entries in so many messages; none if there was nothing to say.
+    pub fn tables_sent(&mut self, now: Duration, id: ProxyId, entries: usize, messages: usize) {
+        self.offered_flush = None;
+        if let Some(proxy) = self.fleet.get_mut(id).filter(|_| entries > 0) {
+            proxy.sent_version = proxy.newest();
+        }
+        self.send_limiter.sent(now, id, entries, messages);
+    }
+
+    /// The proxy's stream has no capacity for a flush.
+    pub fn stream_full(&mut self, id: ProxyId) {
+        self.offered_flush = None;
+        self.send_limiter.stream_full(id);
+    }
+
+    /// The proxy's stream has capacity again.
+    pub fn stream_has_capacity(&mut self, stream: StreamId) {
+        if let Some(id) = self.fleet.number_of(stream) {
+            self.send_limiter.stream_has_capacity(id);
+        }
+    }
+
+    /// What a health check found: its latency if it was answered, and the replica's load fields.
+    pub fn health_checked(
+        &mut self,
+        now: Duration,
+        replica: &ReplicaId,
+        latency: Option<Duration>,
+        load: &[f64],
+    ) {
+        self.governor.record_health_check(now, replica, latency, load);
+        self.causes.insert(Cause::Probed);
+    }
+
+    /// A changed limit on the entries of aggregated reports that the module is given a second.
+    pub fn limit_reports(&mut self, entries_per_second: f64) {
+        self.reports.set_limit(entries_per_second);
+    }
+
+    /// An operator excludes a replica or scales its weight, until a time.
+    ///
+    /// # Errors
+    /// As [`OverrideError`]; nothing is changed then.
+    pub fn override_replica(
+        &mut self,
+        now: Duration,
+        replica: &ReplicaId,
+        what: OverrideKind,
+        until: Duration,
+        reason: &str,
+    ) -> Result<(), OverrideError> {
+        if self.roster.get(replica).is_none_or(|known| known.phase == Phase::Gone) {
+            return Err(OverrideError::NoReplica(replica.clone()));
+        }
+        let why = shortened(reason);
+        self.overrides.set(replica.clone(), Override { what, since: now, until, why })?;
+        self.refresh(now, &self.fleet.proxy_ids());
+        Ok(())
+    }
+
+    /// Ends an operator's override of a replica; whether there was one.
+    pub fn end_override(&mut self, now: Duration, replica: &str) -> bool {
+        let ended = self.overrides.end(replica);
+        self.refresh(now, &self.fleet.proxy_ids());
+        ended
+    }
+
+    /// Overrides in force.
+    pub fn overrides(&self) -> &Overrides {
+        &self.overrides
+    }
+}
+
+/// An operator's reason, within the length that is kept.
+pub(super) fn shortened(reason: &str) -> Arc<str> {
+    reason.chars().take(MAX_REASON_LENGTH).collect::<String>().into()
+}
--- /dev/null
+++ b/crates/core/src/engine/inspection.rs
@@ -0,0 +1,179 @@
+//! What fronts and operators read of an engine.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+use wrenthread::types::{ProxyId, ReplicaId, RetryPolicy};
+
+use crate::fleet::{Fleet, Proxy, StreamId};
+use crate::frozen_tables::FrozenTable;
+use crate::guard::Guard;
+use crate::history::History;
+use crate::recording::{FORM, RecordedProxy, RecordedReplica, RecordedTable, RecordedThroughput, Recording};
+use crate::reports::DiscardReason;
+use crate::roster::{KnownReplica, Roster};
+use crate::tables::{ResolvedEntry, VersionedTable};
+
+use super::Engine;
+
+/// Counts for status pages and metrics.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct EngineStatus {
+    /// The newest version.
+    pub version: u64,
+    /// How often the module was asked for decisions.
+    pub flushes: u64,
+    /// Proxies connected now.
+    pub connected_proxies: usize,
+    /// Proxies that wait in the join queue.
+    pub queued_joins: usize,
+    /// Table entries that wait to be written or acknowledged.
+    pub queued_entries: usize,
+    /// The most of them that ever waited.
+    pub max_queued_entries: usize,
+    /// Aggregated statistics that wait to be passed to the module.
+    pub queued_reports: usize,
+    /// Table entries retained in history.
+    pub history_entries: usize,
+    /// Tables frozen now.
+    pub frozen_tables: usize,
+    /// The source says that the roster is empty, and is not believed yet.
+    pub roster_doubted: bool,
+}
+
+impl Engine {
+    /// A connected proxy and what it should hold.
+    pub fn proxy(&self, id: ProxyId) -> Option<&Proxy> {
+        self.fleet.get(id)
+    }
+
+    /// The number of the proxy on a stream.
+    pub fn number_of(&self, stream: StreamId) -> Option<ProxyId> {
+        self.fleet.number_of(stream)
+    }
+
+    /// All connected proxies.
+    pub fn fleet(&self) -> &Fleet {
+        &self.fleet
+    }
+
+    /// Replicas that are listed, or gone and still named by some table.
+    pub fn replicas(&self) -> impl Iterator<Item = (&ReplicaId, &KnownReplica)> {
+        self.roster.iter()
+    }
+
+    /// The roster as it was last believed.
+    pub fn known_roster(&self) -> &Roster {
+        &self.roster
+    }
+
+    /// Whether the module has ejected a replica.
+    pub fn is_ejected(&self, replica: &ReplicaId) -> bool {
+        self.tables.is_ejected(replica)
+    }
+
+    /// Why the module has ejected a ready replica, in its own words.
+    pub fn ejection_reason(&self, replica: &ReplicaId) -> Option<&'static str> {
+        self.governor.ejection_reason(replica)
+    }
+
+    /// Whether a proxy is one of the few on solved tables.
+    pub fn is_critical(&self, id: ProxyId) -> bool {
+        self.governor.is_critical(id)
+    }
+
+    /// Admission fraction and retry policy, by traffic class.
+    pub fn admission(&self) -> &[(f64, RetryPolicy)] {
+        self.tables.admission()
+    }
+
+    /// Reports that were discarded, by reason; and how many counted.
+    pub fn reports(&self) -> (&BTreeMap<DiscardReason, u64>, u64) {
+        self.reports.tally()
+    }
+
+    /// What is known now, as far as the guard judges by it, for tables to be tried against. Names of zones and
+    /// traffic classes are the caller's to fill in.
+    pub fn record(&self, now: Duration) -> Recording {
+        let throughput = |(id, zone, per_s): (&ReplicaId, usize, f64)| RecordedThroughput {
+            replica: id.clone(),
+            zone,
+            per_s,
+        };
+        Recording {
+            form: FORM,
+            governor: String::new(),
+            taken_at: 0.0,
+            zones: Vec::new(),
+            groups: Vec::new(),
+            limits: self.guard.limits().into(),
+            replicas: self.roster.iter().map(|(id, known)| self.record_replica(now, id, known)).collect(),
+            proxies: self.fleet.iter().map(|(id, proxy)| self.record_proxy(id, proxy)).collect(),
+            seen: self.guard.throughput(now).map(throughput).collect(),
+        }
+    }
+
+    fn record_replica(&self, now: Duration, id: &ReplicaId, known: &KnownReplica) -> RecordedReplica {
+        RecordedReplica {
+            id: id.clone(),
+            address: known.address.clone(),
+            zone: known.zone,
+            weight: known.weight,
+            phase: known.phase.into(),
+            age_s: known.started_at.map(|started| now.saturating_sub(started).as_secs_f64()),
+            out: self.is_out(id),
+        }
+    }
+
+    fn record_proxy(&self, id: ProxyId, proxy: &Proxy) -> RecordedProxy {
+        let entry = |entry: &ResolvedEntry| (entry.replica.clone(), entry.weight, entry.routable);
+        let table = |(class, held): (usize, &Option<VersionedTable>)| {
+            let table = held.as_ref().map(|held| &*held.table);
+            RecordedTable {
+                flows: self.guard.requests_per_second(id, class),
+                level: table.map_or(1.0, |table| table.admission_fraction),
+                lines: table.map(|table| table.entries.iter().map(entry).collect()),
+            }
+        };
+        RecordedProxy {
+            name: proxy.name.clone(),
+            zone: proxy.zone,
+            standing: proxy.default_table.clone(),
+            groups: proxy.tables.iter().enumerate().map(table).collect(),
+        }
+    }
+
+    /// What was refused, and the load that it is judged by.
+    pub fn guard(&self) -> &Guard {
+        &self.guard
+    }
+
+    /// Versions of what each proxy was sent.
+    pub fn history(&self) -> &History {
+        &self.history
+    }
+
+    /// Frozen tables in force: the proxy's name, the traffic class and the table.
+    pub fn frozen_tables(&self) -> impl Iterator<Item = (&Arc<str>, usize, &FrozenTable)> {
+        self.frozen_tables
+            .iter()
+            .filter_map(|((id, class), frozen)| Some((&self.fleet.get(*id)?.name, *class, frozen)))
+    }
+
+    /// Counts for status pages and metrics.
+    pub fn status(&self, now: Duration) -> EngineStatus {
+        EngineStatus {
+            version: self.version,
+            flushes: self.flush_count,
+            connected_proxies: self.fleet.len(),
+            queued_joins: self.join_queue.len(),
+            queued_entries: self.send_limiter.queued_entries(now),
+            max_queued_entries: self.send_limiter.max_queued_entries(),
+            queued_reports: self.reports.queued_entries(),
+            history_entries: self.history.entry_count(),
+            frozen_tables: self.frozen_tables.len(),
+            roster_doubted: self.roster.empty_roster_doubted(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/engine/joining.rs
@@ -0,0 +1,145 @@
+//! Proxies that connect, and the queue of those that wait for capacity on the channel before the module hears of
+//! them.
+
+use std::time::Duration;
+
+use wrenthread::types::{Phase, ProxyConnection, ProxyId, ReplicaId};
+
+use crate::fleet::{JoinError, JoinOutcome, JoinRequest, StreamId};
+use crate::frozen_tables::{FrozenTable, ReleaseReason};
+
+use super::{Action, Cause, Engine, EngineEvent};
+
+/// Below so many ready replicas in its zone, a default table may name replicas of other zones.
+const MIN_REPLICAS_IN_ZONE: usize = 3;
+
+/// A proxy that waits to be reported to the module.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct QueuedJoin {
+    pub(super) proxy: ProxyId,
+    /// What it ordinarily receives.
+    pub(super) requests_per_second: f64,
+}
+
+impl Engine {
+    /// A proxy's stream is up.
+    ///
+    /// It counts as holding only its default table if it says so, came without tables of a governor, and each
+    /// entry of that table could be sampled from the roster as it is now: ready, and of its zone where three are
+    /// there. The module takes a default table for such a sample; one that names replicas that drain or are gone
+    /// is unknown, and is answered by tables of its own at once.
+    ///
+    /// # Errors
+    /// As [`JoinError`]; nothing is changed by a join that is rejected.
+    pub fn proxy_connected(
+        &mut self,
+        now: Duration,
+        stream: StreamId,
+        join: &JoinRequest,
+    ) -> Result<JoinOutcome, JoinError> {
+        let without_governor_tables = !join.holds_governor_tables && join.ownership_proof.is_none();
+        // It holds what it was sent before a restart, by its own proven version: then it is known what that is.
+        let restored = self.restored.proxies.remove(&join.name).filter(|known| {
+            join.proven_version == Some((known.epoch, known.version)) && known.zone == join.zone
+        });
+        let was_on_default_table = restored.as_ref().is_some_and(|known| !known.own);
+        let holds_default_table = (without_governor_tables || was_on_default_table)
+            && !join.default_table.is_empty()
+            && join.default_table.iter().all(|entry| self.could_be_sampled(join.zone, entry));
+        // A join has a version of its own: what the number's tables were before is another state.
+        let retry_policies = (self.version + 1, self.tables.retry_policies());
+        let joined =
+            self.fleet.connect(now, stream, join, holds_default_table, self.class_count, retry_policies)?;
+        self.version += 1;
+        self.forget_previous(&joined, join);
+
+        let requests_per_second = self.ordinary_demand(join, restored.as_ref());
+        self.guard.proxy_connected(joined.proxy, requests_per_second, &join.default_table);
+        if let Some(known) = restored {
+            self.resume_proxy(now, joined.proxy, known);
+        }
+        self.refreeze(now, joined.proxy, join);
+        // Ejections and admission fractions hold for it from now on, whichever table it is on.
+        self.refresh(now, &[joined.proxy]);
+        self.remember(now, joined.proxy);
+        self.join_queue.push_back(QueuedJoin { proxy: joined.proxy, requests_per_second });
+        self.causes.insert(Cause::Joined);
+        Ok(joined)
+    }
+
+    fn could_be_sampled(&self, zone: usize, (id, weight): &(ReplicaId, f64)) -> bool {
+        let ready = self.roster.get(id).filter(|known| known.phase == Phase::Ready);
+        let near_enough = ready
+            .is_some_and(|known| known.zone == zone || self.roster.ready_count(zone) < MIN_REPLICAS_IN_ZONE);
+        near_enough && *weight > 0.0
+    }
+
+    /// Drops what was kept of the stream that a new one replaces, or of the proxy whose number was reused.
+    fn forget_previous(&mut self, joined: &JoinOutcome, join: &JoinRequest) {
+        let id = joined.proxy;
+        if joined.id_reused {
+            self.reports.forget(id);
+            self.history.forget(id);
+            let former = self.frozen_tables.extract_if(.., |(proxy, _), _| *proxy == id);
+            let released = former.map(|((_, class), _)| EngineEvent::FrozenTableReleased {
+                proxy: join.name.clone(),
+                group: class,
+                over: ReleaseReason::Reused,
+            });
+            self.pending_actions.extend(released.map(Action::Report));
+        }
+        self.send_limiter.forget(id);
+        self.join_queue.retain(|waiting| waiting.proxy != id);
+        if joined.replaced_stream.is_some() {
+            self.governor.proxy_disconnected(id);
+        }
+        self.pending_actions.extend(joined.replaced_stream.map(Action::CloseStream));
+        self.guard.proxy_disconnected(id);
+    }
+
+    /// Freezes the tables that operators froze before a restart.
+    fn refreeze(&mut self, now: Duration, proxy: ProxyId, join: &JoinRequest) {
+        for class in 0..self.class_count {
+            let Some(restored) = self.restored_frozen_tables.remove(&(join.name.clone(), class)) else {
+                continue;
+            };
+            let frozen = FrozenTable {
+                version: restored.stored.version,
+                published_at: restored.published_at,
+                table: restored.stored.said(),
+                since: now,
+                until: restored.until,
+                why: restored.stored.why,
+                migrated: false,
+            };
+            self.frozen_tables.insert((proxy, class), frozen);
+        }
+    }
+
+    /// Reports queued proxies to the module, as far as the tables that it gives them fit the channel.
+    pub(super) fn drain_join_queue(&mut self, now: Duration) {
+        let queued_before = self.join_queue.len();
+        while let Some(join) = self.join_queue.front().copied() {
+            // One at a time goes in even where the channel never has capacity, or nobody ever would.
+            let fits = self.send_limiter.has_capacity(self.reserved_entries + self.join_cost_entries);
+            if !fits && (self.reserved_entries > 0.0 || self.send_limiter.queued_entries(now) > 0) {
+                break;
+            }
+            self.join_queue.pop_front();
+            let Some(proxy) = self.fleet.get(join.proxy) else { continue };
+            let connection = ProxyConnection {
+                proxy: join.proxy,
+                zone: proxy.zone,
+                requests_per_second: join.requests_per_second,
+                holds_default_table: proxy.holds_default_table,
+            };
+            self.governor.proxy_connected(now, connection);
+            self.reserved_entries += self.join_cost_entries;
+            self.causes.insert(Cause::Joined);
+        }
+        let queued = self.join_queue.len();
+        if queued > 0 && queued != queued_before {
+            self.pending_actions.push_back(Action::Report(EngineEvent::JoinsQueued(queued)));
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/engine/migration.rs
@@ -0,0 +1,87 @@
+//! Proxies that are handed over by other governors, and what goes with a proxy to another. See
+//! `docs/design/takeover.md`.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use wrenthread::types::{Phase, ProxyId, ReplicaId};
+
+use crate::fleet::TableKind;
+use crate::frozen_tables::{self, FrozenTable};
+use crate::history::HistoryEntry;
+use crate::reports::LoadReport;
+use crate::table_versions::PublishedState;
+
+use super::Engine;
+use super::recovery::MIGRATED_TABLE_TIMEOUT;
+
+/// What another governor knew of a proxy that it handed over.
+#[derive(Debug, Clone, PartialEq)]
+pub struct MigratedProxy {
+    /// The name of that governor.
+    pub from: Arc<str>,
+    /// What the proxy was sent there.
+    pub state: PublishedState,
+    /// When that was, by the clock here.
+    pub published_at: Duration,
+    /// Its last load report, if that is not long ago.
+    pub report: Option<LoadReport>,
+}
+
+impl Engine {
+    /// A proxy that has just connected was handed over by another governor: until the module decides for it, it
+    /// holds what it was sent there, less what the rules forbid here now; and its last report is counted.
+    ///
+    /// Returns how many of its tables that keeps: none where the module has already decided for the proxy, or
+    /// where it is on its default table.
+    pub fn adopt_migrated_tables(&mut self, now: Duration, id: ProxyId, migrated: MigratedProxy) -> usize {
+        let Some(proxy) = self.fleet.get(id) else { return 0 };
+        if proxy.holds_default_table || proxy.kind() == TableKind::Own {
+            return 0;
+        }
+        let zone = proxy.zone;
+        let stream = proxy.stream;
+        let why: Arc<str> = format!("handed over by {}", migrated.from).into();
+        let mut adopted = 0;
+        for (class, table) in migrated.state.classes.into_iter().enumerate().take(self.class_count) {
+            let Some(table) = table else { continue };
+            let frozen = FrozenTable {
+                version: self.version,
+                published_at: migrated.published_at,
+                table,
+                since: now,
+                until: now + MIGRATED_TABLE_TIMEOUT,
+                why: why.clone(),
+                migrated: true,
+            };
+            let current = self.current_table(id, class);
+            let ejected = |id: &ReplicaId| self.tables.is_ejected(id);
+            // A table that an operator froze here goes before.
+            if !self.frozen_tables.contains_key(&(id, class))
+                && frozen_tables::told(&frozen, &current, &self.roster, ejected).0.is_some()
+            {
+                self.frozen_tables.insert((id, class), frozen);
+                adopted += 1;
+            }
+        }
+        self.refresh(now, &[id]);
+        if let Some(report) = migrated.report {
+            let roster = &self.roster;
+            let listed = |id: &ReplicaId| roster.get(id).is_some_and(|known| known.phase != Phase::Gone);
+            // A report that is discarded is counted as such; the next comes soon.
+            let _ = self.reports.record(now, id, zone, stream, &report, listed);
+        }
+        adopted
+    }
+
+    /// What to hand over with a proxy: its newest version, and its last report with the report's age.
+    pub fn migration_state(
+        &self,
+        now: Duration,
+        id: ProxyId,
+    ) -> Option<(&HistoryEntry, Option<(Duration, &LoadReport)>)> {
+        let newest = self.history.newest(id)?;
+        let last = self.reports.last(id).map(|(at, report)| (now.saturating_sub(*at), report));
+        Some((newest, last))
+    }
+}
--- /dev/null
+++ b/crates/core/src/engine/recovery.rs
@@ -0,0 +1,293 @@
+//! What is stored beyond a restart, and what of it is used after one. How much of it still counts is decided in
+//! [`crate::snapshot`]; see `docs/design/state.md`.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+use wrenthread::types::{Phase, ProxyId, ReplicaId, ReplicaStatistics, RetryPolicy};
+
+use crate::fleet::{JoinRequest, Proxy, TableKind};
+use crate::frozen_tables::FrozenTable;
+use crate::overrides::OverrideKind;
+use crate::snapshot::{
+    self, RestoredState, StoredFrozenTable, StoredItem, StoredItems, StoredProxy, StoredReplica,
+};
+use crate::table_versions::{PublishedEntry, PublishedTable};
+use crate::tables::{Table, VersionedTable};
+
+use super::{Cause, Engine};
+
+/// Tables that were migrated, or were held before a restart, stand for so long if the module does not decide
+/// before.
+pub(super) const MIGRATED_TABLE_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// A table that operators froze before a restart, of a proxy that has not reconnected yet.
+#[derive(Debug, Clone)]
+pub(super) struct RestoredFrozenTable {
+    pub(super) published_at: Duration,
+    pub(super) until: Duration,
+    pub(super) stored: StoredFrozenTable,
+}
+
+// ---- before a restart
+
+impl Engine {
+    /// What is to be stored beyond this run, by name. `before`: what it was the last time; `calendar`: seconds of
+    /// the calendar; `epoch`: the number of this run; `classes`: names of the traffic classes.
+    pub fn stored_items(
+        &self,
+        now: Duration,
+        before: &StoredItems,
+        calendar: f64,
+        epoch: u64,
+        classes: &[String],
+    ) -> StoredItems {
+        let mut items = StoredItems::new();
+        self.store_connected_proxies(&mut items, before, epoch);
+        self.store_absent_proxies(&mut items, now);
+        self.store_replicas(&mut items, now);
+        self.store_admission(&mut items, classes);
+        self.store_frozen_tables(&mut items, now, calendar, classes);
+        self.store_overrides(&mut items, now, calendar);
+        items
+    }
+
+    fn store_connected_proxies(&self, items: &mut StoredItems, before: &StoredItems, epoch: u64) {
+        for (id, proxy) in self.fleet.iter() {
+            let name = format!("proxy/{}", proxy.name);
+            let version = proxy.newest();
+            let demand: Vec<f64> = (0..self.class_count)
+                .map(|class| snapshot::stepped(self.guard.requests_per_second(id, class)))
+                .collect();
+            // Tables are of their version: they are not copied and compared again each time.
+            let unchanged = before.get(&name).filter(|item| {
+                matches!(&***item, StoredItem::Proxy(old)
+                    if old.epoch == epoch && old.version == version && old.flows == demand)
+            });
+            let item = match unchanged {
+                Some(item) => item.clone(),
+                None => Arc::new(StoredItem::Proxy(stored_proxy(proxy, epoch, version, demand))),
+            };
+            items.insert(name, item);
+        }
+    }
+
+    /// A proxy that has not reconnected yet is not forgotten by a second restart.
+    fn store_absent_proxies(&self, items: &mut StoredItems, now: Duration) {
+        // In whole minutes: what grows all the time is not written all the time.
+        let elapsed = self.restored.age + now.saturating_sub(self.restored_at);
+        let elapsed_seconds = elapsed.as_secs() / 60 * 60;
+        for (name, proxy) in &self.restored.proxies {
+            let item = || StoredProxy { away: proxy.away + elapsed_seconds as f64, ..proxy.clone() };
+            items.entry(format!("proxy/{name}")).or_insert_with(|| Arc::new(StoredItem::Proxy(item())));
+        }
+    }
+
+    fn store_replicas(&self, items: &mut StoredItems, now: Duration) {
+        let mut replicas: BTreeMap<&ReplicaId, StoredReplica> = BTreeMap::new();
+        for (id, zone, per_second) in self.guard.throughput(now) {
+            replicas.entry(id).or_default().seen.push((zone, snapshot::stepped(per_second)));
+        }
+        for (id, known) in self.roster.iter() {
+            if known.phase == Phase::Ready && self.tables.is_ejected(id) {
+                replicas.entry(id).or_default().withdrawn = true;
+            }
+        }
+        for (id, replica) in replicas {
+            items.insert(format!("replica/{id}"), Arc::new(StoredItem::Replica(replica)));
+        }
+    }
+
+    fn store_admission(&self, items: &mut StoredItems, classes: &[String]) {
+        for ((fraction, policy), class) in self.tables.admission().iter().zip(classes) {
+            if *fraction < 1.0 {
+                let item = StoredItem::Level { level: *fraction, tries: (*policy).into() };
+                items.insert(format!("level/{class}"), Arc::new(item));
+            }
+        }
+    }
+
+    fn store_frozen_tables(&self, items: &mut StoredItems, now: Duration, calendar: f64, classes: &[String]) {
+        for (name, class, frozen) in self.frozen_tables().filter(|(.., frozen)| !frozen.migrated) {
+            let entry = |(id, entry): (&ReplicaId, &PublishedEntry)| {
+                (id.clone(), entry.address.clone(), entry.zone, entry.weight)
+            };
+            let item = StoredFrozenTable {
+                version: frozen.version,
+                told_at: (calendar - now.saturating_sub(frozen.published_at).as_secs_f64()).round(),
+                until: (calendar + frozen.until.saturating_sub(now).as_secs_f64()).round(),
+                why: frozen.why.clone(),
+                lines: frozen.table.entries.iter().map(entry).collect(),
+                level: frozen.table.admission_millionths,
+                tries: frozen.table.retry_policy.into(),
+            };
+            let class = classes.get(class).map_or("", String::as_str);
+            items.insert(format!("hold/{class}/{name}"), Arc::new(StoredItem::Hold(item)));
+        }
+    }
+
+    fn store_overrides(&self, items: &mut StoredItems, now: Duration, calendar: f64) {
+        for (id, one) in self.overrides.iter() {
+            let weight = match one.what {
+                OverrideKind::Exclude => None,
+                OverrideKind::Weight(factor) => Some(factor),
+            };
+            let until = (calendar + one.until.saturating_sub(now).as_secs_f64()).round();
+            let item = StoredItem::Override { weight, until, why: one.why.clone() };
+            items.insert(format!("override/{id}"), Arc::new(item));
+        }
+    }
+}
+
+fn stored_proxy(proxy: &Proxy, epoch: u64, version: u64, requests_per_second: Vec<f64>) -> StoredProxy {
+    let stored_table =
+        |table: &Option<VersionedTable>| table.as_ref().map(|versioned| (&*versioned.table).into());
+    StoredProxy {
+        zone: proxy.zone,
+        epoch,
+        version,
+        own: proxy.kind() == TableKind::Own,
+        tables: proxy.tables.iter().map(stored_table).collect(),
+        tries: proxy.retry_policies.1.iter().map(|policy| (*policy).into()).collect(),
+        flows: requests_per_second,
+        away: 0.0,
+    }
+}
+
+// ---- after a restart
+
+impl Engine {
+    /// What was known before a restart. To be called before the first roster and the first proxy.
+    pub fn restore(&mut self, now: Duration, restored: RestoredState) {
+        self.restored_at = now;
+        self.restored_admission_until = now + restored.levels_for;
+        self.restored_frozen_tables = restored
+            .holds
+            .iter()
+            .map(|(place, (age, remaining, stored))| {
+                let frozen = RestoredFrozenTable {
+                    published_at: now.saturating_sub(*age),
+                    until: now + *remaining,
+                    stored: stored.clone(),
+                };
+                (place.clone(), frozen)
+            })
+            .collect();
+        for ((id, zone), per_second) in &restored.seen {
+            self.guard.restore_throughput(now, id, *zone, *per_second);
+        }
+        self.restored = restored;
+    }
+
+    /// Requests a second that a proxy ordinarily receives: as it says, mixed with what was measured before a
+    /// restart.
+    pub(super) fn ordinary_demand(&self, join: &JoinRequest, restored: Option<&StoredProxy>) -> f64 {
+        let Some(known) = restored else { return join.requests_per_second };
+        let weight = snapshot::counts(self.restored.age, snapshot::DEMAND);
+        join.requests_per_second + (known.flows.iter().sum::<f64>() - join.requests_per_second) * weight
+    }
+
+    /// A proxy that has just connected holds what it was sent before a restart: it is sent only what differs.
+    /// Dedicated tables stand until the module has decided, less what the rules forbid.
+    pub(super) fn resume_proxy(&mut self, now: Duration, id: ProxyId, known: StoredProxy) {
+        let version = self.version;
+        let policies: Vec<RetryPolicy> = known.tries.iter().map(|policy| (*policy).into()).collect();
+        let why: Arc<str> = "known from before a restart".into();
+        for (class, stored) in known.tables.into_iter().enumerate().take(self.class_count) {
+            let Some(stored) = stored else { continue };
+            let table = Table::from(stored);
+            let demand = known.flows.get(class).copied().unwrap_or(0.0);
+            self.guard.set_current_table(id, class, demand, Some(&table));
+            if known.own {
+                let policy = policies.get(class).copied().unwrap_or_default();
+                let frozen = FrozenTable {
+                    version,
+                    published_at: now.saturating_sub(self.restored.age),
+                    table: PublishedTable::of(&table, policy),
+                    since: now,
+                    until: now + MIGRATED_TABLE_TIMEOUT,
+                    why: why.clone(),
+                    migrated: true,
+                };
+                self.frozen_tables.entry((id, class)).or_insert(frozen);
+            }
+            if let Some(proxy) = self.fleet.get_mut(id) {
+                proxy.tables[class] = Some(VersionedTable { version, table: Arc::new(table) });
+            }
+        }
+        if let Some(proxy) = self.fleet.get_mut(id)
+            && proxy.retry_policies.1.len() == policies.len()
+        {
+            proxy.retry_policies = (version, policies);
+        }
+    }
+
+    /// Uses what was known of replicas before a restart, now that there is a roster.
+    pub(super) fn apply_restored_replicas(&mut self, now: Duration) {
+        let throughput = std::mem::take(&mut self.restored.seen);
+        if !self.restored.withdrawn.is_empty() {
+            self.report_restored_successes(now, throughput);
+        }
+        for (id, attempts) in std::mem::take(&mut self.restored.withdrawn) {
+            let Some(known) = self.roster.get(&id).filter(|known| known.phase == Phase::Ready) else {
+                continue;
+            };
+            // Replaced under its name since: what was known is of another process.
+            if known.started_at.is_some_and(|started| now.saturating_sub(started) < self.restored.age) {
+                continue;
+            }
+            self.report_restored_statistics(now, known.zone, id, attempts, attempts);
+        }
+        for (id, (weight, remaining, reason)) in std::mem::take(&mut self.restored.overrides) {
+            let kind = weight.map_or(OverrideKind::Exclude, OverrideKind::Weight);
+            // A replica that is not listed any more needs no override.
+            let _ = self.override_replica(now, &id, kind, now + remaining, &reason);
+        }
+    }
+
+    /// Beside a replica where everything fails the module must see that others succeed.
+    fn report_restored_successes(&mut self, now: Duration, throughput: BTreeMap<(ReplicaId, usize), f64>) {
+        for ((id, zone), per_second) in throughput {
+            let succeeded = (per_second * snapshot::LAST.as_secs_f64()).round().min(1e6) as u64;
+            let ready = self.roster.is_ready(&id);
+            if ready && succeeded > 0 && !self.restored.withdrawn.contains_key(&id) {
+                self.report_restored_statistics(now, zone, id, succeeded, 0);
+            }
+        }
+    }
+
+    fn report_restored_statistics(
+        &mut self,
+        now: Duration,
+        zone: usize,
+        replica: ReplicaId,
+        attempts: u64,
+        failed: u64,
+    ) {
+        let statistics = ReplicaStatistics {
+            zone,
+            replica,
+            attempts,
+            failed,
+            mean_latency: None,
+            interval: self.report_interval,
+            load: Vec::new(),
+        };
+        self.governor.record_replica_statistics(now, statistics);
+        self.causes.insert(Cause::Reports);
+    }
+
+    /// Drops what was restored and whose time is over.
+    pub(super) fn expire_restored(&mut self, now: Duration) {
+        if !self.restored.levels.is_empty() && now >= self.restored_admission_until {
+            self.restored.levels.clear();
+            self.refresh(now, &self.fleet.proxy_ids());
+        }
+        if now >= self.restored_at + snapshot::TABLES {
+            // A proxy that has not come back by now was elsewhere, or is no more.
+            self.restored.proxies.clear();
+        }
+        self.restored_frozen_tables.retain(|_, frozen| now < frozen.until);
+    }
+}
--- /dev/null
+++ b/crates/core/src/engine/rollback.rs
@@ -0,0 +1,192 @@
+//! Tables that operators freeze at an earlier version, and their release. See `docs/design/versions.md`.
+
+use std::collections::BTreeSet;
+use std::ops::Range;
+use std::sync::Arc;
+use std::time::Duration;
+
+use wrenthread::types::{ProxyId, ReplicaId};
+
+use crate::frozen_tables::{self, FrozenTable, OmissionReason, ReleaseReason};
+
+use super::inputs::shortened;
+use super::{Action, Engine, EngineEvent};
+
+/// Whose tables an operator means.
+#[derive(Debug, Clone, PartialEq)]
+pub enum TableScope {
+    /// All tables of one proxy, by its name.
+    Proxy(Arc<str>),
+    /// Tables of one traffic class, of all proxies.
+    Group(usize),
+    /// All tables of all proxies.
+    All,
+}
+
+/// What a rollback came to.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct RollbackReport {
+    /// Tables that are frozen now.
+    pub frozen: usize,
+    /// Proxies of which so old a version is not retained, or which were on their default tables then.
+    pub without: Vec<Arc<str>>,
+    /// What is not published of the frozen tables, by proxy and traffic class.
+    pub left_out: Vec<(Arc<str>, usize, ReplicaId, OmissionReason)>,
+    /// Tables that can't be frozen, as nothing of them is left.
+    pub unfreezable: usize,
+}
+
+/// Why a rollback or a release was rejected.
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
+pub enum RollbackError {
+    /// No such proxy is connected.
+    #[error("no proxy `{0}` is joined")]
+    NoProxy(Arc<str>),
+    /// The version asked for, and the newest.
+    #[error("version {0} is not given out yet; the newest is {1}")]
+    NotYet(u64, u64),
+    /// History does not go back to this version.
+    #[error("of version {0} nothing is kept for anyone concerned")]
+    NotKept(u64),
+}
+
+impl Engine {
+    /// Freezes tables at an earlier version: these proxies hold, from now on and until `until`, what they were
+    /// sent as of that version, less what the rules forbid now. The module goes on deciding; what it decides for
+    /// them waits.
+    ///
+    /// # Errors
+    /// As [`RollbackError`]; nothing is changed by a rollback that comes to nothing.
+    pub fn rollback(
+        &mut self,
+        now: Duration,
+        scope: &TableScope,
+        version: u64,
+        reason: &str,
+        until: Duration,
+    ) -> Result<RollbackReport, RollbackError> {
+        if version > self.version {
+            return Err(RollbackError::NotYet(version, self.version));
+        }
+        let (proxies, classes) = self.resolve_scope(scope)?;
+        let why = shortened(reason);
+        let mut report = RollbackReport::default();
+        let mut touched = Vec::new();
+        for id in proxies {
+            let Some(name) = self.fleet.get(id).map(|proxy| proxy.name.clone()) else { continue };
+            let Some(then) = self.history.as_of(id, version).cloned() else {
+                report.without.push(name);
+                continue;
+            };
+            let mut had_tables = false;
+            for class in classes.clone() {
+                let Some(table) = then.state.classes.get(class).cloned().flatten() else { continue };
+                had_tables = true;
+                let frozen = FrozenTable {
+                    version: then.version,
+                    published_at: then.published_at,
+                    table,
+                    since: now,
+                    until,
+                    why: why.clone(),
+                    migrated: false,
+                };
+                self.freeze(id, &name, class, frozen, &mut report);
+            }
+            if had_tables {
+                touched.push(id);
+            } else {
+                report.without.push(name);
+            }
+        }
+        if touched.is_empty() {
+            return Err(RollbackError::NotKept(version));
+        }
+        self.refresh(now, &touched);
+        Ok(report)
+    }
+
+    fn freeze(
+        &mut self,
+        id: ProxyId,
+        name: &Arc<str>,
+        class: usize,
+        frozen: FrozenTable,
+        report: &mut RollbackReport,
+    ) {
+        let current = self.current_table(id, class);
+        let ejected = |id: &ReplicaId| self.tables.is_ejected(id);
+        let (table, left_out) = frozen_tables::told(&frozen, &current, &self.roster, ejected);
+        if table.is_none() {
+            report.unfreezable += 1;
+            return;
+        }
+        let omitted = left_out.into_iter().map(|(replica, reason)| (name.clone(), class, replica, reason));
+        report.left_out.extend(omitted);
+        report.frozen += 1;
+        if let Some(before) = self.frozen_tables.insert((id, class), frozen) {
+            let event = EngineEvent::FrozenTableReleased {
+                proxy: name.clone(),
+                group: class,
+                over: ReleaseReason::Replaced(before.why),
+            };
+            self.pending_actions.push_back(Action::Report(event));
+        }
+    }
+
+    /// Releases frozen tables: the module's current tables are published again. Returns how many there were.
+    ///
+    /// # Errors
+    /// No such proxy.
+    pub fn release(&mut self, now: Duration, scope: &TableScope) -> Result<usize, RollbackError> {
+        let (proxies, classes) = self.resolve_scope(scope)?;
+        let proxies: BTreeSet<ProxyId> = proxies.into_iter().collect();
+        Ok(self.release_where(now, &ReleaseReason::Released, |(id, class), _| {
+            proxies.contains(id) && classes.contains(class)
+        }))
+    }
+
+    /// Releases frozen tables whose time is over.
+    pub(super) fn release_expired(&mut self, now: Duration) {
+        if self.frozen_tables.values().any(|frozen| frozen.until <= now) {
+            self.release_where(now, &ReleaseReason::Time, |_, frozen| frozen.until <= now);
+        }
+    }
+
+    fn release_where(
+        &mut self,
+        now: Duration,
+        reason: &ReleaseReason,
+        matches: impl Fn(&(ProxyId, usize), &FrozenTable) -> bool,
+    ) -> usize {
+        let released: Vec<(ProxyId, usize)> = self
+            .frozen_tables
+            .extract_if(.., |place, frozen| matches(place, frozen))
+            .map(|(place, _)| place)
+            .collect();
+        for (id, class) in &released {
+            let event = EngineEvent::FrozenTableReleased {
+                proxy: self.name_of(*id),
+                group: *class,
+                over: reason.clone(),
+            };
+            self.pending_actions.push_back(Action::Report(event));
+        }
+        let proxies: BTreeSet<ProxyId> = released.iter().map(|(id, _)| *id).collect();
+        self.refresh(now, &proxies.into_iter().collect::<Vec<_>>());
+        released.len()
+    }
+
+    /// Proxies and traffic classes of a scope.
+    fn resolve_scope(&self, scope: &TableScope) -> Result<(Vec<ProxyId>, Range<usize>), RollbackError> {
+        Ok(match scope {
+            TableScope::All => (self.fleet.proxy_ids(), 0..self.class_count),
+            TableScope::Group(class) => (self.fleet.proxy_ids(), *class..(class + 1).min(self.class_count)),
+            TableScope::Proxy(name) => {
+                let named = self.fleet.named(name);
+                let (id, _) = named.ok_or_else(|| RollbackError::NoProxy(name.clone()))?;
+                (vec![id], 0..self.class_count)
+            }
+        })
+    }
+}
--- /dev/null
+++ b/crates/core/src/engine/scheduling.rs
@@ -0,0 +1,122 @@
+//! The order of work: what is due, when the module is asked again, and the next action for the host.
+
+use std::time::Duration;
+
+use crate::reports::AggregatedStatistics;
+
+use super::{Action, Cause, Engine, EngineEvent};
+
+/// So far behind its tick a process has stood still: stopped, swapped out, or on a machine that slept.
+const STOOD_STILL: Duration = Duration::from_secs(3);
+/// It then takes inputs for so long before the module decides. To the module the gap would be a silence of
+/// replicas, and its proxies, who have long gone elsewhere, would still be connected. *Harm:* a replica that went
+/// bad in the gap is ejected so much later; drains are not, as they go with the roster.
+pub(super) const CATCH_UP: Duration = Duration::from_secs(1);
+
+impl Engine {
+    /// The next thing to do, until there is none.
+    pub fn next_action(&mut self, now: Duration) -> Option<Action> {
+        // A host that left a flush undone would be offered it for ever.
+        if let Some(id) = self.offered_flush.take() {
+            self.send_limiter.stream_full(id);
+        }
+        self.process_due(now);
+        if let Some(action) = self.pending_actions.pop_front() {
+            return Some(action);
+        }
+        let id = self.send_limiter.next_proxy(now)?;
+        self.offered_flush = Some(id);
+        Some(Action::Flush(id))
+    }
+
+    /// When to pull [`Engine::next_action`] again, if nothing else happens.
+    pub fn next_deadline(&self, now: Duration) -> Duration {
+        let deadlines = [
+            self.roster.next_deadline(),
+            self.backups.next_deadline(),
+            self.reports.next_deadline(),
+            self.send_limiter.next_deadline(now),
+            self.frozen_tables.values().map(|frozen| frozen.until).min(),
+            self.overrides.next_deadline(),
+            (!self.restored.levels.is_empty()).then_some(self.restored_admission_until),
+        ];
+        deadlines.into_iter().flatten().fold(self.next_tick, Duration::min)
+    }
+
+    fn process_due(&mut self, now: Duration) {
+        self.detect_standstill(now);
+        self.process_roster_deadlines(now);
+        self.release_expired(now);
+        self.expire_restored(now);
+        self.expire_overrides(now);
+        self.pass_on_reports(now);
+        self.drain_join_queue(now);
+        self.tick_if_due(now);
+        if !self.causes.is_empty() {
+            self.ask_module(now);
+        }
+    }
+
+    /// Once for each gap: on a machine that is always so late the module must decide all the same.
+    fn detect_standstill(&mut self, now: Duration) {
+        if now > self.next_tick + STOOD_STILL && !self.catching_up {
+            self.next_tick = now + CATCH_UP;
+            self.catching_up = true;
+        }
+    }
+
+    fn process_roster_deadlines(&mut self, now: Duration) {
+        if let Some(listed) = self.roster.believe_empty(now) {
+            self.roster_changed(now, &listed);
+        }
+        if let Some(entries) = self.backups.release_due(now) {
+            self.apply_roster(now, entries);
+        }
+    }
+
+    fn expire_overrides(&mut self, now: Duration) {
+        let expired = self.overrides.take_expired(now);
+        if expired.is_empty() {
+            return;
+        }
+        let events = expired.into_iter().map(|id| Action::Report(EngineEvent::OverrideExpired(id)));
+        self.pending_actions.extend(events);
+        self.refresh(now, &self.fleet.proxy_ids());
+    }
+
+    fn pass_on_reports(&mut self, now: Duration) {
+        for statistics in self.reports.take_due(now) {
+            self.causes.insert(Cause::Reports);
+            match statistics {
+                AggregatedStatistics::Replica(one) => {
+                    let succeeded = one.attempts.saturating_sub(one.failed);
+                    self.guard.record_throughput(now, &one.replica, one.zone, succeeded, one.interval);
+                    self.governor.record_replica_statistics(now, one);
+                }
+                AggregatedStatistics::Demand(one) => {
+                    self.guard.record_demand(one.proxy, one.class, one.requests, one.interval);
+                    self.governor.record_demand(now, one);
+                }
+            }
+        }
+    }
+
+    fn tick_if_due(&mut self, now: Duration) {
+        if now >= self.next_tick {
+            self.causes.insert(Cause::Beat);
+            self.catching_up = false;
+            self.reserved_entries = 0.0;
+            self.governor.tick();
+        }
+    }
+
+    fn ask_module(&mut self, now: Duration) {
+        let ticked = self.causes.contains(&Cause::Beat);
+        self.flush_decisions(now);
+        if std::mem::take(&mut self.recheck_all) {
+            self.recheck_everything(now);
+        } else if ticked {
+            self.recheck_overloaded(now);
+        }
+    }
+}
--- a/crates/core/src/engine/hostile.rs
+++ b/crates/core/src/engine/tests/faulty_module.rs
@@ -4,6 +4,7 @@
 use std::collections::BTreeMap;
 
 use super::*;
+use crate::engine::decisions::MAX_TICK;
 use crate::fault_injection::{FAULTS, Fault, decider};
 use crate::guard::COLD_MARGIN;
 use crate::roster::RosterEntry;
@@ -113,14 +114,14 @@
 ];
 
 #[test]
-fn no_decider_however_wrong_has_a_table_stand_that_breaks_a_rule() {
+fn guard_lets_no_faulty_decision_break_a_rule() {
     for (kind, wrong) in FAULTS {
         assert_eq!(broken(wrong, true), BTreeMap::new(), "{kind}");
     }
 }
 
 #[test]
-fn each_of_these_breaks_its_rule_where_nothing_guards_it() {
+fn each_fault_breaks_its_rule_without_the_guard() {
     for (kind, rule) in BREAKS {
         let (_, wrong) = FAULTS.iter().find(|(name, _)| *name == kind).expect("a kind of that name");
         let broken = broken(*wrong, false);
@@ -129,7 +130,7 @@
 }
 
 #[test]
-fn the_module_as_it_is_passes_unchanged() {
+fn guard_passes_the_decisions_of_the_module_unchanged() {
     assert_eq!(broken(|decision, _| vec![decision], true), BTreeMap::new());
     let mut engine = Engine::new(EngineSettings::example(2), at(0));
     engine.update_roster(at(0), list(&[], None));
@@ -169,7 +170,7 @@
 }
 
 #[test]
-fn a_module_that_never_ends_and_one_that_never_wakes_are_asked_again_all_the_same() {
+fn asks_a_module_again_that_never_ends_or_never_ticks() {
     let forever: FaultyDecider = Box::new(|_, _| {
         Some(Decision::SetAdmission { classes: 1, fraction: 0.5, retry_policy: RetryPolicy::Never })
     });
@@ -188,6 +189,6 @@
         let steps = std::iter::from_fn(|| engine.next_action(at(1))).take(300_000).count();
         assert!(steps < 300_000);
         let due = engine.next_deadline(at(1));
-        assert!(due > at(1) && due <= at(1) + LATEST, "{due:?}");
+        assert!(due > at(1) && due <= at(1) + MAX_TICK, "{due:?}");
     }
 }
--- /dev/null
+++ b/crates/core/src/engine/tests/publishing.rs
@@ -0,0 +1,104 @@
+//! Tests of what is sent to proxies and what is not: drains, rejections, acknowledgements, full streams.
+
+use super::*;
+
+#[test]
+fn publishes_a_drain_to_default_and_dedicated_tables_at_once() {
+    let mut engine = engine(&["a", "b", "c", "d"]);
+    engine.proxy_connected(ms(1), 1, &join("p", &["a", "b", "c", "d"])).unwrap();
+    engine.proxy_connected(ms(1), 2, &join("q", &[])).unwrap();
+    run(&mut engine, ms(600));
+    engine.version_acknowledged(ms(610), 2, engine.proxy(1).unwrap().newest());
+    let mut list = ready(&["a", "b", "c", "d"]);
+    list[0].phase = Phase::Draining;
+    engine.update_roster(ms(700), list);
+    let (flushed, notes) = run(&mut engine, ms(1600));
+    assert_eq!(flushed, [0, 1]);
+    assert!(notes.iter().any(|note| matches!(note,
+        EngineEvent::Decided { what: DecisionSummary::Withdraw(id, true), answers, .. } if &**id == "a"
+            && answers.contains(&Cause::Roster) | answers.contains(&Cause::Beat))));
+    assert!((0..2).all(|number| !open(&engine, number).contains(&"a".to_string())));
+    assert!(!open(&engine, 0).is_empty(), "a standing table is told of whole, but for the drain");
+}
+
+#[test]
+fn ignores_a_drain_of_a_replica_that_was_never_listed() {
+    let mut engine = engine(&["a", "b", "c"]);
+    engine.proxy_connected(ms(1), 1, &join("p", &[])).unwrap();
+    run(&mut engine, ms(600));
+    let before = open(&engine, 0);
+    let mut list = ready(&["a", "b", "c"]);
+    list.push(entry("never", Phase::Draining));
+    engine.update_roster(ms(700), list);
+    run(&mut engine, ms(1600));
+    assert_eq!(open(&engine, 0), before);
+}
+
+#[test]
+fn doubts_an_empty_roster_and_keeps_tables() {
+    let mut engine = engine(&["a", "b", "c"]);
+    engine.proxy_connected(ms(1), 1, &join("p", &[])).unwrap();
+    run(&mut engine, ms(600));
+    engine.update_roster(ms(700), vec![]);
+    let (flushed, notes) = run(&mut engine, ms(5000));
+    assert!(flushed.is_empty() && matches!(notes[0], EngineEvent::EmptyRosterDoubted(_)));
+    assert_eq!(open(&engine, 0).len(), 3);
+    engine.update_roster(ms(6000), ready(&["a", "b", "c"]));
+    assert!(!engine.status(ms(6000)).roster_doubted);
+    assert!(run(&mut engine, ms(60_000)).0.is_empty());
+}
+
+#[test]
+fn sends_nothing_after_a_rejection_until_something_changes() {
+    let mut engine = engine(&["a", "b", "c"]);
+    engine.proxy_connected(ms(1), 1, &join("p", &[])).unwrap();
+    engine.proxy_connected(ms(1), 2, &join("q", &[])).unwrap();
+    run(&mut engine, ms(600));
+    let version = engine.proxy(0).unwrap().newest();
+    engine.version_rejected(1, version, "no such locality");
+    engine.version_acknowledged(ms(700), 2, version);
+    let (flushed, notes) = run(&mut engine, ms(3000));
+    assert!(flushed.is_empty());
+    assert!(matches!(&notes[0], EngineEvent::VersionRejected { words, .. } if words == "no such locality"));
+    assert_eq!(engine.proxy(0).unwrap().acknowledged_version, 0);
+    engine.update_roster(ms(3100), ready(&["a", "b"]));
+    assert_eq!(run(&mut engine, ms(4000)).0, [0, 1]);
+    engine.version_acknowledged(ms(4100), 1, engine.proxy(0).unwrap().newest());
+    assert_eq!(engine.proxy(0).unwrap().rejected, None);
+}
+
+#[test]
+fn reports_each_requested_acknowledgement_once() {
+    let mut engine = engine(&["a", "b", "c"]);
+    engine.proxy_connected(ms(1), 1, &join("p", &[])).unwrap();
+    run(&mut engine, ms(600));
+    engine.version_acknowledged(ms(650), 1, engine.proxy(0).unwrap().newest());
+    engine.update_roster(ms(700), ready(&["a", "b"]));
+    run(&mut engine, ms(1600));
+    let version = engine.proxy(0).unwrap().newest();
+    engine.version_acknowledged(ms(1700), 1, version - 1);
+    assert!(!engine.causes.contains(&Cause::Acked), "an older version's answers nothing marked later");
+    engine.version_acknowledged(ms(1800), 1, version);
+    assert!(engine.causes.remove(&Cause::Acked));
+    engine.version_acknowledged(ms(1900), 1, version);
+    assert!(!engine.causes.contains(&Cause::Acked));
+}
+
+#[test]
+fn merges_updates_for_a_stream_without_capacity() {
+    let mut engine = engine(&["a", "b", "c", "d"]);
+    engine.proxy_connected(ms(1), 1, &join("p", &[])).unwrap();
+    while let Some(step) = engine.next_action(ms(300)) {
+        if let Action::Flush(number) = step {
+            engine.stream_full(number);
+        }
+    }
+    for round in 0..50 {
+        let list = if round % 2 == 0 { ready(&["a", "b", "c"]) } else { ready(&["a", "b", "d"]) };
+        engine.update_roster(ms(1000 * (round + 1)), list);
+        assert!(run(&mut engine, ms(1000 * (round + 1) + 600)).0.is_empty());
+    }
+    engine.stream_has_capacity(1);
+    assert_eq!(run(&mut engine, ms(60_000)).0, [0], "once, not fifty times");
+    assert!(open(&engine, 0).contains(&"d".to_string()));
+}
--- /dev/null
+++ b/crates/core/src/engine/tests/rollback.rs
@@ -0,0 +1,128 @@
+//! Tests of tables frozen at an earlier version, and of their release.
+
+use super::*;
+
+/// An engine with one proxy on its own tables, and the version at which it held them all.
+fn settled(names: &[&str]) -> (Engine, u64) {
+    let mut engine = engine(names);
+    engine.proxy_connected(ms(1), 1, &join("p", &[])).unwrap();
+    run(&mut engine, ms(600));
+    let newest = engine.proxy(0).unwrap().newest();
+    engine.version_acknowledged(ms(650), 1, newest);
+    (engine, newest)
+}
+
+fn pass(engine: &mut Engine, now: Duration) -> Vec<EngineEvent> {
+    let (_, notes) = run(engine, now);
+    engine.version_acknowledged(now, 1, engine.proxy(0).unwrap().newest());
+    notes
+}
+
+#[test]
+fn rollback_freezes_old_tables_less_drained_replicas_until_released() {
+    let (mut engine, before) = settled(&["a", "b", "c"]);
+    engine.update_roster(ms(1000), ready(&["a", "b", "c", "d", "e"]));
+    pass(&mut engine, ms(2000));
+    assert_eq!(open(&engine, 0).len(), 5);
+    // One replica of the old table drains, and is done with it, before the step back.
+    engine.update_roster(ms(3000), ready(&["b", "c", "d", "e"]));
+    pass(&mut engine, ms(4000));
+    let rolled = engine.rollback(ms(5000), &TableScope::All, before, "too wide", ms(60_000)).unwrap();
+    assert_eq!((rolled.frozen, rolled.unfreezable, rolled.left_out.len()), (2, 0, 2));
+    assert_eq!(rolled.left_out[0].3, OmissionReason::Gone);
+    pass(&mut engine, ms(5100));
+    assert_eq!(open(&engine, 0), ["b", "c"]);
+    // While it is held the module's news waits, and drains go through.
+    let mut list = ready(&["b", "c", "d", "e", "f"]);
+    list[0].phase = Phase::Draining;
+    engine.update_roster(ms(6000), list);
+    pass(&mut engine, ms(7000));
+    assert_eq!(open(&engine, 0), ["c"]);
+    assert_eq!(engine.release(ms(8000), &TableScope::Proxy("p".into())), Ok(2));
+    let notes = pass(&mut engine, ms(8100));
+    assert!(matches!(notes[0], EngineEvent::FrozenTableReleased { over: ReleaseReason::Released, .. }));
+    assert_eq!(open(&engine, 0), ["c", "d", "e", "f"]);
+}
+
+#[test]
+fn frozen_table_ends_by_its_time_or_when_nothing_is_left_of_it() {
+    let (mut engine, before) = settled(&["a", "b"]);
+    engine.update_roster(ms(1000), ready(&["a", "b", "c"]));
+    pass(&mut engine, ms(2000));
+    engine.rollback(ms(3000), &TableScope::Group(1), before, "", ms(9000)).unwrap();
+    assert_eq!(engine.frozen_tables().count(), 1);
+    pass(&mut engine, ms(8990));
+    assert_eq!(engine.next_deadline(ms(8990)).min(ms(9000)), engine.next_deadline(ms(8990)));
+    let notes = pass(&mut engine, ms(9000));
+    assert!(notes.iter().any(|note| matches!(
+        note,
+        EngineEvent::FrozenTableReleased { group: 1, over: ReleaseReason::Time, .. }
+    )));
+    engine.rollback(ms(10_000), &TableScope::All, before, "", ms(90_000)).unwrap();
+    pass(&mut engine, ms(10_100));
+    engine.update_roster(ms(11_000), ready(&["c"]));
+    let notes = pass(&mut engine, ms(12_000));
+    assert!(
+        notes
+            .iter()
+            .any(|note| matches!(note, EngineEvent::FrozenTableReleased { over: ReleaseReason::Bare, .. }))
+    );
+    assert_eq!(open(&engine, 0), ["c"], "the module's own table");
+    assert_eq!(engine.frozen_tables().count(), 0);
+}
+
+#[test]
+fn later_rollback_replaces_an_earlier_one_and_names_it() {
+    let (mut engine, before) = settled(&["a", "b", "c"]);
+    engine.update_roster(ms(1000), ready(&["a", "b"]));
+    pass(&mut engine, ms(2000));
+    engine.rollback(ms(3000), &TableScope::All, before, "first", ms(60_000)).unwrap();
+    engine.rollback(ms(3001), &TableScope::All, before, "second", ms(60_000)).unwrap();
+    let notes = pass(&mut engine, ms(3100));
+    assert!(notes.iter().any(|note| matches!(note,
+        EngineEvent::FrozenTableReleased { over: ReleaseReason::Replaced(why), .. } if &**why == "first")));
+    assert!(engine.frozen_tables().all(|(_, _, hold)| &*hold.why == "second"));
+}
+
+#[test]
+fn rejects_rollbacks_to_unknown_versions_and_proxies() {
+    let (mut engine, before) = settled(&["a", "b", "c"]);
+    let later = engine.status(ms(0)).version + 1;
+    let back = |engine: &mut Engine, scope, version| engine.rollback(ms(1000), &scope, version, "", ms(9000));
+    assert!(matches!(back(&mut engine, TableScope::All, later), Err(RollbackError::NotYet(..))));
+    assert_eq!(back(&mut engine, TableScope::All, 0), Err(RollbackError::NotKept(0)));
+    let nobody = TableScope::Proxy("nobody".into());
+    assert_eq!(back(&mut engine, nobody.clone(), before), Err(RollbackError::NoProxy("nobody".into())));
+    assert!(engine.release(ms(1000), &nobody).is_err());
+    assert_eq!(engine.frozen_tables().count(), 0);
+}
+
+#[test]
+fn frozen_table_caps_a_replica_that_restarted() {
+    let (mut engine, before) = settled(&["a", "b", "c"]);
+    let mut list = ready(&["a", "b", "c"]);
+    list[2].started_at = Some(ms(1000));
+    engine.update_roster(ms(1000), list);
+    pass(&mut engine, ms(1600));
+    let share = |engine: &Engine| {
+        let lines = &engine.proxy(0).unwrap().tables[0].as_ref().unwrap().table.entries;
+        let all: f64 = lines.iter().filter(|line| line.routable).map(|line| line.weight).sum();
+        lines
+            .iter()
+            .filter(|line| line.routable && &*line.replica == "c")
+            .map(|line| line.weight)
+            .sum::<f64>()
+            / all
+    };
+    let present = engine.current_table(0, 0);
+    let all: f64 = present.entries.iter().map(|line| line.weight).sum();
+    let cap = present
+        .entries
+        .iter()
+        .filter(|line| &*line.replica == "c")
+        .map(|line| line.weight / all)
+        .sum::<f64>();
+    assert!(cap < 0.2, "the module spares it: {cap}");
+    engine.rollback(ms(2000), &TableScope::All, before, "", ms(60_000)).unwrap();
+    assert!(share(&engine) <= cap + 1e-9, "{} {cap}", share(&engine));
+}
--- /dev/null
+++ b/crates/core/src/engine/tests/scheduling.rs
@@ -0,0 +1,96 @@
+//! Tests of the order of work: determinism, standstill of the process.
+
+use super::*;
+use crate::engine::scheduling::CATCH_UP;
+
+#[test]
+fn same_inputs_give_the_same_actions() {
+    let steps = || {
+        let mut engine = engine(&["a", "b", "c"]);
+        engine.proxy_connected(ms(1), 1, &join("p", &["a", "b", "c"])).unwrap();
+        engine.proxy_connected(ms(2), 2, &join("q", &[])).unwrap();
+        let mut steps = Vec::new();
+        for tick in 1..40 {
+            engine.update_roster(
+                ms(tick * 250),
+                ready(if tick % 3 == 0 { &["a", "b"] } else { &["a", "b", "c"] }),
+            );
+            while let Some(step) = engine.next_action(ms(tick * 250)) {
+                if let Action::Flush(number) = step {
+                    engine.tables_sent(ms(tick * 250), number, 2, 1);
+                    let proxy = engine.proxy(number).unwrap();
+                    let (stream, newest) = (proxy.stream, proxy.newest());
+                    engine.version_acknowledged(ms(tick * 250), stream, newest);
+                }
+                steps.push(step);
+            }
+        }
+        steps
+    };
+    let first = steps();
+    assert!(first.len() > 20);
+    assert_eq!(first, steps());
+}
+
+#[test]
+fn does_not_take_its_own_standstill_for_silent_replicas() {
+    let all = ["a", "b", "c", "d"];
+    let mut engine = engine(&all);
+    engine.proxy_connected(ms(1), 1, &join("p", &all)).unwrap();
+    engine.proxy_connected(ms(1), 2, &join("q", &all)).unwrap();
+    let met = |engine: &mut Engine, now: u64, name: &str, stream, ids: &[&str]| {
+        let one = |id: &&str| ReplicaObservation {
+            class: 0,
+            replica: (*id).into(),
+            succeeded: 10,
+            failed: 0,
+            issued: 10,
+            in_flight: 0,
+            answers: (Duration::from_micros(500_000 + now), 10),
+            load: vec![1.0],
+        };
+        let report = LoadReport {
+            interval: ms(500) - ms(0),
+            observations: ids.iter().map(one).collect(),
+            rejected: vec![],
+        };
+        let _ = engine.record_report(ms(now), name, stream, &report);
+    };
+    for now in (500..5000).step_by(100) {
+        if now % 500 == 0 {
+            met(&mut engine, now, "p", 1, &all);
+            met(&mut engine, now, "q", 2, &all);
+        }
+        run(&mut engine, ms(now));
+    }
+    // It falls asleep over a report of one replica, and wakes to one of another; that its proxies have left comes
+    // a moment later.
+    run(&mut engine, ms(5100));
+    met(&mut engine, 5200, "p", 1, &["a"]);
+    met(&mut engine, 19_000, "q", 2, &["b"]);
+    run(&mut engine, ms(19_000));
+    (1..3).for_each(|stream| engine.stream_closed(ms(19_150), stream));
+    run(&mut engine, ms(19_150));
+    engine.proxy_connected(ms(19_500), 3, &join("p", &all)).unwrap();
+    for now in (19_500..25_000).step_by(100) {
+        if now % 500 == 0 && now >= 20_000 {
+            met(&mut engine, now, "p", 3, &all);
+        }
+        run(&mut engine, ms(now));
+        let out: Vec<&str> = all.into_iter().filter(|id| engine.is_ejected(&(*id).into())).collect();
+        assert!(out.is_empty(), "at {now} ms: {out:?}");
+    }
+}
+
+#[test]
+fn a_process_that_is_always_late_still_decides() {
+    let mut engine = engine(&["a", "b"]);
+    run(&mut engine, ms(0));
+    // Never sooner than six seconds after it should: every other time the module has its beat.
+    let waits = (1..5).map(|step| {
+        run(&mut engine, ms(6000 * step));
+        engine.next_tick - ms(6000 * step)
+    });
+    let waits: Vec<bool> = waits.map(|wait| wait < CATCH_UP).collect();
+    assert_eq!(waits, [false, true, false, true]);
+}
--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -136,6 +136,15 @@
     pub since: Duration,
 }
 
+/// How much of all traffic one change may move to other replicas.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ShiftLimit {
+    /// As much as it takes: the roster changed, a proxy came or went, a replica was ejected, an operator spoke.
+    Unlimited,
+    /// At most [`AT_ONCE`], as nothing asks for more.
+    Limited,
+}
+
 /// A table on its way out.
 #[derive(Debug, Clone)]
 pub struct ProposedTable<'a> {
@@ -358,7 +367,7 @@
         now: Duration,
         roster: &Roster,
         withdrawn: impl Fn(&ReplicaId) -> bool,
-        asked: bool,
+        shift_limit: ShiftLimit,
         mut changes: Vec<ProposedTable>,
     ) -> Vec<Table> {
         if self.off {
@@ -411,7 +420,7 @@
             }
         }
         let moved = self.moved(&changes, &tables);
-        if !asked && moved > AT_ONCE {
+        if shift_limit == ShiftLimit::Limited && moved > AT_ONCE {
             for (place, change) in changes.iter().enumerate() {
                 let since = self.lasting.get(&(change.proxy, change.class, RefusalReason::Sweep));
                 let lasted = since.is_some_and(|since| now >= *since + HELD_FOR);
--- a/crates/core/src/guard/tests.rs
+++ b/crates/core/src/guard/tests.rs
@@ -61,7 +61,9 @@
     wanted: Table,
 ) -> (Table, Vec<(RefusalReason, RefusalOutcome)>) {
     let before = guard.refusals().count();
-    let out = guard.check(s(100), roster, |_| false, true, vec![change(0, held, wanted)]).remove(0);
+    let out = guard
+        .check(s(100), roster, |_| false, ShiftLimit::Unlimited, vec![change(0, held, wanted)])
+        .remove(0);
     (out, guard.refusals().skip(before).map(|one| (one.reason, one.outcome)).collect())
 }
 
@@ -85,13 +87,18 @@
     assert_eq!(open(&out).len(), 5, "all that are ready in its zone");
     let standing = [("b".into(), 1.0), ("d".into(), 3.0)];
     let own = ProposedTable { default_table: &standing, ..change(0, None, table(&[])) };
-    assert_eq!(open(&guard.check(s(100), &roster, |_| false, true, vec![own])[0]), [("d".to_string(), 3.0)]);
+    assert_eq!(
+        open(&guard.check(s(100), &roster, |_| false, ShiftLimit::Unlimited, vec![own])[0]),
+        [("d".to_string(), 3.0)]
+    );
     // All withdrawn: one that may be bad is better than none. All draining: nobody is there.
     let change = change(0, Some(&held), table(&[("a", 1.0)]));
-    let out = guard.check(s(100), &roster, |_| true, true, vec![change.clone()]).remove(0);
+    let out = guard.check(s(100), &roster, |_| true, ShiftLimit::Unlimited, vec![change.clone()]).remove(0);
     assert_eq!(open(&out), [("a".to_string(), 1.0)]);
     let nobody = super::tests::roster(&["a", "b", "c", "d", "e", "f", "g"], &[]);
-    assert!(open(&guard.check(s(100), &nobody, |_| false, true, vec![change])[0]).is_empty());
+    assert!(
+        open(&guard.check(s(100), &nobody, |_| false, ShiftLimit::Unlimited, vec![change])[0]).is_empty()
+    );
 }
 
 #[test]
@@ -143,7 +150,7 @@
     // 120 flows over 6.3 replicas: 19 each, 5.4 for the cold one, twice that at the most.
     let heavy = || table(&[("a", 10.0), ("b", 1.0), ("c", 1.0), ("d", 1.0)]);
     let changes = (0..4).map(|proxy| change(proxy, None, heavy())).collect();
-    let out = guard.check(s(100), &cold, |_| false, true, changes);
+    let out = guard.check(s(100), &cold, |_| false, ShiftLimit::Unlimited, changes);
     let sent: f64 =
         out.iter().map(|out| 30.0 * open(out)[0].1 / open(out).iter().map(|one| one.1).sum::<f64>()).sum();
     assert!(sent < 12.5 && sent > 4.0, "{sent}");
@@ -155,7 +162,7 @@
     // The same one warm: 17 each, three times that at the most.
     let warm = roster(&[], &[]);
     let changes = (0..4).map(|proxy| change(proxy, None, heavy())).collect();
-    guard.check(s(100), &warm, |_| false, true, changes);
+    guard.check(s(100), &warm, |_| false, ShiftLimit::Unlimited, changes);
     assert!(guard.sent_to(&"a".into()) < 52.0, "{}", guard.sent_to(&"a".into()));
     assert!(guard.tally().0[&RefusalReason::Over] > 0);
     // Where all but a cold one are withdrawn, they are not.
@@ -163,14 +170,15 @@
     let mut wanted = heavy();
     wanted.entries.iter_mut().skip(1).for_each(|line| line.routable = false);
     let change_of = |proxy| change(proxy, None, wanted.clone());
-    let out = most.check(s(100), &cold, |id| &**id != "a", true, (0..4).map(change_of).collect());
+    let out =
+        most.check(s(100), &cold, |id| &**id != "a", ShiftLimit::Unlimited, (0..4).map(change_of).collect());
     assert!(out.iter().all(|out| open(out).len() == 4) && most.sent_to(&"a".into()) < 12.5);
     assert!(most.tally().0[&RefusalReason::Withdrawn] > 0);
     // Also where all are withdrawn, and what is ready is told all the same.
     let mut out = super::tests::guard(false);
     let held = heavy();
     let changes = (0..4).map(|proxy| change(proxy, Some(&held), table(&[]))).collect();
-    out.check(s(100), &cold, |_| true, true, changes);
+    out.check(s(100), &cold, |_| true, ShiftLimit::Unlimited, changes);
     assert!(out.sent_to(&"a".into()) < 12.5, "{}", out.sent_to(&"a".into()));
     // Unless it was seen to take more; or there is nothing else in the table: bare is worse than over.
     guard.record_throughput(s(100), &"a".into(), 0, 100, s(1));
@@ -178,13 +186,18 @@
     assert_eq!(why, []);
     let mut fresh = super::tests::guard(false);
     let changes = (0..4).map(|proxy| change(proxy, None, table(&[("a", 1.0)]))).collect();
-    assert!(fresh.check(s(100), &warm, |_| false, true, changes).iter().all(|out| open(out).len() == 1));
+    assert!(
+        fresh
+            .check(s(100), &warm, |_| false, ShiftLimit::Unlimited, changes)
+            .iter()
+            .all(|out| open(out).len() == 1)
+    );
     assert!(fresh.refusals().all(|one| one.outcome == RefusalOutcome::LetThrough));
     // Four proxies of eighty here: what is much for them is little for a replica.
     let mut few = super::tests::guard(false);
     few.limits.proxy_count = 80;
     let changes = (0..4).map(|proxy| change(proxy, None, heavy())).collect();
-    few.check(s(100), &warm, |_| false, true, changes);
+    few.check(s(100), &warm, |_| false, ShiftLimit::Unlimited, changes);
     assert_eq!(few.refusals().count(), 0);
     // What stands is looked at again when it starts anew, or demand grows.
     assert!(guard.overloaded_replicas(s(100), &cold, |_| false).contains("a"));
@@ -196,19 +209,28 @@
     let (mut guard, roster) = (guard(false), roster(&[], &[]));
     let held = table(&[("a", 1.0), ("b", 1.0), ("c", 1.0)]);
     let first = (0..4).map(|proxy| change(proxy, None, held.clone())).collect();
-    guard.check(s(100), &roster, |_| false, false, first);
+    guard.check(s(100), &roster, |_| false, ShiftLimit::Limited, first);
     assert!(guard.tally().0.is_empty(), "a first word moves nothing");
     let wanted = table(&[("d", 1.0), ("e", 1.0), ("f", 1.0)]);
     let sweep = || (0..4).map(|proxy| change(proxy, Some(&held), wanted.clone())).collect();
     let mut at = |seconds, asked| guard.check(s(seconds), &roster, |_| false, asked, sweep())[0] == wanted;
-    assert!(!at(101, false) && !at(104, false));
-    assert!(at(106, false), "a guard that is wrong must not freeze a fleet");
+    assert!(!at(101, ShiftLimit::Limited) && !at(104, ShiftLimit::Limited));
+    assert!(at(106, ShiftLimit::Limited), "a guard that is wrong must not freeze a fleet");
     let mut asked = super::tests::guard(false);
-    asked.check(s(100), &roster, |_| false, false, (0..4).map(|p| change(p, None, held.clone())).collect());
-    assert!(asked.check(s(101), &roster, |_| false, true, sweep())[0] == wanted, "its cause asks for it");
+    asked.check(
+        s(100),
+        &roster,
+        |_| false,
+        ShiftLimit::Limited,
+        (0..4).map(|p| change(p, None, held.clone())).collect(),
+    );
+    assert!(
+        asked.check(s(101), &roster, |_| false, ShiftLimit::Unlimited, sweep())[0] == wanted,
+        "its cause asks for it"
+    );
     // Twenty lines at a time: six tables of three.
     let many = (0..8).map(|proxy| change(proxy, Some(&held), wanted.clone())).collect();
-    let out = asked.check(s(102), &roster, |_| false, true, many);
+    let out = asked.check(s(102), &roster, |_| false, ShiftLimit::Unlimited, many);
     assert_eq!(out.iter().filter(|out| **out == wanted).count(), 6);
     assert_eq!(asked.proxies_with_refusals().len(), 2, "the rest are judged again");
     assert_eq!((asked.alarms(s(102)), asked.alarms(s(113))), (0, 2));
--- a/crates/core/src/recording.rs
+++ b/crates/core/src/recording.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use wrenthread::types::{Phase, ProxyId, ReplicaId};
 
-use crate::guard::{Guard, GuardLimits, ProposedTable, Refusal};
+use crate::guard::{Guard, GuardLimits, ProposedTable, Refusal, ShiftLimit};
 use crate::roster::{Roster, RosterEntry};
 use crate::tables::{ResolvedEntry, Table};
 
@@ -320,7 +320,7 @@
                 wanted: table,
             });
         }
-        let tables = guard.check(NOW, &roster, |id| out.contains(id), false, changes);
+        let tables = guard.check(NOW, &roster, |id| out.contains(id), ShiftLimit::Limited, changes);
         let name = |number: ProxyId| self.proxies.get(usize::from(number)).map(|one| one.name.clone());
         let refused = |refusal: Refusal| DryRunRefusal { proxy: refusal.proxy.and_then(name), refusal };
         let refusals = std::iter::from_fn(|| guard.next_new_refusal()).map(refused).collect();
