--- /dev/null
+++ b/crates/core/src/guard/checks.rs
@@ -0,0 +1,331 @@
+//! A change of tables, checked step by step as the state that all proxies would be in after it.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+use wrenthread::types::{Phase, ProxyId, ReplicaId};
+
+use crate::roster::Roster;
+use crate::tables::{ResolvedEntry, Table};
+
+use super::Guard;
+use super::capacity::Overload;
+use super::limits::{AT_ONCE, HELD_FOR, MAX_PASSES, MIN_WEIGHT};
+use super::refusals::{Finding, RefusalOutcome, RefusalReason};
+use super::repair::{SingleTableCheck, has_route, last_good_table, last_resort_table, route_count};
+
+/// How much of all traffic one change may move to other replicas.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ShiftLimit {
+    /// As much as it takes: the roster changed, a proxy came or went, a replica was ejected, an operator spoke.
+    Unlimited,
+    /// At most [`AT_ONCE`], as nothing asks for more.
+    Limited,
+}
+
+/// A table on its way to a proxy.
+#[derive(Debug, Clone)]
+pub struct ProposedTable<'a> {
+    /// The proxy that it is for.
+    pub proxy: ProxyId,
+    /// That proxy's zone.
+    pub zone: usize,
+    /// The traffic class that it is for.
+    pub class: usize,
+    /// What the proxy holds, if it was sent anything.
+    pub held: Option<&'a Table>,
+    /// The proxy's own default table.
+    pub default_table: &'a [(ReplicaId, f64)],
+    /// The table that it should hold.
+    pub wanted: Table,
+}
+
+/// Changes under check, and what becomes of them.
+struct Check<'a, Open> {
+    now: Duration,
+    roster: &'a Roster,
+    /// Whether a replica may be sent to.
+    open: &'a Open,
+    changes: &'a [ProposedTable<'a>],
+    /// In the order of the changes.
+    tables: Vec<Table>,
+    findings: Vec<Finding>,
+}
+
+impl Guard {
+    /// Checks a change as the state that all proxies are in after it: the tables that may be published, in order.
+    pub fn check(
+        &mut self,
+        now: Duration,
+        roster: &Roster,
+        ejected: impl Fn(&ReplicaId) -> bool,
+        shift_limit: ShiftLimit,
+        mut changes: Vec<ProposedTable>,
+    ) -> Vec<Table> {
+        if self.off {
+            return changes.into_iter().map(|change| change.wanted).collect();
+        }
+        let follows = self.follows_ejections(now, roster, &ejected);
+        let open = |id: &ReplicaId| {
+            roster.get(id).is_some_and(|known| known.phase == Phase::Ready) && !(follows && ejected(id))
+        };
+        let mut findings = Vec::new();
+        if !follows {
+            reopen_ejected(&mut changes, &open, &mut findings);
+        }
+        let tables = Vec::with_capacity(changes.len());
+        let mut check = Check { now, roster, open: &open, changes: &changes, tables, findings };
+        self.check_each_table(&mut check);
+        self.defer_excess_entries(&mut check);
+        if shift_limit == ShiftLimit::Limited {
+            self.hold_back_shift(&mut check);
+        }
+        for (change, table) in changes.iter().zip(&check.tables) {
+            self.ledger.set_table(change.proxy, change.class, table);
+        }
+        self.limit_loads(&mut check);
+        let Check { tables, findings, .. } = check;
+        self.refusals.record(now, &changes, findings);
+        tables
+    }
+
+    fn check_each_table<Open: Fn(&ReplicaId) -> bool>(&self, check: &mut Check<'_, Open>) {
+        for (place, change) in check.changes.iter().enumerate() {
+            let single = SingleTableCheck {
+                place,
+                change,
+                same_zone_only: self.limits.is_same_zone_only(change.class),
+                roster: check.roster,
+                open: check.open,
+                findings: &mut check.findings,
+            };
+            let table = single.run();
+            check.tables.push(table);
+        }
+    }
+
+    /// What does not fit the channel waits: the first changes are carried out, the rest keep what they hold.
+    fn defer_excess_entries<Open: Fn(&ReplicaId) -> bool>(&self, check: &mut Check<'_, Open>) {
+        let limit = self.limits.max_entries;
+        let entries: usize = check.tables.iter().map(|table| table.entries.len()).sum();
+        if entries as f64 <= limit || check.tables.len() <= 1 {
+            return;
+        }
+        let mut capacity = limit;
+        for place in 0..check.changes.len() {
+            capacity -= check.tables[place].entries.len() as f64;
+            if capacity >= 0.0 {
+                continue;
+            }
+            if let Some(held) = self.last_good(check, place) {
+                check.find(place, RefusalReason::Lines, RefusalOutcome::Kept, entries as f64, limit);
+                check.tables[place] = held;
+            }
+        }
+    }
+
+    /// Holds back a change that moves too much at once, until it has been held back for long enough.
+    fn hold_back_shift<Open: Fn(&ReplicaId) -> bool>(&self, check: &mut Check<'_, Open>) {
+        let shifted = self.ledger.shifted_fraction(check.changes, &check.tables);
+        let too_much = shifted > AT_ONCE;
+        if !too_much {
+            return;
+        }
+        for (place, change) in check.changes.iter().enumerate() {
+            let since = self.refusals.refused_since(change.proxy, change.class, RefusalReason::Sweep);
+            let held_long_enough = since.is_some_and(|since| check.now >= since + HELD_FOR);
+            let held = self.last_good(check, place).filter(|_| !held_long_enough);
+            let outcome = if held.is_some() { RefusalOutcome::Kept } else { RefusalOutcome::LetThrough };
+            check.find(place, RefusalReason::Sweep, outcome, shifted, AT_ONCE);
+            if let Some(held) = held {
+                check.tables[place] = held;
+            }
+        }
+    }
+
+    fn last_good<Open: Fn(&ReplicaId) -> bool>(
+        &self,
+        check: &Check<'_, Open>,
+        place: usize,
+    ) -> Option<Table> {
+        let change = &check.changes[place];
+        last_good_table(change, self.limits.is_same_zone_only(change.class), check.open)
+    }
+
+    /// Makes the weights of replicas smaller that would be sent too much, in the tables that change. What one gives
+    /// up goes to others, which may then be sent too much: hence the passes.
+    fn limit_loads<Open: Fn(&ReplicaId) -> bool>(&mut self, check: &mut Check<'_, Open>) {
+        let open = check.open;
+        let capacity = self.capacity(check.now, check.roster, &|id: &ReplicaId| !open(id));
+        // A table that is kept was made smaller before: what is left of an entry is by the others, not by itself.
+        let mut min_weights: Vec<f64> = check.tables.iter().map(min_weight).collect();
+        for pass in 0..MAX_PASSES {
+            let routable =
+                check.tables.iter().flat_map(|table| &table.entries).filter(|entry| entry.routable);
+            let replicas: BTreeSet<&ReplicaId> = routable.map(|entry| &entry.replica).collect();
+            let overload =
+                |id: &ReplicaId| Some((id.clone(), self.overload(check.now, check.roster, capacity, id)?));
+            let overloads: Overloads = replicas.into_iter().filter_map(overload).collect();
+            if overloads.is_empty() {
+                return;
+            }
+            let mut any_reduced = false;
+            for (place, min_weight) in min_weights.iter_mut().enumerate() {
+                any_reduced |= self.limit_table(check, place, &overloads, min_weight, pass == 0);
+            }
+            if !any_reduced {
+                return;
+            }
+        }
+    }
+
+    /// One pass over one table; whether it has entries that could give way.
+    fn limit_table<Open: Fn(&ReplicaId) -> bool>(
+        &mut self,
+        check: &mut Check<'_, Open>,
+        place: usize,
+        overloads: &Overloads,
+        min_weight: &mut f64,
+        first_pass: bool,
+    ) -> bool {
+        let table = &check.tables[place];
+        let overloaded = table.entries.iter().filter(|entry| is_overloaded(entry, overloads)).count();
+        if overloaded == 0 {
+            return false;
+        }
+        let mut all_overloaded = overloaded == route_count(table);
+        if all_overloaded
+            && first_pass
+            && has_cold_overload(table, overloads)
+            && let Some(other) = self.table_with_headroom(check, place, overloads)
+        {
+            check.find_overloads(place, overloads, RefusalOutcome::Kept);
+            *min_weight = self::min_weight(&other);
+            let admission_fraction = check.tables[place].admission_fraction;
+            check.tables[place] = Table { admission_fraction, ..other };
+            all_overloaded = false;
+        }
+        if first_pass {
+            // With nothing else to send to, over is better than bare.
+            let outcome = if all_overloaded { RefusalOutcome::LetThrough } else { RefusalOutcome::Corrected };
+            check.find_overloads(place, overloads, outcome);
+        }
+        if !all_overloaded {
+            reduce_weights(&mut check.tables[place], overloads, *min_weight);
+        }
+        let change = &check.changes[place];
+        self.ledger.set_table(change.proxy, change.class, &check.tables[place]);
+        !all_overloaded
+    }
+
+    /// Where all of a table is too much, and for a cold replica: what is good of the last table, or of the proxy's
+    /// default table, if that has others, too. What is too much for warm ones only is published as it was asked.
+    fn table_with_headroom<Open: Fn(&ReplicaId) -> bool>(
+        &self,
+        check: &Check<'_, Open>,
+        place: usize,
+        overloads: &Overloads,
+    ) -> Option<Table> {
+        let has_headroom = |table: &Table| {
+            table.entries.iter().any(|entry| entry.routable && !overloads.contains_key(&entry.replica))
+        };
+        let last_resort = || {
+            let table = last_resort_table(&check.changes[place], check.roster, check.open);
+            Some(table).filter(has_route)
+        };
+        self.last_good(check, place).filter(has_headroom).or_else(last_resort).filter(has_headroom)
+    }
+}
+
+impl<Open> Check<'_, Open> {
+    fn find(
+        &mut self,
+        change: usize,
+        reason: RefusalReason,
+        outcome: RefusalOutcome,
+        asked: f64,
+        allowed: f64,
+    ) {
+        self.findings.push(Finding { change, reason, outcome, replica: None, asked, allowed });
+    }
+
+    /// A finding for each routable entry of a table whose replica is overloaded.
+    fn find_overloads(&mut self, place: usize, overloads: &Overloads, outcome: RefusalOutcome) {
+        for entry in self.tables[place].entries.iter().filter(|entry| entry.routable) {
+            let Some(overload) = overloads.get(&entry.replica) else { continue };
+            self.findings.push(Finding {
+                change: place,
+                reason: overload.reason,
+                outcome,
+                replica: Some(entry.replica.clone()),
+                asked: overload.load,
+                allowed: overload.allowed,
+            });
+        }
+    }
+}
+
+/// Replicas that are sent too much.
+type Overloads = BTreeMap<ReplicaId, Overload>;
+
+fn is_overloaded(entry: &ResolvedEntry, overloads: &Overloads) -> bool {
+    entry.routable && overloads.contains_key(&entry.replica)
+}
+
+fn has_cold_overload(table: &Table, overloads: &Overloads) -> bool {
+    let is_cold = |entry: &ResolvedEntry| {
+        overloads.get(&entry.replica).is_some_and(|overload| overload.reason == RefusalReason::Cold)
+    };
+    table.entries.iter().any(|entry| entry.routable && is_cold(entry))
+}
+
+/// The smallest weight that an entry of a table is brought down to.
+fn min_weight(table: &Table) -> f64 {
+    let routable = table.entries.iter().filter(|entry| entry.routable);
+    let mean = routable.clone().map(|entry| entry.weight).sum::<f64>() / routable.count().max(1) as f64;
+    MIN_WEIGHT * mean
+}
+
+fn reduce_weights(table: &mut Table, overloads: &Overloads, min_weight: f64) {
+    for entry in table.entries.iter_mut().filter(|entry| entry.routable) {
+        let Some(overload) = overloads.get(&entry.replica) else { continue };
+        // Where others send it too much, to give up everything here would not mend that.
+        let weight = (entry.weight * rounded_down(overload.allowed / overload.load)).max(min_weight);
+        if weight < entry.weight {
+            entry.weight = weight;
+        }
+    }
+}
+
+/// Rounded down to steps of a tenth or so: a limit that moves a little with each report must not make a new table
+/// each time.
+fn rounded_down(factor: f64) -> f64 {
+    1.1f64.powf((factor.clamp(1e-3, 1.0).ln() / 1.1f64.ln()).floor())
+}
+
+/// Opens entries of ejected replicas again, where the module's ejections are not followed.
+fn reopen_ejected(
+    changes: &mut [ProposedTable],
+    open: &impl Fn(&ReplicaId) -> bool,
+    findings: &mut Vec<Finding>,
+) {
+    for (place, change) in changes.iter_mut().enumerate() {
+        let mut reopened = 0;
+        for entry in &mut change.wanted.entries {
+            if !entry.routable && open(&entry.replica) {
+                entry.routable = true;
+                reopened += 1;
+            }
+        }
+        if reopened > 0 {
+            findings.push(Finding {
+                change: place,
+                reason: RefusalReason::Withdrawn,
+                outcome: RefusalOutcome::Corrected,
+                replica: None,
+                asked: f64::from(reopened),
+                allowed: 0.0,
+            });
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/guard/ledger.rs
@@ -0,0 +1,228 @@
+//! Demand, tables and throughput as far as this governor knows them: the expected load of each replica.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use wrenthread::types::{Phase, ProxyId, ReplicaId};
+
+use crate::roster::Roster;
+use crate::tables::{ResolvedEntry, Table};
+
+use super::checks::ProposedTable;
+
+/// Observed throughput counts half after so many seconds.
+const THROUGHPUT_HALF_LIFE_SECONDS: f64 = 60.0;
+/// No proxy says truly that it has more.
+const MAX_REQUESTS_PER_SECOND: f64 = 1e9;
+/// Shorter intervals are taken for this long.
+const MIN_INTERVAL_SECONDS: f64 = 0.1;
+
+/// A proxy and a traffic class.
+type Place = (ProxyId, usize);
+
+/// What one proxy has of one traffic class, and where it sends that.
+#[derive(Debug, Clone, Default, PartialEq)]
+struct Assignment {
+    requests_per_second: f64,
+    /// By replica; together 1.
+    fractions: Vec<(ReplicaId, f64)>,
+}
+
+/// The most that was delivered a second lately, and when.
+#[derive(Debug, Clone, Copy)]
+struct PeakThroughput {
+    per_second: f64,
+    at: Duration,
+}
+
+impl PeakThroughput {
+    fn decayed(self, now: Duration) -> f64 {
+        let age = now.saturating_sub(self.at).as_secs_f64();
+        self.per_second * 0.5f64.powf(age / THROUGHPUT_HALF_LIFE_SECONDS)
+    }
+}
+
+/// Expected load by replica, and what it is made of.
+#[derive(Debug, Clone, Default)]
+pub(super) struct LoadLedger {
+    assignments: BTreeMap<Place, Assignment>,
+    /// Requests a second by replica.
+    load: BTreeMap<ReplicaId, f64>,
+    /// By replica and zone of the proxies.
+    throughput: BTreeMap<(ReplicaId, usize), PeakThroughput>,
+}
+
+/// Routable entries as fractions of the whole.
+fn fractions(table: &Table) -> Vec<(ReplicaId, f64)> {
+    let sound = |entry: &&ResolvedEntry| entry.routable && entry.weight.is_finite() && entry.weight > 0.0;
+    let total: f64 = table.entries.iter().filter(sound).map(|entry| entry.weight).sum();
+    table.entries.iter().filter(sound).map(|entry| (entry.replica.clone(), entry.weight / total)).collect()
+}
+
+fn rate(count: u64, interval: Duration) -> f64 {
+    count as f64 / interval.as_secs_f64().max(MIN_INTERVAL_SECONDS)
+}
+
+impl LoadLedger {
+    fn book(&mut self, place: Place, sign: f64) {
+        let Some(assignment) = self.assignments.get(&place) else { return };
+        for (replica, fraction) in &assignment.fractions {
+            let load = self.load.entry(replica.clone()).or_default();
+            *load += sign * assignment.requests_per_second * fraction;
+        }
+    }
+
+    fn change(&mut self, place: Place, change: impl FnOnce(&mut Assignment)) {
+        self.book(place, -1.0);
+        change(self.assignments.entry(place).or_default());
+        self.book(place, 1.0);
+    }
+
+    pub(super) fn connect(
+        &mut self,
+        proxy: ProxyId,
+        class_count: usize,
+        requests_per_second: f64,
+        default_table: &[(ReplicaId, f64)],
+    ) {
+        let total: f64 = default_table.iter().map(|(_, weight)| weight.max(0.0)).sum();
+        let fraction = |(id, weight): &(ReplicaId, f64)| (id.clone(), weight.max(0.0) / total);
+        for class in 0..class_count {
+            self.change((proxy, class), |assignment| {
+                let demand = requests_per_second.clamp(0.0, MAX_REQUESTS_PER_SECOND);
+                assignment.requests_per_second = demand / class_count as f64;
+                assignment.fractions = match total > 0.0 {
+                    true => default_table.iter().map(fraction).collect(),
+                    false => Vec::new(),
+                };
+            });
+        }
+    }
+
+    pub(super) fn disconnect(&mut self, proxy: ProxyId) {
+        let places = self.assignments.range((proxy, 0)..=(proxy, usize::MAX));
+        let places: Vec<Place> = places.map(|(place, _)| *place).collect();
+        for place in places {
+            self.book(place, -1.0);
+            self.assignments.remove(&place);
+        }
+    }
+
+    /// Half of a new report counts at once, so that one odd report does not turn the ledger over.
+    pub(super) fn record_demand(&mut self, proxy: ProxyId, class: usize, requests: u64, interval: Duration) {
+        if !self.assignments.contains_key(&(proxy, class)) {
+            return;
+        }
+        let reported = rate(requests, interval);
+        self.change((proxy, class), |assignment| {
+            // What came while a stream was broken is reported at once, as if it had come within one interval.
+            let known = assignment.requests_per_second;
+            assignment.requests_per_second = 0.5 * (known + reported.min(2.0 * known + 1.0));
+        });
+    }
+
+    pub(super) fn record_throughput(
+        &mut self,
+        now: Duration,
+        replica: &ReplicaId,
+        zone: usize,
+        succeeded: u64,
+        interval: Duration,
+    ) {
+        let per_second = rate(succeeded, interval);
+        let nothing = PeakThroughput { per_second: 0.0, at: now };
+        let peak = self.throughput.entry((replica.clone(), zone)).or_insert(nothing);
+        if per_second >= peak.decayed(now) {
+            *peak = PeakThroughput { per_second, at: now };
+        }
+    }
+
+    pub(super) fn restore_throughput(
+        &mut self,
+        now: Duration,
+        replica: &ReplicaId,
+        zone: usize,
+        per_second: f64,
+    ) {
+        self.throughput.insert((replica.clone(), zone), PeakThroughput { per_second, at: now });
+    }
+
+    pub(super) fn set_current_table(
+        &mut self,
+        proxy: ProxyId,
+        class: usize,
+        requests_per_second: f64,
+        table: Option<&Table>,
+    ) {
+        self.change((proxy, class), |assignment| {
+            assignment.requests_per_second = requests_per_second;
+            if let Some(table) = table {
+                assignment.fractions = fractions(table);
+            }
+        });
+    }
+
+    /// A proxy sends by this table from now on.
+    pub(super) fn set_table(&mut self, proxy: ProxyId, class: usize, table: &Table) {
+        self.change((proxy, class), |assignment| assignment.fractions = fractions(table));
+    }
+
+    /// Forgets replicas that are gone, and makes the load anew, so that rounding does not add up.
+    pub(super) fn roster_changed(&mut self, roster: &Roster) {
+        let listed = |id: &ReplicaId| roster.get(id).is_some_and(|known| known.phase != Phase::Gone);
+        self.throughput.retain(|(id, _), _| listed(id));
+        self.load.clear();
+        let places: Vec<Place> = self.assignments.keys().copied().collect();
+        for place in places {
+            self.book(place, 1.0);
+        }
+    }
+
+    /// The fraction of all requests that a change moves to other replicas.
+    pub(super) fn shifted_fraction(&self, changes: &[ProposedTable], tables: &[Table]) -> f64 {
+        let mut shifted = 0.0;
+        for (change, table) in changes.iter().zip(tables) {
+            let Some(assignment) = self.assignments.get(&(change.proxy, change.class)) else { continue };
+            let before: BTreeMap<&ReplicaId, f64> =
+                assignment.fractions.iter().map(|(id, fraction)| (id, *fraction)).collect();
+            // A first table moves nothing that was put there by a table.
+            if before.is_empty() || change.held.is_none() {
+                continue;
+            }
+            let gained: f64 = fractions(table)
+                .iter()
+                .map(|(id, fraction)| (fraction - before.get(id).copied().unwrap_or(0.0)).max(0.0))
+                .sum();
+            shifted += assignment.requests_per_second * gained;
+        }
+        let total = self.total_demand();
+        if total > 0.0 { shifted / total } else { 0.0 }
+    }
+
+    /// Requests a second of all proxies here.
+    pub(super) fn total_demand(&self) -> f64 {
+        self.assignments.values().map(|assignment| assignment.requests_per_second).sum()
+    }
+
+    /// Proxies here times traffic classes.
+    pub(super) fn assignment_count(&self) -> usize {
+        self.assignments.len()
+    }
+
+    pub(super) fn requests_per_second(&self, proxy: ProxyId, class: usize) -> f64 {
+        self.assignments.get(&(proxy, class)).map_or(0.0, |assignment| assignment.requests_per_second)
+    }
+
+    /// Requests a second that a replica is sent by proxies here; rounding may leave it a little below 0.
+    pub(super) fn load(&self, replica: &ReplicaId) -> f64 {
+        self.load.get(replica).copied().unwrap_or(0.0)
+    }
+
+    pub(super) fn loaded_replicas(&self) -> impl Iterator<Item = &ReplicaId> {
+        self.load.keys()
+    }
+
+    pub(super) fn throughput(&self, now: Duration) -> impl Iterator<Item = (&ReplicaId, usize, f64)> {
+        self.throughput.iter().map(move |((id, zone), peak)| (id, *zone, peak.decayed(now)))
+    }
+}
--- /dev/null
+++ b/crates/core/src/guard/repair.rs
@@ -0,0 +1,189 @@
+//! What a table must be in itself, whatever the others are, and what stands in the place of one that is not.
+
+use wrenthread::types::{Phase, ReplicaId};
+
+use crate::roster::Roster;
+use crate::tables::{ResolvedEntry, Table};
+
+use super::checks::ProposedTable;
+use super::limits::MAX_WEIGHT_RATIO;
+use super::refusals::{Finding, RefusalOutcome, RefusalReason};
+
+pub(super) fn has_route(table: &Table) -> bool {
+    table.entries.iter().any(|entry| entry.routable)
+}
+
+pub(super) fn route_count(table: &Table) -> usize {
+    table.entries.iter().filter(|entry| entry.routable).count()
+}
+
+/// A table as it was published, less what drains, is gone or is ejected now; an entry that was closed for that and
+/// is not any more is open again. Otherwise a table that is kept through a deployment would come down to its last
+/// entries, and those be overloaded.
+fn reopened(held: &Table, open: &impl Fn(&ReplicaId) -> bool) -> Table {
+    let mut table = held.clone();
+    table.entries.iter_mut().for_each(|entry| entry.routable = open(&entry.replica));
+    table
+}
+
+/// The last good table in the place of a change, as it may be published now, if anything of it is left.
+pub(super) fn last_good_table(
+    change: &ProposedTable,
+    same_zone_only: bool,
+    open: &impl Fn(&ReplicaId) -> bool,
+) -> Option<Table> {
+    let mut last = change.held.map(|held| reopened(held, open))?;
+    if same_zone_only {
+        last.entries.iter_mut().for_each(|entry| entry.routable &= entry.zone == change.zone);
+    }
+    Some(last).filter(has_route)
+}
+
+/// A proxy's default table, as far as `fits` allows; else all replicas that fit, in its zone if one is there.
+pub(super) fn last_resort_table(
+    change: &ProposedTable,
+    roster: &Roster,
+    fits: &impl Fn(&ReplicaId) -> bool,
+) -> Table {
+    let entry = |id: &ReplicaId, weight: f64| {
+        let known = roster.get(id).filter(|_| fits(id))?;
+        Some(ResolvedEntry {
+            replica: id.clone(),
+            address: known.address.clone(),
+            zone: known.zone,
+            weight: if weight > 0.0 { weight } else { 1.0 },
+            routable: true,
+        })
+    };
+    let mut entries: Vec<ResolvedEntry> =
+        change.default_table.iter().filter_map(|(id, weight)| entry(id, *weight)).collect();
+    if entries.is_empty() {
+        let near = |id: &ReplicaId| roster.get(id).is_some_and(|known| known.zone == change.zone);
+        let any_near = roster.iter().any(|(id, _)| fits(id) && near(id));
+        let candidates = roster.iter().filter(|(id, _)| !any_near || near(id));
+        entries = candidates.filter_map(|(id, known)| entry(id, known.weight)).collect();
+    }
+    entries.sort_by(|one, other| one.replica.cmp(&other.replica));
+    Table { entries, admission_fraction: 1.0 }
+}
+
+/// Brings one table to what it must be in itself.
+pub(super) struct SingleTableCheck<'a, Open> {
+    /// The place of the change among all.
+    pub(super) place: usize,
+    pub(super) change: &'a ProposedTable<'a>,
+    pub(super) same_zone_only: bool,
+    pub(super) roster: &'a Roster,
+    /// Whether a replica may be sent to.
+    pub(super) open: &'a Open,
+    pub(super) findings: &'a mut Vec<Finding>,
+}
+
+impl<Open: Fn(&ReplicaId) -> bool> SingleTableCheck<'_, Open> {
+    pub(super) fn run(mut self) -> Table {
+        let mut table = self.change.wanted.clone();
+        self.check_admission_fraction(&mut table);
+        let asked = route_count(&table);
+        self.check_weights(&mut table);
+        self.check_weight_range(&mut table);
+        self.close_entries(&mut table);
+        if self.same_zone_only {
+            self.close_other_zones(&mut table);
+        }
+        if has_route(&table) {
+            return table;
+        }
+        self.replace_bare_table(table, asked)
+    }
+
+    fn find(
+        &mut self,
+        reason: RefusalReason,
+        outcome: RefusalOutcome,
+        replica: Option<&ReplicaId>,
+        asked: f64,
+        allowed: f64,
+    ) {
+        let replica = replica.cloned();
+        self.findings.push(Finding { change: self.place, reason, outcome, replica, asked, allowed });
+    }
+
+    fn check_admission_fraction(&mut self, table: &mut Table) {
+        if (0.0..=1.0).contains(&table.admission_fraction) {
+            return;
+        }
+        self.find(RefusalReason::Level, RefusalOutcome::Corrected, None, table.admission_fraction, 1.0);
+        table.admission_fraction = self.change.held.map_or(1.0, |held| held.admission_fraction);
+    }
+
+    fn check_weights(&mut self, table: &mut Table) {
+        let sound = |entry: &ResolvedEntry| entry.weight.is_finite() && entry.weight > 0.0;
+        for entry in table.entries.iter().filter(|entry| entry.routable && !sound(entry)) {
+            let replica = Some(&entry.replica);
+            self.find(RefusalReason::Weight, RefusalOutcome::Corrected, replica, entry.weight, f64::MAX);
+        }
+        // A closed entry says only that nothing is to be sent there: its weight is never used.
+        table.entries.retain(|entry| !entry.routable || sound(entry));
+        table.entries.iter_mut().filter(|entry| !sound(entry)).for_each(|entry| entry.weight = 1.0);
+    }
+
+    fn check_weight_range(&mut self, table: &mut Table) {
+        let routable = table.entries.iter().filter(|entry| entry.routable);
+        let largest = routable.map(|entry| entry.weight).fold(0.0, f64::max);
+        for entry in &mut table.entries {
+            if entry.routable && entry.weight * MAX_WEIGHT_RATIO < largest {
+                let (asked, allowed) = (entry.weight / largest, 1.0 / MAX_WEIGHT_RATIO);
+                let replica = Some(&entry.replica);
+                self.find(RefusalReason::Wire, RefusalOutcome::Corrected, replica, asked, allowed);
+                entry.weight = largest / MAX_WEIGHT_RATIO;
+            }
+        }
+    }
+
+    fn close_entries(&mut self, table: &mut Table) {
+        let open = self.open;
+        let closed = table.entries.iter().filter(|entry| entry.routable && !open(&entry.replica)).count();
+        if closed > 0 && closed == route_count(table) {
+            self.find(RefusalReason::Draining, RefusalOutcome::Kept, None, closed as f64, 0.0);
+        }
+        table.entries.iter_mut().for_each(|entry| entry.routable &= open(&entry.replica));
+    }
+
+    fn close_other_zones(&mut self, table: &mut Table) {
+        for entry in &mut table.entries {
+            if entry.routable && entry.zone != self.change.zone {
+                let replica = Some(&entry.replica);
+                self.find(RefusalReason::OutOfZone, RefusalOutcome::Corrected, replica, 0.0, 0.0);
+                entry.routable = false;
+            }
+        }
+    }
+
+    /// What stands in the place of a table without a route: the last good one, or a last resort, or, where nobody
+    /// is there, the table as it was asked, less what is closed.
+    fn replace_bare_table(&mut self, table: Table, asked: usize) -> Table {
+        let (roster, change, open) = (self.roster, self.change, self.open);
+        let near_enough = |id: &ReplicaId| {
+            !self.same_zone_only || roster.get(id).is_some_and(|known| known.zone == change.zone)
+        };
+        // A module that has ejected all of them is not followed in that: one that may be bad is better than none.
+        let any_open = roster.iter().any(|(id, _)| open(id) && near_enough(id));
+        let is_ready = |id: &ReplicaId| roster.get(id).is_some_and(|known| known.phase == Phase::Ready);
+        let fits = |id: &ReplicaId| near_enough(id) && if any_open { open(id) } else { is_ready(id) };
+        if !roster.iter().any(|(id, _)| fits(id)) {
+            return table;
+        }
+        let reason = if self.same_zone_only { RefusalReason::ZoneBare } else { RefusalReason::Bare };
+        let held = change.held.map(|held| reopened(held, &fits)).filter(has_route);
+        let (outcome, replacement) = match held {
+            Some(held) => (RefusalOutcome::Kept, held),
+            None => {
+                let last_resort = last_resort_table(change, roster, &fits);
+                let table = Table { admission_fraction: table.admission_fraction, ..last_resort };
+                (RefusalOutcome::LastResort, table)
+            }
+        };
+        self.find(reason, outcome, None, asked as f64, 1.0);
+        replacement
+    }
+}
--- a/crates/core/src/guard/tests.rs
+++ b/crates/core/src/guard/tests.rs
@@ -1,7 +1,10 @@
 //! Tests of [`super`].
 
+use wrenthread::types::Phase;
+
 use super::*;
 use crate::roster::RosterEntry;
+use crate::tables::ResolvedEntry;
 
 const fn s(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
@@ -114,7 +117,7 @@
     let back = super::tests::roster(&["b"], &[]);
     let (out, _) = judged(&mut super::tests::guard(true), &back, Some(&held), table(&[]));
     assert_eq!(open(&out), [("a".to_string(), 1.0)], "and none that its group must not go to");
-    let last = super::tests::guard(true).last(&change(0, Some(&held), table(&[])), &|_| true);
+    let last = repair::last_good_table(&change(0, Some(&held), table(&[])), true, &|_| true);
     assert_eq!(last.map(|last| open(&last).len()), Some(2));
     let mut guard = guard(false);
     let odd = [("a", f64::NAN), ("b", f64::INFINITY), ("c", -1.0), ("d", 1.0), ("e", 2.0)];
@@ -122,7 +125,10 @@
     assert_eq!(open(&out), [("d".to_string(), 1.0), ("e".into(), 2.0)]);
     assert_eq!(why, [(RefusalReason::Weight, RefusalOutcome::Corrected); 3]);
     let (out, why) = judged(&mut guard, &roster, None, table(&[("a", 1.0), ("b", 1.0), ("c", 1e-9)]));
-    assert_eq!((open(&out)[2].1, why), (1.0 / APART, vec![(RefusalReason::Wire, RefusalOutcome::Corrected)]));
+    assert_eq!(
+        (open(&out)[2].1, why),
+        (1.0 / limits::MAX_WEIGHT_RATIO, vec![(RefusalReason::Wire, RefusalOutcome::Corrected)])
+    );
     for level in [f64::NAN, -0.1, 1.1] {
         let wanted = Table { admission_fraction: level, ..table(&[("a", 1.0), ("b", 1.0), ("c", 1.0)]) };
         let held = Table { admission_fraction: 0.4, ..wanted.clone() };
@@ -157,7 +163,7 @@
     assert!(guard.refusals().all(|one| one.reason == RefusalReason::Cold));
     assert!((guard.sent_to(&"a".into()) - sent).abs() < 1e-6, "the account is of what goes out");
     // Few flows come in bursts; of many the means say enough.
-    let times = [1.0, 3.5, 20.0, 500.0].map(|part| (bearable(part) / part * 100.0).round());
+    let times = [1.0, 3.5, 20.0, 500.0].map(|part| (limits::allowed_cold_load(part) / part * 100.0).round());
     assert_eq!(times, [160.0, 160.0, 189.0, 200.0]);
     // The same one warm: 17 each, three times that at the most.
     let warm = roster(&[], &[]);
