--- a/src/governor/tests.rs
+++ b/src/governor/tests.rs
@@ -60,26 +60,46 @@
 }
 
 fn governor() -> Governor {
-    Governor { unheard: false, ..Governor::new(settings(), Duration::ZERO) }
+    Governor { unobserved: false, ..Governor::new(settings(), Duration::ZERO) }
 }
 
 /// One whose second group is bound to the proxy's own zone.
 fn bound() -> Governor {
     let groups = vec![group(Idempotency::Idempotent, false, 1.0), group(Idempotency::Idempotent, true, 3.0)];
-    Governor { unheard: false, ..Governor::new(Settings { classes: groups, ..settings() }, Duration::ZERO) }
+    Governor {
+        unobserved: false,
+        ..Governor::new(Settings { classes: groups, ..settings() }, Duration::ZERO)
+    }
 }
 
-fn warm(zone: usize) -> Replica {
-    Replica { zone, weight: 1.0, ready: true, known: Some(Duration::ZERO), ..Replica::default() }
+fn warm(zone: usize) -> ReplicaState {
+    ReplicaState {
+        zone,
+        weight: 1.0,
+        ready: true,
+        first_ready_at: Some(Duration::ZERO),
+        ..ReplicaState::default()
+    }
 }
 
-fn cold(zone: usize, started: Duration) -> Replica {
-    Replica { started: Some(started), ..warm(zone) }
+fn cold(zone: usize, started: Duration) -> ReplicaState {
+    ReplicaState { started_at: Some(started), ..warm(zone) }
 }
 
-fn seen(delivered: f64, dropped: f64, time: f64, last: Duration) -> BTreeMap<usize, Sight> {
+fn seen(delivered: f64, dropped: f64, time: f64, last: Duration) -> BTreeMap<usize, ZoneObservation> {
     let rate = delivered + dropped;
-    [(0, Sight { delivered, dropped, rate, time, last, last_answer: last })].into()
+    [(
+        0,
+        ZoneObservation {
+            succeeded: delivered,
+            failed: dropped,
+            attempts_per_second: rate,
+            latency_seconds: time,
+            last_report: last,
+            last_success: last,
+        },
+    )]
+    .into()
 }
 
 /// A proxy that follows its own table with these lines and receives 10 flows a second.
@@ -87,19 +107,19 @@
     let rates = vec![5.0, 5.0];
     governor.proxies.insert(
         proxy,
-        Proxy {
+        ProxyState {
             zone,
-            rates,
-            since: Duration::ZERO,
-            heard: vec![Duration::ZERO; 2],
-            standing: None,
-            unsure: false,
+            request_rates: rates,
+            connected_at: Duration::ZERO,
+            last_reports: vec![Duration::ZERO; 2],
+            default_table: None,
+            unsynchronised: false,
         },
     );
-    governor.joined.insert(zone, Duration::ZERO);
-    let lines: Lines = lines.iter().map(|(name, weight)| (id(name), *weight)).collect();
+    governor.last_connections.insert(zone, Duration::ZERO);
+    let lines: Weights = lines.iter().map(|(name, weight)| (id(name), *weight)).collect();
     for kind in 0..2 {
-        governor.tables.insert((proxy, kind), lines.clone());
+        governor.sent_tables.insert((proxy, kind), lines.clone());
     }
 }
 
@@ -108,7 +128,7 @@
 }
 
 fn out(governor: &Governor) -> Vec<&Decision> {
-    governor.out.iter().collect()
+    governor.pending.iter().collect()
 }
 
 #[test]
@@ -136,19 +156,19 @@
             load: vec![],
         },
     );
-    assert_eq!(governor.answered(), 10.0);
+    assert_eq!(governor.success_rate(), 10.0);
 }
 
 #[test]
 fn a_new_start_clears_what_was_held_against_the_old_process() {
     let mut governor = governor();
-    governor.replicas.insert(id("a"), Replica { health: Health::Out(SECOND, 3), ..warm(0) });
+    governor.replicas.insert(id("a"), ReplicaState { health: HealthState::Ejected(SECOND, 3), ..warm(0) });
     governor.update_replicas(
         SECOND,
         &[ReplicaEntry { started_at: Some(SECOND), ..listed("a", Phase::Ready) }],
         RosterScope::Changes,
     );
-    assert_eq!(governor.replicas[&id("a")].health, Health::Fit);
+    assert_eq!(governor.replicas[&id("a")].health, HealthState::Healthy);
 }
 
 #[test]
@@ -157,8 +177,8 @@
     ["a", "b", "c"].iter().for_each(|name| drop(governor.replicas.insert(id(name), warm(0))));
     governor.proxy_connected(SECOND, with_unknown_tables(1, 4.0));
     governor.proxy_connected(SECOND, with_default_table(2, 4.0));
-    assert!(governor.proxies[&1].unsure && !governor.proxies[&2].unsure);
-    assert_eq!(governor.proxies[&2].rates, vec![2.0, 2.0]);
+    assert!(governor.proxies[&1].unsynchronised && !governor.proxies[&2].unsynchronised);
+    assert_eq!(governor.proxies[&2].request_rates, vec![2.0, 2.0]);
 }
 
 #[test]
@@ -166,14 +186,14 @@
     let mut governor = governor();
     governor.replicas.insert(id("a"), cold(0, SECOND));
     governor.proxy_connected(2 * SECOND, with_default_table(1, 4.0));
-    assert!(governor.proxies[&1].unsure);
+    assert!(governor.proxies[&1].unsynchronised);
 }
 
 #[test]
 fn withdrawing_comes_first_and_changed_lines_after() {
     let mut governor = governor();
     follower(&mut governor, 1, 0, &[("a", 1.0), ("b", 1.0)]);
-    governor.replicas.insert(id("a"), Replica { ready: false, ..warm(0) });
+    governor.replicas.insert(id("a"), ReplicaState { ready: false, ..warm(0) });
     governor.replicas.insert(id("b"), warm(0));
     governor.publish(SECOND, false, false);
     assert_eq!(out(&governor)[0], &Decision::SetEjected { replica: id("a"), ejected: true });
@@ -184,7 +204,7 @@
 fn lines_of_a_returning_replica_go_before_it_is_let_back() {
     let mut governor = governor();
     follower(&mut governor, 1, 0, &[("b", 1.0)]);
-    governor.replicas.insert(id("a"), Replica { withdrawn: true, ..cold(0, SECOND) });
+    governor.replicas.insert(id("a"), ReplicaState { ejection_sent: true, ..cold(0, SECOND) });
     governor.replicas.insert(id("b"), warm(0));
     governor.publish(SECOND, false, true);
     let orders = out(&governor);
@@ -198,7 +218,7 @@
 #[test]
 fn an_unsure_joiner_is_bound_at_once_to_what_is_open() {
     let mut governor = governor();
-    governor.replicas.insert(id("a"), Replica { ready: false, ..warm(0) });
+    governor.replicas.insert(id("a"), ReplicaState { ready: false, ..warm(0) });
     governor.replicas.insert(id("b"), warm(0));
     governor.proxy_connected(SECOND, with_unknown_tables(3, 4.0));
     governor.publish(SECOND, true, false);
@@ -211,10 +231,10 @@
 fn a_full_span_of_messages_holds_orders_back() {
     let mut governor = governor();
     follower(&mut governor, 1, 0, &[("a", 1.0)]);
-    governor.replicas.insert(id("a"), Replica { ready: false, ..warm(0) });
-    governor.flushes = vec![SECOND; 8].into();
+    governor.replicas.insert(id("a"), ReplicaState { ready: false, ..warm(0) });
+    governor.recent_flushes = vec![SECOND; 8].into();
     governor.publish(2 * SECOND, false, true);
-    assert!(governor.out.is_empty());
+    assert!(governor.pending.is_empty());
 }
 
 #[test]
@@ -222,17 +242,17 @@
     let mut governor = governor();
     follower(&mut governor, 1, 0, &[]);
     governor.replicas.insert(id("a"), warm(0));
-    governor.waiting = 800.0;
-    governor.tables(Duration::ZERO, true);
-    assert!(governor.out.is_empty());
+    governor.queued_entries = 800.0;
+    governor.sent_tables(Duration::ZERO, true);
+    assert!(governor.pending.is_empty());
     // Nor for one whose holdings are unknown, though it may send to what drains: a storm of them would
     // break the rule.
     governor.proxy_connected(Duration::ZERO, with_unknown_tables(2, 1.0));
-    governor.tables(Duration::ZERO, false);
-    assert!(governor.out.is_empty());
-    governor.waiting = 500.0;
-    governor.tables(Duration::ZERO, false);
-    assert!(governor.out.contains(&Decision::AssignTable { proxy: 2, table: 4, classes: 0b11 }));
+    governor.sent_tables(Duration::ZERO, false);
+    assert!(governor.pending.is_empty());
+    governor.queued_entries = 500.0;
+    governor.sent_tables(Duration::ZERO, false);
+    assert!(governor.pending.contains(&Decision::AssignTable { proxy: 2, table: 4, classes: 0b11 }));
 }
 
 /// A hundred joiners whose holdings are unknown, and a few replicas.
@@ -247,24 +267,24 @@
 fn a_storm_of_joiners_leaves_room_for_drains_in_the_channel() {
     let mut governor = storm(&["a", "b", "c", "d"]);
     governor.publish(SECOND, true, false);
-    let bound = governor.proxies.values().filter(|one| !one.unsure).count();
+    let bound = governor.proxies.values().filter(|one| !one.unsynchronised).count();
     assert!(bound > 20 && bound < 100, "{bound}");
-    assert!(governor.waiting <= 0.64 * 1000.0, "{}", governor.waiting);
+    assert!(governor.queued_entries <= 0.64 * 1000.0, "{}", governor.queued_entries);
 }
 
 #[test]
 fn withdrawals_fit_the_channel_and_what_drains_goes_before_what_is_ill() {
     let mut governor = storm(&["a", "b", "c"]);
-    governor.replicas.values_mut().for_each(|one| one.health = Health::Out(SECOND, 1));
-    governor.replicas.insert(id("d"), Replica { ready: false, ..warm(0) });
-    governor.withdraw(true);
+    governor.replicas.values_mut().for_each(|one| one.health = HealthState::Ejected(SECOND, 1));
+    governor.replicas.insert(id("d"), ReplicaState { ready: false, ..warm(0) });
+    governor.send_ejections(true);
     assert_eq!(out(&governor), [&Decision::SetEjected { replica: id("d"), ejected: true }]);
     // A line and a head for each proxy whose table can't be read.
-    assert_eq!(governor.waiting, 100.0 * (1.0 + 7.0));
-    governor.withdraw(true);
+    assert_eq!(governor.queued_entries, 100.0 * (1.0 + 7.0));
+    governor.send_ejections(true);
     assert_eq!(out(&governor).len(), 1, "the others wait");
-    governor.waiting = 0.0;
-    governor.withdraw(true);
+    governor.queued_entries = 0.0;
+    governor.send_ejections(true);
     assert_eq!(out(&governor)[1], &Decision::SetEjected { replica: id("a"), ejected: true });
 }
 
@@ -272,31 +292,32 @@
 fn a_withdrawal_counts_for_those_that_may_name_the_replica() {
     let names: Vec<String> = (0..100).map(|at| format!("r{at}")).collect();
     let mut governor = storm(&names.iter().map(String::as_str).collect::<Vec<_>>());
-    governor.replicas.insert(id("r1"), Replica { ready: false, ..warm(0) });
-    governor.proxies.values_mut().for_each(|one| one.unsure = false);
-    governor.withdraw(true);
+    governor.replicas.insert(id("r1"), ReplicaState { ready: false, ..warm(0) });
+    governor.proxies.values_mut().for_each(|one| one.unsynchronised = false);
+    governor.send_ejections(true);
     let expected = 100.0 * (1.0 + 7.0) * 16.0 / 99.0;
-    assert!((governor.waiting - expected).abs() < 1e-6, "{} {expected}", governor.waiting);
+    assert!((governor.queued_entries - expected).abs() < 1e-6, "{} {expected}", governor.queued_entries);
 }
 
 #[test]
 fn an_acknowledgement_tells_what_has_left_the_channel_and_a_late_one_little() {
     let ordered = || (1..=4).map(|at| (at * SECOND, 100.0)).collect();
-    let channel = || Governor { ordered: ordered(), waiting: 400.0, drained_at: 5 * SECOND, ..governor() };
+    let channel =
+        || Governor { sent_batches: ordered(), queued_entries: 400.0, drained_at: 5 * SECOND, ..governor() };
     let mut quick = channel();
     quick.acknowledged(SECOND);
     assert_eq!(
-        quick.waiting, 100.0,
+        quick.queued_entries, 100.0,
         "it was ordered at 3.5 s at the soonest, as its answer was on its way as well"
     );
     let mut slow = channel();
     slow.acknowledged(4 * SECOND);
-    assert_eq!(slow.waiting, 400.0);
+    assert_eq!(slow.queued_entries, 400.0);
     // Without answers time counts, at a bad channel's pace.
     slow.publish(6 * SECOND, false, false);
-    assert_eq!(slow.waiting, 400.0 - 0.2 * 1000.0);
+    assert_eq!(slow.queued_entries, 400.0 - 0.2 * 1000.0);
     slow.publish(60 * SECOND, false, false);
-    assert!(slow.waiting == 0.0 && slow.ordered.is_empty());
+    assert!(slow.queued_entries == 0.0 && slow.sent_batches.is_empty());
 }
 
 #[test]
@@ -304,32 +325,32 @@
     let mut governor = governor();
     governor.replicas.insert(id("a"), warm(0));
     let replica = cold(0, Duration::ZERO);
-    assert!((governor.part(&replica, 5 * SECOND) - 0.6).abs() < 1e-9);
-    governor.stress.insert(0, 0.2);
-    assert!((governor.part(&replica, 5 * SECOND) - 0.36 * 0.8).abs() < 1e-9);
-    governor.stress.insert(0, 0.4);
-    assert_eq!(governor.part(&replica, 5 * SECOND), 0.0);
-    governor.stress.clear();
-    governor.thin.insert(0);
-    assert!((governor.part(&replica, 5 * SECOND) - 0.36).abs() < 1e-9);
-    governor.figures.groups[1] = 1;
-    assert!((governor.part(&replica, 5 * SECOND) - 0.6).abs() < 1e-9);
+    assert!((governor.usable_fraction(&replica, 5 * SECOND) - 0.6).abs() < 1e-9);
+    governor.zone_stress.insert(0, 0.2);
+    assert!((governor.usable_fraction(&replica, 5 * SECOND) - 0.36 * 0.8).abs() < 1e-9);
+    governor.zone_stress.insert(0, 0.4);
+    assert_eq!(governor.usable_fraction(&replica, 5 * SECOND), 0.0);
+    governor.zone_stress.clear();
+    governor.underprovisioned_zones.insert(0);
+    assert!((governor.usable_fraction(&replica, 5 * SECOND) - 0.36).abs() < 1e-9);
+    governor.parameters.classes_by_scope[1] = 1;
+    assert!((governor.usable_fraction(&replica, 5 * SECOND) - 0.6).abs() < 1e-9);
 }
 
 #[test]
 fn stress_is_assumed_until_the_fleet_is_heard() {
     let mut governor = Governor::new(settings(), Duration::ZERO);
-    governor.replicas.insert(id("a"), Replica { sights: seen(20.0, 0.0, 0.1, SECOND), ..warm(0) });
-    governor.judge(SECOND);
-    assert!(governor.unheard);
-    governor.replicas.insert(id("a"), Replica { sights: seen(60.0, 0.0, 0.1, SECOND), ..warm(0) });
-    governor.judge(SECOND);
-    assert!(!governor.unheard && governor.stress.is_empty());
+    governor.replicas.insert(id("a"), ReplicaState { observations: seen(20.0, 0.0, 0.1, SECOND), ..warm(0) });
+    governor.update_health(SECOND);
+    assert!(governor.unobserved);
+    governor.replicas.insert(id("a"), ReplicaState { observations: seen(60.0, 0.0, 0.1, SECOND), ..warm(0) });
+    governor.update_health(SECOND);
+    assert!(!governor.unobserved && governor.zone_stress.is_empty());
 }
 
 #[test]
 fn levels_wait_until_the_fleet_is_heard() {
-    let mut governor = Governor { unheard: true, ..governor() };
+    let mut governor = Governor { unobserved: true, ..governor() };
     follower(&mut governor, 1, 0, &[]);
     governor.publish(SECOND, false, true);
     assert!(!out(&governor).iter().any(|one| matches!(one, Decision::SetAdmission { .. })));
@@ -341,14 +362,16 @@
     follower(&mut governor, 1, 0, &[("a", 1.0), ("b", 1.0)]);
     for (name, last) in [("a", 20), ("b", 30)] {
         let sights = seen(20.0, 0.0, 0.1, last * SECOND);
-        governor.replicas.insert(id(name), Replica { sights, expected: 5.0, ..warm(0) });
+        governor
+            .replicas
+            .insert(id(name), ReplicaState { observations: sights, expected_rate: 5.0, ..warm(0) });
     }
-    governor.heard.insert(0, 30 * SECOND);
+    governor.last_reports.insert(0, 30 * SECOND);
     governor
 }
 
 fn suspected(mut governor: Governor) -> Vec<ReplicaId> {
-    governor.suspects(30 * SECOND, 0.0).into_iter().map(|(_, id)| id).collect()
+    governor.find_outliers(30 * SECOND, 0.0).into_iter().map(|(_, id)| id).collect()
 }
 
 #[test]
@@ -359,30 +382,30 @@
 #[test]
 fn silence_counts_only_while_the_zones_sums_come() {
     let mut governor = silence();
-    governor.heard.insert(0, 20 * SECOND);
+    governor.last_reports.insert(0, 20 * SECOND);
     assert!(suspected(governor).is_empty());
 }
 
 #[test]
 fn proxies_that_just_joined_say_nothing_by_their_silence() {
     let mut governor = silence();
-    governor.joined.insert(0, 29 * SECOND);
+    governor.last_connections.insert(0, 29 * SECOND);
     assert!(suspected(governor).is_empty());
 }
 
 #[test]
 fn a_line_just_widened_owes_no_answers_yet() {
     let mut governor = silence();
-    governor.replicas.entry(id("a")).and_modify(|one| one.expected = 0.2);
+    governor.replicas.entry(id("a")).and_modify(|one| one.expected_rate = 0.2);
     assert!(suspected(governor).is_empty());
 }
 
 #[test]
 fn a_replica_in_no_table_starts_to_owe_answers_once_it_is_in_one() {
     let mut governor = silence();
-    governor.tables.clear();
-    governor.suspects(30 * SECOND, 0.0);
-    assert_eq!(governor.replicas[&id("a")].since, 30 * SECOND);
+    governor.sent_tables.clear();
+    governor.find_outliers(30 * SECOND, 0.0);
+    assert_eq!(governor.replicas[&id("a")].observed_since, 30 * SECOND);
 }
 
 #[test]
@@ -390,25 +413,27 @@
     let mut governor = silence();
     let last = 29 * SECOND;
     for name in ["a", "c", "d", "e", "f", "g"] {
-        governor.replicas.insert(id(name), Replica { sights: seen(20.0, 0.0, 0.1, last), ..warm(0) });
+        governor
+            .replicas
+            .insert(id(name), ReplicaState { observations: seen(20.0, 0.0, 0.1, last), ..warm(0) });
     }
     governor.replicas.entry(id("a")).and_modify(|one| {
-        (one.expected, one.unanswered_probes) = (5.0, 2);
+        (one.expected_rate, one.failed_health_checks) = (5.0, 2);
     });
-    assert_eq!(governor.suspects(30 * SECOND, 0.0).len(), 1);
-    governor.replicas.values_mut().for_each(|one| one.unanswered_probes = 2);
-    assert!(governor.suspects(30 * SECOND, 0.0).is_empty());
+    assert_eq!(governor.find_outliers(30 * SECOND, 0.0).len(), 1);
+    governor.replicas.values_mut().for_each(|one| one.failed_health_checks = 2);
+    assert!(governor.find_outliers(30 * SECOND, 0.0).is_empty());
 }
 
 #[test]
 fn one_that_drops_unlike_the_fleet_is_suspected_unless_it_is_busy() {
     let mut governor = silence();
     let sights = seen(10.0, 10.0, 0.1, 30 * SECOND);
-    governor.replicas.insert(id("a"), Replica { sights, ..warm(0) });
-    assert_eq!(governor.suspects(30 * SECOND, 0.05).len(), 1);
-    assert!(governor.suspects(30 * SECOND, 0.4).is_empty());
-    governor.replicas.entry(id("a")).and_modify(|one| one.waiting = Some((9.0, 30 * SECOND)));
-    assert!(governor.suspects(30 * SECOND, 0.05).is_empty());
+    governor.replicas.insert(id("a"), ReplicaState { observations: sights, ..warm(0) });
+    assert_eq!(governor.find_outliers(30 * SECOND, 0.05).len(), 1);
+    assert!(governor.find_outliers(30 * SECOND, 0.4).is_empty());
+    governor.replicas.entry(id("a")).and_modify(|one| one.queue = Some((9.0, 30 * SECOND)));
+    assert!(governor.find_outliers(30 * SECOND, 0.05).is_empty());
 }
 
 #[test]
@@ -416,9 +441,9 @@
     let probed =
         Settings { health_check_cost: Some(0.0), load_fields: vec![LoadField::InFlight], ..settings() };
     let mut governor = Governor::new(probed, Duration::ZERO);
-    governor.replicas.insert(id("a"), Replica { in_hand: Some(2.0), ..warm(0) });
+    governor.replicas.insert(id("a"), ReplicaState { in_flight: Some(2.0), ..warm(0) });
     governor.record_health_check(SECOND, &id("a"), None, &[]);
-    assert_eq!(governor.replicas[&id("a")].in_hand, Some(2.6));
+    assert_eq!(governor.replicas[&id("a")].in_flight, Some(2.6));
 }
 
 #[test]
@@ -426,8 +451,8 @@
     let mut governor = governor();
     let names = ["a", "b", "c", "d", "e"];
     names.iter().for_each(|name| drop(governor.replicas.insert(id(name), warm(0))));
-    governor.withdraw_worst(SECOND, names.iter().map(|name| (2.0, id(name))).collect());
-    assert_eq!(governor.replicas.values().filter(|one| one.out()).count(), 2);
+    governor.eject_worst(SECOND, names.iter().map(|name| (2.0, id(name))).collect());
+    assert_eq!(governor.replicas.values().filter(|one| one.is_unavailable()).count(), 2);
 }
 
 #[test]
@@ -435,8 +460,8 @@
     let mut governor = bound();
     ["a", "b"].iter().for_each(|name| drop(governor.replicas.insert(id(name), warm(0))));
     (0..8).for_each(|other| drop(governor.replicas.insert(id(&format!("z{other}")), warm(1))));
-    governor.withdraw_worst(SECOND, vec![(2.0, id("a")), (2.0, id("b"))]);
-    assert!(governor.replicas[&id("a")].out() && !governor.replicas[&id("b")].out());
+    governor.eject_worst(SECOND, vec![(2.0, id("a")), (2.0, id("b"))]);
+    assert!(governor.replicas[&id("a")].is_unavailable() && !governor.replicas[&id("b")].is_unavailable());
 }
 
 #[test]
@@ -445,38 +470,40 @@
     governor.replicas.insert(id("a"), warm(0));
     (0..3).for_each(|other| drop(governor.replicas.insert(id(&format!("c{other}")), cold(0, SECOND))));
     (0..8).for_each(|other| drop(governor.replicas.insert(id(&format!("z{other}")), warm(1))));
-    governor.withdraw_worst(10 * SECOND, vec![(2.0, id("a"))]);
-    assert!(!governor.replicas[&id("a")].out());
+    governor.eject_worst(10 * SECOND, vec![(2.0, id("a"))]);
+    assert!(!governor.replicas[&id("a")].is_unavailable());
 }
 
 #[test]
 fn a_failed_trial_doubles_the_wait() {
     let mut governor = governor();
-    governor.replicas.insert(id("a"), Replica { health: Health::Trial(2), ..warm(0) });
-    governor.withdraw_worst(SECOND, vec![(f64::MAX, id("a"))]);
-    assert_eq!(governor.replicas[&id("a")].health, Health::Out(SECOND + 4 * FIRST_WAIT, 3));
+    governor.replicas.insert(id("a"), ReplicaState { health: HealthState::Probation(2), ..warm(0) });
+    governor.eject_worst(SECOND, vec![(f64::MAX, id("a"))]);
+    assert_eq!(governor.replicas[&id("a")].health, HealthState::Ejected(SECOND + 4 * FIRST_EJECTION, 3));
 }
 
 #[test]
 fn a_withdrawn_replica_goes_on_trial_and_passes_by_answers() {
     let mut governor = governor();
     governor.replicas.insert(id("b"), warm(0));
-    governor.replicas.insert(id("a"), Replica { health: Health::Out(SECOND, 1), ..warm(0) });
-    governor.judge(SECOND);
-    assert_eq!(governor.replicas[&id("a")].health, Health::Trial(1));
-    governor.replicas.entry(id("a")).and_modify(|one| one.sights = seen(4.0, 0.0, 0.1, SECOND));
-    governor.judge(SECOND);
-    assert_eq!(governor.replicas[&id("a")].health, Health::Fit);
+    governor.replicas.insert(id("a"), ReplicaState { health: HealthState::Ejected(SECOND, 1), ..warm(0) });
+    governor.update_health(SECOND);
+    assert_eq!(governor.replicas[&id("a")].health, HealthState::Probation(1));
+    governor.replicas.entry(id("a")).and_modify(|one| one.observations = seen(4.0, 0.0, 0.1, SECOND));
+    governor.update_health(SECOND);
+    assert_eq!(governor.replicas[&id("a")].health, HealthState::Healthy);
 }
 
 #[test]
 fn the_last_of_a_zone_is_taken_back_however_ill() {
     let mut governor = bound();
-    governor.replicas.insert(id("a"), Replica { health: Health::Out(9 * SECOND, 1), ..warm(0) });
-    governor.replicas.insert(id("b"), Replica { ready: false, ..warm(0) });
+    governor
+        .replicas
+        .insert(id("a"), ReplicaState { health: HealthState::Ejected(9 * SECOND, 1), ..warm(0) });
+    governor.replicas.insert(id("b"), ReplicaState { ready: false, ..warm(0) });
     governor.replicas.insert(id("z"), warm(1));
-    governor.take_back(SECOND);
-    assert!(!governor.replicas[&id("a")].out());
+    governor.restore_ejected(SECOND);
+    assert!(!governor.replicas[&id("a")].is_unavailable());
 }
 
 #[test]
@@ -487,34 +514,39 @@
     for (name, zone) in [("a", 0), ("b", 0), ("y", 1), ("z", 1)] {
         governor.replicas.insert(id(name), warm(zone));
     }
-    assert_eq!(governor.defaults(SECOND)[&(0, 0)].len(), 2);
+    assert_eq!(governor.default_tables(SECOND)[&(0, 0)].len(), 2);
     governor.replicas.entry(id("b")).and_modify(|one| one.ready = false);
-    let spilled = governor.defaults(SECOND);
+    let spilled = governor.default_tables(SECOND);
     assert!(spilled[&(0, 0)].contains_key("z") && !spilled[&(0, 1)].contains_key("z"));
 }
 
 #[test]
 fn unheard_proxies_of_other_governors_count_in_a_zones_demand() {
     let mut governor = governor();
-    governor.figures.shared = 40.0;
+    governor.parameters.total_proxies = 40.0;
     follower(&mut governor, 1, 0, &[]);
     governor.replicas.insert(id("a"), warm(0));
     governor.replicas.insert(id("b"), cold(0, Duration::ZERO));
     governor.replicas.insert(id("z"), warm(1));
-    let kept = at(&governor.defaults(SECOND)[&(0, 0)], &id("a"));
-    governor.figures.shared = 0.0;
-    assert!(at(&governor.defaults(SECOND)[&(0, 0)], &id("a")) < kept + 1e-9);
+    let kept = at(&governor.default_tables(SECOND)[&(0, 0)], &id("a"));
+    governor.parameters.total_proxies = 0.0;
+    assert!(at(&governor.default_tables(SECOND)[&(0, 0)], &id("a")) < kept + 1e-9);
 }
 
 #[test]
 fn a_limping_replica_shrinks_in_the_default() {
     let mut governor = governor();
     follower(&mut governor, 1, 0, &[]);
-    governor.replicas.insert(id("a"), Replica { bend: -0.4, in_hand: Some(9.0), ..warm(0) });
-    governor.replicas.insert(id("b"), Replica { in_hand: Some(1.0), ..warm(0) });
-    assert!(at(&governor.defaults(SECOND)[&(0, 0)], &id("a")) < 0.7);
-    governor.bend(SECOND);
-    assert!(governor.replicas[&id("a")].bend < -0.5 && governor.replicas[&id("b")].bend > 0.0);
+    governor
+        .replicas
+        .insert(id("a"), ReplicaState { capacity_correction: -0.4, in_flight: Some(9.0), ..warm(0) });
+    governor.replicas.insert(id("b"), ReplicaState { in_flight: Some(1.0), ..warm(0) });
+    assert!(at(&governor.default_tables(SECOND)[&(0, 0)], &id("a")) < 0.7);
+    governor.correct_capacities(SECOND);
+    assert!(
+        governor.replicas[&id("a")].capacity_correction < -0.5
+            && governor.replicas[&id("b")].capacity_correction > 0.0
+    );
 }
 
 #[test]
@@ -522,14 +554,15 @@
     let mut governor = governor();
     follower(&mut governor, 1, 0, &[]);
     governor.replicas.insert(id("a"), warm(0));
-    let rotten = |governor: &Governor| governor.rotten((SECOND, 0), &governor.defaults(SECOND)[&(0, 0)]).0;
+    let rotten =
+        |governor: &Governor| governor.staleness((SECOND, 0), &governor.default_tables(SECOND)[&(0, 0)]).0;
     assert!(!rotten(&governor));
-    governor.replicas.insert(id("b"), Replica { known: Some(2 * SECOND), ..warm(0) });
+    governor.replicas.insert(id("b"), ReplicaState { first_ready_at: Some(2 * SECOND), ..warm(0) });
     assert!(rotten(&governor));
     governor.replicas.remove(&id("b"));
     governor.replicas.insert(id("a"), cold(0, SECOND));
     assert!(rotten(&governor));
-    governor.replicas.insert(id("a"), Replica { ready: false, ..warm(0) });
+    governor.replicas.insert(id("a"), ReplicaState { ready: false, ..warm(0) });
     governor.replicas.insert(id("z"), warm(1));
     assert!(rotten(&governor));
 }
@@ -542,11 +575,11 @@
     }
     follower(&mut governor, 9, 1, &[]);
     governor.replicas.insert(id("a"), cold(0, Duration::ZERO));
-    governor.thin.insert(0);
+    governor.underprovisioned_zones.insert(0);
     let sights = seen(20.0, 0.0, 0.1, SECOND);
-    governor.replicas.insert(id("z"), Replica { sights, ..warm(1) });
-    governor.tables(SECOND, true);
-    let bound = (1..5).filter(|proxy| !governor.tables[&(*proxy, 1)].is_empty()).count();
+    governor.replicas.insert(id("z"), ReplicaState { observations: sights, ..warm(1) });
+    governor.sent_tables(SECOND, true);
+    let bound = (1..5).filter(|proxy| !governor.sent_tables[&(*proxy, 1)].is_empty()).count();
     assert_eq!(bound, 1);
 }
 
@@ -554,20 +587,20 @@
 fn a_solved_table_colder_than_the_default_gives_way() {
     let mut governor = governor();
     governor.replicas.insert(id("a"), cold(0, SECOND));
-    governor.replicas.insert(id("b"), Replica { ready: false, ..warm(0) });
+    governor.replicas.insert(id("b"), ReplicaState { ready: false, ..warm(0) });
     governor.replicas.insert(id("c"), warm(0));
-    governor.critical.insert((1, 0), [(id("a"), 10.0), (id("b"), 90.0)].into());
-    let default: Lines = [(id("a"), 0.2), (id("c"), 1.0)].into();
+    governor.critical_tables.insert((1, 0), [(id("a"), 10.0), (id("b"), 90.0)].into());
+    let default: Weights = [(id("a"), 0.2), (id("c"), 1.0)].into();
     follower(&mut governor, 1, 0, &[]);
-    let mut field = governor.field(SECOND);
-    assert_eq!(governor.wanted((1, 0), &default, &mut field, SECOND), default);
+    let mut field = governor.load_model(SECOND);
+    assert_eq!(governor.desired_table((1, 0), &default, &mut field, SECOND), default);
 }
 
 #[test]
 fn small_changes_of_a_line_stay_unsent() {
     let mut governor = governor();
     follower(&mut governor, 1, 0, &[("a", 1.0), ("b", 1.0)]);
-    let cost = governor.lay((1, 0), [(id("a"), 1.05), (id("b"), 1.5)].into(), false);
+    let cost = governor.update_table((1, 0), [(id("a"), 1.05), (id("b"), 1.5)].into(), false);
     assert_eq!(
         (cost, out(&governor)),
         (1, vec![&Decision::UpdateTable { table: 2, entries: vec![entry(id("b"), 1.5)] }])
@@ -578,42 +611,43 @@
 fn demand_is_what_levels_let_in() {
     let mut governor = governor();
     follower(&mut governor, 1, 0, &[]);
-    governor.levels[0].0 = 0.2;
-    assert_eq!(governor.demand(&governor.proxies[&1], 0b11), 6.0);
+    governor.class_admissions[0].0 = 0.2;
+    assert_eq!(governor.admitted_demand(&governor.proxies[&1], 0b11), 6.0);
 }
 
 /// Proxy 1 sends 12 flows a second to `a` and proxy 2 sends 8, while `b` idles beside it.
-fn field() -> Field {
-    let mut field = Field { ids: vec![id("a"), id("b")], crossing: 1.0, ..Field::default() };
-    field.rooms = vec![(0, 10.0), (0, 10.0)];
-    field.shares = vec![vec![(0, 1.0)]];
-    field.units = [((1, 0), (0, 12.0, 0)), ((2, 0), (0, 8.0, 0))].into();
-    field.alike = [((0, 0), 20.0)].into();
-    field.fill(&BTreeSet::new());
+fn field() -> LoadModel {
+    let mut field =
+        LoadModel { replicas: vec![id("a"), id("b")], cross_zone_price: 1.0, ..LoadModel::default() };
+    field.capacities = vec![(0, 10.0), (0, 10.0)];
+    field.distributions = vec![vec![(0, 1.0)]];
+    field.flows = [((1, 0), (0, 12.0, 0)), ((2, 0), (0, 8.0, 0))].into();
+    field.demand_by_distribution = [((0, 0), 20.0)].into();
+    field.water_fill(&BTreeSet::new());
     field
 }
 
 #[test]
 fn the_greedy_step_takes_who_sends_most_to_the_hottest() {
-    assert_eq!(field().send_most(&BTreeSet::new(), 1), vec![1]);
-    assert_eq!(field().send_most(&[1].into(), 2), vec![2]);
+    assert_eq!(field().largest_senders(&BTreeSet::new(), 1), vec![1]);
+    assert_eq!(field().largest_senders(&[1].into(), 2), vec![2]);
 }
 
 #[test]
 fn filling_lowers_the_peak_and_payoff_charges_what_moves() {
     let mut field = field();
     assert!(field.payoff().1 < 0.51);
-    field.fill(&[1].into());
+    field.water_fill(&[1].into());
     let (payoff, ratio) = field.payoff();
     assert!(ratio > 0.99 && payoff < ratio - 0.4);
 }
 
 #[test]
 fn a_crossing_replica_must_be_cooler_by_its_price() {
-    let mut field = Field { crossing: 1.5, ..field() };
-    field.rooms[1] = (1, 10.0);
-    field.fill(&[1, 2].into());
-    assert!(field.totals[0] > 1.4 * field.totals[1]);
+    let mut field = LoadModel { cross_zone_price: 1.5, ..field() };
+    field.capacities[1] = (1, 10.0);
+    field.water_fill(&[1, 2].into());
+    assert!(field.loads[0] > 1.4 * field.loads[1]);
 }
 
 #[test]
@@ -621,13 +655,13 @@
     let mut governor = governor();
     follower(&mut governor, 1, 0, &[("a", 1.0)]);
     follower(&mut governor, 2, 0, &[("a", 1.0), ("b", 1.0)]);
-    governor.replicas.insert(id("a"), Replica { in_hand: Some(9.0), ..warm(0) });
-    governor.replicas.insert(id("b"), Replica { in_hand: Some(1.0), ..warm(0) });
-    governor.solve(SECOND);
-    assert!(governor.critical.is_empty());
-    governor.cycles_below = 3;
-    governor.solve(SECOND);
-    assert!(!governor.critical.is_empty());
+    governor.replicas.insert(id("a"), ReplicaState { in_flight: Some(9.0), ..warm(0) });
+    governor.replicas.insert(id("b"), ReplicaState { in_flight: Some(1.0), ..warm(0) });
+    governor.update_critical_set(SECOND);
+    assert!(governor.critical_tables.is_empty());
+    governor.cycles_below_target = 3;
+    governor.update_critical_set(SECOND);
+    assert!(!governor.critical_tables.is_empty());
 }
 
 #[test]
@@ -637,13 +671,13 @@
 
 /// Late answers from replicas of which `queued` report flows waiting, with 100 flows a second offered.
 fn late(queued: usize) -> Governor {
-    let mut governor = Governor { pulse: (50.0, 60.0), ..governor() };
+    let mut governor = Governor { latency_sum: (50.0, 60.0), ..governor() };
     follower(&mut governor, 1, 0, &[]);
-    governor.proxies.entry(1).and_modify(|one| one.rates = vec![50.0, 50.0]);
+    governor.proxies.entry(1).and_modify(|one| one.request_rates = vec![50.0, 50.0]);
     for (place, name) in ["a", "b", "c", "d"].into_iter().enumerate() {
         let waiting = Some((if place < queued { 5.0 } else { 0.0 }, 9 * SECOND));
         let sights = seen(10.0, 0.0, 1.0, 9 * SECOND);
-        governor.replicas.insert(id(name), Replica { waiting, sights, ..warm(0) });
+        governor.replicas.insert(id(name), ReplicaState { queue: waiting, observations: sights, ..warm(0) });
     }
     governor
 }
@@ -651,52 +685,52 @@
 #[test]
 fn levels_are_cut_to_what_jammed_replicas_answer() {
     let mut governor = late(4);
-    governor.shed(10 * SECOND);
-    assert!((governor.let_in - DRAINING * 0.4).abs() < 1e-9);
-    governor.pulse = (50.0, 60.0);
-    governor.shed(11 * SECOND);
-    assert!((governor.let_in - DRAINING * 0.4).abs() < 1e-9);
+    governor.adjust_admission(10 * SECOND);
+    assert!((governor.admission_fraction - QUEUE_DRAINING_FRACTION * 0.4).abs() < 1e-9);
+    governor.latency_sum = (50.0, 60.0);
+    governor.adjust_admission(11 * SECOND);
+    assert!((governor.admission_fraction - QUEUE_DRAINING_FRACTION * 0.4).abs() < 1e-9);
 }
 
 #[test]
 fn late_answers_of_drained_queues_cut_nothing() {
     let mut governor = late(1);
-    governor.shed(10 * SECOND);
-    assert_eq!(governor.let_in, 1.0);
+    governor.adjust_admission(10 * SECOND);
+    assert_eq!(governor.admission_fraction, 1.0);
 }
 
 #[test]
 fn the_least_useful_group_is_cut_first_and_tries_end() {
     let mut governor = late(4);
-    governor.let_in = 0.7;
-    governor.level(10 * SECOND);
+    governor.admission_fraction = 0.7;
+    governor.send_admission(10 * SECOND);
     let never = RetryPolicy::Never;
-    assert_eq!(governor.levels, vec![(0.4, never), (1.0, never)]);
+    assert_eq!(governor.class_admissions, vec![(0.4, never), (1.0, never)]);
 }
 
 #[test]
 fn further_tries_are_only_those_that_cannot_act_twice() {
     let mut governor = late(0);
-    governor.level(10 * SECOND);
-    let tries = governor.levels.iter().map(|(_, tries)| *tries);
+    governor.send_admission(10 * SECOND);
+    let tries = governor.class_admissions.iter().map(|(_, tries)| *tries);
     assert!(tries.into_iter().all(|tries| tries == RetryPolicy::IfNotExecuted));
 }
 
 #[test]
 fn in_a_fleet_mostly_cold_levels_fall_to_what_it_bears() {
-    let mut governor = Governor { nominal: 4.0, ..governor() };
+    let mut governor = Governor { nominal_weight: 4.0, ..governor() };
     follower(&mut governor, 1, 0, &[]);
     ["a", "b"].iter().for_each(|name| drop(governor.replicas.insert(id(name), cold(0, Duration::ZERO))));
-    governor.level(5 * SECOND);
-    assert_eq!((governor.levels[0].0, governor.levels[1].0), (0.0, 0.85));
+    governor.send_admission(5 * SECOND);
+    assert_eq!((governor.class_admissions[0].0, governor.class_admissions[1].0), (0.0, 0.85));
 }
 
 #[test]
 fn where_levels_are_not_heeded_none_is_cut() {
     let mut governor = late(4);
-    (governor.figures.levels, governor.let_in) = (false, 0.5);
-    governor.level(10 * SECOND);
-    assert!(governor.levels.iter().all(|(level, _)| *level == 1.0));
+    (governor.parameters.limits_admission, governor.admission_fraction) = (false, 0.5);
+    governor.send_admission(10 * SECOND);
+    assert!(governor.class_admissions.iter().all(|(level, _)| *level == 1.0));
 }
 
 #[test]
@@ -705,17 +739,22 @@
     follower(&mut governor, 1, 0, &[]);
     governor.replicas.insert(id("a"), warm(0));
     governor.replicas.insert(id("z"), warm(1));
-    assert!(governor.defaults(SECOND)[&(0, 0)].contains_key("z"));
+    assert!(governor.default_tables(SECOND)[&(0, 0)].contains_key("z"));
 }
 
 #[test]
 fn beyond_what_jammed_the_fleet_levels_come_back_slowly() {
-    let mut governor = Governor { let_in: 0.6, cut: (0.5, Duration::ZERO), pulse: (50.0, 5.0), ..late(0) };
-    governor.shed(10 * SECOND);
-    assert!((governor.let_in - 0.612).abs() < 1e-9);
-    (governor.let_in, governor.pulse) = (0.4, (50.0, 5.0));
-    governor.shed(11 * SECOND);
-    assert!(governor.let_in >= 0.42);
+    let mut governor = Governor {
+        admission_fraction: 0.6,
+        last_cut: (0.5, Duration::ZERO),
+        latency_sum: (50.0, 5.0),
+        ..late(0)
+    };
+    governor.adjust_admission(10 * SECOND);
+    assert!((governor.admission_fraction - 0.612).abs() < 1e-9);
+    (governor.admission_fraction, governor.latency_sum) = (0.4, (50.0, 5.0));
+    governor.adjust_admission(11 * SECOND);
+    assert!(governor.admission_fraction >= 0.42);
 }
 
 #[test]
@@ -723,11 +762,11 @@
     let mut governor = governor();
     follower(&mut governor, 1, 0, &[]);
     governor.replicas.insert(id("a"), cold(0, SECOND));
-    governor.replicas.insert(id("b"), Replica { sights: seen(10.0, 0.0, 0.1, SECOND), ..warm(0) });
+    governor.replicas.insert(id("b"), ReplicaState { observations: seen(10.0, 0.0, 0.1, SECOND), ..warm(0) });
     governor.replicas.insert(id("z"), warm(1));
-    let kept = |governor: &Governor| at(&governor.defaults(SECOND)[&(0, 0)], &id("b"));
+    let kept = |governor: &Governor| at(&governor.default_tables(SECOND)[&(0, 0)], &id("b"));
     let answered = kept(&governor);
-    governor.replicas.insert(id("b"), Replica { sights: seen(5.0, 5.0, 0.1, SECOND), ..warm(0) });
+    governor.replicas.insert(id("b"), ReplicaState { observations: seen(5.0, 5.0, 0.1, SECOND), ..warm(0) });
     assert!(kept(&governor) < 0.8 * answered);
 }
 
@@ -736,29 +775,33 @@
     let mut governor = bound();
     ["a", "b", "c"].iter().for_each(|name| drop(governor.replicas.insert(id(name), warm(0))));
     (0..8).for_each(|other| drop(governor.replicas.insert(id(&format!("z{other}")), warm(1))));
-    governor.withdraw_worst(SECOND, vec![(0.6, id("a"))]);
-    assert!(!governor.replicas[&id("a")].out());
-    governor.withdraw_worst(SECOND, vec![(2.0, id("a"))]);
-    assert!(governor.replicas[&id("a")].out());
+    governor.eject_worst(SECOND, vec![(0.6, id("a"))]);
+    assert!(!governor.replicas[&id("a")].is_unavailable());
+    governor.eject_worst(SECOND, vec![(2.0, id("a"))]);
+    assert!(governor.replicas[&id("a")].is_unavailable());
 }
 
 #[test]
 fn stress_is_told_by_zone() {
     let mut governor = governor();
-    governor.replicas.insert(id("a"), Replica { sights: seen(30.0, 30.0, 0.1, SECOND), ..warm(0) });
-    governor.replicas.insert(id("z"), Replica { sights: seen(1000.0, 0.0, 0.1, SECOND), ..warm(1) });
-    governor.judge(SECOND);
-    assert!(at(&governor.stress, &0) > 0.4 && at(&governor.stress, &1) < 0.1);
+    governor
+        .replicas
+        .insert(id("a"), ReplicaState { observations: seen(30.0, 30.0, 0.1, SECOND), ..warm(0) });
+    governor
+        .replicas
+        .insert(id("z"), ReplicaState { observations: seen(1000.0, 0.0, 0.1, SECOND), ..warm(1) });
+    governor.update_health(SECOND);
+    assert!(at(&governor.zone_stress, &0) > 0.4 && at(&governor.zone_stress, &1) < 0.1);
 }
 
 #[test]
 fn an_urgent_order_waits_the_longer_the_fuller_the_span_is() {
     let mut governor = governor();
     follower(&mut governor, 1, 0, &[("a", 1.0)]);
-    governor.replicas.insert(id("a"), Replica { ready: false, ..warm(0) });
-    governor.flushes = vec![SECOND; 7].into();
+    governor.replicas.insert(id("a"), ReplicaState { ready: false, ..warm(0) });
+    governor.recent_flushes = vec![SECOND; 7].into();
     governor.publish(SECOND + SECOND / 2, false, false);
-    assert!(governor.out.is_empty());
+    assert!(governor.pending.is_empty());
     governor.publish(3 * SECOND, false, false);
     assert_eq!(out(&governor)[0], &Decision::SetEjected { replica: id("a"), ejected: true });
 }
@@ -766,9 +809,11 @@
 #[test]
 fn judging_takes_back_what_is_ill_where_nothing_warm_is_open() {
     let mut governor = governor();
-    governor.replicas.insert(id("a"), Replica { health: Health::Out(9 * SECOND, 1), ..warm(0) });
-    governor.judge(SECOND);
-    assert!(!governor.replicas[&id("a")].out());
+    governor
+        .replicas
+        .insert(id("a"), ReplicaState { health: HealthState::Ejected(9 * SECOND, 1), ..warm(0) });
+    governor.update_health(SECOND);
+    assert!(!governor.replicas[&id("a")].is_unavailable());
 }
 
 /// One zone of 40 replicas, from which 10 standing tables that can't be read were drawn.
@@ -777,7 +822,7 @@
     for place in 0..40 {
         governor.replicas.insert(id(&format!("r{place:02}")), warm(0));
     }
-    (governor.listed_at, governor.thin) = (SECOND, BTreeSet::new());
+    (governor.roster_updated_at, governor.underprovisioned_zones) = (SECOND, BTreeSet::new());
     (0..10).for_each(|proxy| governor.proxy_connected(SECOND, with_default_table(proxy, 10.0)));
     governor
 }
@@ -791,7 +836,7 @@
 fn tables_that_cannot_be_read_stand_until_little_of_their_zone_is_left() {
     let rotten = |lost| {
         let governor = losing(large(), lost);
-        governor.rotten((SECOND, 0), &governor.defaults(SECOND)[&(0, 0)])
+        governor.staleness((SECOND, 0), &governor.default_tables(SECOND)[&(0, 0)])
     };
     assert_eq!((rotten(1), rotten(10)), ((false, false), (false, false)));
     assert_eq!((rotten(17), rotten(24)), ((true, false), (true, true)));
@@ -801,9 +846,9 @@
 fn own_defaults_of_a_large_zone_are_small_and_cover_it_evenly() {
     let mut governor = losing(large(), 1);
     (0..10).for_each(|proxy| governor.proxy_connected(SECOND, with_unknown_tables(proxy, 10.0)));
-    governor.tables(SECOND, true);
+    governor.sent_tables(SECOND, true);
     let mut named: BTreeMap<&ReplicaId, usize> = BTreeMap::new();
-    for lines in governor.tables.iter().filter(|((_, kind), _)| *kind == 0).map(|(_, lines)| lines) {
+    for lines in governor.sent_tables.iter().filter(|((_, kind), _)| *kind == 0).map(|(_, lines)| lines) {
         assert_eq!(lines.len(), 8);
         lines.keys().for_each(|id| *named.entry(id).or_default() += 1);
     }
@@ -814,43 +859,43 @@
 fn an_own_default_keeps_its_lines_when_another_zone_replica_goes() {
     let mut governor = losing(large(), 1);
     (0..10).for_each(|proxy| governor.proxy_connected(SECOND, with_unknown_tables(proxy, 10.0)));
-    governor.tables(SECOND, true);
-    governor.out.clear();
+    governor.sent_tables(SECOND, true);
+    governor.pending.clear();
     governor.replicas.entry(id("r39")).and_modify(|one| one.ready = false);
-    governor.tables(SECOND, true);
+    governor.sent_tables(SECOND, true);
     let lines =
         |one: &Decision| if let Decision::UpdateTable { entries: lines, .. } = one { lines.len() } else { 0 };
-    let moved: usize = governor.out.iter().map(lines).sum();
+    let moved: usize = governor.pending.iter().map(lines).sum();
     assert!((2..=6).contains(&moved), "{moved}");
 }
 
 #[test]
 fn a_subset_of_what_has_no_room_still_names_something() {
     let mut governor = bound();
-    let names: Lines = (0..40).map(|place| (id(&format!("r{place:02}")), 1.0)).collect();
+    let names: Weights = (0..40).map(|place| (id(&format!("r{place:02}")), 1.0)).collect();
     for name in names.keys() {
         governor.replicas.insert(name.clone(), cold(0, SECOND));
     }
-    governor.stress.insert(0, 0.9);
+    governor.zone_stress.insert(0, 0.9);
     follower(&mut governor, 1, 0, &[]);
-    let mut field = governor.field(SECOND);
-    assert_eq!(governor.wanted((1, 1), &names, &mut field, SECOND).len(), 8);
+    let mut field = governor.load_model(SECOND);
+    assert_eq!(governor.desired_table((1, 1), &names, &mut field, SECOND).len(), 8);
 }
 
 #[test]
 fn a_cold_replica_that_unread_tables_may_name_is_held_back_until_it_bears_its_load() {
     let mut governor = large();
     governor.replicas.insert(id("r00"), cold(0, SECOND));
-    governor.hold(2 * SECOND);
-    assert!(governor.replicas[&id("r00")].out());
-    governor.hold(9 * SECOND);
-    assert!(!governor.replicas[&id("r00")].out());
+    governor.update_withheld(2 * SECOND);
+    assert!(governor.replicas[&id("r00")].is_unavailable());
+    governor.update_withheld(9 * SECOND);
+    assert!(!governor.replicas[&id("r00")].is_unavailable());
 }
 
 #[test]
 fn silence_begins_only_when_waiting_lines_would_have_come() {
     let mut governor = silence();
-    governor.lag = 10 * SECOND;
+    governor.report_delay = 10 * SECOND;
     assert!(suspected(governor).is_empty());
 }
 
@@ -864,29 +909,29 @@
             DemandStatistics { proxy: 1, class: 0, requests: 9, failed: 0, interval: span * SECOND },
         );
     }
-    (governor.wake, governor.beats) = (true, 7);
-    governor.settle(SECOND);
-    assert_eq!(governor.lag, 3 * SECOND / 2);
+    (governor.tick_pending, governor.ticks) = (true, 7);
+    governor.process(SECOND);
+    assert_eq!(governor.report_delay, 3 * SECOND / 2);
 }
 
 #[test]
 fn who_cannot_wait_and_who_is_busiest_is_bound_first() {
     let mut governor = losing(large(), 17);
     governor.proxy_connected(SECOND, with_unknown_tables(20, 1.0));
-    governor.proxies.entry(5).and_modify(|one| one.rates = vec![90.0, 90.0]);
-    governor.tables(SECOND, true);
+    governor.proxies.entry(5).and_modify(|one| one.request_rates = vec![90.0, 90.0]);
+    governor.sent_tables(SECOND, true);
     let follow =
         |one: &Decision| if let Decision::AssignTable { proxy, .. } = one { Some(*proxy) } else { None };
-    let bound: Vec<ProxyId> = governor.out.iter().filter_map(follow).collect();
+    let bound: Vec<ProxyId> = governor.pending.iter().filter_map(follow).collect();
     assert_eq!(bound[..2], [20, 5]);
 }
 
 #[test]
 fn a_withdrawal_is_counted_once_for_each_that_may_hold_it() {
     let mut governor = losing(large(), 1);
-    governor.withdraw(true);
+    governor.send_ejections(true);
     // What standing tables name is told nowhere, so on sockets each of ten is sent a line and a head.
-    assert_eq!(governor.waiting, 10.0 * (1.0 + 7.0));
+    assert_eq!(governor.queued_entries, 10.0 * (1.0 + 7.0));
 }
 
 #[test]
@@ -896,8 +941,8 @@
     [ProxyId::MAX, ProxyId::MAX / 2]
         .iter()
         .for_each(|proxy| governor.proxy_connected(SECOND, with_unknown_tables(*proxy, 1.0)));
-    governor.tables(SECOND, true);
-    assert!(governor.out.is_empty());
+    governor.sent_tables(SECOND, true);
+    assert!(governor.pending.is_empty());
 }
 
 #[test]
@@ -905,13 +950,13 @@
     let mut governor = silence();
     for (name, dropped) in [("a", 20.0), ("b", 5.0), ("c", 5.0), ("d", 0.0)] {
         let sights = seen(25.0 - dropped, dropped, 0.1, 30 * SECOND);
-        governor.replicas.insert(id(name), Replica { sights, ..warm(0) });
+        governor.replicas.insert(id(name), ReplicaState { observations: sights, ..warm(0) });
     }
-    governor.judge(30 * SECOND);
-    assert!(governor.common && governor.replicas.values().all(|one| !one.out()));
-    governor.replicas.entry(id("c")).and_modify(|one| one.sights = seen(20.0, 0.0, 0.1, 30 * SECOND));
-    governor.judge(30 * SECOND);
-    assert!(!governor.common && governor.replicas[&id("a")].out());
+    governor.update_health(30 * SECOND);
+    assert!(governor.fleet_wide_fault && governor.replicas.values().all(|one| !one.is_unavailable()));
+    governor.replicas.entry(id("c")).and_modify(|one| one.observations = seen(20.0, 0.0, 0.1, 30 * SECOND));
+    governor.update_health(30 * SECOND);
+    assert!(!governor.fleet_wide_fault && governor.replicas[&id("a")].is_unavailable());
 }
 
 #[test]
@@ -919,23 +964,27 @@
     let mut governor = losing(large(), 1);
     follower(&mut governor, 1, 0, &[("r01", 1.0), ("r02", 1.0)]);
     follower(&mut governor, 2, 0, &[("r01", 9.0)]);
-    governor.proxies.entry(2).and_modify(|one| one.rates = vec![900.0, 900.0]);
-    let default = governor.defaults(SECOND)[&(0, 0)].clone();
+    governor.proxies.entry(2).and_modify(|one| one.request_rates = vec![900.0, 900.0]);
+    let default = governor.default_tables(SECOND)[&(0, 0)].clone();
     let keeps = |governor: &Governor| {
-        governor.wanted((1, 0), &default, &mut governor.field(SECOND), SECOND).contains_key("r01")
+        governor.desired_table((1, 0), &default, &mut governor.load_model(SECOND), SECOND).contains_key("r01")
     };
     assert!(!keeps(&governor));
-    governor.common = true;
+    governor.fleet_wide_fault = true;
     assert!(keeps(&governor));
 }
 
 #[test]
 fn a_busy_proxy_is_bound_though_its_table_stands() {
     let mut governor = large();
-    governor.proxies.entry(5).and_modify(|one| one.rates = vec![90.0, 90.0]);
-    governor.proxies.values_mut().filter(|one| one.rates[0] < 9.0).for_each(|one| one.rates = vec![0.5, 0.5]);
-    governor.tables(SECOND, true);
-    assert!(governor.proxies[&5].standing.is_none() && governor.proxies[&4].standing.is_some());
+    governor.proxies.entry(5).and_modify(|one| one.request_rates = vec![90.0, 90.0]);
+    governor
+        .proxies
+        .values_mut()
+        .filter(|one| one.request_rates[0] < 9.0)
+        .for_each(|one| one.request_rates = vec![0.5, 0.5]);
+    governor.sent_tables(SECOND, true);
+    assert!(governor.proxies[&5].default_table.is_none() && governor.proxies[&4].default_table.is_some());
 }
 
 #[test]
@@ -945,11 +994,11 @@
     follower(&mut governor, 1, 0, &[]);
     let spilling = |weight: f64| {
         let own = (1..40).map(|place| (id(&format!("r{place:02}")), 1.0));
-        own.chain((0..120).map(|place| (id(&format!("z{place:03}")), weight))).collect::<Lines>()
+        own.chain((0..120).map(|place| (id(&format!("z{place:03}")), weight))).collect::<Weights>()
     };
     let crossing = |weight| {
-        let mut field = governor.field(SECOND);
-        let lines = governor.wanted((1, 0), &spilling(weight), &mut field, SECOND);
+        let mut field = governor.load_model(SECOND);
+        let lines = governor.desired_table((1, 0), &spilling(weight), &mut field, SECOND);
         lines.keys().filter(|id| id.starts_with('z')).count()
     };
     assert_eq!((crossing(0.01), crossing(0.325)), (0, 4));
@@ -958,39 +1007,39 @@
 #[test]
 fn governors_dealt_by_zone_take_the_unheard_to_be_in_other_zones() {
     let mut governor = governor();
-    governor.figures.shared = 4.0;
+    governor.parameters.total_proxies = 4.0;
     for (name, zone) in [("a", 0), ("y", 1)] {
         governor.replicas.insert(id(name), warm(zone));
     }
     follower(&mut governor, 1, 0, &[]);
     follower(&mut governor, 2, 0, &[]);
-    assert!(!governor.defaults(SECOND)[&(0, 0)].contains_key("y"));
+    assert!(!governor.default_tables(SECOND)[&(0, 0)].contains_key("y"));
 }
 
 #[test]
 fn acks_and_time_free_the_channel_slowly_until_it_is_known_to_keep_pace() {
     let ordered = [(Duration::ZERO, 900.0)].into();
-    let mut governor = Governor { waiting: 900.0, ordered, ..governor() };
+    let mut governor = Governor { queued_entries: 900.0, sent_batches: ordered, ..governor() };
     governor.publish(SECOND / 2, false, false);
-    assert_eq!(governor.waiting, 900.0 - 0.2 * 500.0);
+    assert_eq!(governor.queued_entries, 900.0 - 0.2 * 500.0);
     governor.acknowledged(SECOND / 2);
-    assert_eq!(governor.waiting, 900.0 - 0.2 * 500.0, "others of the same order may wait yet");
+    assert_eq!(governor.queued_entries, 900.0 - 0.2 * 500.0, "others of the same order may wait yet");
     governor.publish(3 * SECOND / 2, false, false);
     governor.acknowledged(SECOND / 2);
-    assert_eq!(governor.waiting, 0.0, "it was ordered later, and has left");
+    assert_eq!(governor.queued_entries, 0.0, "it was ordered later, and has left");
 }
 
 #[test]
 fn a_rise_of_levels_waits_where_it_would_fill_the_channel_and_a_cut_does_not() {
-    let mut governor = Governor { waiting: 600.0, let_in: 0.5, ..late(4) };
-    governor.level(10 * SECOND);
-    assert!(governor.levels[0].0 < 0.5);
-    (governor.waiting, governor.let_in) = (600.0, 1.0);
-    governor.level(10 * SECOND);
-    assert!(governor.levels[0].0 < 0.5);
-    governor.waiting = 0.0;
-    governor.level(10 * SECOND);
-    assert_eq!(governor.levels[0].0, 1.0);
+    let mut governor = Governor { queued_entries: 600.0, admission_fraction: 0.5, ..late(4) };
+    governor.send_admission(10 * SECOND);
+    assert!(governor.class_admissions[0].0 < 0.5);
+    (governor.queued_entries, governor.admission_fraction) = (600.0, 1.0);
+    governor.send_admission(10 * SECOND);
+    assert!(governor.class_admissions[0].0 < 0.5);
+    governor.queued_entries = 0.0;
+    governor.send_admission(10 * SECOND);
+    assert_eq!(governor.class_admissions[0].0, 1.0);
 }
 
 #[test]
@@ -1000,10 +1049,10 @@
     let eight: Vec<(&str, f64)> = eight.iter().map(|name| (name.as_str(), 2.0)).collect();
     follower(&mut governor, 1, 0, &eight);
     follower(&mut governor, 2, 0, &eight[..2]);
-    governor.proxies.entry(1).and_modify(|one| one.rates = vec![90.0, 90.0]);
-    governor.waiting = 550.0;
-    governor.tables(SECOND, true);
-    let numbers = governor.out.iter().filter_map(|one| match one {
+    governor.proxies.entry(1).and_modify(|one| one.request_rates = vec![90.0, 90.0]);
+    governor.queued_entries = 550.0;
+    governor.sent_tables(SECOND, true);
+    let numbers = governor.pending.iter().filter_map(|one| match one {
         Decision::UpdateTable { table: number, .. } => Some(*number),
         _ => None,
     });
@@ -1013,10 +1062,10 @@
 
 #[test]
 fn a_group_whose_flows_hang_is_cut_before_less_useful_ones() {
-    let mut governor = Governor { let_in: 0.7, ..late(4) };
-    governor.unanswered = vec![0.0, 0.8];
-    governor.level(10 * SECOND);
-    assert_eq!((governor.levels[0].0, governor.levels[1].0), (1.0, 0.4));
+    let mut governor = Governor { admission_fraction: 0.7, ..late(4) };
+    governor.failed_fractions = vec![0.0, 0.8];
+    governor.send_admission(10 * SECOND);
+    assert_eq!((governor.class_admissions[0].0, governor.class_admissions[1].0), (1.0, 0.4));
 }
 
 #[test]
@@ -1027,29 +1076,29 @@
             SECOND,
             DemandStatistics { proxy: 1, class: 1, requests: 100, failed: dropped, interval: SECOND },
         );
-        governor.unanswered[1]
+        governor.failed_fractions[1]
     };
     assert!((came(&mut governor, 50) - 0.005).abs() < 1e-9);
-    governor.levels[1].0 = 0.5;
+    governor.class_admissions[1].0 = 0.5;
     assert!((came(&mut governor, 50) - 0.009975).abs() < 1e-9);
-    governor.levels[1].0 = 0.0;
+    governor.class_admissions[1].0 = 0.0;
     assert!((came(&mut governor, 0) - 0.009975).abs() < 1e-9);
 }
 
 #[test]
 fn what_is_long_gone_and_in_no_table_is_forgotten() {
     let (gone, now) = (Some(SECOND), 300 * SECOND);
-    let old = || Replica { ready: false, gone, withdrawn: true, ..warm(0) };
+    let old = || ReplicaState { ready: false, gone_since: gone, ejection_sent: true, ..warm(0) };
     let mut governor = Governor {
         replicas: [(id("a"), old()), (id("b"), old()), (id("c"), warm(0))].into(),
-        tables: [((7, 0), [(id("b"), 1.0)].into())].into(),
+        sent_tables: [((7, 0), [(id("b"), 1.0)].into())].into(),
         ..governor()
     };
-    governor.replicas.insert(id("d"), Replica { gone: Some(250 * SECOND), ..old() });
-    governor.forget(now);
+    governor.replicas.insert(id("d"), ReplicaState { gone_since: Some(250 * SECOND), ..old() });
+    governor.forget_gone_replicas(now);
     let left: Vec<&str> = governor.replicas.keys().map(|id| &**id).collect();
     assert_eq!(left, ["b", "c", "d"], "a table may still name it, or one drawn lately");
-    assert_eq!(governor.out, [Decision::SetEjected { replica: id("a"), ejected: false }]);
+    assert_eq!(governor.pending, [Decision::SetEjected { replica: id("a"), ejected: false }]);
 }
 
 #[test]
@@ -1063,7 +1112,7 @@
             DemandStatistics { proxy: 1, class: 0, requests: 1, failed: 0, interval: SECOND / 2 },
         );
     }
-    let rate = governor.proxies[&1].rates[0];
+    let rate = governor.proxies[&1].request_rates[0];
     assert!((0.19..0.21).contains(&rate), "{rate}");
 }
 
@@ -1073,16 +1122,20 @@
     for proxy in 2..4 {
         governor.proxy_connected(9 * SECOND, with_unknown_tables(proxy, 100.0));
     }
-    governor.shed(10 * SECOND);
-    assert!((governor.let_in - DRAINING * 0.4).abs() < 1e-9, "{}", governor.let_in);
+    governor.adjust_admission(10 * SECOND);
+    assert!(
+        (governor.admission_fraction - QUEUE_DRAINING_FRACTION * 0.4).abs() < 1e-9,
+        "{}",
+        governor.admission_fraction
+    );
 }
 
 #[test]
 fn what_replicas_answered_before_they_went_is_not_answered_now() {
     let mut governor = late(4);
-    governor.heard = [(0, 60 * SECOND)].into();
+    governor.last_reports = [(0, 60 * SECOND)].into();
     for replica in governor.replicas.values_mut().take(2) {
-        replica.sights = seen(10.0, 0.0, 1.0, 60 * SECOND);
+        replica.observations = seen(10.0, 0.0, 1.0, 60 * SECOND);
     }
-    assert!((governor.answered() - 20.0).abs() < 0.01, "{}", governor.answered());
+    assert!((governor.success_rate() - 20.0).abs() < 0.01, "{}", governor.success_rate());
 }
