--- /dev/null
+++ b/src/governor/default_tables.rs
@@ -0,0 +1,242 @@
+//! The default table of each zone, and whether proxies may still follow one that was sampled earlier.
+//!
+//! A zone's default stays in the zone. Where that can't bear its demand, what is above its headroom spills over to
+//! zones with capacity to spare.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use super::Governor;
+use super::arithmetic::{get_or_default, ratio};
+use super::proxy_state::DefaultTableSample;
+use super::replica_state::ReplicaState;
+use super::tables::{RouteScope, Weights};
+use crate::types::ReplicaId;
+
+/// A correction below this is no noise, and dedicated tables of a few proxies can't unload the replica alone.
+const SLOW_REPLICA_CORRECTION: f64 = -0.25;
+/// Demand by capacity, beside the fleet's mean, above which a zone with a weak replica spills over.
+const ZONE_HEADROOM: f64 = 1.15;
+/// As [`ZONE_HEADROOM`], for a zone whose replicas are all well: in multiples of that.
+const HEALTHY_ZONE_HEADROOM: f64 = 1.4;
+/// The least fraction of a zone's demand that stays in it, so that its replicas remain observed.
+const MIN_KEPT_FRACTION: f64 = 0.05;
+/// A zone that could keep more than this spills nothing.
+const MAX_SPILLING_FRACTION: f64 = 0.95;
+/// A sampled table is stale once less than this part of its zone's capacity is left in what it was sampled from.
+const MIN_SAMPLED_CAPACITY: f64 = 0.6;
+/// Sampled tables are urgently stale once more than this many are expected to name no available replica.
+const MAX_EXPECTED_BARE_TABLES: f64 = 0.02;
+
+/// Names a default table.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct ZoneScope {
+    pub(super) zone: usize,
+    pub(super) scope: RouteScope,
+}
+
+/// The default tables by zone and scope.
+pub(super) type DefaultTables = BTreeMap<ZoneScope, Weights>;
+
+/// Whether tables of a sample still do what the zone's default table would.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Staleness {
+    Current,
+    Stale,
+    /// Some may name no available replica: this can't wait.
+    Urgent,
+}
+
+/// By zone: what its proxies receive and admit, in requests a second.
+#[derive(Default)]
+struct ZoneDemand {
+    proxies: BTreeMap<usize, f64>,
+    /// Of classes that may not leave the zone.
+    zone_bound: BTreeMap<usize, f64>,
+    total: BTreeMap<usize, f64>,
+}
+
+/// What all zones' default tables are computed from.
+struct FleetBalance {
+    /// By zone: the weight that its replicas can be sent.
+    capacity: BTreeMap<usize, f64>,
+    demand: ZoneDemand,
+    /// Demand by capacity that a zone may have before it spills over.
+    headroom: f64,
+    /// The fraction of this governor's demand that the fleet answers.
+    answered_fraction: f64,
+}
+
+impl FleetBalance {
+    /// Requests a second that a zone can take from others.
+    fn spare(&self, zone: usize) -> f64 {
+        let capacity = self.headroom * get_or_default(&self.capacity, &zone);
+        (capacity - get_or_default(&self.demand.total, &zone)).max(0.0)
+    }
+}
+
+impl Governor {
+    /// The default tables of all zones with a proxy.
+    pub(super) fn default_tables(&self, now: Duration) -> DefaultTables {
+        let balance = self.fleet_balance(now);
+        let mut tables = DefaultTables::new();
+        for &zone in balance.demand.proxies.keys() {
+            let fractions = self.zone_fractions(zone, &balance, now);
+            for scope in RouteScope::ALL {
+                let fraction = |other: usize| match scope {
+                    RouteScope::AnyZone => fractions[&other],
+                    RouteScope::OwnZone => f64::from(u8::from(other == zone)),
+                };
+                let weight =
+                    |replica: &ReplicaState| self.default_weight(replica, now) * fraction(replica.zone);
+                let mut weights = self.weigh_replicas(weight);
+                if weights.is_empty() {
+                    weights = self.fallback_weights(ZoneScope { zone, scope }, now);
+                }
+                tables.insert(ZoneScope { zone, scope }, weights);
+            }
+        }
+        tables
+    }
+
+    /// Whatever is available, where nothing is usable.
+    fn fallback_weights(&self, table: ZoneScope, now: Duration) -> Weights {
+        let reachable =
+            |replica: &ReplicaState| table.scope == RouteScope::AnyZone || replica.zone == table.zone;
+        self.weigh_replicas(|replica| {
+            if reachable(replica) { replica.available_weight(&self.parameters, now) } else { 0.0 }
+        })
+    }
+
+    /// A replica's weight in its own zone's default table.
+    fn default_weight(&self, replica: &ReplicaState, now: Duration) -> f64 {
+        let correction = replica.capacity_correction;
+        let slowness = if correction < SLOW_REPLICA_CORRECTION { correction.exp() } else { 1.0 };
+        replica.weight * self.usable_fraction(replica, now) * slowness
+    }
+
+    fn fleet_balance(&self, now: Duration) -> FleetBalance {
+        let capacity = self.sum_by_zone(|replica| self.default_weight(replica, now));
+        let mut demand = self.zone_demand();
+        let own_demand: f64 = demand.total.values().sum();
+        self.add_unobserved_demand(&mut demand, own_demand);
+        let mean_demand = ratio(demand.total.values().sum(), capacity.values().sum());
+        let answered_fraction =
+            if self.fleet_health.unobserved { 1.0 } else { ratio(self.success_rate(), own_demand).min(1.0) };
+        FleetBalance { capacity, demand, headroom: ZONE_HEADROOM * mean_demand, answered_fraction }
+    }
+
+    fn zone_demand(&self) -> ZoneDemand {
+        let mut demand = ZoneDemand::default();
+        for proxy in self.proxies.values() {
+            *demand.proxies.entry(proxy.zone).or_insert(0.0) += 1.0;
+            *demand.zone_bound.entry(proxy.zone).or_insert(0.0) +=
+                self.scoped_demand(proxy, RouteScope::OwnZone);
+            *demand.total.entry(proxy.zone).or_insert(0.0) += self.total_admitted_demand(proxy);
+        }
+        demand
+    }
+
+    /// Other governors' proxies are not observed. They are taken to be where fewer are connected here than the
+    /// zones' sizes suggest.
+    fn add_unobserved_demand(&self, demand: &mut ZoneDemand, own_demand: f64) {
+        let shared = self.parameters.shared_proxies;
+        let connected = self.proxies.len() as f64;
+        let sizes = self.sum_by_zone(|replica| if replica.ready { replica.weight } else { 0.0 });
+        let proxies_by_size = ratio(shared, sizes.values().sum());
+        let mut missing = BTreeMap::new();
+        for (zone, size) in &sizes {
+            let expected = proxies_by_size * size;
+            missing.insert(*zone, (expected - get_or_default(&demand.proxies, zone)).max(0.0));
+        }
+        let demand_by_proxy = ratio(own_demand, connected);
+        let elsewhere = (shared - connected).max(0.0);
+        let demand_by_missing = demand_by_proxy * ratio(elsewhere, missing.values().sum());
+        for (zone, missing) in missing {
+            *demand.total.entry(zone).or_insert(0.0) += demand_by_missing * missing;
+        }
+    }
+
+    /// By zone: the fraction of its replicas' weights that they get in the default table of `zone`.
+    fn zone_fractions(&self, zone: usize, balance: &FleetBalance, now: Duration) -> BTreeMap<usize, f64> {
+        let kept = self.kept_fraction(zone, balance, now);
+        let own_capacity = get_or_default(&balance.capacity, &zone);
+        let spilled = if kept < MAX_SPILLING_FRACTION { own_capacity.max(1.0) * (1.0 - kept) } else { 0.0 };
+        let others = balance.capacity.keys().filter(|other| **other != zone);
+        let spare: f64 = others.map(|other| balance.spare(*other)).sum();
+        let mut fractions = BTreeMap::new();
+        for (&other, &capacity) in &balance.capacity {
+            let share = ratio(balance.spare(other), spare);
+            let fraction = if other == zone { kept } else { spilled * ratio(share, capacity) };
+            fractions.insert(other, fraction);
+        }
+        fractions
+    }
+
+    /// The fraction of a zone's demand of unbound classes that stays in it.
+    fn kept_fraction(&self, zone: usize, balance: &FleetBalance, now: Duration) -> f64 {
+        // Where nothing is warm, what is bound there needs all of it, and the rest goes elsewhere.
+        let underprovisioned = self.fleet_health.underprovisioned_zones.contains(&zone);
+        if self.parameters.has_zone_bound_classes() && underprovisioned {
+            return 0.0;
+        }
+        let capacity = get_or_default(&balance.capacity, &zone);
+        let zone_bound = get_or_default(&balance.demand.zone_bound, &zone);
+        let total = get_or_default(&balance.demand.total, &zone);
+        let mut replicas = self.replicas.values().filter(|replica| replica.zone == zone);
+        let weak = replicas.clone().any(|replica| self.default_weight(replica, now) < replica.weight);
+        let overfull = total > HEALTHY_ZONE_HEADROOM * balance.headroom * capacity;
+        if !weak && !overfull {
+            return 1.0;
+        }
+        let warming = replicas.any(|replica| {
+            !replica.is_unavailable() && replica.warm_fraction(self.parameters.slow_start, now) < 1.0
+        });
+        // Demand that the fleet does not answer shows no capacity: it would only overload what is warming up.
+        let headroom = balance.headroom * if warming { balance.answered_fraction } else { 1.0 };
+        ratio(headroom * capacity - zone_bound, total - zone_bound).clamp(MIN_KEPT_FRACTION, 1.0)
+    }
+
+    /// Whether tables of a sample still do what the zone's default table would.
+    pub(super) fn staleness(&self, sample: DefaultTableSample, default: &Weights) -> Staleness {
+        if self.is_partial_sample(sample) {
+            self.partial_staleness(sample)
+        } else {
+            self.full_staleness(sample, default)
+        }
+    }
+
+    /// Tables that name all candidates are stale once the zone's default differs.
+    fn full_staleness(&self, sample: DefaultTableSample, default: &Weights) -> Staleness {
+        let named = self
+            .replicas
+            .iter()
+            .filter(|(_, replica)| replica.is_candidate(sample) && !replica.is_unavailable());
+        let same_replicas = named.map(|(id, _)| id).eq(default.keys());
+        let reduced = |(id, weight): (&ReplicaId, &f64)| *weight < self.replicas[id].weight;
+        let stale = !same_replicas || default.iter().any(reduced);
+        if stale { Staleness::Urgent } else { Staleness::Current }
+    }
+
+    /// Which candidates a table names is not known: expectation tells.
+    fn partial_staleness(&self, sample: DefaultTableSample) -> Staleness {
+        let available = |replica: &ReplicaState| if replica.is_unavailable() { 0.0 } else { replica.weight };
+        let of_candidates = |weight: f64, replica: &ReplicaState| {
+            if replica.is_candidate(sample) { weight } else { 0.0 }
+        };
+        let remaining = self.sum_replicas(|replica| of_candidates(available(replica), replica));
+        let sampled = self.sum_replicas(|replica| of_candidates(replica.weight, replica));
+        let in_zone =
+            self.sum_replicas(|replica| if replica.zone == sample.zone { available(replica) } else { 0.0 });
+        let tables = self.proxies.values().filter(|proxy| proxy.default_table == Some(sample)).count() as f64;
+        let entries = self.parameters.default_table_size as i32;
+        let expected_bare = tables * (1.0 - ratio(remaining, sampled)).powi(entries);
+        if expected_bare > MAX_EXPECTED_BARE_TABLES {
+            Staleness::Urgent
+        } else if remaining < MIN_SAMPLED_CAPACITY * in_zone.max(sampled) {
+            Staleness::Stale
+        } else {
+            Staleness::Current
+        }
+    }
+}
--- /dev/null
+++ b/src/governor/ejection.rs
@@ -0,0 +1,107 @@
+//! Ejecting faulty replicas, and taking ejected ones back where nothing better is left.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use super::Governor;
+use super::arithmetic::get_or_default;
+use super::outlier_detection::Outlier;
+use super::replica_state::{HealthState, ReplicaState};
+use crate::types::ReplicaId;
+
+/// How long a replica is ejected before its first probation; each failed one doubles it.
+pub(super) const FIRST_EJECTION: Duration = Duration::from_secs(4);
+/// Doublings of [`FIRST_EJECTION`] at most.
+const MAX_DOUBLINGS: u32 = 4;
+/// At most so many in [`TENTHS`] of the ready replicas are ejected.
+const MAX_EJECTED_TENTHS: usize = 4;
+const TENTHS: usize = 10;
+/// The fraction of its capacity that a zone keeps if requests are bound to it, where replicas are silent.
+const MIN_ZONE_CAPACITY: f64 = 0.34;
+/// As [`MIN_ZONE_CAPACITY`], where replicas fail some attempts and answer others.
+const MIN_ZONE_CAPACITY_FOR_PARTIAL_FAULTS: f64 = 0.7;
+
+/// What an ejection would leave in a zone.
+struct ZoneRemainder {
+    /// Warm fractions of all ready replicas.
+    total: f64,
+    /// Warm fractions of the available ones without the ejected one.
+    remaining: f64,
+    /// The largest warm fraction of these.
+    warmest: f64,
+}
+
+impl Governor {
+    /// Ejects the worst, but never so many that the rest, or what is left of a zone, could not bear the load.
+    pub(super) fn eject_outliers(&mut self, now: Duration, outliers: Vec<Outlier>) {
+        let ready = self.replicas.values().filter(|replica| replica.ready).count();
+        let unavailable = |replica: &&ReplicaState| replica.ready && replica.is_unavailable();
+        let mut ejected = self.replicas.values().filter(unavailable).count();
+        for outlier in outliers {
+            let spared = self.fleet_health.fleet_wide_fault
+                || TENTHS * (ejected + 1) > MAX_EJECTED_TENTHS * ready
+                || self.would_starve_zone(&outlier, now);
+            let Some(replica) = self.replicas.get_mut(&outlier.replica) else { continue };
+            let failures = match replica.health {
+                HealthState::Probation { failures } => failures,
+                _ => 0,
+            };
+            if failures > 0 || !spared {
+                ejected += 1;
+                let duration = FIRST_EJECTION * 2u32.pow(failures.min(MAX_DOUBLINGS));
+                let health = HealthState::Ejected { until: now + duration, failures: failures + 1 };
+                replica.reset_observations(now, health);
+            }
+        }
+    }
+
+    /// Whether a zone to which requests are bound would lose its last warm replica, or too much of its capacity.
+    fn would_starve_zone(&self, outlier: &Outlier, now: Duration) -> bool {
+        if !self.parameters.has_zone_bound_classes() {
+            return false;
+        }
+        let zone = self.zone_remainder(&outlier.replica, now);
+        let least =
+            if outlier.is_partial() { MIN_ZONE_CAPACITY_FOR_PARTIAL_FAULTS } else { MIN_ZONE_CAPACITY };
+        zone.warmest < 1.0 || zone.remaining < zone.total * least
+    }
+
+    fn zone_remainder(&self, ejected: &ReplicaId, now: Duration) -> ZoneRemainder {
+        let zone = self.replicas[ejected].zone;
+        let mut remainder = ZoneRemainder { total: 0.0, remaining: 0.0, warmest: 0.0 };
+        for (id, replica) in &self.replicas {
+            if replica.zone != zone || !replica.ready {
+                continue;
+            }
+            let warm_fraction = replica.warm_fraction(self.parameters.slow_start, now);
+            remainder.total += warm_fraction;
+            if id != ejected && !replica.is_unavailable() {
+                remainder.remaining += warm_fraction;
+                remainder.warmest = warm_fraction.max(remainder.warmest);
+            }
+        }
+        remainder
+    }
+
+    /// Where no warm replica is available a faulty one is better than none, as when others drain after an ejection.
+    pub(super) fn restore_ejected(&mut self, now: Duration) {
+        let slow_start = self.parameters.slow_start;
+        let available_fraction = |replica: &ReplicaState| {
+            if replica.is_unavailable() { 0.0 } else { replica.warm_fraction(slow_start, now) }
+        };
+        let warmest: BTreeMap<usize, f64> = self.max_by_zone(available_fraction);
+        let warmest_of_fleet = warmest.values().copied().fold(0.0, f64::max);
+        let zone_bound = self.parameters.has_zone_bound_classes();
+        for replica in self.replicas.values_mut() {
+            if !replica.ready || !replica.is_unavailable() {
+                continue;
+            }
+            let warmest = if zone_bound { get_or_default(&warmest, &replica.zone) } else { warmest_of_fleet };
+            if warmest == 0.0 || warmest < 1.0 && replica.warm_fraction(slow_start, now) >= 1.0 {
+                replica.reset_observations(now, HealthState::Healthy);
+            }
+        }
+        let underprovisioned = warmest.into_iter().filter(|(_, warmest)| *warmest < 1.0);
+        self.fleet_health.underprovisioned_zones = underprovisioned.map(|(zone, _)| zone).collect();
+    }
+}
--- /dev/null
+++ b/src/governor/ejection_updates.rs
@@ -0,0 +1,101 @@
+//! Telling proxies which replicas to send nothing to, and forgetting replicas that are long gone.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+use super::Governor;
+use super::arithmetic::ratio;
+use super::proxy_state::{DefaultTableSample, ProxyState};
+use super::replica_state::ReplicaState;
+use crate::types::{Decision, ReplicaId};
+
+/// Gone replicas are remembered for this long: a proxy may connect with a default table that old.
+const RETENTION: Duration = Duration::from_secs(120);
+/// The part of the channel's queue that ejections may fill.
+const EJECT_QUEUE_FRACTION: f64 = 1.1;
+/// The part of the channel's queue that readmissions may fill, as they can wait.
+const READMIT_QUEUE_FRACTION: f64 = 0.5;
+/// How many times as many proxies as on average are taken to name a replica.
+const NAMING_MARGIN: f64 = 2.0;
+
+/// How an ejection changes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum EjectionChange {
+    /// Proxies are to send a replica nothing.
+    Eject,
+    /// Proxies may send to it again.
+    Readmit,
+}
+
+/// Sorts draining and gone replicas before faulty ones.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct ChangedReplica {
+    ready: bool,
+    id: ReplicaId,
+}
+
+impl Governor {
+    /// Sends as many changes as the channel bears; the others wait.
+    pub(super) fn send_ejections(&mut self, change: EjectionChange) {
+        let ejected = change == EjectionChange::Eject;
+        let queue_fraction = if ejected { EJECT_QUEUE_FRACTION } else { READMIT_QUEUE_FRACTION };
+        let capacity = queue_fraction * self.parameters.max_queued_entries - self.send_queue.entries;
+        let changed = self
+            .replicas
+            .iter()
+            .filter(|(_, replica)| replica.is_unavailable() == ejected && replica.ejection_sent != ejected);
+        let changed: BTreeSet<ChangedReplica> =
+            changed.map(|(id, replica)| ChangedReplica { ready: replica.ready, id: id.clone() }).collect();
+        let fitting = (1..=changed.len()).take_while(|count| self.ejection_cost(*count) <= capacity).count();
+        self.send_queue.entries += self.ejection_cost(fitting);
+        for ChangedReplica { id, .. } in changed.into_iter().take(fitting) {
+            if let Some(replica) = self.replicas.get_mut(&id) {
+                replica.ejection_sent = ejected;
+            }
+            self.pending.push_back(Decision::SetEjected { replica: id, ejected });
+        }
+    }
+
+    /// The entries that so many changes take in the channel. Each is sent to all proxies whose tables are not known,
+    /// and to those whose tables name the replica.
+    fn ejection_cost(&self, replicas: usize) -> f64 {
+        let entries = self.parameters.default_table_size as f64;
+        let naming_fraction = (NAMING_MARGIN * ratio(entries, self.ready_replicas())).min(1.0);
+        let cost = |proxy: &ProxyState| {
+            let unknown = proxy.unsynchronised || proxy.follows_default_table();
+            let entries = replicas as f64 * if unknown { 1.0 } else { naming_fraction };
+            entries + entries.min(1.0) * self.parameters.message_overhead_entries
+        };
+        self.proxies.values().map(cost).sum()
+    }
+
+    /// Over years, replicas under new names would add up. One that a table may still name is kept with its ejection,
+    /// as proxies would send to it again, and so is one that went lately.
+    pub(super) fn forget_gone_replicas(&mut self, now: Duration) {
+        let expired_at = |replica: &ReplicaState| replica.gone_since.filter(|gone| *gone + RETENTION < now);
+        let expired = self.replicas.values().filter(|replica| expired_at(replica).is_some()).count();
+        if expired == 0 {
+            return;
+        }
+        let cost = self.ejection_cost(expired);
+        if !self.send_queue.fits(cost, READMIT_QUEUE_FRACTION, &self.parameters) {
+            return;
+        }
+        let tables = self.sent_tables.values().chain(self.critical_set.tables.values());
+        let named: BTreeSet<&ReplicaId> = tables.flat_map(BTreeMap::keys).collect();
+        let samples: BTreeSet<DefaultTableSample> =
+            self.proxies.values().filter_map(|proxy| proxy.default_table).collect();
+        let sampled = |zone: usize, gone: Duration| {
+            samples.iter().any(|sample| sample.zone == zone && sample.roster_at < gone + RETENTION)
+        };
+        let forgotten = self.replicas.extract_if(.., |id, replica| {
+            let forgettable = expired_at(replica).is_some_and(|gone| !sampled(replica.zone, gone));
+            !named.contains(id) && forgettable
+        });
+        let ejected: Vec<ReplicaId> =
+            forgotten.filter(|(_, replica)| replica.ejection_sent).map(|(id, _)| id).collect();
+        self.send_queue.entries += self.ejection_cost(ejected.len());
+        let readmitted = ejected.into_iter().map(|id| Decision::SetEjected { replica: id, ejected: false });
+        self.pending.extend(readmitted);
+    }
+}
--- /dev/null
+++ b/src/governor/load_model.rs
@@ -0,0 +1,231 @@
+//! What each replica is sent by the tables as they stand, and what it can take.
+//!
+//! Replicas are numbered by their place among the governor's replicas. A flow, in the words of the paper, is what
+//! one proxy sends by one table; many flows share a distribution over replicas, as they follow default tables.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use super::Governor;
+use super::arithmetic::ratio;
+use super::proxy_state::{DefaultTableSample, ProxyState};
+use super::replica_state::ReplicaState;
+use super::tables::{RouteScope, TableKey, Weights};
+use crate::types::ReplicaId;
+
+/// A small table keeps a replica unless another is cooler by this factor.
+const RETENTION_PREFERENCE: f64 = 1.5;
+
+/// A part of a flow's requests.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) struct ReplicaShare {
+    pub(super) replica: usize,
+    pub(super) fraction: f64,
+}
+
+/// Requests a second that a flow sends to a replica.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) struct ReplicaRate {
+    pub(super) replica: usize,
+    pub(super) rate: f64,
+}
+
+/// What a replica can take.
+#[derive(Clone, Copy)]
+pub(super) struct ReplicaCapacity {
+    pub(super) zone: usize,
+    /// The rate at which its utilisation is taken to be the fleet's mean.
+    pub(super) requests_per_second: f64,
+}
+
+/// What one proxy sends by one table.
+#[derive(Clone, Copy)]
+pub(super) struct Flow {
+    pub(super) zone: usize,
+    pub(super) requests_per_second: f64,
+    /// The place of its distribution.
+    pub(super) distribution: usize,
+}
+
+/// All flows of a zone with the same distribution.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct FlowGroup {
+    pub(super) zone: usize,
+    pub(super) distribution: usize,
+}
+
+/// What a flow is routed by.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum Route {
+    DefaultTable(DefaultTableSample),
+    DedicatedTable(TableKey),
+}
+
+/// The replica with the highest utilisation.
+#[derive(Clone, Copy)]
+pub(super) struct PeakUtilisation {
+    pub(super) replica: usize,
+    pub(super) utilisation: f64,
+}
+
+/// What each replica is sent, and what it can take.
+#[derive(Default)]
+pub(super) struct LoadModel {
+    pub(super) replicas: Vec<ReplicaId>,
+    pub(super) capacities: Vec<ReplicaCapacity>,
+    /// Requests a second that each replica is sent.
+    pub(super) loads: Vec<f64>,
+    pub(super) distributions: Vec<Vec<ReplicaShare>>,
+    pub(super) flows: BTreeMap<TableKey, Flow>,
+    /// Requests a second of each group.
+    pub(super) groups: BTreeMap<FlowGroup, f64>,
+    /// The critical flows, as they were solved.
+    pub(super) solved: BTreeMap<TableKey, Vec<ReplicaRate>>,
+    /// What the utilisation of a replica in another zone is multiplied by.
+    pub(super) cross_zone_price: f64,
+    /// A small table keeps a replica unless another is cooler by this factor.
+    pub(super) retention_preference: f64,
+}
+
+impl Governor {
+    pub(super) fn load_model(&self, now: Duration) -> LoadModel {
+        // Where many attempts fail a new entry mostly brings a connection that fails as well: all are kept.
+        let keep_all = self.fleet_health.fleet_wide_fault;
+        let mut model = LoadModel {
+            replicas: self.replicas.keys().cloned().collect(),
+            cross_zone_price: self.parameters.cross_zone_price,
+            retention_preference: if keep_all { f64::MAX } else { RETENTION_PREFERENCE },
+            ..LoadModel::default()
+        };
+        self.add_flows(&mut model);
+        model.reset_loads();
+        model.capacities = self.capacities(&model, now);
+        model
+    }
+
+    fn add_flows(&self, model: &mut LoadModel) {
+        let mut distributions = BTreeMap::new();
+        for (&id, proxy) in &self.proxies {
+            for scope in RouteScope::ALL {
+                let key = TableKey::new(id, scope);
+                let route = route(proxy, key);
+                let distribution = *distributions
+                    .entry(route)
+                    .or_insert_with(|| model.add_distribution(&self.routed_weights(route)));
+                model.add_flow(key, proxy.zone, self.scoped_demand(proxy, scope), distribution);
+            }
+        }
+    }
+
+    /// The weights that a route sends by. A default table is taken to name all candidates, as proxies drew theirs
+    /// from them by chance.
+    fn routed_weights(&self, route: Route) -> Weights {
+        let mut weights = match route {
+            Route::DefaultTable(sample) => {
+                self.weigh_replicas(|replica| if replica.is_candidate(sample) { replica.weight } else { 0.0 })
+            }
+            Route::DedicatedTable(key) => self.sent_tables.get(&key).cloned().unwrap_or_default(),
+        };
+        weights.retain(|id, _| self.replicas.get(id).is_some_and(|replica| !replica.ejection_sent));
+        weights
+    }
+
+    /// Shares the whole load out by what the replicas can take.
+    fn capacities(&self, model: &LoadModel, now: Duration) -> Vec<ReplicaCapacity> {
+        let usable_weight = |replica: &ReplicaState| replica.weight * self.usable_fraction(replica, now);
+        let rate_by_weight = ratio(model.loads.iter().sum(), self.sum_replicas(usable_weight));
+        let capacity = |replica: &ReplicaState| ReplicaCapacity {
+            zone: replica.zone,
+            requests_per_second: rate_by_weight * usable_weight(replica) * replica.capacity_correction.exp(),
+        };
+        self.replicas.values().map(capacity).collect()
+    }
+}
+
+fn route(proxy: &ProxyState, key: TableKey) -> Route {
+    match proxy.default_table {
+        Some(sample) => Route::DefaultTable(sample),
+        None => Route::DedicatedTable(key),
+    }
+}
+
+impl LoadModel {
+    fn add_distribution(&mut self, weights: &Weights) -> usize {
+        let total = weights.values().sum();
+        let shares = weights.iter().map(|(id, weight)| ReplicaShare {
+            replica: self.replicas.binary_search(id).unwrap_or_default(),
+            fraction: ratio(*weight, total),
+        });
+        let shares = shares.collect();
+        self.distributions.push(shares);
+        self.distributions.len() - 1
+    }
+
+    fn add_flow(&mut self, key: TableKey, zone: usize, requests_per_second: f64, distribution: usize) {
+        if requests_per_second > 0.0 && !self.distributions[distribution].is_empty() {
+            self.flows.insert(key, Flow { zone, requests_per_second, distribution });
+            *self.groups.entry(FlowGroup { zone, distribution }).or_insert(0.0) += requests_per_second;
+        }
+    }
+
+    /// By replica: requests a second that it is sent, by the proxies' zone, without any critical flow.
+    pub(super) fn rates_by_zone(&self) -> Vec<BTreeMap<usize, f64>> {
+        let mut rates = vec![BTreeMap::new(); self.replicas.len()];
+        for (group, requests_per_second) in &self.groups {
+            for share in &self.distributions[group.distribution] {
+                *rates[share.replica].entry(group.zone).or_insert(0.0) +=
+                    requests_per_second * share.fraction;
+            }
+        }
+        rates
+    }
+
+    /// All flows go by the tables as they stand.
+    pub(super) fn reset_loads(&mut self) {
+        self.solved.clear();
+        self.loads = self.rates_by_zone().iter().map(|zones| zones.values().sum()).collect();
+    }
+
+    /// How many replicas a flow is spread over; none for one without requests.
+    pub(super) fn spread(&self, key: TableKey) -> usize {
+        self.flows.get(&key).map_or(0, |flow| self.distributions[flow.distribution].len())
+    }
+
+    /// Utilisation is load by capacity; replicas that can't take anything don't count.
+    pub(super) fn most_utilised(&self) -> Option<PeakUtilisation> {
+        let utilisations =
+            self.capacities.iter().zip(&self.loads).enumerate().map(|(replica, (capacity, load))| {
+                let capacity = capacity.requests_per_second;
+                let utilisation = if capacity > 0.0 { load / capacity } else { 0.0 };
+                PeakUtilisation { replica, utilisation }
+            });
+        utilisations.max_by(|one, other| one.utilisation.total_cmp(&other.utilisation))
+    }
+
+    /// What a flow sends by the tables as they stand.
+    pub(super) fn unsolved_rates(&self, flow: &Flow) -> Vec<ReplicaRate> {
+        let shares = &self.distributions[flow.distribution];
+        let rate = |share: &ReplicaShare| ReplicaRate {
+            replica: share.replica,
+            rate: flow.requests_per_second * share.fraction,
+        };
+        shares.iter().map(rate).collect()
+    }
+
+    /// Takes a flow out of the loads, and returns what it sent.
+    pub(super) fn remove_flow(&mut self, key: TableKey) -> Vec<ReplicaRate> {
+        let Some(flow) = self.flows.get(&key).copied() else { return Vec::new() };
+        let rates = self.solved.remove(&key).unwrap_or_else(|| self.unsolved_rates(&flow));
+        for sent in &rates {
+            self.loads[sent.replica] -= sent.rate;
+        }
+        rates
+    }
+
+    /// Adds what a flow sends to the loads.
+    pub(super) fn add_rates(&mut self, rates: &[ReplicaRate]) {
+        for sent in rates {
+            self.loads[sent.replica] += sent.rate;
+        }
+    }
+}
--- /dev/null
+++ b/src/governor/outlier_detection.rs
@@ -0,0 +1,181 @@
+//! Which replicas look faulty beside the fleet: they do not answer, or fail far more attempts than others do.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use super::Governor;
+use super::arithmetic::ratio;
+use super::health::MIN_REPLICA_ATTEMPTS;
+use super::parameters::TICK_INTERVAL;
+use super::replica_state::{AttemptCounts, HealthState, ReplicaState};
+use crate::types::ReplicaId;
+
+/// So many expected answers in a row are not missing by chance.
+const MAX_MISSING_ANSWERS: f64 = 8.0;
+/// As [`MAX_MISSING_ANSWERS`], where health checks fail too.
+const MAX_MISSING_ANSWERS_IF_CHECKS_FAIL: f64 = 0.25 * MAX_MISSING_ANSWERS;
+/// Failed health checks in a row that count.
+const MIN_FAILED_CHECKS: u32 = 2;
+/// Health checks wait behind requests. Failed ones tell of a fault only where fewer than one in so many fail.
+const FAILED_CHECKS_ARE_RARE: usize = 5;
+/// Requests in flight may take this many times the mean latency.
+const LATENCY_MARGIN: f64 = 1.5;
+/// A failure rate is an outlier from this fraction on.
+const MIN_OUTLIER_FAILURE_RATE: f64 = 0.3;
+/// A failure rate is an outlier from this many times the fleet's on.
+const OUTLIER_FAILURE_FACTOR: f64 = 3.0;
+/// A replica that fails more than this fraction does not work at all, whatever the others do.
+const DEAD_FAILURE_RATE: f64 = 0.95;
+/// A replica above this many times the mean utilisation is overloaded rather than faulty.
+const OVERLOADED_UTILISATION: f64 = 1.3;
+/// A replica that reports this many queued requests is overloaded rather than faulty.
+const OVERLOADED_QUEUE: f64 = 2.0;
+/// Replicas that do not answer are worse than any failure rate.
+const SILENT_SEVERITY: f64 = 1.0;
+/// Replicas that failed their probation come first.
+const FAILED_PROBATION_SEVERITY: f64 = f64::MAX;
+
+/// A replica that looks faulty.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) struct Outlier {
+    /// A failure rate; from [`SILENT_SEVERITY`] on the replica does not answer.
+    pub(super) severity: f64,
+    pub(super) replica: ReplicaId,
+}
+
+impl Outlier {
+    /// It fails some attempts and answers others.
+    pub(super) fn is_partial(&self) -> bool {
+        self.severity < SILENT_SEVERITY
+    }
+}
+
+/// What the replicas are compared with.
+struct FleetBaseline {
+    now: Duration,
+    failure_rate: f64,
+    /// The longest time that an answer ordinarily takes.
+    answer_time: Duration,
+    /// From a change of tables until missing answers mean anything.
+    settling_time: Duration,
+    mean_utilisation: f64,
+    failed_checks_are_rare: bool,
+}
+
+/// Requests a second that the tables send to one replica, by the proxies' zone.
+type RatesByZone = BTreeMap<usize, f64>;
+
+impl Governor {
+    /// Replicas that look faulty, the worst first.
+    pub(super) fn find_outliers(&mut self, now: Duration, failure_rate: f64) -> Vec<Outlier> {
+        let expected_rates = self.load_model(now).rates_by_zone();
+        let baseline = self.fleet_baseline(now, failure_rate);
+        let mut outliers = Vec::new();
+        for ((id, replica), rates) in self.replicas.iter().zip(&expected_rates) {
+            if !replica.ready {
+                continue;
+            }
+            if let Some(severity) = self.severity(replica, rates, &baseline) {
+                outliers.push(Outlier { severity, replica: id.clone() });
+            }
+        }
+        self.update_expected_rates(now, &expected_rates);
+        outliers.sort_by(|one, other| other.severity.total_cmp(&one.severity));
+        outliers
+    }
+
+    fn fleet_baseline(&self, now: Duration, failure_rate: f64) -> FleetBaseline {
+        let answer_time = self.usual_answer_time();
+        let ready = self.replicas.values().filter(|replica| replica.ready);
+        let failing_checks = ready.clone().filter(|replica| fails_health_checks(replica)).count();
+        FleetBaseline {
+            now,
+            failure_rate,
+            answer_time,
+            settling_time: self.parameters.settling_time + self.reports.delay + answer_time,
+            mean_utilisation: self.fleet_utilisation(now).mean,
+            failed_checks_are_rare: FAILED_CHECKS_ARE_RARE * failing_checks <= ready.count(),
+        }
+    }
+
+    fn usual_answer_time(&self) -> Duration {
+        let mut succeeded = 0.0;
+        let mut latency_seconds = 0.0;
+        for observation in self.replicas.values().flat_map(|replica| replica.observations.values()) {
+            succeeded += observation.succeeded;
+            latency_seconds += observation.succeeded * observation.latency_seconds;
+        }
+        Duration::from_secs_f64(LATENCY_MARGIN * latency_seconds / succeeded.max(1.0))
+    }
+
+    /// How bad a replica looks; none for one that looks well.
+    fn severity(&self, replica: &ReplicaState, rates: &RatesByZone, baseline: &FleetBaseline) -> Option<f64> {
+        let counts = replica.attempt_counts();
+        let failure_rate = ratio(counts.failed, counts.total().max(1.0));
+        let missing_answers = self.missing_answers(replica, rates, baseline);
+        let checks_fail = fails_health_checks(replica) && baseline.failed_checks_are_rare;
+        let most_missing = if checks_fail { MAX_MISSING_ANSWERS_IF_CHECKS_FAIL } else { MAX_MISSING_ANSWERS };
+        let observed = counts.failed >= MIN_REPLICA_ATTEMPTS;
+        let dead = observed && failure_rate > DEAD_FAILURE_RATE;
+        let silent = missing_answers >= most_missing || dead;
+        let failing = observed && failure_rate >= outlier_failure_rate(baseline.failure_rate);
+        match replica.health {
+            HealthState::Healthy if silent => Some(SILENT_SEVERITY + missing_answers),
+            HealthState::Healthy if failing && !self.is_overloaded(replica, baseline) => Some(failure_rate),
+            HealthState::Probation { .. } if silent || fails_probation(counts) => {
+                Some(FAILED_PROBATION_SEVERITY)
+            }
+            _ => None,
+        }
+    }
+
+    /// How many answers should have come since the last one.
+    fn missing_answers(&self, replica: &ReplicaState, rates: &RatesByZone, baseline: &FleetBaseline) -> f64 {
+        let last_success = replica.observations.values().map(|observation| observation.last_success).max();
+        let settled = replica.observed_since + baseline.settling_time;
+        let silent_from = (last_success.unwrap_or_default() + baseline.answer_time).max(settled);
+        let missing = rates.iter().map(|(zone, rate)| rate * self.silence(*zone, silent_from, baseline));
+        let missing: f64 = missing.sum();
+        // Not if its entries were widened just now.
+        missing * ratio(replica.expected_rate, rates.values().sum()).min(1.0)
+    }
+
+    /// Seconds of silence that a zone's statistics attest: none where they stopped or its proxies just connected.
+    fn silence(&self, zone: usize, silent_from: Duration, baseline: &FleetBaseline) -> f64 {
+        let connected_at = self.last_connections.get(&zone).copied().unwrap_or(baseline.now);
+        let from = silent_from.max(connected_at + baseline.settling_time);
+        self.reports.last_report(zone).saturating_sub(from + self.reports.delay).as_secs_f64()
+    }
+
+    /// One that fails attempts for its queue is overloaded: ejecting it would overload the next.
+    fn is_overloaded(&self, replica: &ReplicaState, baseline: &FleetBaseline) -> bool {
+        let limit = OVERLOADED_UTILISATION * baseline.mean_utilisation;
+        let utilised = self.utilisation(replica, baseline.now).is_some_and(|utilisation| utilisation > limit);
+        utilised || replica.queue.is_some_and(|queue| queue.length >= OVERLOADED_QUEUE)
+    }
+
+    fn update_expected_rates(&mut self, now: Duration, expected_rates: &[RatesByZone]) {
+        let gain = TICK_INTERVAL.as_secs_f64();
+        for (replica, rates) in self.replicas.values_mut().zip(expected_rates) {
+            let rate: f64 = rates.values().sum();
+            replica.expected_rate +=
+                (rate - replica.expected_rate) * gain / self.parameters.averaging_seconds;
+            if rate == 0.0 {
+                replica.observed_since = now; // in no table it owes no answers
+            }
+        }
+    }
+}
+
+fn fails_health_checks(replica: &ReplicaState) -> bool {
+    replica.failed_health_checks >= MIN_FAILED_CHECKS
+}
+
+fn fails_probation(counts: AttemptCounts) -> bool {
+    counts.failed > counts.succeeded.max(1.0)
+}
+
+/// The failure rate from which a replica is an outlier. Where many attempts fail everywhere it is halfway to 1.
+fn outlier_failure_rate(fleet: f64) -> f64 {
+    (OUTLIER_FAILURE_FACTOR * fleet).min(0.5 + 0.5 * fleet).max(MIN_OUTLIER_FAILURE_RATE)
+}
--- /dev/null
+++ b/src/governor/publishing.rs
@@ -0,0 +1,54 @@
+//! When decisions are sent. What is sent together is one message to each proxy concerned.
+
+use std::time::Duration;
+
+use super::Governor;
+use super::ejection_updates::EjectionChange;
+use super::table_updates::Recipients;
+use crate::types::Decision;
+
+/// Why the governor looks for something to publish.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum PublishTrigger {
+    /// Something was observed.
+    Event,
+    /// The timer fired.
+    Tick,
+    /// The timer fired, and an ordinary flush is due.
+    FlushDue,
+}
+
+impl Governor {
+    /// Sends what is due: ejections first, replicas that may be used again last.
+    pub(super) fn publish(&mut self, now: Duration, trigger: PublishTrigger) {
+        self.send_queue.drain(now, self.parameters.assured_entries_per_second);
+        let queued_before = self.send_queue.entries;
+        let decisions_before = self.pending.len();
+        let flush = self.should_flush(now, trigger);
+        let unsynchronised = self.proxies.values().any(|proxy| proxy.unsynchronised);
+        if flush {
+            self.send_ejections(EjectionChange::Eject);
+            self.send_tables(now, Recipients::All);
+            self.send_ejections(EjectionChange::Readmit);
+            self.publish_admission(now);
+            self.forget_gone_replicas(now);
+        } else if trigger != PublishTrigger::Event && unsynchronised {
+            self.send_tables(now, Recipients::Unsynchronised);
+        }
+        self.send_queue.record_batch(now, queued_before);
+        if flush && self.pending.len() > decisions_before {
+            self.send_queue.recent_flushes.push_back(now);
+            let number = self.ticks % u64::from(u16::MAX);
+            self.pending.push_back(Decision::RequestAcknowledgement(number as u16));
+        }
+    }
+
+    fn should_flush(&mut self, now: Duration, trigger: PublishTrigger) -> bool {
+        let limit = self.parameters.flush_limit;
+        self.send_queue.forget_flushes(now, limit);
+        let urgent = self.replicas.values().any(|replica| replica.is_unavailable() && !replica.ejection_sent);
+        let flushed_recently = self.send_queue.flushed_recently(now, limit);
+        let due = trigger == PublishTrigger::FlushDue || urgent && !flushed_recently;
+        due && self.send_queue.recent_flushes.len() < limit.flushes && !self.proxies.is_empty()
+    }
+}
--- /dev/null
+++ b/src/governor/replica_state.rs
@@ -0,0 +1,157 @@
+//! What is known of one replica.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use super::arithmetic::ratio;
+use super::parameters::{Parameters, SlowStart};
+use super::proxy_state::DefaultTableSample;
+use crate::types::ReplicaStatistics;
+
+/// A replica's health, by the answers that proxies get from it.
+#[derive(Clone, Copy, Default, PartialEq, Debug)]
+pub(super) enum HealthState {
+    #[default]
+    Healthy,
+    /// It is sent nothing until a time.
+    Ejected { until: Duration, failures: u32 },
+    /// It is sent a little, and must answer that before it counts as healthy.
+    Probation { failures: u32 },
+}
+
+/// Requests queued at a replica, as it last reported.
+#[derive(Clone, Copy, PartialEq, Debug)]
+pub(super) struct QueueSample {
+    pub(super) length: f64,
+    pub(super) at: Duration,
+}
+
+/// Attempts with and without a good response; earlier ones count for less.
+#[derive(Clone, Copy, Default)]
+pub(super) struct AttemptCounts {
+    pub(super) succeeded: f64,
+    pub(super) failed: f64,
+}
+
+impl AttemptCounts {
+    pub(super) fn total(self) -> f64 {
+        self.succeeded + self.failed
+    }
+}
+
+/// What the proxies of one zone observe at a replica.
+#[derive(Clone, Default)]
+pub(super) struct ZoneObservation {
+    pub(super) succeeded: f64,
+    pub(super) failed: f64,
+    pub(super) attempts_per_second: f64,
+    pub(super) latency_seconds: f64,
+    pub(super) last_report: Duration,
+    pub(super) last_success: Duration,
+}
+
+impl ZoneObservation {
+    /// Averages a report into what was observed before.
+    pub(super) fn record(&mut self, now: Duration, report: &ReplicaStatistics, averaging_seconds: f64) {
+        let interval = report.interval.as_secs_f64().max(0.001);
+        let succeeded = report.attempts.saturating_sub(report.failed) as f64;
+        let decay = (-interval / averaging_seconds).exp();
+        self.succeeded = self.succeeded * decay + succeeded;
+        self.failed = self.failed * decay + report.failed as f64;
+        // The first report stands for what went before, or there would seem to be few attempts at first.
+        let decay = if self.last_report.is_zero() { 0.0 } else { decay };
+        self.attempts_per_second +=
+            (report.attempts as f64 / interval - self.attempts_per_second) * (1.0 - decay);
+        self.last_report = now;
+        if succeeded > 0.0 {
+            self.last_success = now;
+        }
+        if let Some(mean_latency) = report.mean_latency {
+            let known = self.latency_seconds > 0.0;
+            let share = if known { ratio(succeeded, self.succeeded.max(1.0)) } else { 1.0 };
+            self.latency_seconds += (mean_latency.as_secs_f64() - self.latency_seconds) * share;
+        }
+    }
+}
+
+/// What is known of one replica.
+#[derive(Default)]
+pub(super) struct ReplicaState {
+    pub(super) zone: usize,
+    /// Its capacity once warmed up, as listed.
+    pub(super) weight: f64,
+    /// Listed as serving requests.
+    pub(super) ready: bool,
+    /// Since when it is not listed any more.
+    pub(super) gone_since: Option<Duration>,
+    pub(super) started_at: Option<Duration>,
+    /// When it was first listed as ready: default tables sampled later may name it.
+    pub(super) first_ready_at: Option<Duration>,
+    /// Sent nothing while it warms up, as default tables that may name it would send it its full weight.
+    pub(super) withheld: bool,
+    pub(super) health: HealthState,
+    /// Proxies were told to send it nothing.
+    pub(super) ejection_sent: bool,
+    /// Missing answers count from here on: what came before was sent by other tables.
+    pub(super) observed_since: Duration,
+    /// By the proxies' zone.
+    pub(super) observations: BTreeMap<usize, ZoneObservation>,
+    /// Requests a second that the tables send it, averaged.
+    pub(super) expected_rate: f64,
+    /// The logarithm of what its capacity is taken to be, beside its listed weight.
+    pub(super) capacity_correction: f64,
+    /// Requests in flight, by health checks.
+    pub(super) in_flight: Option<f64>,
+    pub(super) queue: Option<QueueSample>,
+    /// Health checks in a row without an answer.
+    pub(super) failed_health_checks: u32,
+}
+
+impl ReplicaState {
+    /// Draining, gone, ejected, or withheld while it warms up.
+    pub(super) fn is_unavailable(&self) -> bool {
+        !self.ready || self.withheld || matches!(self.health, HealthState::Ejected { .. })
+    }
+
+    /// Whether default tables of a sample may name it.
+    pub(super) fn is_candidate(&self, sample: DefaultTableSample) -> bool {
+        let known_by_then = self.first_ready_at.is_some_and(|first| first <= sample.roster_at);
+        known_by_then && sample.zone == self.zone
+    }
+
+    /// The fraction of its capacity that it has by now, at the worst.
+    pub(super) fn warm_fraction(&self, slow_start: SlowStart, now: Duration) -> f64 {
+        let Some(started_at) = self.started_at else { return 1.0 };
+        let age = now.saturating_sub(started_at).as_secs_f64();
+        (slow_start.initial_fraction + slow_start.growth_per_second * age).min(1.0)
+    }
+
+    /// The capacity that requests can be sent to by now.
+    pub(super) fn available_weight(&self, parameters: &Parameters, now: Duration) -> f64 {
+        if self.is_unavailable() {
+            return 0.0;
+        }
+        self.weight * self.warm_fraction(parameters.slow_start, now)
+    }
+
+    /// Attempts that the proxies of all zones made.
+    pub(super) fn attempt_counts(&self) -> AttemptCounts {
+        let mut counts = AttemptCounts::default();
+        for observation in self.observations.values() {
+            counts.succeeded += observation.succeeded;
+            counts.failed += observation.failed;
+        }
+        counts
+    }
+
+    /// Forgets what was observed, as it says nothing of the replica any more.
+    pub(super) fn reset_observations(&mut self, now: Duration, health: HealthState) {
+        self.health = health;
+        self.observed_since = now;
+        self.expected_rate = 0.0;
+        self.capacity_correction = 0.0;
+        self.observations.clear();
+        self.in_flight = None;
+        self.failed_health_checks = 0;
+    }
+}
--- a/src/governor/tests.rs
+++ b/src/governor/tests.rs
@@ -1,6 +1,23 @@
 //! Each test builds the state it needs and calls one function.
 
+use super::admission_control::{ClassAdmission, LastCut, LatencySum, QUEUE_DRAINING_FRACTION};
+use super::arithmetic::get_or_default;
+use super::critical_set::Reward;
+use super::default_tables::{Staleness, ZoneScope};
+use super::ejection::FIRST_EJECTION;
+use super::ejection_updates::EjectionChange;
+use super::load_model::{Flow, FlowGroup, LoadModel, ReplicaCapacity, ReplicaRate, ReplicaShare};
+use super::outlier_detection::Outlier;
+use super::replica_state::ZoneObservation;
+use super::send_queue::SentBatch;
+use super::table_updates::{Assignment, Recipients};
+use super::tables::RouteScope::{self, AnyZone, OwnZone};
+use super::tables::{TableKey, Weights};
+use super::water_filling::{Bin, water_fill};
 use super::*;
+use crate::types::{
+    AdmissionControl, Idempotency, LoadField, MessageLimit, RetryPolicy, TableEntry, TableId, TrafficClass,
+};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -22,13 +39,13 @@
     name.into()
 }
 
-fn group(effect: Idempotency, own_zone: bool, utility: f64) -> TrafficClass {
+fn traffic_class(idempotency: Idempotency, same_zone_only: bool, priority_weight: f64) -> TrafficClass {
     TrafficClass {
-        idempotency: effect,
+        idempotency,
         latency_objective: SECOND,
         request_deadline: 3 * SECOND,
-        priority_weight: utility,
-        same_zone_only: own_zone,
+        priority_weight,
+        same_zone_only,
     }
 }
 
@@ -36,8 +53,8 @@
     Settings {
         governor_count: 1,
         classes: vec![
-            group(Idempotency::Idempotent, false, 1.0),
-            group(Idempotency::NotIdempotent, false, 3.0),
+            traffic_class(Idempotency::Idempotent, false, 1.0),
+            traffic_class(Idempotency::NotIdempotent, false, 3.0),
         ],
         key_slices: 0,
         proxy_count: 4,
@@ -59,17 +76,40 @@
     }
 }
 
+/// A governor that has observed enough to trust the fleet.
+fn observed(settings: Settings) -> Governor {
+    let mut governor = Governor::new(settings, Duration::ZERO);
+    governor.fleet_health.unobserved = false;
+    governor
+}
+
 fn governor() -> Governor {
-    Governor { unobserved: false, ..Governor::new(settings(), Duration::ZERO) }
+    observed(settings())
 }
 
-/// One whose second group is bound to the proxy's own zone.
-fn bound() -> Governor {
-    let groups = vec![group(Idempotency::Idempotent, false, 1.0), group(Idempotency::Idempotent, true, 3.0)];
-    Governor {
-        unobserved: false,
-        ..Governor::new(Settings { classes: groups, ..settings() }, Duration::ZERO)
-    }
+/// One whose second class is bound to the proxy's own zone.
+fn governor_with_zone_bound_class() -> Governor {
+    let classes = vec![
+        traffic_class(Idempotency::Idempotent, false, 1.0),
+        traffic_class(Idempotency::Idempotent, true, 3.0),
+    ];
+    observed(Settings { classes, ..settings() })
+}
+
+fn default_of_zone(zone: usize, scope: RouteScope) -> ZoneScope {
+    ZoneScope { zone, scope }
+}
+
+fn outlier(severity: f64, name: &str) -> Outlier {
+    Outlier { severity, replica: id(name) }
+}
+
+fn rate(replica: usize, rate: f64) -> ReplicaRate {
+    ReplicaRate { replica, rate }
+}
+
+fn bin(level: f64, capacity: f64, replica: usize) -> Bin {
+    Bin { level, capacity, replica }
 }
 
 fn warm(zone: usize) -> ReplicaState {
@@ -118,8 +158,8 @@
     );
     governor.last_connections.insert(zone, Duration::ZERO);
     let lines: Weights = lines.iter().map(|(name, weight)| (id(name), *weight)).collect();
-    for kind in 0..2 {
-        governor.sent_tables.insert((proxy, kind), lines.clone());
+    for scope in RouteScope::ALL {
+        governor.sent_tables.insert(TableKey::new(proxy, scope), lines.clone());
     }
 }
 
@@ -162,7 +202,10 @@
 #[test]
 fn a_new_start_clears_what_was_held_against_the_old_process() {
     let mut governor = governor();
-    governor.replicas.insert(id("a"), ReplicaState { health: HealthState::Ejected(SECOND, 3), ..warm(0) });
+    governor.replicas.insert(
+        id("a"),
+        ReplicaState { health: HealthState::Ejected { until: SECOND, failures: 3 }, ..warm(0) },
+    );
     governor.update_replicas(
         SECOND,
         &[ReplicaEntry { started_at: Some(SECOND), ..listed("a", Phase::Ready) }],
@@ -195,7 +238,7 @@
     follower(&mut governor, 1, 0, &[("a", 1.0), ("b", 1.0)]);
     governor.replicas.insert(id("a"), ReplicaState { ready: false, ..warm(0) });
     governor.replicas.insert(id("b"), warm(0));
-    governor.publish(SECOND, false, false);
+    governor.publish(SECOND, PublishTrigger::Event);
     assert_eq!(out(&governor)[0], &Decision::SetEjected { replica: id("a"), ejected: true });
     assert_eq!(out(&governor)[1], &Decision::UpdateTable { table: 2, entries: vec![entry(id("a"), 0.0)] });
 }
@@ -206,7 +249,7 @@
     follower(&mut governor, 1, 0, &[("b", 1.0)]);
     governor.replicas.insert(id("a"), ReplicaState { ejection_sent: true, ..cold(0, SECOND) });
     governor.replicas.insert(id("b"), warm(0));
-    governor.publish(SECOND, false, true);
+    governor.publish(SECOND, PublishTrigger::FlushDue);
     let orders = out(&governor);
     let widens = |one: &&&Decision| matches!(one, Decision::UpdateTable { table: 2, entries: lines } if lines[0].replica == id("a"));
     let line = orders.iter().position(|one| widens(&one));
@@ -221,7 +264,7 @@
     governor.replicas.insert(id("a"), ReplicaState { ready: false, ..warm(0) });
     governor.replicas.insert(id("b"), warm(0));
     governor.proxy_connected(SECOND, with_unknown_tables(3, 4.0));
-    governor.publish(SECOND, true, false);
+    governor.publish(SECOND, PublishTrigger::Tick);
     let orders = out(&governor);
     assert!(orders.contains(&&Decision::UpdateTable { table: 6, entries: vec![entry(id("b"), 1.0)] }));
     assert!(orders.contains(&&Decision::AssignTable { proxy: 3, table: 6, classes: 0b11 }));
@@ -232,8 +275,8 @@
     let mut governor = governor();
     follower(&mut governor, 1, 0, &[("a", 1.0)]);
     governor.replicas.insert(id("a"), ReplicaState { ready: false, ..warm(0) });
-    governor.recent_flushes = vec![SECOND; 8].into();
-    governor.publish(2 * SECOND, false, true);
+    governor.send_queue.recent_flushes = vec![SECOND; 8].into();
+    governor.publish(2 * SECOND, PublishTrigger::FlushDue);
     assert!(governor.pending.is_empty());
 }
 
@@ -242,16 +285,16 @@
     let mut governor = governor();
     follower(&mut governor, 1, 0, &[]);
     governor.replicas.insert(id("a"), warm(0));
-    governor.queued_entries = 800.0;
-    governor.sent_tables(Duration::ZERO, true);
+    governor.send_queue.entries = 800.0;
+    governor.send_tables(Duration::ZERO, Recipients::All);
     assert!(governor.pending.is_empty());
     // Nor for one whose holdings are unknown, though it may send to what drains: a storm of them would
     // break the rule.
     governor.proxy_connected(Duration::ZERO, with_unknown_tables(2, 1.0));
-    governor.sent_tables(Duration::ZERO, false);
+    governor.send_tables(Duration::ZERO, Recipients::Unsynchronised);
     assert!(governor.pending.is_empty());
-    governor.queued_entries = 500.0;
-    governor.sent_tables(Duration::ZERO, false);
+    governor.send_queue.entries = 500.0;
+    governor.send_tables(Duration::ZERO, Recipients::Unsynchronised);
     assert!(governor.pending.contains(&Decision::AssignTable { proxy: 2, table: 4, classes: 0b11 }));
 }
 
@@ -266,25 +309,28 @@
 #[test]
 fn a_storm_of_joiners_leaves_room_for_drains_in_the_channel() {
     let mut governor = storm(&["a", "b", "c", "d"]);
-    governor.publish(SECOND, true, false);
+    governor.publish(SECOND, PublishTrigger::Tick);
     let bound = governor.proxies.values().filter(|one| !one.unsynchronised).count();
     assert!(bound > 20 && bound < 100, "{bound}");
-    assert!(governor.queued_entries <= 0.64 * 1000.0, "{}", governor.queued_entries);
+    assert!(governor.send_queue.entries <= 0.64 * 1000.0, "{}", governor.send_queue.entries);
 }
 
 #[test]
 fn withdrawals_fit_the_channel_and_what_drains_goes_before_what_is_ill() {
     let mut governor = storm(&["a", "b", "c"]);
-    governor.replicas.values_mut().for_each(|one| one.health = HealthState::Ejected(SECOND, 1));
+    governor
+        .replicas
+        .values_mut()
+        .for_each(|one| one.health = HealthState::Ejected { until: SECOND, failures: 1 });
     governor.replicas.insert(id("d"), ReplicaState { ready: false, ..warm(0) });
-    governor.send_ejections(true);
+    governor.send_ejections(EjectionChange::Eject);
     assert_eq!(out(&governor), [&Decision::SetEjected { replica: id("d"), ejected: true }]);
     // A line and a head for each proxy whose table can't be read.
-    assert_eq!(governor.queued_entries, 100.0 * (1.0 + 7.0));
-    governor.send_ejections(true);
+    assert_eq!(governor.send_queue.entries, 100.0 * (1.0 + 7.0));
+    governor.send_ejections(EjectionChange::Eject);
     assert_eq!(out(&governor).len(), 1, "the others wait");
-    governor.queued_entries = 0.0;
-    governor.send_ejections(true);
+    governor.send_queue.entries = 0.0;
+    governor.send_ejections(EjectionChange::Eject);
     assert_eq!(out(&governor)[1], &Decision::SetEjected { replica: id("a"), ejected: true });
 }
 
@@ -294,30 +340,39 @@
     let mut governor = storm(&names.iter().map(String::as_str).collect::<Vec<_>>());
     governor.replicas.insert(id("r1"), ReplicaState { ready: false, ..warm(0) });
     governor.proxies.values_mut().for_each(|one| one.unsynchronised = false);
-    governor.send_ejections(true);
+    governor.send_ejections(EjectionChange::Eject);
     let expected = 100.0 * (1.0 + 7.0) * 16.0 / 99.0;
-    assert!((governor.queued_entries - expected).abs() < 1e-6, "{} {expected}", governor.queued_entries);
+    assert!(
+        (governor.send_queue.entries - expected).abs() < 1e-6,
+        "{} {expected}",
+        governor.send_queue.entries
+    );
 }
 
 #[test]
 fn an_acknowledgement_tells_what_has_left_the_channel_and_a_late_one_little() {
-    let ordered = || (1..=4).map(|at| (at * SECOND, 100.0)).collect();
-    let channel =
-        || Governor { sent_batches: ordered(), queued_entries: 400.0, drained_at: 5 * SECOND, ..governor() };
+    let batch = |at| SentBatch { at: at * SECOND, entries: 100.0 };
+    let channel = || {
+        let mut governor = governor();
+        governor.send_queue.batches = (1..=4).map(batch).collect();
+        governor.send_queue.entries = 400.0;
+        governor.send_queue.drained_at = 5 * SECOND;
+        governor
+    };
     let mut quick = channel();
     quick.acknowledged(SECOND);
     assert_eq!(
-        quick.queued_entries, 100.0,
+        quick.send_queue.entries, 100.0,
         "it was ordered at 3.5 s at the soonest, as its answer was on its way as well"
     );
     let mut slow = channel();
     slow.acknowledged(4 * SECOND);
-    assert_eq!(slow.queued_entries, 400.0);
+    assert_eq!(slow.send_queue.entries, 400.0);
     // Without answers time counts, at a bad channel's pace.
-    slow.publish(6 * SECOND, false, false);
-    assert_eq!(slow.queued_entries, 400.0 - 0.2 * 1000.0);
-    slow.publish(60 * SECOND, false, false);
-    assert!(slow.queued_entries == 0.0 && slow.sent_batches.is_empty());
+    slow.publish(6 * SECOND, PublishTrigger::Event);
+    assert_eq!(slow.send_queue.entries, 400.0 - 0.2 * 1000.0);
+    slow.publish(60 * SECOND, PublishTrigger::Event);
+    assert!(slow.send_queue.entries == 0.0 && slow.send_queue.batches.is_empty());
 }
 
 #[test]
@@ -326,14 +381,14 @@
     governor.replicas.insert(id("a"), warm(0));
     let replica = cold(0, Duration::ZERO);
     assert!((governor.usable_fraction(&replica, 5 * SECOND) - 0.6).abs() < 1e-9);
-    governor.zone_stress.insert(0, 0.2);
+    governor.fleet_health.zone_stress.insert(0, 0.2);
     assert!((governor.usable_fraction(&replica, 5 * SECOND) - 0.36 * 0.8).abs() < 1e-9);
-    governor.zone_stress.insert(0, 0.4);
+    governor.fleet_health.zone_stress.insert(0, 0.4);
     assert_eq!(governor.usable_fraction(&replica, 5 * SECOND), 0.0);
-    governor.zone_stress.clear();
-    governor.underprovisioned_zones.insert(0);
+    governor.fleet_health.zone_stress.clear();
+    governor.fleet_health.underprovisioned_zones.insert(0);
     assert!((governor.usable_fraction(&replica, 5 * SECOND) - 0.36).abs() < 1e-9);
-    governor.parameters.classes_by_scope[1] = 1;
+    governor.parameters.classes.own_zone = 1;
     assert!((governor.usable_fraction(&replica, 5 * SECOND) - 0.6).abs() < 1e-9);
 }
 
@@ -342,17 +397,17 @@
     let mut governor = Governor::new(settings(), Duration::ZERO);
     governor.replicas.insert(id("a"), ReplicaState { observations: seen(20.0, 0.0, 0.1, SECOND), ..warm(0) });
     governor.update_health(SECOND);
-    assert!(governor.unobserved);
+    assert!(governor.fleet_health.unobserved);
     governor.replicas.insert(id("a"), ReplicaState { observations: seen(60.0, 0.0, 0.1, SECOND), ..warm(0) });
     governor.update_health(SECOND);
-    assert!(!governor.unobserved && governor.zone_stress.is_empty());
+    assert!(!governor.fleet_health.unobserved && governor.fleet_health.zone_stress.is_empty());
 }
 
 #[test]
 fn levels_wait_until_the_fleet_is_heard() {
-    let mut governor = Governor { unobserved: true, ..governor() };
+    let mut governor = Governor::new(settings(), Duration::ZERO);
     follower(&mut governor, 1, 0, &[]);
-    governor.publish(SECOND, false, true);
+    governor.publish(SECOND, PublishTrigger::FlushDue);
     assert!(!out(&governor).iter().any(|one| matches!(one, Decision::SetAdmission { .. })));
 }
 
@@ -366,12 +421,12 @@
             .replicas
             .insert(id(name), ReplicaState { observations: sights, expected_rate: 5.0, ..warm(0) });
     }
-    governor.last_reports.insert(0, 30 * SECOND);
+    governor.reports.last_by_zone.insert(0, 30 * SECOND);
     governor
 }
 
 fn suspected(mut governor: Governor) -> Vec<ReplicaId> {
-    governor.find_outliers(30 * SECOND, 0.0).into_iter().map(|(_, id)| id).collect()
+    governor.find_outliers(30 * SECOND, 0.0).into_iter().map(|outlier| outlier.replica).collect()
 }
 
 #[test]
@@ -382,7 +437,7 @@
 #[test]
 fn silence_counts_only_while_the_zones_sums_come() {
     let mut governor = silence();
-    governor.last_reports.insert(0, 20 * SECOND);
+    governor.reports.last_by_zone.insert(0, 20 * SECOND);
     assert!(suspected(governor).is_empty());
 }
 
@@ -432,7 +487,10 @@
     governor.replicas.insert(id("a"), ReplicaState { observations: sights, ..warm(0) });
     assert_eq!(governor.find_outliers(30 * SECOND, 0.05).len(), 1);
     assert!(governor.find_outliers(30 * SECOND, 0.4).is_empty());
-    governor.replicas.entry(id("a")).and_modify(|one| one.queue = Some((9.0, 30 * SECOND)));
+    governor
+        .replicas
+        .entry(id("a"))
+        .and_modify(|one| one.queue = Some(QueueSample { length: 9.0, at: 30 * SECOND }));
     assert!(governor.find_outliers(30 * SECOND, 0.05).is_empty());
 }
 
@@ -451,44 +509,52 @@
     let mut governor = governor();
     let names = ["a", "b", "c", "d", "e"];
     names.iter().for_each(|name| drop(governor.replicas.insert(id(name), warm(0))));
-    governor.eject_worst(SECOND, names.iter().map(|name| (2.0, id(name))).collect());
+    governor.eject_outliers(SECOND, names.iter().map(|name| outlier(2.0, name)).collect());
     assert_eq!(governor.replicas.values().filter(|one| one.is_unavailable()).count(), 2);
 }
 
 #[test]
 fn a_zone_to_which_groups_are_bound_keeps_a_third() {
-    let mut governor = bound();
+    let mut governor = governor_with_zone_bound_class();
     ["a", "b"].iter().for_each(|name| drop(governor.replicas.insert(id(name), warm(0))));
     (0..8).for_each(|other| drop(governor.replicas.insert(id(&format!("z{other}")), warm(1))));
-    governor.eject_worst(SECOND, vec![(2.0, id("a")), (2.0, id("b"))]);
+    governor.eject_outliers(SECOND, vec![outlier(2.0, "a"), outlier(2.0, "b")]);
     assert!(governor.replicas[&id("a")].is_unavailable() && !governor.replicas[&id("b")].is_unavailable());
 }
 
 #[test]
 fn a_zone_to_which_groups_are_bound_keeps_half_of_what_it_bears_and_its_last_warm_one() {
-    let mut governor = bound();
+    let mut governor = governor_with_zone_bound_class();
     governor.replicas.insert(id("a"), warm(0));
     (0..3).for_each(|other| drop(governor.replicas.insert(id(&format!("c{other}")), cold(0, SECOND))));
     (0..8).for_each(|other| drop(governor.replicas.insert(id(&format!("z{other}")), warm(1))));
-    governor.eject_worst(10 * SECOND, vec![(2.0, id("a"))]);
+    governor.eject_outliers(10 * SECOND, vec![outlier(2.0, "a")]);
     assert!(!governor.replicas[&id("a")].is_unavailable());
 }
 
 #[test]
 fn a_failed_trial_doubles_the_wait() {
     let mut governor = governor();
-    governor.replicas.insert(id("a"), ReplicaState { health: HealthState::Probation(2), ..warm(0) });
-    governor.eject_worst(SECOND, vec![(f64::MAX, id("a"))]);
-    assert_eq!(governor.replicas[&id("a")].health, HealthState::Ejected(SECOND + 4 * FIRST_EJECTION, 3));
+    governor
+        .replicas
+        .insert(id("a"), ReplicaState { health: HealthState::Probation { failures: 2 }, ..warm(0) });
+    governor.eject_outliers(SECOND, vec![outlier(f64::MAX, "a")]);
+    assert_eq!(
+        governor.replicas[&id("a")].health,
+        HealthState::Ejected { until: SECOND + 4 * FIRST_EJECTION, failures: 3 }
+    );
 }
 
 #[test]
 fn a_withdrawn_replica_goes_on_trial_and_passes_by_answers() {
     let mut governor = governor();
     governor.replicas.insert(id("b"), warm(0));
-    governor.replicas.insert(id("a"), ReplicaState { health: HealthState::Ejected(SECOND, 1), ..warm(0) });
+    governor.replicas.insert(
+        id("a"),
+        ReplicaState { health: HealthState::Ejected { until: SECOND, failures: 1 }, ..warm(0) },
+    );
     governor.update_health(SECOND);
-    assert_eq!(governor.replicas[&id("a")].health, HealthState::Probation(1));
+    assert_eq!(governor.replicas[&id("a")].health, HealthState::Probation { failures: 1 });
     governor.replicas.entry(id("a")).and_modify(|one| one.observations = seen(4.0, 0.0, 0.1, SECOND));
     governor.update_health(SECOND);
     assert_eq!(governor.replicas[&id("a")].health, HealthState::Healthy);
@@ -496,10 +562,11 @@
 
 #[test]
 fn the_last_of_a_zone_is_taken_back_however_ill() {
-    let mut governor = bound();
-    governor
-        .replicas
-        .insert(id("a"), ReplicaState { health: HealthState::Ejected(9 * SECOND, 1), ..warm(0) });
+    let mut governor = governor_with_zone_bound_class();
+    governor.replicas.insert(
+        id("a"),
+        ReplicaState { health: HealthState::Ejected { until: 9 * SECOND, failures: 1 }, ..warm(0) },
+    );
     governor.replicas.insert(id("b"), ReplicaState { ready: false, ..warm(0) });
     governor.replicas.insert(id("z"), warm(1));
     governor.restore_ejected(SECOND);
@@ -514,23 +581,29 @@
     for (name, zone) in [("a", 0), ("b", 0), ("y", 1), ("z", 1)] {
         governor.replicas.insert(id(name), warm(zone));
     }
-    assert_eq!(governor.default_tables(SECOND)[&(0, 0)].len(), 2);
+    assert_eq!(governor.default_tables(SECOND)[&default_of_zone(0, AnyZone)].len(), 2);
     governor.replicas.entry(id("b")).and_modify(|one| one.ready = false);
     let spilled = governor.default_tables(SECOND);
-    assert!(spilled[&(0, 0)].contains_key("z") && !spilled[&(0, 1)].contains_key("z"));
+    assert!(
+        spilled[&default_of_zone(0, AnyZone)].contains_key("z")
+            && !spilled[&default_of_zone(0, OwnZone)].contains_key("z")
+    );
 }
 
 #[test]
 fn unheard_proxies_of_other_governors_count_in_a_zones_demand() {
     let mut governor = governor();
-    governor.parameters.total_proxies = 40.0;
+    governor.parameters.shared_proxies = 40.0;
     follower(&mut governor, 1, 0, &[]);
     governor.replicas.insert(id("a"), warm(0));
     governor.replicas.insert(id("b"), cold(0, Duration::ZERO));
     governor.replicas.insert(id("z"), warm(1));
-    let kept = at(&governor.default_tables(SECOND)[&(0, 0)], &id("a"));
-    governor.parameters.total_proxies = 0.0;
-    assert!(at(&governor.default_tables(SECOND)[&(0, 0)], &id("a")) < kept + 1e-9);
+    let kept = get_or_default(&governor.default_tables(SECOND)[&default_of_zone(0, AnyZone)], &id("a"));
+    governor.parameters.shared_proxies = 0.0;
+    assert!(
+        get_or_default(&governor.default_tables(SECOND)[&default_of_zone(0, AnyZone)], &id("a"))
+            < kept + 1e-9
+    );
 }
 
 #[test]
@@ -541,7 +614,7 @@
         .replicas
         .insert(id("a"), ReplicaState { capacity_correction: -0.4, in_flight: Some(9.0), ..warm(0) });
     governor.replicas.insert(id("b"), ReplicaState { in_flight: Some(1.0), ..warm(0) });
-    assert!(at(&governor.default_tables(SECOND)[&(0, 0)], &id("a")) < 0.7);
+    assert!(get_or_default(&governor.default_tables(SECOND)[&default_of_zone(0, AnyZone)], &id("a")) < 0.7);
     governor.correct_capacities(SECOND);
     assert!(
         governor.replicas[&id("a")].capacity_correction < -0.5
@@ -554,8 +627,10 @@
     let mut governor = governor();
     follower(&mut governor, 1, 0, &[]);
     governor.replicas.insert(id("a"), warm(0));
-    let rotten =
-        |governor: &Governor| governor.staleness((SECOND, 0), &governor.default_tables(SECOND)[&(0, 0)]).0;
+    let rotten = |governor: &Governor| {
+        let default = &governor.default_tables(SECOND)[&default_of_zone(0, AnyZone)];
+        governor.staleness(DefaultTableSample { roster_at: SECOND, zone: 0 }, default) != Staleness::Current
+    };
     assert!(!rotten(&governor));
     governor.replicas.insert(id("b"), ReplicaState { first_ready_at: Some(2 * SECOND), ..warm(0) });
     assert!(rotten(&governor));
@@ -569,17 +644,18 @@
 
 #[test]
 fn only_what_cold_replicas_bear_goes_to_a_zone_with_nothing_warm() {
-    let mut governor = bound();
+    let mut governor = governor_with_zone_bound_class();
     for proxy in 1..5 {
         follower(&mut governor, proxy, 0, &[]);
     }
     follower(&mut governor, 9, 1, &[]);
     governor.replicas.insert(id("a"), cold(0, Duration::ZERO));
-    governor.underprovisioned_zones.insert(0);
+    governor.fleet_health.underprovisioned_zones.insert(0);
     let sights = seen(20.0, 0.0, 0.1, SECOND);
     governor.replicas.insert(id("z"), ReplicaState { observations: sights, ..warm(1) });
-    governor.sent_tables(SECOND, true);
-    let bound = (1..5).filter(|proxy| !governor.sent_tables[&(*proxy, 1)].is_empty()).count();
+    governor.send_tables(SECOND, Recipients::All);
+    let bound =
+        (1..5).filter(|proxy| !governor.sent_tables[&TableKey::new(*proxy, OwnZone)].is_empty()).count();
     assert_eq!(bound, 1);
 }
 
@@ -589,18 +665,22 @@
     governor.replicas.insert(id("a"), cold(0, SECOND));
     governor.replicas.insert(id("b"), ReplicaState { ready: false, ..warm(0) });
     governor.replicas.insert(id("c"), warm(0));
-    governor.critical_tables.insert((1, 0), [(id("a"), 10.0), (id("b"), 90.0)].into());
+    governor.critical_set.tables.insert(TableKey::new(1, AnyZone), [(id("a"), 10.0), (id("b"), 90.0)].into());
     let default: Weights = [(id("a"), 0.2), (id("c"), 1.0)].into();
     follower(&mut governor, 1, 0, &[]);
-    let mut field = governor.load_model(SECOND);
-    assert_eq!(governor.desired_table((1, 0), &default, &mut field, SECOND), default);
+    let mut model = governor.load_model(SECOND);
+    assert_eq!(governor.desired_table(TableKey::new(1, AnyZone), &default, &mut model, SECOND), default);
 }
 
 #[test]
 fn small_changes_of_a_line_stay_unsent() {
     let mut governor = governor();
     follower(&mut governor, 1, 0, &[("a", 1.0), ("b", 1.0)]);
-    let cost = governor.update_table((1, 0), [(id("a"), 1.05), (id("b"), 1.5)].into(), false);
+    let cost = governor.update_table(
+        TableKey::new(1, AnyZone),
+        [(id("a"), 1.05), (id("b"), 1.5)].into(),
+        Assignment::Existing,
+    );
     assert_eq!(
         (cost, out(&governor)),
         (1, vec![&Decision::UpdateTable { table: 2, entries: vec![entry(id("b"), 1.5)] }])
@@ -611,43 +691,48 @@
 fn demand_is_what_levels_let_in() {
     let mut governor = governor();
     follower(&mut governor, 1, 0, &[]);
-    governor.class_admissions[0].0 = 0.2;
+    governor.admission.classes[0].fraction = 0.2;
     assert_eq!(governor.admitted_demand(&governor.proxies[&1], 0b11), 6.0);
 }
 
 /// Proxy 1 sends 12 flows a second to `a` and proxy 2 sends 8, while `b` idles beside it.
-fn field() -> LoadModel {
-    let mut field =
-        LoadModel { replicas: vec![id("a"), id("b")], cross_zone_price: 1.0, ..LoadModel::default() };
-    field.capacities = vec![(0, 10.0), (0, 10.0)];
-    field.distributions = vec![vec![(0, 1.0)]];
-    field.flows = [((1, 0), (0, 12.0, 0)), ((2, 0), (0, 8.0, 0))].into();
-    field.demand_by_distribution = [((0, 0), 20.0)].into();
-    field.water_fill(&BTreeSet::new());
-    field
+fn load_model() -> LoadModel {
+    let capacity = ReplicaCapacity { zone: 0, requests_per_second: 10.0 };
+    let flow = |requests_per_second| Flow { zone: 0, requests_per_second, distribution: 0 };
+    let mut model = LoadModel {
+        replicas: vec![id("a"), id("b")],
+        capacities: vec![capacity; 2],
+        distributions: vec![vec![ReplicaShare { replica: 0, fraction: 1.0 }]],
+        flows: [(TableKey::new(1, AnyZone), flow(12.0)), (TableKey::new(2, AnyZone), flow(8.0))].into(),
+        groups: [(FlowGroup { zone: 0, distribution: 0 }, 20.0)].into(),
+        cross_zone_price: 1.0,
+        ..LoadModel::default()
+    };
+    model.reset_loads();
+    model
 }
 
 #[test]
 fn the_greedy_step_takes_who_sends_most_to_the_hottest() {
-    assert_eq!(field().largest_senders(&BTreeSet::new(), 1), vec![1]);
-    assert_eq!(field().largest_senders(&[1].into(), 2), vec![2]);
+    assert_eq!(load_model().largest_senders(&BTreeSet::new(), 1), vec![1]);
+    assert_eq!(load_model().largest_senders(&[1].into(), 2), vec![2]);
 }
 
 #[test]
 fn filling_lowers_the_peak_and_payoff_charges_what_moves() {
-    let mut field = field();
-    assert!(field.payoff().1 < 0.51);
-    field.water_fill(&[1].into());
-    let (payoff, ratio) = field.payoff();
+    let mut model = load_model();
+    assert!(model.reward().ratio < 0.51);
+    model.solve(&[1].into());
+    let Reward { ratio, payoff } = model.reward();
     assert!(ratio > 0.99 && payoff < ratio - 0.4);
 }
 
 #[test]
 fn a_crossing_replica_must_be_cooler_by_its_price() {
-    let mut field = LoadModel { cross_zone_price: 1.5, ..field() };
-    field.capacities[1] = (1, 10.0);
-    field.water_fill(&[1, 2].into());
-    assert!(field.loads[0] > 1.4 * field.loads[1]);
+    let mut model = LoadModel { cross_zone_price: 1.5, ..load_model() };
+    model.capacities[1] = ReplicaCapacity { zone: 1, requests_per_second: 10.0 };
+    model.solve(&[1, 2].into());
+    assert!(model.loads[0] > 1.4 * model.loads[1]);
 }
 
 #[test]
@@ -658,26 +743,29 @@
     governor.replicas.insert(id("a"), ReplicaState { in_flight: Some(9.0), ..warm(0) });
     governor.replicas.insert(id("b"), ReplicaState { in_flight: Some(1.0), ..warm(0) });
     governor.update_critical_set(SECOND);
-    assert!(governor.critical_tables.is_empty());
-    governor.cycles_below_target = 3;
+    assert!(governor.critical_set.tables.is_empty());
+    governor.critical_set.cycles_below_target = 3;
     governor.update_critical_set(SECOND);
-    assert!(!governor.critical_tables.is_empty());
+    assert!(!governor.critical_set.tables.is_empty());
 }
 
 #[test]
 fn pouring_fills_the_coolest_first() {
-    assert_eq!(pour(4.0, &[(0.0, 2.0, 7), (1.0, 2.0, 9)]), vec![(7, 3.0), (9, 1.0)]);
+    let bins = [bin(0.0, 2.0, 7), bin(1.0, 2.0, 9)];
+    assert_eq!(water_fill(4.0, &bins), vec![rate(7, 3.0), rate(9, 1.0)]);
 }
 
 /// Late answers from replicas of which `queued` report flows waiting, with 100 flows a second offered.
 fn late(queued: usize) -> Governor {
-    let mut governor = Governor { latency_sum: (50.0, 60.0), ..governor() };
+    let mut governor = governor();
+    governor.admission.latency = LatencySum { answers: 50.0, seconds: 60.0 };
     follower(&mut governor, 1, 0, &[]);
     governor.proxies.entry(1).and_modify(|one| one.request_rates = vec![50.0, 50.0]);
     for (place, name) in ["a", "b", "c", "d"].into_iter().enumerate() {
-        let waiting = Some((if place < queued { 5.0 } else { 0.0 }, 9 * SECOND));
+        let length = if place < queued { 5.0 } else { 0.0 };
+        let queue = Some(QueueSample { length, at: 9 * SECOND });
         let sights = seen(10.0, 0.0, 1.0, 9 * SECOND);
-        governor.replicas.insert(id(name), ReplicaState { queue: waiting, observations: sights, ..warm(0) });
+        governor.replicas.insert(id(name), ReplicaState { queue, observations: sights, ..warm(0) });
     }
     governor
 }
@@ -686,33 +774,35 @@
 fn levels_are_cut_to_what_jammed_replicas_answer() {
     let mut governor = late(4);
     governor.adjust_admission(10 * SECOND);
-    assert!((governor.admission_fraction - QUEUE_DRAINING_FRACTION * 0.4).abs() < 1e-9);
-    governor.latency_sum = (50.0, 60.0);
+    assert!((governor.admission.fraction - QUEUE_DRAINING_FRACTION * 0.4).abs() < 1e-9);
+    governor.admission.latency = LatencySum { answers: 50.0, seconds: 60.0 };
     governor.adjust_admission(11 * SECOND);
-    assert!((governor.admission_fraction - QUEUE_DRAINING_FRACTION * 0.4).abs() < 1e-9);
+    assert!((governor.admission.fraction - QUEUE_DRAINING_FRACTION * 0.4).abs() < 1e-9);
 }
 
 #[test]
 fn late_answers_of_drained_queues_cut_nothing() {
     let mut governor = late(1);
     governor.adjust_admission(10 * SECOND);
-    assert_eq!(governor.admission_fraction, 1.0);
+    assert_eq!(governor.admission.fraction, 1.0);
 }
 
 #[test]
 fn the_least_useful_group_is_cut_first_and_tries_end() {
     let mut governor = late(4);
-    governor.admission_fraction = 0.7;
-    governor.send_admission(10 * SECOND);
-    let never = RetryPolicy::Never;
-    assert_eq!(governor.class_admissions, vec![(0.4, never), (1.0, never)]);
+    governor.admission.fraction = 0.7;
+    governor.publish_admission(10 * SECOND);
+    assert_eq!(
+        governor.admission.classes,
+        [0.4, 1.0].map(|fraction| ClassAdmission { fraction, retry_policy: RetryPolicy::Never })
+    );
 }
 
 #[test]
 fn further_tries_are_only_those_that_cannot_act_twice() {
     let mut governor = late(0);
-    governor.send_admission(10 * SECOND);
-    let tries = governor.class_admissions.iter().map(|(_, tries)| *tries);
+    governor.publish_admission(10 * SECOND);
+    let tries = governor.admission.classes.iter().map(|admission| admission.retry_policy);
     assert!(tries.into_iter().all(|tries| tries == RetryPolicy::IfNotExecuted));
 }
 
@@ -721,16 +811,16 @@
     let mut governor = Governor { nominal_weight: 4.0, ..governor() };
     follower(&mut governor, 1, 0, &[]);
     ["a", "b"].iter().for_each(|name| drop(governor.replicas.insert(id(name), cold(0, Duration::ZERO))));
-    governor.send_admission(5 * SECOND);
-    assert_eq!((governor.class_admissions[0].0, governor.class_admissions[1].0), (0.0, 0.85));
+    governor.publish_admission(5 * SECOND);
+    assert_eq!((governor.admission.classes[0].fraction, governor.admission.classes[1].fraction), (0.0, 0.85));
 }
 
 #[test]
 fn where_levels_are_not_heeded_none_is_cut() {
     let mut governor = late(4);
-    (governor.parameters.limits_admission, governor.admission_fraction) = (false, 0.5);
-    governor.send_admission(10 * SECOND);
-    assert!(governor.class_admissions.iter().all(|(level, _)| *level == 1.0));
+    (governor.parameters.limits_admission, governor.admission.fraction) = (false, 0.5);
+    governor.publish_admission(10 * SECOND);
+    assert!(governor.admission.classes.iter().all(|admission| admission.fraction == 1.0));
 }
 
 #[test]
@@ -739,22 +829,21 @@
     follower(&mut governor, 1, 0, &[]);
     governor.replicas.insert(id("a"), warm(0));
     governor.replicas.insert(id("z"), warm(1));
-    assert!(governor.default_tables(SECOND)[&(0, 0)].contains_key("z"));
+    assert!(governor.default_tables(SECOND)[&default_of_zone(0, AnyZone)].contains_key("z"));
 }
 
 #[test]
 fn beyond_what_jammed_the_fleet_levels_come_back_slowly() {
-    let mut governor = Governor {
-        admission_fraction: 0.6,
-        last_cut: (0.5, Duration::ZERO),
-        latency_sum: (50.0, 5.0),
-        ..late(0)
-    };
+    let mut governor = late(0);
+    governor.admission.fraction = 0.6;
+    governor.admission.last_cut = LastCut { answered_fraction: 0.5, at: Duration::ZERO };
+    governor.admission.latency = LatencySum { answers: 50.0, seconds: 5.0 };
     governor.adjust_admission(10 * SECOND);
-    assert!((governor.admission_fraction - 0.612).abs() < 1e-9);
-    (governor.admission_fraction, governor.latency_sum) = (0.4, (50.0, 5.0));
+    assert!((governor.admission.fraction - 0.612).abs() < 1e-9);
+    (governor.admission.fraction, governor.admission.latency) =
+        (0.4, LatencySum { answers: 50.0, seconds: 5.0 });
     governor.adjust_admission(11 * SECOND);
-    assert!(governor.admission_fraction >= 0.42);
+    assert!(governor.admission.fraction >= 0.42);
 }
 
 #[test]
@@ -764,7 +853,9 @@
     governor.replicas.insert(id("a"), cold(0, SECOND));
     governor.replicas.insert(id("b"), ReplicaState { observations: seen(10.0, 0.0, 0.1, SECOND), ..warm(0) });
     governor.replicas.insert(id("z"), warm(1));
-    let kept = |governor: &Governor| at(&governor.default_tables(SECOND)[&(0, 0)], &id("b"));
+    let kept = |governor: &Governor| {
+        get_or_default(&governor.default_tables(SECOND)[&default_of_zone(0, AnyZone)], &id("b"))
+    };
     let answered = kept(&governor);
     governor.replicas.insert(id("b"), ReplicaState { observations: seen(5.0, 5.0, 0.1, SECOND), ..warm(0) });
     assert!(kept(&governor) < 0.8 * answered);
@@ -772,12 +863,12 @@
 
 #[test]
 fn partial_droppers_of_a_bound_zone_stay_where_it_could_not_bear_their_loss() {
-    let mut governor = bound();
+    let mut governor = governor_with_zone_bound_class();
     ["a", "b", "c"].iter().for_each(|name| drop(governor.replicas.insert(id(name), warm(0))));
     (0..8).for_each(|other| drop(governor.replicas.insert(id(&format!("z{other}")), warm(1))));
-    governor.eject_worst(SECOND, vec![(0.6, id("a"))]);
+    governor.eject_outliers(SECOND, vec![outlier(0.6, "a")]);
     assert!(!governor.replicas[&id("a")].is_unavailable());
-    governor.eject_worst(SECOND, vec![(2.0, id("a"))]);
+    governor.eject_outliers(SECOND, vec![outlier(2.0, "a")]);
     assert!(governor.replicas[&id("a")].is_unavailable());
 }
 
@@ -791,7 +882,10 @@
         .replicas
         .insert(id("z"), ReplicaState { observations: seen(1000.0, 0.0, 0.1, SECOND), ..warm(1) });
     governor.update_health(SECOND);
-    assert!(at(&governor.zone_stress, &0) > 0.4 && at(&governor.zone_stress, &1) < 0.1);
+    assert!(
+        get_or_default(&governor.fleet_health.zone_stress, &0) > 0.4
+            && get_or_default(&governor.fleet_health.zone_stress, &1) < 0.1
+    );
 }
 
 #[test]
@@ -799,19 +893,20 @@
     let mut governor = governor();
     follower(&mut governor, 1, 0, &[("a", 1.0)]);
     governor.replicas.insert(id("a"), ReplicaState { ready: false, ..warm(0) });
-    governor.recent_flushes = vec![SECOND; 7].into();
-    governor.publish(SECOND + SECOND / 2, false, false);
+    governor.send_queue.recent_flushes = vec![SECOND; 7].into();
+    governor.publish(SECOND + SECOND / 2, PublishTrigger::Event);
     assert!(governor.pending.is_empty());
-    governor.publish(3 * SECOND, false, false);
+    governor.publish(3 * SECOND, PublishTrigger::Event);
     assert_eq!(out(&governor)[0], &Decision::SetEjected { replica: id("a"), ejected: true });
 }
 
 #[test]
 fn judging_takes_back_what_is_ill_where_nothing_warm_is_open() {
     let mut governor = governor();
-    governor
-        .replicas
-        .insert(id("a"), ReplicaState { health: HealthState::Ejected(9 * SECOND, 1), ..warm(0) });
+    governor.replicas.insert(
+        id("a"),
+        ReplicaState { health: HealthState::Ejected { until: 9 * SECOND, failures: 1 }, ..warm(0) },
+    );
     governor.update_health(SECOND);
     assert!(!governor.replicas[&id("a")].is_unavailable());
 }
@@ -822,7 +917,7 @@
     for place in 0..40 {
         governor.replicas.insert(id(&format!("r{place:02}")), warm(0));
     }
-    (governor.roster_updated_at, governor.underprovisioned_zones) = (SECOND, BTreeSet::new());
+    (governor.roster_updated_at, governor.fleet_health.underprovisioned_zones) = (SECOND, BTreeSet::new());
     (0..10).for_each(|proxy| governor.proxy_connected(SECOND, with_default_table(proxy, 10.0)));
     governor
 }
@@ -836,19 +931,22 @@
 fn tables_that_cannot_be_read_stand_until_little_of_their_zone_is_left() {
     let rotten = |lost| {
         let governor = losing(large(), lost);
-        governor.staleness((SECOND, 0), &governor.default_tables(SECOND)[&(0, 0)])
+        governor.staleness(
+            DefaultTableSample { roster_at: SECOND, zone: 0 },
+            &governor.default_tables(SECOND)[&default_of_zone(0, AnyZone)],
+        )
     };
-    assert_eq!((rotten(1), rotten(10)), ((false, false), (false, false)));
-    assert_eq!((rotten(17), rotten(24)), ((true, false), (true, true)));
+    assert_eq!((rotten(1), rotten(10)), (Staleness::Current, Staleness::Current));
+    assert_eq!((rotten(17), rotten(24)), (Staleness::Stale, Staleness::Urgent));
 }
 
 #[test]
 fn own_defaults_of_a_large_zone_are_small_and_cover_it_evenly() {
     let mut governor = losing(large(), 1);
     (0..10).for_each(|proxy| governor.proxy_connected(SECOND, with_unknown_tables(proxy, 10.0)));
-    governor.sent_tables(SECOND, true);
+    governor.send_tables(SECOND, Recipients::All);
     let mut named: BTreeMap<&ReplicaId, usize> = BTreeMap::new();
-    for lines in governor.sent_tables.iter().filter(|((_, kind), _)| *kind == 0).map(|(_, lines)| lines) {
+    for lines in governor.sent_tables.iter().filter(|(key, _)| key.scope == AnyZone).map(|(_, lines)| lines) {
         assert_eq!(lines.len(), 8);
         lines.keys().for_each(|id| *named.entry(id).or_default() += 1);
     }
@@ -859,10 +957,10 @@
 fn an_own_default_keeps_its_lines_when_another_zone_replica_goes() {
     let mut governor = losing(large(), 1);
     (0..10).for_each(|proxy| governor.proxy_connected(SECOND, with_unknown_tables(proxy, 10.0)));
-    governor.sent_tables(SECOND, true);
+    governor.send_tables(SECOND, Recipients::All);
     governor.pending.clear();
     governor.replicas.entry(id("r39")).and_modify(|one| one.ready = false);
-    governor.sent_tables(SECOND, true);
+    governor.send_tables(SECOND, Recipients::All);
     let lines =
         |one: &Decision| if let Decision::UpdateTable { entries: lines, .. } = one { lines.len() } else { 0 };
     let moved: usize = governor.pending.iter().map(lines).sum();
@@ -871,15 +969,15 @@
 
 #[test]
 fn a_subset_of_what_has_no_room_still_names_something() {
-    let mut governor = bound();
+    let mut governor = governor_with_zone_bound_class();
     let names: Weights = (0..40).map(|place| (id(&format!("r{place:02}")), 1.0)).collect();
     for name in names.keys() {
         governor.replicas.insert(name.clone(), cold(0, SECOND));
     }
-    governor.zone_stress.insert(0, 0.9);
+    governor.fleet_health.zone_stress.insert(0, 0.9);
     follower(&mut governor, 1, 0, &[]);
-    let mut field = governor.load_model(SECOND);
-    assert_eq!(governor.desired_table((1, 1), &names, &mut field, SECOND).len(), 8);
+    let mut model = governor.load_model(SECOND);
+    assert_eq!(governor.desired_table(TableKey::new(1, OwnZone), &names, &mut model, SECOND).len(), 8);
 }
 
 #[test]
@@ -895,7 +993,7 @@
 #[test]
 fn silence_begins_only_when_waiting_lines_would_have_come() {
     let mut governor = silence();
-    governor.report_delay = 10 * SECOND;
+    governor.reports.delay = 10 * SECOND;
     assert!(suspected(governor).is_empty());
 }
 
@@ -910,8 +1008,8 @@
         );
     }
     (governor.tick_pending, governor.ticks) = (true, 7);
-    governor.process(SECOND);
-    assert_eq!(governor.report_delay, 3 * SECOND / 2);
+    governor.decide(SECOND);
+    assert_eq!(governor.reports.delay, 3 * SECOND / 2);
 }
 
 #[test]
@@ -919,7 +1017,7 @@
     let mut governor = losing(large(), 17);
     governor.proxy_connected(SECOND, with_unknown_tables(20, 1.0));
     governor.proxies.entry(5).and_modify(|one| one.request_rates = vec![90.0, 90.0]);
-    governor.sent_tables(SECOND, true);
+    governor.send_tables(SECOND, Recipients::All);
     let follow =
         |one: &Decision| if let Decision::AssignTable { proxy, .. } = one { Some(*proxy) } else { None };
     let bound: Vec<ProxyId> = governor.pending.iter().filter_map(follow).collect();
@@ -929,9 +1027,9 @@
 #[test]
 fn a_withdrawal_is_counted_once_for_each_that_may_hold_it() {
     let mut governor = losing(large(), 1);
-    governor.send_ejections(true);
+    governor.send_ejections(EjectionChange::Eject);
     // What standing tables name is told nowhere, so on sockets each of ten is sent a line and a head.
-    assert_eq!(governor.queued_entries, 10.0 * (1.0 + 7.0));
+    assert_eq!(governor.send_queue.entries, 10.0 * (1.0 + 7.0));
 }
 
 #[test]
@@ -941,7 +1039,7 @@
     [ProxyId::MAX, ProxyId::MAX / 2]
         .iter()
         .for_each(|proxy| governor.proxy_connected(SECOND, with_unknown_tables(*proxy, 1.0)));
-    governor.sent_tables(SECOND, true);
+    governor.send_tables(SECOND, Recipients::All);
     assert!(governor.pending.is_empty());
 }
 
@@ -953,10 +1051,12 @@
         governor.replicas.insert(id(name), ReplicaState { observations: sights, ..warm(0) });
     }
     governor.update_health(30 * SECOND);
-    assert!(governor.fleet_wide_fault && governor.replicas.values().all(|one| !one.is_unavailable()));
+    assert!(
+        governor.fleet_health.fleet_wide_fault && governor.replicas.values().all(|one| !one.is_unavailable())
+    );
     governor.replicas.entry(id("c")).and_modify(|one| one.observations = seen(20.0, 0.0, 0.1, 30 * SECOND));
     governor.update_health(30 * SECOND);
-    assert!(!governor.fleet_wide_fault && governor.replicas[&id("a")].is_unavailable());
+    assert!(!governor.fleet_health.fleet_wide_fault && governor.replicas[&id("a")].is_unavailable());
 }
 
 #[test]
@@ -965,12 +1065,14 @@
     follower(&mut governor, 1, 0, &[("r01", 1.0), ("r02", 1.0)]);
     follower(&mut governor, 2, 0, &[("r01", 9.0)]);
     governor.proxies.entry(2).and_modify(|one| one.request_rates = vec![900.0, 900.0]);
-    let default = governor.default_tables(SECOND)[&(0, 0)].clone();
+    let default = governor.default_tables(SECOND)[&default_of_zone(0, AnyZone)].clone();
     let keeps = |governor: &Governor| {
-        governor.desired_table((1, 0), &default, &mut governor.load_model(SECOND), SECOND).contains_key("r01")
+        governor
+            .desired_table(TableKey::new(1, AnyZone), &default, &mut governor.load_model(SECOND), SECOND)
+            .contains_key("r01")
     };
     assert!(!keeps(&governor));
-    governor.fleet_wide_fault = true;
+    governor.fleet_health.fleet_wide_fault = true;
     assert!(keeps(&governor));
 }
 
@@ -983,7 +1085,7 @@
         .values_mut()
         .filter(|one| one.request_rates[0] < 9.0)
         .for_each(|one| one.request_rates = vec![0.5, 0.5]);
-    governor.sent_tables(SECOND, true);
+    governor.send_tables(SECOND, Recipients::All);
     assert!(governor.proxies[&5].default_table.is_none() && governor.proxies[&4].default_table.is_some());
 }
 
@@ -997,8 +1099,8 @@
         own.chain((0..120).map(|place| (id(&format!("z{place:03}")), weight))).collect::<Weights>()
     };
     let crossing = |weight| {
-        let mut field = governor.load_model(SECOND);
-        let lines = governor.desired_table((1, 0), &spilling(weight), &mut field, SECOND);
+        let mut model = governor.load_model(SECOND);
+        let lines = governor.desired_table(TableKey::new(1, AnyZone), &spilling(weight), &mut model, SECOND);
         lines.keys().filter(|id| id.starts_with('z')).count()
     };
     assert_eq!((crossing(0.01), crossing(0.325)), (0, 4));
@@ -1007,39 +1109,42 @@
 #[test]
 fn governors_dealt_by_zone_take_the_unheard_to_be_in_other_zones() {
     let mut governor = governor();
-    governor.parameters.total_proxies = 4.0;
+    governor.parameters.shared_proxies = 4.0;
     for (name, zone) in [("a", 0), ("y", 1)] {
         governor.replicas.insert(id(name), warm(zone));
     }
     follower(&mut governor, 1, 0, &[]);
     follower(&mut governor, 2, 0, &[]);
-    assert!(!governor.default_tables(SECOND)[&(0, 0)].contains_key("y"));
+    assert!(!governor.default_tables(SECOND)[&default_of_zone(0, AnyZone)].contains_key("y"));
 }
 
 #[test]
 fn acks_and_time_free_the_channel_slowly_until_it_is_known_to_keep_pace() {
-    let ordered = [(Duration::ZERO, 900.0)].into();
-    let mut governor = Governor { queued_entries: 900.0, sent_batches: ordered, ..governor() };
-    governor.publish(SECOND / 2, false, false);
-    assert_eq!(governor.queued_entries, 900.0 - 0.2 * 500.0);
+    let mut governor = governor();
+    governor.send_queue.batches = [SentBatch { at: Duration::ZERO, entries: 900.0 }].into();
+    governor.send_queue.entries = 900.0;
+    governor.publish(SECOND / 2, PublishTrigger::Event);
+    assert_eq!(governor.send_queue.entries, 900.0 - 0.2 * 500.0);
     governor.acknowledged(SECOND / 2);
-    assert_eq!(governor.queued_entries, 900.0 - 0.2 * 500.0, "others of the same order may wait yet");
-    governor.publish(3 * SECOND / 2, false, false);
+    assert_eq!(governor.send_queue.entries, 900.0 - 0.2 * 500.0, "others of the same order may wait yet");
+    governor.publish(3 * SECOND / 2, PublishTrigger::Event);
     governor.acknowledged(SECOND / 2);
-    assert_eq!(governor.queued_entries, 0.0, "it was ordered later, and has left");
+    assert_eq!(governor.send_queue.entries, 0.0, "it was ordered later, and has left");
 }
 
 #[test]
 fn a_rise_of_levels_waits_where_it_would_fill_the_channel_and_a_cut_does_not() {
-    let mut governor = Governor { queued_entries: 600.0, admission_fraction: 0.5, ..late(4) };
-    governor.send_admission(10 * SECOND);
-    assert!(governor.class_admissions[0].0 < 0.5);
-    (governor.queued_entries, governor.admission_fraction) = (600.0, 1.0);
-    governor.send_admission(10 * SECOND);
-    assert!(governor.class_admissions[0].0 < 0.5);
-    governor.queued_entries = 0.0;
-    governor.send_admission(10 * SECOND);
-    assert_eq!(governor.class_admissions[0].0, 1.0);
+    let mut governor = late(4);
+    governor.send_queue.entries = 600.0;
+    governor.admission.fraction = 0.5;
+    governor.publish_admission(10 * SECOND);
+    assert!(governor.admission.classes[0].fraction < 0.5);
+    (governor.send_queue.entries, governor.admission.fraction) = (600.0, 1.0);
+    governor.publish_admission(10 * SECOND);
+    assert!(governor.admission.classes[0].fraction < 0.5);
+    governor.send_queue.entries = 0.0;
+    governor.publish_admission(10 * SECOND);
+    assert_eq!(governor.admission.classes[0].fraction, 1.0);
 }
 
 #[test]
@@ -1050,8 +1155,8 @@
     follower(&mut governor, 1, 0, &eight);
     follower(&mut governor, 2, 0, &eight[..2]);
     governor.proxies.entry(1).and_modify(|one| one.request_rates = vec![90.0, 90.0]);
-    governor.queued_entries = 550.0;
-    governor.sent_tables(SECOND, true);
+    governor.send_queue.entries = 550.0;
+    governor.send_tables(SECOND, Recipients::All);
     let numbers = governor.pending.iter().filter_map(|one| match one {
         Decision::UpdateTable { table: number, .. } => Some(*number),
         _ => None,
@@ -1062,10 +1167,11 @@
 
 #[test]
 fn a_group_whose_flows_hang_is_cut_before_less_useful_ones() {
-    let mut governor = Governor { admission_fraction: 0.7, ..late(4) };
-    governor.failed_fractions = vec![0.0, 0.8];
-    governor.send_admission(10 * SECOND);
-    assert_eq!((governor.class_admissions[0].0, governor.class_admissions[1].0), (1.0, 0.4));
+    let mut governor = late(4);
+    governor.admission.fraction = 0.7;
+    governor.admission.failed_fractions = vec![0.0, 0.8];
+    governor.publish_admission(10 * SECOND);
+    assert_eq!((governor.admission.classes[0].fraction, governor.admission.classes[1].fraction), (1.0, 0.4));
 }
 
 #[test]
@@ -1076,12 +1182,12 @@
             SECOND,
             DemandStatistics { proxy: 1, class: 1, requests: 100, failed: dropped, interval: SECOND },
         );
-        governor.failed_fractions[1]
+        governor.admission.failed_fractions[1]
     };
     assert!((came(&mut governor, 50) - 0.005).abs() < 1e-9);
-    governor.class_admissions[1].0 = 0.5;
+    governor.admission.classes[1].fraction = 0.5;
     assert!((came(&mut governor, 50) - 0.009975).abs() < 1e-9);
-    governor.class_admissions[1].0 = 0.0;
+    governor.admission.classes[1].fraction = 0.0;
     assert!((came(&mut governor, 0) - 0.009975).abs() < 1e-9);
 }
 
@@ -1091,7 +1197,7 @@
     let old = || ReplicaState { ready: false, gone_since: gone, ejection_sent: true, ..warm(0) };
     let mut governor = Governor {
         replicas: [(id("a"), old()), (id("b"), old()), (id("c"), warm(0))].into(),
-        sent_tables: [((7, 0), [(id("b"), 1.0)].into())].into(),
+        sent_tables: [(TableKey::new(7, AnyZone), [(id("b"), 1.0)].into())].into(),
         ..governor()
     };
     governor.replicas.insert(id("d"), ReplicaState { gone_since: Some(250 * SECOND), ..old() });
@@ -1124,16 +1230,16 @@
     }
     governor.adjust_admission(10 * SECOND);
     assert!(
-        (governor.admission_fraction - QUEUE_DRAINING_FRACTION * 0.4).abs() < 1e-9,
+        (governor.admission.fraction - QUEUE_DRAINING_FRACTION * 0.4).abs() < 1e-9,
         "{}",
-        governor.admission_fraction
+        governor.admission.fraction
     );
 }
 
 #[test]
 fn what_replicas_answered_before_they_went_is_not_answered_now() {
     let mut governor = late(4);
-    governor.last_reports = [(0, 60 * SECOND)].into();
+    governor.reports.last_by_zone = [(0, 60 * SECOND)].into();
     for replica in governor.replicas.values_mut().take(2) {
         replica.observations = seen(10.0, 0.0, 1.0, 60 * SECOND);
     }
--- /dev/null
+++ b/src/governor/utilisation.rs
@@ -0,0 +1,101 @@
+//! How much of its capacity each replica uses, and what the fleet answers.
+
+use std::time::Duration;
+
+use super::Governor;
+use super::arithmetic::ratio;
+use super::replica_state::{ReplicaState, ZoneObservation};
+
+/// The part of its distance from the mean by which a replica's capacity is corrected in a cycle.
+const CORRECTION_GAIN: f64 = 0.25;
+/// What remains of a correction after a cycle.
+const CORRECTION_RETENTION: f64 = 0.95;
+/// The largest decrease of a capacity's logarithm in a cycle.
+const MAX_CORRECTION_DECREASE: f64 = -0.5;
+/// The largest increase of a capacity's logarithm in a cycle.
+const MAX_CORRECTION_INCREASE: f64 = 0.2;
+/// The least correction: about a quarter of the listed capacity.
+const MIN_CORRECTION: f64 = -1.4;
+/// The largest correction: about 1.3 of the listed capacity.
+const MAX_CORRECTION: f64 = 0.25;
+/// Silence longer than the time of this many attempts counts as a falling rate.
+const SILENT_ATTEMPTS: f64 = 2.0;
+/// As [`SILENT_ATTEMPTS`], where attempts are rare: in averaging periods.
+const MAX_SILENT_PERIODS: f64 = 4.0;
+
+/// Utilisation of the replicas that are in use.
+#[derive(Clone, Copy)]
+pub(super) struct FleetUtilisation {
+    pub(super) mean: f64,
+    pub(super) peak: f64,
+}
+
+impl Governor {
+    /// Requests in flight by listed weight, where they are known: from health checks, or else by Little's law.
+    pub(super) fn utilisation(&self, replica: &ReplicaState, now: Duration) -> Option<f64> {
+        let in_flight = replica.in_flight.or_else(|| self.estimated_in_flight(replica))?;
+        Some(in_flight / replica.weight / replica.warm_fraction(self.parameters.slow_start, now))
+    }
+
+    /// Little's law: the rate of attempts times their latency. Observations fade once reports stop.
+    fn estimated_in_flight(&self, replica: &ReplicaState) -> Option<f64> {
+        let observed = replica.observations.iter().filter(|(_, one)| one.attempts_per_second > 0.0);
+        let in_flight = observed.map(|(zone, observation)| {
+            let last_report = observation.last_report + self.reports.delay;
+            let age = self.reports.last_report(*zone).saturating_sub(last_report).as_secs_f64();
+            let decay = (-age / self.parameters.averaging_seconds).exp();
+            observation.attempts_per_second * observation.latency_seconds * decay
+        });
+        in_flight.reduce(|sum, in_flight| sum + in_flight)
+    }
+
+    pub(super) fn fleet_utilisation(&self, now: Duration) -> FleetUtilisation {
+        let mut load = 0.0;
+        let mut weights = 0.0;
+        let mut peak = 0.0f64;
+        for replica in self.replicas.values() {
+            if self.usable_fraction(replica, now) <= 0.0 {
+                continue;
+            }
+            let Some(utilisation) = self.utilisation(replica, now) else { continue };
+            let weight = replica.weight * replica.warm_fraction(self.parameters.slow_start, now);
+            load += utilisation * weight;
+            weights += weight;
+            peak = peak.max(utilisation);
+        }
+        FleetUtilisation { mean: ratio(load, weights), peak }
+    }
+
+    /// A slow replica holds more requests at the same rate. Its capacity moves towards what would give it the mean
+    /// utilisation.
+    pub(super) fn correct_capacities(&mut self, now: Duration) {
+        let mean = self.fleet_utilisation(now).mean;
+        let utilisations: Vec<Option<f64>> =
+            self.replicas.values().map(|replica| self.utilisation(replica, now)).collect();
+        for (replica, utilisation) in self.replicas.values_mut().zip(utilisations) {
+            let step = utilisation.map_or(0.0, |utilisation| {
+                CORRECTION_GAIN * ratio(mean, utilisation.max(1e-9)).max(1e-9).ln()
+            });
+            let step = step.clamp(MAX_CORRECTION_DECREASE, MAX_CORRECTION_INCREASE);
+            let correction = CORRECTION_RETENTION * replica.capacity_correction + step;
+            replica.capacity_correction = correction.clamp(MIN_CORRECTION, MAX_CORRECTION);
+        }
+    }
+
+    /// Requests a second that the fleet answers.
+    pub(super) fn success_rate(&self) -> f64 {
+        let observations = self.replicas.values().flat_map(|replica| &replica.observations);
+        observations.map(|(zone, observation)| self.observed_success_rate(*zone, observation)).sum()
+    }
+
+    /// What is gone, or is sent nothing, has no further reports; nor has a rarely used replica between two attempts.
+    fn observed_success_rate(&self, zone: usize, observation: &ZoneObservation) -> f64 {
+        let averaging_seconds = self.parameters.averaging_seconds;
+        let last_report = observation.last_report + self.reports.delay;
+        let silence = self.reports.last_report(zone).saturating_sub(last_report).as_secs_f64();
+        let usual_silence = ratio(SILENT_ATTEMPTS, observation.attempts_per_second);
+        let silence = (silence - usual_silence.min(MAX_SILENT_PERIODS * averaging_seconds)).max(0.0);
+        let succeeding = ratio(observation.succeeded, observation.succeeded + observation.failed);
+        observation.attempts_per_second * succeeding * (-silence / averaging_seconds).exp()
+    }
+}
--- /dev/null
+++ b/src/governor/water_filling.rs
@@ -0,0 +1,152 @@
+//! Water-filling: spreading a flow over replicas so that the highest utilisation is as low as can be.
+//!
+//! This stands in for the linear programme of FlexDATE (M. Ye, J. Zhang, Z. Guo and H. J. Chao, "FlexDATE: Flexible
+//! and Disturbance-Aware Traffic Engineering With Reinforcement Learning in Software-Defined Networks"): with one
+//! hop and divisible flows it comes to the same minimal peak utilisation.
+
+use std::collections::BTreeSet;
+
+use super::arithmetic::ratio;
+use super::load_model::{LoadModel, ReplicaRate};
+use super::tables::{MAX_TABLE_ENTRIES, RouteScope, TableKey, Tables, Weights};
+use crate::types::ProxyId;
+
+/// The sum of a solved table's weights.
+const SOLVED_TABLE_WEIGHT: f64 = 100.0;
+/// Of [`SOLVED_TABLE_WEIGHT`]: a smaller weight is not worth an entry.
+const MIN_SOLVED_WEIGHT: f64 = 1.5;
+
+/// A replica, as a bin that is filled to a level.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) struct Bin {
+    /// Its utilisation before anything is filled in.
+    pub(super) level: f64,
+    /// Requests a second that raise the level by 1.
+    pub(super) capacity: f64,
+    pub(super) replica: usize,
+}
+
+/// Fills a rate into bins, sorted by their level, so that the highest level stays lowest.
+pub(super) fn water_fill(rate: f64, bins: &[Bin]) -> Vec<ReplicaRate> {
+    let mut capacity = 0.0;
+    let mut filled = rate;
+    for bin in bins {
+        if bin.level * capacity < filled {
+            capacity += bin.capacity;
+            filled += bin.level * bin.capacity;
+        }
+    }
+    let level = ratio(filled, capacity);
+    let rate = |bin: &Bin| ReplicaRate { replica: bin.replica, rate: (level - bin.level) * bin.capacity };
+    bins.iter().map(rate).filter(|filled| filled.rate > 0.0).collect()
+}
+
+/// A small default table that is to be made.
+pub(super) struct SmallDefault<'a> {
+    pub(super) key: TableKey,
+    pub(super) zone: usize,
+    pub(super) requests_per_second: f64,
+    pub(super) entries: usize,
+    /// The zone's whole default table.
+    pub(super) candidates: &'a Weights,
+    /// What the proxy's table names now.
+    pub(super) current: &'a Weights,
+}
+
+impl LoadModel {
+    /// Replicas by their level for a zone's proxies, the lowest first. The price multiplies a replica's level and
+    /// divides its capacity; those without one are left out.
+    fn bins_by_level(&self, zone: usize, added_rate: f64, price: impl Fn(usize) -> Option<f64>) -> Vec<Bin> {
+        let bins = self.capacities.iter().zip(&self.loads).enumerate();
+        let bins = bins.filter_map(|(replica, (capacity, load))| {
+            let zone_price = if capacity.zone == zone { 1.0 } else { self.cross_zone_price };
+            let price = price(replica)? * zone_price;
+            let level = ratio((load + added_rate) * price, capacity.requests_per_second);
+            Some(Bin { level, capacity: capacity.requests_per_second / price, replica })
+        });
+        let mut bins: Vec<Bin> = bins.collect();
+        bins.sort_by(|one, other| one.level.total_cmp(&other.level));
+        bins
+    }
+
+    /// Solves the flows of the critical proxies against all others: the largest first, twice over.
+    pub(super) fn solve(&mut self, critical: &BTreeSet<ProxyId>) {
+        self.reset_loads();
+        let mut keys: Vec<TableKey> =
+            self.flows.keys().filter(|key| critical.contains(&key.proxy)).copied().collect();
+        keys.sort_by(|one, other| {
+            let rate = |key: &TableKey| self.flows[key].requests_per_second;
+            rate(other).total_cmp(&rate(one))
+        });
+        for key in keys.iter().chain(&keys) {
+            self.solve_flow(*key);
+        }
+    }
+
+    fn solve_flow(&mut self, key: TableKey) {
+        let current = self.remove_flow(key);
+        let flow = self.flows[&key];
+        let usable = |replica: usize| {
+            let capacity = self.capacities[replica];
+            let reachable = key.scope == RouteScope::AnyZone || capacity.zone == flow.zone;
+            capacity.requests_per_second > 0.0 && reachable
+        };
+        let mut bins = self.bins_by_level(flow.zone, 0.0, |replica| usable(replica).then_some(1.0));
+        bins.truncate(MAX_TABLE_ENTRIES);
+        let solved = water_fill(flow.requests_per_second, &bins);
+        let rates = if solved.is_empty() { current } else { solved };
+        self.add_rates(&rates);
+        self.solved.insert(key, rates);
+    }
+
+    /// The solved flows as tables.
+    pub(super) fn solved_tables(&self) -> Tables {
+        self.solved.iter().map(|(key, rates)| (*key, self.solved_weights(rates))).collect()
+    }
+
+    fn solved_weights(&self, rates: &[ReplicaRate]) -> Weights {
+        let scale = ratio(SOLVED_TABLE_WEIGHT, rates.iter().map(|sent| sent.rate).sum());
+        let mut weights = Weights::new();
+        for sent in rates {
+            let weight = sent.rate * scale;
+            if weight >= MIN_SOLVED_WEIGHT {
+                weights.insert(self.replicas[sent.replica].clone(), weight);
+            }
+        }
+        weights
+    }
+
+    /// A default table of few entries with equal weights: the replicas with the lowest levels, where those that the
+    /// table names already are preferred.
+    pub(super) fn small_default(&mut self, wanted: &SmallDefault) -> Weights {
+        self.remove_flow(wanted.key);
+        let rate_by_entry = wanted.requests_per_second / wanted.entries as f64;
+        let bins = self.bins_by_level(wanted.zone, rate_by_entry, |replica| {
+            let id = &self.replicas[replica];
+            let price = if wanted.current.contains_key(id) { 1.0 / self.retention_preference } else { 1.0 };
+            wanted.candidates.contains_key(id).then_some(price)
+        });
+        // Among many more elsewhere some are always cooler: entries cross zones only as far as the default spills.
+        let entries_in_zone = self.entries_in_zone(wanted);
+        let (mut chosen, mut elsewhere): (Vec<Bin>, Vec<Bin>) =
+            bins.into_iter().partition(|bin| self.capacities[bin.replica].zone == wanted.zone);
+        chosen.truncate(entries_in_zone);
+        elsewhere.truncate(wanted.entries.saturating_sub(entries_in_zone));
+        chosen.extend(elsewhere);
+        let mut weights = Weights::new();
+        for bin in chosen {
+            self.loads[bin.replica] += rate_by_entry;
+            weights.insert(self.replicas[bin.replica].clone(), 1.0);
+        }
+        weights
+    }
+
+    /// How many entries of a small default table stay in its zone: as large a part as of the whole default.
+    fn entries_in_zone(&self, wanted: &SmallDefault) -> usize {
+        let in_zone = super::tables::weight_fraction(wanted.candidates, |id| {
+            let replica = self.replicas.binary_search(id);
+            replica.is_ok_and(|replica| self.capacities[replica].zone == wanted.zone)
+        });
+        (wanted.entries as f64 * in_zone).round() as usize
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,5 +4,7 @@
 //! [`governor::Governor`] the events that one governor process sees and carries out what it decides. The governor
 //! reads no clock, opens no socket and shares nothing.
 
+#![warn(missing_docs)]
+
 pub mod governor;
 pub mod types;
