--- /dev/null
+++ b/crates/adapter/src/host.rs
@@ -0,0 +1,123 @@
+//! The governors of the bench, and what they are told in a batch.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::io::{self, Write};
+use std::time::Duration;
+
+use wrenthread::governor::Governor;
+use wrenthread::types::ReplicaEntry;
+
+use crate::error::MessageError;
+use crate::events::{self, GovernorEvent, GovernorStart, ReplicaNames};
+use crate::message::{Message, MessageKind};
+use crate::replies;
+
+/// The governors of the bench.
+#[derive(Default)]
+pub struct Host {
+    now: Duration,
+    governors: BTreeMap<u64, Governor>,
+    /// Governors with an event in the batch: only these may act.
+    touched: BTreeSet<u64>,
+    lists: BTreeMap<u64, Vec<ReplicaEntry>>,
+    /// Governors to which replica lists come only once they have subscribed.
+    subscribers: BTreeSet<u64>,
+    /// Those that are to subscribe now.
+    unsubscribed: BTreeSet<u64>,
+    names: ReplicaNames,
+}
+
+impl Host {
+    /// Begins a batch.
+    ///
+    /// # Errors
+    ///
+    /// If the message states no time.
+    pub fn begin_batch(&mut self, message: &Message) -> Result<(), MessageError> {
+        self.now = events::batch_time(message)?;
+        Ok(())
+    }
+
+    /// Takes in a message of a batch.
+    ///
+    /// # Errors
+    ///
+    /// If the message can't be understood, or names a governor or a list that is not there. It then has no effect.
+    pub fn receive(&mut self, message: &Message) -> Result<(), MessageError> {
+        if message.kind() == MessageKind::DefineList {
+            let list = events::replica_list(message, &mut self.names)?;
+            self.lists.insert(list.number, list.entries);
+            return Ok(());
+        }
+        let id = events::governor_id(message)?;
+        match message.kind() {
+            MessageKind::StartGovernor => self.start_governor(id, events::governor_start(message)?),
+            MessageKind::KillGovernor => self.kill_governor(id)?,
+            _ => self.receive_event(id, message)?,
+        }
+        Ok(())
+    }
+
+    fn start_governor(&mut self, id: u64, start: GovernorStart) {
+        self.governors.insert(id, Governor::new(start.settings, self.now));
+        self.touched.insert(id);
+        self.unsubscribed.remove(&id);
+        if start.subscribes {
+            self.subscribers.insert(id);
+            self.unsubscribed.insert(id);
+        }
+    }
+
+    fn kill_governor(&mut self, id: u64) -> Result<(), MessageError> {
+        self.touched.remove(&id);
+        self.governors.remove(&id).map(drop).ok_or(MessageError::UnknownGovernor(id))
+    }
+
+    fn receive_event(&mut self, id: u64, message: &Message) -> Result<(), MessageError> {
+        let now = self.now;
+        let governor = self.governors.get_mut(&id).ok_or(MessageError::UnknownGovernor(id))?;
+        match events::governor_event(message, &mut self.names)? {
+            GovernorEvent::RosterUpdated { list, scope } => {
+                let entries = self.lists.get(&list).ok_or(MessageError::UnknownList(list))?;
+                governor.update_replicas(now, entries, scope);
+            }
+            GovernorEvent::SubscriptionEnded => {
+                if self.subscribers.contains(&id) {
+                    self.unsubscribed.insert(id);
+                }
+            }
+            GovernorEvent::ProxyConnected(connection) => governor.proxy_connected(now, connection),
+            GovernorEvent::ProxyDisconnected(proxy) => governor.proxy_disconnected(proxy),
+            GovernorEvent::ReplicaObserved(statistics) => {
+                governor.record_replica_statistics(now, statistics);
+            }
+            GovernorEvent::DemandObserved(statistics) => governor.record_demand(now, statistics),
+            GovernorEvent::HealthChecked { replica, took, load } => {
+                governor.record_health_check(now, &replica, took, &load);
+            }
+            GovernorEvent::Tick => governor.tick(),
+            GovernorEvent::Acknowledged(took) => governor.acknowledged(took),
+            GovernorEvent::Ignored => {}
+        }
+        self.touched.insert(id);
+        Ok(())
+    }
+
+    /// Answers a batch: what the governors with an event in it decide.
+    ///
+    /// # Errors
+    ///
+    /// Those of the output.
+    pub fn end_batch(&mut self, output: &mut impl Write) -> io::Result<()> {
+        for id in std::mem::take(&mut self.touched) {
+            let Some(governor) = self.governors.get_mut(&id) else { continue };
+            if self.unsubscribed.remove(&id) {
+                replies::write_subscription(id, output)?;
+            }
+            while let Some(decision) = governor.next_decision(self.now) {
+                replies::write_decision(id, &decision, output)?;
+            }
+        }
+        replies::write_end(output)
+    }
+}
