--- /dev/null
+++ b/src/governor/tests/admission_control.rs
@@ -0,0 +1,119 @@
+//! How many requests are admitted.
+
+use super::fixtures::*;
+use super::*;
+
+#[test]
+fn publishes_no_admission_until_enough_is_observed() {
+    let mut governor = Governor::new(settings(), Duration::ZERO);
+    add_follower(&mut governor, 1, 0, &[]);
+    governor.publish(SECOND, PublishTrigger::FlushDue);
+    assert!(!decisions(&governor).iter().any(|one| matches!(one, Decision::SetAdmission { .. })));
+}
+
+#[test]
+fn cuts_admission_to_what_overloaded_replicas_answer() {
+    let mut governor = governor_with_late_answers(4);
+    governor.adjust_admission(10 * SECOND);
+    assert!((governor.admission.fraction - QUEUE_DRAINING_FRACTION * 0.4).abs() < 1e-9);
+    governor.admission.latency = LatencySum { answers: 50.0, seconds: 60.0 };
+    governor.adjust_admission(11 * SECOND);
+    assert!((governor.admission.fraction - QUEUE_DRAINING_FRACTION * 0.4).abs() < 1e-9);
+}
+
+#[test]
+fn does_not_cut_for_late_answers_of_drained_queues() {
+    let mut governor = governor_with_late_answers(1);
+    governor.adjust_admission(10 * SECOND);
+    assert_eq!(governor.admission.fraction, 1.0);
+}
+
+#[test]
+fn sheds_the_least_valuable_class_first_and_ends_retries() {
+    let mut governor = governor_with_late_answers(4);
+    governor.admission.fraction = 0.7;
+    governor.publish_admission(10 * SECOND);
+    assert_eq!(
+        governor.admission.classes,
+        [0.4, 1.0].map(|fraction| ClassAdmission { fraction, retry_policy: RetryPolicy::Never })
+    );
+}
+
+#[test]
+fn retries_only_attempts_that_were_not_executed() {
+    let mut governor = governor_with_late_answers(0);
+    governor.publish_admission(10 * SECOND);
+    let tries = governor.admission.classes.iter().map(|admission| admission.retry_policy);
+    assert!(tries.into_iter().all(|tries| tries == RetryPolicy::IfNotExecuted));
+}
+
+#[test]
+fn limits_admission_to_what_a_warming_fleet_bears() {
+    let mut governor = Governor { nominal_weight: 4.0, ..governor() };
+    add_follower(&mut governor, 1, 0, &[]);
+    ["a", "b"]
+        .iter()
+        .for_each(|name| drop(governor.replicas.insert(id(name), warming_replica(0, Duration::ZERO))));
+    governor.publish_admission(5 * SECOND);
+    assert_eq!((governor.admission.classes[0].fraction, governor.admission.classes[1].fraction), (0.0, 0.85));
+}
+
+#[test]
+fn admits_everything_where_proxies_heed_no_fraction() {
+    let mut governor = governor_with_late_answers(4);
+    (governor.parameters.limits_admission, governor.admission.fraction) = (false, 0.5);
+    governor.publish_admission(10 * SECOND);
+    assert!(governor.admission.classes.iter().all(|admission| admission.fraction == 1.0));
+}
+
+#[test]
+fn recovers_cautiously_beyond_what_was_answered_at_the_last_cut() {
+    let mut governor = governor_with_late_answers(0);
+    governor.admission.fraction = 0.6;
+    governor.admission.last_cut = LastCut { answered_fraction: 0.5, at: Duration::ZERO };
+    governor.admission.latency = LatencySum { answers: 50.0, seconds: 5.0 };
+    governor.adjust_admission(10 * SECOND);
+    assert!((governor.admission.fraction - 0.612).abs() < 1e-9);
+    (governor.admission.fraction, governor.admission.latency) =
+        (0.4, LatencySum { answers: 50.0, seconds: 5.0 });
+    governor.adjust_admission(11 * SECOND);
+    assert!(governor.admission.fraction >= 0.42);
+}
+
+#[test]
+fn delays_a_rise_but_not_a_cut_in_a_filled_channel() {
+    let mut governor = governor_with_late_answers(4);
+    governor.send_queue.entries = 600.0;
+    governor.admission.fraction = 0.5;
+    governor.publish_admission(10 * SECOND);
+    assert!(governor.admission.classes[0].fraction < 0.5);
+    (governor.send_queue.entries, governor.admission.fraction) = (600.0, 1.0);
+    governor.publish_admission(10 * SECOND);
+    assert!(governor.admission.classes[0].fraction < 0.5);
+    governor.send_queue.entries = 0.0;
+    governor.publish_admission(10 * SECOND);
+    assert_eq!(governor.admission.classes[0].fraction, 1.0);
+}
+
+#[test]
+fn sheds_a_class_whose_requests_fail_before_less_valuable_ones() {
+    let mut governor = governor_with_late_answers(4);
+    governor.admission.fraction = 0.7;
+    governor.admission.failed_fractions = vec![0.0, 0.8];
+    governor.publish_admission(10 * SECOND);
+    assert_eq!((governor.admission.classes[0].fraction, governor.admission.classes[1].fraction), (1.0, 0.4));
+}
+
+#[test]
+fn does_not_take_proxies_that_just_connected_for_overload() {
+    let mut governor = governor_with_late_answers(4);
+    for proxy in 2..4 {
+        governor.proxy_connected(9 * SECOND, with_unknown_tables(proxy, 100.0));
+    }
+    governor.adjust_admission(10 * SECOND);
+    assert!(
+        (governor.admission.fraction - QUEUE_DRAINING_FRACTION * 0.4).abs() < 1e-9,
+        "{}",
+        governor.admission.fraction
+    );
+}
--- /dev/null
+++ b/src/governor/tests/publishing.rs
@@ -0,0 +1,185 @@
+//! When decisions are sent, in which order, and how they fill the channel.
+
+use super::fixtures::*;
+use super::*;
+
+#[test]
+fn sends_ejections_before_changed_entries() {
+    let mut governor = governor();
+    add_follower(&mut governor, 1, 0, &[("a", 1.0), ("b", 1.0)]);
+    governor.replicas.insert(id("a"), ReplicaState { ready: false, ..warm_replica(0) });
+    governor.replicas.insert(id("b"), warm_replica(0));
+    governor.publish(SECOND, PublishTrigger::Event);
+    assert_eq!(decisions(&governor)[0], &Decision::SetEjected { replica: id("a"), ejected: true });
+    assert_eq!(
+        decisions(&governor)[1],
+        &Decision::UpdateTable { table: 2, entries: vec![entry(id("a"), 0.0)] }
+    );
+}
+
+#[test]
+fn sends_the_entries_of_a_returning_replica_before_it_is_readmitted() {
+    let mut governor = governor();
+    add_follower(&mut governor, 1, 0, &[("b", 1.0)]);
+    governor.replicas.insert(id("a"), ReplicaState { ejection_sent: true, ..warming_replica(0, SECOND) });
+    governor.replicas.insert(id("b"), warm_replica(0));
+    governor.publish(SECOND, PublishTrigger::FlushDue);
+    let orders = decisions(&governor);
+    let widens = |one: &&&Decision| matches!(one, Decision::UpdateTable { table: 2, entries: lines } if lines[0].replica == id("a"));
+    let line = orders.iter().position(|one| widens(&one));
+    let back =
+        orders.iter().position(|one| **one == Decision::SetEjected { replica: id("a"), ejected: false });
+    assert!(line.is_some() && line < back);
+}
+
+#[test]
+fn gives_an_unsynchronised_proxy_its_table_at_the_next_tick() {
+    let mut governor = governor();
+    governor.replicas.insert(id("a"), ReplicaState { ready: false, ..warm_replica(0) });
+    governor.replicas.insert(id("b"), warm_replica(0));
+    governor.proxy_connected(SECOND, with_unknown_tables(3, 4.0));
+    governor.publish(SECOND, PublishTrigger::Tick);
+    let orders = decisions(&governor);
+    assert!(orders.contains(&&Decision::UpdateTable { table: 6, entries: vec![entry(id("b"), 1.0)] }));
+    assert!(orders.contains(&&Decision::AssignTable { proxy: 3, table: 6, classes: 0b11 }));
+}
+
+#[test]
+fn sends_nothing_once_the_limit_on_messages_is_reached() {
+    let mut governor = governor();
+    add_follower(&mut governor, 1, 0, &[("a", 1.0)]);
+    governor.replicas.insert(id("a"), ReplicaState { ready: false, ..warm_replica(0) });
+    governor.send_queue.recent_flushes = vec![SECOND; 8].into();
+    governor.publish(2 * SECOND, PublishTrigger::FlushDue);
+    assert!(governor.pending.is_empty());
+}
+
+#[test]
+fn sends_no_table_into_a_full_channel() {
+    let mut governor = governor();
+    add_follower(&mut governor, 1, 0, &[]);
+    governor.replicas.insert(id("a"), warm_replica(0));
+    governor.send_queue.entries = 800.0;
+    governor.send_tables(Duration::ZERO, Recipients::All);
+    assert!(governor.pending.is_empty());
+    // Nor for one whose holdings are unknown, though it may send to what drains: a storm of them would
+    // break the rule.
+    governor.proxy_connected(Duration::ZERO, with_unknown_tables(2, 1.0));
+    governor.send_tables(Duration::ZERO, Recipients::Unsynchronised);
+    assert!(governor.pending.is_empty());
+    governor.send_queue.entries = 500.0;
+    governor.send_tables(Duration::ZERO, Recipients::Unsynchronised);
+    assert!(governor.pending.contains(&Decision::AssignTable { proxy: 2, table: 4, classes: 0b11 }));
+}
+
+/// A hundred joiners whose holdings are unknown, and a few replicas.
+fn governor_with_unsynchronised_proxies(names: &[&str]) -> Governor {
+    let mut governor = governor();
+    governor.replicas.extend(names.iter().map(|name| (id(name), warm_replica(0))));
+    (0..100).for_each(|proxy| governor.proxy_connected(Duration::ZERO, with_unknown_tables(proxy, 1.0)));
+    governor
+}
+
+#[test]
+fn leaves_channel_capacity_for_ejections_when_many_proxies_connect() {
+    let mut governor = governor_with_unsynchronised_proxies(&["a", "b", "c", "d"]);
+    governor.publish(SECOND, PublishTrigger::Tick);
+    let bound = governor.proxies.values().filter(|one| !one.unsynchronised).count();
+    assert!(bound > 20 && bound < 100, "{bound}");
+    assert!(governor.send_queue.entries <= 0.64 * 1000.0, "{}", governor.send_queue.entries);
+}
+
+#[test]
+fn ejects_draining_replicas_before_faulty_ones_as_far_as_the_channel_bears() {
+    let mut governor = governor_with_unsynchronised_proxies(&["a", "b", "c"]);
+    governor
+        .replicas
+        .values_mut()
+        .for_each(|one| one.health = HealthState::Ejected { until: SECOND, failures: 1 });
+    governor.replicas.insert(id("d"), ReplicaState { ready: false, ..warm_replica(0) });
+    governor.send_ejections(EjectionChange::Eject);
+    assert_eq!(decisions(&governor), [&Decision::SetEjected { replica: id("d"), ejected: true }]);
+    // A line and a head for each proxy whose table can't be read.
+    assert_eq!(governor.send_queue.entries, 100.0 * (1.0 + 7.0));
+    governor.send_ejections(EjectionChange::Eject);
+    assert_eq!(decisions(&governor).len(), 1, "the others wait");
+    governor.send_queue.entries = 0.0;
+    governor.send_ejections(EjectionChange::Eject);
+    assert_eq!(decisions(&governor)[1], &Decision::SetEjected { replica: id("a"), ejected: true });
+}
+
+#[test]
+fn counts_an_ejection_for_tables_that_may_name_the_replica() {
+    let names: Vec<String> = (0..100).map(|at| format!("r{at}")).collect();
+    let mut governor =
+        governor_with_unsynchronised_proxies(&names.iter().map(String::as_str).collect::<Vec<_>>());
+    governor.replicas.insert(id("r1"), ReplicaState { ready: false, ..warm_replica(0) });
+    governor.proxies.values_mut().for_each(|one| one.unsynchronised = false);
+    governor.send_ejections(EjectionChange::Eject);
+    let expected = 100.0 * (1.0 + 7.0) * 16.0 / 99.0;
+    assert!(
+        (governor.send_queue.entries - expected).abs() < 1e-6,
+        "{} {expected}",
+        governor.send_queue.entries
+    );
+}
+
+#[test]
+fn drains_the_queue_by_acknowledgements_and_by_time() {
+    let batch = |at| SentBatch { at: at * SECOND, entries: 100.0 };
+    let channel = || {
+        let mut governor = governor();
+        governor.send_queue.batches = (1..=4).map(batch).collect();
+        governor.send_queue.entries = 400.0;
+        governor.send_queue.drained_at = 5 * SECOND;
+        governor
+    };
+    let mut quick = channel();
+    quick.acknowledged(SECOND);
+    assert_eq!(
+        quick.send_queue.entries, 100.0,
+        "it was ordered at 3.5 s at the soonest, as its answer was on its way as well"
+    );
+    let mut slow = channel();
+    slow.acknowledged(4 * SECOND);
+    assert_eq!(slow.send_queue.entries, 400.0);
+    // Without answers time counts, at a bad channel's pace.
+    slow.publish(6 * SECOND, PublishTrigger::Event);
+    assert_eq!(slow.send_queue.entries, 400.0 - 0.2 * 1000.0);
+    slow.publish(60 * SECOND, PublishTrigger::Event);
+    assert!(slow.send_queue.entries == 0.0 && slow.send_queue.batches.is_empty());
+}
+
+#[test]
+fn delays_an_urgent_flush_the_more_of_the_limit_is_used() {
+    let mut governor = governor();
+    add_follower(&mut governor, 1, 0, &[("a", 1.0)]);
+    governor.replicas.insert(id("a"), ReplicaState { ready: false, ..warm_replica(0) });
+    governor.send_queue.recent_flushes = vec![SECOND; 7].into();
+    governor.publish(SECOND + SECOND / 2, PublishTrigger::Event);
+    assert!(governor.pending.is_empty());
+    governor.publish(3 * SECOND, PublishTrigger::Event);
+    assert_eq!(decisions(&governor)[0], &Decision::SetEjected { replica: id("a"), ejected: true });
+}
+
+#[test]
+fn counts_an_ejection_once_for_each_default_table() {
+    let mut governor = without_replicas(governor_with_large_zone(), 1);
+    governor.send_ejections(EjectionChange::Eject);
+    // What standing tables name is told nowhere, so on sockets each of ten is sent a line and a head.
+    assert_eq!(governor.send_queue.entries, 10.0 * (1.0 + 7.0));
+}
+
+#[test]
+fn drains_the_queue_slowly_until_it_is_acknowledged() {
+    let mut governor = governor();
+    governor.send_queue.batches = [SentBatch { at: Duration::ZERO, entries: 900.0 }].into();
+    governor.send_queue.entries = 900.0;
+    governor.publish(SECOND / 2, PublishTrigger::Event);
+    assert_eq!(governor.send_queue.entries, 900.0 - 0.2 * 500.0);
+    governor.acknowledged(SECOND / 2);
+    assert_eq!(governor.send_queue.entries, 900.0 - 0.2 * 500.0, "others of the same order may wait yet");
+    governor.publish(3 * SECOND / 2, PublishTrigger::Event);
+    governor.acknowledged(SECOND / 2);
+    assert_eq!(governor.send_queue.entries, 0.0, "it was ordered later, and has left");
+}
--- /dev/null
+++ b/src/governor/tests/statistics.rs
@@ -0,0 +1,99 @@
+//! What statistics and health checks are taken to say.
+
+use super::fixtures::*;
+use super::*;
+
+#[test]
+fn takes_the_first_report_of_a_replica_at_its_full_rate() {
+    let mut governor = governor();
+    governor.replicas.insert(id("a"), warm_replica(0));
+    let (replica, mean) = (id("a"), Some(SECOND));
+    governor.record_replica_statistics(
+        SECOND,
+        ReplicaStatistics {
+            zone: 0,
+            replica,
+            attempts: 5,
+            failed: 0,
+            mean_latency: mean,
+            interval: SECOND / 2,
+            load: vec![],
+        },
+    );
+    assert_eq!(governor.success_rate(), 10.0);
+}
+
+#[test]
+fn raises_the_requests_in_flight_after_a_failed_health_check() {
+    let probed =
+        Settings { health_check_cost: Some(0.0), load_fields: vec![LoadField::InFlight], ..settings() };
+    let mut governor = Governor::new(probed, Duration::ZERO);
+    governor.replicas.insert(id("a"), ReplicaState { in_flight: Some(2.0), ..warm_replica(0) });
+    governor.record_health_check(SECOND, &id("a"), None, &[]);
+    assert_eq!(governor.replicas[&id("a")].in_flight, Some(2.6));
+}
+
+#[test]
+fn counts_admitted_requests_as_demand() {
+    let mut governor = governor();
+    add_follower(&mut governor, 1, 0, &[]);
+    governor.admission.classes[0].fraction = 0.2;
+    assert_eq!(governor.admitted_demand(&governor.proxies[&1], 0b11), 6.0);
+}
+
+#[test]
+fn estimates_the_report_delay_by_the_shortest_interval() {
+    let mut governor = governor();
+    add_follower(&mut governor, 1, 0, &[]);
+    for span in [3, 2, 4] {
+        governor.record_demand(
+            SECOND,
+            DemandStatistics { proxy: 1, class: 0, requests: 9, failed: 0, interval: span * SECOND },
+        );
+    }
+    (governor.tick_pending, governor.ticks) = (true, 7);
+    governor.decide(SECOND);
+    assert_eq!(governor.reports.delay, 3 * SECOND / 2);
+}
+
+#[test]
+fn counts_failures_of_admitted_requests_only() {
+    let mut governor = governor_with_late_answers(0);
+    let came = |governor: &mut Governor, dropped| {
+        governor.record_demand(
+            SECOND,
+            DemandStatistics { proxy: 1, class: 1, requests: 100, failed: dropped, interval: SECOND },
+        );
+        governor.admission.failed_fractions[1]
+    };
+    assert!((came(&mut governor, 50) - 0.005).abs() < 1e-9);
+    governor.admission.classes[1].fraction = 0.5;
+    assert!((came(&mut governor, 50) - 0.009975).abs() < 1e-9);
+    governor.admission.classes[1].fraction = 0.0;
+    assert!((came(&mut governor, 0) - 0.009975).abs() < 1e-9);
+}
+
+#[test]
+fn does_not_overestimate_the_rate_of_rare_requests() {
+    let mut governor = governor();
+    governor.proxy_connected(Duration::ZERO, with_unknown_tables(1, 0.4));
+    // A flow every five seconds; its line tells of the last half second only.
+    for second in (5..200).step_by(5) {
+        governor.record_demand(
+            second * SECOND,
+            DemandStatistics { proxy: 1, class: 0, requests: 1, failed: 0, interval: SECOND / 2 },
+        );
+    }
+    let rate = governor.proxies[&1].request_rates[0];
+    assert!((0.19..0.21).contains(&rate), "{rate}");
+}
+
+#[test]
+fn fades_the_success_rate_of_replicas_without_reports() {
+    let mut governor = governor_with_late_answers(4);
+    governor.reports.last_by_zone = [(0, 60 * SECOND)].into();
+    for replica in governor.replicas.values_mut().take(2) {
+        replica.observations = observations(10.0, 0.0, 1.0, 60 * SECOND);
+    }
+    assert!((governor.success_rate() - 20.0).abs() < 0.01, "{}", governor.success_rate());
+}
