--- a/src/governor/tests/admission_control.rs
+++ b/src/governor/tests/admission_control.rs
@@ -8,7 +8,7 @@
     let mut governor = Governor::new(settings(), Duration::ZERO);
     add_follower(&mut governor, 1, 0, &[]);
     governor.publish(SECOND, PublishTrigger::FlushDue);
-    assert!(!decisions(&governor).iter().any(|one| matches!(one, Decision::SetAdmission { .. })));
+    assert!(!decisions(&governor).iter().any(|decision| matches!(decision, Decision::SetAdmission { .. })));
 }
 
 #[test]
@@ -43,17 +43,17 @@
 fn retries_only_attempts_that_were_not_executed() {
     let mut governor = governor_with_late_answers(0);
     governor.publish_admission(10 * SECOND);
-    let tries = governor.admission.classes.iter().map(|admission| admission.retry_policy);
-    assert!(tries.into_iter().all(|tries| tries == RetryPolicy::IfNotExecuted));
+    let mut policies = governor.admission.classes.iter().map(|admission| admission.retry_policy);
+    assert!(policies.all(|policy| policy == RetryPolicy::IfNotExecuted));
 }
 
 #[test]
 fn limits_admission_to_what_a_warming_fleet_bears() {
     let mut governor = Governor { nominal_weight: 4.0, ..governor() };
     add_follower(&mut governor, 1, 0, &[]);
-    ["a", "b"]
-        .iter()
-        .for_each(|name| drop(governor.replicas.insert(id(name), warming_replica(0, Duration::ZERO))));
+    for name in ["a", "b"] {
+        add_replica(&mut governor, name, warming_replica(0, Duration::ZERO));
+    }
     governor.publish_admission(5 * SECOND);
     assert_eq!((governor.admission.classes[0].fraction, governor.admission.classes[1].fraction), (0.0, 0.85));
 }
@@ -61,7 +61,8 @@
 #[test]
 fn admits_everything_where_proxies_heed_no_fraction() {
     let mut governor = governor_with_late_answers(4);
-    (governor.parameters.limits_admission, governor.admission.fraction) = (false, 0.5);
+    governor.parameters.limits_admission = false;
+    governor.admission.fraction = 0.5;
     governor.publish_admission(10 * SECOND);
     assert!(governor.admission.classes.iter().all(|admission| admission.fraction == 1.0));
 }
@@ -74,8 +75,8 @@
     governor.admission.latency = LatencySum { answers: 50.0, seconds: 5.0 };
     governor.adjust_admission(10 * SECOND);
     assert!((governor.admission.fraction - 0.612).abs() < 1e-9);
-    (governor.admission.fraction, governor.admission.latency) =
-        (0.4, LatencySum { answers: 50.0, seconds: 5.0 });
+    governor.admission.fraction = 0.4;
+    governor.admission.latency = LatencySum { answers: 50.0, seconds: 5.0 };
     governor.adjust_admission(11 * SECOND);
     assert!(governor.admission.fraction >= 0.42);
 }
@@ -87,7 +88,8 @@
     governor.admission.fraction = 0.5;
     governor.publish_admission(10 * SECOND);
     assert!(governor.admission.classes[0].fraction < 0.5);
-    (governor.send_queue.entries, governor.admission.fraction) = (600.0, 1.0);
+    governor.send_queue.entries = 600.0;
+    governor.admission.fraction = 1.0;
     governor.publish_admission(10 * SECOND);
     assert!(governor.admission.classes[0].fraction < 0.5);
     governor.send_queue.entries = 0.0;
--- a/src/governor/tests/critical_set.rs
+++ b/src/governor/tests/critical_set.rs
@@ -11,7 +11,7 @@
     Bin { level, capacity, replica }
 }
 
-/// Proxy 1 sends 12 flows a second to `a` and proxy 2 sends 8, while `b` idles beside it.
+/// Proxy 1 sends 12 requests a second to `a` and proxy 2 sends 8, while `b` idles beside it.
 fn load_model() -> LoadModel {
     let capacity = ReplicaCapacity { zone: 0, requests_per_second: 10.0 };
     let flow = |requests_per_second| Flow { zone: 0, requests_per_second, distribution: 0 };
@@ -56,8 +56,8 @@
     let mut governor = governor();
     add_follower(&mut governor, 1, 0, &[("a", 1.0)]);
     add_follower(&mut governor, 2, 0, &[("a", 1.0), ("b", 1.0)]);
-    governor.replicas.insert(id("a"), ReplicaState { in_flight: Some(9.0), ..warm_replica(0) });
-    governor.replicas.insert(id("b"), ReplicaState { in_flight: Some(1.0), ..warm_replica(0) });
+    add_replica(&mut governor, "a", ReplicaState { in_flight: Some(9.0), ..warm_replica(0) });
+    add_replica(&mut governor, "b", ReplicaState { in_flight: Some(1.0), ..warm_replica(0) });
     governor.update_critical_set(SECOND);
     assert!(governor.critical_set.tables.is_empty());
     governor.critical_set.cycles_below_target = 3;
--- a/src/governor/tests/default_tables.rs
+++ b/src/governor/tests/default_tables.rs
@@ -9,10 +9,10 @@
     add_follower(&mut governor, 1, 0, &[]);
     add_follower(&mut governor, 2, 1, &[]);
     for (name, zone) in [("a", 0), ("b", 0), ("y", 1), ("z", 1)] {
-        governor.replicas.insert(id(name), warm_replica(zone));
+        add_replica(&mut governor, name, warm_replica(zone));
     }
-    assert_eq!(governor.default_tables(SECOND)[&default_of_zone(0, AnyZone)].len(), 2);
-    governor.replicas.entry(id("b")).and_modify(|one| one.ready = false);
+    assert_eq!(default_table(&governor).len(), 2);
+    replica_mut(&mut governor, "b").ready = false;
     let spilled = governor.default_tables(SECOND);
     assert!(
         spilled[&default_of_zone(0, AnyZone)].contains_key("z")
@@ -25,30 +25,29 @@
     let mut governor = governor();
     governor.parameters.shared_proxies = 40.0;
     add_follower(&mut governor, 1, 0, &[]);
-    governor.replicas.insert(id("a"), warm_replica(0));
-    governor.replicas.insert(id("b"), warming_replica(0, Duration::ZERO));
-    governor.replicas.insert(id("z"), warm_replica(1));
-    let kept = get_or_default(&governor.default_tables(SECOND)[&default_of_zone(0, AnyZone)], &id("a"));
+    add_replica(&mut governor, "a", warm_replica(0));
+    add_replica(&mut governor, "b", warming_replica(0, Duration::ZERO));
+    add_replica(&mut governor, "z", warm_replica(1));
+    let kept = get_or_default(&default_table(&governor), &id("a"));
     governor.parameters.shared_proxies = 0.0;
-    assert!(
-        get_or_default(&governor.default_tables(SECOND)[&default_of_zone(0, AnyZone)], &id("a"))
-            < kept + 1e-9
-    );
+    assert!(get_or_default(&default_table(&governor), &id("a")) < kept + 1e-9);
 }
 
 #[test]
 fn lowers_the_weight_of_a_slow_replica() {
     let mut governor = governor();
     add_follower(&mut governor, 1, 0, &[]);
-    governor
-        .replicas
-        .insert(id("a"), ReplicaState { capacity_correction: -0.4, in_flight: Some(9.0), ..warm_replica(0) });
-    governor.replicas.insert(id("b"), ReplicaState { in_flight: Some(1.0), ..warm_replica(0) });
-    assert!(get_or_default(&governor.default_tables(SECOND)[&default_of_zone(0, AnyZone)], &id("a")) < 0.7);
+    add_replica(
+        &mut governor,
+        "a",
+        ReplicaState { capacity_correction: -0.4, in_flight: Some(9.0), ..warm_replica(0) },
+    );
+    add_replica(&mut governor, "b", ReplicaState { in_flight: Some(1.0), ..warm_replica(0) });
+    assert!(get_or_default(&default_table(&governor), &id("a")) < 0.7);
     governor.correct_capacities(SECOND);
     assert!(
-        governor.replicas[&id("a")].capacity_correction < -0.5
-            && governor.replicas[&id("b")].capacity_correction > 0.0
+        replica(&governor, "a").capacity_correction < -0.5
+            && replica(&governor, "b").capacity_correction > 0.0
     );
 }
 
@@ -56,63 +55,52 @@
 fn takes_a_sample_as_stale_after_changes_of_its_zone() {
     let mut governor = governor();
     add_follower(&mut governor, 1, 0, &[]);
-    governor.replicas.insert(id("a"), warm_replica(0));
-    let rotten = |governor: &Governor| {
-        let default = &governor.default_tables(SECOND)[&default_of_zone(0, AnyZone)];
+    add_replica(&mut governor, "a", warm_replica(0));
+    let is_stale = |governor: &Governor| {
+        let default = &default_table(governor);
         governor.staleness(DefaultTableSample { roster_at: SECOND, zone: 0 }, default) != Staleness::Current
     };
-    assert!(!rotten(&governor));
-    governor.replicas.insert(id("b"), ReplicaState { first_ready_at: Some(2 * SECOND), ..warm_replica(0) });
-    assert!(rotten(&governor));
+    assert!(!is_stale(&governor));
+    add_replica(&mut governor, "b", ReplicaState { first_ready_at: Some(2 * SECOND), ..warm_replica(0) });
+    assert!(is_stale(&governor));
     governor.replicas.remove(&id("b"));
-    governor.replicas.insert(id("a"), warming_replica(0, SECOND));
-    assert!(rotten(&governor));
-    governor.replicas.insert(id("a"), ReplicaState { ready: false, ..warm_replica(0) });
-    governor.replicas.insert(id("z"), warm_replica(1));
-    assert!(rotten(&governor));
+    add_replica(&mut governor, "a", warming_replica(0, SECOND));
+    assert!(is_stale(&governor));
+    add_replica(&mut governor, "a", draining_replica(0));
+    add_replica(&mut governor, "z", warm_replica(1));
+    assert!(is_stale(&governor));
 }
 
 #[test]
 fn spills_over_from_an_overfull_zone() {
     let mut governor = governor();
     add_follower(&mut governor, 1, 0, &[]);
-    governor.replicas.insert(id("a"), warm_replica(0));
-    governor.replicas.insert(id("z"), warm_replica(1));
-    assert!(governor.default_tables(SECOND)[&default_of_zone(0, AnyZone)].contains_key("z"));
+    add_replica(&mut governor, "a", warm_replica(0));
+    add_replica(&mut governor, "z", warm_replica(1));
+    assert!(default_table(&governor).contains_key("z"));
 }
 
 #[test]
 fn keeps_less_in_a_warming_zone_while_demand_is_not_answered() {
     let mut governor = governor();
     add_follower(&mut governor, 1, 0, &[]);
-    governor.replicas.insert(id("a"), warming_replica(0, SECOND));
-    governor.replicas.insert(
-        id("b"),
-        ReplicaState { observations: observations(10.0, 0.0, 0.1, SECOND), ..warm_replica(0) },
-    );
-    governor.replicas.insert(id("z"), warm_replica(1));
-    let kept = |governor: &Governor| {
-        get_or_default(&governor.default_tables(SECOND)[&default_of_zone(0, AnyZone)], &id("b"))
-    };
+    add_replica(&mut governor, "a", warming_replica(0, SECOND));
+    add_replica(&mut governor, "b", observed_replica(0, 10.0, 0.0, SECOND));
+    add_replica(&mut governor, "z", warm_replica(1));
+    let kept = |governor: &Governor| get_or_default(&default_table(governor), &id("b"));
     let answered = kept(&governor);
-    governor.replicas.insert(
-        id("b"),
-        ReplicaState { observations: observations(5.0, 5.0, 0.1, SECOND), ..warm_replica(0) },
-    );
+    add_replica(&mut governor, "b", observed_replica(0, 5.0, 5.0, SECOND));
     assert!(kept(&governor) < 0.8 * answered);
 }
 
 #[test]
 fn takes_a_partial_sample_as_stale_once_little_of_it_is_left() {
-    let rotten = |lost| {
+    let staleness = |lost| {
         let governor = without_replicas(governor_with_large_zone(), lost);
-        governor.staleness(
-            DefaultTableSample { roster_at: SECOND, zone: 0 },
-            &governor.default_tables(SECOND)[&default_of_zone(0, AnyZone)],
-        )
+        governor.staleness(DefaultTableSample { roster_at: SECOND, zone: 0 }, &default_table(&governor))
     };
-    assert_eq!((rotten(1), rotten(10)), (Staleness::Current, Staleness::Current));
-    assert_eq!((rotten(17), rotten(24)), (Staleness::Stale, Staleness::Urgent));
+    assert_eq!((staleness(1), staleness(10)), (Staleness::Current, Staleness::Current));
+    assert_eq!((staleness(17), staleness(24)), (Staleness::Stale, Staleness::Urgent));
 }
 
 #[test]
@@ -120,9 +108,9 @@
     let mut governor = governor();
     governor.parameters.shared_proxies = 4.0;
     for (name, zone) in [("a", 0), ("y", 1)] {
-        governor.replicas.insert(id(name), warm_replica(zone));
+        add_replica(&mut governor, name, warm_replica(zone));
     }
     add_follower(&mut governor, 1, 0, &[]);
     add_follower(&mut governor, 2, 0, &[]);
-    assert!(!governor.default_tables(SECOND)[&default_of_zone(0, AnyZone)].contains_key("y"));
+    assert!(!default_table(&governor).contains_key("y"));
 }
--- a/src/governor/tests/fixtures.rs
+++ b/src/governor/tests/fixtures.rs
@@ -101,48 +101,84 @@
     ReplicaState { started_at: Some(started), ..warm_replica(zone) }
 }
 
+/// What the proxies of zone 0 observed; as many attempts a second as are counted.
 pub(super) fn observations(
-    delivered: f64,
-    dropped: f64,
-    time: f64,
-    last: Duration,
+    succeeded: f64,
+    failed: f64,
+    latency_seconds: f64,
+    last_report: Duration,
 ) -> BTreeMap<usize, ZoneObservation> {
-    let rate = delivered + dropped;
-    [(
-        0,
-        ZoneObservation {
-            succeeded: delivered,
-            failed: dropped,
-            attempts_per_second: rate,
-            latency_seconds: time,
-            last_report: last,
-            last_success: last,
-        },
-    )]
-    .into()
-}
-
-/// A proxy that follows its own table with these lines and receives 10 flows a second.
-pub(super) fn add_follower(governor: &mut Governor, proxy: ProxyId, zone: usize, lines: &[(&str, f64)]) {
-    let rates = vec![5.0, 5.0];
-    governor.proxies.insert(
-        proxy,
-        ProxyState {
-            zone,
-            request_rates: rates,
-            connected_at: Duration::ZERO,
-            last_reports: vec![Duration::ZERO; 2],
-            default_table: None,
-            unsynchronised: false,
-        },
-    );
+    let observation = ZoneObservation {
+        succeeded,
+        failed,
+        attempts_per_second: succeeded + failed,
+        latency_seconds,
+        last_report,
+        last_success: last_report,
+    };
+    BTreeMap::from([(0, observation)])
+}
+
+/// A warm replica that proxies of zone 0 observed with a latency of 100 ms.
+pub(super) fn observed_replica(
+    zone: usize,
+    succeeded: f64,
+    failed: f64,
+    last_report: Duration,
+) -> ReplicaState {
+    let observations = observations(succeeded, failed, 0.1, last_report);
+    ReplicaState { observations, ..warm_replica(zone) }
+}
+
+pub(super) fn draining_replica(zone: usize) -> ReplicaState {
+    ReplicaState { ready: false, ..warm_replica(zone) }
+}
+
+pub(super) fn ejected_replica(until: Duration, failures: u32) -> ReplicaState {
+    ReplicaState { health: HealthState::Ejected { until, failures }, ..warm_replica(0) }
+}
+
+pub(super) fn add_replica(governor: &mut Governor, name: &str, replica: ReplicaState) {
+    governor.replicas.insert(id(name), replica);
+}
+
+pub(super) fn replica<'a>(governor: &'a Governor, name: &str) -> &'a ReplicaState {
+    &governor.replicas[name]
+}
+
+pub(super) fn replica_mut<'a>(governor: &'a mut Governor, name: &str) -> &'a mut ReplicaState {
+    governor.replicas.get_mut(name).expect("the test added it")
+}
+
+/// A proxy that follows dedicated tables with these entries and receives 5 requests a second of each class.
+pub(super) fn add_follower(governor: &mut Governor, proxy: ProxyId, zone: usize, entries: &[(&str, f64)]) {
+    let state = ProxyState {
+        zone,
+        request_rates: vec![5.0, 5.0],
+        connected_at: Duration::ZERO,
+        last_reports: vec![Duration::ZERO; 2],
+        default_table: None,
+        unsynchronised: false,
+    };
+    governor.proxies.insert(proxy, state);
     governor.last_connections.insert(zone, Duration::ZERO);
-    let lines: Weights = lines.iter().map(|(name, weight)| (id(name), *weight)).collect();
+    let weights: Weights = entries.iter().map(|(name, weight)| (id(name), *weight)).collect();
     for scope in RouteScope::ALL {
-        governor.sent_tables.insert(TableKey::new(proxy, scope), lines.clone());
+        governor.sent_tables.insert(TableKey::new(proxy, scope), weights.clone());
     }
 }
 
+/// Sets the requests a second that a proxy receives of each class.
+pub(super) fn set_class_rates(governor: &mut Governor, proxy: ProxyId, requests_per_second: f64) {
+    let proxy = governor.proxies.get_mut(&proxy).expect("the test connected it");
+    proxy.request_rates = vec![requests_per_second; 2];
+}
+
+/// The default table of zone 0 for classes that may go to any zone.
+pub(super) fn default_table(governor: &Governor) -> Weights {
+    governor.default_tables(SECOND)[&default_of_zone(0, AnyZone)].clone()
+}
+
 pub(super) fn listed(name: &str, phase: Phase) -> ReplicaEntry {
     ReplicaEntry { id: id(name), phase, zone: 0, weight: 1.0, started_at: None }
 }
@@ -151,46 +187,49 @@
     governor.pending.iter().collect()
 }
 
-/// Late answers from replicas of which `queued` report flows waiting, with 100 flows a second offered.
+/// Late answers from replicas of which `queued` report queued requests, with 100 requests a second received.
 pub(super) fn governor_with_late_answers(queued: usize) -> Governor {
     let mut governor = governor();
     governor.admission.latency = LatencySum { answers: 50.0, seconds: 60.0 };
     add_follower(&mut governor, 1, 0, &[]);
-    governor.proxies.entry(1).and_modify(|one| one.request_rates = vec![50.0, 50.0]);
-    for (place, name) in ["a", "b", "c", "d"].into_iter().enumerate() {
-        let length = if place < queued { 5.0 } else { 0.0 };
+    set_class_rates(&mut governor, 1, 50.0);
+    for (index, name) in ["a", "b", "c", "d"].into_iter().enumerate() {
+        let length = if index < queued { 5.0 } else { 0.0 };
         let queue = Some(QueueSample { length, at: 9 * SECOND });
         let observations = observations(10.0, 0.0, 1.0, 9 * SECOND);
-        governor.replicas.insert(id(name), ReplicaState { queue, observations, ..warm_replica(0) });
+        add_replica(&mut governor, name, ReplicaState { queue, observations, ..warm_replica(0) });
     }
     governor
 }
 
-/// One zone of 40 replicas, from which 10 standing tables that can't be read were drawn.
+/// One zone of 40 replicas, of which 10 default tables hold partial samples.
 pub(super) fn governor_with_large_zone() -> Governor {
     let mut governor = governor();
-    for place in 0..40 {
-        governor.replicas.insert(id(&format!("r{place:02}")), warm_replica(0));
+    for index in 0..40 {
+        add_replica(&mut governor, &format!("r{index:02}"), warm_replica(0));
+    }
+    governor.roster_updated_at = SECOND;
+    for proxy in 0..10 {
+        governor.proxy_connected(SECOND, with_default_table(proxy, 10.0));
     }
-    (governor.roster_updated_at, governor.fleet_health.underprovisioned_zones) = (SECOND, BTreeSet::new());
-    (0..10).for_each(|proxy| governor.proxy_connected(SECOND, with_default_table(proxy, 10.0)));
     governor
 }
 
+/// The first replicas drain.
 pub(super) fn without_replicas(mut governor: Governor, lost: usize) -> Governor {
-    governor.replicas.values_mut().take(lost).for_each(|one| one.ready = false);
+    for replica in governor.replicas.values_mut().take(lost) {
+        replica.ready = false;
+    }
     governor
 }
 
-/// Two replicas sent 5 flows a second each, `a` last heard of 10 s ago.
+/// Two replicas that are sent 5 requests a second each; the last report of `a` is 10 s old.
 pub(super) fn governor_with_silent_replica() -> Governor {
     let mut governor = governor();
     add_follower(&mut governor, 1, 0, &[("a", 1.0), ("b", 1.0)]);
-    for (name, last) in [("a", 20), ("b", 30)] {
-        let observations = observations(20.0, 0.0, 0.1, last * SECOND);
-        governor
-            .replicas
-            .insert(id(name), ReplicaState { observations, expected_rate: 5.0, ..warm_replica(0) });
+    for (name, last_report) in [("a", 20 * SECOND), ("b", 30 * SECOND)] {
+        let observed = observed_replica(0, 20.0, 0.0, last_report);
+        add_replica(&mut governor, name, ReplicaState { expected_rate: 5.0, ..observed });
     }
     governor.reports.last_by_zone.insert(0, 30 * SECOND);
     governor
--- a/src/governor/tests/outlier_detection.rs
+++ b/src/governor/tests/outlier_detection.rs
@@ -29,7 +29,7 @@
 #[test]
 fn expects_no_answers_yet_by_an_entry_that_was_just_widened() {
     let mut governor = governor_with_silent_replica();
-    governor.replicas.entry(id("a")).and_modify(|one| one.expected_rate = 0.2);
+    replica_mut(&mut governor, "a").expected_rate = 0.2;
     assert!(outliers_of(governor).is_empty());
 }
 
@@ -38,7 +38,7 @@
     let mut governor = governor_with_silent_replica();
     governor.sent_tables.clear();
     governor.find_outliers(30 * SECOND, 0.0);
-    assert_eq!(governor.replicas[&id("a")].observed_since, 30 * SECOND);
+    assert_eq!(replica(&governor, "a").observed_since, 30 * SECOND);
 }
 
 #[test]
@@ -46,16 +46,14 @@
     let mut governor = governor_with_silent_replica();
     let last = 29 * SECOND;
     for name in ["a", "c", "d", "e", "f", "g"] {
-        governor.replicas.insert(
-            id(name),
-            ReplicaState { observations: observations(20.0, 0.0, 0.1, last), ..warm_replica(0) },
-        );
+        add_replica(&mut governor, name, observed_replica(0, 20.0, 0.0, last));
     }
-    governor.replicas.entry(id("a")).and_modify(|one| {
-        (one.expected_rate, one.failed_health_checks) = (5.0, 2);
-    });
+    replica_mut(&mut governor, "a").expected_rate = 5.0;
+    replica_mut(&mut governor, "a").failed_health_checks = 2;
     assert_eq!(governor.find_outliers(30 * SECOND, 0.0).len(), 1);
-    governor.replicas.values_mut().for_each(|one| one.failed_health_checks = 2);
+    for replica in governor.replicas.values_mut() {
+        replica.failed_health_checks = 2;
+    }
     assert!(governor.find_outliers(30 * SECOND, 0.0).is_empty());
 }
 
@@ -63,13 +61,10 @@
 fn finds_a_replica_that_fails_more_than_the_fleet_unless_it_is_overloaded() {
     let mut governor = governor_with_silent_replica();
     let observations = observations(10.0, 10.0, 0.1, 30 * SECOND);
-    governor.replicas.insert(id("a"), ReplicaState { observations, ..warm_replica(0) });
+    add_replica(&mut governor, "a", ReplicaState { observations, ..warm_replica(0) });
     assert_eq!(governor.find_outliers(30 * SECOND, 0.05).len(), 1);
     assert!(governor.find_outliers(30 * SECOND, 0.4).is_empty());
-    governor
-        .replicas
-        .entry(id("a"))
-        .and_modify(|one| one.queue = Some(QueueSample { length: 9.0, at: 30 * SECOND }));
+    replica_mut(&mut governor, "a").queue = Some(QueueSample { length: 9.0, at: 30 * SECOND });
     assert!(governor.find_outliers(30 * SECOND, 0.05).is_empty());
 }
 
--- a/src/governor/tests/publishing.rs
+++ b/src/governor/tests/publishing.rs
@@ -7,8 +7,8 @@
 fn sends_ejections_before_changed_entries() {
     let mut governor = governor();
     add_follower(&mut governor, 1, 0, &[("a", 1.0), ("b", 1.0)]);
-    governor.replicas.insert(id("a"), ReplicaState { ready: false, ..warm_replica(0) });
-    governor.replicas.insert(id("b"), warm_replica(0));
+    add_replica(&mut governor, "a", draining_replica(0));
+    add_replica(&mut governor, "b", warm_replica(0));
     governor.publish(SECOND, PublishTrigger::Event);
     assert_eq!(decisions(&governor)[0], &Decision::SetEjected { replica: id("a"), ejected: true });
     assert_eq!(
@@ -21,34 +21,37 @@
 fn sends_the_entries_of_a_returning_replica_before_it_is_readmitted() {
     let mut governor = governor();
     add_follower(&mut governor, 1, 0, &[("b", 1.0)]);
-    governor.replicas.insert(id("a"), ReplicaState { ejection_sent: true, ..warming_replica(0, SECOND) });
-    governor.replicas.insert(id("b"), warm_replica(0));
+    add_replica(&mut governor, "a", ReplicaState { ejection_sent: true, ..warming_replica(0, SECOND) });
+    add_replica(&mut governor, "b", warm_replica(0));
     governor.publish(SECOND, PublishTrigger::FlushDue);
-    let orders = decisions(&governor);
-    let widens = |one: &&&Decision| matches!(one, Decision::UpdateTable { table: 2, entries: lines } if lines[0].replica == id("a"));
-    let line = orders.iter().position(|one| widens(&one));
-    let back =
-        orders.iter().position(|one| **one == Decision::SetEjected { replica: id("a"), ejected: false });
-    assert!(line.is_some() && line < back);
+    let names_a = |decision: &&Decision| match decision {
+        Decision::UpdateTable { table: 2, entries } => entries[0].replica == id("a"),
+        _ => false,
+    };
+    let readmits_a =
+        |decision: &&Decision| **decision == Decision::SetEjected { replica: id("a"), ejected: false };
+    let update = decisions(&governor).iter().position(names_a);
+    let readmission = decisions(&governor).iter().position(readmits_a);
+    assert!(update.is_some() && update < readmission);
 }
 
 #[test]
 fn gives_an_unsynchronised_proxy_its_table_at_the_next_tick() {
     let mut governor = governor();
-    governor.replicas.insert(id("a"), ReplicaState { ready: false, ..warm_replica(0) });
-    governor.replicas.insert(id("b"), warm_replica(0));
+    add_replica(&mut governor, "a", draining_replica(0));
+    add_replica(&mut governor, "b", warm_replica(0));
     governor.proxy_connected(SECOND, with_unknown_tables(3, 4.0));
     governor.publish(SECOND, PublishTrigger::Tick);
-    let orders = decisions(&governor);
-    assert!(orders.contains(&&Decision::UpdateTable { table: 6, entries: vec![entry(id("b"), 1.0)] }));
-    assert!(orders.contains(&&Decision::AssignTable { proxy: 3, table: 6, classes: 0b11 }));
+    let decisions = decisions(&governor);
+    assert!(decisions.contains(&&Decision::UpdateTable { table: 6, entries: vec![entry(id("b"), 1.0)] }));
+    assert!(decisions.contains(&&Decision::AssignTable { proxy: 3, table: 6, classes: 0b11 }));
 }
 
 #[test]
 fn sends_nothing_once_the_limit_on_messages_is_reached() {
     let mut governor = governor();
     add_follower(&mut governor, 1, 0, &[("a", 1.0)]);
-    governor.replicas.insert(id("a"), ReplicaState { ready: false, ..warm_replica(0) });
+    add_replica(&mut governor, "a", draining_replica(0));
     governor.send_queue.recent_flushes = vec![SECOND; 8].into();
     governor.publish(2 * SECOND, PublishTrigger::FlushDue);
     assert!(governor.pending.is_empty());
@@ -58,12 +61,11 @@
 fn sends_no_table_into_a_full_channel() {
     let mut governor = governor();
     add_follower(&mut governor, 1, 0, &[]);
-    governor.replicas.insert(id("a"), warm_replica(0));
+    add_replica(&mut governor, "a", warm_replica(0));
     governor.send_queue.entries = 800.0;
     governor.send_tables(Duration::ZERO, Recipients::All);
     assert!(governor.pending.is_empty());
-    // Nor for one whose holdings are unknown, though it may send to what drains: a storm of them would
-    // break the rule.
+    // Nor for an unsynchronised proxy, though it may send to a draining replica: many of them would overfill it.
     governor.proxy_connected(Duration::ZERO, with_unknown_tables(2, 1.0));
     governor.send_tables(Duration::ZERO, Recipients::Unsynchronised);
     assert!(governor.pending.is_empty());
@@ -72,7 +74,7 @@
     assert!(governor.pending.contains(&Decision::AssignTable { proxy: 2, table: 4, classes: 0b11 }));
 }
 
-/// A hundred joiners whose holdings are unknown, and a few replicas.
+/// A hundred proxies whose tables are not known, and a few replicas.
 fn governor_with_unsynchronised_proxies(names: &[&str]) -> Governor {
     let mut governor = governor();
     governor.replicas.extend(names.iter().map(|name| (id(name), warm_replica(0))));
@@ -84,25 +86,24 @@
 fn leaves_channel_capacity_for_ejections_when_many_proxies_connect() {
     let mut governor = governor_with_unsynchronised_proxies(&["a", "b", "c", "d"]);
     governor.publish(SECOND, PublishTrigger::Tick);
-    let bound = governor.proxies.values().filter(|one| !one.unsynchronised).count();
-    assert!(bound > 20 && bound < 100, "{bound}");
+    let synchronised = governor.proxies.values().filter(|proxy| !proxy.unsynchronised).count();
+    assert!(synchronised > 20 && synchronised < 100, "{synchronised}");
     assert!(governor.send_queue.entries <= 0.64 * 1000.0, "{}", governor.send_queue.entries);
 }
 
 #[test]
 fn ejects_draining_replicas_before_faulty_ones_as_far_as_the_channel_bears() {
     let mut governor = governor_with_unsynchronised_proxies(&["a", "b", "c"]);
-    governor
-        .replicas
-        .values_mut()
-        .for_each(|one| one.health = HealthState::Ejected { until: SECOND, failures: 1 });
-    governor.replicas.insert(id("d"), ReplicaState { ready: false, ..warm_replica(0) });
+    for replica in governor.replicas.values_mut() {
+        replica.health = HealthState::Ejected { until: SECOND, failures: 1 };
+    }
+    add_replica(&mut governor, "d", draining_replica(0));
     governor.send_ejections(EjectionChange::Eject);
     assert_eq!(decisions(&governor), [&Decision::SetEjected { replica: id("d"), ejected: true }]);
-    // A line and a head for each proxy whose table can't be read.
+    // An entry and a message's overhead for each proxy whose tables are not known.
     assert_eq!(governor.send_queue.entries, 100.0 * (1.0 + 7.0));
     governor.send_ejections(EjectionChange::Eject);
-    assert_eq!(decisions(&governor).len(), 1, "the others wait");
+    assert_eq!(decisions(&governor).len(), 1, "the others do not fit");
     governor.send_queue.entries = 0.0;
     governor.send_ejections(EjectionChange::Eject);
     assert_eq!(decisions(&governor)[1], &Decision::SetEjected { replica: id("a"), ejected: true });
@@ -110,11 +111,13 @@
 
 #[test]
 fn counts_an_ejection_for_tables_that_may_name_the_replica() {
-    let names: Vec<String> = (0..100).map(|at| format!("r{at}")).collect();
+    let names: Vec<String> = (0..100).map(|index| format!("r{index}")).collect();
     let mut governor =
         governor_with_unsynchronised_proxies(&names.iter().map(String::as_str).collect::<Vec<_>>());
-    governor.replicas.insert(id("r1"), ReplicaState { ready: false, ..warm_replica(0) });
-    governor.proxies.values_mut().for_each(|one| one.unsynchronised = false);
+    add_replica(&mut governor, "r1", draining_replica(0));
+    for proxy in governor.proxies.values_mut() {
+        proxy.unsynchronised = false;
+    }
     governor.send_ejections(EjectionChange::Eject);
     let expected = 100.0 * (1.0 + 7.0) * 16.0 / 99.0;
     assert!(
@@ -138,12 +141,12 @@
     quick.acknowledged(SECOND);
     assert_eq!(
         quick.send_queue.entries, 100.0,
-        "it was ordered at 3.5 s at the soonest, as its answer was on its way as well"
+        "it was sent at 3.5 s at the soonest, as its acknowledgement was in transit as well"
     );
     let mut slow = channel();
     slow.acknowledged(4 * SECOND);
     assert_eq!(slow.send_queue.entries, 400.0);
-    // Without answers time counts, at a bad channel's pace.
+    // Without acknowledgements time counts, at a bad channel's rate.
     slow.publish(6 * SECOND, PublishTrigger::Event);
     assert_eq!(slow.send_queue.entries, 400.0 - 0.2 * 1000.0);
     slow.publish(60 * SECOND, PublishTrigger::Event);
@@ -154,7 +157,7 @@
 fn delays_an_urgent_flush_the_more_of_the_limit_is_used() {
     let mut governor = governor();
     add_follower(&mut governor, 1, 0, &[("a", 1.0)]);
-    governor.replicas.insert(id("a"), ReplicaState { ready: false, ..warm_replica(0) });
+    add_replica(&mut governor, "a", draining_replica(0));
     governor.send_queue.recent_flushes = vec![SECOND; 7].into();
     governor.publish(SECOND + SECOND / 2, PublishTrigger::Event);
     assert!(governor.pending.is_empty());
@@ -166,7 +169,7 @@
 fn counts_an_ejection_once_for_each_default_table() {
     let mut governor = without_replicas(governor_with_large_zone(), 1);
     governor.send_ejections(EjectionChange::Eject);
-    // What standing tables name is told nowhere, so on sockets each of ten is sent a line and a head.
+    // What default tables name is not known, so each of ten proxies is sent an entry and a message's overhead.
     assert_eq!(governor.send_queue.entries, 10.0 * (1.0 + 7.0));
 }
 
@@ -178,8 +181,12 @@
     governor.publish(SECOND / 2, PublishTrigger::Event);
     assert_eq!(governor.send_queue.entries, 900.0 - 0.2 * 500.0);
     governor.acknowledged(SECOND / 2);
-    assert_eq!(governor.send_queue.entries, 900.0 - 0.2 * 500.0, "others of the same order may wait yet");
+    assert_eq!(
+        governor.send_queue.entries,
+        900.0 - 0.2 * 500.0,
+        "other messages of the same batch may be queued yet"
+    );
     governor.publish(3 * SECOND / 2, PublishTrigger::Event);
     governor.acknowledged(SECOND / 2);
-    assert_eq!(governor.send_queue.entries, 0.0, "it was ordered later, and has left");
+    assert_eq!(governor.send_queue.entries, 0.0, "it was sent later, and has left");
 }
--- a/src/governor/tests/slow_start.rs
+++ b/src/governor/tests/slow_start.rs
@@ -6,7 +6,7 @@
 #[test]
 fn sends_a_warming_replica_more_with_age_and_less_with_stress() {
     let mut governor = governor();
-    governor.replicas.insert(id("a"), warm_replica(0));
+    add_replica(&mut governor, "a", warm_replica(0));
     let replica = warming_replica(0, Duration::ZERO);
     assert!((governor.usable_fraction(&replica, 5 * SECOND) - 0.6).abs() < 1e-9);
     governor.fleet_health.zone_stress.insert(0, 0.2);
@@ -27,10 +27,10 @@
         add_follower(&mut governor, proxy, 0, &[]);
     }
     add_follower(&mut governor, 9, 1, &[]);
-    governor.replicas.insert(id("a"), warming_replica(0, Duration::ZERO));
+    add_replica(&mut governor, "a", warming_replica(0, Duration::ZERO));
     governor.fleet_health.underprovisioned_zones.insert(0);
     let observations = observations(20.0, 0.0, 0.1, SECOND);
-    governor.replicas.insert(id("z"), ReplicaState { observations, ..warm_replica(1) });
+    add_replica(&mut governor, "z", ReplicaState { observations, ..warm_replica(1) });
     governor.send_tables(SECOND, Recipients::All);
     let bound =
         (1..5).filter(|proxy| !governor.sent_tables[&TableKey::new(*proxy, OwnZone)].is_empty()).count();
@@ -40,9 +40,9 @@
 #[test]
 fn withholds_a_warming_replica_that_partial_samples_may_name() {
     let mut governor = governor_with_large_zone();
-    governor.replicas.insert(id("r00"), warming_replica(0, SECOND));
+    add_replica(&mut governor, "r00", warming_replica(0, SECOND));
     governor.update_withheld(2 * SECOND);
-    assert!(governor.replicas[&id("r00")].is_unavailable());
+    assert!(replica(&governor, "r00").is_unavailable());
     governor.update_withheld(9 * SECOND);
-    assert!(!governor.replicas[&id("r00")].is_unavailable());
+    assert!(!replica(&governor, "r00").is_unavailable());
 }
--- a/src/governor/tests/statistics.rs
+++ b/src/governor/tests/statistics.rs
@@ -6,16 +6,15 @@
 #[test]
 fn takes_the_first_report_of_a_replica_at_its_full_rate() {
     let mut governor = governor();
-    governor.replicas.insert(id("a"), warm_replica(0));
-    let (replica, mean) = (id("a"), Some(SECOND));
+    add_replica(&mut governor, "a", warm_replica(0));
     governor.record_replica_statistics(
         SECOND,
         ReplicaStatistics {
             zone: 0,
-            replica,
+            replica: id("a"),
             attempts: 5,
             failed: 0,
-            mean_latency: mean,
+            mean_latency: Some(SECOND),
             interval: SECOND / 2,
             load: vec![],
         },
@@ -25,12 +24,12 @@
 
 #[test]
 fn raises_the_requests_in_flight_after_a_failed_health_check() {
-    let probed =
+    let with_health_checks =
         Settings { health_check_cost: Some(0.0), load_fields: vec![LoadField::InFlight], ..settings() };
-    let mut governor = Governor::new(probed, Duration::ZERO);
-    governor.replicas.insert(id("a"), ReplicaState { in_flight: Some(2.0), ..warm_replica(0) });
+    let mut governor = Governor::new(with_health_checks, Duration::ZERO);
+    add_replica(&mut governor, "a", ReplicaState { in_flight: Some(2.0), ..warm_replica(0) });
     governor.record_health_check(SECOND, &id("a"), None, &[]);
-    assert_eq!(governor.replicas[&id("a")].in_flight, Some(2.6));
+    assert_eq!(replica(&governor, "a").in_flight, Some(2.6));
 }
 
 #[test]
@@ -45,13 +44,14 @@
 fn estimates_the_report_delay_by_the_shortest_interval() {
     let mut governor = governor();
     add_follower(&mut governor, 1, 0, &[]);
-    for span in [3, 2, 4] {
+    for seconds in [3, 2, 4] {
         governor.record_demand(
             SECOND,
-            DemandStatistics { proxy: 1, class: 0, requests: 9, failed: 0, interval: span * SECOND },
+            DemandStatistics { proxy: 1, class: 0, requests: 9, failed: 0, interval: seconds * SECOND },
         );
     }
-    (governor.tick_pending, governor.ticks) = (true, 7);
+    governor.tick_pending = true;
+    governor.ticks = 7;
     governor.decide(SECOND);
     assert_eq!(governor.reports.delay, 3 * SECOND / 2);
 }
@@ -59,25 +59,25 @@
 #[test]
 fn counts_failures_of_admitted_requests_only() {
     let mut governor = governor_with_late_answers(0);
-    let came = |governor: &mut Governor, dropped| {
+    let failed_fraction_after = |governor: &mut Governor, failed| {
         governor.record_demand(
             SECOND,
-            DemandStatistics { proxy: 1, class: 1, requests: 100, failed: dropped, interval: SECOND },
+            DemandStatistics { proxy: 1, class: 1, requests: 100, failed, interval: SECOND },
         );
         governor.admission.failed_fractions[1]
     };
-    assert!((came(&mut governor, 50) - 0.005).abs() < 1e-9);
+    assert!((failed_fraction_after(&mut governor, 50) - 0.005).abs() < 1e-9);
     governor.admission.classes[1].fraction = 0.5;
-    assert!((came(&mut governor, 50) - 0.009975).abs() < 1e-9);
+    assert!((failed_fraction_after(&mut governor, 50) - 0.009975).abs() < 1e-9);
     governor.admission.classes[1].fraction = 0.0;
-    assert!((came(&mut governor, 0) - 0.009975).abs() < 1e-9);
+    assert!((failed_fraction_after(&mut governor, 0) - 0.009975).abs() < 1e-9);
 }
 
 #[test]
 fn does_not_overestimate_the_rate_of_rare_requests() {
     let mut governor = governor();
     governor.proxy_connected(Duration::ZERO, with_unknown_tables(1, 0.4));
-    // A flow every five seconds; its line tells of the last half second only.
+    // A request every five seconds; its statistics are of the last half second only.
     for second in (5..200).step_by(5) {
         governor.record_demand(
             second * SECOND,
