--- /dev/null
+++ b/src/governor/tests/roster.rs
@@ -0,0 +1,59 @@
+//! Replicas and proxies that come and go.
+
+use super::fixtures::*;
+use super::*;
+
+#[test]
+fn removes_replicas_that_a_complete_roster_leaves_out() {
+    let mut governor = governor();
+    add_replica(&mut governor, "a", warm_replica(0));
+    governor.update_replicas(SECOND, &[listed("b", Phase::Ready)], RosterScope::Complete);
+    assert!(!replica(&governor, "a").ready);
+}
+
+#[test]
+fn forgets_the_health_of_a_restarted_replicas_old_process() {
+    let mut governor = governor();
+    add_replica(&mut governor, "a", ejected_replica(SECOND, 3));
+    governor.update_replicas(
+        SECOND,
+        &[ReplicaEntry { started_at: Some(SECOND), ..listed("a", Phase::Ready) }],
+        RosterScope::Changes,
+    );
+    assert_eq!(replica(&governor, "a").health, HealthState::Healthy);
+}
+
+#[test]
+fn takes_a_proxy_with_unknown_tables_as_unsynchronised() {
+    let mut governor = governor();
+    for name in ["a", "b", "c"] {
+        add_replica(&mut governor, name, warm_replica(0));
+    }
+    governor.proxy_connected(SECOND, with_unknown_tables(1, 4.0));
+    governor.proxy_connected(SECOND, with_default_table(2, 4.0));
+    assert!(governor.proxies[&1].unsynchronised && !governor.proxies[&2].unsynchronised);
+    assert_eq!(governor.proxies[&2].request_rates, vec![2.0, 2.0]);
+}
+
+#[test]
+fn takes_a_default_table_that_may_name_a_warming_replica_as_unsynchronised() {
+    let mut governor = governor();
+    add_replica(&mut governor, "a", warming_replica(0, SECOND));
+    governor.proxy_connected(2 * SECOND, with_default_table(1, 4.0));
+    assert!(governor.proxies[&1].unsynchronised);
+}
+
+#[test]
+fn forgets_replicas_that_are_long_gone_and_in_no_table() {
+    let old = || ReplicaState { gone_since: Some(SECOND), ejection_sent: true, ..draining_replica(0) };
+    let mut governor = Governor {
+        replicas: [(id("a"), old()), (id("b"), old()), (id("c"), warm_replica(0))].into(),
+        sent_tables: [(TableKey::new(7, AnyZone), [(id("b"), 1.0)].into())].into(),
+        ..governor()
+    };
+    add_replica(&mut governor, "d", ReplicaState { gone_since: Some(250 * SECOND), ..old() });
+    governor.forget_gone_replicas(300 * SECOND);
+    let left: Vec<&str> = governor.replicas.keys().map(|id| &**id).collect();
+    assert_eq!(left, ["b", "c", "d"], "a table may still name it, or one that was sampled lately");
+    assert_eq!(governor.pending, [Decision::SetEjected { replica: id("a"), ejected: false }]);
+}
