--- a/crates/deployment-config/src/lib.rs
+++ b/crates/deployment-config/src/lib.rs
@@ -191,36 +191,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const INFO: &str = r#"{"categories":[{"name":"find","deadline_us":5000000,"objective_us":2000000}],
-        "extra":{"agents":7,"update_cap":30,"messages_over_us":10000000},"zones":["a","b"],
-        "report":{"fields":["queue","latency_ms"]},"new":{"x":[1]}}"#;
-
-    fn told(text: &str) -> Result<Info, Fault> {
-        let value: Value = serde_json::from_str(text).expect("JSON");
-        read(&Fields(value.as_object().expect("an object")))
-    }
-
-    #[test]
-    fn names_stand_in_the_order_of_what_they_name() {
-        let info = told(INFO).expect("it is whole");
-        assert_eq!((info.zones, info.groups), (vec!["a".into(), "b".into()], vec!["find".to_string()]));
-        assert_eq!(info.load, ["queue", "latency_ms"]);
-        assert_eq!(info.settings.load_fields, [LoadField::Queued, LoadField::ServiceMillis]);
-        assert_eq!(
-            info.settings.message_limit,
-            Some(MessageLimit { messages: 30, interval: Duration::from_secs(10) })
-        );
-    }
-
-    #[test]
-    fn a_group_without_its_span_is_named() {
-        assert_eq!(
-            told(&INFO.replace("deadline_us\":5000000", "deadline_us\":-1")),
-            Err(Fault::Whole("deadline_us".into()))
-        );
-        assert_eq!(told(r#"{"categories":[3]}"#), Err(Fault::Object("categories".into())));
-    }
-}
+mod tests;
