--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -36,7 +36,7 @@
                 if open {
                     return Err("a batch begins before the last one's `go`".into());
                 }
-                host.now = Fields(&fields).span("ts_us")?;
+                host.now = Fields(&fields).micros("ts_us")?;
                 open = true;
                 Ok(None)
             }
@@ -91,20 +91,20 @@
         let fields = Fields(fields);
         let now = self.now;
         if name == "define_list" {
-            let number = fields.whole("list")?;
-            let entries = fields.row("elements").iter().map(|entry| self.entry(entry));
+            let number = fields.count("list")?;
+            let entries = fields.array_or_empty("elements").iter().map(|entry| self.entry(entry));
             let entries = entries.collect::<Result<Vec<_>, _>>()?;
             self.lists.insert(number, entries);
             return Ok(());
         }
-        let id = fields.whole("governor_id")?;
+        let id = fields.count("governor_id")?;
         if name == "init" {
-            let info = fields.part("info");
+            let info = fields.object_or_empty("info");
             self.governors
                 .insert(id, Governor::new(wrenthread_deployment_config::read(&info)?.settings, now));
             self.touched.insert(id);
             self.unsubscribed.remove(&id);
-            if info.word("membership_mode") == "subscribe" {
+            if info.text_or_empty("membership_mode") == "subscribe" {
                 self.asking.insert(id);
                 self.unsubscribed.insert(id);
             }
@@ -118,14 +118,14 @@
         let replica = || replica.ok_or_else(|| "`replica` is not a text".to_string());
         let governor = self.governors.get_mut(&id).ok_or_else(|| format!("no instance {id}"))?;
         match name {
-            "directory_update" => match fields.whole("kind")? {
+            "directory_update" => match fields.count("kind")? {
                 3 => {
                     if self.asking.contains(&id) {
                         self.unsubscribed.insert(id);
                     }
                 }
                 kind @ 0..=2 => {
-                    let number = fields.whole("list")?;
+                    let number = fields.count("list")?;
                     let list = self.lists.get(&number).ok_or_else(|| format!("no list {number}"))?;
                     let scope = if kind == 0 { RosterScope::Changes } else { RosterScope::Complete };
                     governor.update_replicas(now, list, scope);
@@ -135,46 +135,46 @@
             "subscribed" => governor.proxy_connected(
                 now,
                 ProxyConnection {
-                    proxy: fields.small("forwarder")?,
-                    zone: fields.small("hall")?,
-                    requests_per_second: fields.number("weight", 0.0),
-                    holds_default_table: fields.flag("set"),
+                    proxy: fields.integer("forwarder")?,
+                    zone: fields.integer("hall")?,
+                    requests_per_second: fields.number_or("weight", 0.0),
+                    holds_default_table: fields.is_true("set"),
                 },
             ),
-            "left" => governor.proxy_disconnected(fields.small("forwarder")?),
+            "left" => governor.proxy_disconnected(fields.integer("forwarder")?),
             "tally" => governor.record_replica_statistics(
                 now,
                 ReplicaStatistics {
-                    zone: fields.small("hall")?,
+                    zone: fields.integer("hall")?,
                     replica: replica()?,
-                    attempts: fields.whole("total")?,
-                    failed: fields.whole("errors").unwrap_or(0),
-                    mean_latency: fields.span("took_us").ok().filter(|mean| !mean.is_zero()),
-                    interval: fields.span("elapsed_us")?,
+                    attempts: fields.count("total")?,
+                    failed: fields.count("errors").unwrap_or(0),
+                    mean_latency: fields.micros("took_us").ok().filter(|mean| !mean.is_zero()),
+                    interval: fields.micros("elapsed_us")?,
                     load: load(&fields),
                 },
             ),
             "demand" => governor.record_demand(
                 now,
                 DemandStatistics {
-                    proxy: fields.small("forwarder")?,
-                    class: fields.small("cls")?,
-                    requests: fields.whole("total")?,
-                    failed: fields.whole("errors").unwrap_or(0),
-                    interval: fields.span("elapsed_us")?,
+                    proxy: fields.integer("forwarder")?,
+                    class: fields.integer("cls")?,
+                    requests: fields.count("total")?,
+                    failed: fields.count("errors").unwrap_or(0),
+                    interval: fields.micros("elapsed_us")?,
                 },
             ),
             "health_result" => {
-                let took = fields.span("took_us")?;
+                let took = fields.micros("took_us")?;
                 governor.record_health_check(
                     now,
                     &replica()?,
-                    (fields.whole("how")? == 1).then_some(took),
+                    (fields.count("how")? == 1).then_some(took),
                     &load(&fields),
                 );
             }
             "deadline_hit" => governor.tick(),
-            "acked" => governor.acknowledged(fields.span("took_us")?),
+            "acked" => governor.acknowledged(fields.micros("took_us")?),
             // Governors tell each other nothing, and slices are not served yet.
             "message" | "custody" | "on_record" | "key_load" => {}
             _ => return Err(format!("no such event: `{name}`")),
@@ -196,15 +196,15 @@
         let fields = Fields(entry.as_object().ok_or("a list's entry is no object")?);
         Ok(ReplicaEntry {
             id: self.name(fields.text("replica")?),
-            phase: match fields.whole("phase").unwrap_or(0) {
+            phase: match fields.count("phase").unwrap_or(0) {
                 0 => Phase::Gone,
                 1 => Phase::Ready,
                 2 => Phase::Draining,
                 phase => return Err(format!("no such phase: {phase}")),
             },
-            zone: fields.small("hall").unwrap_or(0),
-            weight: fields.number("weight", 1.0),
-            started_at: fields.span("started_at_us").ok().filter(|at| !at.is_zero()),
+            zone: fields.integer("hall").unwrap_or(0),
+            weight: fields.number_or("weight", 1.0),
+            started_at: fields.micros("started_at_us").ok().filter(|at| !at.is_zero()),
         })
     }
 
@@ -225,7 +225,7 @@
 }
 
 fn load(fields: &Fields) -> Vec<f64> {
-    fields.row("load").iter().filter_map(Value::as_f64).collect()
+    fields.array_or_empty("load").iter().filter_map(Value::as_f64).collect()
 }
 
 fn encode(id: u64, decision: Decision, output: &mut impl Write) -> io::Result<()> {
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -15,13 +15,13 @@
 use tokio::sync::mpsc;
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
-use wrenthread_discovery::watch::{self, Object, Subscriber};
-use wrenthread_platform_governor::{Node, Output};
+use wrenthread_discovery::watch::{self, EventSender, WatchEvent};
+use wrenthread_platform_governor::{Action, PlatformGovernor};
 use wrenthread_platform_protocol::decode::Decoder;
 
 use crate::clock::Clock;
 use config::{Config, Variables};
-use connection::{Connections, Event, Handle};
+use connection::{ConnectionEvent, Connections, StreamHandle};
 
 /// Events that may wait for the one task; connections beyond it wait on their sockets.
 const EVENTS: usize = 1024;
@@ -66,7 +66,7 @@
     Ok(())
 }
 
-fn listen(address: SocketAddr) -> Result<TcpListener, config::Fault> {
+fn listen(address: SocketAddr) -> Result<TcpListener, config::ConfigError> {
     let listener = || {
         let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
         socket.set_reuseaddr(true)?; // its earlier life's connections may linger
@@ -74,7 +74,10 @@
         socket.listen(BACKLOG)
     };
     listener().map_err(|error: std::io::Error| {
-        config::Fault::Address("RELAY_LISTEN", format!("{address}, which can't be listened on: {error}"))
+        config::ConfigError::Address(
+            "RELAY_LISTEN",
+            format!("{address}, which can't be listened on: {error}"),
+        )
     })
 }
 
@@ -84,13 +87,13 @@
     variables: Variables,
     config: Config,
     discovery: SocketAddr,
-    node: Node,
+    governor: PlatformGovernor,
     /// By connection, the sending side of each stream.
-    handles: BTreeMap<u64, Handle>,
+    handles: BTreeMap<u64, StreamHandle>,
     connections: Rc<Connections>,
-    events: mpsc::Receiver<Event>,
-    objects: mpsc::Receiver<Object>,
-    subscribers: mpsc::Sender<Object>,
+    events: mpsc::Receiver<ConnectionEvent>,
+    objects: mpsc::Receiver<WatchEvent>,
+    subscribers: mpsc::Sender<WatchEvent>,
     follower: Option<JoinHandle<()>>,
     log_at: Instant,
     rereads: u32,
@@ -102,12 +105,12 @@
         let clock = Clock::start();
         let (events, heard) = mpsc::channel(EVENTS);
         let (subscribers, objects) = mpsc::channel(4);
-        let mut node = Node::new(&config.info, clock.now());
-        if let Err(fault) = node.know(clock.now(), &config.known, |at| clock.at(at)) {
+        let mut governor = PlatformGovernor::new(&config.deployment, clock.now());
+        if let Err(fault) = governor.load_known_endpoints(clock.now(), &config.known, |at| clock.at(at)) {
             tracing::warn!(%fault, "the configuration's list can't be used");
         }
-        node.follow();
-        let connections = Rc::new(Connections::new(Decoder::new(&config.info)));
+        governor.start_watch();
+        let connections = Rc::new(Connections::new(Decoder::new(&config.deployment)));
         spawn_local(connection::open(listener, connections.clone(), events));
         let discovery = config.discovery.unwrap_or(variables.discovery);
         tracing::info!(governor = %variables.name, listen = %variables.listen, %discovery, "it serves");
@@ -116,7 +119,7 @@
             variables,
             config,
             discovery,
-            node,
+            governor,
             handles: BTreeMap::new(),
             connections,
             events: heard,
@@ -133,16 +136,21 @@
     }
 
     fn limit(&self) {
-        let (config, info) = (&self.config, &self.config.info);
-        self.connections.limit(config.sockets, config.memory, info.settings.proxy_count, info.zones.len());
+        let (config, info) = (&self.config, &self.config.deployment);
+        self.connections.limit(
+            config.sockets,
+            config.memory,
+            info.settings.proxy_count,
+            info.zone_names.len(),
+        );
     }
 
     /// Waits for what comes next, and takes it in.
     async fn heed(&mut self) {
-        let due = self.clock.instant(self.node.due()).min(self.log_at);
+        let due = self.clock.instant(self.governor.next_deadline()).min(self.log_at);
         tokio::select! {
             biased;
-            Some(object) = self.objects.recv() => self.object(object),
+            Some(object) = self.objects.recv() => self.watch_event(object),
             Some(event) = self.events.recv() => {
                 self.take(event);
                 for _ in 1..AT_ONCE {
@@ -154,25 +162,27 @@
         }
     }
 
-    fn object(&mut self, object: Object) {
+    fn watch_event(&mut self, event: WatchEvent) {
         let clock = self.clock;
-        let known = self.node.object(clock.now(), object.follower, &object.bytes, |at| clock.at(at));
-        let _ = object.known.send(known); // its follower may be gone; the object counts all the same
+        let known = self.governor.watch_event(clock.now(), event.watcher, &event.bytes, |at| clock.at(at));
+        let _ = event.known_version.send(known); // its follower may be gone; the object counts all the same
     }
 
-    fn take(&mut self, event: Event) {
+    fn take(&mut self, event: ConnectionEvent) {
         let now = self.clock.now();
         match event {
-            Event::Joined { connection, joining, handle } => {
+            ConnectionEvent::ProxyConnected { connection, proxy, handle } => {
                 self.handles.insert(connection, handle);
-                self.node.joined(now, connection, joining);
+                self.governor.proxy_connected(now, connection, proxy);
             }
-            Event::Ended { connection, proxy } => {
+            ConnectionEvent::Ended { connection, proxy } => {
                 self.handles.remove(&connection);
-                self.node.ended(connection, proxy);
+                self.governor.connection_ended(connection, proxy);
             }
-            Event::Said { connection, proxy, message } => self.node.said(now, connection, proxy, message),
-            Event::Handed(message) => self.node.handed(now, message),
+            ConnectionEvent::ProxyMessage { connection, proxy, message } => {
+                self.governor.proxy_message(now, connection, proxy, message)
+            }
+            ConnectionEvent::CollectorMessage(message) => self.governor.collector_message(now, message),
         }
     }
 
@@ -184,34 +194,38 @@
         }
         let (clock, handles) = (self.clock, &self.handles);
         let heard = |connection| handles.get(&connection).map_or(clock.now(), |one| clock.since(one.heard()));
-        self.node.pull(clock.now(), heard);
-        while let Some(output) = self.node.next() {
+        self.governor.advance(clock.now(), heard);
+        while let Some(output) = self.governor.next_action() {
             match output {
-                Output::Send { connection, bytes } => {
+                Action::Send { connection, bytes } => {
                     if self.handles.get(&connection).is_some_and(|handle| !handle.send(bytes)) {
-                        self.node.unread(connection);
+                        self.governor.send_buffer_full(connection);
                     }
                 }
                 // Dropping the handle ends the connection.
-                Output::Close { connection } => drop(self.handles.remove(&connection)),
-                Output::Follow { follower, from } => self.follow(follower, from),
-                Output::Names => self.connections.names.borrow_mut().clone_from(self.node.names()),
+                Action::Close { connection } => drop(self.handles.remove(&connection)),
+                Action::Watch { watcher, from_version } => self.watch(watcher, from_version),
+                Action::ReplicasChanged => {
+                    self.connections.names.borrow_mut().clone_from(self.governor.replica_names())
+                }
             }
         }
         if at >= self.log_at {
             self.log_at = at + LOGGED;
-            tracing::info!("{:?}", self.node.beliefs());
+            tracing::info!("{:?}", self.governor.state_estimate());
             let mut faults = std::mem::take(&mut *self.connections.faults.borrow_mut());
-            faults.extend(self.node.faults().into_iter().map(|(why, count)| (why.to_string(), count)));
+            faults.extend(
+                self.governor.take_discard_counts().into_iter().map(|(why, count)| (why.to_string(), count)),
+            );
             if !faults.is_empty() {
                 tracing::info!(?faults, "left out or ended");
             }
         }
     }
 
-    fn follow(&mut self, follower: u64, from: Option<u64>) {
-        let subscriber = Subscriber { follower, objects: self.subscribers.clone() };
-        let follower = spawn_local(watch::follow(self.discovery.to_string(), from, subscriber));
+    fn watch(&mut self, watcher: u64, from: Option<u64>) {
+        let subscriber = EventSender { watcher, events: self.subscribers.clone() };
+        let follower = spawn_local(watch::watch_endpoints(self.discovery.to_string(), from, subscriber));
         if let Some(earlier) = self.follower.replace(follower) {
             spawn_local(async move {
                 sleep(HEARD_OUT).await;
@@ -232,16 +246,16 @@
                 return;
             }
         };
-        if config.info != self.config.info {
+        if config.deployment != self.config.deployment {
             tracing::warn!("the settings changed: they take effect at the next start");
         }
-        let info = self.config.info.clone();
-        self.config = Config { info, ..config };
+        let info = self.config.deployment.clone();
+        self.config = Config { deployment: info, ..config };
         self.limit();
         let discovery = self.config.discovery.unwrap_or(self.discovery);
         if discovery != self.discovery {
             self.discovery = discovery;
-            self.node.follow();
+            self.governor.start_watch();
         }
         tracing::info!(%discovery, "a new configuration is in force");
     }
--- a/crates/daemon/src/platform/config.rs
+++ b/crates/daemon/src/platform/config.rs
@@ -5,11 +5,11 @@
 
 use serde_json::Value;
 use thiserror::Error;
-use wrenthread_deployment_config::{Fields, Info};
+use wrenthread_deployment_config::{DeploymentConfig, Fields};
 
 /// What keeps a governor from starting, or a new configuration from taking effect.
 #[derive(Debug, Error)]
-pub enum Fault {
+pub enum ConfigError {
     #[error("{0} is not set")]
     Missing(&'static str),
     #[error("{0} is not an address and a port: `{1}`")]
@@ -29,13 +29,14 @@
 
 impl Variables {
     /// Errors: one that is missing or broken, by its name.
-    pub fn read() -> Result<Self, Fault> {
+    pub fn read() -> Result<Self, ConfigError> {
         let text = |name: &'static str| {
             let value = std::env::var(name).ok().filter(|value| !value.is_empty());
-            value.ok_or(Fault::Missing(name))
+            value.ok_or(ConfigError::Missing(name))
+        };
+        let address = |name| {
+            text(name).and_then(|text| text.parse().map_err(|_| ConfigError::Address(name, text.clone())))
         };
-        let address =
-            |name| text(name).and_then(|text| text.parse().map_err(|_| Fault::Address(name, text.clone())));
         Ok(Variables {
             name: text("RELAY_NAME")?,
             listen: address("RELAY_LISTEN")?,
@@ -53,7 +54,7 @@
     pub sockets: usize,
     /// The list as this governor last had it; it may be old.
     pub known: Value,
-    pub info: Info,
+    pub deployment: DeploymentConfig,
 }
 
 /// A whole configuration is some hundred KB, and several times as much in memory.
@@ -61,8 +62,8 @@
 
 impl Config {
     /// Errors: the file with what is wrong in it.
-    pub fn read(path: &Path) -> Result<Self, Fault> {
-        let fault = |why: String| Fault::File { path: path.to_path_buf(), why };
+    pub fn read(path: &Path) -> Result<Self, ConfigError> {
+        let fault = |why: String| ConfigError::File { path: path.to_path_buf(), why };
         let size = std::fs::metadata(path).map_err(|error| fault(error.to_string()))?.len();
         if size > FILE_MOST {
             return Err(fault(format!("{size} bytes are too many")));
@@ -87,24 +88,24 @@
         let settings = Fields(settings.ok_or("`settings` is no object")?);
         let info = wrenthread_deployment_config::read(&settings)?;
         // Where the simulator tells of no number there is one proxy; here it would be ready and serve nobody.
-        if settings.part("extra").get("agents").is_none() || info.settings.proxy_count == 0 {
+        if settings.object_or_empty("extra").get("agents").is_none() || info.settings.proxy_count == 0 {
             return Err("`settings.extra.agents` is missing or 0: no proxy could join".into());
         }
-        named("settings.zones", &info.zones)?;
-        named("settings.categories", &info.groups)?;
-        let limits = fields.part("limits");
+        named("settings.zones", &info.zone_names)?;
+        named("settings.categories", &info.class_names)?;
+        let limits = fields.object_or_empty("limits");
         Ok(Config {
             discovery,
             memory: limit(&limits, "memory_mb", 2048)? << 20,
             sockets: limit(&limits, "sockets", 4096)?,
             known,
-            info,
+            deployment: info,
         })
     }
 }
 
 fn limit(limits: &Fields, name: &str, usual: u64) -> Result<usize, String> {
-    let most = if limits.get(name).is_some() { limits.number(name, -1.0) } else { usual as f64 };
+    let most = if limits.get(name).is_some() { limits.number_or(name, -1.0) } else { usual as f64 };
     if (1.0..1e9).contains(&most) {
         Ok(most as usize)
     } else {
--- a/crates/daemon/src/platform/config/tests.rs
+++ b/crates/daemon/src/platform/config/tests.rs
@@ -11,7 +11,7 @@
 fn what_is_wrong_is_named() {
     let config = Config::take(whole()).expect("it is whole");
     assert_eq!((config.memory, config.sockets), (64 << 20, 256));
-    assert_eq!(config.info.settings.proxy_count, 20, "a count may come as 20.0");
+    assert_eq!(config.deployment.settings.proxy_count, 20, "a count may come as 20.0");
     for (at, wrong, why) in [
         ("/discovery", json!("nowhere"), "`discovery`"),
         ("/limits/sockets", json!(-3), "`limits.sockets`"),
--- a/crates/daemon/src/platform/connection.rs
+++ b/crates/daemon/src/platform/connection.rs
@@ -15,10 +15,9 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::task::{AbortHandle, spawn_local, yield_now};
 use tokio::time::{Instant, sleep, sleep_until};
-use wrenthread::types::{DemandStatistics, ProxyId, ReplicaId};
-use wrenthread_platform_governor::Joining;
-use wrenthread_platform_protocol::decode::{Decoder, Fault, Message};
-use wrenthread_platform_protocol::frames::Frames;
+use wrenthread::types::{DemandStatistics, ProxyConnection, ProxyId, ReplicaId};
+use wrenthread_platform_protocol::decode::{DecodeError, Decoder, Message};
+use wrenthread_platform_protocol::frames::FrameBuffer;
 
 /// What a connection has to say who it is; it may be closed then.
 const IDENTIFY_WITHIN: Duration = Duration::from_millis(1000);
@@ -38,20 +37,20 @@
 const PONG: &[u8] = b"{\"@type\":\"PONG\"}\n";
 
 /// What the connections tell the one task that owns all state.
-pub enum Event {
-    Joined {
+pub enum ConnectionEvent {
+    ProxyConnected {
         connection: u64,
-        joining: Joining,
-        handle: Handle,
+        proxy: ProxyConnection,
+        handle: StreamHandle,
     },
     /// What the stream of a proxy says.
-    Said {
+    ProxyMessage {
         connection: u64,
         proxy: ProxyId,
         message: Message,
     },
     /// What a collector hands on, of whichever proxies.
-    Handed(Message),
+    CollectorMessage(Message),
     /// The stream of a proxy has ended.
     Ended {
         connection: u64,
@@ -59,18 +58,18 @@
     },
 }
 
-type Orders = mpsc::UnboundedSender<Vec<u8>>;
+type MessageSender = mpsc::UnboundedSender<Vec<u8>>;
 
 /// The sending side of a proxy's stream. Dropping it ends the connection.
-pub struct Handle {
-    queue: Orders,
+pub struct StreamHandle {
+    queue: MessageSender,
     unsent: Rc<Cell<usize>>,
     heard: Rc<Cell<Instant>>,
     reader: AbortHandle,
     writer: AbortHandle,
 }
 
-impl Handle {
+impl StreamHandle {
     /// False if the party has left too much unread.
     pub fn send(&self, bytes: Vec<u8>) -> bool {
         queue(&self.queue, &self.unsent, bytes)
@@ -82,14 +81,14 @@
     }
 }
 
-impl Drop for Handle {
+impl Drop for StreamHandle {
     fn drop(&mut self) {
         self.reader.abort();
         self.writer.abort();
     }
 }
 
-fn queue(queue: &Orders, unsent: &Cell<usize>, bytes: Vec<u8>) -> bool {
+fn queue(queue: &MessageSender, unsent: &Cell<usize>, bytes: Vec<u8>) -> bool {
     if unsent.get() + bytes.len() > UNSENT_MOST {
         return false;
     }
@@ -157,7 +156,7 @@
     }
 
     /// Counts a spoilt message, and logs the first of its kind between two logs of counts.
-    fn spoilt(&self, why: &Fault, frame: &[u8]) {
+    fn spoilt(&self, why: &DecodeError, frame: &[u8]) {
         let reason = format!("spoilt: {why}");
         if !self.faults.borrow().contains_key(&reason) {
             let sample = String::from_utf8_lossy(&frame[..frame.len().min(SAMPLE)]).into_owned();
@@ -192,14 +191,24 @@
 }
 
 /// Accepts connections for as long as it runs.
-pub async fn open(listener: TcpListener, connections: Rc<Connections>, events: mpsc::Sender<Event>) {
+pub async fn open(
+    listener: TcpListener,
+    connections: Rc<Connections>,
+    events: mpsc::Sender<ConnectionEvent>,
+) {
     let mut connection = 0;
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 connection += 1;
                 let own = Rc::new(OnceCell::new());
-                let conn = Conn::new(stream, connection, connections.clone(), events.clone(), own.clone());
+                let conn = ConnectionReader::new(
+                    stream,
+                    connection,
+                    connections.clone(),
+                    events.clone(),
+                    own.clone(),
+                );
                 connections.unidentified.borrow_mut().insert(connection, conn.place.clone());
                 // It is not polled before this task waits.
                 let _ = own.set(spawn_local(conn.serve()).abort_handle());
@@ -217,7 +226,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Party {
+enum PeerRole {
     Unidentified,
     Collector,
     Proxy(ProxyId),
@@ -227,22 +236,22 @@
 type Heard = (Vec<Message>, Option<String>);
 
 /// One connection, as its reader has it.
-struct Conn {
+struct ConnectionReader {
     read: OwnedReadHalf,
     write: Option<OwnedWriteHalf>, // until a writer has it
-    queue: Option<(Orders, Rc<Cell<usize>>)>,
+    queue: Option<(MessageSender, Rc<Cell<usize>>)>,
     connection: u64,
     connections: Rc<Connections>,
-    events: mpsc::Sender<Event>,
+    events: mpsc::Sender<ConnectionEvent>,
     own: Rc<OnceCell<AbortHandle>>,
-    party: Party,
+    party: PeerRole,
     place: Rc<Place>,
-    frames: Frames,
+    frames: FrameBuffer,
     heard: Rc<Cell<Instant>>,
     held: usize, // of what the connections may hold unread
 }
 
-impl Drop for Conn {
+impl Drop for ConnectionReader {
     fn drop(&mut self) {
         self.connections.settle(self.connection);
         self.connections.unread.set(self.connections.unread.get() - self.held);
@@ -252,18 +261,18 @@
     }
 }
 
-impl Conn {
+impl ConnectionReader {
     fn new(
         stream: TcpStream,
         connection: u64,
         connections: Rc<Connections>,
-        events: mpsc::Sender<Event>,
+        events: mpsc::Sender<ConnectionEvent>,
         own: Rc<OnceCell<AbortHandle>>,
     ) -> Self {
         // Orders are small, and each is waited for.
         let _ = stream.set_nodelay(true);
         let (read, write) = stream.into_split();
-        Conn {
+        ConnectionReader {
             read,
             write: Some(write),
             queue: None,
@@ -271,9 +280,9 @@
             connections,
             events,
             own,
-            party: Party::Unidentified,
+            party: PeerRole::Unidentified,
             place: Rc::default(),
-            frames: Frames::default(),
+            frames: FrameBuffer::default(),
             heard: Rc::new(Cell::new(Instant::now())),
             held: 0,
         }
@@ -284,7 +293,7 @@
         let place = self.place.clone();
         let mut last_look = false;
         let why = loop {
-            let unidentified = self.party == Party::Unidentified;
+            let unidentified = self.party == PeerRole::Unidentified;
             // What has come is read before the wait is judged: it may be the governor that stood still.
             let ready = tokio::select! {
                 biased;
@@ -319,7 +328,7 @@
                 break Some(why);
             }
             let begun = place.begun.replace(self.held > 0);
-            if std::mem::take(&mut last_look) && self.party == Party::Unidentified {
+            if std::mem::take(&mut last_look) && self.party == PeerRole::Unidentified {
                 if begun || self.held == 0 {
                     break Some("unidentified: others came".to_string());
                 }
@@ -332,8 +341,8 @@
             self.say(NACK);
             self.connections.count(why);
         }
-        if let Party::Proxy(proxy) = self.party {
-            let _ = self.events.send(Event::Ended { connection: self.connection, proxy }).await;
+        if let PeerRole::Proxy(proxy) = self.party {
+            let _ = self.events.send(ConnectionEvent::Ended { connection: self.connection, proxy }).await;
         }
     }
 
@@ -347,14 +356,14 @@
         }
         self.heard.set(Instant::now());
         let (names, party) = (connections.names.borrow(), self.party);
-        let most = if party == Party::Unidentified { UNIDENTIFIED_BYTES } else { MESSAGE_MOST };
+        let most = if party == PeerRole::Unidentified { UNIDENTIFIED_BYTES } else { MESSAGE_MOST };
         let (mut messages, mut fault) = (Vec::new(), None);
         let pushed = self.frames.push(&scratch[..count], most, |frame| {
-            match connections.decoder.read(frame, |name| names.get(name).cloned()) {
+            match connections.decoder.decode(frame, |name| names.get(name).cloned()) {
                 Ok(message) => messages.push(message),
-                Err(Fault::Unreadable(why)) => fault = Some(format!("unreadable: {}", kind(&why))),
+                Err(DecodeError::Unreadable(why)) => fault = Some(format!("unreadable: {}", kind(&why))),
                 // Nobody who is not known yet has a neighbour message that might be good.
-                Err(why) if party == Party::Unidentified && messages.is_empty() => {
+                Err(why) if party == PeerRole::Unidentified && messages.is_empty() => {
                     fault = Some(format!("unidentified: {why}"));
                 }
                 Err(why) => connections.spoilt(&why, frame),
@@ -365,11 +374,11 @@
             fault = fault.or(Some(why.to_string()));
         }
         // All that is said here are objects: what begins otherwise need not be waited for.
-        let waiting = self.frames.waiting().trim_ascii_start();
+        let waiting = self.frames.incomplete().trim_ascii_start();
         if fault.is_none() && waiting.first().is_some_and(|first| *first != b'{') {
             fault = Some("unreadable: not an object".into());
         }
-        let held = self.frames.waiting().len();
+        let held = self.frames.incomplete().len();
         connections.unread.set(connections.unread.get() - self.held + held);
         self.held = held;
         if fault.is_none()
@@ -387,21 +396,21 @@
             (Message::Ping, _) => {
                 return if self.say(PONG) { Ok(()) } else { Err("unread: answers to PING".into()) };
             }
-            (Message::Source(zone), Party::Unidentified) => {
-                self.party = Party::Collector;
+            (Message::Collector { zone }, PeerRole::Unidentified) => {
+                self.party = PeerRole::Collector;
                 self.connections.settle(self.connection);
                 if let Some(own) = self.own.get() {
                     self.connections.collects(zone, self.connection, own.clone());
                 }
             }
-            (Message::Joined { proxy, zone, usual, fresh }, Party::Unidentified) => {
+            (Message::ProxyConnected(proxy_connection), PeerRole::Unidentified) => {
                 let (Some(write), Some(own)) = (self.write.take(), self.own.get()) else { return Ok(()) };
-                self.party = Party::Proxy(proxy);
+                self.party = PeerRole::Proxy(proxy_connection.proxy);
                 self.connections.settle(self.connection);
                 let (queue, orders) = mpsc::unbounded_channel();
                 let unsent = Rc::new(Cell::new(0));
                 let writer = spawn_local(send(write, orders, unsent.clone())).abort_handle();
-                let handle = Handle {
+                let handle = StreamHandle {
                     queue: queue.clone(),
                     unsent: unsent.clone(),
                     heard: self.heard.clone(),
@@ -409,27 +418,37 @@
                     writer,
                 };
                 self.queue = Some((queue, unsent));
-                let joining = Joining { proxy, zone, usual, fresh };
-                self.tell(Event::Joined { connection: self.connection, joining, handle }).await;
+                self.tell(ConnectionEvent::ProxyConnected {
+                    connection: self.connection,
+                    proxy: proxy_connection,
+                    handle,
+                })
+                .await;
             }
-            (message @ (Message::ReplicaStatistics(_) | Message::DemandStatistics(_)), Party::Collector) => {
-                self.tell(Event::Handed(message)).await;
+            (
+                message @ (Message::ReplicaStatistics(_) | Message::DemandStatistics(_)),
+                PeerRole::Collector,
+            ) => {
+                self.tell(ConnectionEvent::CollectorMessage(message)).await;
             }
             (
                 message @ (Message::DemandStatistics(DemandStatistics { proxy, .. })
-                | Message::Acked { proxy, .. }),
-                Party::Proxy(own),
+                | Message::Acknowledged { proxy, .. }),
+                PeerRole::Proxy(own),
             ) if proxy == own => {
-                self.tell(Event::Said { connection: self.connection, proxy, message }).await;
+                self.tell(ConnectionEvent::ProxyMessage { connection: self.connection, proxy, message })
+                    .await;
+            }
+            (_, PeerRole::Unidentified) => {
+                return Err("unidentified: reports before it says who it is".into());
             }
-            (_, Party::Unidentified) => return Err("unidentified: reports before it says who it is".into()),
             // A spoilt message may name what it does not mean; its neighbours count.
             _ => self.connections.count("spoilt: not this party's to say"),
         }
         Ok(())
     }
 
-    async fn tell(&self, event: Event) {
+    async fn tell(&self, event: ConnectionEvent) {
         // Nobody listens only as the program ends.
         let _ = self.events.send(event).await;
     }
--- a/crates/daemon/src/platform/tests.rs
+++ b/crates/daemon/src/platform/tests.rs
@@ -151,7 +151,7 @@
     /// Has the node take in all that waits for it, and send what comes of it.
     fn step(&mut self) {
         while let Ok(object) = self.service.objects.try_recv() {
-            self.service.object(object);
+            self.service.watch_event(object);
         }
         while let Ok(event) = self.service.events.try_recv() {
             self.service.take(event);
@@ -210,12 +210,18 @@
 
     fn faults(&mut self, why: &str) -> u64 {
         let mut faults = self.service.connections.faults.borrow_mut();
-        faults.extend(self.service.node.faults().into_iter().map(|(why, count)| (why.to_string(), count)));
+        faults.extend(
+            self.service
+                .governor
+                .take_discard_counts()
+                .into_iter()
+                .map(|(why, count)| (why.to_string(), count)),
+        );
         faults.iter().filter(|(fault, _)| fault.starts_with(why)).map(|(_, count)| count).sum()
     }
 
     fn serves(&self, proxy: u16) -> bool {
-        self.service.node.stream(proxy).is_some()
+        self.service.governor.connection_of(proxy).is_some()
     }
 }
 
--- a/crates/daemon/src/platform/tests/peers.rs
+++ b/crates/daemon/src/platform/tests/peers.rs
@@ -111,9 +111,9 @@
         stage.held_until("it joins", |service| service.events.len() == 1).await;
         older.say(&rate(17, 40_000));
         stage.held_until("it reports", |service| service.events.len() == 2).await;
-        let offered = stage.service.node.beliefs().offered_per_second;
+        let offered = stage.service.governor.state_estimate().offered_per_second;
         stage.step();
-        assert_eq!(stage.service.node.beliefs().offered_per_second, offered);
+        assert_eq!(stage.service.governor.state_estimate().offered_per_second, offered);
         assert_eq!(stage.faults("late: said on a stream"), 1);
         older.until_ended(&mut stage).await;
         newer.until_told(&mut stage, |order| order["whole"] == true).await;
--- a/crates/deployment-config/src/tests.rs
+++ b/crates/deployment-config/src/tests.rs
@@ -4,7 +4,7 @@
     "extra":{"agents":7,"update_cap":30,"messages_over_us":10000000},"zones":["a","b"],
     "report":{"fields":["queue","latency_ms"]},"new":{"x":[1]}}"#;
 
-fn told(text: &str) -> Result<Info, Fault> {
+fn told(text: &str) -> Result<DeploymentConfig, FieldError> {
     let value: Value = serde_json::from_str(text).expect("JSON");
     read(&Fields(value.as_object().expect("an object")))
 }
@@ -12,8 +12,8 @@
 #[test]
 fn names_stand_in_the_order_of_what_they_name() {
     let info = told(INFO).expect("it is whole");
-    assert_eq!((info.zones, info.groups), (vec!["a".into(), "b".into()], vec!["find".to_string()]));
-    assert_eq!(info.load, ["queue", "latency_ms"]);
+    assert_eq!((info.zone_names, info.class_names), (vec!["a".into(), "b".into()], vec!["find".to_string()]));
+    assert_eq!(info.load_field_names, ["queue", "latency_ms"]);
     assert_eq!(info.settings.load_fields, [LoadField::Queued, LoadField::ServiceMillis]);
     assert_eq!(
         info.settings.message_limit,
@@ -25,9 +25,9 @@
 fn a_group_without_its_span_is_named() {
     assert_eq!(
         told(&INFO.replace("deadline_us\":5000000", "deadline_us\":-1")),
-        Err(Fault::Whole("deadline_us".into()))
+        Err(FieldError::NotWholeNumber("deadline_us".into()))
     );
-    assert_eq!(told(r#"{"categories":[3]}"#), Err(Fault::Object("categories".into())));
+    assert_eq!(told(r#"{"categories":[3]}"#), Err(FieldError::NotObject("categories".into())));
 }
 
 const COMPLETE: &str = r#"{
@@ -50,7 +50,7 @@
 }
 
 /// What is read of the complete object with the value at `pointer` replaced.
-fn replaced(pointer: &str, value: Value) -> Result<Info, Fault> {
+fn replaced(pointer: &str, value: Value) -> Result<DeploymentConfig, FieldError> {
     let mut object = complete();
     *object.pointer_mut(pointer).expect("it is there") = value;
     told(&object.to_string())
@@ -204,19 +204,19 @@
     let mut object = complete();
     object["extra"]["update_cap"] = Value::from("3");
     object["siblings"] = Value::from("3");
-    assert_eq!(told(&object.to_string()), Err(Fault::Whole("update_cap".into())));
+    assert_eq!(told(&object.to_string()), Err(FieldError::NotWholeNumber("update_cap".into())));
     object["categories"][0]["deadline_us"] = Value::from("3");
-    assert_eq!(told(&object.to_string()), Err(Fault::Whole("deadline_us".into())));
+    assert_eq!(told(&object.to_string()), Err(FieldError::NotWholeNumber("deadline_us".into())));
     object["categories"][0]["objective_us"] = Value::from("3");
-    assert_eq!(told(&object.to_string()), Err(Fault::Whole("objective_us".into())));
+    assert_eq!(told(&object.to_string()), Err(FieldError::NotWholeNumber("objective_us".into())));
     object["categories"][1]["key_ttl_us"] = Value::from("3");
-    assert_eq!(told(&object.to_string()), Err(Fault::Whole("objective_us".into())));
+    assert_eq!(told(&object.to_string()), Err(FieldError::NotWholeNumber("objective_us".into())));
     object["categories"][0]["key_ttl_us"] = Value::from("3");
-    assert_eq!(told(&object.to_string()), Err(Fault::Whole("key_ttl_us".into())));
+    assert_eq!(told(&object.to_string()), Err(FieldError::NotWholeNumber("key_ttl_us".into())));
     object["penalties"] = Value::from("3");
-    assert_eq!(told(&object.to_string()), Err(Fault::Object("penalties".into())));
+    assert_eq!(told(&object.to_string()), Err(FieldError::NotObject("penalties".into())));
     object["rules"] = Value::from("3");
-    assert_eq!(told(&object.to_string()), Err(Fault::Object("rules".into())));
+    assert_eq!(told(&object.to_string()), Err(FieldError::NotObject("rules".into())));
 }
 
 #[test]
@@ -243,11 +243,11 @@
     assert!(settings("/categories", Value::from(3)).classes.is_empty());
     assert!(settings("/report/fields", Value::from(3)).load_fields.is_empty());
     assert_eq!(
-        replaced("/categories/1/name", Value::from(3)).expect("it is read").groups,
+        replaced("/categories/1/name", Value::from(3)).expect("it is read").class_names,
         ["find", "", "log"]
     );
-    assert_eq!(replaced("/zones/0", Value::from(3)).expect("it is read").zones, ["", "b"]);
-    assert!(replaced("/zones", Value::from(3)).expect("it is read").zones.is_empty());
-    let load = replaced("/report/fields/3", Value::from(3)).expect("it is read").load;
+    assert_eq!(replaced("/zones/0", Value::from(3)).expect("it is read").zone_names, ["", "b"]);
+    assert!(replaced("/zones", Value::from(3)).expect("it is read").zone_names.is_empty());
+    let load = replaced("/report/fields/3", Value::from(3)).expect("it is read").load_field_names;
     assert_eq!(load, ["inflight", "queue", "latency_ms", ""]);
 }
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -13,36 +13,36 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
-use wrenthread_platform_protocol::frames::{Frames, TooLong};
+use wrenthread_platform_protocol::frames::{FrameBuffer, FrameTooLongError};
 
 /// Dialling is to a neighbour on the same machine: what takes longer does not come up.
-const DIAL: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// An empty line comes every two seconds, and what discovery tells is held against the governor some seconds
 /// on.
-const SILENT: Duration = Duration::from_millis(2800);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2800);
 /// Waits between dials, doubled from the first to the last.
 const WAITS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
 /// A list of some ten thousand entries. What is longer is not taken into memory, where it would be several
 /// times as large.
-const OBJECT_MOST: usize = 2 << 20;
+const MAX_EVENT_BYTES: usize = 2 << 20;
 
 /// Why a watch ended.
 #[derive(Debug, Error)]
-pub enum Fault {
-    #[error("it did not come up within {DIAL:?}")]
-    Late,
-    #[error("it was silent for {SILENT:?}")]
+pub enum WatchError {
+    #[error("it did not come up within {CONNECT_TIMEOUT:?}")]
+    ConnectTimeout,
+    #[error("it was silent for {SILENCE_TIMEOUT:?}")]
     Silent,
     #[error("it ended")]
     Ended,
     #[error("not all it said could be used: the whole list is asked for")]
-    Unusable,
+    InvalidEvent,
     #[error("nobody listens")]
-    Unheard,
+    ReceiverClosed,
     #[error("it answered {0}")]
-    Answer(hyper::StatusCode),
+    Status(hyper::StatusCode),
     #[error("{0}")]
-    Object(#[from] TooLong),
+    Frame(#[from] FrameTooLongError),
     #[error("dialling: {0}")]
     Dial(#[from] std::io::Error),
     #[error("{0}")]
@@ -52,32 +52,32 @@
 }
 
 /// One object as it came, and where to say what is known after it: the version, or none if all is to be told.
-pub struct Object {
-    /// The number of the follower that heard it.
-    pub follower: u64,
+pub struct WatchEvent {
+    /// The number of the watcher that heard it.
+    pub watcher: u64,
     pub bytes: Vec<u8>,
-    pub known: oneshot::Sender<Option<u64>>,
+    pub known_version: oneshot::Sender<Option<u64>>,
 }
 
-/// Where objects go, and the number that tells this follower's from others'.
+/// Where events go, and the number that tells this watcher's from others'.
 #[derive(Clone)]
-pub struct Subscriber {
-    pub follower: u64,
-    pub objects: mpsc::Sender<Object>,
+pub struct EventSender {
+    pub watcher: u64,
+    pub events: mpsc::Sender<WatchEvent>,
 }
 
 /// Follows discovery at `address` until it is dropped. `known` is the version that the list has.
-pub async fn follow(address: String, mut known: Option<u64>, subscriber: Subscriber) {
+pub async fn watch_endpoints(address: String, mut known: Option<u64>, sender: EventSender) {
     let mut wait = WAITS.0;
     loop {
         let before = known;
         let ended = match known {
-            None => whole(&address, &mut known, &subscriber).await,
-            Some(version) => watch(&address, version, &mut known, &subscriber).await,
+            None => fetch_snapshot(&address, &mut known, &sender).await,
+            Some(version) => watch_changes(&address, version, &mut known, &sender).await,
         };
         let fault = match ended {
             Ok(()) => continue,
-            Err(Fault::Unheard) => return,
+            Err(WatchError::ReceiverClosed) => return,
             Err(fault) => fault,
         };
         // A watch that told something ended; one that goes on failing is not logged for ever.
@@ -95,57 +95,61 @@
 }
 
 /// Has all of the list told, from which a watch may go on.
-async fn whole(address: &str, known: &mut Option<u64>, subscriber: &Subscriber) -> Result<(), Fault> {
-    let (answer, _driver) = ask(address, "/registry/instances").await?;
+async fn fetch_snapshot(
+    address: &str,
+    known: &mut Option<u64>,
+    sender: &EventSender,
+) -> Result<(), WatchError> {
+    let (answer, _driver) = request(address, "/registry/instances").await?;
     let (mut body, mut list) = (answer.into_body(), Vec::new());
-    while let Some(data) = piece(&mut body).await? {
-        if list.len() + data.len() > OBJECT_MOST {
-            return Err(TooLong(OBJECT_MOST).into());
+    while let Some(data) = next_chunk(&mut body).await? {
+        if list.len() + data.len() > MAX_EVENT_BYTES {
+            return Err(FrameTooLongError(MAX_EVENT_BYTES).into());
         }
         list.extend_from_slice(&data);
     }
-    *known = Some(subscriber.tell(list).await?);
+    *known = Some(sender.deliver(list).await?);
     Ok(())
 }
 
 /// Watches from a version on, for as long as the connection lasts.
-async fn watch(
+async fn watch_changes(
     address: &str,
     from: u64,
     known: &mut Option<u64>,
-    subscriber: &Subscriber,
-) -> Result<(), Fault> {
-    let (answer, _driver) = ask(address, &format!("/registry/instances?watch=1&from={from}")).await?;
-    let (mut body, mut frames) = (answer.into_body(), Frames::default());
-    while let Some(data) = piece(&mut body).await? {
+    sender: &EventSender,
+) -> Result<(), WatchError> {
+    let (answer, _driver) = request(address, &format!("/registry/instances?watch=1&from={from}")).await?;
+    let (mut body, mut frames) = (answer.into_body(), FrameBuffer::default());
+    while let Some(data) = next_chunk(&mut body).await? {
         let mut lines = Vec::new();
-        frames.push(&data, OBJECT_MOST, |line| {
+        frames.push(&data, MAX_EVENT_BYTES, |line| {
             lines.push(line.to_vec());
             true
         })?;
         for line in lines {
             *known = None;
-            *known = Some(subscriber.tell(line).await?);
+            *known = Some(sender.deliver(line).await?);
         }
     }
-    Err(Fault::Ended)
+    Err(WatchError::Ended)
 }
 
 /// The next bytes of an answer; none at its end.
-async fn piece(body: &mut Incoming) -> Result<Option<Bytes>, Fault> {
-    match timeout(SILENT, body.frame()).await.map_err(|_| Fault::Silent)? {
+async fn next_chunk(body: &mut Incoming) -> Result<Option<Bytes>, WatchError> {
+    match timeout(SILENCE_TIMEOUT, body.frame()).await.map_err(|_| WatchError::Silent)? {
         None => Ok(None),
         Some(frame) => Ok(Some(frame?.into_data().unwrap_or_default())), // trailers tell of nothing
     }
 }
 
-impl Subscriber {
+impl EventSender {
     /// The version that the list has after an object.
-    async fn tell(&self, bytes: Vec<u8>) -> Result<u64, Fault> {
+    async fn deliver(&self, bytes: Vec<u8>) -> Result<u64, WatchError> {
         let (known, told) = oneshot::channel();
-        let object = Object { follower: self.follower, bytes, known };
-        self.objects.send(object).await.map_err(|_| Fault::Unheard)?;
-        told.await.map_err(|_| Fault::Unheard)?.ok_or(Fault::Unusable)
+        let event = WatchEvent { watcher: self.watcher, bytes, known_version: known };
+        self.events.send(event).await.map_err(|_| WatchError::ReceiverClosed)?;
+        told.await.map_err(|_| WatchError::ReceiverClosed)?.ok_or(WatchError::InvalidEvent)
     }
 }
 
@@ -158,8 +162,10 @@
     }
 }
 
-async fn ask(address: &str, path: &str) -> Result<(Response<Incoming>, Driver), Fault> {
-    let stream = timeout(DIAL, TcpStream::connect(address)).await.map_err(|_| Fault::Late)??;
+async fn request(address: &str, path: &str) -> Result<(Response<Incoming>, Driver), WatchError> {
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
+        .await
+        .map_err(|_| WatchError::ConnectTimeout)??;
     stream.set_nodelay(true)?;
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
     let driver = Driver(tokio::task::spawn_local(async move {
@@ -167,9 +173,10 @@
         let _ = connection.await;
     }));
     let request = Request::get(path).header(header::HOST, address).body(Empty::<Bytes>::new())?;
-    let answer = timeout(SILENT, sender.send_request(request)).await.map_err(|_| Fault::Silent)??;
+    let answer =
+        timeout(SILENCE_TIMEOUT, sender.send_request(request)).await.map_err(|_| WatchError::Silent)??;
     if !answer.status().is_success() {
-        return Err(Fault::Answer(answer.status()));
+        return Err(WatchError::Status(answer.status()));
     }
     Ok((answer, driver))
 }
--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -6,7 +6,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
-use wrenthread_discovery::watch::{Object, Subscriber, follow};
+use wrenthread_discovery::watch::{EventSender, WatchEvent, watch_endpoints};
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -30,11 +30,11 @@
 }
 
 /// The next object, which is taken as of this version.
-async fn heard(objects: &mut mpsc::Receiver<Object>, version: Option<u64>) -> String {
-    let next = tokio::time::timeout(Duration::from_secs(10), objects.recv()).await;
-    let object = next.expect("in time").expect("it follows");
-    object.known.send(version).unwrap();
-    String::from_utf8(object.bytes).unwrap()
+async fn heard(events: &mut mpsc::Receiver<WatchEvent>, version: Option<u64>) -> String {
+    let next = tokio::time::timeout(Duration::from_secs(10), events.recv()).await;
+    let event = next.expect("in time").expect("it follows");
+    event.known_version.send(version).unwrap();
+    String::from_utf8(event.bytes).unwrap()
 }
 
 #[test]
@@ -42,16 +42,20 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (send, mut objects) = mpsc::channel(4);
+        let (send, mut events) = mpsc::channel(4);
         let address = listener.local_addr().unwrap().to_string();
-        tokio::task::spawn_local(follow(address, Some(41), Subscriber { follower: 1, objects: send }));
+        tokio::task::spawn_local(watch_endpoints(
+            address,
+            Some(41),
+            EventSender { watcher: 1, events: send },
+        ));
         // Objects come in pieces, empty lines between them.
         let (mut stream, path) = asked(&listener).await;
         assert_eq!(path, "/registry/instances?watch=1&from=41");
         stream.write_all(HEAD.as_bytes()).await.unwrap();
         say(&mut stream, "\n{\"index\":42}\n\n{\"index\":43}\n").await;
-        assert_eq!(heard(&mut objects, Some(42)).await, "{\"index\":42}");
-        assert_eq!(heard(&mut objects, Some(43)).await, "{\"index\":43}");
+        assert_eq!(heard(&mut events, Some(42)).await, "{\"index\":42}");
+        assert_eq!(heard(&mut events, Some(43)).await, "{\"index\":43}");
         // It breaks off; then it is refused; then it is silent, though open.
         drop(stream);
         let (mut stream, path) = asked(&listener).await;
@@ -66,11 +70,11 @@
         // What can't be used has all of it asked for, and watched from there.
         stream.write_all(HEAD.as_bytes()).await.unwrap();
         say(&mut stream, "{\"ind\n").await;
-        assert_eq!(heard(&mut objects, None).await, "{\"ind");
+        assert_eq!(heard(&mut events, None).await, "{\"ind");
         let (mut stream, path) = asked(&listener).await;
         assert_eq!(path, "/registry/instances");
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\n{\"index\":50}").await.unwrap();
-        assert_eq!(heard(&mut objects, Some(50)).await, "{\"index\":50}");
+        assert_eq!(heard(&mut events, Some(50)).await, "{\"index\":50}");
         assert_eq!(asked(&listener).await.1, "/registry/instances?watch=1&from=50");
     });
 }
--- a/crates/platform-governor/src/list.rs
+++ b/crates/platform-governor/src/endpoint_list.rs
@@ -12,43 +12,43 @@
 
 /// Why nothing of an object can be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Fault {
+pub enum EndpointListError {
     #[error("not JSON: {0}")]
     Unreadable(String),
     #[error("`{0}` is missing or of another type")]
-    Field(&'static str),
+    InvalidField(&'static str),
 }
 
 /// A name that is longer is no name: it would be carried in every table.
-const NAME_MOST: usize = 256;
+const MAX_NAME_BYTES: usize = 256;
 /// ReplicaEntry weights beyond it are taken for spoilt.
-const WEIGHT_MOST: f64 = 1e6;
+const MAX_WEIGHT: f64 = 1e6;
 
 /// What an object changes.
 #[derive(Debug, Default, PartialEq)]
-pub struct Change {
+pub struct EndpointUpdate {
     pub entries: Vec<ReplicaEntry>,
     /// What is not among the entries is gone.
     pub complete: bool,
     /// Why entries were left out.
-    pub spoilt: Vec<String>,
+    pub invalid_entries: Vec<String>,
 }
 
 /// The list as last told, and its version.
 #[derive(Default)]
-pub struct List {
+pub struct EndpointList {
     zones: BTreeMap<String, usize>,
     version: Option<u64>,
     entries: BTreeMap<ReplicaId, ReplicaEntry>,
     incomplete: bool,
-    behind: bool,
+    stale: bool,
 }
 
-impl List {
+impl EndpointList {
     pub fn new(zones: &[String]) -> Self {
-        List {
+        EndpointList {
             zones: zones.iter().cloned().enumerate().map(|(at, name)| (name, at)).collect(),
-            ..List::default()
+            ..EndpointList::default()
         }
     }
 
@@ -58,12 +58,12 @@
     }
 
     /// Whether the last object was older than what is known.
-    pub fn is_behind(&self) -> bool {
-        self.behind
+    pub fn last_was_stale(&self) -> bool {
+        self.stale
     }
 
     /// Whoever tells the list counts anew: what comes next is taken whatever its version, once it is whole.
-    pub fn renumber(&mut self) {
+    pub fn restart_numbering(&mut self) {
         (self.version, self.incomplete) = (None, true);
     }
 
@@ -76,30 +76,31 @@
         &mut self,
         object: &[u8],
         started: impl Fn(f64) -> Option<Duration>,
-    ) -> Result<Option<Change>, Fault> {
-        let object = serde_json::from_slice(object).map_err(|error| Fault::Unreadable(error.to_string()));
+    ) -> Result<Option<EndpointUpdate>, EndpointListError> {
+        let object =
+            serde_json::from_slice(object).map_err(|error| EndpointListError::Unreadable(error.to_string()));
         let change = object.and_then(|object| self.take(&object, started));
         // Whatever it was to tell will not be told again.
         self.incomplete |= change.is_err();
         change
     }
 
-    /// As [`List::read`], of an object that is read already.
+    /// As [`EndpointList::read`], of an object that is read already.
     ///
     /// Errors: an object that can't be used; nothing changed.
     pub fn take(
         &mut self,
         object: &Value,
         started: impl Fn(f64) -> Option<Duration>,
-    ) -> Result<Option<Change>, Fault> {
-        let version = object["index"].as_u64().ok_or(Fault::Field("index"))?;
-        let complete = object["snapshot"].as_bool().ok_or(Fault::Field("snapshot"))?;
-        let rows = object["endpoints"].as_array().ok_or(Fault::Field("endpoints"))?;
-        self.behind = self.version.is_some_and(|known| version < known);
-        if self.behind || self.version == Some(version) && !complete {
+    ) -> Result<Option<EndpointUpdate>, EndpointListError> {
+        let version = object["index"].as_u64().ok_or(EndpointListError::InvalidField("index"))?;
+        let complete = object["snapshot"].as_bool().ok_or(EndpointListError::InvalidField("snapshot"))?;
+        let rows = object["endpoints"].as_array().ok_or(EndpointListError::InvalidField("endpoints"))?;
+        self.stale = self.version.is_some_and(|known| version < known);
+        if self.stale || self.version == Some(version) && !complete {
             return Ok(None);
         }
-        let mut change = Change { complete, ..Change::default() };
+        let mut change = EndpointUpdate { complete, ..EndpointUpdate::default() };
         for row in rows {
             match self.entry(row, &started) {
                 Ok(entry) => change.entries.push(entry),
@@ -108,12 +109,12 @@
                     change.entries.extend(name.cloned());
                     // One that can't be told may be any of those that are missing.
                     change.complete &= name.is_some() || row["name"].is_string();
-                    change.spoilt.push(format!("`{field}` of {}", row["name"]));
+                    change.invalid_entries.push(format!("`{field}` of {}", row["name"]));
                 }
             }
         }
         // What is left out of a change is not told again; asking anew for a whole list would bring the same.
-        self.incomplete = !complete && (self.incomplete || !change.spoilt.is_empty());
+        self.incomplete = !complete && (self.incomplete || !change.invalid_entries.is_empty());
         self.version = Some(version);
         if change.complete {
             self.entries.clear();
@@ -133,7 +134,7 @@
         row: &Value,
         started: impl Fn(f64) -> Option<Duration>,
     ) -> Result<ReplicaEntry, &'static str> {
-        let name = row["name"].as_str().filter(|name| !name.is_empty() && name.len() <= NAME_MOST);
+        let name = row["name"].as_str().filter(|name| !name.is_empty() && name.len() <= MAX_NAME_BYTES);
         let name = name.ok_or("name")?;
         let known = self.entries.get_key_value(name);
         let phase = match row["status"].as_str() {
@@ -148,7 +149,7 @@
         let weight = match row.get("weight") {
             None if phase == Phase::Gone => Some(1.0),
             None => None,
-            Some(weight) => weight.as_f64().filter(|weight| *weight > 0.0 && *weight <= WEIGHT_MOST),
+            Some(weight) => weight.as_f64().filter(|weight| *weight > 0.0 && *weight <= MAX_WEIGHT),
         };
         let weight = weight.or(known.filter(|_| phase != Phase::Ready).map(|(_, entry)| entry.weight));
         let since = match row.get("since_ms") {
--- a/crates/platform-protocol/src/decode.rs
+++ b/crates/platform-protocol/src/decode.rs
@@ -5,47 +5,44 @@
 
 use serde_json::{Map, Value};
 use thiserror::Error;
-use wrenthread::types::{DemandStatistics, ProxyId, ReplicaId, ReplicaStatistics};
-use wrenthread_deployment_config::Info;
+use wrenthread::types::{DemandStatistics, ProxyConnection, ProxyId, ReplicaId, ReplicaStatistics};
+use wrenthread_deployment_config::DeploymentConfig;
 
 /// What one message says.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
     Ping,
     /// The collector of a zone.
-    Source(usize),
-    Joined {
-        proxy: ProxyId,
+    Collector {
         zone: usize,
-        usual: f64,
-        fresh: bool,
     },
+    ProxyConnected(ProxyConnection),
     ReplicaStatistics(ReplicaStatistics),
     DemandStatistics(DemandStatistics),
-    Acked {
+    Acknowledged {
         proxy: ProxyId,
         nonce: u16,
-        took: Duration,
+        latency: Duration,
     },
 }
 
 /// Why a message tells of nothing.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Fault {
+pub enum DecodeError {
     /// No further use can be made of what says so.
     #[error("not a message: {0}")]
     Unreadable(String),
     #[error("`{0}` is missing, of another type or out of range")]
-    Field(&'static str),
+    InvalidField(&'static str),
     #[error("`{0}` names nothing that is known")]
-    Unknown(&'static str),
+    UnknownName(&'static str),
 }
 
 /// Sums are gathered every second or so; where they had to wait they cover more, but not minutes.
-const SPAN_MOST: f64 = 120_000.0;
+const MAX_INTERVAL_MILLIS: f64 = 120_000.0;
 /// More than any proxy or replica can have had in a second. It guards against counts that would drown what is
 /// true; it would harm where a zone sends a replica more than that.
-const RATE_MOST: f64 = 100_000.0;
+const MAX_REQUESTS_PER_SECOND: f64 = 100_000.0;
 
 /// Reads the platform's messages by the names that the settings give.
 pub struct Decoder {
@@ -59,55 +56,55 @@
 struct Fields<'a>(&'a Map<String, Value>);
 
 impl<'a> Fields<'a> {
-    fn text(&self, name: &'static str) -> Result<&'a str, Fault> {
-        self.0.get(name).and_then(Value::as_str).ok_or(Fault::Field(name))
+    fn text(&self, name: &'static str) -> Result<&'a str, DecodeError> {
+        self.0.get(name).and_then(Value::as_str).ok_or(DecodeError::InvalidField(name))
     }
 
-    fn number(&self, name: &'static str, most: f64) -> Result<f64, Fault> {
+    fn number(&self, name: &'static str, most: f64) -> Result<f64, DecodeError> {
         let number = self.0.get(name).and_then(Value::as_f64).filter(|it| (0.0..=most).contains(it));
-        number.ok_or(Fault::Field(name))
+        number.ok_or(DecodeError::InvalidField(name))
     }
 
     /// A count may come as 3.0 from a writer that knows only one kind of number.
-    fn whole(&self, name: &'static str, most: f64) -> Result<u64, Fault> {
+    fn whole(&self, name: &'static str, most: f64) -> Result<u64, DecodeError> {
         let number = self.number(name, most)?;
-        if number.fract() == 0.0 { Ok(number as u64) } else { Err(Fault::Field(name)) }
+        if number.fract() == 0.0 { Ok(number as u64) } else { Err(DecodeError::InvalidField(name)) }
     }
 
-    fn millis(&self, name: &'static str, most: f64) -> Result<Duration, Fault> {
+    fn millis(&self, name: &'static str, most: f64) -> Result<Duration, DecodeError> {
         Ok(Duration::from_secs_f64(self.number(name, most)? / 1000.0))
     }
 
-    fn flag(&self, name: &'static str) -> Result<bool, Fault> {
+    fn flag(&self, name: &'static str) -> Result<bool, DecodeError> {
         match self.0.get(name) {
             None | Some(Value::Null) => Ok(false),
-            Some(value) => value.as_bool().ok_or(Fault::Field(name)),
+            Some(value) => value.as_bool().ok_or(DecodeError::InvalidField(name)),
         }
     }
 
     /// Tries or flows, those without a good answer, and the span they are summed over. Tries that failed are
     /// among the tries (`among`); flows that were not answered may have come in an earlier span.
-    fn sums(&self, among: bool) -> Result<(u64, u64, Duration), Fault> {
-        let span = self.millis("interval", SPAN_MOST)?;
+    fn sums(&self, among: bool) -> Result<(u64, u64, Duration), DecodeError> {
+        let span = self.millis("interval", MAX_INTERVAL_MILLIS)?;
         if span.is_zero() {
-            return Err(Fault::Field("interval"));
+            return Err(DecodeError::InvalidField("interval"));
         }
-        let most = (RATE_MOST * span.as_secs_f64()).max(RATE_MOST);
+        let most = (MAX_REQUESTS_PER_SECOND * span.as_secs_f64()).max(MAX_REQUESTS_PER_SECOND);
         let total = self.whole("total", most)?;
         Ok((total, self.whole("errors", if among { total as f64 } else { most })?, span))
     }
 }
 
 impl Decoder {
-    pub fn new(info: &Info) -> Self {
+    pub fn new(info: &DeploymentConfig) -> Self {
         let places =
             |names: &[String]| names.iter().cloned().enumerate().map(|(at, name)| (name, at)).collect();
         let expiry =
             info.settings.classes.iter().map(|group| group.request_deadline).max().unwrap_or(Duration::MAX);
         Decoder {
-            zones: places(&info.zones),
-            groups: places(&info.groups),
-            load: info.load.clone(),
+            zones: places(&info.zone_names),
+            groups: places(&info.class_names),
+            load: info.load_field_names.clone(),
             proxies: info.settings.proxy_count,
             answer_most: 2000.0 * expiry.as_secs_f64(), // noise is on top of what a client waits for
         }
@@ -116,26 +113,30 @@
     /// Reads one message. `replica` gives the name of a replica that the list has, or lately had.
     ///
     /// Errors: what can't be read at all, or is spoilt.
-    pub fn read(&self, frame: &[u8], replica: impl Fn(&str) -> Option<ReplicaId>) -> Result<Message, Fault> {
+    pub fn decode(
+        &self,
+        frame: &[u8],
+        replica: impl Fn(&str) -> Option<ReplicaId>,
+    ) -> Result<Message, DecodeError> {
         let whole = match serde_json::from_slice(frame) {
             Ok(Value::Object(whole)) => whole,
-            Ok(_) => return Err(Fault::Unreadable("no object".into())),
-            Err(error) => return Err(Fault::Unreadable(error.to_string())),
+            Ok(_) => return Err(DecodeError::Unreadable("no object".into())),
+            Err(error) => return Err(DecodeError::Unreadable(error.to_string())),
         };
         let fields = Fields(&whole);
         match fields.text("@type")? {
             "PING" => Ok(Message::Ping),
-            "SOURCE" => Ok(Message::Source(self.zone(&fields)?)),
-            "SUBSCRIBE" => Ok(Message::Joined {
+            "SOURCE" => Ok(Message::Collector { zone: self.zone(&fields)? }),
+            "SUBSCRIBE" => Ok(Message::ProxyConnected(ProxyConnection {
                 proxy: self.proxy(&fields)?,
                 zone: self.zone(&fields)?,
-                usual: fields.number("w", RATE_MOST)?,
-                fresh: fields.flag("cold")?,
-            }),
-            "ACK" => Ok(Message::Acked {
+                requests_per_second: fields.number("w", MAX_REQUESTS_PER_SECOND)?,
+                holds_default_table: fields.flag("cold")?,
+            })),
+            "ACK" => Ok(Message::Acknowledged {
                 proxy: self.proxy(&fields)?,
                 nonce: fields.whole("nonce", f64::from(u16::MAX))? as u16,
-                took: fields.millis("latency", SPAN_MOST)?,
+                latency: fields.millis("latency", MAX_INTERVAL_MILLIS)?,
             }),
             "LOAD" => {
                 let (tries, dropped, span) = fields.sums(true)?;
@@ -146,7 +147,7 @@
                 };
                 Ok(Message::ReplicaStatistics(ReplicaStatistics {
                     zone: self.zone(&fields)?,
-                    replica: replica(fields.text("endpoint")?).ok_or(Fault::Unknown("endpoint"))?,
+                    replica: replica(fields.text("endpoint")?).ok_or(DecodeError::UnknownName("endpoint"))?,
                     attempts: tries,
                     failed: dropped,
                     mean_latency: Some(mean).filter(|mean| answered && !mean.is_zero()),
@@ -156,7 +157,8 @@
             }
             "RATE" => {
                 let (flows, dropped, span) = fields.sums(false)?;
-                let group = self.groups.get(fields.text("route")?).ok_or(Fault::Unknown("route"))?;
+                let group =
+                    self.groups.get(fields.text("route")?).ok_or(DecodeError::UnknownName("route"))?;
                 Ok(Message::DemandStatistics(DemandStatistics {
                     proxy: self.proxy(&fields)?,
                     class: *group,
@@ -165,26 +167,26 @@
                     interval: span,
                 }))
             }
-            _ => Err(Fault::Unknown("@type")),
+            _ => Err(DecodeError::UnknownName("@type")),
         }
     }
 
-    fn zone(&self, fields: &Fields) -> Result<usize, Fault> {
+    fn zone(&self, fields: &Fields) -> Result<usize, DecodeError> {
         let zone = self.zones.get(fields.text("locality")?);
-        zone.copied().ok_or(Fault::Unknown("locality"))
+        zone.copied().ok_or(DecodeError::UnknownName("locality"))
     }
 
-    fn proxy(&self, fields: &Fields) -> Result<ProxyId, Fault> {
+    fn proxy(&self, fields: &Fields) -> Result<ProxyId, DecodeError> {
         let proxy = fields.whole("node", f64::from(ProxyId::MAX))?;
-        if proxy < self.proxies { Ok(proxy as ProxyId) } else { Err(Fault::Unknown("node")) }
+        if proxy < self.proxies { Ok(proxy as ProxyId) } else { Err(DecodeError::UnknownName("node")) }
     }
 
     /// The report's values in the settings' order, up to the first that is absent: absent is not 0, and what
     /// follows would stand in its place.
-    fn load(&self, fields: &Fields) -> Result<Vec<f64>, Fault> {
+    fn load(&self, fields: &Fields) -> Result<Vec<f64>, DecodeError> {
         let report = match fields.0.get("metrics") {
             None | Some(Value::Null) => return Ok(Vec::new()),
-            Some(report) => report.as_object().ok_or(Fault::Field("metrics"))?,
+            Some(report) => report.as_object().ok_or(DecodeError::InvalidField("metrics"))?,
         };
         let mut load = Vec::new();
         for name in &self.load {
@@ -192,7 +194,7 @@
                 None | Some(Value::Null) => break,
                 Some(value) => {
                     let value = value.as_f64().filter(|it| (0.0..=1e9).contains(it));
-                    load.push(value.ok_or(Fault::Field("metrics"))?);
+                    load.push(value.ok_or(DecodeError::InvalidField("metrics"))?);
                 }
             }
         }
@@ -217,8 +219,8 @@
         )
     }
 
-    fn read(text: &str) -> Result<Message, Fault> {
-        decoder().read(text.as_bytes(), |name| (name == "r1").then(|| name.into()))
+    fn read(text: &str) -> Result<Message, DecodeError> {
+        decoder().decode(text.as_bytes(), |name| (name == "r1").then(|| name.into()))
     }
 
     const LOAD: &str = r#"{"@type":"LOAD","locality":"b","endpoint":"r1","total":4,"errors":1,
@@ -243,24 +245,24 @@
     #[test]
     fn each_spoilt_field_is_named() {
         for (from, to, fault) in [
-            ("\"total\":4", "\"total\":-4", Fault::Field("total")),
-            ("\"total\":4", "\"total\":4.5", Fault::Field("total")),
-            ("\"total\":4", "\"total\":1e300", Fault::Field("total")),
-            ("\"errors\":1", "\"errors\":5", Fault::Field("errors")),
-            ("\"errors\":1,", "", Fault::Field("errors")),
-            ("41.5", "\"41.5\"", Fault::Field("rtt")),
-            ("41.5", "1e9", Fault::Field("rtt")),
-            ("500.0", "0", Fault::Field("interval")),
-            ("\"b\"", "\"c\"", Fault::Unknown("locality")),
-            ("r1", "r2", Fault::Unknown("endpoint")),
-            ("\"queue\":2", "\"queue\":-2", Fault::Field("metrics")),
-            ("LOAD", "WHAT", Fault::Unknown("@type")),
+            ("\"total\":4", "\"total\":-4", DecodeError::InvalidField("total")),
+            ("\"total\":4", "\"total\":4.5", DecodeError::InvalidField("total")),
+            ("\"total\":4", "\"total\":1e300", DecodeError::InvalidField("total")),
+            ("\"errors\":1", "\"errors\":5", DecodeError::InvalidField("errors")),
+            ("\"errors\":1,", "", DecodeError::InvalidField("errors")),
+            ("41.5", "\"41.5\"", DecodeError::InvalidField("rtt")),
+            ("41.5", "1e9", DecodeError::InvalidField("rtt")),
+            ("500.0", "0", DecodeError::InvalidField("interval")),
+            ("\"b\"", "\"c\"", DecodeError::UnknownName("locality")),
+            ("r1", "r2", DecodeError::UnknownName("endpoint")),
+            ("\"queue\":2", "\"queue\":-2", DecodeError::InvalidField("metrics")),
+            ("LOAD", "WHAT", DecodeError::UnknownName("@type")),
         ] {
             assert_eq!(read(&LOAD.replace(from, to)), Err(fault), "{from} {to}");
         }
-        assert_eq!(read(&RATE.replace("17", "20")), Err(Fault::Unknown("node")));
-        assert_eq!(read(&RATE.replace("find", "lose")), Err(Fault::Unknown("route")));
-        assert!(matches!(read("{\"@type\":"), Err(Fault::Unreadable(_))));
+        assert_eq!(read(&RATE.replace("17", "20")), Err(DecodeError::UnknownName("node")));
+        assert_eq!(read(&RATE.replace("find", "lose")), Err(DecodeError::UnknownName("route")));
+        assert!(matches!(read("{\"@type\":"), Err(DecodeError::Unreadable(_))));
         assert!(matches!(
             read(RATE),
             Ok(Message::DemandStatistics(DemandStatistics { proxy: 17, class: 0, requests: 19, .. }))
@@ -274,7 +276,7 @@
             read(&late),
             Ok(Message::DemandStatistics(DemandStatistics { requests: 0, failed: 2, .. }))
         ));
-        assert_eq!(read(&late.replace(":2", ":2e9")), Err(Fault::Field("errors")));
+        assert_eq!(read(&late.replace(":2", ":2e9")), Err(DecodeError::InvalidField("errors")));
     }
 
     proptest! {
@@ -284,7 +286,7 @@
             let at = at.min(bytes.len());
             let until = (at + with.len()).min(bytes.len());
             bytes.splice(at..until, with);
-            let _ = decoder().read(&bytes, |name| Some(name.into()));
+            let _ = decoder().decode(&bytes, |name| Some(name.into()));
         }
     }
 }
--- a/crates/platform-protocol/src/frames.rs
+++ b/crates/platform-protocol/src/frames.rs
@@ -1,19 +1,19 @@
-//! Frames are cut at LF, in whatever pieces the bytes come.
+//! FrameBuffer are cut at LF, in whatever pieces the bytes come.
 
 use thiserror::Error;
 
 /// A frame that goes on beyond what it may hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("a frame of over {0} bytes")]
-pub struct TooLong(pub usize);
+pub struct FrameTooLongError(pub usize);
 
 /// Holds no more than the piece of a frame whose end has not come yet.
 #[derive(Debug, Default)]
-pub struct Frames {
+pub struct FrameBuffer {
     tail: Vec<u8>,
 }
 
-impl Frames {
+impl FrameBuffer {
     /// Hands on each frame that is whole by now, without its end; empty ones are left out. Once `each` says
     /// false the rest is dropped.
     ///
@@ -23,12 +23,12 @@
         bytes: &[u8],
         most: usize,
         mut each: impl FnMut(&[u8]) -> bool,
-    ) -> Result<(), TooLong> {
+    ) -> Result<(), FrameTooLongError> {
         let mut rest = bytes;
         while let Some(end) = rest.iter().position(|byte| *byte == b'\n') {
             let (piece, after) = (&rest[..end], &rest[end + 1..]);
             if self.tail.len() + piece.len() > most {
-                return Err(TooLong(most));
+                return Err(FrameTooLongError(most));
             }
             let held = std::mem::take(&mut self.tail);
             let whole = if held.is_empty() { piece } else { &[held.as_slice(), piece].concat() };
@@ -39,14 +39,14 @@
             rest = after;
         }
         if self.tail.len() + rest.len() > most {
-            return Err(TooLong(most));
+            return Err(FrameTooLongError(most));
         }
         self.tail.extend_from_slice(rest);
         Ok(())
     }
 
     /// The bytes that wait for the end of their frame.
-    pub fn waiting(&self) -> &[u8] {
+    pub fn incomplete(&self) -> &[u8] {
         &self.tail
     }
 }
@@ -57,13 +57,13 @@
     use proptest::prelude::*;
 
     fn cut(pieces: &[&[u8]], most: usize) -> (Vec<Vec<u8>>, bool) {
-        let (mut frames, mut got) = (Frames::default(), Vec::new());
+        let (mut frames, mut got) = (FrameBuffer::default(), Vec::new());
         let fits = pieces.iter().all(|piece| {
             let pushed = frames.push(piece, most, |frame| {
                 got.push(frame.to_vec());
                 true
             });
-            assert!(frames.waiting().len() <= most);
+            assert!(frames.incomplete().len() <= most);
             pushed.is_ok()
         });
         (got, fits)
--- a/crates/platform-protocol/src/outbox.rs
+++ b/crates/platform-protocol/src/outbox.rs
@@ -14,13 +14,13 @@
 use wrenthread::types::{ClassSet, Decision, ProxyId, ReplicaId, RetryPolicy, TableId};
 
 /// Lines in a part at most, so that none comes near the size that a message may have.
-const PART_MOST: usize = 2000;
+const MAX_LINES_PER_PART: usize = 2000;
 /// Parts of one message at most.
-const PARTS_MOST: usize = 64;
+const MAX_PARTS_PER_MESSAGE: usize = 64;
 /// Nonces that may be unanswered on a stream; older ones are forgotten.
-const NONCES_MOST: usize = 64;
+const MAX_OUTSTANDING_NONCES: usize = 64;
 /// How much sooner than a nonce was sent the proxy may claim to have heard of it, by rounding.
-const SLACK: Duration = Duration::from_millis(100);
+const LATENCY_TOLERANCE: Duration = Duration::from_millis(100);
 
 type Lines = BTreeMap<ReplicaId, f64>;
 type Level = (f64, RetryPolicy);
@@ -39,18 +39,18 @@
 
 /// All of one governor's streams, and what is decided for them.
 pub struct Outbox {
-    groups: Vec<String>,
+    classes: Vec<String>,
     usual: Level,
     tables: BTreeMap<TableId, Lines>,
     out: BTreeSet<ReplicaId>,
     levels: Vec<Option<Level>>,
     streams: BTreeMap<ProxyId, Stream>,
-    pull: Pull,
+    pending: PendingChanges,
 }
 
 /// What one pull changes.
 #[derive(Default)]
-struct Pull {
+struct PendingChanges {
     lines: BTreeMap<TableId, Lines>,
     out: BTreeSet<ReplicaId>,
     levels: bool,
@@ -83,8 +83,8 @@
     more: bool,
 }
 
-fn retry(tries: RetryPolicy) -> u8 {
-    match tries {
+fn retry(retry_policy: RetryPolicy) -> u8 {
+    match retry_policy {
         RetryPolicy::Never => 0,
         RetryPolicy::IfNotExecuted => 1,
         RetryPolicy::OnAnyFailure => 2,
@@ -92,34 +92,34 @@
 }
 
 impl Outbox {
-    /// `usual`: what proxies do about further tries until told otherwise.
-    pub fn new(groups: Vec<String>, usual: RetryPolicy) -> Self {
+    /// `usual`: what proxies do about further retry_policy until told otherwise.
+    pub fn new(classes: Vec<String>, usual: RetryPolicy) -> Self {
         Outbox {
-            levels: vec![None; groups.len()],
-            groups,
+            levels: vec![None; classes.len()],
+            classes,
             usual: (1.0, usual),
             tables: BTreeMap::new(),
             out: BTreeSet::new(),
             streams: BTreeMap::new(),
-            pull: Pull::default(),
+            pending: PendingChanges::default(),
         }
     }
 
     /// A stream of the proxy begins; what was known of an earlier one ends.
-    pub fn joined(&mut self, proxy: ProxyId) {
-        let levels = vec![None; self.groups.len()];
+    pub fn proxy_connected(&mut self, proxy: ProxyId) {
+        let levels = vec![None; self.classes.len()];
         self.streams.insert(proxy, Stream { levels, ..Stream::default() });
     }
 
-    pub fn left(&mut self, proxy: ProxyId) {
+    pub fn proxy_disconnected(&mut self, proxy: ProxyId) {
         self.streams.remove(&proxy);
     }
 
     /// Whether the stream owes this answer; it counts once.
-    pub fn acked(&mut self, now: Duration, proxy: ProxyId, nonce: u16, took: Duration) -> bool {
+    pub fn acknowledge(&mut self, now: Duration, proxy: ProxyId, nonce: u16, took: Duration) -> bool {
         let Some(stream) = self.streams.get_mut(&proxy) else { return false };
         let Some(at) = stream.nonces.iter().position(|(owed, _)| *owed == nonce) else { return false };
-        if took > now.saturating_sub(stream.nonces[at].1) + SLACK {
+        if took > now.saturating_sub(stream.nonces[at].1) + LATENCY_TOLERANCE {
             return false;
         }
         stream.nonces.drain(..=at);
@@ -127,21 +127,21 @@
     }
 
     /// When the oldest nonce was sent that the stream owes an answer to, of those sent after `heard`.
-    pub fn owes_since(&self, proxy: ProxyId, heard: Duration) -> Option<Duration> {
+    pub fn outstanding_since(&self, proxy: ProxyId, heard: Duration) -> Option<Duration> {
         let nonces = self.streams.get(&proxy).map(|stream| &stream.nonces)?;
         nonces.iter().map(|(_, sent)| *sent).find(|sent| *sent > heard)
     }
 
     /// Forgets replicas that the rules no longer know.
-    pub fn retain(&mut self, known: impl Fn(&ReplicaId) -> bool) {
+    pub fn retain_replicas(&mut self, known: impl Fn(&ReplicaId) -> bool) {
         self.out.retain(&known);
         self.streams.values_mut().for_each(|stream| stream.said.retain(|id, _| known(id)));
         self.tables.values_mut().for_each(|lines| lines.retain(|id, _| known(id)));
     }
 
     /// Takes in one decision of a pull; those that concern no proxy's message are given back.
-    pub fn take(&mut self, decision: Decision) -> Option<Decision> {
-        self.pull.any = true;
+    pub fn record(&mut self, decision: Decision) -> Option<Decision> {
+        self.pending.any = true;
         match decision {
             Decision::ScheduleTick(_) | Decision::CheckHealth(_) => return Some(decision),
             Decision::SetEjected { replica: id, ejected: out } => {
@@ -150,7 +150,7 @@
                 } else {
                     self.out.remove(&id);
                 }
-                self.pull.out.insert(id);
+                self.pending.out.insert(id);
             }
             Decision::UpdateTable { table, entries } => {
                 let held = self.tables.entry(table).or_default();
@@ -158,64 +158,64 @@
                 let lines: Vec<_> = entries.collect();
                 held.extend(lines.iter().cloned());
                 held.retain(|_, weight| *weight > 0.0);
-                self.pull.lines.entry(table).or_default().extend(lines);
+                self.pending.lines.entry(table).or_default().extend(lines);
             }
-            Decision::AssignTable { proxy, table, classes: groups } => {
+            Decision::AssignTable { proxy, table, classes } => {
                 let stream = self.streams.get_mut(&proxy)?;
-                let all = every(self.groups.len());
-                let groups = if groups == 0 { all } else { groups & all };
-                stream.follows.values_mut().for_each(|held| *held &= !groups);
-                *stream.follows.entry(table).or_default() |= groups;
+                let all = all_classes(self.classes.len());
+                let classes = if classes == 0 { all } else { classes & all };
+                stream.follows.values_mut().for_each(|held| *held &= !classes);
+                *stream.follows.entry(table).or_default() |= classes;
                 stream.follows.retain(|_, held| *held != 0);
                 stream.bound.insert(table);
             }
-            Decision::SetAdmission { classes: groups, fraction: level, retry_policy: tries } => {
-                let all = every(self.groups.len());
-                let groups = if groups == 0 { all } else { groups & all };
+            Decision::SetAdmission { classes, fraction: level, retry_policy } => {
+                let all = all_classes(self.classes.len());
+                let classes = if classes == 0 { all } else { classes & all };
                 for (place, held) in self.levels.iter_mut().enumerate() {
-                    if groups >> place & 1 == 1 {
-                        *held = Some((level, tries));
+                    if classes >> place & 1 == 1 {
+                        *held = Some((level, retry_policy));
                     }
                 }
-                self.pull.levels = true;
+                self.pending.levels = true;
             }
-            Decision::RequestAcknowledgement(nonce) => self.pull.nonce = Some(nonce),
+            Decision::RequestAcknowledgement(nonce) => self.pending.nonce = Some(nonce),
         }
         None
     }
 
-    /// Ends a pull: the bytes that each proxy concerned is to be sent, as one message.
+    /// Ends a pending: the bytes that each proxy concerned is to be sent, as one message.
     pub fn flush(&mut self, now: Duration, mut send: impl FnMut(ProxyId, Vec<u8>)) {
-        let pull = std::mem::take(&mut self.pull);
-        if !pull.any {
+        let pending = std::mem::take(&mut self.pending);
+        if !pending.any {
             return;
         }
-        let desk = Desk {
-            groups: &self.groups,
+        let builder = MessageBuilder {
+            classes: &self.classes,
             usual: self.usual,
             tables: &self.tables,
             out: &self.out,
             levels: &self.levels,
-            pull: &pull,
+            pending: &pending,
         };
         for (proxy, stream) in &mut self.streams {
-            let mut parts = desk.parts(stream);
+            let mut parts = builder.parts(stream);
             if parts.is_empty() {
                 continue;
             }
-            if let Some(nonce) = pull.nonce {
+            if let Some(nonce) = pending.nonce {
                 stream.nonces.push_back((nonce, now));
-                if stream.nonces.len() > NONCES_MOST {
+                if stream.nonces.len() > MAX_OUTSTANDING_NONCES {
                     stream.nonces.pop_front();
                 }
             }
-            send(*proxy, encode(&mut parts, pull.nonce));
+            send(*proxy, encode(&mut parts, pending.nonce));
         }
     }
 }
 
-fn every(groups: usize) -> ClassSet {
-    if groups >= 64 { ClassSet::MAX } else { (1 << groups) - 1 }
+fn all_classes(classes: usize) -> ClassSet {
+    if classes >= 64 { ClassSet::MAX } else { (1 << classes) - 1 }
 }
 
 fn encode(parts: &mut [Part], nonce: Option<u16>) -> Vec<u8> {
@@ -224,7 +224,7 @@
     let mut bytes = Vec::new();
     for (at, part) in parts.iter_mut().enumerate() {
         part.kind = "CONFIG";
-        part.more = at < last && (at + 1) % PARTS_MOST != 0;
+        part.more = at < last && (at + 1) % MAX_PARTS_PER_MESSAGE != 0;
         // Writing numbers and texts into memory does not fail.
         if serde_json::to_writer(&mut bytes, part).is_ok() {
             bytes.push(b'\n');
@@ -234,51 +234,51 @@
 }
 
 /// What is decided, as one pull ends.
-struct Desk<'a> {
-    groups: &'a [String],
+struct MessageBuilder<'a> {
+    classes: &'a [String],
     usual: Level,
     tables: &'a BTreeMap<TableId, Lines>,
     out: &'a BTreeSet<ReplicaId>,
     levels: &'a [Option<Level>],
-    pull: &'a Pull,
+    pending: &'a PendingChanges,
 }
 
-impl<'a> Desk<'a> {
+impl<'a> MessageBuilder<'a> {
     fn parts(&self, stream: &mut Stream) -> Vec<Part<'a>> {
         let mut parts: Vec<Part> = Vec::new();
         let bound = std::mem::take(&mut stream.bound);
         let (shut, back) = self.said(stream, &bound);
-        for names in shut.chunks(PART_MOST) {
+        for names in shut.chunks(MAX_LINES_PER_PART) {
             parts.push(Part { out: names.to_vec(), ..Part::default() });
         }
-        for (table, groups) in &stream.follows {
+        for (table, classes) in &stream.follows {
             let held = self.tables.get(table);
             let lines: Vec<(&str, f64)> = if bound.contains(table) {
                 for (place, level) in stream.levels.iter_mut().enumerate() {
-                    *level = if groups >> place & 1 == 1 { Some(self.usual) } else { *level };
+                    *level = if classes >> place & 1 == 1 { Some(self.usual) } else { *level };
                 }
                 held.into_iter().flatten().map(|(id, weight)| (&**id, *weight)).collect()
             } else {
-                let moved = self.pull.lines.get(table);
+                let moved = self.pending.lines.get(table);
                 moved.into_iter().flatten().map(|(id, weight)| (&**id, *weight)).collect()
             };
             let mut whole = bound.contains(table);
             if lines.is_empty() && whole {
-                parts.push(Part { classes: self.classes(*groups), whole, ..Part::default() });
+                parts.push(Part { classes: self.classes(*classes), whole, ..Part::default() });
             }
-            for lines in lines.chunks(PART_MOST) {
+            for lines in lines.chunks(MAX_LINES_PER_PART) {
                 let lines = lines.to_vec();
-                parts.push(Part { classes: self.classes(*groups), whole, lines, ..Part::default() });
+                parts.push(Part { classes: self.classes(*classes), whole, lines, ..Part::default() });
                 whole = false;
             }
         }
-        for names in back.chunks(PART_MOST) {
+        for names in back.chunks(MAX_LINES_PER_PART) {
             match parts.last_mut().filter(|part| part.back.is_empty()) {
                 Some(part) => part.back = names.to_vec(),
                 None => parts.push(Part { back: names.to_vec(), ..Part::default() }),
             }
         }
-        if !parts.is_empty() || self.pull.levels {
+        if !parts.is_empty() || self.pending.levels {
             self.bring_levels(stream, &mut parts);
         }
         parts
@@ -291,13 +291,13 @@
             let Some(wanted) = wanted.filter(|wanted| *held != Some(*wanted)) else { continue };
             *held = Some(wanted);
             match due.iter_mut().find(|(level, _)| *level == wanted) {
-                Some((_, groups)) => *groups |= 1 << place,
+                Some((_, classes)) => *classes |= 1 << place,
                 None => due.push((wanted, 1 << place)),
             }
         }
-        for ((level, tries), groups) in due {
-            let (level, retry) = (Some(level), Some(retry(tries)));
-            parts.push(Part { classes: self.classes(groups), level, retry, ..Part::default() });
+        for ((level, retry_policy), classes) in due {
+            let (level, retry) = (Some(level), Some(retry(retry_policy)));
+            parts.push(Part { classes: self.classes(classes), level, retry, ..Part::default() });
         }
     }
 
@@ -322,20 +322,20 @@
                 held.keys().for_each(&mut say);
                 continue;
             }
-            let moved = self.pull.lines.get(table).into_iter().flat_map(BTreeMap::keys);
+            let moved = self.pending.lines.get(table).into_iter().flat_map(BTreeMap::keys);
             moved.filter(|id| held.contains_key(*id)).for_each(&mut say);
-            self.pull.out.iter().filter(|id| held.contains_key(*id)).for_each(&mut say);
+            self.pending.out.iter().filter(|id| held.contains_key(*id)).for_each(&mut say);
         }
         // Of tables that are not ours nobody knows what they name.
-        if follows.values().fold(0, |all, groups| all | groups) != every(self.groups.len()) {
-            self.pull.out.iter().for_each(&mut say);
+        if follows.values().fold(0, |all, classes| all | classes) != all_classes(self.classes.len()) {
+            self.pending.out.iter().for_each(&mut say);
         }
         stream.follows = follows;
         (shut, back)
     }
 
-    fn classes(&self, groups: ClassSet) -> Option<Vec<&'a str>> {
-        let named = self.groups.iter().enumerate().filter(|(place, _)| groups >> (*place).min(63) & 1 == 1);
-        (groups != every(self.groups.len())).then(|| named.map(|(_, name)| name.as_str()).collect())
+    fn classes(&self, classes: ClassSet) -> Option<Vec<&'a str>> {
+        let named = self.classes.iter().enumerate().filter(|(place, _)| classes >> (*place).min(63) & 1 == 1);
+        (classes != all_classes(self.classes.len())).then(|| named.map(|(_, name)| name.as_str()).collect())
     }
 }
--- a/crates/platform-protocol/tests/golden.rs
+++ b/crates/platform-protocol/tests/golden.rs
@@ -31,8 +31,8 @@
 /// A message with every kind of part, and a later one that changes some of it.
 fn record_every_part(transcript: &mut String) {
     let mut outbox = Outbox::new(class_names(), RetryPolicy::OnAnyFailure);
-    outbox.joined(17);
-    outbox.joined(3);
+    outbox.proxy_connected(17);
+    outbox.proxy_connected(3);
     let entries = vec![entry("s-5be2a07c", 1.5), entry("s-0badcafe", 0.2), entry("s-77aa0310", 1.0)];
     let decisions = [
         Decision::SetEjected { replica: "s-77aa0310".into(), ejected: true },
@@ -46,7 +46,7 @@
         Decision::RequestAcknowledgement(905),
     ];
     for decision in decisions {
-        outbox.take(decision);
+        outbox.record(decision);
     }
     record(transcript, &mut outbox, "tables, levels and a mark");
     let decisions = [
@@ -60,7 +60,7 @@
         Decision::RequestAcknowledgement(65535),
     ];
     for decision in decisions {
-        outbox.take(decision);
+        outbox.record(decision);
     }
     record(transcript, &mut outbox, "changes");
 }
@@ -90,32 +90,32 @@
     /// Does one thing to the outbox, as often decisions as streams that come and go.
     fn act(&mut self, outbox: &mut Outbox, pull: u64) {
         match self.below(12) {
-            0 => outbox.joined(self.below(6) as u16),
-            1 => outbox.left(self.below(6) as u16),
+            0 => outbox.proxy_connected(self.below(6) as u16),
+            1 => outbox.proxy_disconnected(self.below(6) as u16),
             2..=5 => {
                 let table = self.below(5) as u16;
                 let entries = self.entries();
-                outbox.take(Decision::UpdateTable { table, entries });
+                outbox.record(Decision::UpdateTable { table, entries });
             }
             6 | 7 => {
                 let proxy = self.below(6) as u16;
                 let table = self.below(5) as u16;
                 let classes = self.below(8);
-                outbox.take(Decision::AssignTable { proxy, table, classes });
+                outbox.record(Decision::AssignTable { proxy, table, classes });
             }
             8 | 9 => {
                 let replica = format!("s-{}", self.below(9)).into();
                 let ejected = self.below(2) == 0;
-                outbox.take(Decision::SetEjected { replica, ejected });
+                outbox.record(Decision::SetEjected { replica, ejected });
             }
             10 => {
                 let classes = self.below(8);
                 let fraction = self.below(5) as f64 / 4.0;
                 let retry_policy = RETRY_POLICIES[self.below(3) as usize];
-                outbox.take(Decision::SetAdmission { classes, fraction, retry_policy });
+                outbox.record(Decision::SetAdmission { classes, fraction, retry_policy });
             }
             _ => {
-                outbox.take(Decision::RequestAcknowledgement(pull as u16));
+                outbox.record(Decision::RequestAcknowledgement(pull as u16));
             }
         }
     }
@@ -133,7 +133,7 @@
         }
         if pull % 50 == 49 {
             let gone = format!("s-{}", generator.below(9));
-            outbox.retain(|replica| **replica != *gone);
+            outbox.retain_replicas(|replica| **replica != *gone);
         }
         outbox.flush(Duration::from_secs(pull), |proxy, bytes| {
             length += bytes.len();
