--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -16,7 +16,7 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 use wrenthread_discovery::watch::{self, EventSender, WatchEvent};
-use wrenthread_platform_governor::{Action, PlatformGovernor};
+use wrenthread_platform_governor::{Action, ConnectionId, PlatformGovernor};
 use wrenthread_platform_protocol::decode::Decoder;
 
 use crate::clock::Clock;
@@ -89,7 +89,7 @@
     discovery: SocketAddr,
     governor: PlatformGovernor,
     /// By connection, the sending side of each stream.
-    handles: BTreeMap<u64, StreamHandle>,
+    handles: BTreeMap<ConnectionId, StreamHandle>,
     connections: Rc<Connections>,
     events: mpsc::Receiver<ConnectionEvent>,
     objects: mpsc::Receiver<WatchEvent>,
--- a/crates/daemon/src/platform/connection.rs
+++ b/crates/daemon/src/platform/connection.rs
@@ -16,6 +16,7 @@
 use tokio::task::{AbortHandle, spawn_local, yield_now};
 use tokio::time::{Instant, sleep, sleep_until};
 use wrenthread::types::{DemandStatistics, ProxyConnection, ProxyId, ReplicaId};
+use wrenthread_platform_governor::ConnectionId;
 use wrenthread_platform_protocol::decode::{DecodeError, Decoder, Message};
 use wrenthread_platform_protocol::frames::FrameBuffer;
 
@@ -39,13 +40,13 @@
 /// What the connections tell the one task that owns all state.
 pub enum ConnectionEvent {
     ProxyConnected {
-        connection: u64,
+        connection: ConnectionId,
         proxy: ProxyConnection,
         handle: StreamHandle,
     },
     /// What the stream of a proxy says.
     ProxyMessage {
-        connection: u64,
+        connection: ConnectionId,
         proxy: ProxyId,
         message: Message,
     },
@@ -53,7 +54,7 @@
     CollectorMessage(Message),
     /// The stream of a proxy has ended.
     Ended {
-        connection: u64,
+        connection: ConnectionId,
         proxy: ProxyId,
     },
 }
@@ -117,8 +118,8 @@
     /// Bytes that may wait for the end of their frames, in all connections together.
     unread_most: Cell<usize>,
     unread: Cell<usize>,
-    unidentified: RefCell<BTreeMap<u64, Rc<Place>>>,
-    collectors: RefCell<BTreeMap<usize, Vec<(u64, AbortHandle)>>>,
+    unidentified: RefCell<BTreeMap<ConnectionId, Rc<Place>>>,
+    collectors: RefCell<BTreeMap<usize, Vec<(ConnectionId, AbortHandle)>>>,
     scratch: RefCell<Vec<u8>>,
 }
 
@@ -165,7 +166,7 @@
         self.count(reason);
     }
 
-    fn settle(&self, connection: u64) {
+    fn settle(&self, connection: ConnectionId) {
         self.unidentified.borrow_mut().remove(&connection);
     }
 
@@ -179,7 +180,7 @@
         }
     }
 
-    fn collects(&self, zone: usize, connection: u64, handle: AbortHandle) {
+    fn collects(&self, zone: usize, connection: ConnectionId, handle: AbortHandle) {
         let mut collectors = self.collectors.borrow_mut();
         let of = collectors.entry(zone).or_default();
         of.push((connection, handle));
@@ -196,11 +197,12 @@
     connections: Rc<Connections>,
     events: mpsc::Sender<ConnectionEvent>,
 ) {
-    let mut connection = 0;
+    let mut accepted = 0;
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                connection += 1;
+                accepted += 1;
+                let connection = ConnectionId(accepted);
                 let own = Rc::new(OnceCell::new());
                 let conn = ConnectionReader::new(
                     stream,
@@ -240,7 +242,7 @@
     read: OwnedReadHalf,
     write: Option<OwnedWriteHalf>, // until a writer has it
     queue: Option<(MessageSender, Rc<Cell<usize>>)>,
-    connection: u64,
+    connection: ConnectionId,
     connections: Rc<Connections>,
     events: mpsc::Sender<ConnectionEvent>,
     own: Rc<OnceCell<AbortHandle>>,
@@ -264,7 +266,7 @@
 impl ConnectionReader {
     fn new(
         stream: TcpStream,
-        connection: u64,
+        connection: ConnectionId,
         connections: Rc<Connections>,
         events: mpsc::Sender<ConnectionEvent>,
         own: Rc<OnceCell<AbortHandle>>,
--- a/crates/daemon/src/platform/tests/peers.rs
+++ b/crates/daemon/src/platform/tests/peers.rs
@@ -92,7 +92,7 @@
         let mut newer = stage.join(17).await;
         older.say(&joining(17));
         older.until_ended(&mut stage).await;
-        assert_eq!(stage.faults("late: a joining"), 1);
+        assert_eq!(stage.faults("stale: a proxy connected"), 1);
         stage.until("it watches", |_| agent.heard(&watch_from(1)) == 1).await;
         agent.tell(&watch_from(1), &[object(2, false, &[("r3", "draining")])]).await;
         newer.until_told(&mut stage, |order| takes_out(order, "r3")).await;
@@ -114,7 +114,7 @@
         let offered = stage.service.governor.state_estimate().offered_per_second;
         stage.step();
         assert_eq!(stage.service.governor.state_estimate().offered_per_second, offered);
-        assert_eq!(stage.faults("late: said on a stream"), 1);
+        assert_eq!(stage.faults("stale: a message"), 1);
         older.until_ended(&mut stage).await;
         newer.until_told(&mut stage, |order| order["whole"] == true).await;
     });
--- a/crates/platform-governor/src/endpoint_list.rs
+++ b/crates/platform-governor/src/endpoint_list.rs
@@ -1,5 +1,8 @@
-//! The list as last told. A spoilt entry leaves the rest standing, and what was known of its replica.
+//! The endpoint list as discovery last gave it, with its version.
+//!
+//! An invalid entry leaves the others in force, and what was known of its own replica.
 
+mod entry;
 #[cfg(test)]
 mod tests;
 
@@ -8,160 +11,157 @@
 
 use serde_json::Value;
 use thiserror::Error;
-use wrenthread::types::{Phase, ReplicaEntry, ReplicaId};
+use wrenthread::types::{Phase, ReplicaEntry, ReplicaId, RosterScope};
 
-/// Why nothing of an object can be used.
+pub use entry::EntryError;
+use entry::{EntryReader, has_name};
+
+/// The platform's field names.
+const INDEX: &str = "index";
+const SNAPSHOT: &str = "snapshot";
+const ENDPOINTS: &str = "endpoints";
+
+/// Why nothing of an event can be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum EndpointListError {
+    /// The parser's reason.
     #[error("not JSON: {0}")]
     Unreadable(String),
+    /// The name of the field.
     #[error("`{0}` is missing or of another type")]
     InvalidField(&'static str),
 }
 
-/// A name that is longer is no name: it would be carried in every table.
-const MAX_NAME_BYTES: usize = 256;
-/// ReplicaEntry weights beyond it are taken for spoilt.
-const MAX_WEIGHT: f64 = 1e6;
-
-/// What an object changes.
-#[derive(Debug, Default, PartialEq)]
+/// What an event changes.
+#[derive(Debug, PartialEq)]
 pub struct EndpointUpdate {
+    /// Valid entries, and for invalid ones what was known of them.
     pub entries: Vec<ReplicaEntry>,
-    /// What is not among the entries is gone.
-    pub complete: bool,
+    /// Whether replicas that are not among the entries are gone.
+    pub scope: RosterScope,
     /// Why entries were left out.
-    pub invalid_entries: Vec<String>,
+    pub invalid_entries: Vec<EntryError>,
 }
 
-/// The list as last told, and its version.
+/// The endpoint list and its version.
 #[derive(Default)]
 pub struct EndpointList {
     zones: BTreeMap<String, usize>,
     version: Option<u64>,
     entries: BTreeMap<ReplicaId, ReplicaEntry>,
-    incomplete: bool,
-    stale: bool,
+    /// Something was left out that only a snapshot gives again.
+    needs_snapshot: bool,
+    last_event_was_stale: bool,
 }
 
 impl EndpointList {
-    pub fn new(zones: &[String]) -> Self {
-        EndpointList {
-            zones: zones.iter().cloned().enumerate().map(|(at, name)| (name, at)).collect(),
-            ..EndpointList::default()
-        }
+    /// An empty list; zones are numbered in the order of their names.
+    pub fn new(zone_names: &[String]) -> Self {
+        let zones = zone_names.iter().cloned().enumerate().map(|(index, name)| (name, index)).collect();
+        EndpointList { zones, ..EndpointList::default() }
     }
 
-    /// The version that a watch may go on from; none while only the whole list will do.
+    /// The version that a watch may go on from; none while a snapshot is needed.
     pub fn version(&self) -> Option<u64> {
-        self.version.filter(|_| !self.incomplete)
+        if self.needs_snapshot { None } else { self.version }
     }
 
-    /// Whether the last object was older than what is known.
-    pub fn last_was_stale(&self) -> bool {
-        self.stale
+    /// Whether the last event was older than what is known.
+    pub fn last_event_was_stale(&self) -> bool {
+        self.last_event_was_stale
     }
 
-    /// Whoever tells the list counts anew: what comes next is taken whatever its version, once it is whole.
+    /// Discovery's numbering has started over: the next snapshot is taken whatever its version.
     pub fn restart_numbering(&mut self) {
-        (self.version, self.incomplete) = (None, true);
+        self.version = None;
+        self.needs_snapshot = true;
     }
 
-    /// Takes in one object; `started` turns seconds of the calendar into the host's time. An object older
-    /// than what is known changes nothing: an agent may be behind the one before it, and what drains would
-    /// come back.
+    /// Applies one event as it came; see [`EndpointList::apply`].
+    ///
+    /// # Errors
     ///
-    /// Errors: an object that can't be used; nothing changed.
-    pub fn read(
+    /// The event can't be used. The entries stay as they are, and a snapshot is needed, as whatever the event was to
+    /// give will not be given again.
+    pub fn apply_bytes(
         &mut self,
-        object: &[u8],
-        started: impl Fn(f64) -> Option<Duration>,
+        event: &[u8],
+        to_host_time: impl Fn(f64) -> Option<Duration>,
     ) -> Result<Option<EndpointUpdate>, EndpointListError> {
-        let object =
-            serde_json::from_slice(object).map_err(|error| EndpointListError::Unreadable(error.to_string()));
-        let change = object.and_then(|object| self.take(&object, started));
-        // Whatever it was to tell will not be told again.
-        self.incomplete |= change.is_err();
-        change
+        let update = match serde_json::from_slice(event) {
+            Ok(event) => self.apply(&event, to_host_time),
+            Err(error) => Err(EndpointListError::Unreadable(error.to_string())),
+        };
+        self.needs_snapshot |= update.is_err();
+        update
     }
 
-    /// As [`EndpointList::read`], of an object that is read already.
+    /// Applies one event; `to_host_time` turns Unix time in seconds into the host's time.
     ///
-    /// Errors: an object that can't be used; nothing changed.
-    pub fn take(
+    /// Gives none for an event that is older than what is known: an agent may be behind the one before it, and
+    /// replicas that drain would come back.
+    ///
+    /// # Errors
+    ///
+    /// The event can't be used; nothing changed.
+    pub fn apply(
         &mut self,
-        object: &Value,
-        started: impl Fn(f64) -> Option<Duration>,
+        event: &Value,
+        to_host_time: impl Fn(f64) -> Option<Duration>,
     ) -> Result<Option<EndpointUpdate>, EndpointListError> {
-        let version = object["index"].as_u64().ok_or(EndpointListError::InvalidField("index"))?;
-        let complete = object["snapshot"].as_bool().ok_or(EndpointListError::InvalidField("snapshot"))?;
-        let rows = object["endpoints"].as_array().ok_or(EndpointListError::InvalidField("endpoints"))?;
-        self.stale = self.version.is_some_and(|known| version < known);
-        if self.stale || self.version == Some(version) && !complete {
+        let version = event[INDEX].as_u64().ok_or(EndpointListError::InvalidField(INDEX))?;
+        let is_snapshot = event[SNAPSHOT].as_bool().ok_or(EndpointListError::InvalidField(SNAPSHOT))?;
+        let rows = event[ENDPOINTS].as_array().ok_or(EndpointListError::InvalidField(ENDPOINTS))?;
+        self.last_event_was_stale = self.version.is_some_and(|known| version < known);
+        let is_repeated = self.version == Some(version) && !is_snapshot;
+        if self.last_event_was_stale || is_repeated {
             return Ok(None);
         }
-        let mut change = EndpointUpdate { complete, ..EndpointUpdate::default() };
+        let scope = if is_snapshot { RosterScope::Complete } else { RosterScope::Changes };
+        let update = self.read_entries(rows, scope, to_host_time);
+        // What an invalid entry of a change left out is in the next snapshot; fetching a snapshot again would bring the
+        // same invalid entry.
+        self.needs_snapshot = !is_snapshot && (self.needs_snapshot || !update.invalid_entries.is_empty());
+        self.version = Some(version);
+        self.store(&update);
+        Ok(Some(update))
+    }
+
+    fn read_entries(
+        &self,
+        rows: &[Value],
+        mut scope: RosterScope,
+        to_host_time: impl Fn(f64) -> Option<Duration>,
+    ) -> EndpointUpdate {
+        let reader = EntryReader { zones: &self.zones, known: &self.entries };
+        let mut entries = Vec::new();
+        let mut invalid_entries = Vec::new();
         for row in rows {
-            match self.entry(row, &started) {
-                Ok(entry) => change.entries.push(entry),
-                Err(field) => {
-                    let name = row["name"].as_str().and_then(|name| self.entries.get(name));
-                    change.entries.extend(name.cloned());
-                    // One that can't be told may be any of those that are missing.
-                    change.complete &= name.is_some() || row["name"].is_string();
-                    change.invalid_entries.push(format!("`{field}` of {}", row["name"]));
+            match reader.read(row, &to_host_time) {
+                Ok(entry) => entries.push(entry),
+                Err(error) => {
+                    entries.extend(reader.known_entry(row).cloned());
+                    if !has_name(row) {
+                        // It may be any of those that are missing.
+                        scope = RosterScope::Changes;
+                    }
+                    invalid_entries.push(error);
                 }
             }
         }
-        // What is left out of a change is not told again; asking anew for a whole list would bring the same.
-        self.incomplete = !complete && (self.incomplete || !change.invalid_entries.is_empty());
-        self.version = Some(version);
-        if change.complete {
+        EndpointUpdate { entries, scope, invalid_entries }
+    }
+
+    fn store(&mut self, update: &EndpointUpdate) {
+        if update.scope == RosterScope::Complete {
             self.entries.clear();
         }
-        for entry in &change.entries {
+        for entry in &update.entries {
             if entry.phase == Phase::Gone {
                 self.entries.remove(&entry.id);
             } else {
                 self.entries.insert(entry.id.clone(), entry.clone());
             }
         }
-        Ok(Some(change))
-    }
-
-    fn entry(
-        &self,
-        row: &Value,
-        started: impl Fn(f64) -> Option<Duration>,
-    ) -> Result<ReplicaEntry, &'static str> {
-        let name = row["name"].as_str().filter(|name| !name.is_empty() && name.len() <= MAX_NAME_BYTES);
-        let name = name.ok_or("name")?;
-        let known = self.entries.get_key_value(name);
-        let phase = match row["status"].as_str() {
-            Some("up") => Phase::Ready,
-            Some("draining") => Phase::Draining,
-            Some("removed") => Phase::Gone,
-            _ => return Err("status"),
-        };
-        let zone = row["zone"].as_str().and_then(|zone| self.zones.get(zone)).copied();
-        // Of what goes away the rest need not be told.
-        let zone = zone.or(known.filter(|_| phase != Phase::Ready).map(|(_, entry)| entry.zone));
-        let weight = match row.get("weight") {
-            None if phase == Phase::Gone => Some(1.0),
-            None => None,
-            Some(weight) => weight.as_f64().filter(|weight| *weight > 0.0 && *weight <= MAX_WEIGHT),
-        };
-        let weight = weight.or(known.filter(|_| phase != Phase::Ready).map(|(_, entry)| entry.weight));
-        let since = match row.get("since_ms") {
-            None => 0.0,
-            Some(since) => since.as_f64().filter(|since| *since >= 0.0).ok_or("since_ms")?,
-        };
-        Ok(ReplicaEntry {
-            id: known.map_or_else(|| name.into(), |(id, _)| id.clone()),
-            phase,
-            zone: zone.or((phase == Phase::Gone).then_some(0)).ok_or("zone")?,
-            weight: weight.ok_or("weight")?,
-            started_at: (since > 0.0).then(|| started(since / 1000.0)).flatten(),
-        })
     }
 }
--- a/crates/platform-governor/src/endpoint_list/tests.rs
+++ b/crates/platform-governor/src/endpoint_list/tests.rs
@@ -5,9 +5,9 @@
     json!({"name": name, "zone": "a", "status": status, "weight": 2.0, "since_ms": 0})
 }
 
-fn take(list: &mut EndpointList, version: u64, snapshot: bool, rows: &[Value]) -> Option<EndpointUpdate> {
+fn apply(list: &mut EndpointList, version: u64, snapshot: bool, rows: &[Value]) -> Option<EndpointUpdate> {
     let object = json!({"index": version, "snapshot": snapshot, "endpoints": rows});
-    list.take(&object, |at| Some(Duration::from_secs_f64(at))).expect("it can be used")
+    list.apply(&object, |at| Some(Duration::from_secs_f64(at))).expect("it can be used")
 }
 
 fn names(change: &EndpointUpdate) -> Vec<(&str, Phase)> {
@@ -15,64 +15,67 @@
 }
 
 #[test]
-fn a_spoilt_entry_leaves_the_rest_and_what_was_known_of_it() {
+fn an_invalid_entry_leaves_the_others_and_what_was_known_of_it() {
     let mut list = EndpointList::new(&["a".into()]);
-    take(&mut list, 1, true, &[row("r1", "up"), row("r2", "up")]);
-    let mut spoilt = row("r1", "up");
-    spoilt["weight"] = json!(-1);
-    let change = take(&mut list, 2, true, &[spoilt, row("r3", "up")]).expect("newer");
+    apply(&mut list, 1, true, &[row("r1", "up"), row("r2", "up")]);
+    let mut invalid = row("r1", "up");
+    invalid["weight"] = json!(-1);
+    let change = apply(&mut list, 2, true, &[invalid, row("r3", "up")]).expect("newer");
     assert_eq!(names(&change), [("r1", Phase::Ready), ("r3", Phase::Ready)]);
-    assert!(change.complete && change.invalid_entries.len() == 1);
-    // One whose name can't be read may be any that is missing: nothing is taken for gone.
-    let change = take(&mut list, 3, true, &[json!({"name": 3}), row("r3", "up")]).expect("newer");
-    assert!(!change.complete && list.version() == Some(3), "asking again would bring the same");
+    assert!(change.scope == RosterScope::Complete && change.invalid_entries.len() == 1);
+    // An entry whose name can't be read may be any that is missing: nothing is taken for gone.
+    let change = apply(&mut list, 3, true, &[json!({"name": 3}), row("r3", "up")]).expect("newer");
+    assert!(
+        change.scope == RosterScope::Changes && list.version() == Some(3),
+        "another snapshot would be the same"
+    );
 }
 
 #[test]
-fn a_change_that_was_spoilt_is_had_from_the_whole_list() {
+fn an_invalid_change_is_made_good_by_a_snapshot() {
     let mut list = EndpointList::new(&["a".into()]);
-    take(&mut list, 1, true, &[row("r1", "up")]);
-    let spoilt = take(&mut list, 2, false, &[row("r1", "drained")]).expect("newer");
-    assert_eq!((spoilt.invalid_entries.len(), list.version()), (1, None));
-    let whole = take(&mut list, 2, true, &[row("r1", "draining")]).expect("no older than what is known");
+    apply(&mut list, 1, true, &[row("r1", "up")]);
+    let invalid = apply(&mut list, 2, false, &[row("r1", "drained")]).expect("newer");
+    assert_eq!((invalid.invalid_entries.len(), list.version()), (1, None));
+    let whole = apply(&mut list, 2, true, &[row("r1", "draining")]).expect("no older than what is known");
     assert_eq!((names(&whole), list.version()), (vec![("r1", Phase::Draining)], Some(2)));
 }
 
 #[test]
-fn what_is_older_brings_nothing_back() {
+fn older_versions_are_ignored() {
     let mut list = EndpointList::new(&["a".into()]);
-    take(&mut list, 5, true, &[row("r1", "up")]);
-    take(&mut list, 6, false, &[row("r1", "draining")]);
-    assert_eq!(take(&mut list, 5, true, &[row("r1", "up")]), None);
-    assert_eq!(take(&mut list, 6, false, &[]), None);
-    let gone = take(&mut list, 7, false, &[json!({"name": "r1", "status": "removed"})]).expect("newer");
+    apply(&mut list, 5, true, &[row("r1", "up")]);
+    apply(&mut list, 6, false, &[row("r1", "draining")]);
+    assert_eq!(apply(&mut list, 5, true, &[row("r1", "up")]), None);
+    assert_eq!(apply(&mut list, 6, false, &[]), None);
+    let gone = apply(&mut list, 7, false, &[json!({"name": "r1", "status": "removed"})]).expect("newer");
     assert_eq!(names(&gone), [("r1", Phase::Gone)]);
 }
 
 #[test]
-fn an_object_that_cannot_be_used_changes_nothing() {
+fn a_malformed_event_changes_nothing_and_requires_a_snapshot() {
     let mut list = EndpointList::new(&["a".into()]);
-    take(&mut list, 5, true, &[row("r1", "up")]);
-    assert!(matches!(list.read(b"{", |_| None), Err(EndpointListError::Unreadable(_))));
+    apply(&mut list, 5, true, &[row("r1", "up")]);
+    assert!(matches!(list.apply_bytes(b"{", |_| None), Err(EndpointListError::Unreadable(_))));
     assert_eq!(
-        list.read(b"{\"index\":6,\"snapshot\":false}", |_| None),
+        list.apply_bytes(b"{\"index\":6,\"snapshot\":false}", |_| None),
         Err(EndpointListError::InvalidField("endpoints"))
     );
-    // What it was to tell will not be told again: no watch may go on before all is told, by nobody older.
+    // What it was to give is not given again: no watch goes on before a snapshot came that is no older.
     assert_eq!((list.version(), list.entries.len()), (None, 1));
-    assert_eq!(take(&mut list, 4, true, &[]), None);
-    assert_eq!(take(&mut list, 6, false, &[]).map(|change| change.complete), Some(false));
+    assert_eq!(apply(&mut list, 4, true, &[]), None);
+    assert_eq!(apply(&mut list, 6, false, &[]).map(|change| change.scope), Some(RosterScope::Changes));
     assert_eq!((list.version(), list.entries.len()), (None, 1));
-    take(&mut list, 6, true, &[row("r1", "up")]);
+    apply(&mut list, 6, true, &[row("r1", "up")]);
     assert_eq!((list.version(), list.entries.len()), (Some(6), 1));
 }
 
 #[test]
-fn starts_are_told_in_the_hosts_time() {
+fn start_times_are_converted_to_host_time() {
     let mut list = EndpointList::new(&["a".into()]);
     let mut started = row("r1", "up");
     started["since_ms"] = json!(90500);
-    let change = take(&mut list, 1, true, &[started, row("r2", "up")]).expect("newer");
+    let change = apply(&mut list, 1, true, &[started, row("r2", "up")]).expect("newer");
     assert_eq!(change.entries[0].started_at, Some(Duration::from_millis(90500)));
     assert_eq!(change.entries[1].started_at, None);
 }
--- /dev/null
+++ b/crates/platform-governor/src/governor.rs
@@ -0,0 +1,271 @@
+//! The state machine: connections and messages in, [`Action`]s out.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::time::Duration;
+
+use wrenthread::governor::Governor;
+use wrenthread::types::{Decision, ProxyConnection, ProxyId, ReplicaId, StateEstimate};
+use wrenthread_deployment_config::DeploymentConfig;
+use wrenthread_platform_protocol::decode::Message;
+use wrenthread_platform_protocol::outbox::Outbox;
+
+use crate::discard::DiscardReason;
+use crate::endpoint_list::EndpointList;
+use crate::silence::{StreamActivity, silent_proxies};
+use crate::watch::Watcher;
+
+/// How often streams are checked for silence, and replicas that are gone forgotten.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
+/// The decision module asks for its next tick itself, each time.
+const NO_TICK: Duration = Duration::from_secs(3600);
+
+/// The number of a connection, given by the host in the order of accepting.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ConnectionId(pub u64);
+
+/// What the host is to do.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum Action {
+    /// Send bytes on a stream, after those of earlier actions.
+    Send {
+        /// The stream's connection.
+        connection: ConnectionId,
+        /// One message, with its line ends.
+        bytes: Vec<u8>,
+    },
+    /// Close a connection: it is not a proxy's stream any more.
+    Close {
+        /// The connection.
+        connection: ConnectionId,
+    },
+    /// Start a watcher of discovery. The earlier one may go on for a while.
+    Watch {
+        /// The watcher's number.
+        watcher: u64,
+        /// The version to watch from; none to fetch a snapshot first.
+        from_version: Option<u64>,
+    },
+    /// [`PlatformGovernor::replica_names`] has changed.
+    ReplicasChanged,
+}
+
+/// A proxy's newest stream.
+#[derive(Debug, Clone, Copy)]
+struct Stream {
+    connection: ConnectionId,
+    requests_per_second: f64,
+}
+
+/// One governor on the platform's protocol.
+pub struct PlatformGovernor {
+    pub(crate) governor: Governor,
+    outbox: Outbox,
+    pub(crate) endpoints: EndpointList,
+    report_interval: Duration,
+    streams: BTreeMap<ProxyId, Stream>,
+    pub(crate) watcher: Watcher,
+    pub(crate) replica_names: BTreeSet<ReplicaId>,
+    discarded: BTreeMap<DiscardReason, u64>,
+    tick_at: Duration,
+    housekeeping_at: Duration,
+    pub(crate) actions: VecDeque<Action>,
+}
+
+impl PlatformGovernor {
+    /// A governor that knows no endpoints yet, and watches nothing.
+    pub fn new(config: &DeploymentConfig, now: Duration) -> Self {
+        PlatformGovernor {
+            governor: Governor::new(config.settings.clone(), now),
+            outbox: Outbox::new(config.class_names.clone(), config.settings.default_retry_policy),
+            endpoints: EndpointList::new(&config.zone_names),
+            report_interval: config.settings.report_interval,
+            streams: BTreeMap::new(),
+            watcher: Watcher::default(),
+            replica_names: BTreeSet::new(),
+            discarded: BTreeMap::new(),
+            tick_at: now + NO_TICK,
+            housekeeping_at: now + HOUSEKEEPING_INTERVAL,
+            actions: VecDeque::new(),
+        }
+    }
+
+    /// A connection identified itself as a proxy's stream.
+    pub fn proxy_connected(&mut self, now: Duration, connection: ConnectionId, proxy: ProxyConnection) {
+        if let Some(newest) = self.connection_of(proxy.proxy) {
+            if newest > connection {
+                // Its first message was held up while the proxy connected anew.
+                self.discard(DiscardReason::StaleConnection);
+                self.actions.push_back(Action::Close { connection });
+                return;
+            }
+            self.actions.push_back(Action::Close { connection: newest });
+        }
+        let stream = Stream { connection, requests_per_second: proxy.requests_per_second };
+        self.streams.insert(proxy.proxy, stream);
+        self.outbox.proxy_connected(proxy.proxy);
+        self.governor.proxy_connected(now, proxy);
+    }
+
+    /// A connection that identified itself as this proxy's stream has ended.
+    pub fn connection_ended(&mut self, connection: ConnectionId, proxy: ProxyId) {
+        if self.is_newest(connection, proxy) {
+            self.disconnect(proxy);
+        }
+    }
+
+    /// The proxy reads nothing: the connection's send buffer is full.
+    pub fn send_buffer_full(&mut self, connection: ConnectionId) {
+        let mut streams = self.streams.iter();
+        if let Some((&proxy, _)) = streams.find(|(_, stream)| stream.connection == connection) {
+            tracing::warn!(proxy, "proxy disconnected: send buffer full");
+            self.disconnect(proxy);
+        }
+    }
+
+    /// A message came on a proxy's stream.
+    pub fn proxy_message(
+        &mut self,
+        now: Duration,
+        connection: ConnectionId,
+        proxy: ProxyId,
+        message: Message,
+    ) {
+        if !self.is_newest(connection, proxy) {
+            self.discard(DiscardReason::StaleMessage);
+            return;
+        }
+        match message {
+            Message::DemandStatistics(statistics) => self.governor.record_demand(now, statistics),
+            Message::Acknowledged { nonce, latency, .. } => {
+                if self.outbox.acknowledge(now, proxy, nonce, latency) {
+                    self.governor.acknowledged(latency);
+                } else {
+                    self.discard(DiscardReason::UnexpectedAcknowledgement);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// A collector forwarded a report, of whichever proxies.
+    pub fn collector_message(&mut self, now: Duration, message: Message) {
+        match message {
+            Message::ReplicaStatistics(statistics) => {
+                self.governor.record_replica_statistics(now, statistics)
+            }
+            Message::DemandStatistics(statistics) => self.governor.record_demand(now, statistics),
+            _ => {}
+        }
+    }
+
+    /// Does what has become due, and turns the module's decisions into actions. `last_received` gives the time at which
+    /// bytes last came on a connection, valid or not.
+    pub fn advance(&mut self, now: Duration, last_received: impl Fn(ConnectionId) -> Duration) {
+        if now >= self.tick_at {
+            self.tick_at = now + NO_TICK;
+            self.governor.tick();
+        }
+        if now >= self.housekeeping_at {
+            let is_late = now > self.housekeeping_at + HOUSEKEEPING_INTERVAL;
+            self.housekeeping_at = now + HOUSEKEEPING_INTERVAL;
+            // A governor that stood still has heard nobody: what waits is read before the next check.
+            if !is_late {
+                self.disconnect_silent_proxies(now, last_received);
+            }
+            self.check_watcher(now);
+            self.forget_replicas();
+        }
+        self.pull_decisions(now);
+    }
+
+    fn pull_decisions(&mut self, now: Duration) {
+        while let Some(decision) = self.governor.next_decision(now) {
+            if let Some(Decision::ScheduleTick(after)) = self.outbox.record(decision) {
+                self.tick_at = now + after;
+            }
+        }
+        let streams = &self.streams;
+        let actions = &mut self.actions;
+        self.outbox.flush(now, |proxy, bytes| {
+            if let Some(stream) = streams.get(&proxy) {
+                actions.push_back(Action::Send { connection: stream.connection, bytes });
+            }
+        });
+    }
+
+    /// What the host is to do next.
+    pub fn next_action(&mut self) -> Option<Action> {
+        self.actions.pop_front()
+    }
+
+    /// When it wants to be advanced again, at the latest.
+    pub fn next_deadline(&self) -> Duration {
+        self.tick_at.min(self.housekeeping_at)
+    }
+
+    /// Replicas that the list has, or that the decision module still tracks.
+    pub fn replica_names(&self) -> &BTreeSet<ReplicaId> {
+        &self.replica_names
+    }
+
+    /// The connection that is the proxy's stream.
+    pub fn connection_of(&self, proxy: ProxyId) -> Option<ConnectionId> {
+        self.streams.get(&proxy).map(|stream| stream.connection)
+    }
+
+    /// What the decision module takes for true.
+    pub fn state_estimate(&self) -> StateEstimate {
+        self.governor.state_estimate()
+    }
+
+    /// How many inputs were discarded, by reason, since the last call.
+    pub fn take_discard_counts(&mut self) -> BTreeMap<DiscardReason, u64> {
+        std::mem::take(&mut self.discarded)
+    }
+
+    fn is_newest(&self, connection: ConnectionId, proxy: ProxyId) -> bool {
+        self.connection_of(proxy) == Some(connection)
+    }
+
+    fn discard(&mut self, reason: DiscardReason) {
+        *self.discarded.entry(reason).or_insert(0) += 1;
+    }
+
+    fn disconnect(&mut self, proxy: ProxyId) {
+        if let Some(Stream { connection, .. }) = self.streams.remove(&proxy) {
+            self.actions.push_back(Action::Close { connection });
+        }
+        self.outbox.proxy_disconnected(proxy);
+        self.governor.proxy_disconnected(proxy);
+    }
+
+    fn disconnect_silent_proxies(&mut self, now: Duration, last_received: impl Fn(ConnectionId) -> Duration) {
+        let mut activities = Vec::with_capacity(self.streams.len());
+        for (proxy, stream) in &self.streams {
+            let received_at = last_received(stream.connection);
+            // Whether what it is to acknowledge has left or is stuck on its way: nothing is heard either way.
+            let outstanding_since = self.outbox.outstanding_since(*proxy, received_at);
+            activities.push(StreamActivity {
+                proxy: *proxy,
+                silent_for: now.saturating_sub(received_at),
+                unacknowledged_for: outstanding_since.map(|sent_at| now.saturating_sub(sent_at)),
+                requests_per_second: stream.requests_per_second,
+            });
+        }
+        for proxy in silent_proxies(&activities, self.report_interval) {
+            tracing::info!(proxy, "proxy disconnected: silent");
+            self.disconnect(proxy);
+        }
+    }
+
+    /// Forgets replicas that the decision module no longer tracks.
+    fn forget_replicas(&mut self) {
+        let governor = &self.governor;
+        self.outbox.retain_replicas(|replica| governor.tracks(replica));
+        let count = self.replica_names.len();
+        self.replica_names.retain(|replica| governor.tracks(replica));
+        if self.replica_names.len() != count {
+            self.actions.push_back(Action::ReplicasChanged);
+        }
+    }
+}
