--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
-use wrenthread_discovery::watch::{self, EventSender, WatchEvent};
+use wrenthread_discovery::{EventSender, WatchEvent, watch_endpoints};
 use wrenthread_platform_governor::{Action, ConnectionId, PlatformGovernor};
 use wrenthread_platform_protocol::decode::Decoder;
 
@@ -225,7 +225,7 @@
 
     fn watch(&mut self, watcher: u64, from: Option<u64>) {
         let subscriber = EventSender { watcher, events: self.subscribers.clone() };
-        let follower = spawn_local(watch::watch_endpoints(self.discovery.to_string(), from, subscriber));
+        let follower = spawn_local(watch_endpoints(self.discovery.to_string(), from, subscriber));
         if let Some(earlier) = self.follower.replace(follower) {
             spawn_local(async move {
                 sleep(HEARD_OUT).await;
--- a/crates/daemon/src/platform/connection.rs
+++ b/crates/daemon/src/platform/connection.rs
@@ -6,6 +6,7 @@
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
+use std::ops::ControlFlow;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -370,7 +371,7 @@
                 }
                 Err(why) => connections.spoilt(&why, frame),
             }
-            fault.is_none()
+            if fault.is_none() { ControlFlow::Continue(()) } else { ControlFlow::Break(()) }
         });
         if let Err(why) = pushed {
             fault = fault.or(Some(why.to_string()));
--- /dev/null
+++ b/crates/discovery/src/http.rs
@@ -0,0 +1,67 @@
+//! One HTTP/1.1 request on a connection of its own.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::{BodyExt, Empty};
+use hyper::body::Incoming;
+use hyper::{Request, header};
+use hyper_util::rt::TokioIo;
+use tokio::net::TcpStream;
+use tokio::task::JoinHandle;
+use tokio::time::timeout;
+
+use crate::watch::WatchError;
+
+/// Discovery's agent is on the same machine: a connection that takes longer does not come up.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// An empty line comes every two seconds, and a change must be known some seconds after discovery has it.
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2800);
+
+/// The body of a response, with the task that drives its connection.
+pub struct ResponseBody {
+    body: Incoming,
+    _connection: ConnectionTask,
+}
+
+impl ResponseBody {
+    /// The next bytes; none at the end.
+    pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, WatchError> {
+        let frame = timeout(SILENCE_TIMEOUT, self.body.frame()).await.map_err(|_| WatchError::Silent)?;
+        match frame {
+            None => Ok(None),
+            Some(frame) => Ok(Some(frame?.into_data().unwrap_or_default())), // trailers are ignored
+        }
+    }
+}
+
+/// Ends a connection's task with the response that uses it.
+struct ConnectionTask {
+    task: JoinHandle<()>,
+}
+
+impl Drop for ConnectionTask {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
+
+/// Sends a GET request, and waits for the head of its response.
+pub async fn get(address: &str, path: &str) -> Result<ResponseBody, WatchError> {
+    let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
+    let stream = connected.map_err(|_| WatchError::ConnectTimeout)??;
+    stream.set_nodelay(true)?;
+    let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
+    let task = tokio::task::spawn_local(async move {
+        // The body gives whatever ends the connection, too.
+        let _ = connection.await;
+    });
+    let connection = ConnectionTask { task };
+    let request = Request::get(path).header(header::HOST, address).body(Empty::<Bytes>::new())?;
+    let answered = timeout(SILENCE_TIMEOUT, sender.send_request(request)).await;
+    let response = answered.map_err(|_| WatchError::Silent)??;
+    if !response.status().is_success() {
+        return Err(WatchError::Status(response.status()));
+    }
+    Ok(ResponseBody { body: response.into_body(), _connection: connection })
+}
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -1,182 +1,156 @@
-//! Follows the list: the whole of it where that is needed, and a watch from its version on. A watch that
-//! breaks, is refused, never comes up or falls silent is dialled anew; what was told stays in force
-//! meanwhile.
+//! Keeps a watch up: one that breaks, is refused, never comes up or falls silent is started again.
 
+use std::ops::ControlFlow;
 use std::time::Duration;
 
-use bytes::Bytes;
-use http_body_util::{BodyExt, Empty};
-use hyper::body::Incoming;
-use hyper::{Request, Response, header};
-use hyper_util::rt::TokioIo;
 use thiserror::Error;
-use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
-use tokio::time::timeout;
 use wrenthread_platform_protocol::frames::{FrameBuffer, FrameTooLongError};
 
-/// Dialling is to a neighbour on the same machine: what takes longer does not come up.
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// An empty line comes every two seconds, and what discovery tells is held against the governor some seconds
-/// on.
-const SILENCE_TIMEOUT: Duration = Duration::from_millis(2800);
-/// Waits between dials, doubled from the first to the last.
-const WAITS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
-/// A list of some ten thousand entries. What is longer is not taken into memory, where it would be several
-/// times as large.
+use crate::http::{self, CONNECT_TIMEOUT, SILENCE_TIMEOUT};
+
+/// The first pause between connections; it doubles up to [`MAX_BACKOFF`].
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
+/// A list of some ten thousand entries. A longer one is not taken into memory, where it would be several times as
+/// large.
 const MAX_EVENT_BYTES: usize = 2 << 20;
+/// Where discovery serves the list.
+const ENDPOINTS_PATH: &str = "/registry/instances";
 
 /// Why a watch ended.
 #[derive(Debug, Error)]
 pub enum WatchError {
-    #[error("it did not come up within {CONNECT_TIMEOUT:?}")]
+    /// No connection came up in time.
+    #[error("no connection within {CONNECT_TIMEOUT:?}")]
     ConnectTimeout,
-    #[error("it was silent for {SILENCE_TIMEOUT:?}")]
+    /// Nothing came in time.
+    #[error("silent for {SILENCE_TIMEOUT:?}")]
     Silent,
-    #[error("it ended")]
-    Ended,
-    #[error("not all it said could be used: the whole list is asked for")]
+    /// The connection was closed.
+    #[error("closed")]
+    Closed,
+    /// The receiver could not use all of an event.
+    #[error("invalid event, fetching a snapshot")]
     InvalidEvent,
-    #[error("nobody listens")]
+    /// The receiver of events is gone.
+    #[error("no receiver")]
     ReceiverClosed,
-    #[error("it answered {0}")]
+    /// Discovery refused the request.
+    #[error("status {0}")]
     Status(hyper::StatusCode),
+    /// An event is too long.
     #[error("{0}")]
-    Frame(#[from] FrameTooLongError),
-    #[error("dialling: {0}")]
-    Dial(#[from] std::io::Error),
+    EventTooLong(#[from] FrameTooLongError),
+    /// The connection failed.
+    #[error("connection: {0}")]
+    Connection(#[from] std::io::Error),
+    /// HTTP failed.
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    #[error("the request: {0}")]
+    /// The request could not be made.
+    #[error("request: {0}")]
     Request(#[from] hyper::http::Error),
 }
 
-/// One object as it came, and where to say what is known after it: the version, or none if all is to be told.
+/// One event as it came.
 pub struct WatchEvent {
-    /// The number of the watcher that heard it.
+    /// The number of the watcher that received it.
     pub watcher: u64,
+    /// A JSON object.
     pub bytes: Vec<u8>,
+    /// Where the receiver sends the version that it has then; none if it needs a snapshot.
     pub known_version: oneshot::Sender<Option<u64>>,
 }
 
-/// Where events go, and the number that tells this watcher's from others'.
+/// Where a watcher sends its events.
 #[derive(Clone)]
 pub struct EventSender {
+    /// The watcher's number, which tells its events from other watchers'.
     pub watcher: u64,
+    /// The receiver's queue.
     pub events: mpsc::Sender<WatchEvent>,
 }
 
-/// Follows discovery at `address` until it is dropped. `known` is the version that the list has.
-pub async fn watch_endpoints(address: String, mut known: Option<u64>, sender: EventSender) {
-    let mut wait = WAITS.0;
+impl EventSender {
+    /// Sends an event. Gives the version that the receiver has after it.
+    async fn deliver(&self, bytes: Vec<u8>) -> Result<u64, WatchError> {
+        let (known_version, version) = oneshot::channel();
+        let event = WatchEvent { watcher: self.watcher, bytes, known_version };
+        self.events.send(event).await.map_err(|_| WatchError::ReceiverClosed)?;
+        let version = version.await.map_err(|_| WatchError::ReceiverClosed)?;
+        version.ok_or(WatchError::InvalidEvent)
+    }
+}
+
+/// Watches discovery at `address` until it is dropped or nobody receives its events. `known_version` is the version
+/// that the receiver has, if any.
+pub async fn watch_endpoints(address: String, mut known_version: Option<u64>, sender: EventSender) {
+    let mut backoff = MIN_BACKOFF;
     loop {
-        let before = known;
-        let ended = match known {
-            None => fetch_snapshot(&address, &mut known, &sender).await,
-            Some(version) => watch_changes(&address, version, &mut known, &sender).await,
+        let version_before = known_version;
+        let ended = match known_version {
+            None => fetch_snapshot(&address, &mut known_version, &sender).await,
+            Some(version) => watch_changes(&address, version, &mut known_version, &sender).await,
         };
-        let fault = match ended {
+        let error = match ended {
             Ok(()) => continue,
             Err(WatchError::ReceiverClosed) => return,
-            Err(fault) => fault,
+            Err(error) => error,
         };
-        // A watch that told something ended; one that goes on failing is not logged for ever.
-        if before.is_some() && known != before {
-            wait = WAITS.0;
+        if version_before.is_some() && known_version != version_before {
+            backoff = MIN_BACKOFF;
         }
-        if wait < WAITS.1 {
-            tracing::info!(%address, %fault, "discovery is dialled anew");
+        // A watch that goes on failing is not logged for ever.
+        if backoff < MAX_BACKOFF {
+            tracing::info!(%address, %error, "discovery watch reconnecting");
         } else {
-            tracing::debug!(%address, %fault, "discovery is dialled anew");
+            tracing::debug!(%address, %error, "discovery watch reconnecting");
         }
-        tokio::time::sleep(wait).await;
-        wait = (2 * wait).min(WAITS.1);
+        tokio::time::sleep(backoff).await;
+        backoff = (2 * backoff).min(MAX_BACKOFF);
     }
 }
 
-/// Has all of the list told, from which a watch may go on.
+/// Fetches the complete list, from whose version a watch may go on.
 async fn fetch_snapshot(
     address: &str,
-    known: &mut Option<u64>,
+    known_version: &mut Option<u64>,
     sender: &EventSender,
 ) -> Result<(), WatchError> {
-    let (answer, _driver) = request(address, "/registry/instances").await?;
-    let (mut body, mut list) = (answer.into_body(), Vec::new());
-    while let Some(data) = next_chunk(&mut body).await? {
-        if list.len() + data.len() > MAX_EVENT_BYTES {
-            return Err(FrameTooLongError(MAX_EVENT_BYTES).into());
+    let mut body = http::get(address, ENDPOINTS_PATH).await?;
+    let mut snapshot = Vec::new();
+    while let Some(chunk) = body.next_chunk().await? {
+        if snapshot.len() + chunk.len() > MAX_EVENT_BYTES {
+            return Err(FrameTooLongError { limit: MAX_EVENT_BYTES }.into());
         }
-        list.extend_from_slice(&data);
+        snapshot.extend_from_slice(&chunk);
     }
-    *known = Some(sender.deliver(list).await?);
+    *known_version = Some(sender.deliver(snapshot).await?);
     Ok(())
 }
 
-/// Watches from a version on, for as long as the connection lasts.
+/// Watches for changes from a version on, for as long as the connection lasts.
 async fn watch_changes(
     address: &str,
-    from: u64,
-    known: &mut Option<u64>,
+    from_version: u64,
+    known_version: &mut Option<u64>,
     sender: &EventSender,
 ) -> Result<(), WatchError> {
-    let (answer, _driver) = request(address, &format!("/registry/instances?watch=1&from={from}")).await?;
-    let (mut body, mut frames) = (answer.into_body(), FrameBuffer::default());
-    while let Some(data) = next_chunk(&mut body).await? {
-        let mut lines = Vec::new();
-        frames.push(&data, MAX_EVENT_BYTES, |line| {
-            lines.push(line.to_vec());
-            true
+    let path = format!("{ENDPOINTS_PATH}?watch=1&from={from_version}");
+    let mut body = http::get(address, &path).await?;
+    let mut frames = FrameBuffer::default();
+    while let Some(chunk) = body.next_chunk().await? {
+        let mut events = Vec::new();
+        frames.push(&chunk, MAX_EVENT_BYTES, |frame| {
+            events.push(frame.to_vec());
+            ControlFlow::Continue(())
         })?;
-        for line in lines {
-            *known = None;
-            *known = Some(sender.deliver(line).await?);
+        for event in events {
+            // Unless the receiver can use the event, a snapshot is needed.
+            *known_version = None;
+            *known_version = Some(sender.deliver(event).await?);
         }
     }
-    Err(WatchError::Ended)
-}
-
-/// The next bytes of an answer; none at its end.
-async fn next_chunk(body: &mut Incoming) -> Result<Option<Bytes>, WatchError> {
-    match timeout(SILENCE_TIMEOUT, body.frame()).await.map_err(|_| WatchError::Silent)? {
-        None => Ok(None),
-        Some(frame) => Ok(Some(frame?.into_data().unwrap_or_default())), // trailers tell of nothing
-    }
-}
-
-impl EventSender {
-    /// The version that the list has after an object.
-    async fn deliver(&self, bytes: Vec<u8>) -> Result<u64, WatchError> {
-        let (known, told) = oneshot::channel();
-        let event = WatchEvent { watcher: self.watcher, bytes, known_version: known };
-        self.events.send(event).await.map_err(|_| WatchError::ReceiverClosed)?;
-        told.await.map_err(|_| WatchError::ReceiverClosed)?.ok_or(WatchError::InvalidEvent)
-    }
-}
-
-/// Ends a connection's task with the watch that uses it.
-struct Driver(tokio::task::JoinHandle<()>);
-
-impl Drop for Driver {
-    fn drop(&mut self) {
-        self.0.abort();
-    }
-}
-
-async fn request(address: &str, path: &str) -> Result<(Response<Incoming>, Driver), WatchError> {
-    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
-        .await
-        .map_err(|_| WatchError::ConnectTimeout)??;
-    stream.set_nodelay(true)?;
-    let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
-    let driver = Driver(tokio::task::spawn_local(async move {
-        // What ends it is told by the body, too.
-        let _ = connection.await;
-    }));
-    let request = Request::get(path).header(header::HOST, address).body(Empty::<Bytes>::new())?;
-    let answer =
-        timeout(SILENCE_TIMEOUT, sender.send_request(request)).await.map_err(|_| WatchError::Silent)??;
-    if !answer.status().is_success() {
-        return Err(WatchError::Status(answer.status()));
-    }
-    Ok((answer, driver))
+    Err(WatchError::Closed)
 }
--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -1,4 +1,4 @@
-//! Watches against a stand-in agent on loopback that breaks off, falls silent, and says what can't be read.
+//! Watches against a stand-in agent on loopback that closes connections, falls silent, and sends invalid events.
 
 use std::time::{Duration, Instant};
 
@@ -6,12 +6,12 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
-use wrenthread_discovery::watch::{EventSender, WatchEvent, watch_endpoints};
+use wrenthread_discovery::{EventSender, WatchEvent, watch_endpoints};
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Accepts a connection; gives it with what it asks for.
-async fn asked(listener: &TcpListener) -> (TcpStream, String) {
+/// Accepts a connection, and reads its request's path.
+async fn accept_request(listener: &TcpListener) -> (TcpStream, String) {
     let (mut stream, _) = listener.accept().await.unwrap();
     let mut request = Vec::new();
     while !request.ends_with(b"\r\n\r\n") {
@@ -21,7 +21,7 @@
     (stream, line.split(' ').nth(1).unwrap().to_string())
 }
 
-async fn say(stream: &mut TcpStream, text: &str) {
+async fn send(stream: &mut TcpStream, text: &str) {
     for piece in text.as_bytes().chunks(3) {
         stream.write_all(format!("{:x}\r\n", piece.len()).as_bytes()).await.unwrap();
         stream.write_all(piece).await.unwrap();
@@ -29,52 +29,52 @@
     }
 }
 
-/// The next object, which is taken as of this version.
-async fn heard(events: &mut mpsc::Receiver<WatchEvent>, version: Option<u64>) -> String {
+/// Receives the next event, and answers it with this version.
+async fn next_event(events: &mut mpsc::Receiver<WatchEvent>, version: Option<u64>) -> String {
     let next = tokio::time::timeout(Duration::from_secs(10), events.recv()).await;
-    let event = next.expect("in time").expect("it follows");
+    let event = next.expect("in time").expect("the watch goes on");
     event.known_version.send(version).unwrap();
     String::from_utf8(event.bytes).unwrap()
 }
 
 #[test]
-fn a_watch_is_dialled_anew_from_where_it_was() {
+fn a_watch_reconnects_from_the_version_it_had() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (send, mut events) = mpsc::channel(4);
+        let (sender, mut events) = mpsc::channel(4);
         let address = listener.local_addr().unwrap().to_string();
         tokio::task::spawn_local(watch_endpoints(
             address,
             Some(41),
-            EventSender { watcher: 1, events: send },
+            EventSender { watcher: 1, events: sender },
         ));
-        // Objects come in pieces, empty lines between them.
-        let (mut stream, path) = asked(&listener).await;
+        // Events come in pieces, empty lines between them.
+        let (mut stream, path) = accept_request(&listener).await;
         assert_eq!(path, "/registry/instances?watch=1&from=41");
         stream.write_all(HEAD.as_bytes()).await.unwrap();
-        say(&mut stream, "\n{\"index\":42}\n\n{\"index\":43}\n").await;
-        assert_eq!(heard(&mut events, Some(42)).await, "{\"index\":42}");
-        assert_eq!(heard(&mut events, Some(43)).await, "{\"index\":43}");
-        // It breaks off; then it is refused; then it is silent, though open.
+        send(&mut stream, "\n{\"index\":42}\n\n{\"index\":43}\n").await;
+        assert_eq!(next_event(&mut events, Some(42)).await, "{\"index\":42}");
+        assert_eq!(next_event(&mut events, Some(43)).await, "{\"index\":43}");
+        // The connection is closed; then the watch is refused; then it is silent, though open.
         drop(stream);
-        let (mut stream, path) = asked(&listener).await;
+        let (mut stream, path) = accept_request(&listener).await;
         assert_eq!(path, "/registry/instances?watch=1&from=43");
         stream.write_all(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n").await.unwrap();
-        let (mut silent, _) = asked(&listener).await;
+        let (mut silent, _) = accept_request(&listener).await;
         silent.write_all(HEAD.as_bytes()).await.unwrap();
         let began = Instant::now();
-        let (mut stream, path) = asked(&listener).await;
-        assert!(began.elapsed() < Duration::from_secs(4), "a silent watch is let go: {:?}", began.elapsed());
+        let (mut stream, path) = accept_request(&listener).await;
+        assert!(began.elapsed() < Duration::from_secs(4), "a silent watch is closed: {:?}", began.elapsed());
         assert_eq!(path, "/registry/instances?watch=1&from=43");
-        // What can't be used has all of it asked for, and watched from there.
+        // After an invalid event a snapshot is fetched, and watched from.
         stream.write_all(HEAD.as_bytes()).await.unwrap();
-        say(&mut stream, "{\"ind\n").await;
-        assert_eq!(heard(&mut events, None).await, "{\"ind");
-        let (mut stream, path) = asked(&listener).await;
+        send(&mut stream, "{\"ind\n").await;
+        assert_eq!(next_event(&mut events, None).await, "{\"ind");
+        let (mut stream, path) = accept_request(&listener).await;
         assert_eq!(path, "/registry/instances");
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\n{\"index\":50}").await.unwrap();
-        assert_eq!(heard(&mut events, Some(50)).await, "{\"index\":50}");
-        assert_eq!(asked(&listener).await.1, "/registry/instances?watch=1&from=50");
+        assert_eq!(next_event(&mut events, Some(50)).await, "{\"index\":50}");
+        assert_eq!(accept_request(&listener).await.1, "/registry/instances?watch=1&from=50");
     });
 }
--- a/crates/platform-protocol/src/decode.rs
+++ b/crates/platform-protocol/src/decode.rs
@@ -1,292 +1,209 @@
-//! Messages into calls, each field checked: a spoilt one tells of nothing, and its neighbours count.
+//! Decodes the messages of proxies and collectors.
+//!
+//! Each field is checked. An invalid message gives nothing; those before and after it count.
+
+mod fields;
+#[cfg(test)]
+mod tests;
+mod wire;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use serde_json::{Map, Value};
+use serde_json::Value;
 use thiserror::Error;
 use wrenthread::types::{DemandStatistics, ProxyConnection, ProxyId, ReplicaId, ReplicaStatistics};
 use wrenthread_deployment_config::DeploymentConfig;
 
+use fields::{MAX_INTERVAL_MILLIS, MAX_REQUESTS_PER_SECOND, MessageFields, max_count};
+
+/// A mean latency may be this many times the longest request deadline: noise comes on top of what a client waits for.
+const MAX_LATENCY_DEADLINES: f64 = 2.0;
+/// Values of a load report beyond it are invalid.
+const MAX_LOAD: f64 = 1e9;
+
 /// What one message says.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
+    /// Asks for an answer.
     Ping,
-    /// The collector of a zone.
+    /// The connection is a collector's.
     Collector {
+        /// The zone that it collects for.
         zone: usize,
     },
+    /// The connection is a proxy's stream.
     ProxyConnected(ProxyConnection),
+    /// What the proxies of a zone observed at a replica.
     ReplicaStatistics(ReplicaStatistics),
+    /// Requests of a class that a proxy received.
     DemandStatistics(DemandStatistics),
+    /// A proxy has applied all messages up to a nonce.
     Acknowledged {
+        /// The proxy.
         proxy: ProxyId,
+        /// The nonce of the acknowledgement request.
         nonce: u16,
+        /// The time that it took.
         latency: Duration,
     },
 }
 
-/// Why a message tells of nothing.
+/// Why a message can't be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// No further use can be made of what says so.
+    /// It is no JSON object, for the reason given. Nothing that follows on the connection can be relied on.
     #[error("not a message: {0}")]
     Unreadable(String),
+    /// The field by this name is invalid.
     #[error("`{0}` is missing, of another type or out of range")]
     InvalidField(&'static str),
+    /// The field by this name refers to something unknown.
     #[error("`{0}` names nothing that is known")]
     UnknownName(&'static str),
 }
 
-/// Sums are gathered every second or so; where they had to wait they cover more, but not minutes.
-const MAX_INTERVAL_MILLIS: f64 = 120_000.0;
-/// More than any proxy or replica can have had in a second. It guards against counts that would drown what is
-/// true; it would harm where a zone sends a replica more than that.
-const MAX_REQUESTS_PER_SECOND: f64 = 100_000.0;
-
-/// Reads the platform's messages by the names that the settings give.
+/// Decodes messages by the names that the deployment's configuration gives.
 pub struct Decoder {
     zones: BTreeMap<String, usize>,
-    groups: BTreeMap<String, usize>,
-    load: Vec<String>,
-    proxies: u64,
-    answer_most: f64,
-}
-
-struct Fields<'a>(&'a Map<String, Value>);
-
-impl<'a> Fields<'a> {
-    fn text(&self, name: &'static str) -> Result<&'a str, DecodeError> {
-        self.0.get(name).and_then(Value::as_str).ok_or(DecodeError::InvalidField(name))
-    }
-
-    fn number(&self, name: &'static str, most: f64) -> Result<f64, DecodeError> {
-        let number = self.0.get(name).and_then(Value::as_f64).filter(|it| (0.0..=most).contains(it));
-        number.ok_or(DecodeError::InvalidField(name))
-    }
-
-    /// A count may come as 3.0 from a writer that knows only one kind of number.
-    fn whole(&self, name: &'static str, most: f64) -> Result<u64, DecodeError> {
-        let number = self.number(name, most)?;
-        if number.fract() == 0.0 { Ok(number as u64) } else { Err(DecodeError::InvalidField(name)) }
-    }
-
-    fn millis(&self, name: &'static str, most: f64) -> Result<Duration, DecodeError> {
-        Ok(Duration::from_secs_f64(self.number(name, most)? / 1000.0))
-    }
-
-    fn flag(&self, name: &'static str) -> Result<bool, DecodeError> {
-        match self.0.get(name) {
-            None | Some(Value::Null) => Ok(false),
-            Some(value) => value.as_bool().ok_or(DecodeError::InvalidField(name)),
-        }
-    }
-
-    /// Tries or flows, those without a good answer, and the span they are summed over. Tries that failed are
-    /// among the tries (`among`); flows that were not answered may have come in an earlier span.
-    fn sums(&self, among: bool) -> Result<(u64, u64, Duration), DecodeError> {
-        let span = self.millis("interval", MAX_INTERVAL_MILLIS)?;
-        if span.is_zero() {
-            return Err(DecodeError::InvalidField("interval"));
-        }
-        let most = (MAX_REQUESTS_PER_SECOND * span.as_secs_f64()).max(MAX_REQUESTS_PER_SECOND);
-        let total = self.whole("total", most)?;
-        Ok((total, self.whole("errors", if among { total as f64 } else { most })?, span))
-    }
+    classes: BTreeMap<String, usize>,
+    load_field_names: Vec<String>,
+    proxy_count: u64,
+    max_latency_millis: f64,
 }
 
 impl Decoder {
-    pub fn new(info: &DeploymentConfig) -> Self {
-        let places =
-            |names: &[String]| names.iter().cloned().enumerate().map(|(at, name)| (name, at)).collect();
-        let expiry =
-            info.settings.classes.iter().map(|group| group.request_deadline).max().unwrap_or(Duration::MAX);
+    /// A decoder for one deployment.
+    pub fn new(config: &DeploymentConfig) -> Self {
+        let deadlines = config.settings.classes.iter().map(|class| class.request_deadline);
+        let longest_deadline = deadlines.max().unwrap_or(Duration::MAX);
         Decoder {
-            zones: places(&info.zone_names),
-            groups: places(&info.class_names),
-            load: info.load_field_names.clone(),
-            proxies: info.settings.proxy_count,
-            answer_most: 2000.0 * expiry.as_secs_f64(), // noise is on top of what a client waits for
+            zones: index_by_name(&config.zone_names),
+            classes: index_by_name(&config.class_names),
+            load_field_names: config.load_field_names.clone(),
+            proxy_count: config.settings.proxy_count,
+            max_latency_millis: 1000.0 * MAX_LATENCY_DEADLINES * longest_deadline.as_secs_f64(),
         }
     }
 
-    /// Reads one message. `replica` gives the name of a replica that the list has, or lately had.
+    /// Decodes one frame. `find_replica` gives the identifier of a replica that is known by this name.
     ///
-    /// Errors: what can't be read at all, or is spoilt.
+    /// # Errors
+    ///
+    /// The frame is no message, or a field of it is invalid.
     pub fn decode(
         &self,
         frame: &[u8],
-        replica: impl Fn(&str) -> Option<ReplicaId>,
+        find_replica: impl Fn(&str) -> Option<ReplicaId>,
     ) -> Result<Message, DecodeError> {
-        let whole = match serde_json::from_slice(frame) {
-            Ok(Value::Object(whole)) => whole,
+        let message = match serde_json::from_slice(frame) {
+            Ok(Value::Object(message)) => message,
             Ok(_) => return Err(DecodeError::Unreadable("no object".into())),
             Err(error) => return Err(DecodeError::Unreadable(error.to_string())),
         };
-        let fields = Fields(&whole);
-        match fields.text("@type")? {
-            "PING" => Ok(Message::Ping),
-            "SOURCE" => Ok(Message::Collector { zone: self.zone(&fields)? }),
-            "SUBSCRIBE" => Ok(Message::ProxyConnected(ProxyConnection {
-                proxy: self.proxy(&fields)?,
-                zone: self.zone(&fields)?,
-                requests_per_second: fields.number("w", MAX_REQUESTS_PER_SECOND)?,
-                holds_default_table: fields.flag("cold")?,
-            })),
-            "ACK" => Ok(Message::Acknowledged {
-                proxy: self.proxy(&fields)?,
-                nonce: fields.whole("nonce", f64::from(u16::MAX))? as u16,
-                latency: fields.millis("latency", MAX_INTERVAL_MILLIS)?,
-            }),
-            "LOAD" => {
-                let (tries, dropped, span) = fields.sums(true)?;
-                let answered = tries > dropped;
-                let mean = match fields.0.get("rtt") {
-                    None | Some(Value::Null) if !answered => Duration::ZERO,
-                    _ => fields.millis("rtt", self.answer_most)?,
-                };
-                Ok(Message::ReplicaStatistics(ReplicaStatistics {
-                    zone: self.zone(&fields)?,
-                    replica: replica(fields.text("endpoint")?).ok_or(DecodeError::UnknownName("endpoint"))?,
-                    attempts: tries,
-                    failed: dropped,
-                    mean_latency: Some(mean).filter(|mean| answered && !mean.is_zero()),
-                    interval: span,
-                    load: self.load(&fields)?,
-                }))
-            }
-            "RATE" => {
-                let (flows, dropped, span) = fields.sums(false)?;
-                let group =
-                    self.groups.get(fields.text("route")?).ok_or(DecodeError::UnknownName("route"))?;
-                Ok(Message::DemandStatistics(DemandStatistics {
-                    proxy: self.proxy(&fields)?,
-                    class: *group,
-                    requests: flows,
-                    failed: dropped,
-                    interval: span,
-                }))
-            }
-            _ => Err(DecodeError::UnknownName("@type")),
+        let fields = MessageFields::new(&message);
+        match fields.text(wire::TYPE)? {
+            wire::PING => Ok(Message::Ping),
+            wire::SOURCE => Ok(Message::Collector { zone: self.zone(&fields)? }),
+            wire::SUBSCRIBE => self.proxy_connection(&fields).map(Message::ProxyConnected),
+            wire::ACK => self.acknowledgement(&fields),
+            wire::LOAD => self.replica_statistics(&fields, find_replica).map(Message::ReplicaStatistics),
+            wire::RATE => self.demand_statistics(&fields).map(Message::DemandStatistics),
+            _ => Err(DecodeError::UnknownName(wire::TYPE)),
         }
     }
 
-    fn zone(&self, fields: &Fields) -> Result<usize, DecodeError> {
-        let zone = self.zones.get(fields.text("locality")?);
-        zone.copied().ok_or(DecodeError::UnknownName("locality"))
+    fn proxy_connection(&self, fields: &MessageFields) -> Result<ProxyConnection, DecodeError> {
+        Ok(ProxyConnection {
+            proxy: self.proxy(fields)?,
+            zone: self.zone(fields)?,
+            requests_per_second: fields.number(wire::REQUESTS_PER_SECOND, MAX_REQUESTS_PER_SECOND)?,
+            holds_default_table: fields.flag(wire::HOLDS_DEFAULT_TABLE)?,
+        })
     }
 
-    fn proxy(&self, fields: &Fields) -> Result<ProxyId, DecodeError> {
-        let proxy = fields.whole("node", f64::from(ProxyId::MAX))?;
-        if proxy < self.proxies { Ok(proxy as ProxyId) } else { Err(DecodeError::UnknownName("node")) }
+    fn acknowledgement(&self, fields: &MessageFields) -> Result<Message, DecodeError> {
+        Ok(Message::Acknowledged {
+            proxy: self.proxy(fields)?,
+            nonce: fields.count(wire::NONCE, f64::from(u16::MAX))? as u16,
+            latency: fields.millis(wire::LATENCY_MILLIS, MAX_INTERVAL_MILLIS)?,
+        })
     }
 
-    /// The report's values in the settings' order, up to the first that is absent: absent is not 0, and what
-    /// follows would stand in its place.
-    fn load(&self, fields: &Fields) -> Result<Vec<f64>, DecodeError> {
-        let report = match fields.0.get("metrics") {
-            None | Some(Value::Null) => return Ok(Vec::new()),
-            Some(report) => report.as_object().ok_or(DecodeError::InvalidField("metrics"))?,
-        };
-        let mut load = Vec::new();
-        for name in &self.load {
-            match report.get(name) {
-                None | Some(Value::Null) => break,
-                Some(value) => {
-                    let value = value.as_f64().filter(|it| (0.0..=1e9).contains(it));
-                    load.push(value.ok_or(DecodeError::InvalidField("metrics"))?);
-                }
-            }
+    fn replica_statistics(
+        &self,
+        fields: &MessageFields,
+        find_replica: impl Fn(&str) -> Option<ReplicaId>,
+    ) -> Result<ReplicaStatistics, DecodeError> {
+        let interval = fields.interval()?;
+        let attempts = fields.count(wire::TOTAL, max_count(interval))?;
+        let failed = fields.count(wire::FAILED, attempts as f64)?;
+        let mean_latency = self.mean_latency(fields, attempts > failed)?;
+        let zone = self.zone(fields)?;
+        let replica = find_replica(fields.text(wire::REPLICA)?);
+        let replica = replica.ok_or(DecodeError::UnknownName(wire::REPLICA))?;
+        let load = self.load(fields)?;
+        Ok(ReplicaStatistics { zone, replica, attempts, failed, mean_latency, interval, load })
+    }
+
+    /// The mean latency of the attempts that succeeded, which must be stated if there were any.
+    fn mean_latency(
+        &self,
+        fields: &MessageFields,
+        any_succeeded: bool,
+    ) -> Result<Option<Duration>, DecodeError> {
+        if !any_succeeded && fields.get(wire::MEAN_LATENCY_MILLIS).is_none() {
+            return Ok(None);
         }
-        Ok(load)
+        let mean = fields.millis(wire::MEAN_LATENCY_MILLIS, self.max_latency_millis)?;
+        Ok(if any_succeeded && !mean.is_zero() { Some(mean) } else { None })
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
 
-    fn decoder() -> Decoder {
-        let info = serde_json::json!({
-            "categories": [{"name": "find", "deadline_us": 5000000, "objective_us": 2000000}],
-            "extra": {"agents": 20}, "zones": ["a", "b"], "report": {"fields": ["queue", "latency_ms"]},
-        });
-        let info = info.as_object().expect("an object").clone();
-        Decoder::new(
-            &wrenthread_deployment_config::read(&wrenthread_deployment_config::Fields(&info))
-                .expect("it is whole"),
-        )
+    fn demand_statistics(&self, fields: &MessageFields) -> Result<DemandStatistics, DecodeError> {
+        let interval = fields.interval()?;
+        let requests = fields.count(wire::TOTAL, max_count(interval))?;
+        // Requests that came in an earlier interval may fail in this one: more may fail than were received.
+        let failed = fields.count(wire::FAILED, max_count(interval))?;
+        let class = self.classes.get(fields.text(wire::CLASS)?).copied();
+        let class = class.ok_or(DecodeError::UnknownName(wire::CLASS))?;
+        let proxy = self.proxy(fields)?;
+        Ok(DemandStatistics { proxy, class, requests, failed, interval })
     }
 
-    fn read(text: &str) -> Result<Message, DecodeError> {
-        decoder().decode(text.as_bytes(), |name| (name == "r1").then(|| name.into()))
+    fn zone(&self, fields: &MessageFields) -> Result<usize, DecodeError> {
+        let zone = self.zones.get(fields.text(wire::ZONE)?);
+        zone.copied().ok_or(DecodeError::UnknownName(wire::ZONE))
     }
 
-    const LOAD: &str = r#"{"@type":"LOAD","locality":"b","endpoint":"r1","total":4,"errors":1,
-        "rtt":41.5,"interval":500.0,"metrics":{"latency_ms":7,"queue":2}}"#;
-    const RATE: &str = r#"{"@type":"RATE","node":17,"route":"find","total":19,"errors":0,"interval":1000.0}"#;
-
-    #[test]
-    fn a_load_report_stands_in_the_settings_order() {
-        let Ok(Message::ReplicaStatistics(met)) = read(LOAD) else { panic!("{:?}", read(LOAD)) };
-        assert_eq!((met.zone, met.attempts, met.failed, &*met.replica), (1, 4, 1, "r1"));
-        assert_eq!(
-            (met.mean_latency, met.interval),
-            (Some(Duration::from_micros(41500)), Duration::from_millis(500))
-        );
-        assert_eq!(met.load, [2.0, 7.0]);
-        let Ok(Message::ReplicaStatistics(met)) = read(&LOAD.replace("\"queue\":2", "\"qps\":2")) else {
-            panic!("not read")
-        };
-        assert!(met.load.is_empty(), "an absent value is not 0, nor another's");
-    }
-
-    #[test]
-    fn each_spoilt_field_is_named() {
-        for (from, to, fault) in [
-            ("\"total\":4", "\"total\":-4", DecodeError::InvalidField("total")),
-            ("\"total\":4", "\"total\":4.5", DecodeError::InvalidField("total")),
-            ("\"total\":4", "\"total\":1e300", DecodeError::InvalidField("total")),
-            ("\"errors\":1", "\"errors\":5", DecodeError::InvalidField("errors")),
-            ("\"errors\":1,", "", DecodeError::InvalidField("errors")),
-            ("41.5", "\"41.5\"", DecodeError::InvalidField("rtt")),
-            ("41.5", "1e9", DecodeError::InvalidField("rtt")),
-            ("500.0", "0", DecodeError::InvalidField("interval")),
-            ("\"b\"", "\"c\"", DecodeError::UnknownName("locality")),
-            ("r1", "r2", DecodeError::UnknownName("endpoint")),
-            ("\"queue\":2", "\"queue\":-2", DecodeError::InvalidField("metrics")),
-            ("LOAD", "WHAT", DecodeError::UnknownName("@type")),
-        ] {
-            assert_eq!(read(&LOAD.replace(from, to)), Err(fault), "{from} {to}");
+    fn proxy(&self, fields: &MessageFields) -> Result<ProxyId, DecodeError> {
+        let proxy = fields.count(wire::PROXY, f64::from(ProxyId::MAX))?;
+        if proxy < self.proxy_count {
+            Ok(proxy as ProxyId)
+        } else {
+            Err(DecodeError::UnknownName(wire::PROXY))
         }
-        assert_eq!(read(&RATE.replace("17", "20")), Err(DecodeError::UnknownName("node")));
-        assert_eq!(read(&RATE.replace("find", "lose")), Err(DecodeError::UnknownName("route")));
-        assert!(matches!(read("{\"@type\":"), Err(DecodeError::Unreadable(_))));
-        assert!(matches!(
-            read(RATE),
-            Ok(Message::DemandStatistics(DemandStatistics { proxy: 17, class: 0, requests: 19, .. }))
-        ));
-    }
-
-    #[test]
-    fn flows_of_an_earlier_span_may_be_dropped_in_this_one() {
-        let late = RATE.replace("\"total\":19,\"errors\":0", "\"total\":0,\"errors\":2");
-        assert!(matches!(
-            read(&late),
-            Ok(Message::DemandStatistics(DemandStatistics { requests: 0, failed: 2, .. }))
-        ));
-        assert_eq!(read(&late.replace(":2", ":2e9")), Err(DecodeError::InvalidField("errors")));
     }
 
-    proptest! {
-        #[test]
-        fn no_input_panics(at in 0usize..150, with in any::<Vec<u8>>(), load in any::<bool>()) {
-            let mut bytes = if load { LOAD } else { RATE }.as_bytes().to_vec();
-            let at = at.min(bytes.len());
-            let until = (at + with.len()).min(bytes.len());
-            bytes.splice(at..until, with);
-            let _ = decoder().decode(&bytes, |name| Some(name.into()));
+    /// The load report's values in the settings' order, up to the first that is absent: absent is not 0, and what
+    /// follows would stand in its place.
+    fn load(&self, fields: &MessageFields) -> Result<Vec<f64>, DecodeError> {
+        const INVALID: DecodeError = DecodeError::InvalidField(wire::LOAD_REPORT);
+        let Some(report) = fields.get(wire::LOAD_REPORT) else { return Ok(Vec::new()) };
+        let report = report.as_object().ok_or(INVALID)?;
+        let mut load = Vec::new();
+        for name in &self.load_field_names {
+            match report.get(name) {
+                None | Some(Value::Null) => break,
+                Some(value) => {
+                    let value = value.as_f64().filter(|value| (0.0..=MAX_LOAD).contains(value));
+                    load.push(value.ok_or(INVALID)?);
+                }
+            }
         }
+        Ok(load)
     }
 }
+
+fn index_by_name(names: &[String]) -> BTreeMap<String, usize> {
+    names.iter().cloned().enumerate().map(|(index, name)| (name, index)).collect()
+}
--- /dev/null
+++ b/crates/platform-protocol/src/outbox/builder.rs
@@ -0,0 +1,194 @@
+//! Builds the message that a stream is sent at the end of a pull.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use wrenthread::types::{ClassSet, ReplicaId, TableId};
+
+use super::stream::{Admission, Ejection, Stream};
+use super::wire::{ConfigPart, retry_policy_number};
+use super::{PendingChanges, TableEntries, all_classes};
+
+/// Entries in a part at most, so that none comes near the size that a message may have.
+const MAX_ENTRIES_PER_PART: usize = 2000;
+/// Classes that a [`ClassSet`] has a bit for.
+const MAX_CLASSES: usize = ClassSet::BITS as usize;
+
+/// What is decided as a pull ends.
+pub(super) struct MessageBuilder<'a> {
+    pub class_names: &'a [String],
+    pub default_admission: Admission,
+    pub tables: &'a BTreeMap<TableId, TableEntries>,
+    pub ejected: &'a BTreeSet<ReplicaId>,
+    pub admissions: &'a [Option<Admission>],
+    pub pending: &'a PendingChanges,
+}
+
+/// Replicas whose ejection a stream is to be sent.
+#[derive(Default)]
+struct EjectionChanges<'a> {
+    ejected: Vec<&'a str>,
+    restored: Vec<&'a str>,
+}
+
+impl<'a> MessageBuilder<'a> {
+    /// The parts of the message that this stream is sent, and takes for sent.
+    pub fn build(&self, stream: &mut Stream) -> Vec<ConfigPart<'a>> {
+        let mut parts = Vec::new();
+        let newly_assigned = std::mem::take(&mut stream.newly_assigned);
+        let changes = self.ejection_changes(stream, &newly_assigned);
+        for names in changes.ejected.chunks(MAX_ENTRIES_PER_PART) {
+            parts.push(ConfigPart { ejected: names.to_vec(), ..ConfigPart::default() });
+        }
+        for (table, classes) in &stream.assigned_tables {
+            if newly_assigned.contains(table) {
+                self.reset_admissions(&mut stream.admissions, *classes);
+                self.push_complete_table(&mut parts, *table, *classes);
+            } else {
+                self.push_changed_entries(&mut parts, *table, *classes);
+            }
+        }
+        push_restored(&mut parts, &changes.restored);
+        if !parts.is_empty() || self.pending.admission_changed {
+            self.push_admissions(&mut parts, &mut stream.admissions);
+        }
+        parts
+    }
+
+    /// A complete table has the proxy forget its admission fractions.
+    fn reset_admissions(&self, admissions: &mut [Option<Admission>], classes: ClassSet) {
+        for (class, admission) in admissions.iter_mut().enumerate() {
+            if classes >> class & 1 == 1 {
+                *admission = Some(self.default_admission);
+            }
+        }
+    }
+
+    fn push_complete_table(&self, parts: &mut Vec<ConfigPart<'a>>, table: TableId, classes: ClassSet) {
+        let entries = rows(self.tables.get(&table));
+        if entries.is_empty() {
+            let class_names = self.class_names(classes);
+            parts.push(ConfigPart { class_names, is_complete: true, ..ConfigPart::default() });
+        }
+        for (index, entries) in entries.chunks(MAX_ENTRIES_PER_PART).enumerate() {
+            let class_names = self.class_names(classes);
+            let is_complete = index == 0;
+            parts.push(ConfigPart {
+                class_names,
+                is_complete,
+                entries: entries.to_vec(),
+                ..ConfigPart::default()
+            });
+        }
+    }
+
+    fn push_changed_entries(&self, parts: &mut Vec<ConfigPart<'a>>, table: TableId, classes: ClassSet) {
+        let entries = rows(self.pending.entries.get(&table));
+        for entries in entries.chunks(MAX_ENTRIES_PER_PART) {
+            let class_names = self.class_names(classes);
+            parts.push(ConfigPart { class_names, entries: entries.to_vec(), ..ConfigPart::default() });
+        }
+    }
+
+    /// Admissions travel with each message: those in force that the proxy does not hold.
+    fn push_admissions(&self, parts: &mut Vec<ConfigPart<'a>>, held: &mut [Option<Admission>]) {
+        let mut changes: Vec<(Admission, ClassSet)> = Vec::new();
+        for (class, (held, wanted)) in held.iter_mut().zip(self.admissions).enumerate().take(MAX_CLASSES) {
+            let Some(wanted) = *wanted else { continue };
+            if *held == Some(wanted) {
+                continue;
+            }
+            *held = Some(wanted);
+            match changes.iter_mut().find(|(admission, _)| *admission == wanted) {
+                Some((_, classes)) => *classes |= 1 << class,
+                None => changes.push((wanted, 1 << class)),
+            }
+        }
+        for (admission, classes) in changes {
+            parts.push(ConfigPart {
+                class_names: self.class_names(classes),
+                admission_fraction: Some(admission.fraction),
+                retry_policy: Some(retry_policy_number(admission.retry_policy)),
+                ..ConfigPart::default()
+            });
+        }
+    }
+
+    /// Replicas of the stream's tables whose ejection it was not sent as it stands now.
+    fn ejection_changes(
+        &self,
+        stream: &mut Stream,
+        newly_assigned: &BTreeSet<TableId>,
+    ) -> EjectionChanges<'a> {
+        let mut changes = EjectionChanges::default();
+        for table in stream.assigned_tables.keys() {
+            let Some(entries) = self.tables.get(table) else { continue };
+            if newly_assigned.contains(table) {
+                for replica in entries.keys() {
+                    self.note_ejection(&mut changes, &mut stream.ejections, replica);
+                }
+                continue;
+            }
+            let changed = self.pending.entries.get(table).into_iter().flat_map(BTreeMap::keys);
+            for replica in changed.chain(&self.pending.ejections) {
+                if entries.contains_key(replica) {
+                    self.note_ejection(&mut changes, &mut stream.ejections, replica);
+                }
+            }
+        }
+        // Nobody knows which replicas are in tables that are not this governor's.
+        if stream.assigned_classes() != all_classes(self.class_names.len()) {
+            for replica in &self.pending.ejections {
+                self.note_ejection(&mut changes, &mut stream.ejections, replica);
+            }
+        }
+        changes
+    }
+
+    fn note_ejection(
+        &self,
+        changes: &mut EjectionChanges<'a>,
+        sent: &mut BTreeMap<ReplicaId, Ejection>,
+        replica: &'a ReplicaId,
+    ) {
+        let ejection = if self.ejected.contains(replica) { Ejection::Ejected } else { Ejection::Restored };
+        if sent.get(replica) == Some(&ejection) {
+            return;
+        }
+        sent.insert(replica.clone(), ejection);
+        match ejection {
+            Ejection::Ejected => changes.ejected.push(replica),
+            Ejection::Restored => changes.restored.push(replica),
+        }
+    }
+
+    /// The names of these classes; none for all of them.
+    fn class_names(&self, classes: ClassSet) -> Option<Vec<&'a str>> {
+        if classes == all_classes(self.class_names.len()) {
+            return None;
+        }
+        let mut names = Vec::new();
+        for (class, name) in self.class_names.iter().enumerate() {
+            if classes >> class.min(MAX_CLASSES - 1) & 1 == 1 {
+                names.push(name.as_str());
+            }
+        }
+        Some(names)
+    }
+}
+
+/// Restored replicas go behind the tables, in the last part if it has none yet.
+fn push_restored<'a>(parts: &mut Vec<ConfigPart<'a>>, restored: &[&'a str]) {
+    for names in restored.chunks(MAX_ENTRIES_PER_PART) {
+        if let Some(part) = parts.last_mut()
+            && part.restored.is_empty()
+        {
+            part.restored = names.to_vec();
+        } else {
+            parts.push(ConfigPart { restored: names.to_vec(), ..ConfigPart::default() });
+        }
+    }
+}
+
+fn rows(entries: Option<&TableEntries>) -> Vec<(&str, f64)> {
+    entries.into_iter().flatten().map(|(replica, weight)| (&**replica, *weight)).collect()
+}
--- a/crates/platform-protocol/src/outbox/tests.rs
+++ b/crates/platform-protocol/src/outbox/tests.rs
@@ -1,27 +1,28 @@
-//! The bookkeeping against a small model of a proxy that does what the platform's page says of orders.
+//! The bookkeeping against a small model of a proxy that applies messages as the protocol says.
 
 use proptest::prelude::*;
 use serde_json::Value;
 
 use wrenthread::types::TableEntry;
 
+use super::wire::{MAX_PARTS_PER_MESSAGE, retry_policy_number};
 use super::*;
 
-const CLASSES: [&str; 2] = ["find", "pay"];
-const USUAL: (f64, u64) = (1.0, 0);
+const CLASS_NAMES: [&str; 2] = ["find", "pay"];
+const DEFAULT_ADMISSION: (f64, u64) = (1.0, 0);
 
-/// What a proxy holds. Its tables are by group; none for a standing one that nobody ordered.
+/// What a proxy holds. Its tables are by group; none for the default table.
 #[derive(Default)]
 struct Proxy {
     tables: [Option<BTreeMap<String, f64>>; 2],
-    levels: [(f64, u64); 2],
-    shut: BTreeSet<String>,
-    tickets: Vec<u64>,
+    admissions: [(f64, u64); 2],
+    ejected: BTreeSet<String>,
+    nonces: Vec<u64>,
     lines: usize,
 }
 
 impl Proxy {
-    fn heed(&mut self, message: &[u8]) {
+    fn apply(&mut self, message: &[u8]) {
         assert_eq!(message.last(), Some(&b'\n'), "a message ends with its last part");
         let parts = message[..message.len() - 1].split(|byte| *byte == b'\n');
         let parts = parts.map(|part| serde_json::from_slice(part).expect("a part is JSON"));
@@ -31,11 +32,11 @@
             assert_eq!(part["@type"], "CONFIG");
             assert_eq!(part["more"].as_bool().unwrap_or(false), at + 1 < parts.len());
             assert!(part.as_object().expect("an object").len() > 1, "an empty part");
-            self.part(part);
+            self.apply_part(part);
         }
     }
 
-    fn part(&mut self, part: &Value) {
+    fn apply_part(&mut self, part: &Value) {
         let named = |name: &str| part["classes"].as_array().is_none_or(|row| row.iter().any(|it| it == name));
         let texts = |field: &str| -> Vec<String> {
             let row = part[field].as_array().cloned().unwrap_or_default();
@@ -43,9 +44,9 @@
         };
         let lines = part["lines"].as_array().cloned().unwrap_or_default();
         self.lines += lines.len();
-        for place in (0..2).filter(|place| named(CLASSES[*place])) {
+        for place in (0..2).filter(|place| named(CLASS_NAMES[*place])) {
             if part["whole"] == true {
-                (self.tables[place], self.levels[place]) = (Some(BTreeMap::new()), USUAL);
+                (self.tables[place], self.admissions[place]) = (Some(BTreeMap::new()), DEFAULT_ADMISSION);
             }
             for line in &lines {
                 let table = self.tables[place].get_or_insert_default();
@@ -55,23 +56,23 @@
             }
             assert_eq!(part.get("level").is_some(), part.get("retry").is_some());
             if let (Some(level), Some(retry)) = (part["level"].as_f64(), part["retry"].as_u64()) {
-                self.levels[place] = (level, retry);
+                self.admissions[place] = (level, retry);
             }
         }
-        self.shut.extend(texts("out"));
-        self.shut = &self.shut - &texts("back").into_iter().collect();
-        self.tickets.extend(part["ticket"].as_u64());
+        self.ejected.extend(texts("out"));
+        self.ejected = &self.ejected - &texts("back").into_iter().collect();
+        self.nonces.extend(part["ticket"].as_u64());
     }
 }
 
 #[derive(Debug, Clone)]
 enum Step {
-    Lines(TableId, Vec<(usize, u8)>),
-    Follow(ProxyId, TableId, ClassSet),
-    Withdraw(usize, bool),
-    Level(ClassSet, u8),
-    /// The proxy has been elsewhere, where a replica was withdrawn and its levels were cut.
-    Rejoin(ProxyId, Option<usize>),
+    UpdateTable(TableId, Vec<(usize, u8)>),
+    AssignTable(ProxyId, TableId, ClassSet),
+    SetEjected(usize, bool),
+    SetAdmission(ClassSet, u8),
+    /// The proxy has been elsewhere, where a replica was ejected and admission was reduced.
+    Reconnect(ProxyId, Option<usize>),
     Flush,
 }
 
@@ -82,11 +83,11 @@
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         3 => (0u16..4, proptest::collection::vec((0usize..5, 0u8..3), 1..4))
-            .prop_map(|(table, lines)| Step::Lines(table, lines)),
-        3 => (0u16..3, 0u16..4, 0u64..4).prop_map(|(proxy, table, of)| Step::Follow(proxy, table, of)),
-        2 => (0usize..5, any::<bool>()).prop_map(|(replica, out)| Step::Withdraw(replica, out)),
-        1 => (0u64..4, 0u8..4).prop_map(|(classes, level)| Step::Level(classes, level)),
-        1 => (0u16..3, proptest::option::of(0usize..5)).prop_map(|(proxy, out)| Step::Rejoin(proxy, out)),
+            .prop_map(|(table, lines)| Step::UpdateTable(table, lines)),
+        3 => (0u16..3, 0u16..4, 0u64..4).prop_map(|(proxy, table, of)| Step::AssignTable(proxy, table, of)),
+        2 => (0usize..5, any::<bool>()).prop_map(|(replica, ejected)| Step::SetEjected(replica, ejected)),
+        1 => (0u64..4, 0u8..4).prop_map(|(classes, level)| Step::SetAdmission(classes, level)),
+        1 => (0u16..3, proptest::option::of(0usize..5)).prop_map(|(proxy, ejected)| Step::Reconnect(proxy, ejected)),
         4 => Just(Step::Flush),
     ];
     proptest::collection::vec(step, 1..60)
@@ -96,21 +97,22 @@
     format!("r{at}")
 }
 
-/// What a proxy that follows tables must send by, and what it must heed.
+/// Checks what proxies hold against what was decided.
 fn check(outbox: &Outbox, proxies: &[Proxy]) -> Result<(), TestCaseError> {
     for (number, stream) in &outbox.streams {
         let proxy = &proxies[usize::from(*number)];
-        for (table, classes) in &stream.follows {
+        for (table, classes) in &stream.assigned_tables {
             let held = outbox.tables.get(table).cloned().unwrap_or_default();
             let wanted: BTreeMap<String, f64> = held.iter().map(|(id, it)| (id.to_string(), *it)).collect();
             for place in (0..2).filter(|place| classes >> place & 1 == 1) {
                 prop_assert_eq!(proxy.tables[place].as_ref(), Some(&wanted));
-                let level =
-                    outbox.levels[place].map_or(USUAL, |(level, tries)| (level, u64::from(retry(tries))));
-                prop_assert_eq!(proxy.levels[place], level);
+                let level = outbox.admissions[place].map_or(DEFAULT_ADMISSION, |admission| {
+                    (admission.fraction, u64::from(retry_policy_number(admission.retry_policy)))
+                });
+                prop_assert_eq!(proxy.admissions[place], level);
             }
             for id in held.keys() {
-                prop_assert_eq!(proxy.shut.contains(&**id), outbox.out.contains(id), "{}", id);
+                prop_assert_eq!(proxy.ejected.contains(&**id), outbox.ejected.contains(id), "{}", id);
             }
         }
     }
@@ -119,38 +121,38 @@
 
 proptest! {
     #[test]
-    fn a_proxy_holds_what_was_decided(steps in steps()) {
-        let mut outbox = Outbox::new(CLASSES.map(String::from).to_vec(), RetryPolicy::Never);
-        let proxy = |_| Proxy { levels: [USUAL; 2], ..Proxy::default() };
+    fn a_proxy_that_applies_the_messages_holds_what_was_decided(steps in steps()) {
+        let mut outbox = Outbox::new(CLASS_NAMES.map(String::from).to_vec(), RetryPolicy::Never);
+        let proxy = |_| Proxy { admissions: [DEFAULT_ADMISSION; 2], ..Proxy::default() };
         let mut proxies: Vec<Proxy> = (0..3).map(proxy).collect();
         (0..3).for_each(|proxy| outbox.proxy_connected(proxy));
         for step in steps.into_iter().chain([Step::Flush]) {
             match step {
-                Step::Lines(table, lines) => {
+                Step::UpdateTable(table, lines) => {
                     let lines = lines.iter().map(|(at, weight)| entry(name(*at), f64::from(*weight)));
                     outbox.record(Decision::UpdateTable { table, entries: lines.collect() });
                 }
-                Step::Follow(proxy, table, classes) => {
+                Step::AssignTable(proxy, table, classes) => {
                     outbox.record(Decision::AssignTable { proxy, table, classes });
                 }
-                Step::Withdraw(at, out) => {
-                    outbox.record(Decision::SetEjected { replica: name(at).into(), ejected: out });
+                Step::SetEjected(at, ejected) => {
+                    outbox.record(Decision::SetEjected { replica: name(at).into(), ejected });
                 }
-                Step::Level(classes, level) => {
+                Step::SetAdmission(classes, level) => {
                     outbox.record(Decision::SetAdmission { classes, fraction: f64::from(level) / 4.0, retry_policy: RetryPolicy::IfNotExecuted });
                 }
-                Step::Rejoin(proxy, out) => {
+                Step::Reconnect(proxy, ejected) => {
                     let held = &mut proxies[usize::from(proxy)];
-                    held.shut.extend(out.map(name));
-                    held.levels = [(0.3, 2); 2];
+                    held.ejected.extend(ejected.map(name));
+                    held.admissions = [(0.3, 2); 2];
                     outbox.proxy_connected(proxy);
                 }
                 Step::Flush => {
                     outbox.record(Decision::RequestAcknowledgement(7));
-                    let before: Vec<usize> = proxies.iter().map(|proxy| proxy.tickets.len()).collect();
-                    outbox.flush(Duration::ZERO, |proxy, bytes| proxies[usize::from(proxy)].heed(&bytes));
-                    let news = proxies.iter().zip(before).map(|(proxy, before)| proxy.tickets.len() - before);
-                    prop_assert!(news.max() <= Some(1), "a message has one ticket");
+                    let before: Vec<usize> = proxies.iter().map(|proxy| proxy.nonces.len()).collect();
+                    outbox.flush(Duration::ZERO, |proxy, bytes| proxies[usize::from(proxy)].apply(&bytes));
+                    let news = proxies.iter().zip(before).map(|(proxy, before)| proxy.nonces.len() - before);
+                    prop_assert!(news.max() <= Some(1), "a message has one nonce");
                     check(&outbox, &proxies)?;
                 }
             }
@@ -159,23 +161,23 @@
 }
 
 #[test]
-fn nothing_empty_is_sent_and_what_stands_is_not_sent_again() {
-    let mut outbox = Outbox::new(CLASSES.map(String::from).to_vec(), RetryPolicy::Never);
+fn sends_changes_only_and_no_empty_message() {
+    let mut outbox = Outbox::new(CLASS_NAMES.map(String::from).to_vec(), RetryPolicy::Never);
     let mut proxies = [Proxy::default(), Proxy::default()];
     (0..2).for_each(|proxy| outbox.proxy_connected(proxy));
     outbox.record(Decision::UpdateTable { table: 1, entries: vec![entry("r1", 1.0), entry("r2", 2.0)] });
     outbox.record(Decision::AssignTable { proxy: 0, table: 1, classes: 0 });
-    outbox.flush(Duration::ZERO, |proxy, bytes| proxies[usize::from(proxy)].heed(&bytes));
+    outbox.flush(Duration::ZERO, |proxy, bytes| proxies[usize::from(proxy)].apply(&bytes));
     outbox.record(Decision::UpdateTable { table: 1, entries: vec![entry("r2", 0.0)] });
-    outbox.flush(Duration::ZERO, |proxy, bytes| proxies[usize::from(proxy)].heed(&bytes));
+    outbox.flush(Duration::ZERO, |proxy, bytes| proxies[usize::from(proxy)].apply(&bytes));
     outbox.record(Decision::RequestAcknowledgement(3));
     outbox.flush(Duration::ZERO, |_, bytes| panic!("{}", String::from_utf8_lossy(&bytes)));
     assert_eq!((proxies[0].lines, proxies[1].lines), (3, 0));
 }
 
 #[test]
-fn an_answer_counts_once_and_only_if_it_is_owed() {
-    let mut outbox = Outbox::new(CLASSES.map(String::from).to_vec(), RetryPolicy::Never);
+fn an_acknowledgement_counts_once_and_only_if_outstanding() {
+    let mut outbox = Outbox::new(CLASS_NAMES.map(String::from).to_vec(), RetryPolicy::Never);
     outbox.proxy_connected(0);
     let (sent, later) = (Duration::from_secs(10), Duration::from_secs(12));
     outbox.record(Decision::AssignTable { proxy: 0, table: 1, classes: 0 });
