--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -1,7 +1,7 @@
 //! What is wrong with a line, in the words that standard error shows.
 
 use thiserror::Error;
-use wrenthread_deployment_config::Fault;
+use wrenthread_deployment_config::FieldError;
 
 /// Why a line is left out.
 #[derive(Debug, Error)]
@@ -53,5 +53,5 @@
     },
     /// A field is missing, or of another type.
     #[error(transparent)]
-    Field(#[from] Fault),
+    Field(#[from] FieldError),
 }
--- a/crates/adapter/src/events.rs
+++ b/crates/adapter/src/events.rs
@@ -96,7 +96,7 @@
 ///
 /// If the time is missing.
 pub fn batch_time(message: &Message) -> Result<Duration, MessageError> {
-    Ok(message.fields().span("ts_us")?)
+    Ok(message.fields().micros("ts_us")?)
 }
 
 /// The number of the governor that a message is about.
@@ -105,7 +105,7 @@
 ///
 /// If the number is missing.
 pub fn governor_id(message: &Message) -> Result<u64, MessageError> {
-    Ok(message.fields().whole("governor_id")?)
+    Ok(message.fields().count("governor_id")?)
 }
 
 /// Reads a replica list.
@@ -115,9 +115,9 @@
 /// If its number or a replica's name is missing, or a replica's phase is unknown.
 pub fn replica_list(message: &Message, names: &mut ReplicaNames) -> Result<ReplicaList, MessageError> {
     let fields = message.fields();
-    let number = fields.whole("list")?;
+    let number = fields.count("list")?;
     let mut entries = Vec::new();
-    for entry in fields.row("elements") {
+    for entry in fields.array_or_empty("elements") {
         entries.push(replica_entry(entry, names)?);
     }
     Ok(ReplicaList { number, entries })
@@ -127,10 +127,10 @@
     let fields = Fields(entry.as_object().ok_or(MessageError::EntryNotAnObject)?);
     Ok(ReplicaEntry {
         id: names.intern(fields.text("replica")?),
-        phase: phase(fields.whole("phase").unwrap_or(0))?,
-        zone: fields.small("hall").unwrap_or(0),
-        weight: fields.number("weight", 1.0),
-        started_at: fields.span("started_at_us").ok().filter(|at| !at.is_zero()),
+        phase: phase(fields.count("phase").unwrap_or(0))?,
+        zone: fields.integer("hall").unwrap_or(0),
+        weight: fields.number_or("weight", 1.0),
+        started_at: fields.micros("started_at_us").ok().filter(|at| !at.is_zero()),
     })
 }
 
@@ -149,10 +149,10 @@
 ///
 /// If its settings can't be read.
 pub fn governor_start(message: &Message) -> Result<GovernorStart, MessageError> {
-    let info = message.fields().part("info");
+    let info = message.fields().object_or_empty("info");
     Ok(GovernorStart {
         settings: wrenthread_deployment_config::read(&info)?.settings,
-        subscribes: info.word("membership_mode") == SUBSCRIBE,
+        subscribes: info.text_or_empty("membership_mode") == SUBSCRIBE,
     })
 }
 
@@ -166,65 +166,65 @@
     Ok(match message.name() {
         "directory_update" => roster_update(&fields)?,
         "subscribed" => GovernorEvent::ProxyConnected(proxy_connection(&fields)?),
-        "left" => GovernorEvent::ProxyDisconnected(fields.small("forwarder")?),
+        "left" => GovernorEvent::ProxyDisconnected(fields.integer("forwarder")?),
         "tally" => GovernorEvent::ReplicaObserved(replica_statistics(&fields, names)?),
         "demand" => GovernorEvent::DemandObserved(demand_statistics(&fields)?),
         "health_result" => health_check(&fields, names)?,
         "deadline_hit" => GovernorEvent::Tick,
-        "acked" => GovernorEvent::Acknowledged(fields.span("took_us")?),
+        "acked" => GovernorEvent::Acknowledged(fields.micros("took_us")?),
         "message" | "custody" | "on_record" | "key_load" => GovernorEvent::Ignored,
         unknown => return Err(MessageError::UnknownEvent { name: unknown.into() }),
     })
 }
 
 fn roster_update(fields: &Fields) -> Result<GovernorEvent, MessageError> {
-    let scope = match fields.whole("kind")? {
+    let scope = match fields.count("kind")? {
         0 => RosterScope::Changes,
         1 | 2 => RosterScope::Complete,
         3 => return Ok(GovernorEvent::SubscriptionEnded),
         unknown => return Err(MessageError::UnknownUpdateKind(unknown)),
     };
-    Ok(GovernorEvent::RosterUpdated { list: fields.whole("list")?, scope })
+    Ok(GovernorEvent::RosterUpdated { list: fields.count("list")?, scope })
 }
 
 fn proxy_connection(fields: &Fields) -> Result<ProxyConnection, MessageError> {
     Ok(ProxyConnection {
-        proxy: fields.small("forwarder")?,
-        zone: fields.small("hall")?,
-        requests_per_second: fields.number("weight", 0.0),
-        holds_default_table: fields.flag("set"),
+        proxy: fields.integer("forwarder")?,
+        zone: fields.integer("hall")?,
+        requests_per_second: fields.number_or("weight", 0.0),
+        holds_default_table: fields.is_true("set"),
     })
 }
 
 fn replica_statistics(fields: &Fields, names: &mut ReplicaNames) -> Result<ReplicaStatistics, MessageError> {
     Ok(ReplicaStatistics {
-        zone: fields.small("hall")?,
+        zone: fields.integer("hall")?,
         replica: names.intern(fields.text("replica")?),
-        attempts: fields.whole("total")?,
-        failed: fields.whole("errors").unwrap_or(0),
-        mean_latency: fields.span("took_us").ok().filter(|mean| !mean.is_zero()),
-        interval: fields.span("elapsed_us")?,
+        attempts: fields.count("total")?,
+        failed: fields.count("errors").unwrap_or(0),
+        mean_latency: fields.micros("took_us").ok().filter(|mean| !mean.is_zero()),
+        interval: fields.micros("elapsed_us")?,
         load: load_report(fields),
     })
 }
 
 fn demand_statistics(fields: &Fields) -> Result<DemandStatistics, MessageError> {
     Ok(DemandStatistics {
-        proxy: fields.small("forwarder")?,
-        class: fields.small("cls")?,
-        requests: fields.whole("total")?,
-        failed: fields.whole("errors").unwrap_or(0),
-        interval: fields.span("elapsed_us")?,
+        proxy: fields.integer("forwarder")?,
+        class: fields.integer("cls")?,
+        requests: fields.count("total")?,
+        failed: fields.count("errors").unwrap_or(0),
+        interval: fields.micros("elapsed_us")?,
     })
 }
 
 fn health_check(fields: &Fields, names: &mut ReplicaNames) -> Result<GovernorEvent, MessageError> {
-    let took = fields.span("took_us")?;
+    let took = fields.micros("took_us")?;
     let replica = names.intern(fields.text("replica")?);
-    let answered = fields.whole("how")? == ANSWERED;
+    let answered = fields.count("how")? == ANSWERED;
     Ok(GovernorEvent::HealthChecked { replica, took: answered.then_some(took), load: load_report(fields) })
 }
 
 fn load_report(fields: &Fields) -> Vec<f64> {
-    fields.row("load").iter().filter_map(Value::as_f64).collect()
+    fields.array_or_empty("load").iter().filter_map(Value::as_f64).collect()
 }
