--- /dev/null
+++ b/crates/durable-store/tests/golden.rs
@@ -0,0 +1,74 @@
+//! A folder as the release at commit b735929 wrote it, byte for byte: a newer release has to start from it.
+
+use std::collections::BTreeMap;
+
+use wrenthread_durable_store::disk::{Disk, Memory};
+use wrenthread_durable_store::{Change, Store, epoch};
+
+const FILES: [(&str, &[u8]); 6] = [
+    ("epoch", include_bytes!("golden/form-01/epoch")),
+    ("epoch.before", include_bytes!("golden/form-01/epoch.before")),
+    ("journal.1", include_bytes!("golden/form-01/journal.1")),
+    ("journal.2", include_bytes!("golden/form-01/journal.2")),
+    ("snapshot.1", include_bytes!("golden/form-01/snapshot.1")),
+    ("snapshot.2", include_bytes!("golden/form-01/snapshot.2")),
+];
+
+fn stored_folder() -> Memory {
+    let disk = Memory::default();
+    for (name, bytes) in FILES {
+        disk.put(name, bytes);
+    }
+    disk
+}
+
+fn put(name: &str, content: &[u8]) -> Change {
+    (name.into(), Some(content.to_vec()))
+}
+
+/// The writes that made the folder.
+fn write_again(mut disk: Memory) {
+    epoch(&mut disk, 1_700_000_000_000_000, 7);
+    epoch(&mut disk, 1_700_000_100_000_000, 9);
+    let (mut store, _) = Store::open(disk).unwrap();
+    store.write(&[put("level/entry", b"0.5"), put("proxy/relay-1", b"{}"), put("empty", b"")]).unwrap();
+    store.write(&[put("proxy/relay-2", &[0, 255, 10]), put("level/entry", b"0.75")]).unwrap();
+    store.fold().unwrap();
+    let every_byte: Vec<u8> = (0..=255).collect();
+    store.write(&[put("proxy/relay-3", &every_byte), ("proxy/relay-1".into(), None)]).unwrap();
+    store.write(&[put("names/ü", b"x"), put("level/entry", b"1")]).unwrap();
+}
+
+#[test]
+fn reads_the_folder_of_the_earlier_release_entry_for_entry() {
+    let (_, found) = Store::open(stored_folder()).unwrap();
+    let expected = BTreeMap::from([
+        ("empty".to_string(), Vec::new()),
+        ("level/entry".to_string(), b"1".to_vec()),
+        ("names/ü".to_string(), b"x".to_vec()),
+        ("proxy/relay-2".to_string(), vec![0, 255, 10]),
+        ("proxy/relay-3".to_string(), (0..=255).collect()),
+    ]);
+    assert_eq!(found.entries, expected);
+    assert_eq!((found.losses.len(), found.generation, found.journal_bytes), (0, 2, 395));
+}
+
+#[test]
+fn reserves_an_epoch_above_that_of_the_earlier_release() {
+    // Reserved there: 1_700_000_100_000_000 with its last 16 bits replaced by 9.
+    let last = (1_700_000_100_000_000 & !0xffff) | 9;
+    let (next, _) = epoch(&mut stored_folder(), 1, 3);
+    assert_eq!(next, ((last + (1 << 16)) & !0xffff) | 3);
+}
+
+#[test]
+fn writes_the_folder_of_the_earlier_release_byte_for_byte() {
+    let disk = Memory::default();
+    write_again(disk.clone());
+    let mut disk = disk;
+    let names: Vec<&str> = FILES.iter().map(|(name, _)| *name).collect();
+    assert_eq!(disk.list().unwrap(), names);
+    for (name, bytes) in FILES {
+        assert_eq!(disk.read(name, 1 << 20).unwrap(), bytes, "{name}");
+    }
+}
--- /dev/null
+++ b/crates/membership/tests/golden.rs
@@ -0,0 +1,74 @@
+//! Datagrams as the release at commit b735929 wrote them, byte for byte: governors of different versions talk to each other.
+
+use wrenthread_core::ownership::SigningKey;
+use wrenthread_membership::messages::{Body, Figures, Message, Standing, Word, read, write};
+
+const DATAGRAMS: &str = include_str!("golden/datagrams-b735929.hex");
+
+fn key() -> SigningKey {
+    SigningKey::new("golden", &[42; 32]).unwrap()
+}
+
+fn bytes_from_hex(hex: &str) -> Vec<u8> {
+    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+}
+
+fn update(name: &str, address: &str, incarnation: u64, state: Standing, load: Figures) -> Word {
+    Word { name: name.into(), at: address.parse().unwrap(), incarnation, standing: state, figures: load }
+}
+
+fn load(version: u64, proxies: u32, draining: bool) -> Figures {
+    Figures { turn: version, joined: proxies, draining }
+}
+
+fn message(body: Body) -> Message {
+    Message {
+        from: update(
+            "governor-0",
+            "192.168.1.2:9000",
+            1_700_000_000_065_543,
+            Standing::Alive,
+            load(5, 61, false),
+        ),
+        to: "governor-1".into(),
+        body,
+        words: vec![
+            update("g1", "127.0.0.1:7001", 1, Standing::Alive, load(2, 3, false)),
+            update("g2", "10.20.30.40:65535", 300, Standing::Suspect, load(70_000, 4_000_000_000, true)),
+            update("g3", "[2001:db8::5]:80", u64::MAX, Standing::Dead, load(u64::MAX, 0, false)),
+            update("g4", "[::1]:1", 1_700_000_000_000_000, Standing::Left, load(0, 129, true)),
+        ],
+    }
+}
+
+fn body(kind: &str) -> Body {
+    match kind {
+        "ping" => Body::Ping { number: 7 },
+        "ping_for" => Body::PingFor { number: 1000, target: "g2".into() },
+        "ack" => Body::Ack { number: u64::MAX, of: "governor-0".into() },
+        "offer" => Body::Offer {
+            number: 65_543,
+            proxy: "relay-1".into(),
+            part: 1,
+            parts: 300,
+            bytes: vec![0, 127, 128, 255],
+        },
+        "accept" => Body::Accept { number: 65_544, proxy: "relay-2".into() },
+        "decline" => Body::Decline { number: 65_545, proxy: "relay-ü".into() },
+        other => panic!("no message kind `{other}`"),
+    }
+}
+
+#[test]
+fn reads_and_writes_each_datagram_of_the_earlier_release_byte_for_byte() {
+    let mut kinds = Vec::new();
+    for line in DATAGRAMS.lines() {
+        let (kind, hex) = line.split_once(' ').unwrap();
+        let datagram = bytes_from_hex(hex);
+        let expected = message(body(kind));
+        assert_eq!(read(&[key()], &datagram), Ok(expected.clone()), "{kind}");
+        assert_eq!(write(&key(), &expected), datagram, "{kind}");
+        kinds.push(kind);
+    }
+    assert_eq!(kinds, ["ping", "ping_for", "ack", "offer", "accept", "decline"]);
+}
