--- a/crates/daemon/src/host.rs
+++ b/crates/daemon/src/host.rs
@@ -23,7 +23,7 @@
 use wrenthread_long_poll::messages::{JoinTold, ReportTold, TablesTold, Terms, digest_of, tries_word};
 use wrenthread_long_poll::service as poll;
 use wrenthread_long_poll::sessions::{Due, Polls, Told};
-use wrenthread_membership::{Note as TalkNote, Step as TalkStep, Talk};
+use wrenthread_membership::{Action as MembershipAction, Membership, MembershipEvent};
 use wrenthread_xds::pb::envoy::admin::v3::ClientResourceStatus;
 use wrenthread_xds::pb::envoy::config::core::v3::{Locality, Node};
 use wrenthread_xds::pb::envoy::service::status::v3::client_config::GenericXdsConfig;
@@ -75,7 +75,7 @@
     taken_over: u64,
     /// It learnt that an earlier life of its own had a later calendar, and took that up.
     outlived: bool,
-    talk: Talk,
+    talk: Membership,
     sent_on: BTreeMap<u64, Option<String>>,
     usual: f64,
     streams: BTreeMap<u64, Stream>,
@@ -92,7 +92,7 @@
         wire: Wire,
         keys: Vec<SigningKey>,
         usual: f64,
-        talk: Talk,
+        talk: Membership,
         now: Duration,
     ) -> Self {
         let terms = Terms {
@@ -298,7 +298,7 @@
     /// it says that it was with.
     fn came(&mut self, now: Duration, number: ProxyId, claimed: Option<&str>) {
         let Some(name) = self.engine.proxy(number).map(|proxy| proxy.name.clone()) else { return };
-        let Some(ahead) = self.talk.here(now, &name) else { return };
+        let Some(ahead) = self.talk.proxy_connected(now, &name) else { return };
         if claimed.is_some_and(|governor| governor != ahead.from) {
             return tracing::info!(proxy = %name, from = ahead.from, "it has been elsewhere since");
         }
@@ -317,7 +317,7 @@
     fn left(&mut self, now: Duration, stream: u64) {
         let proxy = self.engine.number_of(stream).and_then(|number| self.engine.proxy(number));
         if let Some(name) = proxy.map(|proxy| proxy.name.clone()) {
-            self.talk.gone(now, &name);
+            self.talk.proxy_disconnected(now, &name);
         }
         self.engine.stream_closed(now, stream);
     }
@@ -349,7 +349,7 @@
 
     /// A word of another governor's.
     pub fn heard(&mut self, now: Duration, datagram: &[u8]) {
-        if let Err(why) = self.talk.heard(now, datagram) {
+        if let Err(why) = self.talk.handle_datagram(now, datagram) {
             tracing::debug!(%why, "a datagram tells nothing");
         }
     }
@@ -367,29 +367,29 @@
 
     /// Governors as they are seen from here.
     pub fn governors(&self, now: Duration) -> Value {
-        let tally = self.talk.tally();
+        let tally = self.talk.statistics();
         let others: Vec<Value> = self
             .talk
             .members()
             .others()
             .map(|one| {
-                let standing = match one.heard {
-                    None if !one.is_there() => "not heard yet".to_string(),
-                    _ => format!("{:?}", one.word.standing).to_lowercase(),
+                let standing = match one.last_heard {
+                    None if !one.is_live() => "not heard yet".to_string(),
+                    _ => format!("{:?}", one.update.state).to_lowercase(),
                 };
                 let ago = |at: Duration| now.saturating_sub(at).as_secs_f64();
                 json!({
-                    "name": one.word.name, "standing": standing, "at": one.word.at.to_string(),
-                    "joined": one.word.figures.joined, "draining": one.word.figures.draining,
-                    "since_s": ago(one.since), "heard_s": one.heard.map(ago),
-                    "incarnation": format!("{:x}", one.word.incarnation),
+                    "name": one.update.name, "standing": standing, "at": one.update.address.to_string(),
+                    "joined": one.update.load.connected_proxies, "draining": one.update.load.draining,
+                    "since_s": ago(one.state_since), "heard_s": one.last_heard.map(ago),
+                    "incarnation": format!("{:x}", one.update.incarnation),
                 })
             })
             .collect();
         json!({
             "name": self.wire.governor, "draining": self.talk.is_draining(),
-            "joined": self.engine.fleet().len(), "most": self.talk.bound(), "on_way": tally.on_way,
-            "moved": tally.moved, "came": tally.came, "unheard": tally.unheard, "others": others,
+            "joined": self.engine.fleet().len(), "most": self.talk.max_proxies(), "on_way": tally.proxies_migrating,
+            "moved": tally.proxies_moved, "came": tally.proxies_received, "unheard": tally.datagrams_rejected, "others": others,
         })
     }
 
@@ -546,7 +546,7 @@
     /// When [`Host::pump`] is to be called at the latest.
     pub fn next_due(&self, now: Duration) -> Duration {
         let polls = self.polls.next_due().unwrap_or(Duration::MAX);
-        self.engine.next_deadline(now).min(polls).min(self.talk.next_due())
+        self.engine.next_deadline(now).min(polls).min(self.talk.next_deadline())
     }
 
     /// A stream has room again.
@@ -562,25 +562,27 @@
                 Due::Lost(session) => self.end_session(now, session, Told::Over),
             }
         }
-        while let Some(step) = self.talk.step(now) {
+        while let Some(step) = self.talk.next_action(now) {
             match step {
-                TalkStep::Send(at, datagram) => chore(Chore::Say(at, datagram)),
-                TalkStep::Gather { proxy, to } => {
+                MembershipAction::Send(at, datagram) => chore(Chore::Say(at, datagram)),
+                MembershipAction::CollectState { proxy, to } => {
                     let number = self.engine.fleet().named(&proxy).map(|(number, _)| number);
                     let known =
                         number.map(|number| membership::gather(&self.engine, &self.terms, now, number));
-                    self.talk.offer(now, &proxy, &to, known.unwrap_or_default());
+                    self.talk.offer_proxy(now, &proxy, &to, known.unwrap_or_default());
                 }
-                TalkStep::Move { proxy, to } => self.send_on(now, &proxy, to),
-                TalkStep::Note(note) => match note {
-                    TalkNote::Stands(governor, standing) => {
+                MembershipAction::MoveProxy { proxy, to } => self.send_on(now, &proxy, to),
+                MembershipAction::Event(note) => match note {
+                    MembershipEvent::MemberStateChanged(governor, standing) => {
                         tracing::info!(governor, ?standing, "another governor");
                     }
-                    TalkNote::Stalled(late) => tracing::warn!(?late, "this governor did nothing for a while"),
-                    TalkNote::Unanswered { proxy, to } => {
+                    MembershipEvent::Stalled(late) => {
+                        tracing::warn!(?late, "this governor did nothing for a while")
+                    }
+                    MembershipEvent::OfferUnanswered { proxy, to } => {
                         tracing::warn!(proxy, to, "an offer was not answered");
                     }
-                    TalkNote::Drained => tracing::info!("all proxies are handed over"),
+                    MembershipEvent::Drained => tracing::info!("all proxies are handed over"),
                 },
             }
         }
@@ -729,8 +731,8 @@
     /// said to them is handed to `say`.
     pub fn stop(&mut self, now: Duration, mut say: impl FnMut(SocketAddr, &[u8])) {
         self.talk.leave();
-        while let Some(step) = self.talk.step(now) {
-            if let TalkStep::Send(at, datagram) = step {
+        while let Some(step) = self.talk.next_action(now) {
+            if let MembershipAction::Send(at, datagram) = step {
                 say(at, &datagram);
             }
         }
@@ -1037,11 +1039,11 @@
         metrics::gauge!("wrenthread_guard_alarms").set(self.engine.guard().alarms(now) as f64);
         metrics::gauge!("wrenthread_guard_passed").set(self.engine.guard().tally().1 as f64);
         metrics::gauge!("wrenthread_holds").set(figures.frozen_tables as f64);
-        let tally = self.talk.tally();
-        metrics::gauge!("wrenthread_governors_there").set(self.talk.members().there() as f64);
+        let tally = self.talk.statistics();
+        metrics::gauge!("wrenthread_governors_there").set(self.talk.members().live_governors() as f64);
         metrics::gauge!("wrenthread_draining").set(f64::from(u8::from(self.talk.is_draining())));
-        metrics::gauge!("wrenthread_proxies_sent_on").set(tally.moved as f64);
-        metrics::gauge!("wrenthread_datagrams_unheard").set(tally.unheard as f64);
+        metrics::gauge!("wrenthread_proxies_sent_on").set(tally.proxies_moved as f64);
+        metrics::gauge!("wrenthread_datagrams_unheard").set(tally.datagrams_rejected as f64);
         metrics::gauge!("wrenthread_version").set(figures.version as f64);
         metrics::gauge!("wrenthread_report_lines_waiting").set(figures.queued_reports as f64);
         for (group, (level, _)) in self.wire.groups.iter().zip(self.engine.admission()) {
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -10,8 +10,8 @@
 use wrenthread::types::ProxyId;
 use wrenthread_core::engine::{Engine, MigratedProxy};
 use wrenthread_long_poll::messages::{ReportAsked, TablesTold, Terms};
-use wrenthread_membership::messages::MOST_BYTES;
-use wrenthread_membership::migration::Ahead;
+use wrenthread_membership::messages::MAX_DATAGRAM_BYTES;
+use wrenthread_membership::migration::TransferredState;
 
 /// A report older than this says nothing of the present, wherever it was heard.
 const FRESH: Duration = Duration::from_secs(5);
@@ -48,24 +48,24 @@
 /// What another governor knew, for the engine.
 ///
 /// Errors: why it can't be understood, as when that governor's settings are others.
-pub fn read(terms: &Terms, now: Duration, ahead: Ahead) -> Result<MigratedProxy, String> {
+pub fn read(terms: &Terms, now: Duration, ahead: TransferredState) -> Result<MigratedProxy, String> {
     let known: Known = ciborium::from_reader(ahead.bytes.as_slice()).map_err(|error| error.to_string())?;
     let tables = terms.read(&known.tables).map_err(|error| error.to_string())?;
     let whole = tables.map_err(|_| "a delta went ahead of a proxy, not the whole".to_string())?;
     let report = match &known.report {
-        Some((age, report)) if Duration::from_millis(*age) + ahead.waited < FRESH => {
+        Some((age, report)) if Duration::from_millis(*age) + ahead.held_for < FRESH => {
             Some(terms.report(report).map_err(|error| error.to_string())?)
         }
         _ => None,
     };
-    let told_at = now.saturating_sub(Duration::from_millis(known.told_ms).saturating_add(ahead.waited));
+    let told_at = now.saturating_sub(Duration::from_millis(known.told_ms).saturating_add(ahead.held_for));
     Ok(MigratedProxy { from: ahead.from.into(), state: whole, published_at: told_at, report })
 }
 
 /// Carries datagrams to the one task that owns all state. What comes faster than it takes them is lost, as
 /// datagrams may be.
 pub async fn listen(socket: Rc<UdpSocket>, heard: mpsc::Sender<Vec<u8>>) {
-    let mut room = vec![0; MOST_BYTES + 1];
+    let mut room = vec![0; MAX_DATAGRAM_BYTES + 1];
     loop {
         match socket.recv_from(&mut room).await {
             Ok((length, _)) => drop(heard.try_send(room[..length].to_vec())),
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -13,7 +13,7 @@
 use wrenthread_core::ownership::SigningKey;
 use wrenthread_core::roster::RosterEntry;
 use wrenthread_core::snapshot::StoredItem;
-use wrenthread_membership::{Talk, Terms};
+use wrenthread_membership::{Membership, MembershipSettings};
 use wrenthread_settings::{PathRoute, RosterSource, Route, Settings};
 use wrenthread_xds::service::Front;
 use wrenthread_xds::{Wire, WireGroup, upstream};
@@ -201,14 +201,14 @@
     let pages = tokio::task::spawn_local(http::serve(pages, queries));
     let mut roster = follow_roster(&settings, &wire, clock, lists.clone());
 
-    let terms = Terms {
+    let terms = MembershipSettings {
         name: settings.governor.clone(),
-        at: settings.talk.unwrap_or(settings.grpc),
+        address: settings.talk.unwrap_or(settings.grpc),
         peers: settings.peers.clone(),
         keys: if socket.is_some() { keys.clone() } else { Vec::new() },
-        moves_per_s: settings.moves_per_s,
+        moves_per_second: settings.moves_per_s,
     };
-    let talking = Talk::new(terms, epoch, clock.now());
+    let talking = Membership::new(terms, epoch, clock.now());
     let mut host = Host::new(settings.setup(), wire.clone(), keys, settings.usual, talking, clock.now());
     if let Some(recalled) = recalled {
         host.engine.restore(clock.now(), recalled);
--- a/crates/membership/benches/gossip.rs
+++ b/crates/membership/benches/gossip.rs
@@ -6,9 +6,9 @@
 
 use net::Net;
 use wrenthread_core::ownership::ranking;
-use wrenthread_membership::Note;
+use wrenthread_membership::MembershipEvent;
 use wrenthread_membership::assignment::assign;
-use wrenthread_membership::messages::Standing;
+use wrenthread_membership::messages::MemberState;
 
 /// Whom each proxy is with, by a seeded chance.
 fn by_chance(proxies: usize, among: &[usize], seed: u64) -> Vec<usize> {
@@ -87,16 +87,17 @@
             net.run(60_000);
             let a_second = 60.0 * governors as f64;
             let (bytes, datagrams) = (net.bytes as f64 / a_second, net.datagrams as f64 / a_second);
-            let wrongly =
-                net.notes.iter().filter(|(_, _, note)| matches!(note, Note::Stands(_, Standing::Dead)));
+            let wrongly = net.events.iter().filter(|(_, _, event)| {
+                matches!(event, MembershipEvent::MemberStateChanged(_, MemberState::Dead))
+            });
             let (wrongly, died) = (wrongly.count(), net.now);
             net.kill(0);
             net.run(40_000);
-            let known = |(at, _, note): &(std::time::Duration, usize, Note)| {
-                (*at > died && *note == Note::Stands("g0".into(), Standing::Dead))
+            let known = |(at, _, event): &(std::time::Duration, usize, MembershipEvent)| {
+                (*at > died && *event == MembershipEvent::MemberStateChanged("g0".into(), MemberState::Dead))
                     .then(|| (*at - died).as_secs_f64())
             };
-            let known: Vec<f64> = net.notes.iter().filter_map(known).collect();
+            let known: Vec<f64> = net.events.iter().filter_map(known).collect();
             let first = known.iter().copied().fold(f64::INFINITY, f64::min);
             let last = known.iter().copied().fold(0.0, f64::max);
             assert!(known.len() >= governors - 1, "{} of {governors} know", known.len());
--- a/crates/membership/src/assignment.rs
+++ b/crates/membership/src/assignment.rs
@@ -17,13 +17,13 @@
 
 /// How far beyond its even part a governor may go. Less means more moves whenever a governor comes or goes;
 /// more, and the fullest has more to bear.
-pub const OVER: f64 = 0.25;
+pub const CAPACITY_MARGIN_FRACTION: f64 = 0.25;
 /// A proxy that has just come is left alone for so long.
-pub const SETTLE: Duration = Duration::from_secs(2);
+pub const MIN_RESIDENCE: Duration = Duration::from_secs(2);
 
 /// The most proxies that one of `governors` takes of `proxies` in all.
 pub fn bound(proxies: usize, governors: usize) -> usize {
-    (proxies as f64 * (1.0 + OVER) / governors.max(1) as f64).ceil().max(1.0) as usize
+    (proxies as f64 * (1.0 + CAPACITY_MARGIN_FRACTION) / governors.max(1) as f64).ceil().max(1.0) as usize
 }
 
 /// Whom each proxy belongs with, by place in `governors`, where all are known: proxies ask governors in the
@@ -56,19 +56,19 @@
 
 /// A governor as a place for proxies.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Room<'a> {
+pub struct GovernorCapacity<'a> {
     pub name: &'a str,
     /// Proxies there, those on their way included.
-    pub joined: usize,
+    pub connected_proxies: usize,
 }
 
 /// One proxy here.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Here<'a> {
-    pub proxy: &'a str,
+pub struct LocalProxy<'a> {
+    pub name: &'a str,
     /// Places in `rooms`, best first; the place `rooms.len()` is this governor.
-    pub ranked: &'a [usize],
-    /// It may be moved: it has been here for [`SETTLE`], and no offer of it came to nothing a moment ago.
+    pub ranking: &'a [usize],
+    /// It may be moved: it has been here for [`MIN_RESIDENCE`], and no offer of it came to nothing a moment ago.
     pub movable: bool,
 }
 
@@ -77,39 +77,39 @@
 /// `rooms`: the others that are there and are not draining; `here`, and `joined`, their number: those that
 /// are not on their way out; `draining`: this governor hands all over.
 pub fn next_move<'a>(
-    rooms: &[Room<'a>],
+    rooms: &[GovernorCapacity<'a>],
     joined: usize,
     draining: bool,
-    here: impl Iterator<Item = Here<'a>>,
+    here: impl Iterator<Item = LocalProxy<'a>>,
 ) -> Option<(&'a str, &'a str)> {
     if rooms.is_empty() {
         return None;
     }
-    let all: usize = joined + rooms.iter().map(|room| room.joined).sum::<usize>();
+    let all: usize = joined + rooms.iter().map(|room| room.connected_proxies).sum::<usize>();
     let most = bound(all, rooms.len() + usize::from(!draining));
-    let has_room = |place: &usize| rooms.get(*place).is_some_and(|room| room.joined < most);
+    let has_room = |place: &usize| rooms.get(*place).is_some_and(|room| room.connected_proxies < most);
     // Of those over the bound, the one that ranks this governor lowest goes first. Who will go elsewhere as
     // soon as it may be moved is no reason to send others away meanwhile: they would only come back.
     let (mut lowest, mut leaving): (Option<(usize, &str, usize)>, usize) = (None, 0);
     for one in here {
-        let mine = one.ranked.iter().position(|place| *place == rooms.len()).unwrap_or(one.ranked.len());
+        let mine = one.ranking.iter().position(|place| *place == rooms.len()).unwrap_or(one.ranking.len());
         if !one.movable {
-            leaving += usize::from(one.ranked.iter().take(mine).any(&has_room));
+            leaving += usize::from(one.ranking.iter().take(mine).any(&has_room));
             continue;
         }
         if draining {
-            let least = (0..rooms.len()).min_by_key(|place| rooms[*place].joined);
-            let to = one.ranked.iter().copied().find(has_room).or(least)?;
-            return Some((one.proxy, rooms[to].name));
+            let least = (0..rooms.len()).min_by_key(|place| rooms[*place].connected_proxies);
+            let to = one.ranking.iter().copied().find(has_room).or(least)?;
+            return Some((one.name, rooms[to].name));
         }
-        if let Some(to) = one.ranked.iter().take(mine).copied().find(has_room) {
-            return Some((one.proxy, rooms[to].name));
+        if let Some(to) = one.ranking.iter().take(mine).copied().find(has_room) {
+            return Some((one.name, rooms[to].name));
         }
         if joined > most
-            && let Some(to) = one.ranked.iter().skip(mine + 1).copied().find(has_room)
+            && let Some(to) = one.ranking.iter().skip(mine + 1).copied().find(has_room)
             && lowest.is_none_or(|(worst, _, _)| mine > worst)
         {
-            lowest = Some((mine, one.proxy, to));
+            lowest = Some((mine, one.name, to));
         }
     }
     let over = joined.saturating_sub(leaving) > most;
@@ -118,8 +118,8 @@
 
 /// Whether a governor lets a proxy come that another offers: not while it drains; and not beyond the bound,
 /// unless the other drains and has to put it somewhere.
-pub fn admits(joined: usize, rooms: &[Room], draining: bool, giver_drains: bool) -> bool {
-    let all: usize = joined + rooms.iter().map(|room| room.joined).sum::<usize>();
+pub fn admits(joined: usize, rooms: &[GovernorCapacity], draining: bool, giver_drains: bool) -> bool {
+    let all: usize = joined + rooms.iter().map(|room| room.connected_proxies).sum::<usize>();
     !draining && (giver_drains || joined < bound(all, rooms.len() + 1))
 }
 
@@ -180,13 +180,16 @@
             for me in 0..governors.len() {
                 let others: Vec<usize> =
                     (0..governors.len()).filter(|one| *one != me && !draining[*one]).collect();
-                let rooms: Vec<Room> =
-                    others.iter().map(|one| Room { name: &governors[*one], joined: joined[*one] }).collect();
+                let rooms: Vec<GovernorCapacity> = others
+                    .iter()
+                    .map(|one| GovernorCapacity { name: &governors[*one], connected_proxies: joined[*one] })
+                    .collect();
                 let listed: Vec<&str> =
                     rooms.iter().map(|room| room.name).chain([governors[me].as_str()]).collect();
                 let ranked: Vec<Vec<usize>> = proxies.iter().map(|proxy| ranking(proxy, &listed)).collect();
                 let mine = (0..at.len()).filter(|proxy| at[*proxy] == me);
-                let here = mine.map(|one| Here { proxy: &proxies[one], ranked: &ranked[one], movable: true });
+                let here =
+                    mine.map(|one| LocalProxy { name: &proxies[one], ranking: &ranked[one], movable: true });
                 if let Some((proxy, to)) = next_move(&rooms, joined[me], draining[me], here) {
                     let proxy = proxies.iter().position(|one| one == proxy).unwrap();
                     at[proxy] = governors.iter().position(|one| one == to).unwrap();
@@ -223,11 +226,14 @@
 
     #[test]
     fn who_has_just_come_and_belongs_elsewhere_is_no_reason_to_send_others_away() {
-        let rooms = [Room { name: "back", joined: 0 }, Room { name: "other", joined: 25 }];
+        let rooms = [
+            GovernorCapacity { name: "back", connected_proxies: 0 },
+            GovernorCapacity { name: "other", connected_proxies: 25 },
+        ];
         let here = |newcomers: usize| {
             (0..31).map(move |n| match n < newcomers {
-                true => Here { proxy: "new", ranked: &[0, 2, 1], movable: false },
-                false => Here { proxy: "own", ranked: &[2, 0, 1], movable: true },
+                true => LocalProxy { name: "new", ranking: &[0, 2, 1], movable: false },
+                false => LocalProxy { name: "own", ranking: &[2, 0, 1], movable: true },
             })
         };
         // At most 24 of 56 belong here.
@@ -237,11 +243,11 @@
 
     #[test]
     fn a_draining_governor_puts_its_proxies_somewhere_and_takes_none() {
-        let room = |name, joined| Room { name, joined };
-        let here = || Here { proxy: "p", ranked: &[0, 2, 1], movable: true };
+        let room = |name, joined| GovernorCapacity { name, connected_proxies: joined };
+        let here = || LocalProxy { name: "p", ranking: &[0, 2, 1], movable: true };
         let full = [room("a", 900), room("b", 100)];
         assert_eq!(next_move(&full, 1, true, [here()].into_iter()), Some(("p", "b")));
-        assert_eq!(next_move(&full, 1, true, [Here { movable: false, ..here() }].into_iter()), None);
+        assert_eq!(next_move(&full, 1, true, [LocalProxy { movable: false, ..here() }].into_iter()), None);
         assert_eq!(next_move(&[], 1, true, [here()].into_iter()), None, "nobody to hand it to");
         assert!(admits(50, &full, false, true) && !admits(1, &full, true, true));
         assert!(!admits(438, &full, true, false) && admits(437, &full, false, false));
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -12,106 +12,106 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::messages::{Body, Figures, Message, Standing, Word, length};
+use crate::messages::{GovernorLoad, MemberState, MemberUpdate, Message, MessageBody, length};
 
 /// How membership is kept.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Pace {
+pub struct ProbeSettings {
     /// One other is asked so often.
-    pub period: Duration,
+    pub probe_interval: Duration,
     /// An answer is due within it; then others are asked to ask.
-    pub answer: Duration,
+    pub ack_timeout: Duration,
     /// How many.
-    pub helpers: usize,
+    pub indirect_probes: usize,
     /// A suspect has so many periods, times the logarithm of the number of governors, to say otherwise.
-    pub patience: f64,
+    pub suspicion_multiplier: f64,
     /// A word is sent so many times the logarithm of their number.
-    pub repeats: f64,
+    pub transmission_multiplier: f64,
     /// Bytes of words about others on one message.
-    pub words: usize,
+    pub max_update_bytes: usize,
 }
 
-impl Default for Pace {
+impl Default for ProbeSettings {
     /// A dead governor is found within a second or two, and a lost datagram or two does no harm.
     fn default() -> Self {
-        Pace {
-            period: Duration::from_millis(400),
-            answer: Duration::from_millis(120),
-            helpers: 2,
-            patience: 3.0,
-            repeats: 3.0,
-            words: 500,
+        ProbeSettings {
+            probe_interval: Duration::from_millis(400),
+            ack_timeout: Duration::from_millis(120),
+            indirect_probes: 2,
+            suspicion_multiplier: 3.0,
+            transmission_multiplier: 3.0,
+            max_update_bytes: 500,
         }
     }
 }
 
 /// Governors known at once: made-up ones (by somebody with the key) must not fill the memory.
-const MOST: usize = 1000;
+const MAX_MEMBERS: usize = 1000;
 /// One of the dead is asked in each so many periods.
-const REVIVE: u64 = 4;
+const PERIODS_PER_DEAD_PROBE: u64 = 4;
 /// The dead that nobody stated are forgotten after it.
-const FORGET: Duration = Duration::from_secs(600);
+const DEAD_MEMBER_TTL: Duration = Duration::from_secs(600);
 /// Pings for others that may be open.
-const MOST_HELPED: usize = 64;
+const MAX_RELAYED_PROBES: usize = 64;
 
 /// What is known of another governor.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Member {
-    pub word: Word,
+    pub update: MemberUpdate,
     /// When its standing changed last, as seen here.
-    pub since: Duration,
+    pub state_since: Duration,
     /// When something came from it directly.
-    pub heard: Option<Duration>,
+    pub last_heard: Option<Duration>,
     /// The settings name it: its address is theirs to say, and it is never forgotten.
-    stated: bool,
+    configured: bool,
 }
 
 impl Member {
     /// Whether proxies can be handed to it.
-    pub fn is_open(&self) -> bool {
-        self.word.standing <= Standing::Suspect && !self.word.figures.draining
+    pub fn accepts_proxies(&self) -> bool {
+        self.update.state <= MemberState::Suspect && !self.update.load.draining
     }
 
-    pub fn is_there(&self) -> bool {
-        self.word.standing <= Standing::Suspect
+    pub fn is_live(&self) -> bool {
+        self.update.state <= MemberState::Suspect
     }
 }
 
 #[derive(Debug, Clone, PartialEq)]
-struct Asking {
+struct Probe {
     target: String,
-    number: u64,
-    helped: bool,
-    since: Duration,
+    sequence: u64,
+    indirect: bool,
+    sent_at: Duration,
 }
 
 /// What membership comes to.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Out {
+pub enum MemberAction {
     Send(SocketAddr, Box<Message>),
     /// A governor's standing changed.
-    Stands(String, Standing),
+    StateChanged(String, MemberState),
     /// This governor did nothing for so long: nobody is blamed for what was not heard meanwhile.
     Stalled(Duration),
 }
 
 #[derive(Debug)]
 pub struct Members {
-    me: Word,
+    local: MemberUpdate,
     others: BTreeMap<String, Member>,
-    pace: Pace,
-    asking: Option<Asking>,
+    settings: ProbeSettings,
+    probe: Option<Probe>,
     /// When the next is asked.
-    next: Duration,
-    round: Vec<String>,
+    next_probe: Duration,
+    probe_order: Vec<String>,
     /// By name: how often the word about it was sent since it changed.
-    sent: BTreeMap<String, u32>,
+    transmissions: BTreeMap<String, u32>,
     /// Pings for others: under my number, who asked under which, and until when it matters.
-    helping: BTreeMap<u64, (String, u64, Duration)>,
-    numbers: u64,
+    relayed_probes: BTreeMap<u64, (String, u64, Duration)>,
+    last_sequence: u64,
     periods: u64,
     seed: u64,
-    out: std::collections::VecDeque<Out>,
+    actions: std::collections::VecDeque<MemberAction>,
 }
 
 impl Members {
@@ -122,47 +122,47 @@
         at: SocketAddr,
         incarnation: u64,
         peers: &[(String, SocketAddr)],
-        pace: Pace,
+        pace: ProbeSettings,
         now: Duration,
     ) -> Self {
-        let word = |name: &str, at, incarnation, standing| Word {
+        let word = |name: &str, at, incarnation, standing| MemberUpdate {
             name: name.to_string(),
-            at,
+            address: at,
             incarnation,
-            standing,
-            figures: Figures::default(),
+            state: standing,
+            load: GovernorLoad::default(),
         };
-        let stated = peers.iter().filter(|(peer, _)| peer != name).take(MOST).map(|(peer, at)| {
+        let stated = peers.iter().filter(|(peer, _)| peer != name).take(MAX_MEMBERS).map(|(peer, at)| {
             // Nobody knows of it yet: the first word that comes holds.
-            let word = word(peer, *at, 0, Standing::Dead);
-            (peer.clone(), Member { word, since: now, heard: None, stated: true })
+            let word = word(peer, *at, 0, MemberState::Dead);
+            (peer.clone(), Member { update: word, state_since: now, last_heard: None, configured: true })
         });
         let mut hasher = DefaultHasher::new();
         name.hash(&mut hasher);
         let mut members = Members {
-            me: word(name, at, incarnation, Standing::Alive),
+            local: word(name, at, incarnation, MemberState::Alive),
             others: stated.collect(),
-            pace,
-            asking: None,
-            next: now + pace.period,
-            round: Vec::new(),
-            sent: BTreeMap::new(),
-            helping: BTreeMap::new(),
-            numbers: 0,
+            settings: pace,
+            probe: None,
+            next_probe: now + pace.probe_interval,
+            probe_order: Vec::new(),
+            transmissions: BTreeMap::new(),
+            relayed_probes: BTreeMap::new(),
+            last_sequence: 0,
             periods: 0,
             seed: hasher.finish(),
-            out: std::collections::VecDeque::new(),
+            actions: std::collections::VecDeque::new(),
         };
         let names: Vec<String> = members.others.keys().cloned().collect();
         for name in names {
-            members.numbers += 1;
-            members.say(&name, Body::Ping { number: members.numbers });
+            members.last_sequence += 1;
+            members.send(&name, MessageBody::Ping { number: members.last_sequence });
         }
         members
     }
 
-    pub fn me(&self) -> &Word {
-        &self.me
+    pub fn local(&self) -> &MemberUpdate {
+        &self.local
     }
 
     pub fn others(&self) -> impl Iterator<Item = &Member> {
@@ -174,58 +174,58 @@
     }
 
     /// Governors that are there, this one included.
-    pub fn there(&self) -> usize {
-        1 + self.others.values().filter(|member| member.is_there()).count()
+    pub fn live_governors(&self) -> usize {
+        1 + self.others.values().filter(|member| member.is_live()).count()
     }
 
     // ---- inputs
 
     /// What this governor says of itself.
-    pub fn say_figures(&mut self, joined: usize, draining: bool) {
+    pub fn set_load(&mut self, joined: usize, draining: bool) {
         let joined = u32::try_from(joined).unwrap_or(u32::MAX);
-        if (self.me.figures.joined, self.me.figures.draining) == (joined, draining) {
+        if (self.local.load.connected_proxies, self.local.load.draining) == (joined, draining) {
             return;
         }
-        let turn = self.me.figures.turn + 1;
-        self.me.figures = Figures { turn, joined, draining };
+        let turn = self.local.load.version + 1;
+        self.local.load = GovernorLoad { version: turn, connected_proxies: joined, draining };
     }
 
     /// Takes a message in. False: it is not for this governor, or from itself, and tells nothing.
-    pub fn heard(&mut self, now: Duration, message: &Message) -> bool {
-        if message.to != self.me.name || message.from.name == self.me.name {
+    pub fn handle_message(&mut self, now: Duration, message: &Message) -> bool {
+        if message.to != self.local.name || message.from.name == self.local.name {
             return false;
         }
         let from = message.from.name.clone();
-        self.take(now, &message.from);
-        for word in &message.words {
-            self.take(now, word);
+        self.apply_update(now, &message.from);
+        for word in &message.updates {
+            self.apply_update(now, word);
         }
         if let Some(member) = self.others.get_mut(&from) {
-            member.heard = Some(now);
+            member.last_heard = Some(now);
         }
         match &message.body {
-            Body::Ping { number } => {
-                let of = self.me.name.clone();
-                self.say(&from, Body::Ack { number: *number, of });
+            MessageBody::Ping { number } => {
+                let of = self.local.name.clone();
+                self.send(&from, MessageBody::Ack { number: *number, of });
             }
-            Body::PingFor { number, target } if self.others.contains_key(target) => {
-                self.numbers += 1;
-                self.helping.retain(|_, (_, _, until)| *until > now);
-                if self.helping.len() < MOST_HELPED {
-                    let until = now + self.pace.period * 2;
-                    self.helping.insert(self.numbers, (from, *number, until));
-                    self.say(target, Body::Ping { number: self.numbers });
+            MessageBody::PingRequest { number, target } if self.others.contains_key(target) => {
+                self.last_sequence += 1;
+                self.relayed_probes.retain(|_, (_, _, until)| *until > now);
+                if self.relayed_probes.len() < MAX_RELAYED_PROBES {
+                    let until = now + self.settings.probe_interval * 2;
+                    self.relayed_probes.insert(self.last_sequence, (from, *number, until));
+                    self.send(target, MessageBody::Ping { number: self.last_sequence });
                 }
             }
-            Body::Ack { number, of } => {
-                let answers = |asking: &Asking| asking.number == *number && asking.target == *of;
-                if self.asking.as_ref().is_some_and(answers) {
-                    self.asking = None;
+            MessageBody::Ack { number, of } => {
+                let answers = |asking: &Probe| asking.sequence == *number && asking.target == *of;
+                if self.probe.as_ref().is_some_and(answers) {
+                    self.probe = None;
                 }
                 if *of == from
-                    && let Some((asker, asked, _)) = self.helping.remove(number)
+                    && let Some((asker, asked, _)) = self.relayed_probes.remove(number)
                 {
-                    self.say(&asker, Body::Ack { number: asked, of: from });
+                    self.send(&asker, MessageBody::Ack { number: asked, of: from });
                 }
             }
             _ => {}
@@ -235,133 +235,143 @@
 
     /// This governor stops: all that are there are told, once.
     pub fn leave(&mut self) {
-        self.me.standing = Standing::Left;
+        self.local.state = MemberState::Left;
         let there: Vec<String> =
-            self.others.values().filter(|one| one.is_there()).map(|one| one.word.name.clone()).collect();
+            self.others.values().filter(|one| one.is_live()).map(|one| one.update.name.clone()).collect();
         for name in there {
-            self.numbers += 1;
-            self.say(&name, Body::Ping { number: self.numbers });
+            self.last_sequence += 1;
+            self.send(&name, MessageBody::Ping { number: self.last_sequence });
         }
     }
 
     /// A message to another governor, with as many words as fit behind it. One that nobody knows gets none.
-    pub fn say(&mut self, to: &str, body: Body) {
-        let Some(at) = self.others.get(to).map(|member| member.word.at) else { return };
+    pub fn send(&mut self, to: &str, body: MessageBody) {
+        let Some(at) = self.others.get(to).map(|member| member.update.address) else { return };
         let room = match &body {
-            Body::Offer { .. } => 0,
-            _ => self.pace.words,
+            MessageBody::Offer { .. } => 0,
+            _ => self.settings.max_update_bytes,
         };
-        let words = self.words_for(to, room);
-        let message = Message { from: self.me.clone(), to: to.to_string(), body, words };
-        self.out.push_back(Out::Send(at, Box::new(message)));
+        let words = self.updates_for(to, room);
+        let message = Message { from: self.local.clone(), to: to.to_string(), body, updates: words };
+        self.actions.push_back(MemberAction::Send(at, Box::new(message)));
     }
 
     // ---- steps
 
     /// The next thing to do, until there is none.
-    pub fn step(&mut self, now: Duration) -> Option<Out> {
-        self.settle(now);
-        self.out.pop_front()
+    pub fn next_action(&mut self, now: Duration) -> Option<MemberAction> {
+        self.advance(now);
+        self.actions.pop_front()
     }
 
-    pub fn next_due(&self) -> Duration {
-        let asking = self.asking.as_ref().filter(|asking| !asking.helped);
-        let help = asking.map_or(self.next, |asking| asking.since + self.pace.answer);
-        let suspects = self.others.values().filter(|one| one.word.standing == Standing::Suspect);
-        let deaths = suspects.map(|one| one.since + self.patience());
-        deaths.chain([help, self.next]).fold(self.next, Duration::min)
+    pub fn next_deadline(&self) -> Duration {
+        let asking = self.probe.as_ref().filter(|asking| !asking.indirect);
+        let help = asking.map_or(self.next_probe, |asking| asking.sent_at + self.settings.ack_timeout);
+        let suspects = self.others.values().filter(|one| one.update.state == MemberState::Suspect);
+        let deaths = suspects.map(|one| one.state_since + self.suspicion_timeout());
+        deaths.chain([help, self.next_probe]).fold(self.next_probe, Duration::min)
     }
 
     /// How long a suspect has.
-    pub fn patience(&self) -> Duration {
-        self.pace.period.mul_f64(self.pace.patience * self.logarithm())
+    pub fn suspicion_timeout(&self) -> Duration {
+        self.settings.probe_interval.mul_f64(self.settings.suspicion_multiplier * self.log_of_members())
     }
 
-    fn logarithm(&self) -> f64 {
+    fn log_of_members(&self) -> f64 {
         ((self.others.len() + 1) as f64).log2().max(1.0)
     }
 
-    fn settle(&mut self, now: Duration) {
-        let late = now.saturating_sub(self.next);
-        if late > self.pace.period {
+    fn advance(&mut self, now: Duration) {
+        let late = now.saturating_sub(self.next_probe);
+        if late > self.settings.probe_interval {
             // What was not heard while nothing was done here is nobody's fault: all get their time anew.
             // Harm: a governor that is always late finds no dead one.
-            self.asking = None;
-            self.next = now;
-            for member in self.others.values_mut().filter(|one| one.word.standing == Standing::Suspect) {
-                member.since = member.since.max(now.saturating_sub(self.pace.period));
+            self.probe = None;
+            self.next_probe = now;
+            for member in self.others.values_mut().filter(|one| one.update.state == MemberState::Suspect) {
+                member.state_since = member.state_since.max(now.saturating_sub(self.settings.probe_interval));
             }
-            self.out.push_back(Out::Stalled(late));
+            self.actions.push_back(MemberAction::Stalled(late));
         }
-        if let Some(asking) = self.asking.clone().filter(|asking| !asking.helped)
-            && now >= asking.since + self.pace.answer
+        if let Some(asking) = self.probe.clone().filter(|asking| !asking.indirect)
+            && now >= asking.sent_at + self.settings.ack_timeout
         {
-            for helper in self.helpers(&asking) {
-                let body = Body::PingFor { number: asking.number, target: asking.target.clone() };
-                self.say(&helper, body);
+            for helper in self.choose_helpers(&asking) {
+                let body =
+                    MessageBody::PingRequest { number: asking.sequence, target: asking.target.clone() };
+                self.send(&helper, body);
             }
-            self.asking = Some(Asking { helped: true, ..asking });
+            self.probe = Some(Probe { indirect: true, ..asking });
         }
-        let patience = self.patience();
-        let dead = |one: &&Member| one.word.standing == Standing::Suspect && now >= one.since + patience;
-        let dead: Vec<Word> = self.others.values().filter(dead).map(|one| one.word.clone()).collect();
+        let patience = self.suspicion_timeout();
+        let dead =
+            |one: &&Member| one.update.state == MemberState::Suspect && now >= one.state_since + patience;
+        let dead: Vec<MemberUpdate> =
+            self.others.values().filter(dead).map(|one| one.update.clone()).collect();
         for word in dead {
-            self.take(now, &Word { standing: Standing::Dead, ..word });
+            self.apply_update(now, &MemberUpdate { state: MemberState::Dead, ..word });
         }
-        if now >= self.next {
-            self.next = now + self.pace.period;
+        if now >= self.next_probe {
+            self.next_probe = now + self.settings.probe_interval;
             self.periods += 1;
-            if let Some(asking) = self.asking.take() {
-                let word = self.others.get(&asking.target).map(|one| one.word.clone());
-                if let Some(word) = word.filter(|word| word.standing == Standing::Alive) {
-                    self.take(now, &Word { standing: Standing::Suspect, ..word });
+            if let Some(asking) = self.probe.take() {
+                let word = self.others.get(&asking.target).map(|one| one.update.clone());
+                if let Some(word) = word.filter(|word| word.state == MemberState::Alive) {
+                    self.apply_update(now, &MemberUpdate { state: MemberState::Suspect, ..word });
                 }
             }
-            self.others.retain(|_, one| one.stated || one.is_there() || now < one.since + FORGET);
-            self.ask(now);
+            self.others
+                .retain(|_, one| one.configured || one.is_live() || now < one.state_since + DEAD_MEMBER_TTL);
+            self.probe_next(now);
         }
     }
 
-    fn ask(&mut self, now: Duration) {
-        if self.periods.is_multiple_of(REVIVE) {
-            let gone: Vec<String> =
-                self.others.values().filter(|one| !one.is_there()).map(|one| one.word.name.clone()).collect();
-            if let Some(name) = gone.get(self.chance(1, gone.len())) {
-                self.numbers += 1;
-                self.say(&name.clone(), Body::Ping { number: self.numbers });
+    fn probe_next(&mut self, now: Duration) {
+        if self.periods.is_multiple_of(PERIODS_PER_DEAD_PROBE) {
+            let gone: Vec<String> = self
+                .others
+                .values()
+                .filter(|one| !one.is_live())
+                .map(|one| one.update.name.clone())
+                .collect();
+            if let Some(name) = gone.get(self.pseudo_random(1, gone.len())) {
+                self.last_sequence += 1;
+                self.send(&name.clone(), MessageBody::Ping { number: self.last_sequence });
             }
         }
-        if self.round.is_empty() {
-            let there = self.others.values().filter(|one| one.is_there());
-            let mut names: Vec<String> = there.map(|one| one.word.name.clone()).collect();
+        if self.probe_order.is_empty() {
+            let there = self.others.values().filter(|one| one.is_live());
+            let mut names: Vec<String> = there.map(|one| one.update.name.clone()).collect();
             for place in (1..names.len()).rev() {
-                names.swap(place, self.chance(place as u64 + 2, place + 1));
+                names.swap(place, self.pseudo_random(place as u64 + 2, place + 1));
             }
-            self.round = names;
+            self.probe_order = names;
         }
-        while let Some(target) = self.round.pop() {
-            if self.others.get(&target).is_some_and(Member::is_there) {
-                self.numbers += 1;
-                let number = self.numbers;
-                self.say(&target, Body::Ping { number });
-                self.asking = Some(Asking { target, number, helped: false, since: now });
+        while let Some(target) = self.probe_order.pop() {
+            if self.others.get(&target).is_some_and(Member::is_live) {
+                self.last_sequence += 1;
+                let number = self.last_sequence;
+                self.send(&target, MessageBody::Ping { number });
+                self.probe = Some(Probe { target, sequence: number, indirect: false, sent_at: now });
                 break;
             }
         }
     }
 
-    fn helpers(&self, asking: &Asking) -> Vec<String> {
-        let able = self.others.values().filter(|one| one.is_there() && one.word.name != asking.target);
-        let mut able: Vec<String> = able.map(|one| one.word.name.clone()).collect();
+    fn choose_helpers(&self, asking: &Probe) -> Vec<String> {
+        let able = self.others.values().filter(|one| one.is_live() && one.update.name != asking.target);
+        let mut able: Vec<String> = able.map(|one| one.update.name.clone()).collect();
         let mut chosen = Vec::new();
-        while chosen.len() < self.pace.helpers && !able.is_empty() {
-            chosen.push(able.swap_remove(self.chance(asking.number << 8 | able.len() as u64, able.len())));
+        while chosen.len() < self.settings.indirect_probes && !able.is_empty() {
+            chosen.push(
+                able.swap_remove(self.pseudo_random(asking.sequence << 8 | able.len() as u64, able.len())),
+            );
         }
         chosen
     }
 
     /// A number below `most`, by this governor's name and how far it is.
-    fn chance(&self, which: u64, most: usize) -> usize {
+    fn pseudo_random(&self, which: u64, most: usize) -> usize {
         let mut hasher = DefaultHasher::new();
         (self.seed, self.periods, which).hash(&mut hasher);
         (hasher.finish() % most.max(1) as u64) as usize
@@ -370,76 +380,78 @@
     // ---- words
 
     /// Takes a word in, if it is newer than what is known.
-    fn take(&mut self, now: Duration, word: &Word) {
-        if word.name == self.me.name {
+    fn apply_update(&mut self, now: Duration, word: &MemberUpdate) {
+        if word.name == self.local.name {
             // Spoken ill of, or taken for an older life: it says otherwise, above all that was said.
-            let ill = word.standing != Standing::Alive && word.incarnation >= self.me.incarnation;
-            if (ill || word.incarnation > self.me.incarnation) && self.me.standing == Standing::Alive {
-                self.me.incarnation = word.incarnation.saturating_add(1);
+            let ill = word.state != MemberState::Alive && word.incarnation >= self.local.incarnation;
+            if (ill || word.incarnation > self.local.incarnation) && self.local.state == MemberState::Alive {
+                self.local.incarnation = word.incarnation.saturating_add(1);
             }
             return;
         }
         let Some(known) = self.others.get_mut(&word.name) else {
-            if self.others.len() < MOST && word.standing <= Standing::Suspect {
-                let member = Member { word: word.clone(), since: now, heard: None, stated: false };
+            if self.others.len() < MAX_MEMBERS && word.state <= MemberState::Suspect {
+                let member =
+                    Member { update: word.clone(), state_since: now, last_heard: None, configured: false };
                 self.others.insert(word.name.clone(), member);
-                self.spread(&word.name, word.standing);
+                self.announce(&word.name, word.state);
             }
             return;
         };
-        let order = |one: &Word| (one.incarnation, one.standing, one.figures.turn);
-        if order(word) <= order(&known.word) {
+        let order = |one: &MemberUpdate| (one.incarnation, one.state, one.load.version);
+        if order(word) <= order(&known.update) {
             // Its figures may be newer though its standing is not.
-            if word.incarnation == known.word.incarnation && word.figures.turn > known.word.figures.turn {
-                known.word.figures = word.figures;
-                self.sent.insert(word.name.clone(), 0);
+            if word.incarnation == known.update.incarnation && word.load.version > known.update.load.version {
+                known.update.load = word.load;
+                self.transmissions.insert(word.name.clone(), 0);
             }
             return;
         }
-        let stands = known.word.standing != word.standing;
-        let at = if known.stated { known.word.at } else { word.at };
-        let newer = word.incarnation > known.word.incarnation || word.figures.turn >= known.word.figures.turn;
-        let figures = if newer { word.figures } else { known.word.figures };
-        known.word = Word { at, figures, ..word.clone() };
+        let stands = known.update.state != word.state;
+        let at = if known.configured { known.update.address } else { word.address };
+        let newer =
+            word.incarnation > known.update.incarnation || word.load.version >= known.update.load.version;
+        let figures = if newer { word.load } else { known.update.load };
+        known.update = MemberUpdate { address: at, load: figures, ..word.clone() };
         if stands {
-            known.since = now;
-            self.spread(&word.name, word.standing);
+            known.state_since = now;
+            self.announce(&word.name, word.state);
         } else {
-            self.sent.insert(word.name.clone(), 0);
+            self.transmissions.insert(word.name.clone(), 0);
         }
     }
 
-    fn spread(&mut self, name: &str, standing: Standing) {
-        self.sent.insert(name.to_string(), 0);
-        self.out.push_back(Out::Stands(name.to_string(), standing));
+    fn announce(&mut self, name: &str, standing: MemberState) {
+        self.transmissions.insert(name.to_string(), 0);
+        self.actions.push_back(MemberAction::StateChanged(name.to_string(), standing));
     }
 
     /// Words that travel with a message: first what is not well said of the receiver, then what was sent
     /// least often.
-    fn words_for(&mut self, to: &str, mut room: usize) -> Vec<Word> {
-        let most = (self.pace.repeats * self.logarithm()).ceil() as u32;
-        self.sent.retain(|_, times| *times < most);
+    fn updates_for(&mut self, to: &str, mut room: usize) -> Vec<MemberUpdate> {
+        let most = (self.settings.transmission_multiplier * self.log_of_members()).ceil() as u32;
+        self.transmissions.retain(|_, times| *times < most);
         let mut words = Vec::new();
         let ill = self
             .others
             .get(to)
-            .filter(|one| one.word.standing != Standing::Alive && one.word.incarnation > 0);
+            .filter(|one| one.update.state != MemberState::Alive && one.update.incarnation > 0);
         if let Some(one) = ill.filter(|_| room > 0) {
-            room = room.saturating_sub(length(&one.word));
-            words.push(one.word.clone());
+            room = room.saturating_sub(length(&one.update));
+            words.push(one.update.clone());
         }
         let order: BTreeSet<(u32, String)> =
-            self.sent.iter().map(|(name, times)| (*times, name.clone())).collect();
+            self.transmissions.iter().map(|(name, times)| (*times, name.clone())).collect();
         for (_, name) in order {
             // This governor's own word is at the head of every message.
-            let word = self.others.get(&name).map(|one| one.word.clone());
+            let word = self.others.get(&name).map(|one| one.update.clone());
             let Some(word) = word.filter(|word| word.name != to) else { continue };
             let long = length(&word);
             if long > room {
                 break;
             }
             room -= long;
-            *self.sent.entry(name).or_default() += 1;
+            *self.transmissions.entry(name).or_default() += 1;
             words.push(word);
         }
         words
--- a/crates/membership/src/messages.rs
+++ b/crates/membership/src/messages.rs
@@ -1,5 +1,5 @@
 //! What governors say to each other: each message is a datagram, sealed with the fleet's key, and none is
-//! longer than [`MOST_BYTES`].
+//! longer than [`MAX_DATAGRAM_BYTES`].
 
 use std::net::SocketAddr;
 
@@ -7,13 +7,13 @@
 use wrenthread_core::ownership::{ProofError, SigningKey, seal, unseal};
 
 /// What a datagram may have and still cross common networks in one piece.
-pub const MOST_BYTES: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// No governor's name is longer.
-pub const LONGEST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// How a governor stands, as others see it. Of two words of one incarnation the later in this order holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum MemberState {
     Alive,
     /// It did not answer: it is dead unless it says otherwise in time.
     Suspect,
@@ -24,32 +24,32 @@
 
 /// What a governor says of itself, besides being there.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Figures {
+pub struct GovernorLoad {
     /// Grows with each change, within an incarnation.
-    pub turn: u64,
+    pub version: u64,
     /// Proxies joined there, and those on their way.
-    pub joined: u32,
+    pub connected_proxies: u32,
     /// It hands its proxies over, and wants none.
     pub draining: bool,
 }
 
 /// A word about a governor, its own or another's.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Word {
+pub struct MemberUpdate {
     pub name: String,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub incarnation: u64,
-    pub standing: Standing,
-    pub figures: Figures,
+    pub state: MemberState,
+    pub load: GovernorLoad,
 }
 
 /// What a message is for.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Body {
+pub enum MessageBody {
     /// Are you there?
     Ping { number: u64 },
     /// Ask another for me whether it is there.
-    PingFor { number: u64, target: String },
+    PingRequest { number: u64, target: String },
     /// `of` is there: the sender itself, or whom it asked.
     Ack { number: u64, of: String },
     /// A part of what is known of a proxy that is to change hands.
@@ -63,23 +63,23 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Message {
     /// The sender's word of itself.
-    pub from: Word,
+    pub from: MemberUpdate,
     /// Whom it is meant for: an address may be another's by now.
     pub to: String,
-    pub body: Body,
+    pub body: MessageBody,
     /// Words about others, as many as fit.
-    pub words: Vec<Word>,
+    pub updates: Vec<MemberUpdate>,
 }
 
 /// Why a datagram tells nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Unheard {
+pub enum DatagramError {
     #[error("it is not proven: {0}")]
-    Unproven(#[from] ProofError),
+    Unauthenticated(#[from] ProofError),
     #[error("it is longer than any that is sent")]
-    Long,
+    TooLong,
     #[error("it is no message")]
-    Unclear,
+    Malformed,
 }
 
 /// A message as a datagram.
@@ -90,21 +90,21 @@
 
 /// What a datagram says.
 ///
-/// Errors: as [`Unheard`]; nothing is known from it.
-pub fn read(keys: &[SigningKey], datagram: &[u8]) -> Result<Message, Unheard> {
-    if datagram.len() > MOST_BYTES {
-        return Err(Unheard::Long);
+/// Errors: as [`DatagramError`]; nothing is known from it.
+pub fn read(keys: &[SigningKey], datagram: &[u8]) -> Result<Message, DatagramError> {
+    if datagram.len() > MAX_DATAGRAM_BYTES {
+        return Err(DatagramError::TooLong);
     }
     let body = unseal(keys, datagram)?;
-    let message: Message = postcard::from_bytes(body).map_err(|_| Unheard::Unclear)?;
-    let names = message.words.iter().map(|word| &word.name).chain([&message.from.name]);
-    let fits = |name: &String| !name.is_empty() && name.len() <= LONGEST_NAME;
-    if names.into_iter().all(fits) { Ok(message) } else { Err(Unheard::Unclear) }
+    let message: Message = postcard::from_bytes(body).map_err(|_| DatagramError::Malformed)?;
+    let names = message.updates.iter().map(|word| &word.name).chain([&message.from.name]);
+    let fits = |name: &String| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
+    if names.into_iter().all(fits) { Ok(message) } else { Err(DatagramError::Malformed) }
 }
 
 /// The bytes that a word takes in a message.
-pub fn length(word: &Word) -> usize {
-    postcard::to_allocvec(word).map_or(MOST_BYTES, |bytes| bytes.len())
+pub fn length(word: &MemberUpdate) -> usize {
+    postcard::to_allocvec(word).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len())
 }
 
 #[cfg(test)]
@@ -113,15 +113,16 @@
     use proptest::prelude::*;
 
     fn message() -> Message {
-        let word = |name: &str| Word {
+        let word = |name: &str| MemberUpdate {
             name: name.into(),
-            at: "127.0.0.1:1".parse().unwrap(),
+            address: "127.0.0.1:1".parse().unwrap(),
             incarnation: u64::MAX,
-            standing: Standing::Suspect,
-            figures: Figures { turn: 3, joined: 70_000, draining: true },
+            state: MemberState::Suspect,
+            load: GovernorLoad { version: 3, connected_proxies: 70_000, draining: true },
         };
-        let body = Body::Offer { number: 1, proxy: "p".into(), part: 1, parts: 2, bytes: vec![7; 300] };
-        Message { from: word("g0"), to: "g1".into(), body, words: vec![word("g2"), word("g3")] }
+        let body =
+            MessageBody::Offer { number: 1, proxy: "p".into(), part: 1, parts: 2, bytes: vec![7; 300] };
+        Message { from: word("g0"), to: "g1".into(), body, updates: vec![word("g2"), word("g3")] }
     }
 
     #[test]
@@ -130,12 +131,13 @@
         let keys = [key.clone()];
         assert_eq!(read(&keys, &write(&key, &message())), Ok(message()));
         let mut long = message();
-        long.body = Body::Offer { number: 1, proxy: "p".into(), part: 0, parts: 1, bytes: vec![0; 1300] };
-        assert_eq!(read(&keys, &write(&key, &long)), Err(Unheard::Long));
+        long.body =
+            MessageBody::Offer { number: 1, proxy: "p".into(), part: 0, parts: 1, bytes: vec![0; 1300] };
+        assert_eq!(read(&keys, &write(&key, &long)), Err(DatagramError::TooLong));
         let mut nameless = message();
-        nameless.words[0].name.clear();
-        assert_eq!(read(&keys, &write(&key, &nameless)), Err(Unheard::Unclear));
-        assert!(length(&message().words[0]) < 40);
+        nameless.updates[0].name.clear();
+        assert_eq!(read(&keys, &write(&key, &nameless)), Err(DatagramError::Malformed));
+        assert!(length(&message().updates[0]) < 40);
     }
 
     proptest! {
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,7 +1,9 @@
 //! Datagrams as the release at commit b735929 wrote them, byte for byte: governors of different versions talk to each other.
 
 use wrenthread_core::ownership::SigningKey;
-use wrenthread_membership::messages::{Body, Figures, Message, Standing, Word, read, write};
+use wrenthread_membership::messages::{
+    GovernorLoad, MemberState, MemberUpdate, Message, MessageBody, read, write,
+};
 
 const DATAGRAMS: &str = include_str!("golden/datagrams-b735929.hex");
 
@@ -13,48 +15,54 @@
     (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
 }
 
-fn update(name: &str, address: &str, incarnation: u64, state: Standing, load: Figures) -> Word {
-    Word { name: name.into(), at: address.parse().unwrap(), incarnation, standing: state, figures: load }
+fn update(
+    name: &str,
+    address: &str,
+    incarnation: u64,
+    state: MemberState,
+    load: GovernorLoad,
+) -> MemberUpdate {
+    MemberUpdate { name: name.into(), address: address.parse().unwrap(), incarnation, state, load }
 }
 
-fn load(version: u64, proxies: u32, draining: bool) -> Figures {
-    Figures { turn: version, joined: proxies, draining }
+fn load(version: u64, connected_proxies: u32, draining: bool) -> GovernorLoad {
+    GovernorLoad { version, connected_proxies, draining }
 }
 
-fn message(body: Body) -> Message {
+fn message(body: MessageBody) -> Message {
     Message {
         from: update(
             "governor-0",
             "192.168.1.2:9000",
             1_700_000_000_065_543,
-            Standing::Alive,
+            MemberState::Alive,
             load(5, 61, false),
         ),
         to: "governor-1".into(),
         body,
-        words: vec![
-            update("g1", "127.0.0.1:7001", 1, Standing::Alive, load(2, 3, false)),
-            update("g2", "10.20.30.40:65535", 300, Standing::Suspect, load(70_000, 4_000_000_000, true)),
-            update("g3", "[2001:db8::5]:80", u64::MAX, Standing::Dead, load(u64::MAX, 0, false)),
-            update("g4", "[::1]:1", 1_700_000_000_000_000, Standing::Left, load(0, 129, true)),
+        updates: vec![
+            update("g1", "127.0.0.1:7001", 1, MemberState::Alive, load(2, 3, false)),
+            update("g2", "10.20.30.40:65535", 300, MemberState::Suspect, load(70_000, 4_000_000_000, true)),
+            update("g3", "[2001:db8::5]:80", u64::MAX, MemberState::Dead, load(u64::MAX, 0, false)),
+            update("g4", "[::1]:1", 1_700_000_000_000_000, MemberState::Left, load(0, 129, true)),
         ],
     }
 }
 
-fn body(kind: &str) -> Body {
+fn body(kind: &str) -> MessageBody {
     match kind {
-        "ping" => Body::Ping { number: 7 },
-        "ping_for" => Body::PingFor { number: 1000, target: "g2".into() },
-        "ack" => Body::Ack { number: u64::MAX, of: "governor-0".into() },
-        "offer" => Body::Offer {
+        "ping" => MessageBody::Ping { number: 7 },
+        "ping_for" => MessageBody::PingRequest { number: 1000, target: "g2".into() },
+        "ack" => MessageBody::Ack { number: u64::MAX, of: "governor-0".into() },
+        "offer" => MessageBody::Offer {
             number: 65_543,
             proxy: "relay-1".into(),
             part: 1,
             parts: 300,
             bytes: vec![0, 127, 128, 255],
         },
-        "accept" => Body::Accept { number: 65_544, proxy: "relay-2".into() },
-        "decline" => Body::Decline { number: 65_545, proxy: "relay-ü".into() },
+        "accept" => MessageBody::Accept { number: 65_544, proxy: "relay-2".into() },
+        "decline" => MessageBody::Decline { number: 65_545, proxy: "relay-ü".into() },
         other => panic!("no message kind `{other}`"),
     }
 }
--- a/crates/membership/tests/talk.rs
+++ b/crates/membership/tests/membership.rs
@@ -1,19 +1,22 @@
-//! Governors that talk, through what goes wrong with networks and with themselves.
+//! Governors that governor, through what goes wrong with networks and with themselves.
 
 mod net;
 
 use std::sync::Arc;
 
 use net::{Net, ms};
-use wrenthread_membership::Note;
-use wrenthread_membership::messages::Standing;
+use wrenthread_membership::MembershipEvent;
+use wrenthread_membership::messages::MemberState;
 
 fn proxies(count: usize) -> Vec<Arc<str>> {
     (0..count).map(|n| format!("relay-{n}").into()).collect()
 }
 
-fn stands(net: &Net, of: &str, standing: Standing) -> Vec<usize> {
-    let said = net.notes.iter().filter(|(_, _, note)| *note == Note::Stands(of.into(), standing));
+fn stands(net: &Net, of: &str, standing: MemberState) -> Vec<usize> {
+    let said = net
+        .events
+        .iter()
+        .filter(|(_, _, event)| *event == MembershipEvent::MemberStateChanged(of.into(), standing));
     said.map(|(_, place, _)| *place).collect()
 }
 
@@ -26,7 +29,9 @@
     let died = net.now;
     net.run(8000);
     assert!([0, 1, 2, 4].iter().all(|one| !net.sees(*one, 3)));
-    let found = net.notes.iter().filter(|(_, _, note)| *note == Note::Stands("g3".into(), Standing::Dead));
+    let found = net.events.iter().filter(|(_, _, event)| {
+        *event == MembershipEvent::MemberStateChanged("g3".into(), MemberState::Dead)
+    });
     let last = found.map(|(at, _, _)| *at).max().unwrap() - died;
     assert!(last < ms(6000), "{last:?}");
     net.start(3);
@@ -40,11 +45,16 @@
         let mut net = Net::new(5, seed);
         (net.lost, net.doubled) = (150, 150);
         net.run(60_000);
-        let dead = net.notes.iter().filter(|(_, _, note)| matches!(note, Note::Stands(_, Standing::Dead)));
+        let dead = net.events.iter().filter(|(_, _, event)| {
+            matches!(event, MembershipEvent::MemberStateChanged(_, MemberState::Dead))
+        });
         assert_eq!(dead.count(), 0, "seed {seed}");
         // Some were doubted, and said otherwise: the loss was met.
-        assert!(net.notes.iter().any(|(_, _, note)| matches!(note, Note::Stands(_, Standing::Suspect))));
-        assert!(net.longest <= wrenthread_membership::messages::MOST_BYTES);
+        assert!(net.events.iter().any(|(_, _, event)| matches!(
+            event,
+            MembershipEvent::MemberStateChanged(_, MemberState::Suspect)
+        )));
+        assert!(net.longest <= wrenthread_membership::messages::MAX_DATAGRAM_BYTES);
     }
 }
 
@@ -54,7 +64,7 @@
     net.run(2000);
     net.cut.insert((1, 0));
     net.run(30_000);
-    assert_eq!(stands(&net, "g1", Standing::Dead), Vec::<usize>::new());
+    assert_eq!(stands(&net, "g1", MemberState::Dead), Vec::<usize>::new());
     assert!(net.sees(0, 1) && net.sees(1, 0));
     // Who can say nothing to anybody is dead to all; and has nobody to hand a proxy to, though it hears them.
     net.cut.extend([(1, 2), (1, 3)]);
@@ -75,11 +85,20 @@
     net.stalled.clear();
     let woke = net.now;
     net.run(5000);
-    let blames = net.notes.iter().filter(|(at, place, note)| {
-        *at >= woke && *place == 2 && matches!(note, Note::Stands(_, Standing::Suspect | Standing::Dead))
+    let blames = net.events.iter().filter(|(at, place, event)| {
+        *at >= woke
+            && *place == 2
+            && matches!(
+                event,
+                MembershipEvent::MemberStateChanged(_, MemberState::Suspect | MemberState::Dead)
+            )
     });
     assert_eq!(blames.count(), 0);
-    assert!(net.notes.iter().any(|(_, place, note)| *place == 2 && matches!(note, Note::Stalled(_))));
+    assert!(
+        net.events
+            .iter()
+            .any(|(_, place, event)| *place == 2 && matches!(event, MembershipEvent::Stalled(_)))
+    );
     assert!([0, 1, 3].iter().all(|one| net.sees(*one, 2) && net.sees(2, *one)));
 }
 
@@ -114,11 +133,11 @@
         net.run(20_000);
         assert!(net.moves <= rest + usize::from(lost > 0) * 5, "it comes to rest");
         let now = net.now;
-        net.talk(1).drain(now, true);
+        net.governor(1).drain(now, true);
         net.run(25_000);
         assert_eq!(net.counts()[1], 0, "seed {seed}");
         assert_eq!(net.counts().iter().sum::<usize>(), 60, "all are somewhere");
-        assert!(net.notes.iter().any(|(_, place, note)| (*place, note) == (1, &Note::Drained)));
+        assert!(net.events.iter().any(|(_, place, event)| (*place, event) == (1, &MembershipEvent::Drained)));
         // Each came with all that was known of it.
         assert!(net.ahead.len() >= net.moves * 9 / 10, "{} of {}", net.ahead.len(), net.moves);
         for (proxy, ahead) in &net.ahead {
@@ -126,7 +145,7 @@
         }
         // It comes back to service: its own come home.
         let now = net.now;
-        net.talk(1).drain(now, false);
+        net.governor(1).drain(now, false);
         net.run(30_000);
         assert!(net.counts()[1] >= 10, "{:?}", net.counts());
     }
@@ -146,7 +165,7 @@
     assert_eq!((net.moves, net.counts()), (before, counts), "nobody is moved where nobody answers");
     // Drained while cut off: nobody to hand them to is known of, so they find others by themselves.
     let now = net.now;
-    net.talk(0).drain(now, true);
+    net.governor(0).drain(now, true);
     net.run(1000);
     assert!(net.moves > before);
 }
@@ -160,7 +179,7 @@
     net.run(1900);
     net.cut.extend([(0, 1), (1, 0)]);
     let now = net.now;
-    net.talk(0).drain(now, true);
+    net.governor(0).drain(now, true);
     net.run(600);
     net.kill(1);
     net.run(12_000);
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,6 +1,6 @@
 //! Every way in which a small world can go: two governors, two relays, orders and words between governors
 //! lost, doubled and reordered, crashes, streams that break, a governor that wakes with old orders in its
-//! queue. What decides is the real thing: [`FencingState`] and [`GovernorSelector`] at the relay, [`Handover`] at the
+//! queue. What decides is the real thing: [`FencingState`] and [`GovernorSelector`] at the relay, [`Migrations`] at the
 //! governor.
 //!
 //! A message stays in flight once it is sent: that it may be delivered at any time, again, or never, is loss,
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use wrenthread_core::ownership::{FencingState, GovernorSelector};
-use wrenthread_membership::messages::Body;
-use wrenthread_membership::migration::{Handover, Out};
+use wrenthread_membership::messages::MessageBody;
+use wrenthread_membership::migration::{MigrationAction, Migrations};
 
 const NAMES: [&str; 2] = ["g0", "g1"];
 const NOW: Duration = Duration::ZERO;
@@ -21,7 +21,7 @@
     up: bool,
     epoch: u64,
     version: u64,
-    handover: Handover,
+    handover: Migrations,
 }
 
 /// An order: from whom, of which life and version.
@@ -46,7 +46,7 @@
     relays: Vec<Relay>,
     orders: BTreeSet<(usize, Order)>,
     /// To, from, what.
-    words: Vec<(usize, usize, Body)>,
+    words: Vec<(usize, usize, MessageBody)>,
     left: Budget,
 }
 
@@ -73,7 +73,7 @@
         applied: BTreeSet::new(),
         vain: 0,
     };
-    let governor = Governor { up: true, epoch: 1, version: 0, handover: Handover::new(0) };
+    let governor = Governor { up: true, epoch: 1, version: 0, handover: Migrations::new(0) };
     World {
         governors: vec![governor.clone(), governor],
         relays: ["relay-1", "relay-3"].into_iter().take(budget.relays).map(relay).collect(),
@@ -128,37 +128,41 @@
     fn lose_stream(&mut self, relay: usize) {
         if let Some(governor) = self.relays[relay].stream.take() {
             let name = self.relays[relay].name;
-            self.governors[governor].handover.gone(name);
+            self.governors[governor].handover.proxy_disconnected(name);
         }
     }
 
-    fn hear(&mut self, to: usize, from: usize, body: &Body) {
+    fn hear(&mut self, to: usize, from: usize, body: &MessageBody) {
         let one = &mut self.governors[to];
         if !one.up {
             return;
         }
         match body {
-            Body::Offer { number, proxy, part, parts, bytes } => {
-                one.handover.offered(NOW, NAMES[from], *number, proxy, *part, *parts, bytes, |_| true);
+            MessageBody::Offer { number, proxy, part, parts, bytes } => {
+                one.handover.handle_offer(NOW, NAMES[from], *number, proxy, *part, *parts, bytes, |_| true);
+            }
+            MessageBody::Accept { number, proxy } => {
+                one.handover.handle_answer(NOW, NAMES[from], *number, proxy, true)
+            }
+            MessageBody::Decline { number, proxy } => {
+                one.handover.handle_answer(NOW, NAMES[from], *number, proxy, false)
             }
-            Body::Accept { number, proxy } => one.handover.answered(NOW, NAMES[from], *number, proxy, true),
-            Body::Decline { number, proxy } => one.handover.answered(NOW, NAMES[from], *number, proxy, false),
             _ => {}
         }
         self.pump(to);
     }
 
     fn pump(&mut self, governor: usize) {
-        while let Some(out) = self.governors[governor].handover.step(NOW) {
+        while let Some(out) = self.governors[governor].handover.next_action(NOW) {
             match out {
-                Out::Say(to, body) => {
+                MigrationAction::Send(to, body) => {
                     let to = NAMES.iter().position(|name| *name == to).unwrap();
                     let said = (to, governor, body);
                     if !self.words.contains(&said) {
                         self.words.push(said);
                     }
                 }
-                Out::Move { proxy, to } => {
+                MigrationAction::MoveProxy { proxy, to } => {
                     let to = NAMES.iter().position(|name| *name == to);
                     let of = self.relays.iter().position(|one| one.name == proxy).unwrap();
                     // Ends the stream, if it is still this governor's to end.
@@ -167,7 +171,7 @@
                         self.relays[of].dialer.redirected(to);
                     }
                 }
-                Out::Unanswered { .. } => {}
+                MigrationAction::OfferUnanswered { .. } => {}
             }
         }
     }
@@ -229,7 +233,7 @@
             if !self.governors[governor].up {
                 step(&|world| {
                     let epoch = world.governors[governor].epoch + 1;
-                    let handover = Handover::new(epoch << 8);
+                    let handover = Migrations::new(epoch << 8);
                     world.governors[governor] = Governor { up: true, epoch, version: 0, handover };
                     world.relays.iter_mut().for_each(|relay| relay.vain = 0);
                     None
--- a/crates/membership/tests/net/mod.rs
+++ b/crates/membership/tests/net/mod.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use wrenthread_core::ownership::SigningKey;
-use wrenthread_membership::migration::Ahead;
-use wrenthread_membership::{Note, Step, Talk, Terms};
+use wrenthread_membership::migration::TransferredState;
+use wrenthread_membership::{Action, Membership, MembershipEvent, MembershipSettings};
 
 pub const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -17,7 +17,7 @@
 
 pub struct Net {
     pub now: Duration,
-    pub talks: Vec<Option<Talk>>,
+    pub governors: Vec<Option<Membership>>,
     /// What nobody gets: from, to.
     pub cut: BTreeSet<(usize, usize)>,
     /// Of a thousand datagrams, so many get lost, and so many come twice.
@@ -28,11 +28,11 @@
     pub bytes: u64,
     pub datagrams: u64,
     pub longest: usize,
-    pub notes: Vec<(Duration, usize, Note)>,
+    pub events: Vec<(Duration, usize, MembershipEvent)>,
     /// Where each proxy's stream is, and how often it moved.
     pub at: BTreeMap<Arc<str>, Option<usize>>,
     pub moves: usize,
-    pub ahead: Vec<(Arc<str>, Ahead)>,
+    pub ahead: Vec<(Arc<str>, TransferredState)>,
     way: BTreeMap<(Duration, u64), (usize, usize, Vec<u8>)>,
     moving: BTreeMap<(Duration, u64), (Arc<str>, usize)>,
     epochs: u64,
@@ -49,10 +49,10 @@
 }
 
 impl Net {
-    pub fn new(governors: usize, seed: u64) -> Net {
+    pub fn new(count: usize, seed: u64) -> Net {
         let mut net = Net {
             now: ms(100_000),
-            talks: Vec::new(),
+            governors: Vec::new(),
             cut: BTreeSet::new(),
             lost: 0,
             doubled: 0,
@@ -60,7 +60,7 @@
             bytes: 0,
             datagrams: 0,
             longest: 0,
-            notes: Vec::new(),
+            events: Vec::new(),
             at: BTreeMap::new(),
             moves: 0,
             ahead: Vec::new(),
@@ -70,45 +70,45 @@
             numbers: 0,
             chance: seed,
         };
-        net.talks = (0..governors).map(|_| None).collect();
-        (0..governors).for_each(|place| net.start(place));
+        net.governors = (0..count).map(|_| None).collect();
+        (0..count).for_each(|place| net.start(place));
         net
     }
 
     /// A new life of a governor.
     pub fn start(&mut self, place: usize) {
         self.epochs += 1;
-        let peers = (0..self.talks.len()).filter(|one| *one != place);
-        let terms = Terms {
+        let peers = (0..self.governors.len()).filter(|one| *one != place);
+        let settings = MembershipSettings {
             name: format!("g{place}"),
-            at: address(place),
+            address: address(place),
             peers: peers.map(|one| (format!("g{one}"), address(one))).collect(),
             keys: vec![key()],
-            moves_per_s: 50.0,
+            moves_per_second: 50.0,
         };
-        self.talks[place] = Some(Talk::new(terms, self.epochs, self.now));
+        self.governors[place] = Some(Membership::new(settings, self.epochs, self.now));
     }
 
     /// A governor is dead; its proxies are with nobody.
     pub fn kill(&mut self, place: usize) {
-        self.talks[place] = None;
+        self.governors[place] = None;
         self.at.values_mut().filter(|at| **at == Some(place)).for_each(|at| *at = None);
     }
 
-    pub fn talk(&mut self, place: usize) -> &mut Talk {
-        self.talks[place].as_mut().expect("it is up")
+    pub fn governor(&mut self, place: usize) -> &mut Membership {
+        self.governors[place].as_mut().expect("it is up")
     }
 
     pub fn sees(&self, place: usize, other: usize) -> bool {
-        let talk = self.talks[place].as_ref().expect("it is up");
-        talk.members().get(&format!("g{other}")).is_some_and(|one| one.is_there())
+        let governor = self.governors[place].as_ref().expect("it is up");
+        governor.members().get(&format!("g{other}")).is_some_and(|one| one.is_live())
     }
 
     /// A proxy's stream goes up at a governor.
     pub fn join(&mut self, proxy: &Arc<str>, place: usize) {
         let now = self.now;
-        if let Some(talk) = self.talks[place].as_mut() {
-            let ahead = talk.here(now, proxy);
+        if let Some(governor) = self.governors[place].as_mut() {
+            let ahead = governor.proxy_connected(now, proxy);
             self.ahead.extend(ahead.map(|ahead| (proxy.clone(), ahead)));
             self.at.insert(proxy.clone(), Some(place));
         }
@@ -116,7 +116,7 @@
 
     pub fn counts(&self) -> Vec<usize> {
         let count = |place| self.at.values().filter(|at| **at == Some(place)).count();
-        (0..self.talks.len()).map(count).collect()
+        (0..self.governors.len()).map(count).collect()
     }
 
     fn drawn(&mut self) -> u64 {
@@ -132,7 +132,7 @@
     pub fn run(&mut self, millis: u64) {
         let until = self.now + ms(millis);
         while self.now < until {
-            for place in 0..self.talks.len() {
+            for place in 0..self.governors.len() {
                 if !self.stalled.contains(&place) {
                     self.pump(place);
                 }
@@ -146,15 +146,15 @@
                     continue;
                 }
                 let now = self.now;
-                if let Some(talk) = self.talks[to].as_mut() {
-                    talk.heard(now, &datagram).expect("it was sealed with the key");
+                if let Some(governor) = self.governors[to].as_mut() {
+                    governor.handle_datagram(now, &datagram).expect("it was sealed with the key");
                 }
             }
             while let Some(entry) = self.moving.first_entry().filter(|one| one.key().0 <= self.now) {
                 let (proxy, to) = entry.remove();
                 // Whom it was sent to may be dead by now: it goes to the next that is there.
-                let there = (0..self.talks.len()).map(|one| (to + one) % self.talks.len());
-                if let Some(place) = there.into_iter().find(|one| self.talks[*one].is_some()) {
+                let there = (0..self.governors.len()).map(|one| (to + one) % self.governors.len());
+                if let Some(place) = there.into_iter().find(|one| self.governors[*one].is_some()) {
                     self.join(&proxy, place);
                 }
             }
@@ -163,9 +163,10 @@
 
     fn pump(&mut self, place: usize) {
         let now = self.now;
-        while let Some(step) = self.talks[place].as_mut().and_then(|talk| talk.step(now)) {
-            match step {
-                Step::Send(at, datagram) => {
+        while let Some(action) = self.governors[place].as_mut().and_then(|governor| governor.next_action(now))
+        {
+            match action {
+                Action::Send(at, datagram) => {
                     self.datagrams += 1;
                     self.bytes += datagram.len() as u64;
                     self.longest = self.longest.max(datagram.len());
@@ -178,19 +179,19 @@
                         self.way.insert((at, self.numbers), (place, to, datagram.clone()));
                     }
                 }
-                Step::Gather { proxy, to } => {
+                Action::CollectState { proxy, to } => {
                     let known = format!("all about {proxy}, ").repeat(100).into_bytes();
-                    self.talk(place).offer(now, &proxy, &to, known);
+                    self.governor(place).offer_proxy(now, &proxy, &to, known);
                 }
-                Step::Move { proxy, to } => {
+                Action::MoveProxy { proxy, to } => {
                     self.moves += 1;
-                    self.talk(place).gone(now, &proxy);
+                    self.governor(place).proxy_disconnected(now, &proxy);
                     self.at.insert(proxy.clone(), None);
                     let to = to.map_or(place, |to| to[1..].parse().unwrap());
                     self.numbers += 1;
                     self.moving.insert((now + ms(50), self.numbers), (proxy, to));
                 }
-                Step::Note(note) => self.notes.push((now, place, note)),
+                Action::Event(event) => self.events.push((now, place, event)),
             }
         }
     }
