--- a/crates/daemon/src/host.rs
+++ b/crates/daemon/src/host.rs
@@ -23,7 +23,7 @@
 use wrenthread_long_poll::messages::{JoinTold, ReportTold, TablesTold, Terms, digest_of, tries_word};
 use wrenthread_long_poll::service as poll;
 use wrenthread_long_poll::sessions::{Due, Polls, Told};
-use wrenthread_membership::{Action as MembershipAction, Membership, MembershipEvent};
+use wrenthread_membership::{Action as MembershipAction, Membership, MembershipEvent, ServiceMode};
 use wrenthread_xds::pb::envoy::admin::v3::ClientResourceStatus;
 use wrenthread_xds::pb::envoy::config::core::v3::{Locality, Node};
 use wrenthread_xds::pb::envoy::service::status::v3::client_config::GenericXdsConfig;
@@ -357,7 +357,8 @@
     /// From now on this governor hands its proxies over; or no longer.
     pub fn drain(&mut self, now: Duration, draining: bool) -> Value {
         tracing::warn!(draining, joined = self.engine.fleet().len(), "an operator drains this governor");
-        self.talk.drain(now, draining);
+        let mode = if draining { ServiceMode::Draining } else { ServiceMode::Serving };
+        self.talk.set_mode(now, mode);
         self.governors(now)
     }
 
@@ -375,7 +376,7 @@
             .map(|one| {
                 let standing = match one.last_heard {
                     None if !one.is_live() => "not heard yet".to_string(),
-                    _ => format!("{:?}", one.update.state).to_lowercase(),
+                    _ => one.update.state.name().to_string(),
                 };
                 let ago = |at: Duration| now.saturating_sub(at).as_secs_f64();
                 json!({
@@ -564,7 +565,7 @@
         }
         while let Some(step) = self.talk.next_action(now) {
             match step {
-                MembershipAction::Send(at, datagram) => chore(Chore::Say(at, datagram)),
+                MembershipAction::Send { address, datagram } => chore(Chore::Say(address, datagram)),
                 MembershipAction::CollectState { proxy, to } => {
                     let number = self.engine.fleet().named(&proxy).map(|(number, _)| number);
                     let known =
@@ -573,10 +574,10 @@
                 }
                 MembershipAction::MoveProxy { proxy, to } => self.send_on(now, &proxy, to),
                 MembershipAction::Event(note) => match note {
-                    MembershipEvent::MemberStateChanged(governor, standing) => {
-                        tracing::info!(governor, ?standing, "another governor");
+                    MembershipEvent::MemberStateChanged { governor, state } => {
+                        tracing::info!(governor, standing = ?state, "another governor");
                     }
-                    MembershipEvent::Stalled(late) => {
+                    MembershipEvent::Stalled { late } => {
                         tracing::warn!(?late, "this governor did nothing for a while")
                     }
                     MembershipEvent::OfferUnanswered { proxy, to } => {
@@ -732,8 +733,8 @@
     pub fn stop(&mut self, now: Duration, mut say: impl FnMut(SocketAddr, &[u8])) {
         self.talk.leave();
         while let Some(step) = self.talk.next_action(now) {
-            if let MembershipAction::Send(at, datagram) = step {
-                say(at, &datagram);
+            if let MembershipAction::Send { address, datagram } = step {
+                say(address, &datagram);
             }
         }
         for stream in std::mem::take(&mut self.streams).into_values() {
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -13,7 +13,7 @@
 use wrenthread_core::ownership::SigningKey;
 use wrenthread_core::roster::RosterEntry;
 use wrenthread_core::snapshot::StoredItem;
-use wrenthread_membership::{Membership, MembershipSettings};
+use wrenthread_membership::{Membership, MembershipSettings, Peer};
 use wrenthread_settings::{PathRoute, RosterSource, Route, Settings};
 use wrenthread_xds::service::Front;
 use wrenthread_xds::{Wire, WireGroup, upstream};
@@ -202,9 +202,8 @@
     let mut roster = follow_roster(&settings, &wire, clock, lists.clone());
 
     let terms = MembershipSettings {
-        name: settings.governor.clone(),
-        address: settings.talk.unwrap_or(settings.grpc),
-        peers: settings.peers.clone(),
+        local: Peer { name: settings.governor.clone(), address: settings.talk.unwrap_or(settings.grpc) },
+        peers: settings.peers.iter().cloned().map(|(name, address)| Peer { name, address }).collect(),
         keys: if socket.is_some() { keys.clone() } else { Vec::new() },
         moves_per_second: settings.moves_per_s,
     };
--- a/crates/membership/benches/gossip.rs
+++ b/crates/membership/benches/gossip.rs
@@ -88,14 +88,19 @@
             let a_second = 60.0 * governors as f64;
             let (bytes, datagrams) = (net.bytes as f64 / a_second, net.datagrams as f64 / a_second);
             let wrongly = net.events.iter().filter(|(_, _, event)| {
-                matches!(event, MembershipEvent::MemberStateChanged(_, MemberState::Dead))
+                matches!(event, MembershipEvent::MemberStateChanged { state: MemberState::Dead, .. })
             });
             let (wrongly, died) = (wrongly.count(), net.now);
             net.kill(0);
             net.run(40_000);
             let known = |(at, _, event): &(std::time::Duration, usize, MembershipEvent)| {
-                (*at > died && *event == MembershipEvent::MemberStateChanged("g0".into(), MemberState::Dead))
-                    .then(|| (*at - died).as_secs_f64())
+                (*at > died
+                    && *event
+                        == MembershipEvent::MemberStateChanged {
+                            governor: "g0".into(),
+                            state: MemberState::Dead,
+                        })
+                .then(|| (*at - died).as_secs_f64())
             };
             let known: Vec<f64> = net.events.iter().filter_map(known).collect();
             let first = known.iter().copied().fold(f64::INFINITY, f64::min);
--- a/crates/membership/src/assignment.rs
+++ b/crates/membership/src/assignment.rs
@@ -1,256 +1,210 @@
-//! Which governor a proxy belongs with: rendezvous hashing with bounded load.
+//! Which governor a proxy is assigned to: rendezvous hashing with bounded load.
 //!
-//! A proxy belongs with the governor that ranks first for it, of those that are there and are not full. None
-//! takes more than its even part and a quarter. The ranking is the one by which proxies dial by themselves
-//! ([`wrenthread_core::ownership::ranking`]), so what talk settles and what happens without talk differ only
-//! by the bound.
+//! A proxy is assigned to the first governor in its ranking that is live and below capacity. Capacity is the even share
+//! plus [`CAPACITY_MARGIN_FRACTION`]. Proxies that choose a governor by themselves use the same ranking
+//! ([`wrenthread_core::ownership::ranking`]), so assignments with and without gossip differ only by the bound.
 //!
-//! Nobody needs to know all proxies for that: each governor judges those that it has, by how many the others
-//! say that they have. A governor that is over the bound sends away those that rank it lowest; one that has a
-//! proxy which another ranks higher for, and that is not full, sends it there. [`assign`] is what this comes
-//! to where everything is known.
+//! No governor needs to know all proxies: each decides for those connected to it, by the number of proxies that the
+//! others report. A governor above capacity moves the proxies that rank it lowest; a proxy that ranks another governor
+//! with free capacity higher is moved there. [`assign`] gives the result where all proxies are known.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use wrenthread_core::ownership::ranking;
 
-/// How far beyond its even part a governor may go. Less means more moves whenever a governor comes or goes;
-/// more, and the fullest has more to bear.
+use crate::ServiceMode;
+
+/// How far above its even share a governor may go. Less means more moves whenever a governor comes or goes; more means
+/// a higher load on the fullest.
 pub const CAPACITY_MARGIN_FRACTION: f64 = 0.25;
-/// A proxy that has just come is left alone for so long.
+/// How long a proxy stays where it connected before it may be moved.
 pub const MIN_RESIDENCE: Duration = Duration::from_secs(2);
 
-/// The most proxies that one of `governors` takes of `proxies` in all.
-pub fn bound(proxies: usize, governors: usize) -> usize {
-    (proxies as f64 * (1.0 + CAPACITY_MARGIN_FRACTION) / governors.max(1) as f64).ceil().max(1.0) as usize
+/// The most proxies that one of `governors` may have of `proxies` in all.
+pub fn max_proxies_per_governor(proxies: usize, governors: usize) -> usize {
+    let even_share = proxies as f64 * (1.0 + CAPACITY_MARGIN_FRACTION) / governors.max(1) as f64;
+    even_share.ceil().max(1.0) as usize
+}
+
+/// A proxy that a governor holds in [`assign`]; ordered by how the proxy ranks that governor.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct Assigned<'a> {
+    rank: usize,
+    name: &'a str,
+    index: usize,
 }
 
-/// Whom each proxy belongs with, by place in `governors`, where all are known: proxies ask governors in the
-/// order of their ranking, and a full one keeps those that rank it highest. What comes out does not hang on
-/// the order in which they ask.
+/// The governor of each proxy, by index into `governors`, where all proxies are known.
+///
+/// Proxies apply in the order of their ranking, and a full governor keeps those that rank it highest. The result does
+/// not depend on the order in which proxies apply.
 pub fn assign(proxies: &[&str], governors: &[&str]) -> Vec<usize> {
     if governors.is_empty() {
         return Vec::new();
     }
-    let most = bound(proxies.len(), governors.len());
-    let ranked: Vec<Vec<usize>> = proxies.iter().map(|proxy| ranking(proxy, governors)).collect();
-    let mut asked = vec![0; proxies.len()];
-    // By governor: those that it keeps, the one that ranks it lowest last.
-    let mut kept: Vec<BTreeSet<(usize, &str, usize)>> = vec![BTreeSet::new(); governors.len()];
-    let mut asking: Vec<usize> = (0..proxies.len()).collect();
-    while let Some(proxy) = asking.pop() {
-        let place = asked[proxy];
-        let governor = ranked[proxy][place];
-        kept[governor].insert((place, proxies[proxy], proxy));
-        if kept[governor].len() > most
-            && let Some((place, _, turned)) = kept[governor].pop_last()
+    let limit = max_proxies_per_governor(proxies.len(), governors.len());
+    let rankings: Vec<Vec<usize>> = proxies.iter().map(|proxy| ranking(proxy, governors)).collect();
+    let mut rank_of = vec![0; proxies.len()];
+    let mut assigned: Vec<BTreeSet<Assigned>> = vec![BTreeSet::new(); governors.len()];
+    let mut applying: Vec<usize> = (0..proxies.len()).collect();
+    while let Some(index) = applying.pop() {
+        let rank = rank_of[index];
+        let governor = rankings[index][rank];
+        assigned[governor].insert(Assigned { rank, name: proxies[index], index });
+        if assigned[governor].len() > limit
+            && let Some(rejected) = assigned[governor].pop_last()
         {
-            // There is room for all, so nobody ever asks in vain at the last.
-            asked[turned] = (place + 1) % governors.len();
-            asking.push(turned);
+            // All limits together exceed the number of proxies, so each finds a place.
+            rank_of[rejected.index] = (rejected.rank + 1) % governors.len();
+            applying.push(rejected.index);
         }
     }
-    (0..proxies.len()).map(|proxy| ranked[proxy][asked[proxy]]).collect()
+    (0..proxies.len()).map(|index| rankings[index][rank_of[index]]).collect()
 }
 
-/// A governor as a place for proxies.
+/// Another governor as a destination for proxies.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GovernorCapacity<'a> {
+    /// The governor's name.
     pub name: &'a str,
-    /// Proxies there, those on their way included.
+    /// Proxies connected there, including those being moved there.
     pub connected_proxies: usize,
 }
 
-/// One proxy here.
+/// This governor's part in a decision.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct LocalGovernor {
+    /// Proxies connected here, without those being moved away and including those expected.
+    pub connected_proxies: usize,
+    /// Whether it hands all its proxies over.
+    pub mode: ServiceMode,
+}
+
+/// A proxy that is connected to this governor.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LocalProxy<'a> {
+    /// The proxy's name.
     pub name: &'a str,
-    /// Places in `rooms`, best first; the place `rooms.len()` is this governor.
+    /// Indices into the list of other governors, best first; the list's length stands for this governor.
     pub ranking: &'a [usize],
-    /// It may be moved: it has been here for [`MIN_RESIDENCE`], and no offer of it came to nothing a moment ago.
+    /// It has been connected for [`MIN_RESIDENCE`], and no recent offer of it failed.
     pub movable: bool,
 }
 
-/// The next proxy to move, and where to.
-///
-/// `rooms`: the others that are there and are not draining; `here`, and `joined`, their number: those that
-/// are not on their way out; `draining`: this governor hands all over.
-pub fn next_move<'a>(
-    rooms: &[GovernorCapacity<'a>],
-    joined: usize,
-    draining: bool,
-    here: impl Iterator<Item = LocalProxy<'a>>,
-) -> Option<(&'a str, &'a str)> {
-    if rooms.is_empty() {
-        return None;
-    }
-    let all: usize = joined + rooms.iter().map(|room| room.connected_proxies).sum::<usize>();
-    let most = bound(all, rooms.len() + usize::from(!draining));
-    let has_room = |place: &usize| rooms.get(*place).is_some_and(|room| room.connected_proxies < most);
-    // Of those over the bound, the one that ranks this governor lowest goes first. Who will go elsewhere as
-    // soon as it may be moved is no reason to send others away meanwhile: they would only come back.
-    let (mut lowest, mut leaving): (Option<(usize, &str, usize)>, usize) = (None, 0);
-    for one in here {
-        let mine = one.ranking.iter().position(|place| *place == rooms.len()).unwrap_or(one.ranking.len());
-        if !one.movable {
-            leaving += usize::from(one.ranking.iter().take(mine).any(&has_room));
-            continue;
-        }
-        if draining {
-            let least = (0..rooms.len()).min_by_key(|place| rooms[*place].connected_proxies);
-            let to = one.ranking.iter().copied().find(has_room).or(least)?;
-            return Some((one.name, rooms[to].name));
-        }
-        if let Some(to) = one.ranking.iter().take(mine).copied().find(has_room) {
-            return Some((one.name, rooms[to].name));
-        }
-        if joined > most
-            && let Some(to) = one.ranking.iter().skip(mine + 1).copied().find(has_room)
-            && lowest.is_none_or(|(worst, _, _)| mine > worst)
-        {
-            lowest = Some((mine, one.name, to));
-        }
-    }
-    let over = joined.saturating_sub(leaving) > most;
-    lowest.filter(|_| over).map(|(_, proxy, to)| (proxy, rooms[to].name))
+/// A decision to move a proxy to another governor.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct ProxyMove<'a> {
+    /// The proxy's name.
+    pub proxy: &'a str,
+    /// The destination's name.
+    pub to: &'a str,
 }
 
-/// Whether a governor lets a proxy come that another offers: not while it drains; and not beyond the bound,
-/// unless the other drains and has to put it somewhere.
-pub fn admits(joined: usize, rooms: &[GovernorCapacity], draining: bool, giver_drains: bool) -> bool {
-    let all: usize = joined + rooms.iter().map(|room| room.connected_proxies).sum::<usize>();
-    !draining && (giver_drains || joined < bound(all, rooms.len() + 1))
+/// The other governors, and how many proxies each may have.
+struct Destinations<'a, 'b> {
+    others: &'b [GovernorCapacity<'a>],
+    limit: usize,
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-    use std::collections::BTreeMap;
+impl<'a> Destinations<'a, '_> {
+    fn first_below_limit(&self, ranking: &[usize]) -> Option<usize> {
+        ranking.iter().copied().find(|index| self.is_below_limit(*index))
+    }
 
-    fn names(of: &str, count: usize) -> Vec<String> {
-        (0..count).map(|n| format!("{of}-{n}")).collect()
+    fn is_below_limit(&self, index: usize) -> bool {
+        self.others.get(index).is_some_and(|other| other.connected_proxies < self.limit)
     }
 
-    fn counts(assigned: &[usize], governors: usize) -> Vec<usize> {
-        (0..governors).map(|one| assigned.iter().filter(|to| **to == one).count()).collect()
+    fn least_loaded(&self) -> Option<usize> {
+        (0..self.others.len()).min_by_key(|index| self.others[*index].connected_proxies)
     }
 
-    proptest! {
-        #[test]
-        fn none_takes_more_than_the_bound_and_the_order_of_asking_is_all_one(
-            proxies in 1usize..400, governors in 1usize..9, turn in 0usize..400,
-        ) {
-            let (proxies, governors) = (names("relay", proxies), names("g", governors));
-            let mut some: Vec<&str> = proxies.iter().map(String::as_str).collect();
-            let others: Vec<&str> = governors.iter().map(String::as_str).collect();
-            let assigned = assign(&some, &others);
-            let most = bound(some.len(), others.len());
-            prop_assert!(counts(&assigned, others.len()).iter().all(|count| *count <= most));
-            let by_name: BTreeMap<&str, usize> = some.iter().copied().zip(assigned).collect();
-            let turn = turn % some.len();
-            some.rotate_left(turn);
-            some.reverse();
-            let again: BTreeMap<&str, usize> = some.iter().copied().zip(assign(&some, &others)).collect();
-            prop_assert_eq!(by_name, again);
-        }
+    fn move_to(&self, proxy: &'a str, index: usize) -> ProxyMove<'a> {
+        ProxyMove { proxy, to: self.others[index].name }
+    }
+}
+
+/// A move that would relieve this governor, and how low the proxy ranks it.
+struct Relief<'a> {
+    own_rank: usize,
+    proxy_move: ProxyMove<'a>,
+}
 
-        #[test]
-        fn few_move_when_one_goes(proxies in 50usize..400, governors in 3usize..9, gone in 0usize..9) {
-            let (proxies, governors) = (names("relay", proxies), names("g", governors));
-            let gone = gone % governors.len();
-            let some: Vec<&str> = proxies.iter().map(String::as_str).collect();
-            let before: Vec<&str> = governors.iter().map(String::as_str).collect();
-            let after: Vec<&str> = before.iter().copied().filter(|one| *one != before[gone]).collect();
-            let (then, now) = (assign(&some, &before), assign(&some, &after));
-            let moved = then.iter().zip(&now).filter(|(then, now)| before[**then] != after[**now]).count();
-            let had = counts(&then, before.len())[gone];
-            // Its own must move; besides them those that a full governor had turned away, and who stand back.
-            prop_assert!(moved >= had && moved <= had + some.len() / 5 + 3, "{moved} moved of {had}");
+/// The next proxy to move, and its destination; none if all are where they should be.
+///
+/// `others`: the live governors that don't drain; `proxies`: those connected here that are not being moved away.
+pub fn next_move<'a>(
+    others: &[GovernorCapacity<'a>],
+    local: LocalGovernor,
+    mut proxies: impl Iterator<Item = LocalProxy<'a>>,
+) -> Option<ProxyMove<'a>> {
+    if others.is_empty() {
+        return None;
+    }
+    let serving = others.len() + usize::from(local.mode == ServiceMode::Serving);
+    let limit = max_proxies_per_governor(all_proxies(local, others), serving);
+    let destinations = Destinations { others, limit };
+    match local.mode {
+        ServiceMode::Draining => {
+            let proxy = proxies.find(|proxy| proxy.movable)?;
+            let to = destinations.first_below_limit(proxy.ranking).or(destinations.least_loaded())?;
+            Some(destinations.move_to(proxy.name, to))
         }
+        ServiceMode::Serving => next_move_while_serving(&destinations, local.connected_proxies, proxies),
     }
+}
 
-    /// A fleet whose governors each judge their own: until nobody moves.
-    fn settled(mut at: Vec<usize>, governors: &[String], draining: &[bool]) -> (Vec<usize>, usize) {
-        let proxies = names("relay", at.len());
-        for moves in 0..10_000 {
-            let joined = counts(&at, governors.len());
-            let mut moved = false;
-            for me in 0..governors.len() {
-                let others: Vec<usize> =
-                    (0..governors.len()).filter(|one| *one != me && !draining[*one]).collect();
-                let rooms: Vec<GovernorCapacity> = others
-                    .iter()
-                    .map(|one| GovernorCapacity { name: &governors[*one], connected_proxies: joined[*one] })
-                    .collect();
-                let listed: Vec<&str> =
-                    rooms.iter().map(|room| room.name).chain([governors[me].as_str()]).collect();
-                let ranked: Vec<Vec<usize>> = proxies.iter().map(|proxy| ranking(proxy, &listed)).collect();
-                let mine = (0..at.len()).filter(|proxy| at[*proxy] == me);
-                let here =
-                    mine.map(|one| LocalProxy { name: &proxies[one], ranking: &ranked[one], movable: true });
-                if let Some((proxy, to)) = next_move(&rooms, joined[me], draining[me], here) {
-                    let proxy = proxies.iter().position(|one| one == proxy).unwrap();
-                    at[proxy] = governors.iter().position(|one| one == to).unwrap();
-                    moved = true;
-                    break;
-                }
-            }
-            if !moved {
-                return (at, moves);
-            }
+fn next_move_while_serving<'a>(
+    destinations: &Destinations<'a, '_>,
+    connected_proxies: usize,
+    proxies: impl Iterator<Item = LocalProxy<'a>>,
+) -> Option<ProxyMove<'a>> {
+    let local_index = destinations.others.len();
+    let mut relief: Option<Relief> = None;
+    // Proxies that will move once they may: they are no reason to move others meanwhile, who would only come back.
+    let mut about_to_leave = 0;
+    for proxy in proxies {
+        let own_rank =
+            proxy.ranking.iter().position(|index| *index == local_index).unwrap_or(proxy.ranking.len());
+        let better = destinations.first_below_limit(&proxy.ranking[..own_rank]);
+        if !proxy.movable {
+            about_to_leave += usize::from(better.is_some());
+            continue;
+        }
+        if let Some(to) = better {
+            return Some(destinations.move_to(proxy.name, to));
+        }
+        if connected_proxies <= destinations.limit {
+            continue;
+        }
+        // Above the limit the proxy that ranks this governor lowest goes first.
+        let worse = proxy.ranking.get(own_rank + 1..).unwrap_or_default();
+        if let Some(to) = destinations.first_below_limit(worse)
+            && relief.as_ref().is_none_or(|lowest| own_rank > lowest.own_rank)
+        {
+            relief = Some(Relief { own_rank, proxy_move: destinations.move_to(proxy.name, to) });
         }
-        panic!("it never settles");
     }
-
-    #[test]
-    fn governors_that_judge_only_their_own_come_to_the_bound_and_to_rest() {
-        let governors = names("g", 4);
-        // All at one, as after the others were dead.
-        let (at, moves) = settled(vec![0; 90], &governors, &[false; 4]);
-        let joined = counts(&at, 4);
-        assert!(joined.iter().all(|count| *count <= bound(90, 4)), "{joined:?}");
-        assert!(moves <= 90, "{moves}: nobody moves twice");
-        let proxies = names("relay", 90);
-        let (some, others): (Vec<&str>, Vec<&str>) =
-            (proxies.iter().map(String::as_str).collect(), governors.iter().map(String::as_str).collect());
-        let alike = assign(&some, &others).iter().zip(&at).filter(|(one, other)| one == other).count();
-        assert!(alike >= 80, "{alike} of 90 are where they would be if all were known");
-        // At rest it stays at rest.
-        assert_eq!(settled(at.clone(), &governors, &[false; 4]).1, 0);
-        let drained = settled(at, &governors, &[false, true, false, false]).0;
-        let joined = counts(&drained, 4);
-        assert!(joined[1] == 0 && joined.iter().all(|count| *count <= bound(90, 3)), "{joined:?}");
+    if connected_proxies.saturating_sub(about_to_leave) > destinations.limit {
+        relief.map(|relief| relief.proxy_move)
+    } else {
+        None
     }
+}
 
-    #[test]
-    fn who_has_just_come_and_belongs_elsewhere_is_no_reason_to_send_others_away() {
-        let rooms = [
-            GovernorCapacity { name: "back", connected_proxies: 0 },
-            GovernorCapacity { name: "other", connected_proxies: 25 },
-        ];
-        let here = |newcomers: usize| {
-            (0..31).map(move |n| match n < newcomers {
-                true => LocalProxy { name: "new", ranking: &[0, 2, 1], movable: false },
-                false => LocalProxy { name: "own", ranking: &[2, 0, 1], movable: true },
-            })
-        };
-        // At most 24 of 56 belong here.
-        assert_eq!(next_move(&rooms, 31, false, here(7)), None);
-        assert_eq!(next_move(&rooms, 31, false, here(6)), Some(("own", "back")));
-    }
+fn all_proxies(local: LocalGovernor, others: &[GovernorCapacity]) -> usize {
+    let elsewhere: usize = others.iter().map(|other| other.connected_proxies).sum();
+    local.connected_proxies + elsewhere
+}
 
-    #[test]
-    fn a_draining_governor_puts_its_proxies_somewhere_and_takes_none() {
-        let room = |name, joined| GovernorCapacity { name, connected_proxies: joined };
-        let here = || LocalProxy { name: "p", ranking: &[0, 2, 1], movable: true };
-        let full = [room("a", 900), room("b", 100)];
-        assert_eq!(next_move(&full, 1, true, [here()].into_iter()), Some(("p", "b")));
-        assert_eq!(next_move(&full, 1, true, [LocalProxy { movable: false, ..here() }].into_iter()), None);
-        assert_eq!(next_move(&[], 1, true, [here()].into_iter()), None, "nobody to hand it to");
-        assert!(admits(50, &full, false, true) && !admits(1, &full, true, true));
-        assert!(!admits(438, &full, true, false) && admits(437, &full, false, false));
-        assert!(!admits(900, &full, false, false));
-    }
+/// Whether this governor admits a proxy that another offers: not while it drains, and not above its capacity unless the
+/// other governor drains.
+pub fn admits(local: LocalGovernor, others: &[GovernorCapacity], offered_by: ServiceMode) -> bool {
+    let limit = max_proxies_per_governor(all_proxies(local, others), others.len() + 1);
+    let has_capacity = local.connected_proxies < limit;
+    local.mode == ServiceMode::Serving && (offered_by == ServiceMode::Draining || has_capacity)
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/membership/src/members/gossip.rs
@@ -0,0 +1,106 @@
+//! Updates: which take precedence, and which are sent on.
+
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use super::{MAX_MEMBERS, Member, MemberAction, Members};
+use crate::messages::{MemberState, MemberUpdate, encoded_length};
+
+impl Members {
+    /// Applies an update if it is newer than what is known.
+    pub(super) fn apply_update(&mut self, now: Duration, update: &MemberUpdate) {
+        if update.name == self.local.name {
+            return self.refute(update);
+        }
+        let Some(known) = self.others.get_mut(&update.name) else {
+            return self.add_member(now, update);
+        };
+        let load_is_newer = update.load.version > known.update.load.version;
+        if precedence(update) <= precedence(&known.update) {
+            // Its load may be newer though its state is not.
+            if update.incarnation == known.update.incarnation && load_is_newer {
+                known.update.load = update.load;
+                self.transmissions.insert(update.name.clone(), 0);
+            }
+            return;
+        }
+        let state_changed = known.update.state != update.state;
+        let address = if known.configured { known.update.address } else { update.address };
+        let is_new_incarnation = update.incarnation > known.update.incarnation;
+        let load_is_current = update.load.version >= known.update.load.version;
+        let load = if is_new_incarnation || load_is_current { update.load } else { known.update.load };
+        known.update = MemberUpdate { address, load, ..update.clone() };
+        if state_changed {
+            known.state_since = now;
+            self.announce(&update.name, update.state);
+        } else {
+            self.transmissions.insert(update.name.clone(), 0);
+        }
+    }
+
+    /// Answers an update about this governor that says it is not alive, or that belongs to a later run, with a higher
+    /// incarnation.
+    fn refute(&mut self, update: &MemberUpdate) {
+        let denies_life = update.state != MemberState::Alive && update.incarnation >= self.local.incarnation;
+        let is_ahead = update.incarnation > self.local.incarnation;
+        if (denies_life || is_ahead) && self.local.state == MemberState::Alive {
+            self.local.incarnation = update.incarnation.saturating_add(1);
+        }
+    }
+
+    fn add_member(&mut self, now: Duration, update: &MemberUpdate) {
+        if self.others.len() >= MAX_MEMBERS || update.state > MemberState::Suspect {
+            return;
+        }
+        let member = Member { update: update.clone(), state_since: now, last_heard: None, configured: false };
+        self.others.insert(update.name.clone(), member);
+        self.announce(&update.name, update.state);
+    }
+
+    fn announce(&mut self, name: &str, state: MemberState) {
+        self.transmissions.insert(name.to_string(), 0);
+        self.actions.push_back(MemberAction::StateChanged { governor: name.to_string(), state });
+    }
+
+    /// The updates that travel with a message to `receiver`, of at most `max_bytes`: first one that says the receiver is
+    /// not alive, then those that were sent least often. This governor's own is at the head of every message anyway.
+    pub(super) fn updates_for(&mut self, receiver: &str, max_bytes: usize) -> Vec<MemberUpdate> {
+        let max_transmissions = self.settings.transmission_multiplier * self.log_of_members();
+        let max_transmissions = max_transmissions.ceil() as u32;
+        self.transmissions.retain(|_, times| *times < max_transmissions);
+        let mut bytes_left = max_bytes;
+        let mut updates = Vec::new();
+        if bytes_left > 0
+            && let Some(update) = self.refutable_update(receiver)
+        {
+            bytes_left = bytes_left.saturating_sub(encoded_length(&update));
+            updates.push(update);
+        }
+        let least_sent_first: BTreeSet<(u32, String)> =
+            self.transmissions.iter().map(|(name, times)| (*times, name.clone())).collect();
+        for (_, name) in least_sent_first {
+            let update = self.others.get(&name).map(|member| member.update.clone());
+            let Some(update) = update.filter(|update| update.name != receiver) else { continue };
+            let length = encoded_length(&update);
+            if length > bytes_left {
+                break;
+            }
+            bytes_left -= length;
+            *self.transmissions.entry(name).or_default() += 1;
+            updates.push(update);
+        }
+        updates
+    }
+
+    /// The update about a governor, if it says that it is not alive and the governor was ever heard of.
+    fn refutable_update(&self, name: &str) -> Option<MemberUpdate> {
+        let update = &self.others.get(name)?.update;
+        let is_refutable = update.state != MemberState::Alive && update.incarnation > 0;
+        is_refutable.then(|| update.clone())
+    }
+}
+
+/// Of two updates the one with the greater precedence holds: incarnation, then state, then the load's version.
+fn precedence(update: &MemberUpdate) -> (u64, MemberState, u64) {
+    (update.incarnation, update.state, update.load.version)
+}
--- a/crates/membership/src/messages.rs
+++ b/crates/membership/src/messages.rs
@@ -1,152 +1,194 @@
-//! What governors say to each other: each message is a datagram, sealed with the fleet's key, and none is
-//! longer than [`MAX_DATAGRAM_BYTES`].
+//! The messages between governors and their encoding: one datagram each, sealed with the fleet's key, of at most
+//! [`MAX_DATAGRAM_BYTES`].
+//!
+//! The encoding is postcard's, which is positional: the order of fields and of variants is part of the protocol.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 use wrenthread_core::ownership::{ProofError, SigningKey, seal, unseal};
 
-/// What a datagram may have and still cross common networks in one piece.
+use crate::ServiceMode;
+
+/// Size limit of a datagram, in bytes: it crosses common networks without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// No governor's name is longer.
+/// Size limit of a governor's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// How a governor stands, as others see it. Of two words of one incarnation the later in this order holds.
+/// A governor's state as others see it. Of two updates of the same incarnation the one that is later in this order
+/// takes precedence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
+    /// It answers.
     Alive,
-    /// It did not answer: it is dead unless it says otherwise in time.
+    /// It did not answer; it is declared dead unless it refutes that before the suspicion timeout.
     Suspect,
+    /// It did not refute the suspicion in time.
     Dead,
-    /// It said that it stops.
+    /// It announced that it stops.
     Left,
 }
 
-/// What a governor says of itself, besides being there.
+impl MemberState {
+    /// The name that status pages and logs show.
+    pub fn name(self) -> &'static str {
+        match self {
+            MemberState::Alive => "alive",
+            MemberState::Suspect => "suspect",
+            MemberState::Dead => "dead",
+            MemberState::Left => "left",
+        }
+    }
+}
+
+/// What a governor reports of its own load.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GovernorLoad {
     /// Grows with each change, within an incarnation.
     pub version: u64,
-    /// Proxies joined there, and those on their way.
+    /// Proxies connected there.
     pub connected_proxies: u32,
-    /// It hands its proxies over, and wants none.
+    /// It hands its proxies over and admits none.
     pub draining: bool,
 }
 
-/// A word about a governor, its own or another's.
+impl GovernorLoad {
+    /// Whether the governor serves proxies or drains.
+    pub fn mode(&self) -> ServiceMode {
+        if self.draining { ServiceMode::Draining } else { ServiceMode::Serving }
+    }
+}
+
+/// What is known of one governor, as gossip carries it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberUpdate {
+    /// The governor's name.
     pub name: String,
+    /// Where it receives datagrams.
     pub address: SocketAddr,
+    /// Raised by the governor itself, to refute what is said of it.
     pub incarnation: u64,
+    /// Its state.
     pub state: MemberState,
+    /// Its load, by its own account.
     pub load: GovernorLoad,
 }
 
-/// What a message is for.
+/// A part of an offer to hand a proxy over, with a part of what is known of the proxy.
+#[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct OfferPart {
+    /// Identifies the offer among all of the same sender.
+    pub offer_id: u64,
+    /// The proxy's name.
+    pub proxy: String,
+    /// Place of this part, from 0.
+    pub part_index: u16,
+    /// Number of parts in the offer.
+    pub part_count: u16,
+    /// This part of the encoded state.
+    pub bytes: Vec<u8>,
+}
+
+/// What a message asks for or answers.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// Are you there?
-    Ping { number: u64 },
-    /// Ask another for me whether it is there.
-    PingRequest { number: u64, target: String },
-    /// `of` is there: the sender itself, or whom it asked.
-    Ack { number: u64, of: String },
-    /// A part of what is known of a proxy that is to change hands.
-    Offer { number: u64, proxy: String, part: u16, parts: u16, bytes: Vec<u8> },
-    /// The proxy may come.
-    Accept { number: u64, proxy: String },
-    /// It may not, now.
-    Decline { number: u64, proxy: String },
+    /// A probe; answered by [`MessageBody::Ack`].
+    Ping {
+        /// Returned in the answer.
+        sequence: u64,
+    },
+    /// Asks the receiver to probe another governor (SWIM's ping-req).
+    PingRequest {
+        /// Returned in the answer.
+        sequence: u64,
+        /// The governor to probe.
+        target: String,
+    },
+    /// The answer to a probe.
+    Ack {
+        /// That of the probe.
+        sequence: u64,
+        /// The governor that answered: the sender, or the target of an indirect probe.
+        governor: String,
+    },
+    /// A part of an offer to hand a proxy over.
+    Offer(OfferPart),
+    /// The offered proxy may come.
+    Accept {
+        /// The offer's.
+        offer_id: u64,
+        /// The proxy's name.
+        proxy: String,
+    },
+    /// The offered proxy may not come now.
+    Decline {
+        /// The offer's.
+        offer_id: u64,
+        /// The proxy's name.
+        proxy: String,
+    },
 }
 
+/// One message between two governors.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Message {
-    /// The sender's word of itself.
+    /// The sender's update about itself.
     pub from: MemberUpdate,
-    /// Whom it is meant for: an address may be another's by now.
+    /// The receiver's name: an address may belong to another governor by now.
     pub to: String,
+    /// What is asked or answered.
     pub body: MessageBody,
-    /// Words about others, as many as fit.
+    /// Updates about other governors, as many as fit.
     pub updates: Vec<MemberUpdate>,
 }
 
-/// Why a datagram tells nothing.
+/// Why a datagram was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DatagramError {
+    /// It is not sealed with a live key.
     #[error("it is not proven: {0}")]
     Unauthenticated(#[from] ProofError),
+    /// It exceeds [`MAX_DATAGRAM_BYTES`].
     #[error("it is longer than any that is sent")]
     TooLong,
+    /// It does not decode to a message with valid names.
     #[error("it is no message")]
     Malformed,
 }
 
-/// A message as a datagram.
-pub fn write(key: &SigningKey, message: &Message) -> Vec<u8> {
-    // Only a type that can't be written could fail, and none of these is one.
-    seal(key, &postcard::to_allocvec(message).unwrap_or_default())
+/// Encodes and seals a message.
+pub fn encode(key: &SigningKey, message: &Message) -> Vec<u8> {
+    // Postcard fails only on types that it can't represent; none of these is one.
+    let body = postcard::to_allocvec(message).unwrap_or_default();
+    seal(key, &body)
 }
 
-/// What a datagram says.
+/// Verifies and decodes a datagram.
 ///
-/// Errors: as [`DatagramError`]; nothing is known from it.
-pub fn read(keys: &[SigningKey], datagram: &[u8]) -> Result<Message, DatagramError> {
+/// # Errors
+/// It is too long, not sealed with one of `keys`, or not a valid message.
+pub fn decode(keys: &[SigningKey], datagram: &[u8]) -> Result<Message, DatagramError> {
     if datagram.len() > MAX_DATAGRAM_BYTES {
         return Err(DatagramError::TooLong);
     }
     let body = unseal(keys, datagram)?;
     let message: Message = postcard::from_bytes(body).map_err(|_| DatagramError::Malformed)?;
-    let names = message.updates.iter().map(|word| &word.name).chain([&message.from.name]);
-    let fits = |name: &String| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
-    if names.into_iter().all(fits) { Ok(message) } else { Err(DatagramError::Malformed) }
+    let updates_are_valid = message.updates.iter().all(|update| is_valid_name(&update.name));
+    if updates_are_valid && is_valid_name(&message.from.name) {
+        Ok(message)
+    } else {
+        Err(DatagramError::Malformed)
+    }
 }
 
-/// The bytes that a word takes in a message.
-pub fn length(word: &MemberUpdate) -> usize {
-    postcard::to_allocvec(word).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len())
+fn is_valid_name(name: &str) -> bool {
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn message() -> Message {
-        let word = |name: &str| MemberUpdate {
-            name: name.into(),
-            address: "127.0.0.1:1".parse().unwrap(),
-            incarnation: u64::MAX,
-            state: MemberState::Suspect,
-            load: GovernorLoad { version: 3, connected_proxies: 70_000, draining: true },
-        };
-        let body =
-            MessageBody::Offer { number: 1, proxy: "p".into(), part: 1, parts: 2, bytes: vec![7; 300] };
-        Message { from: word("g0"), to: "g1".into(), body, updates: vec![word("g2"), word("g3")] }
-    }
-
-    #[test]
-    fn a_message_is_read_as_it_was_written_and_a_long_or_nameless_one_not_at_all() {
-        let key = SigningKey::new("k", &[1; 32]).unwrap();
-        let keys = [key.clone()];
-        assert_eq!(read(&keys, &write(&key, &message())), Ok(message()));
-        let mut long = message();
-        long.body =
-            MessageBody::Offer { number: 1, proxy: "p".into(), part: 0, parts: 1, bytes: vec![0; 1300] };
-        assert_eq!(read(&keys, &write(&key, &long)), Err(DatagramError::TooLong));
-        let mut nameless = message();
-        nameless.updates[0].name.clear();
-        assert_eq!(read(&keys, &write(&key, &nameless)), Err(DatagramError::Malformed));
-        assert!(length(&message().updates[0]) < 40);
-    }
-
-    proptest! {
-        #[test]
-        fn bytes_of_any_kind_are_heard_without_harm(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
-            let key = SigningKey::new("k", &[1; 32]).unwrap();
-            prop_assert!(read(std::slice::from_ref(&key), &bytes).is_err());
-            // Even one with the key may be wrong in itself.
-            let _ = read(std::slice::from_ref(&key), &seal(&key, &bytes));
-        }
-    }
+/// The bytes that an update takes in a message.
+pub fn encoded_length(update: &MemberUpdate) -> usize {
+    postcard::to_allocvec(update).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len())
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/membership/src/migration.rs
+++ b/crates/membership/src/migration.rs
@@ -1,30 +1,32 @@
-//! A proxy changes hands: what is known of it goes ahead, and its stream moves once the other said yes.
+//! Moving a proxy from one governor to another: what is known of it is transferred first, and its stream ends once the
+//! other governor has accepted.
 //!
-//! Offer, accept (or decline), move. Nothing is agreed on beyond that: whoever has a proxy's stream has its
-//! care, and a proxy that is moved goes where it is sent or, if that can't be had, to the next in its own
-//! order. So a message lost costs time, a copy is answered as its original was, and one that comes late finds
-//! an offer that is over, and does nothing.
+//! The steps are offer, accept (or decline) and move. Nothing else is agreed on: the governor that has a proxy's stream
+//! is responsible for it, and a proxy whose destination does not answer goes to the next in its own ranking. So a lost
+//! message costs time, a duplicate is answered like the original, and a late one finds its offer closed and is ignored.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use crate::messages::MessageBody;
+use crate::messages::{MessageBody, OfferPart};
 
-/// Offers open at a time.
+/// Limit of open offers to others.
 const MAX_OPEN_OFFERS: usize = 16;
-/// An offer without an answer is said again after so long, so many times in all.
+/// How long an offer waits for an answer before it is sent again.
 const OFFER_RETRY_INTERVAL: Duration = Duration::from_millis(400);
+/// How often an offer is sent in all.
 const MAX_OFFER_ATTEMPTS: u32 = 4;
-/// A proxy whose offer came to nothing is left alone for so long.
+/// How long a proxy is not offered again after an offer ended.
 const OFFER_BACKOFF: Duration = Duration::from_secs(3);
-/// Bytes of a part: with head and seal it must fit a datagram.
+/// Size limit of a part, in bytes: with its header and seal it fits a datagram.
 const MAX_PART_BYTES: usize = 900;
-/// The most that is known of a proxy, in parts. What is larger is not sent ahead.
+/// Limit of the parts of one proxy's state. Larger state is not transferred.
 pub const MAX_PARTS: usize = 64;
-/// What was sent ahead is kept for so long for a proxy that does not come, for so many proxies.
+/// How long transferred state is kept for a proxy that does not connect.
 const TRANSFERRED_STATE_TTL: Duration = Duration::from_secs(15);
+/// Limit of the proxies for which transferred state is kept.
 const MAX_INCOMING_OFFERS: usize = 512;
-/// And bytes in all.
+/// Limit of all transferred state that is kept, in bytes.
 const MAX_INCOMING_BYTES: usize = 8 << 20;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -46,346 +48,300 @@
     accepted: bool,
 }
 
-/// What a handover comes to.
+impl IncomingOffer {
+    fn is_complete(&self) -> bool {
+        self.parts.len() == usize::from(self.part_count)
+    }
+
+    fn size(&self) -> usize {
+        self.parts.values().map(Vec::len).sum()
+    }
+}
+
+/// The answer to an offer.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum OfferAnswer {
+    /// The proxy may come.
+    Accepted,
+    /// The proxy may not come now.
+    Declined,
+}
+
+/// What the owner of [`Migrations`] has to do.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum MigrationAction {
-    Send(String, MessageBody),
-    /// Send the proxy there.
+    /// Send a message to another governor.
+    Send {
+        /// The receiver's name.
+        to: String,
+        /// The message.
+        body: MessageBody,
+    },
+    /// End the proxy's stream and redirect it.
     MoveProxy {
+        /// The proxy's name.
         proxy: String,
+        /// The destination's name.
         to: String,
     },
-    /// Nobody answered.
+    /// Log that an offer was never answered.
     OfferUnanswered {
+        /// The proxy's name.
         proxy: String,
+        /// The governor that it was offered to.
         to: String,
     },
 }
 
-/// All proxies of a governor that are on their way, out and in.
+/// All migrations of one governor, outgoing and incoming.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Migrations {
+    /// Open offers to others, by offer id.
     outgoing: BTreeMap<u64, OutgoingOffer>,
+    /// Until when each proxy is not offered again.
     backoff_until: BTreeMap<String, Duration>,
+    /// Offers of others, by proxy.
     incoming: BTreeMap<String, IncomingOffer>,
     last_offer_id: u64,
     actions: VecDeque<MigrationAction>,
 }
 
-/// What was sent ahead of a proxy.
+/// What another governor transferred ahead of a proxy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TransferredState {
+    /// The governor that had the proxy.
     pub from: String,
+    /// The encoded state.
     pub bytes: Vec<u8>,
-    /// How long it has been here.
+    /// How long ago it arrived.
     pub held_for: Duration,
 }
 
 impl Migrations {
-    /// Numbers of offers begin beyond `numbers`: a later life's must not be taken for an earlier one's.
-    pub fn new(numbers: u64) -> Self {
-        Migrations { last_offer_id: numbers, ..Migrations::default() }
+    /// Offer ids begin above `last_offer_id`, so that those of a restarted governor differ from its earlier ones.
+    pub fn new(last_offer_id: u64) -> Self {
+        Migrations { last_offer_id, ..Migrations::default() }
     }
 
-    // ---- the giver
+    // ---- outgoing
 
     /// Whether one more offer may be made now.
     pub fn can_offer(&self) -> bool {
         self.outgoing.len() < MAX_OPEN_OFFERS
     }
 
-    /// Whether a proxy is on its way out, or its last offer came to nothing a moment ago.
+    /// Whether a proxy can't be offered now: an offer is open, or one ended recently.
     pub fn is_unavailable(&self, now: Duration, proxy: &str) -> bool {
-        self.outgoing.values().any(|one| one.proxy == proxy)
-            || self.backoff_until.get(proxy).is_some_and(|until| now < *until)
+        self.is_offered(proxy) || self.backoff_until.get(proxy).is_some_and(|until| now < *until)
     }
 
-    /// Whether a proxy is offered to somebody, and not answered yet.
+    /// Whether an offer of the proxy is open.
     pub fn is_offered(&self, proxy: &str) -> bool {
-        self.outgoing.values().any(|one| one.proxy == proxy)
+        self.outgoing.values().any(|offer| offer.proxy == proxy)
     }
 
-    /// Offers a proxy, with what is known of it. Too much of that, and it goes without.
-    pub fn offer(&mut self, now: Duration, proxy: &str, to: &str, mut bytes: Vec<u8>) {
-        if bytes.len() > MAX_PART_BYTES * MAX_PARTS {
-            bytes.clear();
+    /// Offers a proxy to another governor, with its encoded state. State above [`MAX_PARTS`] is left out.
+    pub fn offer(&mut self, now: Duration, proxy: &str, to: &str, mut state: Vec<u8>) {
+        if state.len() > MAX_PART_BYTES * MAX_PARTS {
+            state.clear();
         }
         self.last_offer_id += 1;
-        let (proxy, to) = (proxy.to_string(), to.to_string());
-        let offered =
-            OutgoingOffer { proxy, to, state: bytes, resend_at: now + OFFER_RETRY_INTERVAL, attempts: 1 };
-        self.send_offer(self.last_offer_id, &offered);
-        self.outgoing.insert(self.last_offer_id, offered);
+        let offer = OutgoingOffer {
+            proxy: proxy.to_string(),
+            to: to.to_string(),
+            state,
+            resend_at: now + OFFER_RETRY_INTERVAL,
+            attempts: 1,
+        };
+        self.send_offer(self.last_offer_id, &offer);
+        self.outgoing.insert(self.last_offer_id, offer);
     }
 
-    fn send_offer(&mut self, number: u64, offered: &OutgoingOffer) {
-        let parts: Vec<&[u8]> =
-            if offered.state.is_empty() { vec![&[]] } else { offered.state.chunks(MAX_PART_BYTES).collect() };
-        let of = parts.len() as u16;
-        for (part, bytes) in parts.into_iter().enumerate() {
-            let (proxy, bytes) = (offered.proxy.clone(), bytes.to_vec());
-            let body = MessageBody::Offer { number, proxy, part: part as u16, parts: of, bytes };
-            self.actions.push_back(MigrationAction::Send(offered.to.clone(), body));
+    fn send_offer(&mut self, offer_id: u64, offer: &OutgoingOffer) {
+        let mut chunks: Vec<&[u8]> = offer.state.chunks(MAX_PART_BYTES).collect();
+        if chunks.is_empty() {
+            chunks.push(&[]);
+        }
+        let part_count = chunks.len() as u16;
+        for (part_index, bytes) in chunks.into_iter().enumerate() {
+            let part = OfferPart {
+                offer_id,
+                proxy: offer.proxy.clone(),
+                part_index: part_index as u16,
+                part_count,
+                bytes: bytes.to_vec(),
+            };
+            self.send(&offer.to, MessageBody::Offer(part));
         }
     }
 
-    /// An answer to an offer. One that is over, or another's, does nothing.
-    pub fn handle_answer(&mut self, now: Duration, from: &str, number: u64, proxy: &str, yes: bool) {
-        let meant = |one: &OutgoingOffer| one.to == from && one.proxy == proxy;
-        if !self.outgoing.get(&number).is_some_and(meant) {
+    /// Handles the answer to an offer. The answer to a closed offer, or another governor's, is ignored.
+    pub fn handle_answer(
+        &mut self,
+        now: Duration,
+        from: &str,
+        offer_id: u64,
+        proxy: &str,
+        answer: OfferAnswer,
+    ) {
+        let matches = |offer: &OutgoingOffer| offer.to == from && offer.proxy == proxy;
+        if !self.outgoing.get(&offer_id).is_some_and(matches) {
             return;
         }
-        if let Some(OutgoingOffer { proxy, to, .. }) = self.outgoing.remove(&number) {
-            // Who was told to go and stays has not heard it, and is asked again.
-            self.backoff_until.insert(proxy.clone(), now + OFFER_BACKOFF);
-            if yes {
-                self.actions.push_back(MigrationAction::MoveProxy { proxy, to });
-            }
+        let Some(offer) = self.outgoing.remove(&offer_id) else { return };
+        // A proxy that was redirected and stays did not notice, and is offered again after the backoff.
+        self.backoff_until.insert(offer.proxy.clone(), now + OFFER_BACKOFF);
+        if answer == OfferAnswer::Accepted {
+            self.actions.push_back(MigrationAction::MoveProxy { proxy: offer.proxy, to: offer.to });
         }
     }
 
-    /// A proxy's stream is over: there is nothing left to hand over.
+    /// A proxy's stream ended here: there is nothing left to move.
     pub fn proxy_disconnected(&mut self, proxy: &str) {
-        self.outgoing.retain(|_, one| one.proxy != proxy);
+        self.outgoing.retain(|_, offer| offer.proxy != proxy);
         self.backoff_until.remove(proxy);
     }
 
-    /// Proxies that are on their way to a governor.
+    /// Number of proxies with an open offer to one governor.
     pub fn outgoing_to(&self, to: &str) -> usize {
-        self.outgoing.values().filter(|one| one.to == to).count()
+        self.outgoing.values().filter(|offer| offer.to == to).count()
     }
 
+    /// Number of proxies with an open offer.
     pub fn outgoing_count(&self) -> usize {
         self.outgoing.len()
     }
 
-    // ---- the taker
+    // ---- incoming
 
-    /// A part of an offer. Once all are there, `admits` says whether the proxy may come; until then nothing
-    /// is answered.
-    #[allow(clippy::too_many_arguments)]
+    /// Handles a part of an offer. Once the offer is complete, `admits` decides by the number of expected proxies; until
+    /// then nothing is answered.
     pub fn handle_offer(
         &mut self,
         now: Duration,
         from: &str,
-        number: u64,
-        proxy: &str,
-        part: u16,
-        parts: u16,
-        bytes: &[u8],
+        part: &OfferPart,
         admits: impl FnOnce(usize) -> bool,
     ) {
         self.expire(now);
-        if parts == 0 || usize::from(parts) > MAX_PARTS || part >= parts || bytes.len() > MAX_PART_BYTES {
+        if !is_valid(part) {
             return;
         }
-        let known = self.incoming.get(proxy).filter(|one| one.from == from);
-        if known.is_some_and(|one| one.offer_id > number) {
-            // An older offer of the same proxy, late.
+        let OfferPart { offer_id, proxy, part_count, .. } = part;
+        let known = self.incoming.get(proxy).filter(|offer| offer.from == from);
+        let known_id = known.map(|offer| offer.offer_id);
+        if known_id.is_some_and(|known_id| known_id > *offer_id) {
+            // A delayed part of an earlier offer.
             return;
         }
-        if known.is_none_or(|one| one.offer_id < number) {
-            let size: usize = self.incoming.values().flat_map(|one| one.parts.values()).map(Vec::len).sum();
-            if self.incoming.len() >= MAX_INCOMING_OFFERS || size > MAX_INCOMING_BYTES {
-                return self.decline(from, number, proxy);
+        if known_id.is_none_or(|known_id| known_id < *offer_id) {
+            if !self.has_room_for_incoming() {
+                return self.decline(from, part);
             }
-            let (from, parts_of) = (from.to_string(), BTreeMap::new());
-            let coming = IncomingOffer {
-                from,
-                offer_id: number,
-                parts: parts_of,
-                part_count: parts,
-                received_at: now,
-                accepted: false,
-            };
-            self.incoming.insert(proxy.to_string(), coming);
+            self.incoming.insert(
+                proxy.clone(),
+                IncomingOffer {
+                    from: from.to_string(),
+                    offer_id: *offer_id,
+                    parts: BTreeMap::new(),
+                    part_count: *part_count,
+                    received_at: now,
+                    accepted: false,
+                },
+            );
         }
-        let expected = self.expected_proxies();
-        let Some(coming) = self.incoming.get_mut(proxy).filter(|one| one.part_count == parts) else { return };
-        coming.parts.insert(part, bytes.to_vec());
-        if coming.parts.len() < usize::from(parts) {
+        let expected_proxies = self.expected_proxies();
+        let Some(offer) = self.incoming.get_mut(proxy).filter(|offer| offer.part_count == *part_count) else {
+            return;
+        };
+        offer.parts.insert(part.part_index, part.bytes.clone());
+        if !offer.is_complete() {
             return;
         }
-        if !coming.accepted && !admits(expected) {
+        if !offer.accepted && !admits(expected_proxies) {
             self.incoming.remove(proxy);
-            return self.decline(from, number, proxy);
+            return self.decline(from, part);
         }
-        coming.accepted = true;
-        let body = MessageBody::Accept { number, proxy: proxy.to_string() };
-        self.actions.push_back(MigrationAction::Send(from.to_string(), body));
+        offer.accepted = true;
+        self.send(from, MessageBody::Accept { offer_id: *offer_id, proxy: proxy.clone() });
+    }
+
+    fn has_room_for_incoming(&self) -> bool {
+        let bytes: usize = self.incoming.values().map(IncomingOffer::size).sum();
+        self.incoming.len() < MAX_INCOMING_OFFERS && bytes <= MAX_INCOMING_BYTES
     }
 
-    fn decline(&mut self, from: &str, number: u64, proxy: &str) {
-        let body = MessageBody::Decline { number, proxy: proxy.to_string() };
-        self.actions.push_back(MigrationAction::Send(from.to_string(), body));
+    fn decline(&mut self, from: &str, part: &OfferPart) {
+        let body = MessageBody::Decline { offer_id: part.offer_id, proxy: part.proxy.clone() };
+        self.send(from, body);
     }
 
-    /// Proxies that were told they may come, and are not here yet.
+    fn send(&mut self, to: &str, body: MessageBody) {
+        self.actions.push_back(MigrationAction::Send { to: to.to_string(), body });
+    }
+
+    /// Number of accepted proxies that have not connected yet.
     pub fn expected_proxies(&self) -> usize {
-        self.incoming.values().filter(|one| one.accepted).count()
+        self.incoming.values().filter(|offer| offer.accepted).count()
     }
 
-    /// A proxy has come: what was sent ahead, if all of it was.
+    /// A proxy connected here: the state that was transferred, if it is complete and not empty.
     pub fn proxy_connected(&mut self, now: Duration, proxy: &str) -> Option<TransferredState> {
         self.expire(now);
-        let coming =
-            self.incoming.remove(proxy).filter(|one| one.parts.len() == usize::from(one.part_count))?;
-        let bytes: Vec<u8> = coming.parts.into_values().flatten().collect();
-        let waited = now.saturating_sub(coming.received_at);
-        (!bytes.is_empty()).then_some(TransferredState { from: coming.from, bytes, held_for: waited })
+        let offer = self.incoming.remove(proxy).filter(IncomingOffer::is_complete)?;
+        let bytes: Vec<u8> = offer.parts.into_values().flatten().collect();
+        if bytes.is_empty() {
+            return None;
+        }
+        let held_for = now.saturating_sub(offer.received_at);
+        Some(TransferredState { from: offer.from, bytes, held_for })
     }
 
     fn expire(&mut self, now: Duration) {
-        self.incoming.retain(|_, one| now < one.received_at + TRANSFERRED_STATE_TTL);
+        self.incoming.retain(|_, offer| now < offer.received_at + TRANSFERRED_STATE_TTL);
     }
 
-    // ---- steps
+    // ---- actions
 
-    /// The next thing to do, until there is none.
+    /// The next action, until there is none.
     pub fn next_action(&mut self, now: Duration) -> Option<MigrationAction> {
         if self.actions.is_empty() {
             self.backoff_until.retain(|_, until| now < *until);
-            let due: Vec<u64> = self
-                .outgoing
-                .iter()
-                .filter(|(_, one)| now >= one.resend_at)
-                .map(|(number, _)| *number)
-                .collect();
-            for number in due {
-                let Some(mut one) = self.outgoing.remove(&number) else { continue };
-                if one.attempts >= MAX_OFFER_ATTEMPTS {
-                    self.backoff_until.insert(one.proxy.clone(), now + OFFER_BACKOFF);
-                    self.actions.push_back(MigrationAction::OfferUnanswered { proxy: one.proxy, to: one.to });
-                    continue;
-                }
-                (one.attempts, one.resend_at) = (one.attempts + 1, now + OFFER_RETRY_INTERVAL);
-                self.send_offer(number, &one);
-                self.outgoing.insert(number, one);
-            }
+            self.resend_offers(now);
         }
         self.actions.pop_front()
     }
 
-    pub fn next_deadline(&self) -> Option<Duration> {
-        self.outgoing.values().map(|one| one.resend_at).chain(self.backoff_until.values().copied()).min()
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const fn ms(millis: u64) -> Duration {
-        Duration::from_millis(millis)
-    }
-
-    fn steps(of: &mut Migrations, now: Duration) -> Vec<MigrationAction> {
-        std::iter::from_fn(|| of.next_action(now)).collect()
-    }
-
-    /// Says what one side said to the other, if `heard`.
-    fn carry(
-        said: Vec<MigrationAction>,
-        to: &mut Migrations,
-        now: Duration,
-        yes: bool,
-        heard: impl Fn(usize) -> bool,
-    ) {
-        for (place, one) in said.into_iter().enumerate() {
-            let MigrationAction::Send(_, body) = one else { continue };
-            if !heard(place) {
+    fn resend_offers(&mut self, now: Duration) {
+        let due = |offer: &OutgoingOffer| now >= offer.resend_at;
+        let due_ids: Vec<u64> =
+            self.outgoing.iter().filter(|(_, offer)| due(offer)).map(|(offer_id, _)| *offer_id).collect();
+        for offer_id in due_ids {
+            let Some(mut offer) = self.outgoing.remove(&offer_id) else { continue };
+            if offer.attempts >= MAX_OFFER_ATTEMPTS {
+                self.backoff_until.insert(offer.proxy.clone(), now + OFFER_BACKOFF);
+                let action = MigrationAction::OfferUnanswered { proxy: offer.proxy, to: offer.to };
+                self.actions.push_back(action);
                 continue;
             }
-            match body {
-                MessageBody::Offer { number, proxy, part, parts, bytes } => {
-                    to.handle_offer(now, "g0", number, &proxy, part, parts, &bytes, |_| yes);
-                }
-                MessageBody::Accept { number, proxy } => to.handle_answer(now, "g1", number, &proxy, true),
-                MessageBody::Decline { number, proxy } => to.handle_answer(now, "g1", number, &proxy, false),
-                _ => {}
-            }
+            offer.attempts += 1;
+            offer.resend_at = now + OFFER_RETRY_INTERVAL;
+            self.send_offer(offer_id, &offer);
+            self.outgoing.insert(offer_id, offer);
         }
     }
 
-    #[test]
-    fn what_is_known_goes_ahead_in_parts_though_some_are_lost_and_doubled() {
-        let (mut giver, mut taker) = (Migrations::new(7), Migrations::new(0));
-        let bytes: Vec<u8> = (0..5000u32).map(|n| n as u8).collect();
-        giver.offer(ms(0), "p", "g1", bytes.clone());
-        assert!(giver.is_unavailable(ms(0), "p") && giver.outgoing_to("g1") == 1);
-        let first = steps(&mut giver, ms(0));
-        assert_eq!(first.len(), 6);
-        carry(first, &mut taker, ms(1), true, |place| place != 2);
-        assert_eq!(steps(&mut taker, ms(1)), [], "a part is missing");
-        assert_eq!(giver.next_deadline(), Some(ms(400)));
-        let again = steps(&mut giver, ms(400));
-        carry(again.clone(), &mut taker, ms(401), true, |place| place >= 2);
-        carry(again, &mut taker, ms(402), false, |_| true);
-        let yes = steps(&mut taker, ms(402));
-        assert!(yes.len() > 1 && taker.expected_proxies() == 1, "copies are answered as their original was");
-        carry(yes, &mut giver, ms(403), true, |_| true);
-        let moved = MigrationAction::MoveProxy { proxy: "p".into(), to: "g1".into() };
-        assert_eq!(steps(&mut giver, ms(403)), [moved], "once");
-        assert!(giver.is_unavailable(ms(404), "p") && !giver.is_unavailable(ms(4000), "p"));
-        let ahead = taker.proxy_connected(ms(500), "p").unwrap();
-        assert_eq!((ahead.bytes, ahead.held_for, ahead.from.as_str()), (bytes, ms(499), "g0"));
-        assert_eq!(taker.proxy_connected(ms(500), "p"), None);
-    }
-
-    #[test]
-    fn who_is_declined_stays_and_is_left_alone_for_a_while() {
-        let (mut giver, mut taker) = (Migrations::new(0), Migrations::new(0));
-        giver.offer(ms(0), "p", "g1", vec![1]);
-        carry(steps(&mut giver, ms(0)), &mut taker, ms(1), false, |_| true);
-        let no = steps(&mut taker, ms(1));
-        assert!(
-            matches!(no[..], [MigrationAction::Send(_, MessageBody::Decline { .. })])
-                && taker.expected_proxies() == 0
-        );
-        carry(no, &mut giver, ms(2), true, |_| true);
-        assert_eq!(
-            (steps(&mut giver, ms(2)), giver.outgoing_count(), taker.proxy_connected(ms(3), "p")),
-            (vec![], 0, None)
-        );
-        assert!(giver.is_unavailable(ms(2), "p") && !giver.is_unavailable(ms(3100), "p"));
-    }
-
-    #[test]
-    fn an_answer_that_comes_late_or_from_another_moves_nobody() {
-        let mut giver = Migrations::new(0);
-        giver.offer(ms(0), "p", "g1", vec![1]);
-        giver.handle_answer(ms(1), "g2", 1, "p", true);
-        giver.handle_answer(ms(1), "g1", 1, "q", true);
-        giver.proxy_disconnected("p");
-        giver.handle_answer(ms(2), "g1", 1, "p", true);
-        assert!(!steps(&mut giver, ms(2)).iter().any(|one| matches!(one, MigrationAction::MoveProxy { .. })));
-        giver.offer(ms(10), "p", "g1", vec![1]);
-        let said: usize = (1..10).map(|turn| steps(&mut giver, ms(10 + 400 * turn)).len()).sum();
-        // Once at the beginning, thrice again, and then that nobody answered.
-        assert_eq!((said, giver.outgoing_count()), (1 + 3 + 1, 0));
-        giver.handle_answer(ms(9000), "g1", 2, "p", true);
-        assert_eq!(steps(&mut giver, ms(9000)), []);
+    /// When [`Migrations::next_action`] has something to do by itself at the earliest, if ever.
+    pub fn next_deadline(&self) -> Option<Duration> {
+        let resends = self.outgoing.values().map(|offer| offer.resend_at);
+        resends.chain(self.backoff_until.values().copied()).min()
     }
+}
 
-    #[test]
-    fn a_taker_is_not_filled_by_offers_that_come_to_nothing() {
-        let mut taker = Migrations::new(0);
-        for n in 0..2000 {
-            taker.handle_offer(ms(0), "g0", n, &format!("p{n}"), 0, 2, &[0; 900], |_| true);
-        }
-        taker.handle_offer(ms(0), "g0", 3000, "odd", 3, 2, &[], |_| true);
-        taker.handle_offer(ms(0), "g0", 3000, "odd", 0, 0, &[], |_| true);
-        taker.handle_offer(ms(0), "g0", 3000, "odd", 0, 9000, &[], |_| true);
-        assert_eq!(taker.incoming.len(), MAX_INCOMING_OFFERS);
-        assert!(matches!(
-            taker.next_action(ms(0)),
-            Some(MigrationAction::Send(_, MessageBody::Decline { .. }))
-        ));
-        taker.handle_offer(ms(20_000), "g0", 1, "p", 0, 1, &[1], |expected| expected == 0);
-        assert_eq!((taker.incoming.len(), taker.expected_proxies()), (1, 1), "the old ones are forgotten");
-        // An older offer of the same proxy, late, is not answered; a newer one takes its place.
-        taker.handle_offer(ms(20_000), "g0", 0, "p", 0, 1, &[2], |_| true);
-        taker.handle_offer(ms(20_000), "g0", 2, "p", 0, 1, &[3], |_| true);
-        assert_eq!(taker.proxy_connected(ms(20_001), "p").unwrap().bytes, [3]);
-    }
+fn is_valid(part: &OfferPart) -> bool {
+    let count_is_valid = part.part_count != 0 && usize::from(part.part_count) <= MAX_PARTS;
+    count_is_valid && part.part_index < part.part_count && part.bytes.len() <= MAX_PART_BYTES
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -2,7 +2,7 @@
 
 use wrenthread_core::ownership::SigningKey;
 use wrenthread_membership::messages::{
-    GovernorLoad, MemberState, MemberUpdate, Message, MessageBody, read, write,
+    GovernorLoad, MemberState, MemberUpdate, Message, MessageBody, OfferPart, decode, encode,
 };
 
 const DATAGRAMS: &str = include_str!("golden/datagrams-b735929.hex");
@@ -51,18 +51,18 @@
 
 fn body(kind: &str) -> MessageBody {
     match kind {
-        "ping" => MessageBody::Ping { number: 7 },
-        "ping_for" => MessageBody::PingRequest { number: 1000, target: "g2".into() },
-        "ack" => MessageBody::Ack { number: u64::MAX, of: "governor-0".into() },
-        "offer" => MessageBody::Offer {
-            number: 65_543,
+        "ping" => MessageBody::Ping { sequence: 7 },
+        "ping_for" => MessageBody::PingRequest { sequence: 1000, target: "g2".into() },
+        "ack" => MessageBody::Ack { sequence: u64::MAX, governor: "governor-0".into() },
+        "offer" => MessageBody::Offer(OfferPart {
+            offer_id: 65_543,
             proxy: "relay-1".into(),
-            part: 1,
-            parts: 300,
+            part_index: 1,
+            part_count: 300,
             bytes: vec![0, 127, 128, 255],
-        },
-        "accept" => MessageBody::Accept { number: 65_544, proxy: "relay-2".into() },
-        "decline" => MessageBody::Decline { number: 65_545, proxy: "relay-ü".into() },
+        }),
+        "accept" => MessageBody::Accept { offer_id: 65_544, proxy: "relay-2".into() },
+        "decline" => MessageBody::Decline { offer_id: 65_545, proxy: "relay-ü".into() },
         other => panic!("no message kind `{other}`"),
     }
 }
@@ -74,8 +74,8 @@
         let (kind, hex) = line.split_once(' ').unwrap();
         let datagram = bytes_from_hex(hex);
         let expected = message(body(kind));
-        assert_eq!(read(&[key()], &datagram), Ok(expected.clone()), "{kind}");
-        assert_eq!(write(&key(), &expected), datagram, "{kind}");
+        assert_eq!(decode(&[key()], &datagram), Ok(expected.clone()), "{kind}");
+        assert_eq!(encode(&key(), &expected), datagram, "{kind}");
         kinds.push(kind);
     }
     assert_eq!(kinds, ["ping", "ping_for", "ack", "offer", "accept", "decline"]);
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -5,23 +5,25 @@
 use std::sync::Arc;
 
 use net::{Net, ms};
-use wrenthread_membership::MembershipEvent;
 use wrenthread_membership::messages::MemberState;
+use wrenthread_membership::{MembershipEvent, ServiceMode};
 
 fn proxies(count: usize) -> Vec<Arc<str>> {
     (0..count).map(|n| format!("relay-{n}").into()).collect()
 }
 
-fn stands(net: &Net, of: &str, standing: MemberState) -> Vec<usize> {
-    let said = net
-        .events
-        .iter()
-        .filter(|(_, _, event)| *event == MembershipEvent::MemberStateChanged(of.into(), standing));
+fn changed_to(governor: &str, state: MemberState) -> MembershipEvent {
+    MembershipEvent::MemberStateChanged { governor: governor.into(), state }
+}
+
+/// Who saw a governor change to a state.
+fn observers(net: &Net, of: &str, state: MemberState) -> Vec<usize> {
+    let said = net.events.iter().filter(|(_, _, event)| *event == changed_to(of, state));
     said.map(|(_, place, _)| *place).collect()
 }
 
 #[test]
-fn a_dead_governor_is_found_and_a_returned_one_is_known_for_a_new_life() {
+fn a_dead_governor_is_detected_and_seen_again_after_its_restart() {
     let mut net = Net::new(5, 1);
     net.run(2000);
     assert!((0..5).all(|one| (0..5).all(|other| one == other || net.sees(one, other))));
@@ -29,9 +31,7 @@
     let died = net.now;
     net.run(8000);
     assert!([0, 1, 2, 4].iter().all(|one| !net.sees(*one, 3)));
-    let found = net.events.iter().filter(|(_, _, event)| {
-        *event == MembershipEvent::MemberStateChanged("g3".into(), MemberState::Dead)
-    });
+    let found = net.events.iter().filter(|(_, _, event)| *event == changed_to("g3", MemberState::Dead));
     let last = found.map(|(at, _, _)| *at).max().unwrap() - died;
     assert!(last < ms(6000), "{last:?}");
     net.start(3);
@@ -40,31 +40,31 @@
 }
 
 #[test]
-fn lost_doubled_and_late_datagrams_bury_nobody() {
+fn lost_duplicated_and_late_datagrams_declare_nobody_dead() {
     for seed in 0..10 {
         let mut net = Net::new(5, seed);
         (net.lost, net.doubled) = (150, 150);
         net.run(60_000);
         let dead = net.events.iter().filter(|(_, _, event)| {
-            matches!(event, MembershipEvent::MemberStateChanged(_, MemberState::Dead))
+            matches!(event, MembershipEvent::MemberStateChanged { state: MemberState::Dead, .. })
         });
         assert_eq!(dead.count(), 0, "seed {seed}");
         // Some were doubted, and said otherwise: the loss was met.
         assert!(net.events.iter().any(|(_, _, event)| matches!(
             event,
-            MembershipEvent::MemberStateChanged(_, MemberState::Suspect)
+            MembershipEvent::MemberStateChanged { state: MemberState::Suspect, .. }
         )));
         assert!(net.longest <= wrenthread_membership::messages::MAX_DATAGRAM_BYTES);
     }
 }
 
 #[test]
-fn who_is_heard_by_others_is_not_dead_though_one_link_goes_one_way() {
+fn indirect_probes_keep_a_governor_alive_behind_a_one_way_link() {
     let mut net = Net::new(4, 2);
     net.run(2000);
     net.cut.insert((1, 0));
     net.run(30_000);
-    assert_eq!(stands(&net, "g1", MemberState::Dead), Vec::<usize>::new());
+    assert_eq!(observers(&net, "g1", MemberState::Dead), Vec::<usize>::new());
     assert!(net.sees(0, 1) && net.sees(1, 0));
     // Who can say nothing to anybody is dead to all; and has nobody to hand a proxy to, though it hears them.
     net.cut.extend([(1, 2), (1, 3)]);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn who_stalled_itself_blames_nobody_and_is_believed_when_it_wakes() {
+fn a_governor_that_stalled_suspects_nobody_and_is_alive_again() {
     let mut net = Net::new(4, 3);
     net.run(2000);
     net.stalled.insert(2);
@@ -90,20 +90,20 @@
             && *place == 2
             && matches!(
                 event,
-                MembershipEvent::MemberStateChanged(_, MemberState::Suspect | MemberState::Dead)
+                MembershipEvent::MemberStateChanged { state: MemberState::Suspect | MemberState::Dead, .. }
             )
     });
     assert_eq!(blames.count(), 0);
     assert!(
         net.events
             .iter()
-            .any(|(_, place, event)| *place == 2 && matches!(event, MembershipEvent::Stalled(_)))
+            .any(|(_, place, event)| *place == 2 && matches!(event, MembershipEvent::Stalled { .. }))
     );
     assert!([0, 1, 3].iter().all(|one| net.sees(*one, 2) && net.sees(2, *one)));
 }
 
 #[test]
-fn a_split_heals_without_a_word_from_anybody() {
+fn a_partition_heals_by_itself() {
     let mut net = Net::new(6, 4);
     net.run(2000);
     let sides = [[0, 1, 2], [3, 4, 5]];
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_fleet_at_one_governor_spreads_and_one_that_drains_is_left_with_what_is_known_ahead() {
+fn proxies_spread_evenly_and_leave_a_draining_governor_with_their_state() {
     for (seed, lost) in [(5, 0), (6, 100), (7, 250)] {
         let mut net = Net::new(3, seed);
         (net.lost, net.doubled) = (lost, lost);
@@ -133,7 +133,7 @@
         net.run(20_000);
         assert!(net.moves <= rest + usize::from(lost > 0) * 5, "it comes to rest");
         let now = net.now;
-        net.governor(1).drain(now, true);
+        net.governor(1).set_mode(now, ServiceMode::Draining);
         net.run(25_000);
         assert_eq!(net.counts()[1], 0, "seed {seed}");
         assert_eq!(net.counts().iter().sum::<usize>(), 60, "all are somewhere");
@@ -145,14 +145,14 @@
         }
         // It comes back to service: its own come home.
         let now = net.now;
-        net.governor(1).drain(now, false);
+        net.governor(1).set_mode(now, ServiceMode::Serving);
         net.run(30_000);
         assert!(net.counts()[1] >= 10, "{:?}", net.counts());
     }
 }
 
 #[test]
-fn in_a_split_each_side_keeps_what_it_has() {
+fn each_side_of_a_partition_keeps_its_proxies() {
     let mut net = Net::new(3, 8);
     for (place, proxy) in proxies(60).iter().enumerate() {
         net.join(proxy, place % 3);
@@ -165,13 +165,13 @@
     assert_eq!((net.moves, net.counts()), (before, counts), "nobody is moved where nobody answers");
     // Drained while cut off: nobody to hand them to is known of, so they find others by themselves.
     let now = net.now;
-    net.governor(0).drain(now, true);
+    net.governor(0).set_mode(now, ServiceMode::Draining);
     net.run(1000);
     assert!(net.moves > before);
 }
 
 #[test]
-fn a_drain_goes_on_though_the_only_other_dies_with_all_offers_open() {
+fn a_drain_continues_when_the_only_other_governor_dies_with_offers_open() {
     let mut net = Net::new(2, 9);
     let all = proxies(10);
     all.iter().for_each(|proxy| net.join(proxy, 0));
@@ -179,7 +179,7 @@
     net.run(1900);
     net.cut.extend([(0, 1), (1, 0)]);
     let now = net.now;
-    net.governor(0).drain(now, true);
+    net.governor(0).set_mode(now, ServiceMode::Draining);
     net.run(600);
     net.kill(1);
     net.run(12_000);
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -11,7 +11,7 @@
 
 use wrenthread_core::ownership::{FencingState, GovernorSelector};
 use wrenthread_membership::messages::MessageBody;
-use wrenthread_membership::migration::{MigrationAction, Migrations};
+use wrenthread_membership::migration::{MigrationAction, Migrations, OfferAnswer};
 
 const NAMES: [&str; 2] = ["g0", "g1"];
 const NOW: Duration = Duration::ZERO;
@@ -21,7 +21,7 @@
     up: bool,
     epoch: u64,
     version: u64,
-    handover: Migrations,
+    migrations: Migrations,
 }
 
 /// An order: from whom, of which life and version.
@@ -73,7 +73,7 @@
         applied: BTreeSet::new(),
         vain: 0,
     };
-    let governor = Governor { up: true, epoch: 1, version: 0, handover: Migrations::new(0) };
+    let governor = Governor { up: true, epoch: 1, version: 0, migrations: Migrations::new(0) };
     World {
         governors: vec![governor.clone(), governor],
         relays: ["relay-1", "relay-3"].into_iter().take(budget.relays).map(relay).collect(),
@@ -128,7 +128,7 @@
     fn lose_stream(&mut self, relay: usize) {
         if let Some(governor) = self.relays[relay].stream.take() {
             let name = self.relays[relay].name;
-            self.governors[governor].handover.proxy_disconnected(name);
+            self.governors[governor].migrations.proxy_disconnected(name);
         }
     }
 
@@ -138,14 +138,14 @@
             return;
         }
         match body {
-            MessageBody::Offer { number, proxy, part, parts, bytes } => {
-                one.handover.handle_offer(NOW, NAMES[from], *number, proxy, *part, *parts, bytes, |_| true);
+            MessageBody::Offer(part) => {
+                one.migrations.handle_offer(NOW, NAMES[from], part, |_| true);
             }
-            MessageBody::Accept { number, proxy } => {
-                one.handover.handle_answer(NOW, NAMES[from], *number, proxy, true)
+            MessageBody::Accept { offer_id, proxy } => {
+                one.migrations.handle_answer(NOW, NAMES[from], *offer_id, proxy, OfferAnswer::Accepted)
             }
-            MessageBody::Decline { number, proxy } => {
-                one.handover.handle_answer(NOW, NAMES[from], *number, proxy, false)
+            MessageBody::Decline { offer_id, proxy } => {
+                one.migrations.handle_answer(NOW, NAMES[from], *offer_id, proxy, OfferAnswer::Declined)
             }
             _ => {}
         }
@@ -153,9 +153,9 @@
     }
 
     fn pump(&mut self, governor: usize) {
-        while let Some(out) = self.governors[governor].handover.next_action(NOW) {
+        while let Some(out) = self.governors[governor].migrations.next_action(NOW) {
             match out {
-                MigrationAction::Send(to, body) => {
+                MigrationAction::Send { to, body } => {
                     let to = NAMES.iter().position(|name| *name == to).unwrap();
                     let said = (to, governor, body);
                     if !self.words.contains(&said) {
@@ -233,8 +233,8 @@
             if !self.governors[governor].up {
                 step(&|world| {
                     let epoch = world.governors[governor].epoch + 1;
-                    let handover = Migrations::new(epoch << 8);
-                    world.governors[governor] = Governor { up: true, epoch, version: 0, handover };
+                    let migrations = Migrations::new(epoch << 8);
+                    world.governors[governor] = Governor { up: true, epoch, version: 0, migrations };
                     world.relays.iter_mut().for_each(|relay| relay.vain = 0);
                     None
                 });
@@ -254,7 +254,7 @@
                     step(&|world| {
                         world.left.offers -= 1;
                         let name = world.relays[relay].name;
-                        world.governors[governor].handover.offer(NOW, name, NAMES[1 - governor], vec![1]);
+                        world.governors[governor].migrations.offer(NOW, name, NAMES[1 - governor], vec![1]);
                         world.pump(governor);
                         None
                     });
@@ -299,7 +299,7 @@
 }
 
 #[test]
-fn no_order_comes_twice_or_after_a_newer_one_and_no_relay_is_left_alone() {
+fn no_order_is_applied_twice_or_out_of_order_and_no_relay_is_stranded() {
     // One relay and much that goes wrong, then two relays with less.
     let few = Budget { relays: 1, crashes: 1, breaks: 1, homes: 1, decisions: 0, offers: 1 };
     let mut worlds = 0;
--- a/crates/membership/tests/net/mod.rs
+++ b/crates/membership/tests/net/mod.rs
@@ -9,7 +9,7 @@
 
 use wrenthread_core::ownership::SigningKey;
 use wrenthread_membership::migration::TransferredState;
-use wrenthread_membership::{Action, Membership, MembershipEvent, MembershipSettings};
+use wrenthread_membership::{Action, Membership, MembershipEvent, MembershipSettings, Peer};
 
 pub const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -44,8 +44,9 @@
     SigningKey::new("k", &[7; 32]).unwrap()
 }
 
-fn address(place: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], 10_000 + place as u16))
+fn peer(place: usize) -> Peer {
+    let address = SocketAddr::from(([127, 0, 0, 1], 10_000 + place as u16));
+    Peer { name: format!("g{place}"), address }
 }
 
 impl Net {
@@ -80,9 +81,8 @@
         self.epochs += 1;
         let peers = (0..self.governors.len()).filter(|one| *one != place);
         let settings = MembershipSettings {
-            name: format!("g{place}"),
-            address: address(place),
-            peers: peers.map(|one| (format!("g{one}"), address(one))).collect(),
+            local: peer(place),
+            peers: peers.map(peer).collect(),
             keys: vec![key()],
             moves_per_second: 50.0,
         };
@@ -166,11 +166,11 @@
         while let Some(action) = self.governors[place].as_mut().and_then(|governor| governor.next_action(now))
         {
             match action {
-                Action::Send(at, datagram) => {
+                Action::Send { address, datagram } => {
                     self.datagrams += 1;
                     self.bytes += datagram.len() as u64;
                     self.longest = self.longest.max(datagram.len());
-                    let to = usize::from(at.port()) - 10_000;
+                    let to = usize::from(address.port()) - 10_000;
                     let lost = self.drawn() % 1000 < self.lost;
                     let copies = if self.drawn() % 1000 < self.doubled { 2 } else { 1 };
                     for _ in 0..if lost || self.cut.contains(&(place, to)) { 0 } else { copies } {
