--- a/crates/membership/benches/gossip.rs
+++ b/crates/membership/benches/gossip.rs
@@ -1,10 +1,10 @@
-//! What gossip costs a governor as their number grows, and how soon a dead one is known to all: in made-up
-//! time, on a made-up network, at the pace that governors keep.
+//! What gossip costs a governor as their number grows, and how soon a dead one is known to all: on the simulated network of
+//! the tests, in simulated time, with the default settings.
 
-#[path = "../tests/net/mod.rs"]
-mod net;
+#[path = "../tests/simulated_network/mod.rs"]
+mod simulated_network;
 
-use net::Net;
+use simulated_network::{ReportedEvent, SimulatedNetwork};
 use wrenthread_core::ownership::ranking;
 use wrenthread_membership::MembershipEvent;
 use wrenthread_membership::assignment::assign;
@@ -80,29 +80,28 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for governors in [3, 5, 10, 20, 50] {
         for lost in [0, 50] {
-            let mut net = Net::new(governors, 11);
-            net.lost = lost;
-            net.run(10_000);
-            (net.bytes, net.datagrams) = (0, 0);
-            net.run(60_000);
+            let mut network = SimulatedNetwork::new(governors, 11);
+            network.lost_per_mille = lost;
+            network.run(10_000);
+            (network.bytes, network.datagrams) = (0, 0);
+            network.run(60_000);
             let a_second = 60.0 * governors as f64;
-            let (bytes, datagrams) = (net.bytes as f64 / a_second, net.datagrams as f64 / a_second);
-            let wrongly = net.events.iter().filter(|(_, _, event)| {
-                matches!(event, MembershipEvent::MemberStateChanged { state: MemberState::Dead, .. })
+            let (bytes, datagrams) = (network.bytes as f64 / a_second, network.datagrams as f64 / a_second);
+            let wrongly = network.events.iter().filter(|reported| {
+                matches!(reported.event, MembershipEvent::MemberStateChanged { state: MemberState::Dead, .. })
             });
-            let (wrongly, died) = (wrongly.count(), net.now);
-            net.kill(0);
-            net.run(40_000);
-            let known = |(at, _, event): &(std::time::Duration, usize, MembershipEvent)| {
-                (*at > died
-                    && *event
-                        == MembershipEvent::MemberStateChanged {
-                            governor: "g0".into(),
-                            state: MemberState::Dead,
-                        })
-                .then(|| (*at - died).as_secs_f64())
-            };
-            let known: Vec<f64> = net.events.iter().filter_map(known).collect();
+            let (wrongly, died) = (wrongly.count(), network.now);
+            network.kill(0);
+            network.run(40_000);
+            let death =
+                MembershipEvent::MemberStateChanged { governor: "g0".into(), state: MemberState::Dead };
+            let found_death = |reported: &&ReportedEvent| reported.at > died && reported.event == death;
+            let known: Vec<f64> = network
+                .events
+                .iter()
+                .filter(found_death)
+                .map(|reported| (reported.at - died).as_secs_f64())
+                .collect();
             let first = known.iter().copied().fold(f64::INFINITY, f64::min);
             let last = known.iter().copied().fold(0.0, f64::max);
             assert!(known.len() >= governors - 1, "{} of {governors} know", known.len());
@@ -110,7 +109,7 @@
                 "| {governors} | {} | {bytes:.0} | {datagrams:.1} | {} | \
                  {first:.1} | {last:.1} | {wrongly} |",
                 lost / 10,
-                net.longest,
+                network.longest,
             );
         }
     }
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,10 +1,9 @@
-//! Every way in which a small world can go: two governors, two relays, orders and words between governors
-//! lost, doubled and reordered, crashes, streams that break, a governor that wakes with old orders in its
-//! queue. What decides is the real thing: [`FencingState`] and [`GovernorSelector`] at the relay, [`Migrations`] at the
-//! governor.
+//! Exhaustive search over a small system: two governors, one or two proxies, crashes, broken streams, and messages that
+//! are lost, duplicated and reordered. The decisions are those of the real code: [`FencingState`] and
+//! [`GovernorSelector`] at the proxy, [`Migrations`] at the governor.
 //!
-//! A message stays in flight once it is sent: that it may be delivered at any time, again, or never, is loss,
-//! doubling and reordering in one.
+//! A message stays in flight once it is sent: that it may be delivered at any time, again, or never, covers loss,
+//! duplication and reordering at once.
 
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::time::Duration;
@@ -24,151 +23,165 @@
     migrations: Migrations,
 }
 
-/// An order: from whom, of which life and version.
-type Order = (usize, u64, u64);
+/// Tables that a governor published to a proxy. Ordered as fields are: epoch before version.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct Order {
+    governor: usize,
+    epoch: u64,
+    version: u64,
+}
+
+/// A message between governors, in flight.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct SentMessage {
+    to: usize,
+    from: usize,
+    body: MessageBody,
+}
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Relay {
+struct Proxy {
     name: &'static str,
-    dialer: GovernorSelector,
-    fence: FencingState,
+    selector: GovernorSelector,
+    fencing: FencingState,
     stream: Option<usize>,
-    held: Option<Order>,
-    /// All that it ever took in.
+    current: Option<Order>,
+    /// All that it ever applied.
     applied: BTreeSet<Order>,
     /// Dials in a row that found nobody while somebody was there.
-    vain: usize,
+    failed_dials: usize,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     governors: Vec<Governor>,
-    relays: Vec<Relay>,
+    proxies: Vec<Proxy>,
     orders: BTreeSet<(usize, Order)>,
-    /// To, from, what.
-    words: Vec<(usize, usize, MessageBody)>,
+    messages: Vec<SentMessage>,
     left: Budget,
 }
 
-/// How much may go wrong.
+/// How many faults and decisions a run may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Budget {
-    relays: usize,
+    proxies: usize,
     crashes: usize,
-    /// Streams that a relay gives up.
+    /// Streams that a proxy gives up.
     breaks: usize,
-    /// Relays that go home.
-    homes: usize,
+    /// Proxies that return to their preferred governor.
+    failbacks: usize,
     decisions: usize,
     offers: usize,
 }
 
 fn world(budget: Budget) -> World {
-    let relay = |name| Relay {
+    let proxy = |name| Proxy {
         name,
-        dialer: GovernorSelector::new(name, &NAMES, Duration::ZERO, Duration::ZERO),
-        fence: FencingState::default(),
+        selector: GovernorSelector::new(name, &NAMES, Duration::ZERO, Duration::ZERO),
+        fencing: FencingState::default(),
         stream: None,
-        held: None,
+        current: None,
         applied: BTreeSet::new(),
-        vain: 0,
+        failed_dials: 0,
     };
     let governor = Governor { up: true, epoch: 1, version: 0, migrations: Migrations::new(0) };
     World {
         governors: vec![governor.clone(), governor],
-        relays: ["relay-1", "relay-3"].into_iter().take(budget.relays).map(relay).collect(),
+        proxies: ["relay-1", "relay-3"].into_iter().take(budget.proxies).map(proxy).collect(),
         orders: BTreeSet::new(),
-        words: Vec::new(),
+        messages: Vec::new(),
         left: budget,
     }
 }
 
 impl World {
-    /// A governor says something to a relay: what it should hold, under a version of its own.
-    fn order(&mut self, governor: usize, relay: usize) {
+    /// A governor publishes tables to a proxy, under a version of its own.
+    fn publish(&mut self, governor: usize, proxy: usize) {
         let one = &mut self.governors[governor];
         one.version += 1;
-        self.orders.insert((relay, (governor, one.epoch, one.version)));
+        let order = Order { governor, epoch: one.epoch, version: one.version };
+        self.orders.insert((proxy, order));
     }
 
-    fn dial(&mut self, relay: usize) {
-        let to = self.relays[relay].dialer.current();
+    fn dial(&mut self, proxy: usize) {
+        let to = self.proxies[proxy].selector.current();
         if self.governors[to].up {
-            let one = &mut self.relays[relay];
-            (one.stream, one.vain) = (Some(to), 0);
-            one.fence.follow(NAMES[to]);
-            self.order(to, relay);
+            let one = &mut self.proxies[proxy];
+            (one.stream, one.failed_dials) = (Some(to), 0);
+            one.fencing.follow(NAMES[to]);
+            self.publish(to, proxy);
         } else {
             let somebody = self.governors.iter().any(|one| one.up);
-            let one = &mut self.relays[relay];
-            one.dialer.connection_lost();
-            one.vain = if somebody { one.vain + 1 } else { 0 };
+            let one = &mut self.proxies[proxy];
+            one.selector.connection_lost();
+            one.failed_dials = if somebody { one.failed_dials + 1 } else { 0 };
         }
     }
 
-    /// A relay hears an order. What is wrong with it, if it took it in.
-    fn deliver(&mut self, relay: usize, order: Order) -> Option<String> {
-        let one = &mut self.relays[relay];
-        let (governor, epoch, version) = order;
-        if one.fence.accept(NAMES[governor], epoch, version).is_err() || one.held == Some(order) {
+    /// A proxy receives an order. Returns the violation if it applied one that it should not have.
+    fn deliver_order(&mut self, proxy: usize, order: Order) -> Option<String> {
+        let one = &mut self.proxies[proxy];
+        let Order { governor, epoch, version } = order;
+        if one.fencing.accept(NAMES[governor], epoch, version).is_err() || one.current == Some(order) {
             return None;
         }
-        let newer = |taken: &&Order| taken.0 == governor && (taken.1, taken.2) > (epoch, version);
-        let wrong = match one.applied.iter().find(newer) {
+        let newer = |applied: &&Order| applied.governor == governor && **applied > order;
+        let violation = match one.applied.iter().find(newer) {
             _ if one.stream.is_some_and(|stream| stream != governor) => Some("another's than it follows"),
             Some(_) => Some("an older one after a newer one"),
             None if one.applied.contains(&order) => Some("one twice"),
             None => None,
         };
         one.applied.insert(order);
-        one.held = Some(order);
-        wrong.map(|wrong| format!("relay {relay} takes {order:?}: {wrong}"))
+        one.current = Some(order);
+        violation.map(|violation| format!("proxy {proxy} applies {order:?}: {violation}"))
     }
 
-    fn lose_stream(&mut self, relay: usize) {
-        if let Some(governor) = self.relays[relay].stream.take() {
-            let name = self.relays[relay].name;
+    fn lose_stream(&mut self, proxy: usize) {
+        if let Some(governor) = self.proxies[proxy].stream.take() {
+            let name = self.proxies[proxy].name;
             self.governors[governor].migrations.proxy_disconnected(name);
         }
     }
 
-    fn hear(&mut self, to: usize, from: usize, body: &MessageBody) {
-        let one = &mut self.governors[to];
+    fn deliver_message(&mut self, message: &SentMessage) {
+        let SentMessage { to, from, body } = message;
+        let one = &mut self.governors[*to];
         if !one.up {
             return;
         }
         match body {
             MessageBody::Offer(part) => {
-                one.migrations.handle_offer(NOW, NAMES[from], part, |_| true);
+                one.migrations.handle_offer(NOW, NAMES[*from], part, |_| true);
             }
             MessageBody::Accept { offer_id, proxy } => {
-                one.migrations.handle_answer(NOW, NAMES[from], *offer_id, proxy, OfferAnswer::Accepted)
+                one.migrations.handle_answer(NOW, NAMES[*from], *offer_id, proxy, OfferAnswer::Accepted)
             }
             MessageBody::Decline { offer_id, proxy } => {
-                one.migrations.handle_answer(NOW, NAMES[from], *offer_id, proxy, OfferAnswer::Declined)
+                one.migrations.handle_answer(NOW, NAMES[*from], *offer_id, proxy, OfferAnswer::Declined)
             }
             _ => {}
         }
-        self.pump(to);
+        self.carry_out_actions(*to);
     }
 
-    fn pump(&mut self, governor: usize) {
+    fn carry_out_actions(&mut self, governor: usize) {
         while let Some(out) = self.governors[governor].migrations.next_action(NOW) {
             match out {
                 MigrationAction::Send { to, body } => {
                     let to = NAMES.iter().position(|name| *name == to).unwrap();
-                    let said = (to, governor, body);
-                    if !self.words.contains(&said) {
-                        self.words.push(said);
+                    let sent = SentMessage { to, from: governor, body };
+                    if !self.messages.contains(&sent) {
+                        self.messages.push(sent);
                     }
                 }
                 MigrationAction::MoveProxy { proxy, to } => {
                     let to = NAMES.iter().position(|name| *name == to);
-                    let of = self.relays.iter().position(|one| one.name == proxy).unwrap();
+                    let of = self.proxies.iter().position(|one| one.name == proxy).unwrap();
                     // Ends the stream, if it is still this governor's to end.
-                    if self.relays[of].stream == Some(governor) {
+                    if self.proxies[of].stream == Some(governor) {
                         self.lose_stream(of);
-                        self.relays[of].dialer.redirected(to);
+                        self.proxies[of].selector.redirected(to);
                     }
                 }
                 MigrationAction::OfferUnanswered { .. } => {}
@@ -176,44 +189,45 @@
         }
     }
 
-    /// All worlds that this one may be next, and what is wrong with a step that leads there.
+    /// All states that can follow, each with the violation that the step to it is, if it is one.
     fn next(&self) -> Vec<(World, Option<String>)> {
         let mut next = Vec::new();
         let mut step = |change: &dyn Fn(&mut World) -> Option<String>| {
             let mut world = self.clone();
-            let wrong = change(&mut world);
-            if world != *self || wrong.is_some() {
-                next.push((world, wrong));
+            let violation = change(&mut world);
+            if world != *self || violation.is_some() {
+                next.push((world, violation));
             }
         };
-        for relay in 0..self.relays.len() {
-            if self.relays[relay].stream.is_none() {
+        for proxy in 0..self.proxies.len() {
+            if self.proxies[proxy].stream.is_none() {
                 step(&|world| {
-                    world.dial(relay);
-                    let vain = world.relays[relay].vain;
-                    (vain >= NAMES.len()).then(|| format!("relay {relay} found nobody in {vain} dials"))
+                    world.dial(proxy);
+                    let failed_dials = world.proxies[proxy].failed_dials;
+                    (failed_dials >= NAMES.len())
+                        .then(|| format!("proxy {proxy} found nobody in {failed_dials} dials"))
                 });
             } else if self.left.breaks > 0 {
-                // It waits in vain for a governor that stalls: that one's orders are still on their way.
+                // It gives up a governor that stalls, whose orders may still arrive.
                 step(&|world| {
                     world.left.breaks -= 1;
-                    world.lose_stream(relay);
-                    world.relays[relay].dialer.connection_lost();
+                    world.lose_stream(proxy);
+                    world.proxies[proxy].selector.connection_lost();
                     None
                 });
             }
-            let home = self.relays[relay].dialer.home();
-            if self.relays[relay].stream.is_some() && self.governors[home].up && self.left.homes > 0 {
+            let home = self.proxies[proxy].selector.home();
+            if self.proxies[proxy].stream.is_some() && self.governors[home].up && self.left.failbacks > 0 {
                 step(&|world| {
-                    world.left.homes -= 1;
-                    if world.relays[relay].dialer.home_checked(NOW, true) {
-                        world.lose_stream(relay);
+                    world.left.failbacks -= 1;
+                    if world.proxies[proxy].selector.home_checked(NOW, true) {
+                        world.lose_stream(proxy);
                     }
                     None
                 });
             }
-            for (to, order) in self.orders.iter().filter(|(to, _)| *to == relay) {
-                step(&|world| world.deliver(*to, *order));
+            for (to, order) in self.orders.iter().filter(|(to, _)| *to == proxy) {
+                step(&|world| world.deliver_order(*to, *order));
             }
         }
         for governor in 0..NAMES.len() {
@@ -221,11 +235,11 @@
                 step(&|world| {
                     world.left.crashes -= 1;
                     world.governors[governor].up = false;
-                    for relay in 0..world.relays.len() {
-                        if world.relays[relay].stream == Some(governor) {
-                            world.relays[relay].stream = None;
+                    for proxy in 0..world.proxies.len() {
+                        if world.proxies[proxy].stream == Some(governor) {
+                            world.proxies[proxy].stream = None;
                         }
-                        world.relays[relay].vain = 0;
+                        world.proxies[proxy].failed_dials = 0;
                     }
                     None
                 });
@@ -235,35 +249,35 @@
                     let epoch = world.governors[governor].epoch + 1;
                     let migrations = Migrations::new(epoch << 8);
                     world.governors[governor] = Governor { up: true, epoch, version: 0, migrations };
-                    world.relays.iter_mut().for_each(|relay| relay.vain = 0);
+                    world.proxies.iter_mut().for_each(|proxy| proxy.failed_dials = 0);
                     None
                 });
             }
-            for relay in 0..self.relays.len() {
-                if self.relays[relay].stream != Some(governor) {
+            for proxy in 0..self.proxies.len() {
+                if self.proxies[proxy].stream != Some(governor) {
                     continue;
                 }
                 if self.left.decisions > 0 {
                     step(&|world| {
                         world.left.decisions -= 1;
-                        world.order(governor, relay);
+                        world.publish(governor, proxy);
                         None
                     });
                 }
                 if self.left.offers > 0 {
                     step(&|world| {
                         world.left.offers -= 1;
-                        let name = world.relays[relay].name;
+                        let name = world.proxies[proxy].name;
                         world.governors[governor].migrations.offer(NOW, name, NAMES[1 - governor], vec![1]);
-                        world.pump(governor);
+                        world.carry_out_actions(governor);
                         None
                     });
                 }
             }
         }
-        for (to, from, body) in &self.words {
+        for message in &self.messages {
             step(&|world| {
-                world.hear(*to, *from, body);
+                world.deliver_message(message);
                 None
             });
         }
@@ -271,7 +285,7 @@
     }
 }
 
-/// Looks at every world within reach; how many there are, or how the first wrong one came about.
+/// Visits every reachable state. Returns their number, or the first violation.
 fn explore(budget: Budget, most: usize) -> Result<usize, String> {
     let (mut seen, mut ahead) = (HashSet::new(), VecDeque::new());
     let digest = |world: &World| {
@@ -285,9 +299,9 @@
     seen.insert(digest(&first));
     ahead.push_back(first);
     while let Some(world) = ahead.pop_front() {
-        for (next, wrong) in world.next() {
-            if let Some(wrong) = wrong {
-                return Err(format!("{wrong}\nin {next:#?}"));
+        for (next, violation) in world.next() {
+            if let Some(violation) = violation {
+                return Err(format!("{violation}\nin {next:#?}"));
             }
             if seen.insert(digest(&next)) {
                 assert!(seen.len() <= most, "the world is larger than it should be");
@@ -299,19 +313,19 @@
 }
 
 #[test]
-fn no_order_is_applied_twice_or_out_of_order_and_no_relay_is_stranded() {
-    // One relay and much that goes wrong, then two relays with less.
-    let few = Budget { relays: 1, crashes: 1, breaks: 1, homes: 1, decisions: 0, offers: 1 };
+fn no_order_is_applied_twice_or_out_of_order_and_no_proxy_is_stranded() {
+    // One proxy and many faults, then two proxies with less.
+    let few = Budget { proxies: 1, crashes: 1, breaks: 1, failbacks: 1, decisions: 0, offers: 1 };
     let mut worlds = 0;
     for budget in [
         few,
-        Budget { crashes: 2, homes: 0, ..few },
+        Budget { crashes: 2, failbacks: 0, ..few },
         Budget { crashes: 0, breaks: 2, decisions: 2, offers: 0, ..few },
-        Budget { breaks: 0, homes: 0, offers: 2, ..few },
-        Budget { relays: 2, breaks: 0, homes: 0, ..few },
-        Budget { relays: 2, crashes: 0, homes: 0, decisions: 1, ..few },
+        Budget { breaks: 0, failbacks: 0, offers: 2, ..few },
+        Budget { proxies: 2, breaks: 0, failbacks: 0, ..few },
+        Budget { proxies: 2, crashes: 0, failbacks: 0, decisions: 1, ..few },
     ] {
-        let more = explore(budget, 100_000).unwrap_or_else(|wrong| panic!("{budget:?}: {wrong}"));
+        let more = explore(budget, 100_000).unwrap_or_else(|violation| panic!("{budget:?}: {violation}"));
         println!("{more} worlds with {budget:?}");
         worlds += more;
     }
