--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,447 +1,298 @@
-//! Which governors are there: SWIM, as published (Das, Gupta and Motivala, 2002). Each asks one other a
-//! period, in a shuffled round; who doesn't answer is asked through some others; who still doesn't is
-//! suspect, says so itself with a higher incarnation if it hears of it, and is dead otherwise after a while.
-//! Words travel on these messages, each so many times as it takes to reach all.
+//! Which governors are live: SWIM, as published (Das, Gupta and Motivala, 2002). Each governor probes one other in each
+//! interval, in a shuffled round; one that does not answer is probed indirectly through others; one that still does not
+//! answer is suspected, may refute that with a higher incarnation, and is declared dead after the suspicion timeout.
+//! Updates are piggybacked on these messages, each as often as it takes to reach all.
 //!
-//! Added to what was published, each against something met: a word about the receiver always travels to it if
-//! it is not well spoken of, so that it can say otherwise at once; the dead are asked again now and then, as
-//! a split heals without a word; and who finds that it stalled itself blames nobody for it.
+//! Added to the published protocol: an update that says its receiver is not alive is always sent to it, so that it can
+//! refute it at once; dead members are probed now and then, so that a partition heals by itself; and a governor that
+//! finds that it stalled suspects nobody for it.
 
-use std::collections::{BTreeMap, BTreeSet};
+mod gossip;
+mod probing;
+
+use std::collections::{BTreeMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::messages::{Body, Figures, Message, Standing, Word, length};
+use crate::messages::{GovernorLoad, MemberState, MemberUpdate, Message, MessageBody};
+use crate::{Peer, ServiceMode};
+use probing::{Probe, RelayedProbe};
 
-/// How membership is kept.
+/// Timing and extent of probes and gossip.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Pace {
-    /// One other is asked so often.
-    pub period: Duration,
-    /// An answer is due within it; then others are asked to ask.
-    pub answer: Duration,
-    /// How many.
-    pub helpers: usize,
-    /// A suspect has so many periods, times the logarithm of the number of governors, to say otherwise.
-    pub patience: f64,
-    /// A word is sent so many times the logarithm of their number.
-    pub repeats: f64,
-    /// Bytes of words about others on one message.
-    pub words: usize,
+pub struct ProbeSettings {
+    /// One other governor is probed in each interval.
+    pub probe_interval: Duration,
+    /// How long a probe waits for its answer before indirect probes are sent.
+    pub ack_timeout: Duration,
+    /// Number of governors that are asked for an indirect probe.
+    pub indirect_probes: usize,
+    /// The suspicion timeout in intervals, as a multiple of the logarithm of the number of governors.
+    pub suspicion_multiplier: f64,
+    /// How often an update is sent, as a multiple of the logarithm of the number of governors.
+    pub transmission_multiplier: f64,
+    /// Size limit of the updates in one message, in bytes.
+    pub max_update_bytes: usize,
 }
 
-impl Default for Pace {
-    /// A dead governor is found within a second or two, and a lost datagram or two does no harm.
+impl Default for ProbeSettings {
+    /// A dead governor is found within a second or two, and a few lost datagrams do no harm.
     fn default() -> Self {
-        Pace {
-            period: Duration::from_millis(400),
-            answer: Duration::from_millis(120),
-            helpers: 2,
-            patience: 3.0,
-            repeats: 3.0,
-            words: 500,
+        ProbeSettings {
+            probe_interval: Duration::from_millis(400),
+            ack_timeout: Duration::from_millis(120),
+            indirect_probes: 2,
+            suspicion_multiplier: 3.0,
+            transmission_multiplier: 3.0,
+            max_update_bytes: 500,
         }
     }
 }
 
-/// Governors known at once: made-up ones (by somebody with the key) must not fill the memory.
-const MOST: usize = 1000;
-/// One of the dead is asked in each so many periods.
-const REVIVE: u64 = 4;
-/// The dead that nobody stated are forgotten after it.
-const FORGET: Duration = Duration::from_secs(600);
-/// Pings for others that may be open.
-const MOST_HELPED: usize = 64;
+/// Limit of the members known at once: made-up ones (by a holder of the key) must not fill the memory.
+const MAX_MEMBERS: usize = 1000;
+/// How long a dead member that is not configured is remembered.
+const DEAD_MEMBER_TTL: Duration = Duration::from_secs(600);
 
 /// What is known of another governor.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Member {
-    pub word: Word,
-    /// When its standing changed last, as seen here.
-    pub since: Duration,
-    /// When something came from it directly.
-    pub heard: Option<Duration>,
+    /// The newest update about it.
+    pub update: MemberUpdate,
+    /// When its state changed last, as seen here.
+    pub state_since: Duration,
+    /// When a message came from it directly.
+    pub last_heard: Option<Duration>,
     /// The settings name it: its address is theirs to say, and it is never forgotten.
-    stated: bool,
+    configured: bool,
 }
 
 impl Member {
-    /// Whether proxies can be handed to it.
-    pub fn is_open(&self) -> bool {
-        self.word.standing <= Standing::Suspect && !self.word.figures.draining
+    /// Whether proxies can be moved to it.
+    pub fn accepts_proxies(&self) -> bool {
+        self.is_live() && !self.update.load.draining
     }
 
-    pub fn is_there(&self) -> bool {
-        self.word.standing <= Standing::Suspect
+    /// Whether it is alive or only suspected.
+    pub fn is_live(&self) -> bool {
+        self.update.state <= MemberState::Suspect
     }
 }
 
+/// What the owner of [`Members`] has to do.
 #[derive(Debug, Clone, PartialEq)]
-struct Asking {
-    target: String,
-    number: u64,
-    helped: bool,
-    since: Duration,
-}
-
-/// What membership comes to.
-#[derive(Debug, Clone, PartialEq)]
-pub enum Out {
-    Send(SocketAddr, Box<Message>),
-    /// A governor's standing changed.
-    Stands(String, Standing),
-    /// This governor did nothing for so long: nobody is blamed for what was not heard meanwhile.
-    Stalled(Duration),
+pub enum MemberAction {
+    /// Send a message.
+    Send {
+        /// The receiver's address.
+        address: SocketAddr,
+        /// The message.
+        message: Box<Message>,
+    },
+    /// Take note that a governor's state changed.
+    StateChanged {
+        /// The governor's name.
+        governor: String,
+        /// Its new state.
+        state: MemberState,
+    },
+    /// Log that this governor did nothing for a while; nobody is suspected for silence meanwhile.
+    Stalled {
+        /// How late its timer was.
+        late: Duration,
+    },
 }
 
+/// The members of the fleet as one governor knows them.
 #[derive(Debug)]
 pub struct Members {
-    me: Word,
+    local: MemberUpdate,
     others: BTreeMap<String, Member>,
-    pace: Pace,
-    asking: Option<Asking>,
-    /// When the next is asked.
-    next: Duration,
-    round: Vec<String>,
-    /// By name: how often the word about it was sent since it changed.
-    sent: BTreeMap<String, u32>,
-    /// Pings for others: under my number, who asked under which, and until when it matters.
-    helping: BTreeMap<u64, (String, u64, Duration)>,
-    numbers: u64,
-    periods: u64,
+    settings: ProbeSettings,
+    /// The open probe.
+    probe: Option<Probe>,
+    /// When the next probe is sent.
+    next_probe: Duration,
+    /// Who is still to be probed in this round; the last comes first.
+    probe_order: Vec<String>,
+    /// By name: how often the update about it was sent since it changed.
+    transmissions: BTreeMap<String, u32>,
+    /// Probes on behalf of others, by their sequence number here.
+    relayed_probes: BTreeMap<u64, RelayedProbe>,
+    last_sequence: u64,
+    /// Intervals since the start.
+    intervals: u64,
+    /// Seeds the choices of this governor.
     seed: u64,
-    out: std::collections::VecDeque<Out>,
+    actions: VecDeque<MemberAction>,
 }
 
 impl Members {
-    /// `incarnation`: one that is higher than in any earlier life, as far as is known. `peers` are asked at
-    /// once.
+    /// Starts as `local`, and probes all `peers` at once. `incarnation`: one that is higher than in any earlier run, as
+    /// far as is known.
     pub fn new(
-        name: &str,
-        at: SocketAddr,
+        local: Peer,
         incarnation: u64,
-        peers: &[(String, SocketAddr)],
-        pace: Pace,
+        peers: &[Peer],
+        settings: ProbeSettings,
         now: Duration,
     ) -> Self {
-        let word = |name: &str, at, incarnation, standing| Word {
-            name: name.to_string(),
-            at,
-            incarnation,
-            standing,
-            figures: Figures::default(),
-        };
-        let stated = peers.iter().filter(|(peer, _)| peer != name).take(MOST).map(|(peer, at)| {
-            // Nobody knows of it yet: the first word that comes holds.
-            let word = word(peer, *at, 0, Standing::Dead);
-            (peer.clone(), Member { word, since: now, heard: None, stated: true })
-        });
+        let configured = peers.iter().filter(|peer| peer.name != local.name).take(MAX_MEMBERS);
+        let others = configured.map(|peer| (peer.name.clone(), configured_member(peer, now))).collect();
         let mut hasher = DefaultHasher::new();
-        name.hash(&mut hasher);
+        local.name.hash(&mut hasher);
         let mut members = Members {
-            me: word(name, at, incarnation, Standing::Alive),
-            others: stated.collect(),
-            pace,
-            asking: None,
-            next: now + pace.period,
-            round: Vec::new(),
-            sent: BTreeMap::new(),
-            helping: BTreeMap::new(),
-            numbers: 0,
-            periods: 0,
+            local: first_update(&local, incarnation, MemberState::Alive),
+            others,
+            settings,
+            probe: None,
+            next_probe: now + settings.probe_interval,
+            probe_order: Vec::new(),
+            transmissions: BTreeMap::new(),
+            relayed_probes: BTreeMap::new(),
+            last_sequence: 0,
+            intervals: 0,
             seed: hasher.finish(),
-            out: std::collections::VecDeque::new(),
+            actions: VecDeque::new(),
         };
         let names: Vec<String> = members.others.keys().cloned().collect();
         for name in names {
-            members.numbers += 1;
-            members.say(&name, Body::Ping { number: members.numbers });
+            members.ping(&name);
         }
         members
     }
 
-    pub fn me(&self) -> &Word {
-        &self.me
+    /// This governor's own update.
+    pub fn local(&self) -> &MemberUpdate {
+        &self.local
     }
 
+    /// All other governors, by name.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.others.values()
     }
 
+    /// Another governor by its name.
     pub fn get(&self, name: &str) -> Option<&Member> {
         self.others.get(name)
     }
 
-    /// Governors that are there, this one included.
-    pub fn there(&self) -> usize {
-        1 + self.others.values().filter(|member| member.is_there()).count()
+    /// Number of live governors, this one included.
+    pub fn live_governors(&self) -> usize {
+        1 + self.live().count()
+    }
+
+    fn live(&self) -> impl Iterator<Item = &Member> {
+        self.others.values().filter(|member| member.is_live())
     }
 
     // ---- inputs
 
-    /// What this governor says of itself.
-    pub fn say_figures(&mut self, joined: usize, draining: bool) {
-        let joined = u32::try_from(joined).unwrap_or(u32::MAX);
-        if (self.me.figures.joined, self.me.figures.draining) == (joined, draining) {
-            return;
+    /// Sets the load that this governor reports.
+    pub fn set_load(&mut self, connected_proxies: usize, mode: ServiceMode) {
+        let load = GovernorLoad {
+            version: self.local.load.version,
+            connected_proxies: u32::try_from(connected_proxies).unwrap_or(u32::MAX),
+            draining: mode == ServiceMode::Draining,
+        };
+        if load != self.local.load {
+            self.local.load = GovernorLoad { version: load.version + 1, ..load };
         }
-        let turn = self.me.figures.turn + 1;
-        self.me.figures = Figures { turn, joined, draining };
     }
 
-    /// Takes a message in. False: it is not for this governor, or from itself, and tells nothing.
-    pub fn heard(&mut self, now: Duration, message: &Message) -> bool {
-        if message.to != self.me.name || message.from.name == self.me.name {
+    /// Handles a message. False if it is not meant for this governor, or from itself, and was ignored.
+    pub fn handle_message(&mut self, now: Duration, message: &Message) -> bool {
+        let from = &message.from.name;
+        if message.to != self.local.name || *from == self.local.name {
             return false;
         }
-        let from = message.from.name.clone();
-        self.take(now, &message.from);
-        for word in &message.words {
-            self.take(now, word);
+        self.apply_update(now, &message.from);
+        for update in &message.updates {
+            self.apply_update(now, update);
         }
-        if let Some(member) = self.others.get_mut(&from) {
-            member.heard = Some(now);
+        if let Some(member) = self.others.get_mut(from) {
+            member.last_heard = Some(now);
         }
         match &message.body {
-            Body::Ping { number } => {
-                let of = self.me.name.clone();
-                self.say(&from, Body::Ack { number: *number, of });
-            }
-            Body::PingFor { number, target } if self.others.contains_key(target) => {
-                self.numbers += 1;
-                self.helping.retain(|_, (_, _, until)| *until > now);
-                if self.helping.len() < MOST_HELPED {
-                    let until = now + self.pace.period * 2;
-                    self.helping.insert(self.numbers, (from, *number, until));
-                    self.say(target, Body::Ping { number: self.numbers });
-                }
+            MessageBody::Ping { sequence } => {
+                let governor = self.local.name.clone();
+                self.send(from, MessageBody::Ack { sequence: *sequence, governor });
             }
-            Body::Ack { number, of } => {
-                let answers = |asking: &Asking| asking.number == *number && asking.target == *of;
-                if self.asking.as_ref().is_some_and(answers) {
-                    self.asking = None;
-                }
-                if *of == from
-                    && let Some((asker, asked, _)) = self.helping.remove(number)
-                {
-                    self.say(&asker, Body::Ack { number: asked, of: from });
-                }
+            MessageBody::PingRequest { sequence, target } => {
+                self.relay_probe(now, from, *sequence, target);
             }
-            _ => {}
+            MessageBody::Ack { sequence, governor } => self.handle_ack(from, *sequence, governor),
+            MessageBody::Offer(_) | MessageBody::Accept { .. } | MessageBody::Decline { .. } => {}
         }
         true
     }
 
-    /// This governor stops: all that are there are told, once.
+    /// This governor stops: all live members are told, once.
     pub fn leave(&mut self) {
-        self.me.standing = Standing::Left;
-        let there: Vec<String> =
-            self.others.values().filter(|one| one.is_there()).map(|one| one.word.name.clone()).collect();
-        for name in there {
-            self.numbers += 1;
-            self.say(&name, Body::Ping { number: self.numbers });
+        self.local.state = MemberState::Left;
+        let live: Vec<String> = self.live().map(|member| member.update.name.clone()).collect();
+        for name in live {
+            self.ping(&name);
         }
     }
 
-    /// A message to another governor, with as many words as fit behind it. One that nobody knows gets none.
-    pub fn say(&mut self, to: &str, body: Body) {
-        let Some(at) = self.others.get(to).map(|member| member.word.at) else { return };
-        let room = match &body {
-            Body::Offer { .. } => 0,
-            _ => self.pace.words,
+    /// Sends a message to another governor, with as many updates as fit. One to an unknown governor is dropped.
+    pub fn send(&mut self, to: &str, body: MessageBody) {
+        let Some(address) = self.others.get(to).map(|member| member.update.address) else { return };
+        let update_bytes = match &body {
+            MessageBody::Offer(_) => 0,
+            _ => self.settings.max_update_bytes,
         };
-        let words = self.words_for(to, room);
-        let message = Message { from: self.me.clone(), to: to.to_string(), body, words };
-        self.out.push_back(Out::Send(at, Box::new(message)));
+        let updates = self.updates_for(to, update_bytes);
+        let message = Message { from: self.local.clone(), to: to.to_string(), body, updates };
+        self.actions.push_back(MemberAction::Send { address, message: Box::new(message) });
     }
 
-    // ---- steps
+    // ---- actions
 
-    /// The next thing to do, until there is none.
-    pub fn step(&mut self, now: Duration) -> Option<Out> {
-        self.settle(now);
-        self.out.pop_front()
+    /// The next action, until there is none.
+    pub fn next_action(&mut self, now: Duration) -> Option<MemberAction> {
+        self.advance(now);
+        self.actions.pop_front()
     }
 
-    pub fn next_due(&self) -> Duration {
-        let asking = self.asking.as_ref().filter(|asking| !asking.helped);
-        let help = asking.map_or(self.next, |asking| asking.since + self.pace.answer);
-        let suspects = self.others.values().filter(|one| one.word.standing == Standing::Suspect);
-        let deaths = suspects.map(|one| one.since + self.patience());
-        deaths.chain([help, self.next]).fold(self.next, Duration::min)
+    /// When [`Members::next_action`] has to be called at the latest.
+    pub fn next_deadline(&self) -> Duration {
+        let direct_probe = self.probe.as_ref().filter(|probe| !probe.indirect);
+        let ack_deadline = direct_probe.map(|probe| probe.sent_at + self.settings.ack_timeout);
+        let suspects = self.others.values().filter(|member| member.update.state == MemberState::Suspect);
+        let deaths = suspects.map(|member| member.state_since + self.suspicion_timeout());
+        deaths.chain(ack_deadline).fold(self.next_probe, Duration::min)
     }
 
-    /// How long a suspect has.
-    pub fn patience(&self) -> Duration {
-        self.pace.period.mul_f64(self.pace.patience * self.logarithm())
+    /// How long a suspect has to refute.
+    pub fn suspicion_timeout(&self) -> Duration {
+        let intervals = self.settings.suspicion_multiplier * self.log_of_members();
+        self.settings.probe_interval.mul_f64(intervals)
     }
 
-    fn logarithm(&self) -> f64 {
+    fn log_of_members(&self) -> f64 {
         ((self.others.len() + 1) as f64).log2().max(1.0)
     }
+}
 
-    fn settle(&mut self, now: Duration) {
-        let late = now.saturating_sub(self.next);
-        if late > self.pace.period {
-            // What was not heard while nothing was done here is nobody's fault: all get their time anew.
-            // Harm: a governor that is always late finds no dead one.
-            self.asking = None;
-            self.next = now;
-            for member in self.others.values_mut().filter(|one| one.word.standing == Standing::Suspect) {
-                member.since = member.since.max(now.saturating_sub(self.pace.period));
-            }
-            self.out.push_back(Out::Stalled(late));
-        }
-        if let Some(asking) = self.asking.clone().filter(|asking| !asking.helped)
-            && now >= asking.since + self.pace.answer
-        {
-            for helper in self.helpers(&asking) {
-                let body = Body::PingFor { number: asking.number, target: asking.target.clone() };
-                self.say(&helper, body);
-            }
-            self.asking = Some(Asking { helped: true, ..asking });
-        }
-        let patience = self.patience();
-        let dead = |one: &&Member| one.word.standing == Standing::Suspect && now >= one.since + patience;
-        let dead: Vec<Word> = self.others.values().filter(dead).map(|one| one.word.clone()).collect();
-        for word in dead {
-            self.take(now, &Word { standing: Standing::Dead, ..word });
-        }
-        if now >= self.next {
-            self.next = now + self.pace.period;
-            self.periods += 1;
-            if let Some(asking) = self.asking.take() {
-                let word = self.others.get(&asking.target).map(|one| one.word.clone());
-                if let Some(word) = word.filter(|word| word.standing == Standing::Alive) {
-                    self.take(now, &Word { standing: Standing::Suspect, ..word });
-                }
-            }
-            self.others.retain(|_, one| one.stated || one.is_there() || now < one.since + FORGET);
-            self.ask(now);
-        }
-    }
-
-    fn ask(&mut self, now: Duration) {
-        if self.periods.is_multiple_of(REVIVE) {
-            let gone: Vec<String> =
-                self.others.values().filter(|one| !one.is_there()).map(|one| one.word.name.clone()).collect();
-            if let Some(name) = gone.get(self.chance(1, gone.len())) {
-                self.numbers += 1;
-                self.say(&name.clone(), Body::Ping { number: self.numbers });
-            }
-        }
-        if self.round.is_empty() {
-            let there = self.others.values().filter(|one| one.is_there());
-            let mut names: Vec<String> = there.map(|one| one.word.name.clone()).collect();
-            for place in (1..names.len()).rev() {
-                names.swap(place, self.chance(place as u64 + 2, place + 1));
-            }
-            self.round = names;
-        }
-        while let Some(target) = self.round.pop() {
-            if self.others.get(&target).is_some_and(Member::is_there) {
-                self.numbers += 1;
-                let number = self.numbers;
-                self.say(&target, Body::Ping { number });
-                self.asking = Some(Asking { target, number, helped: false, since: now });
-                break;
-            }
-        }
-    }
-
-    fn helpers(&self, asking: &Asking) -> Vec<String> {
-        let able = self.others.values().filter(|one| one.is_there() && one.word.name != asking.target);
-        let mut able: Vec<String> = able.map(|one| one.word.name.clone()).collect();
-        let mut chosen = Vec::new();
-        while chosen.len() < self.pace.helpers && !able.is_empty() {
-            chosen.push(able.swap_remove(self.chance(asking.number << 8 | able.len() as u64, able.len())));
-        }
-        chosen
-    }
-
-    /// A number below `most`, by this governor's name and how far it is.
-    fn chance(&self, which: u64, most: usize) -> usize {
-        let mut hasher = DefaultHasher::new();
-        (self.seed, self.periods, which).hash(&mut hasher);
-        (hasher.finish() % most.max(1) as u64) as usize
-    }
-
-    // ---- words
-
-    /// Takes a word in, if it is newer than what is known.
-    fn take(&mut self, now: Duration, word: &Word) {
-        if word.name == self.me.name {
-            // Spoken ill of, or taken for an older life: it says otherwise, above all that was said.
-            let ill = word.standing != Standing::Alive && word.incarnation >= self.me.incarnation;
-            if (ill || word.incarnation > self.me.incarnation) && self.me.standing == Standing::Alive {
-                self.me.incarnation = word.incarnation.saturating_add(1);
-            }
-            return;
-        }
-        let Some(known) = self.others.get_mut(&word.name) else {
-            if self.others.len() < MOST && word.standing <= Standing::Suspect {
-                let member = Member { word: word.clone(), since: now, heard: None, stated: false };
-                self.others.insert(word.name.clone(), member);
-                self.spread(&word.name, word.standing);
-            }
-            return;
-        };
-        let order = |one: &Word| (one.incarnation, one.standing, one.figures.turn);
-        if order(word) <= order(&known.word) {
-            // Its figures may be newer though its standing is not.
-            if word.incarnation == known.word.incarnation && word.figures.turn > known.word.figures.turn {
-                known.word.figures = word.figures;
-                self.sent.insert(word.name.clone(), 0);
-            }
-            return;
-        }
-        let stands = known.word.standing != word.standing;
-        let at = if known.stated { known.word.at } else { word.at };
-        let newer = word.incarnation > known.word.incarnation || word.figures.turn >= known.word.figures.turn;
-        let figures = if newer { word.figures } else { known.word.figures };
-        known.word = Word { at, figures, ..word.clone() };
-        if stands {
-            known.since = now;
-            self.spread(&word.name, word.standing);
-        } else {
-            self.sent.insert(word.name.clone(), 0);
-        }
-    }
-
-    fn spread(&mut self, name: &str, standing: Standing) {
-        self.sent.insert(name.to_string(), 0);
-        self.out.push_back(Out::Stands(name.to_string(), standing));
+fn first_update(governor: &Peer, incarnation: u64, state: MemberState) -> MemberUpdate {
+    MemberUpdate {
+        name: governor.name.clone(),
+        address: governor.address,
+        incarnation,
+        state,
+        load: GovernorLoad::default(),
     }
+}
 
-    /// Words that travel with a message: first what is not well said of the receiver, then what was sent
-    /// least often.
-    fn words_for(&mut self, to: &str, mut room: usize) -> Vec<Word> {
-        let most = (self.pace.repeats * self.logarithm()).ceil() as u32;
-        self.sent.retain(|_, times| *times < most);
-        let mut words = Vec::new();
-        let ill = self
-            .others
-            .get(to)
-            .filter(|one| one.word.standing != Standing::Alive && one.word.incarnation > 0);
-        if let Some(one) = ill.filter(|_| room > 0) {
-            room = room.saturating_sub(length(&one.word));
-            words.push(one.word.clone());
-        }
-        let order: BTreeSet<(u32, String)> =
-            self.sent.iter().map(|(name, times)| (*times, name.clone())).collect();
-        for (_, name) in order {
-            // This governor's own word is at the head of every message.
-            let word = self.others.get(&name).map(|one| one.word.clone());
-            let Some(word) = word.filter(|word| word.name != to) else { continue };
-            let long = length(&word);
-            if long > room {
-                break;
-            }
-            room -= long;
-            *self.sent.entry(name).or_default() += 1;
-            words.push(word);
-        }
-        words
+/// A peer of which nothing is known yet: the first update that comes takes precedence.
+fn configured_member(peer: &Peer, now: Duration) -> Member {
+    Member {
+        update: first_update(peer, 0, MemberState::Dead),
+        state_since: now,
+        last_heard: None,
+        configured: true,
     }
 }
