--- /dev/null
+++ b/crates/platform-governor/src/endpoint_list/tests.rs
@@ -0,0 +1,81 @@
+use super::*;
+use serde_json::json;
+
+fn row(name: &str, status: &str) -> Value {
+    json!({"name": name, "zone": "a", "status": status, "weight": 2.0, "since_ms": 0})
+}
+
+fn apply(list: &mut EndpointList, version: u64, snapshot: bool, rows: &[Value]) -> Option<EndpointUpdate> {
+    let object = json!({"index": version, "snapshot": snapshot, "endpoints": rows});
+    list.apply(&object, |at| Some(Duration::from_secs_f64(at))).expect("it can be used")
+}
+
+fn names(change: &EndpointUpdate) -> Vec<(&str, Phase)> {
+    change.entries.iter().map(|entry| (&*entry.id, entry.phase)).collect()
+}
+
+#[test]
+fn an_invalid_entry_leaves_the_others_and_what_was_known_of_it() {
+    let mut list = EndpointList::new(&["a".into()]);
+    apply(&mut list, 1, true, &[row("r1", "up"), row("r2", "up")]);
+    let mut invalid = row("r1", "up");
+    invalid["weight"] = json!(-1);
+    let change = apply(&mut list, 2, true, &[invalid, row("r3", "up")]).expect("newer");
+    assert_eq!(names(&change), [("r1", Phase::Ready), ("r3", Phase::Ready)]);
+    assert!(change.scope == RosterScope::Complete && change.invalid_entries.len() == 1);
+    // An entry whose name can't be read may be any that is missing: nothing is taken for gone.
+    let change = apply(&mut list, 3, true, &[json!({"name": 3}), row("r3", "up")]).expect("newer");
+    assert!(
+        change.scope == RosterScope::Changes && list.version() == Some(3),
+        "another snapshot would be the same"
+    );
+}
+
+#[test]
+fn an_invalid_change_is_made_good_by_a_snapshot() {
+    let mut list = EndpointList::new(&["a".into()]);
+    apply(&mut list, 1, true, &[row("r1", "up")]);
+    let invalid = apply(&mut list, 2, false, &[row("r1", "drained")]).expect("newer");
+    assert_eq!((invalid.invalid_entries.len(), list.version()), (1, None));
+    let whole = apply(&mut list, 2, true, &[row("r1", "draining")]).expect("no older than what is known");
+    assert_eq!((names(&whole), list.version()), (vec![("r1", Phase::Draining)], Some(2)));
+}
+
+#[test]
+fn older_versions_are_ignored() {
+    let mut list = EndpointList::new(&["a".into()]);
+    apply(&mut list, 5, true, &[row("r1", "up")]);
+    apply(&mut list, 6, false, &[row("r1", "draining")]);
+    assert_eq!(apply(&mut list, 5, true, &[row("r1", "up")]), None);
+    assert_eq!(apply(&mut list, 6, false, &[]), None);
+    let gone = apply(&mut list, 7, false, &[json!({"name": "r1", "status": "removed"})]).expect("newer");
+    assert_eq!(names(&gone), [("r1", Phase::Gone)]);
+}
+
+#[test]
+fn a_malformed_event_changes_nothing_and_requires_a_snapshot() {
+    let mut list = EndpointList::new(&["a".into()]);
+    apply(&mut list, 5, true, &[row("r1", "up")]);
+    assert!(matches!(list.apply_bytes(b"{", |_| None), Err(EndpointListError::Unreadable(_))));
+    assert_eq!(
+        list.apply_bytes(b"{\"index\":6,\"snapshot\":false}", |_| None),
+        Err(EndpointListError::InvalidField("endpoints"))
+    );
+    // What it was to give is not given again: no watch goes on before a snapshot came that is no older.
+    assert_eq!((list.version(), list.entries.len()), (None, 1));
+    assert_eq!(apply(&mut list, 4, true, &[]), None);
+    assert_eq!(apply(&mut list, 6, false, &[]).map(|change| change.scope), Some(RosterScope::Changes));
+    assert_eq!((list.version(), list.entries.len()), (None, 1));
+    apply(&mut list, 6, true, &[row("r1", "up")]);
+    assert_eq!((list.version(), list.entries.len()), (Some(6), 1));
+}
+
+#[test]
+fn start_times_are_converted_to_host_time() {
+    let mut list = EndpointList::new(&["a".into()]);
+    let mut started = row("r1", "up");
+    started["since_ms"] = json!(90500);
+    let change = apply(&mut list, 1, true, &[started, row("r2", "up")]).expect("newer");
+    assert_eq!(change.entries[0].started_at, Some(Duration::from_millis(90500)));
+    assert_eq!(change.entries[1].started_at, None);
+}
