--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -36,7 +36,7 @@
                 if open {
                     return Err("a batch begins before the last one's `go`".into());
                 }
-                host.now = Fields(&fields).micros("ts_us")?;
+                host.now = Fields::new(&fields).micros("ts_us")?;
                 open = true;
                 Ok(None)
             }
@@ -88,7 +88,7 @@
 
 impl Host {
     fn event(&mut self, name: &str, fields: &Map<String, Value>) -> Result<(), String> {
-        let fields = Fields(fields);
+        let fields = Fields::new(fields);
         let now = self.now;
         if name == "define_list" {
             let number = fields.count("list")?;
@@ -193,7 +193,7 @@
     }
 
     fn entry(&mut self, entry: &Value) -> Result<ReplicaEntry, String> {
-        let fields = Fields(entry.as_object().ok_or("a list's entry is no object")?);
+        let fields = Fields::new(entry.as_object().ok_or("a list's entry is no object")?);
         Ok(ReplicaEntry {
             id: self.name(fields.text("replica")?),
             phase: match fields.count("phase").unwrap_or(0) {
--- a/crates/daemon/src/platform/config.rs
+++ b/crates/daemon/src/platform/config.rs
@@ -76,7 +76,7 @@
     fn take(whole: Value) -> Result<Self, String> {
         let Value::Object(mut whole) = whole else { return Err("it is no object".into()) };
         let known = whole.remove("known").unwrap_or_default();
-        let fields = Fields(&whole);
+        let fields = Fields::new(&whole);
         let discovery = match fields.get("discovery") {
             None => None,
             Some(address) => {
@@ -85,7 +85,7 @@
             }
         };
         let settings = whole.get("settings").and_then(Value::as_object);
-        let settings = Fields(settings.ok_or("`settings` is no object")?);
+        let settings = Fields::new(settings.ok_or("`settings` is no object")?);
         let info = wrenthread_deployment_config::read(&settings)?;
         // Where the simulator tells of no number there is one proxy; here it would be ready and serve nobody.
         if settings.object_or_empty("extra").get("agents").is_none() || info.settings.proxy_count == 0 {
--- a/crates/deployment-config/src/tests.rs
+++ b/crates/deployment-config/src/tests.rs
@@ -1,17 +1,24 @@
+use std::time::Duration;
+
+use serde_json::Value;
+use wrenthread::types::{
+    AdmissionControl, DeduplicationScope, Idempotency, LoadField, MessageLimit, RetryPolicy, TrafficClass,
+};
+
 use super::*;
 
 const INFO: &str = r#"{"categories":[{"name":"find","deadline_us":5000000,"objective_us":2000000}],
     "extra":{"agents":7,"update_cap":30,"messages_over_us":10000000},"zones":["a","b"],
     "report":{"fields":["queue","latency_ms"]},"new":{"x":[1]}}"#;
 
-fn told(text: &str) -> Result<DeploymentConfig, FieldError> {
+fn read_text(text: &str) -> Result<DeploymentConfig, FieldError> {
     let value: Value = serde_json::from_str(text).expect("JSON");
-    read(&Fields(value.as_object().expect("an object")))
+    read(&Fields::new(value.as_object().expect("an object")))
 }
 
 #[test]
-fn names_stand_in_the_order_of_what_they_name() {
-    let info = told(INFO).expect("it is whole");
+fn names_are_in_the_order_of_what_they_name() {
+    let info = read_text(INFO).expect("it is complete");
     assert_eq!((info.zone_names, info.class_names), (vec!["a".into(), "b".into()], vec!["find".to_string()]));
     assert_eq!(info.load_field_names, ["queue", "latency_ms"]);
     assert_eq!(info.settings.load_fields, [LoadField::Queued, LoadField::ServiceMillis]);
@@ -22,12 +29,12 @@
 }
 
 #[test]
-fn a_group_without_its_span_is_named() {
+fn names_an_invalid_field_of_a_class() {
     assert_eq!(
-        told(&INFO.replace("deadline_us\":5000000", "deadline_us\":-1")),
+        read_text(&INFO.replace("deadline_us\":5000000", "deadline_us\":-1")),
         Err(FieldError::NotWholeNumber("deadline_us".into()))
     );
-    assert_eq!(told(r#"{"categories":[3]}"#), Err(FieldError::NotObject("categories".into())));
+    assert_eq!(read_text(r#"{"categories":[3]}"#), Err(FieldError::NotObject("categories".into())));
 }
 
 const COMPLETE: &str = r#"{
@@ -53,7 +60,7 @@
 fn replaced(pointer: &str, value: Value) -> Result<DeploymentConfig, FieldError> {
     let mut object = complete();
     *object.pointer_mut(pointer).expect("it is there") = value;
-    told(&object.to_string())
+    read_text(&object.to_string())
 }
 
 fn class(idempotency: Idempotency, objective_us: u64, deadline_us: u64) -> TrafficClass {
@@ -122,12 +129,12 @@
 
 #[test]
 fn reads_every_field() {
-    assert_eq!(told(COMPLETE).expect("it is complete").settings, complete_settings());
+    assert_eq!(read_text(COMPLETE).expect("it is complete").settings, complete_settings());
 }
 
 #[test]
 fn absent_and_null_fields_take_their_defaults() {
-    assert_eq!(told("{}").expect("nothing is required").settings, default_settings());
+    assert_eq!(read_text("{}").expect("nothing is required").settings, default_settings());
     let mut object = complete();
     for (name, value) in object.as_object_mut().expect("an object") {
         match value {
@@ -137,10 +144,10 @@
             value => *value = Value::Null,
         }
     }
-    assert_eq!(told(&object.to_string()).expect("nothing is required").settings, default_settings());
+    assert_eq!(read_text(&object.to_string()).expect("nothing is required").settings, default_settings());
     let spare = r#"{"categories":[{"objective_us":1,"deadline_us":2,"worth":null,"key_ttl_us":null}]}"#;
     let class = class(Idempotency::NotIdempotent, 1, 2);
-    assert_eq!(told(spare).expect("it is complete").settings.classes, [class]);
+    assert_eq!(read_text(spare).expect("it is complete").settings.classes, [class]);
 }
 
 #[test]
@@ -204,19 +211,19 @@
     let mut object = complete();
     object["extra"]["update_cap"] = Value::from("3");
     object["siblings"] = Value::from("3");
-    assert_eq!(told(&object.to_string()), Err(FieldError::NotWholeNumber("update_cap".into())));
+    assert_eq!(read_text(&object.to_string()), Err(FieldError::NotWholeNumber("update_cap".into())));
     object["categories"][0]["deadline_us"] = Value::from("3");
-    assert_eq!(told(&object.to_string()), Err(FieldError::NotWholeNumber("deadline_us".into())));
+    assert_eq!(read_text(&object.to_string()), Err(FieldError::NotWholeNumber("deadline_us".into())));
     object["categories"][0]["objective_us"] = Value::from("3");
-    assert_eq!(told(&object.to_string()), Err(FieldError::NotWholeNumber("objective_us".into())));
+    assert_eq!(read_text(&object.to_string()), Err(FieldError::NotWholeNumber("objective_us".into())));
     object["categories"][1]["key_ttl_us"] = Value::from("3");
-    assert_eq!(told(&object.to_string()), Err(FieldError::NotWholeNumber("objective_us".into())));
+    assert_eq!(read_text(&object.to_string()), Err(FieldError::NotWholeNumber("objective_us".into())));
     object["categories"][0]["key_ttl_us"] = Value::from("3");
-    assert_eq!(told(&object.to_string()), Err(FieldError::NotWholeNumber("key_ttl_us".into())));
+    assert_eq!(read_text(&object.to_string()), Err(FieldError::NotWholeNumber("key_ttl_us".into())));
     object["penalties"] = Value::from("3");
-    assert_eq!(told(&object.to_string()), Err(FieldError::NotObject("penalties".into())));
+    assert_eq!(read_text(&object.to_string()), Err(FieldError::NotObject("penalties".into())));
     object["rules"] = Value::from("3");
-    assert_eq!(told(&object.to_string()), Err(FieldError::NotObject("rules".into())));
+    assert_eq!(read_text(&object.to_string()), Err(FieldError::NotObject("rules".into())));
 }
 
 #[test]
--- a/crates/platform-protocol/src/decode/tests.rs
+++ b/crates/platform-protocol/src/decode/tests.rs
@@ -8,7 +8,7 @@
     });
     let config = config.as_object().expect("an object").clone();
     Decoder::new(
-        &wrenthread_deployment_config::read(&wrenthread_deployment_config::Fields(&config))
+        &wrenthread_deployment_config::read(&wrenthread_deployment_config::Fields::new(&config))
             .expect("it is complete"),
     )
 }
