--- a/crates/adapter/src/events.rs
+++ b/crates/adapter/src/events.rs
@@ -124,7 +124,7 @@
 }
 
 fn replica_entry(entry: &Value, names: &mut ReplicaNames) -> Result<ReplicaEntry, MessageError> {
-    let fields = Fields(entry.as_object().ok_or(MessageError::EntryNotAnObject)?);
+    let fields = Fields::new(entry.as_object().ok_or(MessageError::EntryNotAnObject)?);
     Ok(ReplicaEntry {
         id: names.intern(fields.text("replica")?),
         phase: phase(fields.count("phase").unwrap_or(0))?,
