--- a/crates/daemon/src/platform/config.rs
+++ b/crates/daemon/src/platform/config.rs
@@ -1,24 +1,80 @@
-//! What the platform tells a governor: four variables, and the configuration file that one of them names.
+//! What the platform gives a governor: four environment variables, and the configuration file that one of them names.
+
+#[cfg(test)]
+mod tests;
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
 use serde_json::Value;
 use thiserror::Error;
-use wrenthread_deployment_config::{DeploymentConfig, Fields};
+use wrenthread_deployment_config::{DeploymentConfig, FieldError, Fields};
+
+/// The environment variables.
+const NAME_VARIABLE: &str = "RELAY_NAME";
+pub const LISTEN_VARIABLE: &str = "RELAY_LISTEN";
+const DISCOVERY_VARIABLE: &str = "RELAY_DISCOVERY";
+const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
 
-/// What keeps a governor from starting, or a new configuration from taking effect.
+/// The configuration's fields, and those of its sections that are read here.
+const DISCOVERY: &str = "discovery";
+const KNOWN_ENDPOINTS: &str = "known";
+const SETTINGS: &str = "settings";
+const EXTRA: &str = "extra";
+const PROXY_COUNT: &str = "agents";
+const LIMITS: &str = "limits";
+const MEMORY_MEGABYTES: &str = "memory_mb";
+const SOCKETS: &str = "sockets";
+
+/// A complete configuration is some hundred KB, and several times as much in memory.
+const MAX_FILE_BYTES: u64 = 2 << 20;
+const DEFAULT_MEMORY_MEGABYTES: f64 = 2048.0;
+const DEFAULT_SOCKETS: f64 = 4096.0;
+/// Limits from here on are invalid.
+const MAX_LIMIT: f64 = 1e9;
+
+/// Why a governor can't start.
 #[derive(Debug, Error)]
 pub enum ConfigError {
+    /// A variable is missing.
     #[error("{0} is not set")]
     Missing(&'static str),
-    #[error("{0} is not an address and a port: `{1}`")]
-    Address(&'static str, String),
-    #[error("the configuration {}: {why}", path.display())]
-    File { path: PathBuf, why: String },
+    /// A variable's value can't be used, or not be listened on.
+    #[error("{variable} is not an address and a port: `{value}`")]
+    InvalidAddress { variable: &'static str, value: String },
+    /// The configuration file can't be used.
+    #[error("the configuration {}: {error}", path.display())]
+    File { path: PathBuf, error: ConfigFileError },
 }
 
-/// The variables, checked.
+/// Why a configuration file can't be used.
+#[derive(Debug, Error)]
+pub enum ConfigFileError {
+    #[error("{0}")]
+    Unreadable(#[from] std::io::Error),
+    #[error("{bytes} bytes are too many")]
+    TooLarge { bytes: u64 },
+    #[error("{0}")]
+    InvalidJson(#[from] serde_json::Error),
+    #[error("it is no object")]
+    NotAnObject,
+    #[error("`discovery` is not an address and a port: {0}")]
+    InvalidDiscovery(Value),
+    #[error("`settings` is no object")]
+    NoSettings,
+    #[error("{0}")]
+    InvalidField(#[from] FieldError),
+    /// The simulator takes an absent number for one proxy; here the governor would be ready and serve nobody.
+    #[error("`settings.extra.agents` is missing or 0: no proxy could join")]
+    NoProxies,
+    /// Names that messages use are missing, empty or not unique.
+    #[error("`{0}` are none, without names, or alike in name")]
+    InvalidNames(&'static str),
+    #[error("`limits.{0}` is out of range")]
+    InvalidLimit(&'static str),
+}
+
+/// The environment variables, checked.
 #[derive(Debug, Clone)]
 pub struct Variables {
     pub name: String,
@@ -28,101 +84,116 @@
 }
 
 impl Variables {
-    /// Errors: one that is missing or broken, by its name.
+    /// Reads the environment.
+    ///
+    /// # Errors
+    ///
+    /// A variable is missing or invalid.
     pub fn read() -> Result<Self, ConfigError> {
-        let text = |name: &'static str| {
-            let value = std::env::var(name).ok().filter(|value| !value.is_empty());
-            value.ok_or(ConfigError::Missing(name))
-        };
-        let address = |name| {
-            text(name).and_then(|text| text.parse().map_err(|_| ConfigError::Address(name, text.clone())))
-        };
         Ok(Variables {
-            name: text("RELAY_NAME")?,
-            listen: address("RELAY_LISTEN")?,
-            discovery: address("RELAY_DISCOVERY")?,
-            config: text("RELAY_CONFIG")?.into(),
+            name: variable(NAME_VARIABLE)?,
+            listen: address(LISTEN_VARIABLE)?,
+            discovery: address(DISCOVERY_VARIABLE)?,
+            config: variable(CONFIG_VARIABLE)?.into(),
         })
     }
 }
 
+fn variable(name: &'static str) -> Result<String, ConfigError> {
+    let value = std::env::var(name).ok().filter(|value| !value.is_empty());
+    value.ok_or(ConfigError::Missing(name))
+}
+
+fn address(name: &'static str) -> Result<SocketAddr, ConfigError> {
+    let value = variable(name)?;
+    value.parse().map_err(|_| ConfigError::InvalidAddress { variable: name, value })
+}
+
 /// The configuration, as far as a governor heeds it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
+    /// Discovery's address, if the file states one.
     pub discovery: Option<SocketAddr>,
-    pub memory: usize,
+    /// The memory limit, in bytes.
+    pub memory_bytes: usize,
+    /// The limit of file descriptors.
     pub sockets: usize,
-    /// The list as this governor last had it; it may be old.
-    pub known: Value,
+    /// The endpoint list as this governor last had it; it may be old.
+    pub known_endpoints: Value,
     pub deployment: DeploymentConfig,
 }
 
-/// A whole configuration is some hundred KB, and several times as much in memory.
-const FILE_MOST: u64 = 2 << 20;
-
 impl Config {
-    /// Errors: the file with what is wrong in it.
+    /// Reads the file.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be used.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
-        let fault = |why: String| ConfigError::File { path: path.to_path_buf(), why };
-        let size = std::fs::metadata(path).map_err(|error| fault(error.to_string()))?.len();
-        if size > FILE_MOST {
-            return Err(fault(format!("{size} bytes are too many")));
-        }
-        let bytes = std::fs::read(path).map_err(|error| fault(error.to_string()))?;
-        let whole = serde_json::from_slice(&bytes).map_err(|error| fault(error.to_string()))?;
-        Config::take(whole).map_err(fault)
+        Config::read_file(path).map_err(|error| ConfigError::File { path: path.to_path_buf(), error })
     }
 
-    fn take(whole: Value) -> Result<Self, String> {
-        let Value::Object(mut whole) = whole else { return Err("it is no object".into()) };
-        let known = whole.remove("known").unwrap_or_default();
-        let fields = Fields::new(&whole);
-        let discovery = match fields.get("discovery") {
-            None => None,
-            Some(address) => {
-                let parsed = address.as_str().and_then(|text| text.parse().ok());
-                Some(parsed.ok_or_else(|| format!("`discovery` is not an address and a port: {address}"))?)
-            }
-        };
-        let settings = whole.get("settings").and_then(Value::as_object);
-        let settings = Fields::new(settings.ok_or("`settings` is no object")?);
-        let info = wrenthread_deployment_config::read(&settings)?;
-        // Where the simulator tells of no number there is one proxy; here it would be ready and serve nobody.
-        if settings.object_or_empty("extra").get("agents").is_none() || info.settings.proxy_count == 0 {
-            return Err("`settings.extra.agents` is missing or 0: no proxy could join".into());
+    fn read_file(path: &Path) -> Result<Self, ConfigFileError> {
+        let bytes = std::fs::metadata(path)?.len();
+        if bytes > MAX_FILE_BYTES {
+            return Err(ConfigFileError::TooLarge { bytes });
         }
-        named("settings.zones", &info.zone_names)?;
-        named("settings.categories", &info.class_names)?;
-        let limits = fields.object_or_empty("limits");
+        let text = std::fs::read(path)?;
+        Config::from_value(serde_json::from_slice(&text)?)
+    }
+
+    fn from_value(config: Value) -> Result<Self, ConfigFileError> {
+        let Value::Object(mut config) = config else { return Err(ConfigFileError::NotAnObject) };
+        let known_endpoints = config.remove(KNOWN_ENDPOINTS).unwrap_or_default();
+        let fields = Fields::new(&config);
+        let discovery = discovery(&fields)?;
+        let deployment = deployment(&fields)?;
+        let limits = fields.object_or_empty(LIMITS);
         Ok(Config {
             discovery,
-            memory: limit(&limits, "memory_mb", 2048)? << 20,
-            sockets: limit(&limits, "sockets", 4096)?,
-            known,
-            deployment: info,
+            memory_bytes: limit(&limits, MEMORY_MEGABYTES, DEFAULT_MEMORY_MEGABYTES)? << 20,
+            sockets: limit(&limits, SOCKETS, DEFAULT_SOCKETS)?,
+            known_endpoints,
+            deployment,
         })
     }
 }
 
-fn limit(limits: &Fields, name: &str, usual: u64) -> Result<usize, String> {
-    let most = if limits.get(name).is_some() { limits.number_or(name, -1.0) } else { usual as f64 };
-    if (1.0..1e9).contains(&most) {
-        Ok(most as usize)
+fn discovery(config: &Fields) -> Result<Option<SocketAddr>, ConfigFileError> {
+    let Some(address) = config.get(DISCOVERY) else { return Ok(None) };
+    let parsed = address.as_str().and_then(|text| text.parse().ok());
+    parsed.map(Some).ok_or_else(|| ConfigFileError::InvalidDiscovery(address.clone()))
+}
+
+fn deployment(config: &Fields) -> Result<DeploymentConfig, ConfigFileError> {
+    let settings = config.get(SETTINGS).and_then(Value::as_object);
+    let settings = Fields::new(settings.ok_or(ConfigFileError::NoSettings)?);
+    let deployment = wrenthread_deployment_config::read(&settings)?;
+    let states_proxies = settings.object_or_empty(EXTRA).get(PROXY_COUNT).is_some();
+    if !states_proxies || deployment.settings.proxy_count == 0 {
+        return Err(ConfigFileError::NoProxies);
+    }
+    check_names("settings.zones", &deployment.zone_names)?;
+    check_names("settings.categories", &deployment.class_names)?;
+    Ok(deployment)
+}
+
+fn limit(limits: &Fields, name: &'static str, default: f64) -> Result<usize, ConfigFileError> {
+    let limit = if limits.get(name).is_some() { limits.number_or(name, -1.0) } else { default };
+    if (1.0..MAX_LIMIT).contains(&limit) {
+        Ok(limit as usize)
     } else {
-        Err(format!("`limits.{name}` is out of range"))
+        Err(ConfigFileError::InvalidLimit(name))
     }
 }
 
-/// What messages name must have a name, and one of its own.
-fn named(what: &str, names: &[String]) -> Result<(), String> {
-    let mut sorted: Vec<&String> = names.iter().collect();
-    sorted.sort();
-    sorted.dedup();
-    if names.is_empty() || names.iter().any(String::is_empty) || sorted.len() < names.len() {
-        return Err(format!("`{what}` are none, without names, or alike in name"));
+/// What messages refer to must have a name, and one of its own.
+fn check_names(field: &'static str, names: &[String]) -> Result<(), ConfigFileError> {
+    let mut unique: Vec<&String> = names.iter().collect();
+    unique.sort();
+    unique.dedup();
+    if names.is_empty() || names.iter().any(String::is_empty) || unique.len() < names.len() {
+        return Err(ConfigFileError::InvalidNames(field));
     }
     Ok(())
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/daemon/src/platform/config/tests.rs
+++ b/crates/daemon/src/platform/config/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 use serde_json::json;
 
-fn whole() -> Value {
+fn complete() -> Value {
     json!({"discovery": "127.0.0.1:8500", "limits": {"memory_mb": 64, "sockets": 256},
         "settings": {"zones": ["a"], "extra": {"agents": 20.0, "channel_rate": 100},
             "categories": [{"name": "find", "deadline_us": 5000000, "objective_us": 2000000}]}})
 }
 
 #[test]
-fn what_is_wrong_is_named() {
-    let config = Config::take(whole()).expect("it is whole");
-    assert_eq!((config.memory, config.sockets), (64 << 20, 256));
+fn names_what_is_wrong() {
+    let config = Config::from_value(complete()).expect("it is complete");
+    assert_eq!((config.memory_bytes, config.sockets), (64 << 20, 256));
     assert_eq!(config.deployment.settings.proxy_count, 20, "a count may come as 20.0");
     for (at, wrong, why) in [
         ("/discovery", json!("nowhere"), "`discovery`"),
@@ -25,9 +25,9 @@
         ("/settings/extra", json!([]), "`extra`"),
         ("/settings", json!(3), "`settings`"),
     ] {
-        let mut broken = whole();
+        let mut broken = complete();
         *broken.pointer_mut(at).expect("it is there") = wrong;
-        let fault = Config::take(broken).expect_err(at);
-        assert!(fault.contains(why), "{at}: {fault}");
+        let error = Config::from_value(broken).expect_err(at).to_string();
+        assert!(error.contains(why), "{at}: {error}");
     }
 }
--- /dev/null
+++ b/crates/daemon/src/platform/connections.rs
@@ -0,0 +1,217 @@
+//! What all connections share, on the one thread: limits, places of unidentified peers, collectors, counts.
+
+use std::cell::{Cell, OnceCell, RefCell};
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Display;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::net::TcpListener;
+use tokio::sync::{Notify, mpsc};
+use tokio::task::{AbortHandle, spawn_local};
+use tokio::time::sleep;
+use wrenthread::types::ReplicaId;
+use wrenthread_platform_governor::ConnectionId;
+use wrenthread_platform_protocol::decode::{DecodeError, Decoder};
+
+use super::connection::{Connection, ConnectionEvent, MAX_MESSAGE_BYTES};
+
+/// Descriptors for what is not a connection at the address: standard streams, polls, signals, discovery.
+const RESERVED_SOCKETS: usize = 24;
+/// Collectors of a zone at once: one that vanished may linger beside its successor.
+const MAX_COLLECTORS: usize = 3;
+/// The fewest and the most unidentified peers there may be at once.
+const MIN_UNIDENTIFIED: usize = 16;
+const MAX_UNIDENTIFIED: usize = 512;
+/// The fraction of memory that incomplete frames may take, as a divisor.
+const INCOMPLETE_MEMORY_DIVISOR: usize = 8;
+/// The limit of incomplete frames before the platform's limits are known.
+const INITIAL_MAX_INCOMPLETE_BYTES: usize = 1 << 20;
+const READ_BUFFER_BYTES: usize = 16 << 10;
+/// Of an invalid message, so much is logged.
+const SAMPLE_BYTES: usize = 200;
+/// Unidentified peers that are evicted where accepting fails, most likely for want of descriptors.
+const EVICTED_AT_ACCEPT_ERROR: usize = 8;
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+
+/// The place that an unidentified peer takes.
+#[derive(Default)]
+pub struct UnidentifiedPeer {
+    /// Others want the place: the reader looks at its socket once more, and goes if nothing is there.
+    pub evicted: Notify,
+    /// It has begun to identify itself.
+    pub has_begun: Cell<bool>,
+}
+
+/// The platform's limits, and how many connections are expected.
+#[derive(Debug, Clone, Copy)]
+pub struct ConnectionLimits {
+    pub sockets: usize,
+    pub memory_bytes: usize,
+    pub proxies: u64,
+    pub zones: usize,
+}
+
+/// A collector's connection.
+struct Collector {
+    connection: ConnectionId,
+    reader: AbortHandle,
+}
+
+/// What all connections share.
+pub struct Connections {
+    pub decoder: Decoder,
+    /// Replicas by name, as the list has them or lately had them.
+    pub replica_names: RefCell<BTreeSet<ReplicaId>>,
+    /// Bytes are read into it, by one connection at a time.
+    pub read_buffer: RefCell<Vec<u8>>,
+    /// Inputs that were discarded and connections that were closed, by reason, since the last log.
+    discarded: RefCell<BTreeMap<String, u64>>,
+    max_unidentified: Cell<usize>,
+    max_incomplete_bytes: Cell<usize>,
+    /// Bytes that wait for the end of their frames, in all connections together.
+    incomplete_bytes: Cell<usize>,
+    unidentified: RefCell<BTreeMap<ConnectionId, Rc<UnidentifiedPeer>>>,
+    collectors: RefCell<BTreeMap<usize, Vec<Collector>>>,
+}
+
+impl Connections {
+    pub fn new(decoder: Decoder) -> Self {
+        Connections {
+            decoder,
+            replica_names: RefCell::default(),
+            read_buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
+            discarded: RefCell::default(),
+            max_unidentified: Cell::new(MIN_UNIDENTIFIED),
+            max_incomplete_bytes: Cell::new(INITIAL_MAX_INCOMPLETE_BYTES),
+            incomplete_bytes: Cell::new(0),
+            unidentified: RefCell::default(),
+            collectors: RefCell::default(),
+        }
+    }
+
+    /// Sets how many unidentified peers and incomplete bytes there may be.
+    pub fn set_limits(&self, limits: ConnectionLimits) {
+        let proxies = usize::try_from(limits.proxies).unwrap_or(usize::MAX);
+        let expected = proxies.saturating_add(MAX_COLLECTORS * limits.zones + RESERVED_SOCKETS);
+        let spare = limits.sockets.saturating_sub(expected);
+        self.max_unidentified.set(spare.clamp(MIN_UNIDENTIFIED, MAX_UNIDENTIFIED));
+        let incomplete = limits.memory_bytes / INCOMPLETE_MEMORY_DIVISOR;
+        self.max_incomplete_bytes.set(incomplete.max(2 * MAX_MESSAGE_BYTES));
+    }
+
+    /// Bytes that wait for the end of their frames, in all connections together.
+    #[cfg(test)]
+    pub fn incomplete_bytes(&self) -> usize {
+        self.incomplete_bytes.get()
+    }
+
+    /// A connection holds other bytes than before. Gives whether all of them together are within the limit.
+    pub fn update_incomplete_bytes(&self, before: usize, now: usize) -> bool {
+        let incomplete_bytes = self.incomplete_bytes.get() - before + now;
+        self.incomplete_bytes.set(incomplete_bytes);
+        incomplete_bytes <= self.max_incomplete_bytes.get()
+    }
+
+    /// Counts a discarded input or a closed connection.
+    pub fn count_discard(&self, reason: impl Display) {
+        *self.discarded.borrow_mut().entry(reason.to_string()).or_insert(0) += 1;
+    }
+
+    /// Counts an invalid message, and logs the first of its kind between two logs of counts.
+    pub fn count_invalid_message(&self, error: &DecodeError, frame: &[u8]) {
+        let reason = format!("invalid: {error}");
+        if !self.discarded.borrow().contains_key(&reason) {
+            let sample = String::from_utf8_lossy(&frame[..frame.len().min(SAMPLE_BYTES)]).into_owned();
+            tracing::info!(%error, sample, "invalid message discarded");
+        }
+        self.count_discard(reason);
+    }
+
+    /// What was discarded, by reason, since the last call.
+    pub fn take_discard_counts(&self) -> BTreeMap<String, u64> {
+        std::mem::take(&mut *self.discarded.borrow_mut())
+    }
+
+    /// What was discarded, by reason.
+    #[cfg(test)]
+    pub fn discard_counts(&self) -> BTreeMap<String, u64> {
+        self.discarded.borrow().clone()
+    }
+
+    /// Gives an unidentified peer a place, at the cost of another one where there are too many.
+    pub fn add_unidentified(&self, connection: ConnectionId, peer: Rc<UnidentifiedPeer>) {
+        self.unidentified.borrow_mut().insert(connection, peer);
+        self.evict_unidentified(self.max_unidentified.get());
+    }
+
+    /// The peer has identified itself, or its connection has ended.
+    pub fn remove_unidentified(&self, connection: ConnectionId) {
+        self.unidentified.borrow_mut().remove(&connection);
+    }
+
+    /// Evicts peers until no more than `max` are left: first those that have sent nothing, the oldest first.
+    fn evict_unidentified(&self, max: usize) {
+        let mut unidentified = self.unidentified.borrow_mut();
+        while unidentified.len() > max {
+            let silent = unidentified.iter().find(|(_, peer)| !peer.has_begun.get());
+            let Some(connection) = silent.or(unidentified.iter().next()).map(|(connection, _)| *connection)
+            else {
+                return;
+            };
+            if let Some(peer) = unidentified.remove(&connection) {
+                peer.evicted.notify_one();
+            }
+        }
+    }
+
+    /// A connection is a collector's; the oldest of too many in its zone is closed.
+    pub fn add_collector(&self, zone: usize, connection: ConnectionId, reader: AbortHandle) {
+        let mut collectors = self.collectors.borrow_mut();
+        let zone_collectors = collectors.entry(zone).or_default();
+        zone_collectors.push(Collector { connection, reader });
+        if zone_collectors.len() > MAX_COLLECTORS {
+            zone_collectors.remove(0).reader.abort();
+            self.count_discard("collector: replaced by newer ones");
+        }
+    }
+
+    /// A connection has ended.
+    pub fn remove(&self, connection: ConnectionId, incomplete_bytes: usize) {
+        self.remove_unidentified(connection);
+        self.update_incomplete_bytes(incomplete_bytes, 0);
+        for zone_collectors in self.collectors.borrow_mut().values_mut() {
+            zone_collectors.retain(|collector| collector.connection != connection);
+        }
+    }
+}
+
+/// Accepts connections for as long as it runs.
+pub async fn accept(
+    listener: TcpListener,
+    connections: Rc<Connections>,
+    events: mpsc::Sender<ConnectionEvent>,
+) {
+    let mut accepted = 0;
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => {
+                accepted += 1;
+                let id = ConnectionId(accepted);
+                let reader = Rc::new(OnceCell::new());
+                let connection =
+                    Connection::new(stream, id, connections.clone(), events.clone(), reader.clone());
+                let peer = connection.unidentified_peer();
+                // It does not run before this task waits.
+                let _ = reader.set(spawn_local(connection.serve()).abort_handle());
+                connections.add_unidentified(id, peer);
+            }
+            Err(error) => {
+                connections.count_discard(format_args!("accept failed: {error}"));
+                let unidentified = connections.unidentified.borrow().len();
+                connections.evict_unidentified(unidentified.saturating_sub(EVICTED_AT_ACCEPT_ERROR));
+                sleep(ACCEPT_BACKOFF).await; // so that it does not spin
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/platform/send_queue.rs
@@ -0,0 +1,90 @@
+//! The sending side of a proxy's stream: reading never waits for writing.
+
+use std::cell::Cell;
+use std::rc::Rc;
+
+use thiserror::Error;
+use tokio::io::AsyncWriteExt;
+use tokio::net::tcp::OwnedWriteHalf;
+use tokio::sync::mpsc;
+use tokio::task::{AbortHandle, spawn_local};
+use tokio::time::Instant;
+
+/// A proxy that leaves this much unread has been gone for long: all messages of a minute are a fraction of it.
+const MAX_UNSENT_BYTES: usize = 256 << 10;
+
+/// The peer reads nothing, or the connection has ended.
+#[derive(Debug, Error)]
+#[error("send buffer full")]
+pub struct SendBufferFullError;
+
+/// Bytes that wait for a connection's writer.
+#[derive(Clone)]
+pub struct SendQueue {
+    messages: mpsc::UnboundedSender<Vec<u8>>,
+    unsent_bytes: Rc<Cell<usize>>,
+}
+
+impl SendQueue {
+    /// Starts the writer of a connection. Its task ends with the last queue, or as writing fails.
+    pub fn start(write: OwnedWriteHalf) -> (SendQueue, AbortHandle) {
+        let (messages, unsent_messages) = mpsc::unbounded_channel();
+        let unsent_bytes = Rc::new(Cell::new(0));
+        let writer = spawn_local(write_messages(write, unsent_messages, unsent_bytes.clone()));
+        (SendQueue { messages, unsent_bytes }, writer.abort_handle())
+    }
+
+    /// Queues bytes behind those queued before.
+    ///
+    /// # Errors
+    ///
+    /// The peer has left too much unread, or the writer has ended.
+    pub fn send(&self, bytes: Vec<u8>) -> Result<(), SendBufferFullError> {
+        let unsent_bytes = self.unsent_bytes.get() + bytes.len();
+        if unsent_bytes > MAX_UNSENT_BYTES {
+            return Err(SendBufferFullError);
+        }
+        self.unsent_bytes.set(unsent_bytes);
+        self.messages.send(bytes).map_err(|_| SendBufferFullError)
+    }
+}
+
+async fn write_messages(
+    mut write: OwnedWriteHalf,
+    mut messages: mpsc::UnboundedReceiver<Vec<u8>>,
+    unsent_bytes: Rc<Cell<usize>>,
+) {
+    while let Some(bytes) = messages.recv().await {
+        if write.write_all(&bytes).await.is_err() {
+            return; // the reader notices, too
+        }
+        unsent_bytes.set(unsent_bytes.get() - bytes.len());
+    }
+}
+
+/// What the governor holds of a proxy's stream. Dropping it ends the connection.
+pub struct StreamHandle {
+    pub(super) queue: SendQueue,
+    pub(super) last_received: Rc<Cell<Instant>>,
+    pub(super) reader: AbortHandle,
+    pub(super) writer: AbortHandle,
+}
+
+impl StreamHandle {
+    /// Queues bytes for the proxy; see [`SendQueue::send`].
+    pub fn send(&self, bytes: Vec<u8>) -> Result<(), SendBufferFullError> {
+        self.queue.send(bytes)
+    }
+
+    /// When bytes last came, valid or not.
+    pub fn last_received(&self) -> Instant {
+        self.last_received.get()
+    }
+}
+
+impl Drop for StreamHandle {
+    fn drop(&mut self) {
+        self.reader.abort();
+        self.writer.abort();
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/platform/service.rs
@@ -0,0 +1,266 @@
+//! The one task that owns the state machine: takes in what comes, and carries out its actions.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::net::TcpListener;
+use tokio::sync::mpsc;
+use tokio::task::{JoinHandle, spawn_local};
+use tokio::time::{Instant, sleep, sleep_until};
+use wrenthread_discovery::{EventSender, WatchEvent, watch_endpoints};
+use wrenthread_platform_governor::{Action, ConnectionId, PlatformGovernor};
+use wrenthread_platform_protocol::decode::Decoder;
+
+use super::config::{Config, Variables};
+use super::connection::ConnectionEvent;
+use super::connections::{ConnectionLimits, Connections, accept};
+use super::send_queue::StreamHandle;
+use crate::clock::Clock;
+
+/// Events of connections that may wait; what comes beyond it waits in its socket.
+const MAX_CONNECTION_EVENTS: usize = 1024;
+/// Events of discovery that may wait.
+const MAX_WATCH_EVENTS: usize = 4;
+/// Events taken in before decisions are pulled, so that a burst is one pull.
+const MAX_EVENTS_PER_PULL: usize = 512;
+/// How often the state estimate and the discarded inputs are logged.
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
+/// How long a watcher at discovery's former address goes on: what was written to it counts, and the new address may be
+/// silent yet.
+pub(super) const FORMER_WATCHER_TIME: Duration = Duration::from_millis(2500);
+/// A file that is being written is read again after this time,
+const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(300);
+/// and so often.
+const MAX_RELOAD_RETRIES: u32 = 40;
+
+/// A configuration that could not be used, and is to be read again.
+#[derive(Debug, Clone, Copy)]
+struct ReloadRetry {
+    at: Instant,
+    /// How often it is read yet again if it can't be used then.
+    retries_left: u32,
+}
+
+/// The governor, what comes to it, and what it has the host do.
+pub(super) struct Service {
+    pub(super) clock: Clock,
+    variables: Variables,
+    config: Config,
+    discovery: SocketAddr,
+    pub(super) governor: PlatformGovernor,
+    /// The sending side of each proxy's stream.
+    pub(super) streams: BTreeMap<ConnectionId, StreamHandle>,
+    pub(super) connections: Rc<Connections>,
+    pub(super) connection_events: mpsc::Receiver<ConnectionEvent>,
+    pub(super) watch_events: mpsc::Receiver<WatchEvent>,
+    watch_event_sender: mpsc::Sender<WatchEvent>,
+    watcher: Option<JoinHandle<()>>,
+    log_at: Instant,
+    reload_retry: Option<ReloadRetry>,
+}
+
+impl Service {
+    /// Starts accepting connections and watching discovery.
+    pub(super) fn start(variables: Variables, config: Config, listener: TcpListener) -> Self {
+        let clock = Clock::start();
+        let (connection_event_sender, connection_events) = mpsc::channel(MAX_CONNECTION_EVENTS);
+        let (watch_event_sender, watch_events) = mpsc::channel(MAX_WATCH_EVENTS);
+        let mut governor = PlatformGovernor::new(&config.deployment, clock.now());
+        let loaded =
+            governor.load_known_endpoints(clock.now(), &config.known_endpoints, |unix| clock.at(unix));
+        if let Err(error) = loaded {
+            tracing::warn!(%error, "invalid endpoint list in the configuration");
+        }
+        governor.start_watch();
+        let connections = Rc::new(Connections::new(Decoder::new(&config.deployment)));
+        spawn_local(accept(listener, connections.clone(), connection_event_sender));
+        let discovery = config.discovery.unwrap_or(variables.discovery);
+        tracing::info!(governor = %variables.name, listen = %variables.listen, %discovery, "governor listening");
+        let mut service = Service {
+            clock,
+            variables,
+            config,
+            discovery,
+            governor,
+            streams: BTreeMap::new(),
+            connections,
+            connection_events,
+            watch_events,
+            watch_event_sender,
+            watcher: None,
+            log_at: Instant::now() + LOG_INTERVAL,
+            reload_retry: None,
+        };
+        service.set_connection_limits();
+        service.advance();
+        service
+    }
+
+    fn set_connection_limits(&self) {
+        self.connections.set_limits(ConnectionLimits {
+            sockets: self.config.sockets,
+            memory_bytes: self.config.memory_bytes,
+            proxies: self.config.deployment.settings.proxy_count,
+            zones: self.config.deployment.zone_names.len(),
+        });
+    }
+
+    /// Waits for what comes next, and takes it in.
+    pub(super) async fn receive(&mut self) {
+        let deadline = self.next_deadline();
+        tokio::select! {
+            biased;
+            Some(event) = self.watch_events.recv() => self.handle_watch_event(event),
+            Some(event) = self.connection_events.recv() => {
+                self.handle_connection_event(event);
+                for _ in 1..MAX_EVENTS_PER_PULL {
+                    let Ok(event) = self.connection_events.try_recv() else { break };
+                    self.handle_connection_event(event);
+                }
+            }
+            () = sleep_until(deadline) => {}
+        }
+    }
+
+    fn next_deadline(&self) -> Instant {
+        let deadline = self.clock.instant(self.governor.next_deadline()).min(self.log_at);
+        match self.reload_retry {
+            Some(retry) => retry.at.min(deadline),
+            None => deadline,
+        }
+    }
+
+    pub(super) fn handle_watch_event(&mut self, event: WatchEvent) {
+        let clock = self.clock;
+        let known_version =
+            self.governor.watch_event(clock.now(), event.watcher, &event.bytes, |unix| clock.at(unix));
+        // The watcher may be gone; its event counts all the same.
+        let _ = event.known_version.send(known_version);
+    }
+
+    pub(super) fn handle_connection_event(&mut self, event: ConnectionEvent) {
+        let now = self.clock.now();
+        match event {
+            ConnectionEvent::ProxyConnected { connection, proxy, handle } => {
+                self.streams.insert(connection, handle);
+                self.governor.proxy_connected(now, connection, proxy);
+            }
+            ConnectionEvent::Ended { connection, proxy } => {
+                self.streams.remove(&connection);
+                self.governor.connection_ended(connection, proxy);
+            }
+            ConnectionEvent::ProxyMessage { connection, proxy, message } => {
+                self.governor.proxy_message(now, connection, proxy, message);
+            }
+            ConnectionEvent::CollectorMessage(message) => self.governor.collector_message(now, message),
+        }
+    }
+
+    /// Has what has become due done, and carries out the governor's actions.
+    pub(super) fn advance(&mut self) {
+        let now = Instant::now();
+        if let Some(retry) = self.reload_retry.filter(|retry| now >= retry.at) {
+            self.try_reload(retry.retries_left);
+        }
+        let clock = self.clock;
+        let streams = &self.streams;
+        self.governor.advance(clock.now(), |connection| match streams.get(&connection) {
+            Some(stream) => clock.since(stream.last_received()),
+            None => clock.now(),
+        });
+        while let Some(action) = self.governor.next_action() {
+            self.carry_out(action);
+        }
+        if now >= self.log_at {
+            self.log_at = now + LOG_INTERVAL;
+            self.log();
+        }
+    }
+
+    fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Send { connection, bytes } => {
+                if let Some(stream) = self.streams.get(&connection)
+                    && stream.send(bytes).is_err()
+                {
+                    self.governor.send_buffer_full(connection);
+                }
+            }
+            // Dropping the handle ends the connection.
+            Action::Close { connection } => drop(self.streams.remove(&connection)),
+            Action::Watch { watcher, from_version } => self.start_watcher(watcher, from_version),
+            Action::ReplicasChanged => {
+                self.connections.replica_names.borrow_mut().clone_from(self.governor.replica_names());
+            }
+        }
+    }
+
+    fn start_watcher(&mut self, watcher: u64, from_version: Option<u64>) {
+        let sender = EventSender { watcher, events: self.watch_event_sender.clone() };
+        let task = spawn_local(watch_endpoints(self.discovery.to_string(), from_version, sender));
+        if let Some(former) = self.watcher.replace(task) {
+            spawn_local(async move {
+                sleep(FORMER_WATCHER_TIME).await;
+                former.abort();
+            });
+        }
+    }
+
+    fn log(&mut self) {
+        let estimate = self.governor.state_estimate();
+        tracing::info!(
+            offered_per_second = estimate.offered_per_second,
+            answered_per_second = estimate.answered_per_second,
+            admission_fraction = estimate.admission_fraction,
+            available_replicas = estimate.available_replicas,
+            ejected_replicas = estimate.ejected_replicas,
+            proxies = estimate.proxies,
+            unsynchronised_proxies = estimate.unsynchronised_proxies,
+            "state estimate"
+        );
+        let mut discarded = self.connections.take_discard_counts();
+        for (reason, count) in self.governor.take_discard_counts() {
+            discarded.insert(reason.to_string(), count);
+        }
+        if !discarded.is_empty() {
+            tracing::info!(?discarded, "inputs discarded");
+        }
+    }
+
+    /// Reads the configuration again. An invalid one leaves the present one in force, and is read again for a while.
+    pub(super) fn reload_config(&mut self) {
+        self.try_reload(MAX_RELOAD_RETRIES);
+    }
+
+    fn try_reload(&mut self, retries_left: u32) {
+        self.reload_retry = None;
+        match Config::read(&self.variables.config) {
+            Ok(config) => self.apply_config(config),
+            Err(error) => {
+                tracing::warn!(%error, retries_left, "configuration reload failed");
+                if retries_left > 0 {
+                    let at = Instant::now() + RELOAD_RETRY_INTERVAL;
+                    self.reload_retry = Some(ReloadRetry { at, retries_left: retries_left - 1 });
+                }
+            }
+        }
+    }
+
+    /// Puts discovery's address and the limits in force; the settings stay until the next start.
+    fn apply_config(&mut self, config: Config) {
+        if config.deployment != self.config.deployment {
+            tracing::warn!("settings changed, restart to apply them");
+        }
+        let deployment = self.config.deployment.clone();
+        self.config = Config { deployment, ..config };
+        self.set_connection_limits();
+        let discovery = self.config.discovery.unwrap_or(self.discovery);
+        if discovery != self.discovery {
+            self.discovery = discovery;
+            self.governor.start_watch();
+        }
+        tracing::info!(%discovery, "configuration reloaded");
+    }
+}
--- a/crates/daemon/src/platform/tests.rs
+++ b/crates/daemon/src/platform/tests.rs
@@ -5,13 +5,15 @@
 use std::io::ErrorKind;
 use std::path::PathBuf;
 use std::rc::Rc;
+use std::time::Duration;
 
 use serde_json::{Value, json};
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
-use tokio::task::{spawn_blocking, yield_now};
-use tokio::time::advance;
+use tokio::task::{spawn_blocking, spawn_local, yield_now};
+use tokio::time::{Instant, advance};
 
+use super::service::{FORMER_WATCHER_TIME, Service};
 use super::*;
 
 mod discovery;
@@ -150,13 +152,13 @@
 
     /// Has the node take in all that waits for it, and send what comes of it.
     fn step(&mut self) {
-        while let Ok(object) = self.service.objects.try_recv() {
-            self.service.watch_event(object);
+        while let Ok(event) = self.service.watch_events.try_recv() {
+            self.service.handle_watch_event(event);
         }
-        while let Ok(event) = self.service.events.try_recv() {
-            self.service.take(event);
+        while let Ok(event) = self.service.connection_events.try_recv() {
+            self.service.handle_connection_event(event);
         }
-        self.service.pull();
+        self.service.advance();
     }
 
     /// Lets connections go on, but not the node, until something is so.
@@ -205,19 +207,16 @@
     /// Writes another configuration, and has it read.
     fn reload(&mut self, whole: &Value) {
         std::fs::write(self.folder.join("config.json"), whole.to_string()).unwrap();
-        self.service.reread(0);
+        self.service.reload_config();
     }
 
-    fn faults(&mut self, why: &str) -> u64 {
-        let mut faults = self.service.connections.faults.borrow_mut();
-        faults.extend(
-            self.service
-                .governor
-                .take_discard_counts()
-                .into_iter()
-                .map(|(why, count)| (why.to_string(), count)),
-        );
-        faults.iter().filter(|(fault, _)| fault.starts_with(why)).map(|(_, count)| count).sum()
+    /// How many inputs were discarded for a reason that begins so, since this was last asked.
+    fn discarded(&mut self, reason: &str) -> u64 {
+        let mut counts = self.service.connections.discard_counts();
+        for (reason, count) in self.service.governor.take_discard_counts() {
+            counts.insert(reason.to_string(), count);
+        }
+        counts.iter().filter(|(counted, _)| counted.starts_with(reason)).map(|(_, count)| count).sum()
     }
 
     fn serves(&self, proxy: u16) -> bool {
--- a/crates/daemon/src/platform/tests/discovery.rs
+++ b/crates/daemon/src/platform/tests/discovery.rs
@@ -15,7 +15,7 @@
         let mut proxy = stage.join(3).await;
         stage.until("it watches", |_| from.heard(&watch_from(1)) == 1).await;
         from.tell(&watch_from(1), &[object(2, false, &[("r3", "drained")])]).await;
-        stage.held_until("the object has come", |service| service.objects.len() == 1).await;
+        stage.held_until("the object has come", |service| service.watch_events.len() == 1).await;
         stage.reload(&moved(&to));
         // Only now it is read: whoever heard it is on the way out, and the next watches from before it.
         stage.until("all is asked for", |_| to.heard(WHOLE) == 1).await;
@@ -37,7 +37,7 @@
         stage.reload(&moved(&to));
         proxy.until_told(&mut stage, |order| takes_out(order, "r3")).await;
         // The old connection is heard out and then left; nobody goes back to the old address.
-        stage.pass(HEARD_OUT + Duration::from_secs(10)).await;
+        stage.pass(FORMER_WATCHER_TIME + Duration::from_secs(10)).await;
         assert_eq!(from.asked.borrow().len(), 1);
         let mut rest = [0; 16];
         assert_eq!(from.asked.borrow()[0].1.try_read(&mut rest).ok(), Some(0));
--- a/crates/daemon/src/platform/tests/peers.rs
+++ b/crates/daemon/src/platform/tests/peers.rs
@@ -19,8 +19,8 @@
             use std::io::Write;
             peer.write_all(format!("{}\n", joining(proxy as u16)).as_bytes()).unwrap();
         }
-        stage.until("all are served", |service| service.handles.len() == 300).await;
-        assert_eq!(stage.faults("unidentified"), 0);
+        stage.until("all are served", |service| service.streams.len() == 300).await;
+        assert_eq!(stage.discarded("unidentified"), 0);
     });
 }
 
@@ -33,24 +33,26 @@
         let (first, rest) = message.split_at(40);
         let mut slow = stage.dial().await;
         slow.write(first.as_bytes());
-        stage.held_until("it is read", |service| service.connections.unread() == first.len()).await;
+        stage.held_until("it is read", |service| service.connections.incomplete_bytes() == first.len()).await;
         let mut silent = Vec::new();
         for _ in 0..64 {
             silent.push(stage.dial().await);
         }
         let sent_away = |service: &Service| {
-            let faults = service.connections.faults.borrow();
-            faults.get("unidentified: others came").is_some_and(|count| *count >= 49)
+            let faults = service.connections.discard_counts();
+            faults.get("unidentified: evicted for others").is_some_and(|count| *count >= 49)
         };
         stage.until("the others are sent away", sent_away).await;
         // One whose first bytes are there, but not yet read, is not silent either.
         let mut unread = std::net::TcpStream::connect(stage.address).unwrap();
         std::io::Write::write_all(&mut unread, b"{\"@type\":").unwrap();
         let more: Vec<_> = (0..64).map(|_| std::net::TcpStream::connect(stage.address).unwrap()).collect();
-        stage.held_until("it is read", |service| service.connections.unread() == first.len() + 9).await;
+        stage
+            .held_until("it is read", |service| service.connections.incomplete_bytes() == first.len() + 9)
+            .await;
         std::io::Write::write_all(&mut unread, &format!("{}\n", joining(8)).as_bytes()[9..]).unwrap();
         slow.write(rest.as_bytes());
-        stage.until("both are served", |service| service.handles.len() == 2).await;
+        stage.until("both are served", |service| service.streams.len() == 2).await;
         assert!(stage.serves(7) && stage.serves(8));
         drop(more);
     });
@@ -65,20 +67,20 @@
         for cut in 1..message.len() {
             let mut peer = stage.dial().await;
             peer.write(&message.as_bytes()[..cut]);
-            stage.held_until("it is read", |service| service.connections.unread() == cut).await;
+            stage.held_until("it is read", |service| service.connections.incomplete_bytes() == cut).await;
             peer.write(&message.as_bytes()[cut..]);
-            stage.held_until("it joins", |service| service.events.len() == 1).await;
+            stage.held_until("it joins", |service| service.connection_events.len() == 1).await;
             peer.until_told(&mut stage, |order| order["whole"] == true).await;
         }
         // Two messages in one segment, and an end of line by itself.
         let mut peer = stage.dial().await;
         peer.write(format!("{}\n{}", joining(101), rate(101, 3)).as_bytes());
-        stage.held_until("it joins", |service| service.events.len() == 2).await;
+        stage.held_until("it joins", |service| service.connection_events.len() == 2).await;
         peer.write(b"\n");
-        stage.held_until("it reports", |service| service.events.len() == 3).await;
+        stage.held_until("it reports", |service| service.connection_events.len() == 3).await;
         peer.write(b"\n");
         peer.until_told(&mut stage, |order| order["whole"] == true).await;
-        assert_eq!(stage.faults("unreadable"), 0);
+        assert_eq!(stage.discarded("unreadable"), 0);
     });
 }
 
@@ -92,7 +94,7 @@
         let mut newer = stage.join(17).await;
         older.say(&joining(17));
         older.until_ended(&mut stage).await;
-        assert_eq!(stage.faults("stale: a proxy connected"), 1);
+        assert_eq!(stage.discarded("stale: a proxy connected"), 1);
         stage.until("it watches", |_| agent.heard(&watch_from(1)) == 1).await;
         agent.tell(&watch_from(1), &[object(2, false, &[("r3", "draining")])]).await;
         newer.until_told(&mut stage, |order| takes_out(order, "r3")).await;
@@ -108,13 +110,13 @@
         let mut newer = stage.dial().await;
         // The node takes in neither until both are there: the report stands behind the joining.
         newer.say(&joining(17));
-        stage.held_until("it joins", |service| service.events.len() == 1).await;
+        stage.held_until("it joins", |service| service.connection_events.len() == 1).await;
         older.say(&rate(17, 40_000));
-        stage.held_until("it reports", |service| service.events.len() == 2).await;
+        stage.held_until("it reports", |service| service.connection_events.len() == 2).await;
         let offered = stage.service.governor.state_estimate().offered_per_second;
         stage.step();
         assert_eq!(stage.service.governor.state_estimate().offered_per_second, offered);
-        assert_eq!(stage.faults("stale: a message"), 1);
+        assert_eq!(stage.discarded("stale: a message"), 1);
         older.until_ended(&mut stage).await;
         newer.until_told(&mut stage, |order| order["whole"] == true).await;
     });
@@ -143,7 +145,7 @@
             peers.push(stage.dial().await);
             peers[usize::from(proxy)].say(&joining(proxy));
         }
-        stage.held_until("all have joined", |service| service.events.len() == 300).await;
+        stage.held_until("all have joined", |service| service.connection_events.len() == 300).await;
         // The channel sends as slowly as one in trouble does: a fifth of what it should.
         let (mut waiting, mut served, mut began) = (0.0, 0, Instant::now());
         while served < 300 {
--- a/crates/daemon/src/platform/tests/silence.rs
+++ b/crates/daemon/src/platform/tests/silence.rs
@@ -18,8 +18,8 @@
         stuck.say(&joining(1));
         let (mut second, mut third) = (stage.join(2).await, stage.join(3).await);
         // More than the sockets hold, and less than a party may leave unread: it reads nothing from here on.
-        let handle = &stage.service.handles[&stage.service.governor.connection_of(1).unwrap()];
-        assert!(handle.send([vec![b' '; 200 << 10], vec![b'\n']].concat()));
+        let handle = &stage.service.streams[&stage.service.governor.connection_of(1).unwrap()];
+        assert!(handle.send([vec![b' '; 200 << 10], vec![b'\n']].concat()).is_ok());
         stage.until("it watches", |_| agent.heard(&watch_from(1)) == 1).await;
         agent.tell(&watch_from(1), &[object(2, false, &[("r3", "draining")])]).await;
         for _ in 0..30 {
