--- a/crates/client/src/keeper.rs
+++ b/crates/client/src/keeper.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use wrenthread::types::RetryPolicy;
-use wrenthread_core::ownership::{FencingError, FencingState};
+use wrenthread_core::fencing::{FencingError, FencingState};
 use wrenthread_core::table_versions::{
     self, Delta, Digest, MILLION, Mismatch, PublishedState, PublishedTable,
 };
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -82,7 +82,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     #[error("an order is not heeded: {0}")]
-    Fenced(#[from] wrenthread_core::ownership::FencingError),
+    Fenced(#[from] wrenthread_core::fencing::FencingError),
     #[error("the governor at {0}: {1}")]
     Reach(String, String),
     #[error("the governor turned the proxy away: {0}")]
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -19,13 +19,17 @@
 //! | [`frozen_tables`] | tables that operators stepped back to, or that another governor handed over |
 //! | [`overrides`] | what operators say of a replica for a while |
 //! | [`recording`] | what was known at one moment, and tables tried against it |
-//! | [`ownership`] | whose care a proxy is in, where nobody can be asked |
+//! | [`ownership`] | the order of governors for a proxy, keys, and signed proofs of whose tables it holds |
+//! | [`fencing`] | which governor's updates a proxy accepts |
+//! | [`failover`] | which governor a proxy connects to next, and when it goes back home |
 //! | [`weights`] | weights as whole numbers, without losing a line |
 
 pub mod backup_replicas;
 pub mod engine;
+pub mod failover;
 #[cfg(any(test, feature = "suspect"))]
 pub mod fault_injection;
+pub mod fencing;
 pub mod fleet;
 pub mod frozen_tables;
 pub mod guard;
--- a/crates/core/src/ownership/tests.rs
+++ b/crates/core/src/ownership/tests.rs
@@ -1,14 +1,11 @@
 //! Tests of [`super`].
 
-use super::*;
 use proptest::prelude::*;
 
-const fn s(seconds: u64) -> Duration {
-    Duration::from_secs(seconds)
-}
+use super::*;
 
 #[test]
-fn a_dead_governors_proxies_spread_evenly_and_nobody_else_moves() {
+fn ranking_spreads_a_dead_governors_proxies_evenly_and_moves_nobody_else() {
     let (all, left) = (["g0", "g1", "g2", "g3"], ["g0", "g1", "g3"]);
     let mut homes = [0; 4];
     let mut taken = [0; 3];
@@ -35,7 +32,7 @@
 }
 
 #[test]
-fn claims_are_proven_by_any_live_key_and_by_nothing_else() {
+fn proves_claims_with_any_live_key_and_nothing_else() {
     let (old, new) = (key("2026-a", 1), key("2026-b", 2));
     let signed = sign(&old, &claim());
     assert_eq!(prove(&[new.clone(), old], "relay é", &signed), Ok(claim()));
@@ -49,7 +46,7 @@
 
 proptest! {
     #[test]
-    fn a_changed_claim_is_never_proven(at in 0usize..200, byte in any::<u8>()) {
+    fn rejects_a_changed_proof(at in 0usize..200, byte in any::<u8>()) {
         let signed = sign(&key("a", 1), &claim());
         let mut changed = signed.clone().into_bytes();
         let place = at % changed.len();
@@ -62,31 +59,7 @@
 }
 
 #[test]
-fn of_two_governors_that_believe_they_own_a_proxy_one_is_heeded() {
-    let mut fence = FencingState::default();
-    assert_eq!(fence.accept("g1", 1, 1), Err(FencingError::NotFollowed));
-    fence.follow("g1");
-    assert_eq!(fence.accept("g1", 5, 10), Ok(()));
-    assert_eq!(fence.accept("g2", 9, 1), Err(FencingError::NotFollowed));
-    fence.follow("g2");
-    assert_eq!(fence.accept("g2", 9, 1), Ok(()));
-    assert_eq!(fence.accept("g1", 5, 11), Err(FencingError::NotFollowed), "it stalled, and wakes");
-    // It comes back after another has taken over, with its old orders or as an older life.
-    fence.follow("g1");
-    assert_eq!(fence.accept("g1", 4, 99), Err(FencingError::OlderLife));
-    assert_eq!(fence.accept("g1", 5, 9), Err(FencingError::OlderVersion));
-    assert_eq!(fence.accept("g1", 5, 10), Err(FencingError::OlderStream), "a copy of the stream before");
-    assert_eq!((fence.accept("g1", 5, 11), fence.accept("g1", 5, 11)), (Ok(()), Ok(())), "in two pieces");
-    assert_eq!(fence.accept("g1", 6, 1), Ok(()));
-    (0..200).for_each(|n| {
-        fence.follow(&format!("made up {n}"));
-        assert_eq!(fence.accept(&format!("made up {n}"), 1, 1), Ok(()));
-    });
-    assert!(fence.newest.len() <= MOST_GOVERNORS);
-}
-
-#[test]
-fn what_is_sealed_is_read_with_a_live_key_and_no_claim_is_taken_for_it() {
+fn unseals_with_a_live_key_and_takes_no_proof_for_a_datagram() {
     let (old, new) = (key("a", 1), key("b", 2));
     let sealed = seal(&old, b"hello");
     assert_eq!(unseal(&[new.clone(), old.clone()], &sealed), Ok(&b"hello"[..]));
@@ -104,55 +77,3 @@
     forged.extend_from_slice(said.as_bytes());
     assert_eq!(unseal(&[old], &forged), Err(ProofError::Signature));
 }
-
-#[test]
-fn who_is_sent_on_stays_there_until_it_is_lost() {
-    let names = ["g0", "g1", "g2"];
-    let mut dialer = GovernorSelector::new("relay-1", &names, s(2), Duration::ZERO);
-    let ranked = ranking("relay-1", &names);
-    dialer.redirected(Some(ranked[2]));
-    assert_eq!(dialer.current(), ranked[2]);
-    assert!((10..20).all(|at| !dialer.home_checked(s(at), true)), "placed");
-    dialer.connection_lost();
-    assert_eq!(dialer.current(), dialer.home());
-    dialer.redirected(None);
-    assert_eq!(dialer.current(), ranked[1]);
-    assert!(!dialer.home_checked(s(30), true) && dialer.home_checked(s(32), true));
-    dialer.redirected(Some(9));
-    assert_eq!(dialer.current(), ranked[1], "not on its list: whoever is next");
-}
-
-#[test]
-fn a_fleet_comes_home_evenly_and_not_to_one_that_comes_and_goes() {
-    let mut seconds = [0; 10];
-    for n in 0..1000 {
-        let mut homeward = Failback::new(&format!("relay-{n}"), s(5), s(10));
-        homeward.asked(s(100), true);
-        homeward.asked(s(103), false);
-        assert_eq!(homeward.goes_at(), None);
-        homeward.asked(s(104), true);
-        homeward.asked(s(106), true);
-        let at = homeward.goes_at().unwrap();
-        assert!(at >= s(109) && !homeward.goes(s(108)) && homeward.goes(s(120)));
-        seconds[(at - s(109)).as_secs().min(9) as usize] += 1;
-    }
-    assert!(seconds.iter().all(|count| (60..140).contains(count)), "{seconds:?}");
-}
-
-#[test]
-fn a_proxy_goes_round_its_governors_and_home_once_home_is_steady() {
-    let names = ["g0", "g1", "g2"];
-    let mut dialer = GovernorSelector::new("relay-1", &names, s(2), Duration::ZERO);
-    let ranked = ranking("relay-1", &names);
-    assert_eq!((dialer.current(), dialer.is_home()), (ranked[0], true));
-    dialer.connection_lost();
-    dialer.connection_lost();
-    assert_eq!(dialer.current(), ranked[2]);
-    assert!(!dialer.home_checked(s(10), true) && !dialer.home_checked(s(11), false));
-    assert!(!dialer.home_checked(s(12), true) && !dialer.home_checked(s(13), true));
-    assert!(dialer.home_checked(s(14), true) && dialer.is_home());
-    assert!(!dialer.home_checked(s(15), true), "it is there");
-    (0..3).for_each(|_| dialer.connection_lost());
-    assert_eq!(dialer.current(), dialer.home(), "all dead: round again");
-    assert_eq!(GovernorSelector::new("p", &[], s(1), s(1)).current(), 0);
-}
--- a/crates/core/tests/stored_formats.rs
+++ b/crates/core/tests/stored_formats.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use wrenthread::types::RetryPolicy;
-use wrenthread_core::ownership::{self, Failback, OwnershipClaim, SigningKey};
+use wrenthread_core::failover::Failback;
+use wrenthread_core::ownership::{self, OwnershipClaim, SigningKey};
 use wrenthread_core::recording::Recording;
 use wrenthread_core::snapshot::{self, StoredItem, StoredRetryPolicy};
 use wrenthread_core::table_versions::{PublishedEntry, PublishedState, PublishedTable, hex, unhex};
@@ -89,8 +90,8 @@
         let ranking: Vec<String> =
             ownership::ranking(proxy, &governors).iter().map(usize::to_string).collect();
         let mut failback = Failback::new(proxy, Duration::from_secs(5), Duration::from_secs(60));
-        failback.asked(Duration::from_secs(100), true);
-        let at = failback.goes_at().unwrap().as_nanos();
+        failback.home_checked(Duration::from_secs(100), true);
+        let at = failback.due_at().unwrap().as_nanos();
         written += &format!("{proxy} {} {at}\n", ranking.join(","));
     }
     assert_eq!(written, include_str!("golden/failover.txt"));
--- a/crates/daemon/benches/takeover.rs
+++ b/crates/daemon/benches/takeover.rs
@@ -16,7 +16,7 @@
 use tokio::task::LocalSet;
 use wrenthread_client::keeper::Keeper;
 use wrenthread_client::{Error, Watch, Who, answers, grpc};
-use wrenthread_core::ownership::GovernorSelector;
+use wrenthread_core::failover::GovernorSelector;
 
 const HOME: (Duration, Duration) = (Duration::from_secs(2), Duration::from_secs(4));
 
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -8,7 +8,8 @@
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::time::Duration;
 
-use wrenthread_core::ownership::{FencingState, GovernorSelector};
+use wrenthread_core::failover::GovernorSelector;
+use wrenthread_core::fencing::FencingState;
 use wrenthread_membership::messages::MessageBody;
 use wrenthread_membership::migration::{MigrationAction, Migrations, OfferAnswer};
 
--- a/crates/rehearsal/src/relay.rs
+++ b/crates/rehearsal/src/relay.rs
@@ -17,7 +17,7 @@
 use wrenthread::types::RetryPolicy;
 use wrenthread_client::keeper::{Keeper, Outcome, Standing};
 use wrenthread_client::{Error, Governor, Ordered, Watch, Who, answers, grpc, poll};
-use wrenthread_core::ownership::GovernorSelector;
+use wrenthread_core::failover::GovernorSelector;
 
 use crate::event_log::{End, FLOWS, GROUPS, Tape, What};
 use crate::worker::Worker;
