--- a/crates/adapter/src/message.rs
+++ b/crates/adapter/src/message.rs
@@ -66,6 +66,6 @@
 
     /// Its fields.
     pub fn fields(&self) -> Fields<'_> {
-        Fields(&self.fields)
+        Fields::new(&self.fields)
     }
 }
