--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -96,7 +96,7 @@
 use crate::tables::Tables;
 
 use joining::QueuedJoin;
-use recovery::RestoredFrozenTable;
+use recovery::AwaitedFrozenTable;
 
 /// Traffic classes that a [`ClassSet`](wrenthread::types::ClassSet) can name; further ones are ignored.
 const MAX_CLASSES: usize = 64;
@@ -125,7 +125,7 @@
     /// Until when admission fractions from before a restart hold.
     restored_admission_until: Duration,
     /// Frozen tables of proxies that have not reconnected since a restart, by proxy and traffic class.
-    restored_frozen_tables: BTreeMap<(Arc<str>, usize), RestoredFrozenTable>,
+    awaited_frozen_tables: BTreeMap<(Arc<str>, usize), AwaitedFrozenTable>,
     class_count: usize,
     /// Table entries that the channel must carry for a proxy that is given all of its tables.
     join_cost_entries: f64,
@@ -178,7 +178,7 @@
             restored: RestoredState::default(),
             restored_at: now,
             restored_admission_until: Duration::ZERO,
-            restored_frozen_tables: BTreeMap::new(),
+            awaited_frozen_tables: BTreeMap::new(),
             class_count,
             join_cost_entries: join_cost_entries(&module, class_count),
             join_queue: VecDeque::new(),
--- a/crates/core/src/engine/decisions.rs
+++ b/crates/core/src/engine/decisions.rs
@@ -153,7 +153,7 @@
         // The module has seen for itself: what was known before a restart gives way. That everything is admitted
         // it says at its start, having seen nothing.
         if fraction < 1.0 {
-            self.restored.levels.retain(|class, _| classes >> *class & 1 == 0);
+            self.restored.admission_fractions.retain(|class, _| classes >> *class & 1 == 0);
         }
         for (classes, policy) in self.guard.check_retry_policy(now, classes, policy) {
             self.tables.set_admission(classes, fraction, policy);
--- a/crates/core/src/engine/joining.rs
+++ b/crates/core/src/engine/joining.rs
@@ -42,7 +42,7 @@
         let restored = self.restored.proxies.remove(&join.name).filter(|known| {
             join.proven_version == Some((known.epoch, known.version)) && known.zone == join.zone
         });
-        let was_on_default_table = restored.as_ref().is_some_and(|known| !known.own);
+        let was_on_default_table = restored.as_ref().is_some_and(|known| !known.has_dedicated_table);
         let holds_default_table = (without_governor_tables || was_on_default_table)
             && !join.default_table.is_empty()
             && join.default_table.iter().all(|entry| self.could_be_sampled(join.zone, entry));
@@ -100,16 +100,16 @@
     /// Freezes the tables that operators froze before a restart.
     fn refreeze(&mut self, now: Duration, proxy: ProxyId, join: &JoinRequest) {
         for class in 0..self.class_count {
-            let Some(restored) = self.restored_frozen_tables.remove(&(join.name.clone(), class)) else {
+            let Some(restored) = self.awaited_frozen_tables.remove(&(join.name.clone(), class)) else {
                 continue;
             };
             let frozen = FrozenTable {
                 version: restored.stored.version,
                 published_at: restored.published_at,
-                table: restored.stored.said(),
+                table: restored.stored.published(),
                 since: now,
                 until: restored.until,
-                why: restored.stored.why,
+                why: restored.stored.reason,
                 migrated: false,
             };
             self.frozen_tables.insert((proxy, class), frozen);
--- a/crates/core/src/engine/publishing.rs
+++ b/crates/core/src/engine/publishing.rs
@@ -204,7 +204,7 @@
             self.tables.resolve(&self.roster, class, assigned, &proxy.default_table, published)?;
         // It holds until the module decides another, and for some seconds at the most: the module begins by
         // admitting everything, and an overload that goes on would be let in until it is seen again.
-        if let Some(fraction) = self.restored.levels.get(&class) {
+        if let Some(fraction) = self.restored.admission_fractions.get(&class) {
             table.admission_fraction = table.admission_fraction.min(*fraction);
         }
         Some(table)
--- a/crates/core/src/engine/recovery.rs
+++ b/crates/core/src/engine/recovery.rs
@@ -11,7 +11,8 @@
 use crate::frozen_tables::FrozenTable;
 use crate::overrides::OverrideKind;
 use crate::snapshot::{
-    self, RestoredState, StoredFrozenTable, StoredItem, StoredItems, StoredProxy, StoredReplica,
+    self, RestoredState, StoredFrozenEntry, StoredFrozenTable, StoredItem, StoredItems, StoredProxy,
+    StoredReplica,
 };
 use crate::table_versions::{PublishedEntry, PublishedTable};
 use crate::tables::{Table, VersionedTable};
@@ -24,7 +25,7 @@
 
 /// A table that operators froze before a restart, of a proxy that has not reconnected yet.
 #[derive(Debug, Clone)]
-pub(super) struct RestoredFrozenTable {
+pub(super) struct AwaitedFrozenTable {
     pub(super) published_at: Duration,
     pub(super) until: Duration,
     pub(super) stored: StoredFrozenTable,
@@ -63,7 +64,7 @@
             // Tables are of their version: they are not copied and compared again each time.
             let unchanged = before.get(&name).filter(|item| {
                 matches!(&***item, StoredItem::Proxy(old)
-                    if old.epoch == epoch && old.version == version && old.flows == demand)
+                    if old.epoch == epoch && old.version == version && old.requests_per_second == demand)
             });
             let item = match unchanged {
                 Some(item) => item.clone(),
@@ -79,7 +80,10 @@
         let elapsed = self.restored.age + now.saturating_sub(self.restored_at);
         let elapsed_seconds = elapsed.as_secs() / 60 * 60;
         for (name, proxy) in &self.restored.proxies {
-            let item = || StoredProxy { away: proxy.away + elapsed_seconds as f64, ..proxy.clone() };
+            let item = || StoredProxy {
+                absent_seconds: proxy.absent_seconds + elapsed_seconds as f64,
+                ..proxy.clone()
+            };
             items.entry(format!("proxy/{name}")).or_insert_with(|| Arc::new(StoredItem::Proxy(item())));
         }
     }
@@ -87,11 +91,11 @@
     fn store_replicas(&self, items: &mut StoredItems, now: Duration) {
         let mut replicas: BTreeMap<&ReplicaId, StoredReplica> = BTreeMap::new();
         for (id, zone, per_second) in self.guard.throughput(now) {
-            replicas.entry(id).or_default().seen.push((zone, snapshot::stepped(per_second)));
+            replicas.entry(id).or_default().throughput.push((zone, snapshot::stepped(per_second)));
         }
         for (id, known) in self.roster.iter() {
             if known.phase == Phase::Ready && self.tables.is_ejected(id) {
-                replicas.entry(id).or_default().withdrawn = true;
+                replicas.entry(id).or_default().ejected = true;
             }
         }
         for (id, replica) in replicas {
@@ -102,7 +106,7 @@
     fn store_admission(&self, items: &mut StoredItems, classes: &[String]) {
         for ((fraction, policy), class) in self.tables.admission().iter().zip(classes) {
             if *fraction < 1.0 {
-                let item = StoredItem::Level { level: *fraction, tries: (*policy).into() };
+                let item = StoredItem::Admission { fraction: *fraction, retry_policy: (*policy).into() };
                 items.insert(format!("level/{class}"), Arc::new(item));
             }
         }
@@ -110,20 +114,23 @@
 
     fn store_frozen_tables(&self, items: &mut StoredItems, now: Duration, calendar: f64, classes: &[String]) {
         for (name, class, frozen) in self.frozen_tables().filter(|(.., frozen)| !frozen.migrated) {
-            let entry = |(id, entry): (&ReplicaId, &PublishedEntry)| {
-                (id.clone(), entry.address.clone(), entry.zone, entry.weight)
+            let entry = |(id, entry): (&ReplicaId, &PublishedEntry)| StoredFrozenEntry {
+                replica: id.clone(),
+                address: entry.address.clone(),
+                zone: entry.zone,
+                weight: entry.weight,
             };
             let item = StoredFrozenTable {
                 version: frozen.version,
-                told_at: (calendar - now.saturating_sub(frozen.published_at).as_secs_f64()).round(),
+                published_at: (calendar - now.saturating_sub(frozen.published_at).as_secs_f64()).round(),
                 until: (calendar + frozen.until.saturating_sub(now).as_secs_f64()).round(),
-                why: frozen.why.clone(),
-                lines: frozen.table.entries.iter().map(entry).collect(),
-                level: frozen.table.admission_millionths,
-                tries: frozen.table.retry_policy.into(),
+                reason: frozen.why.clone(),
+                entries: frozen.table.entries.iter().map(entry).collect(),
+                admission_millionths: frozen.table.admission_millionths,
+                retry_policy: frozen.table.retry_policy.into(),
             };
             let class = classes.get(class).map_or("", String::as_str);
-            items.insert(format!("hold/{class}/{name}"), Arc::new(StoredItem::Hold(item)));
+            items.insert(format!("hold/{class}/{name}"), Arc::new(StoredItem::FrozenTable(item)));
         }
     }
 
@@ -134,7 +141,7 @@
                 OverrideKind::Weight(factor) => Some(factor),
             };
             let until = (calendar + one.until.saturating_sub(now).as_secs_f64()).round();
-            let item = StoredItem::Override { weight, until, why: one.why.clone() };
+            let item = StoredItem::Override { weight, until, reason: one.why.clone() };
             items.insert(format!("override/{id}"), Arc::new(item));
         }
     }
@@ -147,11 +154,11 @@
         zone: proxy.zone,
         epoch,
         version,
-        own: proxy.kind() == TableKind::Own,
+        has_dedicated_table: proxy.kind() == TableKind::Own,
         tables: proxy.tables.iter().map(stored_table).collect(),
-        tries: proxy.retry_policies.1.iter().map(|policy| (*policy).into()).collect(),
-        flows: requests_per_second,
-        away: 0.0,
+        retry_policies: proxy.retry_policies.1.iter().map(|policy| (*policy).into()).collect(),
+        requests_per_second,
+        absent_seconds: 0.0,
     }
 }
 
@@ -161,20 +168,20 @@
     /// What was known before a restart. To be called before the first roster and the first proxy.
     pub fn restore(&mut self, now: Duration, restored: RestoredState) {
         self.restored_at = now;
-        self.restored_admission_until = now + restored.levels_for;
-        self.restored_frozen_tables = restored
-            .holds
+        self.restored_admission_until = now + restored.admission_remaining;
+        self.awaited_frozen_tables = restored
+            .frozen_tables
             .iter()
-            .map(|(place, (age, remaining, stored))| {
-                let frozen = RestoredFrozenTable {
-                    published_at: now.saturating_sub(*age),
-                    until: now + *remaining,
-                    stored: stored.clone(),
+            .map(|(place, restored)| {
+                let frozen = AwaitedFrozenTable {
+                    published_at: now.saturating_sub(restored.age),
+                    until: now + restored.remaining,
+                    stored: restored.stored.clone(),
                 };
                 (place.clone(), frozen)
             })
             .collect();
-        for ((id, zone), per_second) in &restored.seen {
+        for ((id, zone), per_second) in &restored.throughput {
             self.guard.restore_throughput(now, id, *zone, *per_second);
         }
         self.restored = restored;
@@ -185,21 +192,22 @@
     pub(super) fn ordinary_demand(&self, join: &JoinRequest, restored: Option<&StoredProxy>) -> f64 {
         let Some(known) = restored else { return join.requests_per_second };
         let weight = snapshot::counts(self.restored.age, snapshot::DEMAND);
-        join.requests_per_second + (known.flows.iter().sum::<f64>() - join.requests_per_second) * weight
+        join.requests_per_second
+            + (known.requests_per_second.iter().sum::<f64>() - join.requests_per_second) * weight
     }
 
     /// A proxy that has just connected holds what it was sent before a restart: it is sent only what differs.
     /// Dedicated tables stand until the module has decided, less what the rules forbid.
     pub(super) fn resume_proxy(&mut self, now: Duration, id: ProxyId, known: StoredProxy) {
         let version = self.version;
-        let policies: Vec<RetryPolicy> = known.tries.iter().map(|policy| (*policy).into()).collect();
+        let policies: Vec<RetryPolicy> = known.retry_policies.iter().map(|policy| (*policy).into()).collect();
         let why: Arc<str> = "known from before a restart".into();
         for (class, stored) in known.tables.into_iter().enumerate().take(self.class_count) {
             let Some(stored) = stored else { continue };
             let table = Table::from(stored);
-            let demand = known.flows.get(class).copied().unwrap_or(0.0);
+            let demand = known.requests_per_second.get(class).copied().unwrap_or(0.0);
             self.guard.set_current_table(id, class, demand, Some(&table));
-            if known.own {
+            if known.has_dedicated_table {
                 let policy = policies.get(class).copied().unwrap_or_default();
                 let frozen = FrozenTable {
                     version,
@@ -225,11 +233,11 @@
 
     /// Uses what was known of replicas before a restart, now that there is a roster.
     pub(super) fn apply_restored_replicas(&mut self, now: Duration) {
-        let throughput = std::mem::take(&mut self.restored.seen);
-        if !self.restored.withdrawn.is_empty() {
+        let throughput = std::mem::take(&mut self.restored.throughput);
+        if !self.restored.ejected.is_empty() {
             self.report_restored_successes(now, throughput);
         }
-        for (id, attempts) in std::mem::take(&mut self.restored.withdrawn) {
+        for (id, attempts) in std::mem::take(&mut self.restored.ejected) {
             let Some(known) = self.roster.get(&id).filter(|known| known.phase == Phase::Ready) else {
                 continue;
             };
@@ -239,10 +247,10 @@
             }
             self.report_restored_statistics(now, known.zone, id, attempts, attempts);
         }
-        for (id, (weight, remaining, reason)) in std::mem::take(&mut self.restored.overrides) {
-            let kind = weight.map_or(OverrideKind::Exclude, OverrideKind::Weight);
+        for (id, restored) in std::mem::take(&mut self.restored.overrides) {
+            let kind = restored.weight.map_or(OverrideKind::Exclude, OverrideKind::Weight);
             // A replica that is not listed any more needs no override.
-            let _ = self.override_replica(now, &id, kind, now + remaining, &reason);
+            let _ = self.override_replica(now, &id, kind, now + restored.remaining, &restored.reason);
         }
     }
 
@@ -251,7 +259,7 @@
         for ((id, zone), per_second) in throughput {
             let succeeded = (per_second * snapshot::LAST.as_secs_f64()).round().min(1e6) as u64;
             let ready = self.roster.is_ready(&id);
-            if ready && succeeded > 0 && !self.restored.withdrawn.contains_key(&id) {
+            if ready && succeeded > 0 && !self.restored.ejected.contains_key(&id) {
                 self.report_restored_statistics(now, zone, id, succeeded, 0);
             }
         }
@@ -280,14 +288,14 @@
 
     /// Drops what was restored and whose time is over.
     pub(super) fn expire_restored(&mut self, now: Duration) {
-        if !self.restored.levels.is_empty() && now >= self.restored_admission_until {
-            self.restored.levels.clear();
+        if !self.restored.admission_fractions.is_empty() && now >= self.restored_admission_until {
+            self.restored.admission_fractions.clear();
             self.refresh(now, &self.fleet.proxy_ids());
         }
         if now >= self.restored_at + snapshot::TABLES {
             // A proxy that has not come back by now was elsewhere, or is no more.
             self.restored.proxies.clear();
         }
-        self.restored_frozen_tables.retain(|_, frozen| now < frozen.until);
+        self.awaited_frozen_tables.retain(|_, frozen| now < frozen.until);
     }
 }
--- a/crates/core/src/engine/scheduling.rs
+++ b/crates/core/src/engine/scheduling.rs
@@ -38,7 +38,7 @@
             self.send_limiter.next_deadline(now),
             self.frozen_tables.values().map(|frozen| frozen.until).min(),
             self.overrides.next_deadline(),
-            (!self.restored.levels.is_empty()).then_some(self.restored_admission_until),
+            (!self.restored.admission_fractions.is_empty()).then_some(self.restored_admission_until),
         ];
         deadlines.into_iter().flatten().fold(self.next_tick, Duration::min)
     }
--- a/crates/core/src/engine/tests/recovery.rs
+++ b/crates/core/src/engine/tests/recovery.rs
@@ -180,5 +180,5 @@
         run(&mut after, ms(now));
     }
     assert_eq!(after.frozen_tables().count(), 0);
-    assert_eq!(next_life(&before, 11.0, &all).restored_frozen_tables.len(), 0);
+    assert_eq!(next_life(&before, 11.0, &all).awaited_frozen_tables.len(), 0);
 }
--- a/crates/core/src/snapshot/tests.rs
+++ b/crates/core/src/snapshot/tests.rs
@@ -1,6 +1,9 @@
 //! Tests of [`super`].
 
+use std::time::Duration;
+
 use super::*;
+use crate::table_versions::MILLION;
 use proptest::prelude::*;
 
 fn names(groups: &[&str]) -> StoredItem {
@@ -9,23 +12,31 @@
 }
 
 fn proxy() -> StoredProxy {
-    let line = ("a".into(), "a:1".into(), 0, 2.5, true);
+    let entry =
+        StoredTableEntry { replica: "a".into(), address: "a:1".into(), zone: 0, weight: 2.5, routable: true };
     StoredProxy {
         zone: 0,
         epoch: 7,
         version: 9,
-        own: false,
-        tables: vec![Some(StoredTable { level: 0.5, lines: vec![line] })],
-        tries: vec![StoredRetryPolicy::IfNotExecuted],
-        flows: vec![3.0],
-        away: 0.0,
+        has_dedicated_table: false,
+        tables: vec![Some(StoredTable { admission_fraction: 0.5, entries: vec![entry] })],
+        retry_policies: vec![StoredRetryPolicy::IfNotExecuted],
+        requests_per_second: vec![3.0],
+        absent_seconds: 0.0,
     }
 }
 
 fn hold() -> StoredFrozenTable {
-    let lines = vec![("a".into(), "a:1".into(), 0, 7)];
-    let (level, tries, why) = (MILLION, StoredRetryPolicy::Never, "y".into());
-    StoredFrozenTable { version: 3, told_at: 900.0, until: 1200.0, why, lines, level, tries }
+    let entries = vec![StoredFrozenEntry { replica: "a".into(), address: "a:1".into(), zone: 0, weight: 7 }];
+    StoredFrozenTable {
+        version: 3,
+        published_at: 900.0,
+        until: 1200.0,
+        reason: "y".into(),
+        entries,
+        admission_millionths: MILLION,
+        retry_policy: StoredRetryPolicy::Never,
+    }
 }
 
 fn known() -> StoredItems {
@@ -35,11 +46,14 @@
         ("proxy/p".to_string(), StoredItem::Proxy(proxy())),
         (
             "replica/a".to_string(),
-            StoredItem::Replica(StoredReplica { withdrawn: true, seen: vec![(0, 8.0)] }),
+            StoredItem::Replica(StoredReplica { ejected: true, throughput: vec![(0, 8.0)] }),
+        ),
+        (
+            "level/entry".to_string(),
+            StoredItem::Admission { fraction: 0.5, retry_policy: StoredRetryPolicy::Never },
         ),
-        ("level/entry".to_string(), StoredItem::Level { level: 0.5, tries: StoredRetryPolicy::Never }),
-        ("hold/entry/p".to_string(), StoredItem::Hold(hold())),
-        ("override/a".to_string(), StoredItem::Override { weight: None, until: 1100.0, why: "x".into() }),
+        ("hold/entry/p".to_string(), StoredItem::FrozenTable(hold())),
+        ("override/a".to_string(), StoredItem::Override { weight: None, until: 1100.0, reason: "x".into() }),
     ];
     all.map(|(name, item)| (name, Arc::new(item))).into()
 }
@@ -53,32 +67,39 @@
 #[test]
 fn knowledge_counts_less_as_it_ages_each_kind_by_its_own_time() {
     let soon = at(1001.0);
-    assert_eq!((soon.age, soon.withdrawn["a"]), (Duration::from_secs(1), 19));
-    assert!((soon.seen[&("a".into(), 0)] - 8.0 * 0.5f64.powf(1.0 / 60.0)).abs() < 1e-9);
-    assert_eq!((soon.levels[&0], soon.levels_for), (0.5, Duration::from_secs(9)));
-    assert_eq!(soon.overrides["a"].1, Duration::from_secs(99));
+    assert_eq!((soon.age, soon.ejected["a"]), (Duration::from_secs(1), 19));
+    assert!((soon.throughput[&("a".into(), 0)] - 8.0 * 0.5f64.powf(1.0 / 60.0)).abs() < 1e-9);
+    assert_eq!((soon.admission_fractions[&0], soon.admission_remaining), (0.5, Duration::from_secs(9)));
+    assert_eq!(soon.overrides["a"].remaining, Duration::from_secs(99));
     assert_eq!(soon.proxies["p"], proxy());
-    let held = &soon.holds[&("p".into(), 0)];
-    assert_eq!((held.0, held.1), (Duration::from_secs(101), Duration::from_secs(199)));
-    assert_eq!(held.2.said().entries["a"].weight, 7);
+    let held = &soon.frozen_tables[&("p".into(), 0)];
+    assert_eq!((held.age, held.remaining), (Duration::from_secs(101), Duration::from_secs(199)));
+    assert_eq!(held.stored.published().entries["a"].weight, 7);
     let later = at(1060.0);
-    assert_eq!((later.withdrawn.len(), later.levels.len()), (0, 0), "an eighth of twenty tries says nothing");
-    assert!((later.seen[&("a".into(), 0)] - 4.0).abs() < 1e-9);
+    assert_eq!(
+        (later.ejected.len(), later.admission_fractions.len()),
+        (0, 0),
+        "an eighth of twenty tries says nothing"
+    );
+    assert!((later.throughput[&("a".into(), 0)] - 4.0).abs() < 1e-9);
     let (mut known, names) = (known(), names(&["entry"]));
-    known.insert("proxy/p".into(), Arc::new(StoredItem::Proxy(StoredProxy { away: 590.0, ..proxy() })));
+    known.insert(
+        "proxy/p".into(),
+        Arc::new(StoredItem::Proxy(StoredProxy { absent_seconds: 590.0, ..proxy() })),
+    );
     assert_eq!(recall(known.clone(), 1009.0, &names).0.proxies.len(), 1);
     assert_eq!(recall(known, 1010.0, &names).0.proxies.len(), 0, "over however many restarts");
     let stale = at(1000.0 + 36_000.0);
-    assert_eq!((stale.proxies.len(), stale.overrides.len(), stale.holds.len()), (0, 0, 0));
-    assert!(stale.seen[&("a".into(), 0)] < 1e-9);
+    assert_eq!((stale.proxies.len(), stale.overrides.len(), stale.frozen_tables.len()), (0, 0, 0));
+    assert!(stale.throughput[&("a".into(), 0)] < 1e-9);
 }
 
 #[test]
 fn a_calendar_that_stepped_makes_nothing_younger_and_nothing_last_longer() {
     let back = at(500.0);
-    assert_eq!((back.age, back.levels.len(), back.withdrawn.len()), (UNKNOWN, 0, 0));
-    assert_eq!(back.overrides["a"].1, Duration::from_secs(100), "as long as was left, and no longer");
-    assert_eq!(back.holds[&("p".into(), 0)].1, Duration::from_secs(200));
+    assert_eq!((back.age, back.admission_fractions.len(), back.ejected.len()), (UNKNOWN, 0, 0));
+    assert_eq!(back.overrides["a"].remaining, Duration::from_secs(100), "as long as was left, and no longer");
+    assert_eq!(back.frozen_tables[&("p".into(), 0)].remaining, Duration::from_secs(200));
     assert_eq!(at(f64::MAX).age, Duration::MAX);
 }
 
@@ -98,34 +119,40 @@
     let (recalled, unfit) = recall(known(), 1001.0, &another);
     assert_eq!((recalled, unfit), (RestoredState::default(), vec![RestoreError::Another("g".into())]));
     let (recalled, unfit) = recall(known(), 1001.0, &names(&["entry", "exit"]));
-    assert_eq!((recalled.proxies.len(), recalled.levels.len(), unfit), (0, 0, vec![RestoreError::Changed]));
-    assert_eq!(recalled.withdrawn.len(), 1, "replicas are by name");
+    assert_eq!(
+        (recalled.proxies.len(), recalled.admission_fractions.len(), unfit),
+        (0, 0, vec![RestoreError::Changed])
+    );
+    assert_eq!(recalled.ejected.len(), 1, "replicas are by name");
     let (recalled, said) = with(|known| {
         let far = StoredProxy { zone: 4, ..proxy() };
         known.insert("proxy/far".into(), Arc::new(StoredItem::Proxy(far)));
         known.insert(
             "proxy/odd".into(),
-            Arc::new(StoredItem::Proxy(StoredProxy { flows: vec![f64::NAN], ..proxy() })),
+            Arc::new(StoredItem::Proxy(StoredProxy { requests_per_second: vec![f64::NAN], ..proxy() })),
         );
-        known.insert("hold/none/p".into(), Arc::new(StoredItem::Hold(hold())));
+        known.insert("hold/none/p".into(), Arc::new(StoredItem::FrozenTable(hold())));
         known.insert(
             "hold/entry/q".into(),
-            Arc::new(StoredItem::Hold(StoredFrozenTable { level: MILLION + 1, ..hold() })),
+            Arc::new(StoredItem::FrozenTable(StoredFrozenTable {
+                admission_millionths: MILLION + 1,
+                ..hold()
+            })),
         );
         known.insert(
             "level/none".into(),
-            Arc::new(StoredItem::Level { level: 1.0, tries: StoredRetryPolicy::Once }),
+            Arc::new(StoredItem::Admission { fraction: 1.0, retry_policy: StoredRetryPolicy::OnAnyFailure }),
         );
         known.insert(
             "level/entry".into(),
-            Arc::new(StoredItem::Level { level: 7.0, tries: StoredRetryPolicy::Once }),
+            Arc::new(StoredItem::Admission { fraction: 7.0, retry_policy: StoredRetryPolicy::OnAnyFailure }),
         );
         known.insert("proxy/q".into(), Arc::new(StoredItem::Alive { at: 0.0 }));
     });
-    assert_eq!((recalled.proxies.len(), recalled.levels.len()), (1, 0));
+    assert_eq!((recalled.proxies.len(), recalled.admission_fractions.len()), (1, 0));
     assert!(said.contains("`proxy/far` names a zone") && said.contains("`level/none` names"), "{said}");
     assert!(said.contains("`hold/none/p` names") && said.contains("`hold/entry/q` has a figure"), "{said}");
-    assert_eq!(recalled.holds.len(), 1);
+    assert_eq!(recalled.frozen_tables.len(), 1);
     assert!(said.contains("`proxy/odd` has a figure") && said.contains("`proxy/q` is no entry"), "{said}");
 }
 
@@ -146,8 +173,10 @@
     #[test]
     fn entries_come_back_as_they_were(weight in 1e-300f64..1e300, open in any::<bool>(), id in ".{0,9}") {
         let mut proxy = proxy();
-        let lines = vec![(id.as_str().into(), "x".into(), 3, weight, open)];
-        proxy.tables = vec![None, Some(StoredTable { level: 0.1, lines })];
+        let entries = vec![StoredTableEntry {
+            replica: id.as_str().into(), address: "x".into(), zone: 3, weight, routable: open,
+        }];
+        proxy.tables = vec![None, Some(StoredTable { admission_fraction: 0.1, entries })];
         let item = StoredItem::Proxy(proxy);
         prop_assert_eq!(decode(&encode(&item)), Some(item));
     }
--- a/crates/core/tests/stored_formats.rs
+++ b/crates/core/tests/stored_formats.rs
@@ -45,8 +45,8 @@
     let policies: Vec<(&str, RetryPolicy)> = golden_items()
         .into_iter()
         .filter_map(|(name, bytes)| match snapshot::decode(&bytes)? {
-            StoredItem::Level { tries, .. } => Some((name, tries.into())),
-            StoredItem::Hold(hold) => Some((name, hold.tries.into())),
+            StoredItem::Admission { retry_policy, .. } => Some((name, retry_policy.into())),
+            StoredItem::FrozenTable(frozen) => Some((name, frozen.retry_policy.into())),
             _ => None,
         })
         .collect();
--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -101,7 +101,7 @@
         tracing::info!(
             age_s = recalled.age.as_secs_f64(),
             proxies = recalled.proxies.len(),
-            withdrawn = recalled.withdrawn.len(),
+            withdrawn = recalled.ejected.len(),
             overrides = recalled.overrides.len(),
             "what was known before a restart"
         );
