--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -11,8 +11,8 @@
 use serde_json::{Value, json};
 use tokio::sync::{mpsc, watch};
 use wrenthread_core::snapshot::{self, RestoredState, StoredItem, StoredItems};
-use wrenthread_durable_store::disk::{Error, Folder};
-use wrenthread_durable_store::{Change, Found, Store};
+use wrenthread_durable_store::disk::{DiskError, Folder};
+use wrenthread_durable_store::{Change, Recovered, Store};
 
 /// How often it is said that all still holds: ages are reckoned from the last time.
 const ALIVE_EVERY: Duration = Duration::from_secs(1);
@@ -54,7 +54,7 @@
     RandomState::new().hash_one(std::process::id()) as u16
 }
 
-fn decoded(found: &Found) -> (StoredItems, Vec<String>) {
+fn decoded(found: &Recovered) -> (StoredItems, Vec<String>) {
     let (mut known, mut losses) = (StoredItems::new(), Vec::new());
     for (name, bytes) in &found.entries {
         match snapshot::decode(bytes) {
@@ -71,14 +71,14 @@
     let micros = (calendar * 1e6) as u64;
     let bare = Start { epoch: micros, recalled: RestoredState::default(), keeper: None };
     let path = folder.display();
-    let mut disk = match Folder::take(folder) {
+    let mut disk = match Folder::lock(folder) {
         Ok(disk) => disk,
         Err(error) => {
             tracing::error!(%error, folder = %path, "nothing is known beyond this life, and nothing will be");
             return bare;
         }
     };
-    let (epoch, lost) = wrenthread_durable_store::epoch(&mut disk, micros, chance());
+    let (epoch, lost) = wrenthread_durable_store::reserve_epoch(&mut disk, micros, chance());
     if let Some(why) = lost {
         tracing::error!(why, "this life's number could not be reserved");
     }
@@ -140,7 +140,7 @@
         while let Err(error) = written {
             progress.send_modify(|progress| progress.errors += 1);
             tracing::error!(%error, wait_s = wait.as_secs_f64(), "what is known could not be written");
-            if matches!(error, Error::Full(_)) {
+            if matches!(error, DiskError::Full(_)) {
                 break;
             }
             std::thread::sleep(wait);
@@ -219,10 +219,10 @@
 // ---- at the command line
 
 /// What a folder holds, without taking it: its governor may run on. A fold in the midst of it is looked past.
-fn look(folder: &Path) -> Result<Found> {
-    let mut found = Found::default();
+fn look(folder: &Path) -> Result<Recovered> {
+    let mut found = Recovered::default();
     for _ in 0..5 {
-        found = wrenthread_durable_store::read(&mut Folder::look(folder))
+        found = wrenthread_durable_store::read(&mut Folder::read_only(folder))
             .with_context(|| folder.display().to_string())?;
         if found.losses.is_empty() {
             break;
@@ -288,10 +288,10 @@
     if !entries.contains_key(snapshot::NAMES) || !entries.contains_key(snapshot::ALIVE) {
         bail!("{name} does not say whose entries these are");
     }
-    let (mut store, found) = Store::open(Folder::take(folder)?)?;
+    let (mut store, found) = Store::open(Folder::lock(folder)?)?;
     changes.extend(found.entries.into_keys().filter(|old| !entries.contains_key(old)).map(|old| (old, None)));
     store.write(&changes)?;
-    store.fold()?;
+    store.compact()?;
     Ok(entries.len())
 }
 
@@ -302,8 +302,8 @@
     if !folder.is_dir() {
         bail!("{} is no folder", folder.display());
     }
-    let (mut store, found) = Store::open(Folder::take(folder)?)?;
+    let (mut store, found) = Store::open(Folder::lock(folder)?)?;
     found.losses.iter().for_each(|why| eprintln!("lost: {why}"));
-    store.fold()?;
+    store.compact()?;
     Ok(store.sizes())
 }
--- a/crates/durable-store/benches/store.rs
+++ b/crates/durable-store/benches/store.rs
@@ -39,7 +39,7 @@
     std::fs::create_dir_all(&folder).expect("a folder");
     for (entries, bytes) in [(5, 600), (50, 1200)] {
         let (ours, theirs) = (folder.join(format!("ours-{entries}")), folder.join(format!("redb-{entries}")));
-        let (mut store, _) = Store::open(Folder::take(&ours).expect("ours")).expect("it opens");
+        let (mut store, _) = Store::open(Folder::lock(&ours).expect("ours")).expect("it opens");
         let database = Database::create(&theirs).expect("theirs");
         let (mut one, mut other) = (Vec::new(), Vec::new());
         // By turns, so that both meet the same disk.
@@ -61,7 +61,7 @@
         }
         drop((store, database));
         let began = Instant::now();
-        let found = wrenthread_durable_store::read(&mut Folder::look(&ours)).expect("ours");
+        let found = wrenthread_durable_store::read(&mut Folder::read_only(&ours)).expect("ours");
         let opened = ms(began);
         let began = Instant::now();
         let database = Database::open(&theirs).expect("theirs");
--- a/crates/durable-store/src/lib.rs
+++ b/crates/durable-store/src/lib.rs
@@ -6,9 +6,9 @@
 //! `docs/design/state.md`.
 //!
 //! ```
-//! use wrenthread_durable_store::{Store, disk::Memory};
+//! use wrenthread_durable_store::{Store, disk::MemoryDisk};
 //!
-//! let disk = Memory::default();
+//! let disk = MemoryDisk::default();
 //! let (mut store, found) = Store::open(disk.clone()).unwrap();
 //! assert!(found.entries.is_empty());
 //! store.write(&[("level/entry".into(), Some(b"0.5".to_vec()))]).unwrap();
@@ -22,17 +22,17 @@
 
 use std::collections::BTreeMap;
 
-use disk::{Disk, Error};
-use frame::Frames;
+use disk::{Disk, DiskError};
+use frame::RecordChain;
 
 /// All entries together, and one of them, at the most.
-pub const MOST_BYTES: usize = 256 << 20;
-pub const LARGEST: usize = 16 << 20;
+pub const MAX_TOTAL_BYTES: usize = 256 << 20;
+pub const MAX_ENTRY_BYTES: usize = 16 << 20;
 /// A journal is folded into a new snapshot beyond this, or beyond so many times the entries' size.
-const FOLD_AT: usize = 256 << 10;
-const FOLD_TIMES: usize = 3;
+const MIN_COMPACTION_BYTES: usize = 256 << 10;
+const COMPACTION_FACTOR: usize = 3;
 /// Generations of snapshot and journal that stay beside the newest.
-const KEPT_BACK: u64 = 1;
+const RETAINED_GENERATIONS: u64 = 1;
 
 pub type Entries = BTreeMap<String, Vec<u8>>;
 /// An entry's name, and what it is from now on; none: it is gone.
@@ -40,7 +40,7 @@
 
 /// What a folder held.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Found {
+pub struct Recovered {
     pub entries: Entries,
     /// What was not taken, and why: for the log.
     pub losses: Vec<String>,
@@ -54,7 +54,7 @@
     bytes: usize,
     generation: u64,
     /// The journal's check so far; none if nothing may be added to it.
-    journal: Option<Frames>,
+    journal: Option<RecordChain>,
     journal_bytes: usize,
 }
 
@@ -118,16 +118,16 @@
 /// Reads what a folder holds, and changes nothing there.
 ///
 /// Errors: the folder can't be listed. What is damaged in it is no error, but said.
-pub fn read(disk: &mut impl Disk) -> Result<Found, Error> {
+pub fn read(disk: &mut impl Disk) -> Result<Recovered, DiskError> {
     let names = disk.list()?;
     let mut generations: Vec<u64> = names.iter().filter_map(|name| numbered(name, "snapshot")).collect();
     generations.sort_unstable_by(|one, other| other.cmp(one));
     let newest =
         names.iter().filter_map(|name| numbered(name, "journal")).chain(generations.first().copied());
-    let mut found = Found { generation: newest.max().unwrap_or(0), ..Found::default() };
+    let mut found = Recovered { generation: newest.max().unwrap_or(0), ..Recovered::default() };
     for generation in generations {
         let name = snapshot(generation);
-        let read = disk.read(&name, 2 * MOST_BYTES).map_err(|error| error.to_string());
+        let read = disk.read(&name, 2 * MAX_TOTAL_BYTES).map_err(|error| error.to_string());
         let read = read.and_then(|bytes| frame::read(&bytes).map_err(|cut| cut.to_string()));
         let (records, cut) = match read {
             Ok(read) => read,
@@ -153,7 +153,7 @@
             if !names.contains(&name) {
                 continue;
             }
-            let read = disk.read(&name, 2 * MOST_BYTES).map_err(|error| error.to_string());
+            let read = disk.read(&name, 2 * MAX_TOTAL_BYTES).map_err(|error| error.to_string());
             let read =
                 read.and_then(|bytes| Ok((bytes.len(), frame::read(&bytes).map_err(|cut| cut.to_string())?)));
             match read {
@@ -190,7 +190,7 @@
     /// that nothing is ever added behind damage.
     ///
     /// Errors: the folder can't be listed. That it can't be written is found at the first write.
-    pub fn open(mut disk: D) -> Result<(Self, Found), Error> {
+    pub fn open(mut disk: D) -> Result<(Self, Recovered), DiskError> {
         let found = read(&mut disk)?;
         let bytes = found.entries.iter().map(|(name, content)| name.len() + content.len()).sum();
         let store = Store {
@@ -218,22 +218,23 @@
     /// Errors: the disk's, or that there would be too much. The changes are kept and written with the next
     /// ones: after an error the next write makes a new snapshot, as nobody knows what the disk has of the
     /// old journal.
-    pub fn write(&mut self, changes: &[Change]) -> Result<(), Error> {
-        if changes.iter().any(|(_, content)| content.as_ref().is_some_and(|one| one.len() > LARGEST)) {
-            return Err(Error::Full("an entry is larger than any may be"));
+    pub fn write(&mut self, changes: &[Change]) -> Result<(), DiskError> {
+        if changes.iter().any(|(_, content)| content.as_ref().is_some_and(|one| one.len() > MAX_ENTRY_BYTES))
+        {
+            return Err(DiskError::Full("an entry is larger than any may be"));
         }
         for (name, content) in changes {
             let old = self.entries.get(name).map_or(0, |old| name.len() + old.len());
             let new = content.as_ref().map_or(0, |new| name.len() + new.len());
-            if self.bytes - old + new > MOST_BYTES {
-                return Err(Error::Full("the entries are larger than all may be"));
+            if self.bytes - old + new > MAX_TOTAL_BYTES {
+                return Err(DiskError::Full("the entries are larger than all may be"));
             }
             self.bytes = self.bytes - old + new;
             apply(&mut self.entries, vec![(name.clone(), content.clone())]);
         }
-        let fold_at = FOLD_AT.max(FOLD_TIMES * self.bytes);
-        let Some(mut frames) = self.journal.take().filter(|_| self.journal_bytes < fold_at) else {
-            return self.fold();
+        let compact_at = MIN_COMPACTION_BYTES.max(COMPACTION_FACTOR * self.bytes);
+        let Some(mut frames) = self.journal.take().filter(|_| self.journal_bytes < compact_at) else {
+            return self.compact();
         };
         let record = frames.record(&pack(changes));
         let name = journal(self.generation);
@@ -248,15 +249,15 @@
     /// the one before.
     ///
     /// Errors: the disk's; what was there before stands.
-    pub fn fold(&mut self) -> Result<(), Error> {
+    pub fn compact(&mut self) -> Result<(), DiskError> {
         self.journal = None;
         let generation = self.generation + 1;
         // Counted on even where this fails: a name that may be half there is not used again.
         self.generation = generation;
         let new = format!("{}.new", snapshot(generation));
-        let mut frames = Frames::new();
+        let mut frames = RecordChain::new();
         self.disk.create(&new)?;
-        let mut bytes = frame::head();
+        let mut bytes = frame::header();
         for (name, content) in &self.entries {
             bytes.extend(frames.record(&pack(&[(name.clone(), Some(content.clone()))])));
             if bytes.len() > 1 << 20 {
@@ -270,19 +271,19 @@
         // The journal first: a snapshot is never there without one that may be added to.
         let name = journal(generation);
         self.disk.create(&name)?;
-        self.disk.append(&name, &frame::head())?;
+        self.disk.append(&name, &frame::header())?;
         self.disk.sync(&name)?;
         self.disk.rename(&new, &snapshot(generation))?;
         self.disk.sync_folder()?;
-        (self.journal, self.journal_bytes) = (Some(Frames::new()), frame::head().len());
+        (self.journal, self.journal_bytes) = (Some(RecordChain::new()), frame::header().len());
         self.forget(generation)
     }
 
-    fn forget(&mut self, generation: u64) -> Result<(), Error> {
+    fn forget(&mut self, generation: u64) -> Result<(), DiskError> {
         for name in self.disk.list()? {
             let of = numbered(&name, "snapshot").or_else(|| numbered(&name, "journal"));
             let half = name.ends_with(".new");
-            if half || of.is_some_and(|of| of + KEPT_BACK < generation) {
+            if half || of.is_some_and(|of| of + RETAINED_GENERATIONS < generation) {
                 // What can't be removed is in nobody's way.
                 let _ = self.disk.remove(&name);
             }
@@ -299,7 +300,7 @@
 /// reserve.
 ///
 /// The second value: why the reservation does not last, if it does not.
-pub fn epoch(disk: &mut impl Disk, calendar: u64, chance: u16) -> (u64, Option<String>) {
+pub fn reserve_epoch(disk: &mut impl Disk, calendar: u64, chance: u16) -> (u64, Option<String>) {
     let mut last = 0;
     for name in [EPOCH, "epoch.before"] {
         let Ok(bytes) = disk.read(name, 1 << 16) else { continue };
@@ -313,8 +314,8 @@
     let epoch = base | u64::from(chance);
     let new = format!("{EPOCH}.new");
     let mut write = || {
-        let mut bytes = frame::head();
-        bytes.extend(Frames::new().record(&epoch.to_le_bytes()));
+        let mut bytes = frame::header();
+        bytes.extend(RecordChain::new().record(&epoch.to_le_bytes()));
         disk.create(&new)?;
         disk.append(&new, &bytes)?;
         disk.sync(&new)?;
@@ -325,7 +326,7 @@
         disk.rename(&new, EPOCH)?;
         disk.sync_folder()
     };
-    let lost = write().err().map(|error: Error| error.to_string());
+    let lost = write().err().map(|error: DiskError| error.to_string());
     (epoch, lost)
 }
 
--- a/crates/durable-store/tests/golden.rs
+++ b/crates/durable-store/tests/golden.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use wrenthread_durable_store::disk::{Disk, Memory};
-use wrenthread_durable_store::{Change, Store, epoch};
+use wrenthread_durable_store::disk::{Disk, MemoryDisk};
+use wrenthread_durable_store::{Change, Store, reserve_epoch};
 
 const FILES: [(&str, &[u8]); 6] = [
     ("epoch", include_bytes!("golden/form-01/epoch")),
@@ -14,8 +14,8 @@
     ("snapshot.2", include_bytes!("golden/form-01/snapshot.2")),
 ];
 
-fn stored_folder() -> Memory {
-    let disk = Memory::default();
+fn stored_folder() -> MemoryDisk {
+    let disk = MemoryDisk::default();
     for (name, bytes) in FILES {
         disk.put(name, bytes);
     }
@@ -27,13 +27,13 @@
 }
 
 /// The writes that made the folder.
-fn write_again(mut disk: Memory) {
-    epoch(&mut disk, 1_700_000_000_000_000, 7);
-    epoch(&mut disk, 1_700_000_100_000_000, 9);
+fn write_again(mut disk: MemoryDisk) {
+    reserve_epoch(&mut disk, 1_700_000_000_000_000, 7);
+    reserve_epoch(&mut disk, 1_700_000_100_000_000, 9);
     let (mut store, _) = Store::open(disk).unwrap();
     store.write(&[put("level/entry", b"0.5"), put("proxy/relay-1", b"{}"), put("empty", b"")]).unwrap();
     store.write(&[put("proxy/relay-2", &[0, 255, 10]), put("level/entry", b"0.75")]).unwrap();
-    store.fold().unwrap();
+    store.compact().unwrap();
     let every_byte: Vec<u8> = (0..=255).collect();
     store.write(&[put("proxy/relay-3", &every_byte), ("proxy/relay-1".into(), None)]).unwrap();
     store.write(&[put("names/ü", b"x"), put("level/entry", b"1")]).unwrap();
@@ -57,13 +57,13 @@
 fn reserves_an_epoch_above_that_of_the_earlier_release() {
     // Reserved there: 1_700_000_100_000_000 with its last 16 bits replaced by 9.
     let last = (1_700_000_100_000_000 & !0xffff) | 9;
-    let (next, _) = epoch(&mut stored_folder(), 1, 3);
+    let (next, _) = reserve_epoch(&mut stored_folder(), 1, 3);
     assert_eq!(next, ((last + (1 << 16)) & !0xffff) | 3);
 }
 
 #[test]
 fn writes_the_folder_of_the_earlier_release_byte_for_byte() {
-    let disk = Memory::default();
+    let disk = MemoryDisk::default();
     write_again(disk.clone());
     let mut disk = disk;
     let names: Vec<&str> = FILES.iter().map(|(name, _)| *name).collect();
--- a/crates/durable-store/tests/lives.rs
+++ b/crates/durable-store/tests/lives.rs
@@ -10,8 +10,8 @@
 use wrenthread_core::overrides::OverrideKind;
 use wrenthread_core::roster::RosterEntry;
 use wrenthread_core::snapshot::{self, StoredItem, StoredItems};
-use wrenthread_durable_store::disk::{Fault, Leaves, Memory};
-use wrenthread_durable_store::{Change, Store, epoch};
+use wrenthread_durable_store::disk::{Fault, MemoryDisk, Unsynced};
+use wrenthread_durable_store::{Change, Store, reserve_epoch};
 
 const REPLICAS: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 const PROXIES: usize = 4;
@@ -42,18 +42,18 @@
 }
 
 /// What each proxy holds: the life and the version that told it.
-type Held = [Option<(u64, u64)>; PROXIES];
+type MemoryFile = [Option<(u64, u64)>; PROXIES];
 
 struct Life {
     engine: Engine,
     epoch: u64,
-    store: Store<Memory>,
+    store: Store<MemoryDisk>,
     before: StoredItems,
 }
 
 impl Life {
-    fn start(disk: &Memory, calendar: f64, chance: u16) -> Life {
-        let (epoch, _) = epoch(&mut disk.clone(), (calendar * 1e6) as u64, chance);
+    fn start(disk: &MemoryDisk, calendar: f64, chance: u16) -> Life {
+        let (epoch, _) = reserve_epoch(&mut disk.clone(), (calendar * 1e6) as u64, chance);
         let (store, found) = Store::open(disk.clone()).expect("a folder can be listed");
         let known: StoredItems = found
             .entries
@@ -80,7 +80,7 @@
         self.store.write(&changes).is_ok()
     }
 
-    fn join(&mut self, now: u64, held: &Held) {
+    fn join(&mut self, now: u64, held: &MemoryFile) {
         for (place, held) in held.iter().enumerate() {
             // A standing table that names a drain is no draw, and is answered by another at once.
             let drawn = REPLICAS.into_iter().filter(|id| place < 2 && *id != "b");
@@ -99,7 +99,7 @@
     }
 
     /// Proxies that take all at once. No rule is broken at any time.
-    fn pump(&mut self, now: u64, held: &mut Held, draining: Option<&str>) {
+    fn pump(&mut self, now: u64, held: &mut MemoryFile, draining: Option<&str>) {
         while let Some(step) = self.engine.next_action(ms(now)) {
             let Action::Flush(number) = step else { continue };
             let proxy = self.engine.proxy(number).expect("it is joined");
@@ -132,9 +132,9 @@
 }
 
 /// A life in which all kinds of things are known; until its disk crashes.
-fn first(disk: &Memory) -> (Held, u64) {
+fn first(disk: &MemoryDisk) -> (MemoryFile, u64) {
     let mut life = Life::start(disk, 1000.0, 1);
-    let mut held: Held = [None; PROXIES];
+    let mut held: MemoryFile = [None; PROXIES];
     life.engine.update_roster(ms(0), list(None, None));
     life.join(1, &held);
     for now in (50..1500).step_by(50) {
@@ -155,12 +155,18 @@
 
 #[test]
 fn whatever_a_crash_leaves_the_next_life_starts_clean_and_keeps_the_rules() {
-    let quiet = Memory::default();
+    let quiet = MemoryDisk::default();
     first(&quiet);
     let (mut starts, mut resumed) = (0, 0);
     for call in 0..quiet.calls() {
-        for leaves in [Leaves::Nothing, Leaves::All, Leaves::Half, Leaves::LaterHalf, Leaves::NoNames] {
-            let disk = Memory::default();
+        for leaves in [
+            Unsynced::Lost,
+            Unsynced::Kept,
+            Unsynced::FirstHalfKept,
+            Unsynced::LastHalfKept,
+            Unsynced::NamesLost,
+        ] {
+            let disk = MemoryDisk::default();
             disk.fault(call, Fault::Crash);
             let (mut held, epoch) = first(&disk);
             let mut life = Life::start(&disk.after_crash(leaves), 1002.0, 2);
