--- a/crates/durable-store/benches/store.rs
+++ b/crates/durable-store/benches/store.rs
@@ -14,7 +14,7 @@
 /// A busy beat: so many entries of so many bytes change.
 fn beat(at: usize, entries: usize, bytes: usize) -> Vec<Change> {
     let entry =
-        |n: usize| (format!("proxy/relay-{}", (at * entries + n) % 1000), Some(vec![at as u8; bytes]));
+        |n: usize| Change::put(format!("proxy/relay-{}", (at * entries + n) % 1000), vec![at as u8; bytes]);
     (0..entries).map(entry).collect()
 }
 
@@ -39,7 +39,7 @@
     std::fs::create_dir_all(&folder).expect("a folder");
     for (entries, bytes) in [(5, 600), (50, 1200)] {
         let (ours, theirs) = (folder.join(format!("ours-{entries}")), folder.join(format!("redb-{entries}")));
-        let (mut store, _) = Store::open(Folder::take(&ours).expect("ours")).expect("it opens");
+        let (mut store, _) = Store::open(Folder::lock(&ours).expect("ours")).expect("it opens");
         let database = Database::create(&theirs).expect("theirs");
         let (mut one, mut other) = (Vec::new(), Vec::new());
         // By turns, so that both meet the same disk.
@@ -52,7 +52,7 @@
             let transaction = database.begin_write().expect("a transaction");
             {
                 let mut table = transaction.open_table(TABLE).expect("a table");
-                for (name, content) in &changes {
+                for Change { name, content } in &changes {
                     table.insert(name.as_str(), content.as_deref().unwrap_or_default()).expect("an insert");
                 }
             }
@@ -61,7 +61,7 @@
         }
         drop((store, database));
         let began = Instant::now();
-        let found = wrenthread_durable_store::read(&mut Folder::look(&ours)).expect("ours");
+        let found = wrenthread_durable_store::read(&mut Folder::read_only(&ours)).expect("ours");
         let opened = ms(began);
         let began = Instant::now();
         let database = Database::open(&theirs).expect("theirs");
