--- /dev/null
+++ b/crates/long-poll/tests/wire_format.rs
@@ -0,0 +1,73 @@
+//! Golden files: what crosses the long-poll front's sockets stays as it is, byte for byte, whatever the types are called.
+//!
+//! The responses and the OpenAPI document were captured from the program of commit b735929. That program accepted the
+//! fields of the requests. `tables_delta_default.json` was composed by hand of the fields that its types had.
+
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use wrenthread_long_poll::messages::{JoinAsked, JoinTold, ReportAsked, ReportTold, TablesTold, Trouble};
+use wrenthread_long_poll::service::description;
+
+/// Reads a golden message and writes it again: no byte may differ, nor any field be lost.
+fn reads_and_writes<T: DeserializeOwned + Serialize>(golden: &str) -> T {
+    let message: T = serde_json::from_str(golden).expect("the message is read");
+    let written = serde_json::to_string(&message).expect("the message is written");
+    assert_eq!(written, golden);
+    let mut cbor = Vec::new();
+    ciborium::into_writer(&message, &mut cbor).expect("the message is written as CBOR");
+    let read: T = ciborium::from_reader(cbor.as_slice()).expect("the message is read as CBOR");
+    assert_eq!(serde_json::to_string(&read).unwrap(), golden);
+    message
+}
+
+#[test]
+fn join_messages_keep_their_form() {
+    reads_and_writes::<JoinAsked>(include_str!("golden/join_request.json"));
+    reads_and_writes::<JoinTold>(include_str!("golden/join_response.json"));
+}
+
+#[test]
+fn a_join_request_may_leave_out_its_optional_fields() {
+    let request: JoinAsked = serde_json::from_str("{}").unwrap();
+    assert_eq!(
+        serde_json::to_string(&request).unwrap(),
+        r#"{"zone":"","usual":null,"standing":[],"holds_orders":false,"claim":null}"#
+    );
+    assert!(serde_json::from_str::<JoinAsked>(r#"{"zoen":"north"}"#).is_err());
+}
+
+#[test]
+fn tables_keep_their_form() {
+    reads_and_writes::<TablesTold>(include_str!("golden/tables_complete.json"));
+    reads_and_writes::<TablesTold>(include_str!("golden/tables_delta.json"));
+    reads_and_writes::<TablesTold>(include_str!("golden/tables_delta_default.json"));
+}
+
+#[test]
+fn load_reports_keep_their_form() {
+    reads_and_writes::<ReportAsked>(include_str!("golden/report_request.json"));
+    reads_and_writes::<ReportTold>(include_str!("golden/report_response_counted.json"));
+    reads_and_writes::<ReportTold>(include_str!("golden/report_response_not_counted.json"));
+}
+
+#[test]
+fn a_load_report_may_leave_out_its_optional_fields() {
+    let report: ReportAsked = serde_json::from_str(r#"{"interval_ms":1.0,"met":[{}]}"#).unwrap();
+    let met = r#"{"group":"","replica":"","issued":0,"delivered":0,"dropped":0,"answer_ms":0.0,"load":[]}"#;
+    assert_eq!(
+        serde_json::to_string(&report).unwrap(),
+        format!(r#"{{"interval_ms":1.0,"met":[{met}],"blocked":{{}}}}"#)
+    );
+}
+
+#[test]
+fn errors_keep_their_form() {
+    reads_and_writes::<Trouble>(include_str!("golden/error.json"));
+    reads_and_writes::<Trouble>(include_str!("golden/error_moved.json"));
+}
+
+#[test]
+fn the_openapi_document_stays_as_it_is() {
+    let document = serde_json::to_string(&description()).unwrap();
+    assert_eq!(document, include_str!("golden/openapi.json"));
+}
