--- a/crates/daemon/src/dry_run.rs
+++ b/crates/daemon/src/dry_run.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use wrenthread_core::recording::{CandidateTable, DryRun, Recording};
 
-use crate::render;
+use crate::{labels, render};
 
 /// A recording of a file, or of the governor that answers at an address.
 ///
@@ -75,7 +75,7 @@
             json!({
                 "proxy": one.proxy, "group": group(one.refusal.class), "replica": one.refusal.replica,
                 "why": one.refusal.reason.to_string(), "asked": one.refusal.asked,
-                "allowed": one.refusal.allowed, "done": format!("{:?}", one.refusal.outcome).to_lowercase(),
+                "allowed": one.refusal.allowed, "done": labels::refusal_outcome(one.refusal.outcome),
             })
         })
         .collect();
--- /dev/null
+++ b/crates/daemon/src/host/engine_events.rs
@@ -0,0 +1,81 @@
+//! The engine's events, as log lines and counters.
+
+use wrenthread_core::engine::{Cause, DecisionSummary, EngineEvent};
+use wrenthread_core::guard::Refusal;
+use wrenthread_long_poll::messages::tries_word;
+
+use super::{Host, metrics};
+use crate::labels;
+
+impl Host {
+    pub(super) fn log_engine_event(&self, event: &EngineEvent) {
+        match event {
+            EngineEvent::Decided { what, version, answers } => self.log_decision(what, *version, answers),
+            EngineEvent::EmptyRosterDoubted(_) => {
+                tracing::warn!("the roster is empty; the last one stays until it has been so for long");
+            }
+            EngineEvent::VersionRejected { proxy, version, words } => {
+                tracing::warn!(%proxy, version, reason = words, "tables rejected by proxy");
+            }
+            EngineEvent::FrozenTableReleased { proxy, group, over } => {
+                let class = self.class_name(*group);
+                tracing::warn!(%proxy, class, reason = %over, "frozen table released");
+            }
+            EngineEvent::OverrideExpired(replica) => tracing::warn!(%replica, "override expired"),
+            EngineEvent::TableRefused(refusal) => self.log_refusal(refusal),
+            EngineEvent::JoinsQueued(queued) => {
+                tracing::info!(queued, "joins queued: the channel is full");
+            }
+        }
+    }
+
+    fn log_decision(&self, decision: &DecisionSummary, version: u64, causes: &[Cause]) {
+        let causes = causes.iter().map(labels::cause).collect::<Vec<_>>().join(", ");
+        match decision {
+            DecisionSummary::Withdraw(replica, true) => {
+                ::metrics::counter!(metrics::EJECTIONS).increment(1);
+                let reason = self.engine.ejection_reason(replica).unwrap_or("");
+                tracing::info!(%replica, reason, version, causes, "replica ejected");
+            }
+            DecisionSummary::Withdraw(replica, false) => {
+                ::metrics::counter!(metrics::EJECTIONS).increment(0);
+                tracing::info!(%replica, version, causes, "replica reinstated");
+            }
+            DecisionSummary::Lines(proxy, entries) => {
+                tracing::info!(%proxy, entries, version, causes, "table changed");
+            }
+            DecisionSummary::Follow(proxy, classes) => {
+                let classes = self.class_names(*classes);
+                tracing::info!(%proxy, classes, version, causes, "table assigned");
+            }
+            DecisionSummary::Level(classes, admission_fraction, retry_policy) => {
+                let classes = self.class_names(*classes);
+                let retries = tries_word(*retry_policy);
+                tracing::info!(classes, admission_fraction, retries, version, causes, "admission changed");
+            }
+        }
+    }
+
+    fn log_refusal(&self, refusal: &Refusal) {
+        let label = labels::refusal_reason(refusal.reason);
+        ::metrics::counter!(metrics::REFUSALS, metrics::REFUSAL_REASON_LABEL => label).increment(1);
+        let proxy = refusal.proxy.and_then(|number| self.engine.proxy(number));
+        tracing::warn!(
+            proxy = proxy.map(|proxy| &*proxy.name),
+            class = self.class_name(refusal.class),
+            replica = refusal.replica.as_deref(),
+            reason = %refusal.reason,
+            asked = refusal.asked,
+            allowed = refusal.allowed,
+            outcome = labels::refusal_outcome(refusal.outcome),
+            "the guard refuses"
+        );
+    }
+
+    /// The names of a set of traffic classes.
+    fn class_names(&self, set: u64) -> String {
+        let classes = self.wire.groups.iter().enumerate();
+        let members = classes.filter(|(class, _)| set >> class & 1 == 1);
+        members.map(|(_, class)| class.name.as_str()).collect::<Vec<_>>().join(",")
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/host/joining.rs
@@ -0,0 +1,113 @@
+//! What both fronts do when a proxy connects: check whose tables it holds, count takeovers, and use what its former
+//! governor sent ahead.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use tonic::Status;
+use wrenthread::types::ProxyId;
+use wrenthread_core::fleet::StreamId;
+use wrenthread_core::ownership;
+use wrenthread_core::reports::LoadReport;
+use wrenthread_long_poll::sessions::Told;
+
+use super::{Host, metrics};
+use crate::migration;
+
+impl Host {
+    /// The epoch and version that an ownership proof names, if it proves tables of this governor, of any epoch.
+    pub(super) fn proven_version(&self, proxy: &str, proof: Option<&str>) -> Option<(u64, u64)> {
+        let claim = ownership::prove(&self.signing_keys, proxy, proof?).ok()?;
+        (claim.governor == self.wire.governor).then_some((claim.epoch, claim.version))
+    }
+
+    /// A proxy has connected. Its proof is checked first: it may raise the epoch, which ends all streams.
+    pub(super) fn connected(&mut self, now: Duration, number: ProxyId, name: &str, proof: Option<&str>) {
+        let former_governor = self.check_ownership(now, name, proof);
+        self.adopt_migrated(now, number, former_governor.as_deref());
+    }
+
+    /// The governor whose tables a proxy holds, if that is proven. No table depends on it: the module gives complete
+    /// tables to whoever comes with some, so neither a stale proof nor a forged one brings old tables back.
+    fn check_ownership(&mut self, now: Duration, proxy: &str, proof: Option<&str>) -> Option<String> {
+        let claim = match ownership::prove(&self.signing_keys, proxy, proof?) {
+            Ok(claim) => claim,
+            Err(error) => {
+                ::metrics::counter!(metrics::PROOFS_INVALID).increment(1);
+                tracing::warn!(proxy, %error, "ownership proof rejected");
+                return None;
+            }
+        };
+        if claim.governor != self.wire.governor {
+            self.takeovers += 1;
+            ::metrics::counter!(metrics::TAKEOVERS).increment(1);
+            let epoch = format!("{:x}", claim.epoch);
+            tracing::info!(proxy, from = claim.governor, epoch, version = claim.version, "proxy taken over");
+        } else if claim.epoch > self.wire.epoch {
+            self.raise_epoch(now, claim.epoch);
+        }
+        Some(claim.governor)
+    }
+
+    /// An earlier life of this governor had a later clock: its proxies would ignore this one. It takes an epoch beyond
+    /// that one, and has all proxies connect again.
+    ///
+    /// Once in a life: two governors of one name would otherwise outbid each other for ever.
+    fn raise_epoch(&mut self, now: Duration, earlier: u64) {
+        if self.epoch_raised {
+            let epoch = format!("{earlier:x}");
+            tracing::error!(epoch, "another governor has this one's name, or its key");
+            return;
+        }
+        self.epoch_raised = true;
+        self.wire.epoch = earlier.saturating_add(1);
+        self.session_terms.epoch = format!("{:x}", self.wire.epoch);
+        tracing::warn!(epoch = self.session_terms.epoch, "clock was set back, epoch raised");
+        for (stream, open) in std::mem::take(&mut self.streams) {
+            open.answers.end(Status::unavailable("the governor takes up a later epoch; come back"));
+            self.disconnected(now, stream);
+        }
+        for session in self.sessions.sessions() {
+            self.end_session(now, session, Told::Over);
+        }
+    }
+
+    /// Governors learn that the proxy is here, and what was sent ahead of it is used, if it comes from the governor
+    /// that the proxy was with last.
+    fn adopt_migrated(&mut self, now: Duration, number: ProxyId, former_governor: Option<&str>) {
+        let Some(proxy) = self.engine.proxy(number).map(|proxy| proxy.name.clone()) else { return };
+        let Some(ahead) = self.membership.here(now, &proxy) else { return };
+        if former_governor.is_some_and(|governor| governor != ahead.from) {
+            tracing::info!(%proxy, from = ahead.from, "migrated tables outdated");
+            return;
+        }
+        match migration::decode(&self.session_terms, now, ahead) {
+            Ok(migrated) => {
+                let from = migrated.from.clone();
+                let tables = self.engine.adopt_migrated_tables(now, number, migrated);
+                ::metrics::counter!(metrics::TABLES_MIGRATED).increment(1);
+                tracing::info!(%proxy, %from, tables, "migrated tables adopted");
+            }
+            Err(error) => tracing::warn!(%proxy, %error, "migrated tables not understood"),
+        }
+    }
+
+    /// Counts a load report, or says why it does not count.
+    pub(super) fn record_report(
+        &mut self,
+        now: Duration,
+        proxy: &Arc<str>,
+        stream: StreamId,
+        report: &LoadReport,
+    ) -> Result<(), wrenthread_core::reports::DiscardReason> {
+        ::metrics::counter!(metrics::REPORTS).increment(1);
+        let recorded = self.engine.record_report(now, proxy, stream, report);
+        if let Err(reason) = &recorded {
+            let label = reason.to_string();
+            ::metrics::counter!(metrics::REPORTS_DISCARDED, metrics::DISCARD_REASON_LABEL => label)
+                .increment(1);
+            tracing::debug!(%proxy, %reason, "load report discarded");
+        }
+        recorded
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/host/membership.rs
@@ -0,0 +1,173 @@
+//! This governor among the others: their datagrams, proxies that migrate, drains.
+
+use std::time::Duration;
+
+use serde::Serialize;
+use tonic::Status;
+use wrenthread_core::fleet::StreamId;
+use wrenthread_long_poll::service as poll;
+use wrenthread_membership::members::Member;
+use wrenthread_membership::{Note, Step};
+use wrenthread_xds::GO_TO;
+
+use super::{Host, WorkItem};
+use crate::{labels, migration};
+
+/// Redirects that are remembered for proxies that had no poll pending; beyond this the oldest are dropped, and
+/// those proxies join again wherever they were.
+const MAX_PENDING_REDIRECTS: usize = 1024;
+
+/// The state of a governor that has not been heard from yet, in the list of governors.
+const NOT_HEARD_YET: &str = "not heard yet";
+
+/// The governors, as `status --governors` prints them.
+#[derive(Debug, Serialize)]
+pub struct GovernorsStatus {
+    name: String,
+    draining: bool,
+    joined: usize,
+    /// The most proxies that each governor should have as things stand.
+    #[serde(rename = "most")]
+    max_joined: usize,
+    #[serde(rename = "on_way")]
+    migrating: usize,
+    #[serde(rename = "moved")]
+    migrated_away: u64,
+    #[serde(rename = "came")]
+    migrated_here: u64,
+    #[serde(rename = "unheard")]
+    ignored_datagrams: u64,
+    others: Vec<GovernorStatus>,
+}
+
+#[derive(Debug, Serialize)]
+struct GovernorStatus {
+    name: String,
+    #[serde(rename = "standing")]
+    state: &'static str,
+    at: String,
+    joined: u32,
+    draining: bool,
+    #[serde(rename = "since_s")]
+    in_state_seconds: f64,
+    #[serde(rename = "heard_s")]
+    last_heard_seconds: Option<f64>,
+    incarnation: String,
+}
+
+impl GovernorStatus {
+    fn new(now: Duration, member: &Member) -> Self {
+        let seconds_since = |at: Duration| now.saturating_sub(at).as_secs_f64();
+        let state = match member.heard {
+            None if !member.is_there() => NOT_HEARD_YET,
+            _ => labels::member_state(member.word.standing),
+        };
+        GovernorStatus {
+            name: member.word.name.clone(),
+            state,
+            at: member.word.at.to_string(),
+            joined: member.word.figures.joined,
+            draining: member.word.figures.draining,
+            in_state_seconds: seconds_since(member.since),
+            last_heard_seconds: member.heard.map(seconds_since),
+            incarnation: format!("{:x}", member.word.incarnation),
+        }
+    }
+}
+
+impl Host {
+    /// A datagram of another governor.
+    pub fn datagram_received(&mut self, now: Duration, datagram: &[u8]) {
+        if let Err(error) = self.membership.heard(now, datagram) {
+            tracing::debug!(%error, "datagram ignored");
+        }
+    }
+
+    /// Begins to migrate all proxies to other governors, or takes proxies again.
+    pub fn set_draining(&mut self, now: Duration, draining: bool) -> GovernorsStatus {
+        tracing::warn!(draining, proxies = self.engine.fleet().len(), "drain requested by operator");
+        self.membership.drain(now, draining);
+        self.governors(now)
+    }
+
+    /// Whether this governor migrates its proxies away.
+    pub fn is_draining(&self) -> bool {
+        self.membership.is_draining()
+    }
+
+    /// The governors as this one sees them.
+    pub fn governors(&self, now: Duration) -> GovernorsStatus {
+        let tally = self.membership.tally();
+        let others = self.membership.members().others();
+        GovernorsStatus {
+            name: self.wire.governor.clone(),
+            draining: self.membership.is_draining(),
+            joined: self.engine.fleet().len(),
+            max_joined: self.membership.bound(),
+            migrating: tally.on_way,
+            migrated_away: tally.moved,
+            migrated_here: tally.came,
+            ignored_datagrams: tally.unheard,
+            others: others.map(|member| GovernorStatus::new(now, member)).collect(),
+        }
+    }
+
+    /// Carries out what membership has to do now.
+    pub(super) fn process_membership(&mut self, now: Duration, mut work: impl FnMut(WorkItem)) {
+        while let Some(step) = self.membership.step(now) {
+            match step {
+                Step::Send(to, datagram) => work(WorkItem::SendDatagram { to, datagram }),
+                Step::Gather { proxy, to } => self.offer_proxy(now, &proxy, &to),
+                Step::Move { proxy, to } => self.redirect(now, &proxy, to),
+                Step::Note(note) => log_note(&note),
+            }
+        }
+    }
+
+    /// Offers a proxy to another governor, with what is known of it.
+    fn offer_proxy(&mut self, now: Duration, proxy: &str, to: &str) {
+        let number = self.engine.fleet().named(proxy).map(|(number, _)| number);
+        let state = number.map(|number| migration::encode(&self.engine, &self.session_terms, now, number));
+        self.membership.offer(now, proxy, to, state.unwrap_or_default());
+    }
+
+    /// Ends a proxy's stream or session and names the governor to go to; none: the next in the proxy's own order.
+    fn redirect(&mut self, now: Duration, proxy: &str, to: Option<String>) {
+        let Some(stream) = self.engine.fleet().named(proxy).map(|(_, proxy)| proxy.stream) else { return };
+        tracing::info!(proxy, to = to.as_deref().unwrap_or("next in its order"), "proxy redirected");
+        if self.sessions.name(stream).is_some() {
+            self.redirect_session(stream, to);
+        } else if let Some(open) = self.streams.remove(&stream) {
+            let mut status = Status::unavailable("this proxy is to go to another governor");
+            // Names are of letters, digits, `-` and `_`: they always fit.
+            if let Ok(to) = to.unwrap_or_default().parse() {
+                status.metadata_mut().insert(GO_TO, to);
+            }
+            open.answers.end(status);
+        }
+        self.disconnected(now, stream);
+    }
+
+    fn redirect_session(&mut self, session: StreamId, to: Option<String>) {
+        match self.sessions.close(session) {
+            Some(reply) => drop(reply.send(Err(poll::Refusal::Moved(to)))),
+            None => {
+                self.pending_redirects.insert(session, to);
+                while self.pending_redirects.len() > MAX_PENDING_REDIRECTS {
+                    self.pending_redirects.pop_first();
+                }
+            }
+        }
+    }
+}
+
+fn log_note(note: &Note) {
+    match note {
+        Note::Stands(governor, state) => {
+            tracing::info!(governor, state = labels::member_state(*state), "governor state changed");
+        }
+        Note::Stalled(late) => tracing::warn!(?late, "event loop stalled"),
+        Note::Unanswered { proxy, to } => tracing::warn!(proxy, to, "migration offer unanswered"),
+        Note::Drained => tracing::info!("drain complete"),
+    }
+}
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -6,32 +6,70 @@
 use axum::http::header::CONTENT_TYPE;
 use axum::response::{IntoResponse, Json, Response};
 use axum::routing::{get, post};
+use serde::Serialize;
 use serde_json::{Value, json};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 use wrenthread_core::recording::Recording;
 
-/// A question to the task that owns all state.
+use crate::host::{
+    GovernorStatus, GovernorsStatus, InspectionError, OperatorError, OverrideOutcome, ProxyTables, Refusals,
+    ReleaseOutcome, RollbackOutcome, TableDiff, TableHistory,
+};
+
+/// Where the answer to a query goes.
+type Reply<T> = oneshot::Sender<T>;
+
+/// A query to the task that owns all state.
 #[derive(Debug)]
 pub enum Query {
-    Ready(oneshot::Sender<bool>),
-    Status(oneshot::Sender<Value>),
-    Tables(String, oneshot::Sender<Option<Value>>),
-    Metrics(oneshot::Sender<String>),
-    History(String, oneshot::Sender<Option<Value>>),
-    Diff(String, u64, u64, oneshot::Sender<Result<Value, String>>),
-    Rollback(Value, oneshot::Sender<Result<Value, String>>),
-    Governors(oneshot::Sender<Value>),
-    Why(String, oneshot::Sender<Option<Value>>),
-    Override(Value, oneshot::Sender<Result<Value, String>>),
-    Record(oneshot::Sender<Recording>),
-    Drain(bool, oneshot::Sender<Value>),
-    Release(Value, oneshot::Sender<Result<Value, String>>),
-}
-
-type Asked = mpsc::Sender<Query>;
-
-pub async fn serve(listener: TcpListener, queries: Asked) {
+    Ready(Reply<bool>),
+    Metrics(Reply<String>),
+    Status(Reply<GovernorStatus>),
+    Governors(Reply<GovernorsStatus>),
+    Record(Reply<Recording>),
+    Tables {
+        proxy: String,
+        reply: Reply<Option<ProxyTables>>,
+    },
+    History {
+        proxy: String,
+        reply: Reply<Option<TableHistory>>,
+    },
+    Diff {
+        proxy: String,
+        from: u64,
+        to: u64,
+        reply: Reply<Result<TableDiff, InspectionError>>,
+    },
+    /// What was refused about a proxy or a replica.
+    Refusals {
+        name: String,
+        reply: Reply<Option<Refusals>>,
+    },
+    Drain {
+        draining: bool,
+        reply: Reply<GovernorsStatus>,
+    },
+    Rollback {
+        request: Value,
+        reply: Reply<Result<RollbackOutcome, OperatorError>>,
+    },
+    Release {
+        request: Value,
+        reply: Reply<Result<ReleaseOutcome, OperatorError>>,
+    },
+    Override {
+        request: Value,
+        reply: Reply<Result<OverrideOutcome, OperatorError>>,
+    },
+}
+
+/// Where the handlers send their queries.
+type Queries = mpsc::Sender<Query>;
+
+/// Serves until the listener fails.
+pub async fn serve(listener: TcpListener, queries: Queries) {
     let router = Router::new()
         .route("/healthz", get(|| async { "ok\n" }))
         .route("/readyz", get(ready))
@@ -41,7 +79,7 @@
         .route("/tables/{proxy}/history", get(history))
         .route("/tables/{proxy}/diff/{one}/{other}", get(diff))
         .route("/recording", get(recording))
-        .route("/why/{name}", get(why))
+        .route("/why/{name}", get(refusals))
         .route("/governors", get(governors))
         .route("/drain", post(drain))
         .route("/override", post(override_replica))
@@ -49,101 +87,128 @@
         .route("/release", post(release))
         .with_state(queries);
     if let Err(error) = axum::serve(listener, router).await {
-        tracing::error!(%error, "the HTTP port is closed");
+        tracing::error!(%error, "HTTP port closed");
     }
 }
 
-async fn ask<T>(asked: &Asked, query: impl FnOnce(oneshot::Sender<T>) -> Query) -> Result<T, Response> {
-    let (reply, answer) = oneshot::channel();
-    let stopping = || (StatusCode::SERVICE_UNAVAILABLE, "the governor is stopping\n").into_response();
-    asked.send(query(reply)).await.map_err(|_| stopping())?;
-    answer.await.map_err(|_| stopping())
-}
+/// Why there is no answer: the governor is stopping.
+struct Stopping;
 
-async fn ready(State(asked): State<Asked>) -> Response {
-    match ask(&asked, Query::Ready).await {
-        Ok(true) => "ready\n".into_response(),
-        Ok(false) => (StatusCode::SERVICE_UNAVAILABLE, "no roster yet, or it drains\n").into_response(),
-        Err(response) => response,
+impl IntoResponse for Stopping {
+    fn into_response(self) -> Response {
+        (StatusCode::SERVICE_UNAVAILABLE, "the governor is stopping\n").into_response()
     }
 }
 
-async fn metrics(State(asked): State<Asked>) -> Response {
-    ask(&asked, Query::Metrics).await.map_or_else(|response| response, IntoResponse::into_response)
+async fn query<T>(queries: &Queries, query: impl FnOnce(Reply<T>) -> Query) -> Result<T, Stopping> {
+    let (reply, answer) = oneshot::channel();
+    queries.send(query(reply)).await.map_err(|_| Stopping)?;
+    answer.await.map_err(|_| Stopping)
 }
 
-async fn status(State(asked): State<Asked>) -> Response {
-    ask(&asked, Query::Status).await.map_or_else(|response| response, |status| Json(status).into_response())
+/// An answer as JSON, the fields in alphabetical order.
+fn json_response(answer: &impl Serialize) -> Response {
+    match serde_json::to_value(answer) {
+        Ok(value) => Json(value).into_response(),
+        Err(error) => (StatusCode::INTERNAL_SERVER_ERROR, error.to_string()).into_response(),
+    }
 }
 
-fn of_proxy(proxy: &str, answer: Result<Option<Value>, Response>) -> Response {
-    answer.map_or_else(
-        |response| response,
-        |found| plain(found.ok_or_else(|| format!("no proxy `{proxy}` is joined"))),
-    )
+fn not_found(error: &str) -> Response {
+    (StatusCode::NOT_FOUND, Json(json!({"error": error}))).into_response()
 }
 
-fn plain(answer: Result<Value, String>) -> Response {
+/// The answer to an operator, or why there is none.
+fn json_or_error<T: Serialize, E: ToString>(answer: Result<T, E>) -> Response {
     match answer {
-        Ok(value) => Json(value).into_response(),
-        Err(error) => (StatusCode::NOT_FOUND, Json(json!({"error": error}))).into_response(),
+        Ok(answer) => json_response(&answer),
+        Err(error) => not_found(&error.to_string()),
     }
 }
 
-async fn tables(State(asked): State<Asked>, Path(proxy): Path<String>) -> Response {
-    of_proxy(&proxy, ask(&asked, |reply| Query::Tables(proxy.clone(), reply)).await)
+/// What was found about a proxy.
+fn json_of_proxy(proxy: &str, found: Option<impl Serialize>) -> Response {
+    json_or_error(found.ok_or_else(|| format!("no proxy `{proxy}` is joined")))
 }
 
-async fn history(State(asked): State<Asked>, Path(proxy): Path<String>) -> Response {
-    of_proxy(&proxy, ask(&asked, |reply| Query::History(proxy.clone(), reply)).await)
+async fn ready(State(queries): State<Queries>) -> Result<Response, Stopping> {
+    Ok(match query(&queries, Query::Ready).await? {
+        true => "ready\n".into_response(),
+        false => (StatusCode::SERVICE_UNAVAILABLE, "no roster yet, or it drains\n").into_response(),
+    })
 }
 
-async fn diff(State(asked): State<Asked>, Path((proxy, one, other)): Path<(String, u64, u64)>) -> Response {
-    ask(&asked, |reply| Query::Diff(proxy, one, other, reply)).await.map_or_else(|response| response, plain)
+async fn metrics(State(queries): State<Queries>) -> Result<String, Stopping> {
+    query(&queries, Query::Metrics).await
 }
 
-async fn rollback(State(asked): State<Asked>, Json(body): Json<Value>) -> Response {
-    ask(&asked, |reply| Query::Rollback(body, reply)).await.map_or_else(|response| response, plain)
+async fn status(State(queries): State<Queries>) -> Result<Response, Stopping> {
+    let status = query(&queries, Query::Status).await?;
+    Ok(json_response(&status))
 }
 
-async fn override_replica(State(asked): State<Asked>, Json(body): Json<Value>) -> Response {
-    ask(&asked, |reply| Query::Override(body, reply)).await.map_or_else(|response| response, plain)
+async fn tables(State(queries): State<Queries>, Path(proxy): Path<String>) -> Result<Response, Stopping> {
+    let tables = query(&queries, |reply| Query::Tables { proxy: proxy.clone(), reply }).await?;
+    Ok(json_of_proxy(&proxy, tables))
 }
 
-async fn recording(State(asked): State<Asked>) -> Response {
-    let recording = match ask(&asked, Query::Record).await {
-        Ok(recording) => recording,
-        Err(response) => return response,
-    };
+async fn history(State(queries): State<Queries>, Path(proxy): Path<String>) -> Result<Response, Stopping> {
+    let history = query(&queries, |reply| Query::History { proxy: proxy.clone(), reply }).await?;
+    Ok(json_of_proxy(&proxy, history))
+}
+
+async fn diff(
+    State(queries): State<Queries>,
+    Path((proxy, from, to)): Path<(String, u64, u64)>,
+) -> Result<Response, Stopping> {
+    let diff = query(&queries, |reply| Query::Diff { proxy, from, to, reply }).await?;
+    Ok(json_or_error(diff))
+}
+
+async fn rollback(State(queries): State<Queries>, Json(request): Json<Value>) -> Result<Response, Stopping> {
+    let outcome = query(&queries, |reply| Query::Rollback { request, reply }).await?;
+    Ok(json_or_error(outcome))
+}
+
+async fn release(State(queries): State<Queries>, Json(request): Json<Value>) -> Result<Response, Stopping> {
+    let outcome = query(&queries, |reply| Query::Release { request, reply }).await?;
+    Ok(json_or_error(outcome))
+}
+
+async fn override_replica(
+    State(queries): State<Queries>,
+    Json(request): Json<Value>,
+) -> Result<Response, Stopping> {
+    let outcome = query(&queries, |reply| Query::Override { request, reply }).await?;
+    Ok(json_or_error(outcome))
+}
+
+async fn recording(State(queries): State<Queries>) -> Result<Response, Stopping> {
+    let recording = query(&queries, Query::Record).await?;
     // Many millions of bytes for a large fleet: decisions don't wait for them.
-    match tokio::task::spawn_blocking(move || serde_json::to_vec(&recording)).await {
+    let text = tokio::task::spawn_blocking(move || serde_json::to_vec(&recording)).await;
+    Ok(match text {
         Ok(Ok(text)) => ([(CONTENT_TYPE, "application/json")], text).into_response(),
         _ => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
-    }
+    })
 }
 
-async fn why(State(asked): State<Asked>, Path(name): Path<String>) -> Response {
-    ask(&asked, |reply| Query::Why(name.clone(), reply)).await.map_or_else(
-        |response| response,
-        |found| {
-            plain(found.ok_or_else(|| format!("no proxy is joined and no replica is listed as `{name}`")))
-        },
-    )
+async fn refusals(State(queries): State<Queries>, Path(name): Path<String>) -> Result<Response, Stopping> {
+    let found = query(&queries, |reply| Query::Refusals { name: name.clone(), reply }).await?;
+    let refusals = found.ok_or_else(|| format!("no proxy is joined and no replica is listed as `{name}`"));
+    Ok(json_or_error(refusals))
 }
 
-async fn governors(State(asked): State<Asked>) -> Response {
-    ask(&asked, Query::Governors).await.map_or_else(|response| response, |seen| Json(seen).into_response())
+async fn governors(State(queries): State<Queries>) -> Result<Response, Stopping> {
+    let governors = query(&queries, Query::Governors).await?;
+    Ok(json_response(&governors))
 }
 
-async fn drain(State(asked): State<Asked>, Json(body): Json<Value>) -> Response {
-    let Some(draining) = body["draining"].as_bool() else {
+async fn drain(State(queries): State<Queries>, Json(request): Json<Value>) -> Result<Response, Stopping> {
+    let Some(draining) = request["draining"].as_bool() else {
         let error = json!({"error": "`draining` is true or false"});
-        return (StatusCode::BAD_REQUEST, Json(error)).into_response();
+        return Ok((StatusCode::BAD_REQUEST, Json(error)).into_response());
     };
-    let answer = ask(&asked, |reply| Query::Drain(draining, reply)).await;
-    answer.map_or_else(|response| response, |seen| Json(seen).into_response())
-}
-
-async fn release(State(asked): State<Asked>, Json(body): Json<Value>) -> Response {
-    ask(&asked, |reply| Query::Release(body, reply)).await.map_or_else(|response| response, plain)
+    let governors = query(&queries, |reply| Query::Drain { draining, reply }).await?;
+    Ok(json_response(&governors))
 }
--- /dev/null
+++ b/crates/daemon/src/labels.rs
@@ -0,0 +1,72 @@
+//! The names by which metrics, status and `--output json` call the variants of internal types. Scrapers and scripts
+//! depend on them: a variant may be renamed, its label may not.
+
+use wrenthread_core::engine::Cause;
+use wrenthread_core::guard::{RefusalOutcome, RefusalReason};
+use wrenthread_core::recording::RecordedPhase;
+use wrenthread_membership::messages::Standing;
+
+#[cfg(test)]
+mod tests;
+
+/// The label `reason` of the metric that counts refusals.
+pub fn refusal_reason(reason: RefusalReason) -> &'static str {
+    match reason {
+        RefusalReason::Bare => "Bare",
+        RefusalReason::Draining => "Draining",
+        RefusalReason::ZoneBare => "ZoneBare",
+        RefusalReason::OutOfZone => "OutOfZone",
+        RefusalReason::Weight => "Weight",
+        RefusalReason::Wire => "Wire",
+        RefusalReason::Level => "Level",
+        RefusalReason::Tries => "Tries",
+        RefusalReason::Flood => "Flood",
+        RefusalReason::Withdrawn => "Withdrawn",
+        RefusalReason::Cold => "Cold",
+        RefusalReason::Over => "Over",
+        RefusalReason::Sweep => "Sweep",
+        RefusalReason::Lines => "Lines",
+    }
+}
+
+/// What the guard did about a change that it refused, as the field `done` of refusals says it.
+pub fn refusal_outcome(outcome: RefusalOutcome) -> &'static str {
+    match outcome {
+        RefusalOutcome::Corrected => "corrected",
+        RefusalOutcome::Kept => "kept",
+        RefusalOutcome::LastResort => "lastresort",
+        RefusalOutcome::LetThrough => "letthrough",
+    }
+}
+
+/// The state of another governor, as the list of governors says it.
+pub fn member_state(state: Standing) -> &'static str {
+    match state {
+        Standing::Alive => "alive",
+        Standing::Suspect => "suspect",
+        Standing::Dead => "dead",
+        Standing::Left => "left",
+    }
+}
+
+/// The phase of a replica, as rosters and import reports spell it.
+pub fn replica_phase(phase: RecordedPhase) -> &'static str {
+    match phase {
+        RecordedPhase::Ready => "ready",
+        RecordedPhase::Draining => "draining",
+        RecordedPhase::Gone => "gone",
+    }
+}
+
+/// An input that a decision answers, as the log names it.
+pub fn cause(cause: &Cause) -> &'static str {
+    match cause {
+        Cause::Beat => "timer",
+        Cause::Roster => "roster",
+        Cause::Reports => "reports",
+        Cause::Joined => "proxy connected",
+        Cause::Left => "proxy disconnected",
+        Cause::Acked => "acknowledgement",
+        Cause::Probed => "health check",
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/labels/tests.rs
@@ -0,0 +1,64 @@
+//! The labels are those of the earlier release (commit b735929), which printed the variants as they were named there.
+
+use super::*;
+
+#[test]
+fn labels_of_refusal_reasons_stay_as_they_are() {
+    let labels = [
+        (RefusalReason::Bare, "Bare"),
+        (RefusalReason::Draining, "Draining"),
+        (RefusalReason::ZoneBare, "ZoneBare"),
+        (RefusalReason::OutOfZone, "OutOfZone"),
+        (RefusalReason::Weight, "Weight"),
+        (RefusalReason::Wire, "Wire"),
+        (RefusalReason::Level, "Level"),
+        (RefusalReason::Tries, "Tries"),
+        (RefusalReason::Flood, "Flood"),
+        (RefusalReason::Withdrawn, "Withdrawn"),
+        (RefusalReason::Cold, "Cold"),
+        (RefusalReason::Over, "Over"),
+        (RefusalReason::Sweep, "Sweep"),
+        (RefusalReason::Lines, "Lines"),
+    ];
+    for (reason, label) in labels {
+        assert_eq!(refusal_reason(reason), label);
+    }
+}
+
+#[test]
+fn labels_of_refusal_outcomes_stay_as_they_are() {
+    let labels = [
+        (RefusalOutcome::Corrected, "corrected"),
+        (RefusalOutcome::Kept, "kept"),
+        (RefusalOutcome::LastResort, "lastresort"),
+        (RefusalOutcome::LetThrough, "letthrough"),
+    ];
+    for (outcome, label) in labels {
+        assert_eq!(refusal_outcome(outcome), label);
+    }
+}
+
+#[test]
+fn labels_of_member_states_stay_as_they_are() {
+    let labels = [
+        (Standing::Alive, "alive"),
+        (Standing::Suspect, "suspect"),
+        (Standing::Dead, "dead"),
+        (Standing::Left, "left"),
+    ];
+    for (state, label) in labels {
+        assert_eq!(member_state(state), label);
+    }
+}
+
+#[test]
+fn labels_of_replica_phases_stay_as_they_are() {
+    let labels = [
+        (RecordedPhase::Ready, "ready"),
+        (RecordedPhase::Draining, "draining"),
+        (RecordedPhase::Gone, "gone"),
+    ];
+    for (phase, label) in labels {
+        assert_eq!(replica_phase(phase), label);
+    }
+}
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,11 +1,13 @@
 //! `wrenthread`: a control service that hands weights to plain proxies.
 
 mod clock;
+mod datagrams;
 mod dry_run;
 mod export;
 mod host;
 mod http;
-mod membership;
+mod labels;
+mod migration;
 mod nginx;
 mod platform;
 mod render;
--- /dev/null
+++ b/crates/daemon/src/migration.rs
@@ -0,0 +1,79 @@
+//! What a governor sends ahead of a proxy that migrates to another one: its newest tables and last load report.
+
+use std::time::Duration;
+
+use serde::{Deserialize, Serialize};
+use wrenthread::types::ProxyId;
+use wrenthread_core::engine::{Engine, MigratedProxy};
+use wrenthread_core::table_versions::PublishedState;
+use wrenthread_long_poll::messages::{ReportAsked, TablesTold, Terms, Unclear};
+use wrenthread_membership::migration::Ahead;
+
+/// A report older than this says nothing of the present, wherever it was received.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(5);
+
+/// The state of a proxy as it is sent: messages of the long-poll front, with ages instead of times, as clocks differ.
+#[derive(Debug, Serialize, Deserialize)]
+struct ProxyState {
+    tables: TablesTold,
+    #[serde(rename = "told_ms")]
+    age_millis: u64,
+    /// Its age in milliseconds beside it.
+    report: Option<(u64, ReportAsked)>,
+}
+
+/// Why what another governor sent can't be used, as when its settings are others.
+#[derive(Debug, thiserror::Error)]
+pub enum MigrationError {
+    #[error(transparent)]
+    Encoding(#[from] ciborium::de::Error<std::io::Error>),
+    #[error(transparent)]
+    Message(#[from] Unclear),
+    #[error("a delta went ahead of a proxy, not the whole")]
+    DeltaOnly,
+}
+
+fn millis(duration: Duration) -> u64 {
+    duration.as_millis().try_into().unwrap_or(u64::MAX)
+}
+
+/// What this governor knows of a proxy. Empty if it has not published anything to it: then the proxy goes without.
+pub fn encode(engine: &Engine, terms: &Terms, now: Duration, proxy: ProxyId) -> Vec<u8> {
+    let Some((newest, last_report)) = engine.migration_state(now, proxy) else { return Vec::new() };
+    let report = last_report.filter(|(age, _)| *age < MAX_REPORT_AGE);
+    let state = ProxyState {
+        tables: terms.whole(newest.version, &newest.digest, &newest.state),
+        age_millis: millis(now.saturating_sub(newest.published_at)),
+        report: report.map(|(age, report)| (millis(age), terms.report_again(report))),
+    };
+    let mut bytes = Vec::new();
+    match ciborium::into_writer(&state, &mut bytes) {
+        Ok(()) => bytes,
+        Err(_) => Vec::new(),
+    }
+}
+
+/// What another governor knew of a proxy.
+///
+/// # Errors
+/// Why it can't be understood.
+pub fn decode(terms: &Terms, now: Duration, ahead: Ahead) -> Result<MigratedProxy, MigrationError> {
+    let state: ProxyState = ciborium::from_reader(ahead.bytes.as_slice())?;
+    let report = match &state.report {
+        Some((age, report)) if Duration::from_millis(*age) + ahead.waited < MAX_REPORT_AGE => {
+            Some(terms.report(report)?)
+        }
+        _ => None,
+    };
+    let age = Duration::from_millis(state.age_millis).saturating_add(ahead.waited);
+    Ok(MigratedProxy {
+        from: ahead.from.into(),
+        state: complete_state(terms, &state.tables)?,
+        published_at: now.saturating_sub(age),
+        report,
+    })
+}
+
+fn complete_state(terms: &Terms, tables: &TablesTold) -> Result<PublishedState, MigrationError> {
+    terms.read(tables)?.map_err(|_| MigrationError::DeltaOnly)
+}
--- a/crates/daemon/src/nginx.rs
+++ b/crates/daemon/src/nginx.rs
@@ -178,7 +178,7 @@
 fn running(recording: &wrenthread_core::recording::Recording) -> Known {
     let replica = |one: &wrenthread_core::recording::RecordedReplica| {
         let zone = recording.zones.get(one.zone).cloned().unwrap_or_default();
-        let phase = format!("{:?}", one.phase).to_lowercase();
+        let phase = crate::labels::replica_phase(one.phase).to_string();
         let known = [
             ("address", one.address.to_string()),
             ("zone", zone),
--- /dev/null
+++ b/crates/daemon/src/run/event_loop.rs
@@ -0,0 +1,205 @@
+//! The event loop: the one task that owns all state of a governor.
+
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Instant;
+
+use anyhow::{Context, Result};
+use metrics_exporter_prometheus::PrometheusHandle;
+use tokio::net::UdpSocket;
+use tokio::signal::unix::{SignalKind, signal};
+use tokio::sync::mpsc;
+use tonic_health::ServingStatus;
+use wrenthread_settings::Settings;
+use wrenthread_xds::Wire;
+use wrenthread_xds::service::Front;
+
+use super::reload::accept_settings;
+use super::startup::{Receivers, Senders};
+use super::tasks::{Tasks, reload_settings, watch_roster};
+use super::wire::seconds;
+use crate::clock::Clock;
+use crate::datagrams;
+use crate::host::{Host, WorkItem};
+use crate::http::Query;
+use crate::state::Keeper;
+
+/// Events that are taken before decisions are made, so that a burst comes to one flush.
+const MAX_BATCH: usize = 256;
+/// How long one round of decisions and flushes takes.
+const ROUND_SECONDS: &str = "wrenthread_pump_seconds";
+
+/// A governor that runs.
+pub struct EventLoop {
+    pub settings_path: PathBuf,
+    pub settings: Settings,
+    pub wire: Wire,
+    pub clock: Clock,
+    pub host: Host,
+    pub store: Option<Keeper>,
+    /// To other governors.
+    pub socket: Option<Rc<UdpSocket>>,
+    /// Numbers the streams of both fronts.
+    pub front: Front,
+    pub metrics: PrometheusHandle,
+    pub senders: Senders,
+    pub tasks: Tasks,
+    /// Whether health checks say that this governor drains.
+    pub reported_draining: bool,
+}
+
+impl EventLoop {
+    /// Runs until a signal to stop.
+    ///
+    /// # Errors
+    /// Signals that can't be had; a gRPC server that fails.
+    pub async fn run(mut self, mut receivers: Receivers) -> Result<()> {
+        let reason = self.handle_events(&mut receivers).await?;
+        tracing::info!(reason, "governor stopping; proxies keep their tables");
+        self.stop(receivers).await;
+        Ok(())
+    }
+
+    /// Handles events until one of them ends the governor: why it ends.
+    async fn handle_events(&mut self, receivers: &mut Receivers) -> Result<&'static str> {
+        let mut persist = tokio::time::interval(seconds(self.settings.state_every));
+        persist.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut hangup = signal(SignalKind::hangup()).context("signals")?;
+        let mut terminate = signal(SignalKind::terminate()).context("signals")?;
+        loop {
+            let deadline = self.clock.instant(self.host.next_deadline(self.clock.now()));
+            tokio::select! {
+                biased;
+                _ = terminate.recv() => return Ok("asked to stop"),
+                _ = tokio::signal::ctrl_c() => return Ok("interrupted"),
+                _ = hangup.recv() => {
+                    reload_settings(self.settings_path.clone(), self.senders.reloads.clone());
+                }
+                Some(read) = receivers.reloads.recv() => self.settings_read(read),
+                ended = &mut self.tasks.grpc.task => {
+                    ended.context("the gRPC server")?.context("the gRPC server")?;
+                    return Ok("the gRPC server ended");
+                }
+                Some(roster) = receivers.rosters.recv() => self.host.update_roster(self.clock.now(), roster),
+                Some(datagram) = receivers.datagrams.recv(), if self.socket.is_some() => {
+                    let (clock, host) = (&self.clock, &mut self.host);
+                    batch(datagram, &mut receivers.datagrams, |datagram| {
+                        host.datagram_received(clock.now(), &datagram);
+                    });
+                }
+                Some(event) = receivers.grpc.recv() => {
+                    let (clock, host) = (&self.clock, &mut self.host);
+                    batch(event, &mut receivers.grpc, |event| host.grpc_event(clock.now(), event));
+                }
+                Some(request) = receivers.long_poll.recv() => {
+                    let (clock, host, front) = (&self.clock, &mut self.host, &self.front);
+                    batch(request, &mut receivers.long_poll, |request| {
+                        host.long_poll_request(clock.now(), request, || front.number());
+                    });
+                }
+                Some(stream) = receivers.streams_with_capacity.recv() => self.host.stream_has_capacity(stream),
+                _ = persist.tick(), if self.store.is_some() => self.persist(),
+                Some(query) = receivers.queries.recv() => self.answer(query),
+                () = tokio::time::sleep_until(deadline) => {}
+            }
+            self.process();
+            self.report_health().await;
+        }
+    }
+
+    /// Makes decisions and flushes them.
+    fn process(&mut self) {
+        let began = Instant::now();
+        let _span = tracing::debug_span!("pump").entered();
+        let (socket, senders) = (self.socket.as_ref(), &self.senders);
+        self.host.process(self.clock.now(), |item| match item {
+            WorkItem::SendDatagram { to, datagram } => datagrams::send(socket, to, &datagram),
+            WorkItem::AwaitCapacity { stream, answers } => {
+                let streams_with_capacity = senders.streams_with_capacity.clone();
+                tokio::task::spawn_local(async move {
+                    if answers.room().await {
+                        let _ = streams_with_capacity.send(stream).await;
+                    }
+                });
+            }
+        });
+        metrics::histogram!(ROUND_SECONDS).record(began.elapsed().as_secs_f64());
+    }
+
+    /// Has health checks say whether this governor takes proxies.
+    async fn report_health(&mut self) {
+        if self.reported_draining == self.host.is_draining() {
+            return;
+        }
+        self.reported_draining = self.host.is_draining();
+        let status = match self.reported_draining {
+            true => ServingStatus::NotServing,
+            false => ServingStatus::Serving,
+        };
+        self.tasks.grpc.health.set_service_status("", status).await;
+    }
+
+    fn settings_read(&mut self, read: Result<Settings>) {
+        let Some(settings) = accept_settings(read, &self.settings) else { return };
+        self.settings = settings;
+        self.host.engine.limit_reports(self.settings.report_lines_per_s);
+        self.tasks.roster.abort();
+        let rosters = self.senders.rosters.clone();
+        self.tasks.roster = watch_roster(&self.settings, &self.wire, self.clock, rosters);
+    }
+
+    /// Hands what has changed to the thread that stores it.
+    fn persist(&mut self) {
+        let Some(store) = &mut self.store else { return };
+        let now = self.clock.now();
+        let unix_seconds = self.clock.calendar(now);
+        let items = self.host.stored_items(now, unix_seconds, store.before());
+        store.keep(items, unix_seconds);
+    }
+
+    /// Answers a query of the HTTP port.
+    fn answer(&mut self, query: Query) {
+        let now = self.clock.now();
+        let host = &mut self.host;
+        // Whoever asked may be gone: that is no concern of the governor's.
+        match query {
+            Query::Ready(reply) => drop(reply.send(host.is_ready() && !host.is_draining())),
+            Query::Status(reply) => drop(reply.send(host.status(now, self.clock.up()))),
+            Query::Governors(reply) => drop(reply.send(host.governors(now))),
+            Query::Tables { proxy, reply } => drop(reply.send(host.tables(&proxy))),
+            Query::History { proxy, reply } => drop(reply.send(host.history(now, &proxy))),
+            Query::Diff { proxy, from, to, reply } => drop(reply.send(host.diff(&proxy, from, to))),
+            Query::Refusals { name, reply } => drop(reply.send(host.refusals(now, &name))),
+            Query::Record(reply) => drop(reply.send(host.record(now, self.clock.calendar(now)))),
+            Query::Drain { draining, reply } => drop(reply.send(host.set_draining(now, draining))),
+            Query::Override { request, reply } => drop(reply.send(host.override_replica(now, &request))),
+            Query::Rollback { request, reply } => drop(reply.send(host.rollback(now, &request))),
+            Query::Release { request, reply } => drop(reply.send(host.release(now, &request))),
+            Query::Metrics(reply) => {
+                host.update_gauges(now);
+                drop(reply.send(self.metrics.render()));
+            }
+        }
+    }
+
+    /// Stores what is known, notifies proxies and governors, and ends all tasks.
+    async fn stop(mut self, receivers: Receivers) {
+        self.persist();
+        if let Some(store) = self.store {
+            store.end().await;
+        }
+        let socket = self.socket.as_ref();
+        self.host.stop(self.clock.now(), |to, datagram| datagrams::send(socket, to, datagram));
+        drop(receivers.grpc);
+        self.tasks.stop().await;
+    }
+}
+
+/// Takes an event and those queued behind it, up to a bound.
+fn batch<T>(first: T, queued: &mut mpsc::Receiver<T>, mut handle: impl FnMut(T)) {
+    handle(first);
+    for _ in 0..MAX_BATCH {
+        let Ok(next) = queued.try_recv() else { break };
+        handle(next);
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/run/startup.rs
@@ -0,0 +1,127 @@
+//! What a governor needs before it can run: keys, sockets, channels, stored state.
+
+use std::path::Path;
+use std::rc::Rc;
+
+use anyhow::{Context, Result};
+use tokio::net::{TcpListener, UdpSocket};
+use tokio::sync::mpsc;
+use wrenthread_core::ownership::SigningKey;
+use wrenthread_core::roster::RosterEntry;
+use wrenthread_core::snapshot::StoredItem;
+use wrenthread_settings::Settings;
+use wrenthread_xds::service::Event;
+
+use crate::clock::Clock;
+use crate::http::Query;
+use crate::state;
+
+/// Events that may be queued for the task that owns all state; streams beyond that wait on their sockets.
+const EVENT_QUEUE: usize = 1024;
+/// Operators' queries that may be queued.
+const QUERY_QUEUE: usize = 64;
+/// Rosters, and settings read again, that may be queued.
+const RELOAD_QUEUE: usize = 4;
+
+/// The sockets that the settings name.
+pub struct Sockets {
+    pub grpc: TcpListener,
+    pub http: TcpListener,
+    pub long_poll: Option<TcpListener>,
+    /// To other governors.
+    pub membership: Option<Rc<UdpSocket>>,
+}
+
+impl Sockets {
+    /// Binds them.
+    ///
+    /// # Errors
+    /// An address that can't be had.
+    pub async fn bind(settings: &Settings) -> Result<Self> {
+        let grpc = TcpListener::bind(settings.grpc).await;
+        let grpc = grpc.with_context(|| format!("gRPC on {}", settings.grpc))?;
+        let http = TcpListener::bind(settings.http).await;
+        let http = http.with_context(|| format!("HTTP on {}", settings.http))?;
+        let membership = match settings.talk {
+            None => None,
+            Some(at) => {
+                let socket = UdpSocket::bind(at).await.with_context(|| format!("talk on {at}"))?;
+                Some(Rc::new(socket))
+            }
+        };
+        let long_poll = match settings.poll {
+            None => None,
+            Some(at) => Some(TcpListener::bind(at).await.with_context(|| format!("long-poll on {at}"))?),
+        };
+        Ok(Sockets { grpc, http, long_poll, membership })
+    }
+}
+
+/// Where tasks send what the owner of all state has to hear of.
+pub struct Senders {
+    pub datagrams: mpsc::Sender<Vec<u8>>,
+    pub grpc: mpsc::Sender<Event>,
+    pub long_poll: mpsc::Sender<wrenthread_long_poll::service::Event>,
+    pub queries: mpsc::Sender<Query>,
+    pub rosters: mpsc::Sender<Vec<RosterEntry>>,
+    pub streams_with_capacity: mpsc::Sender<u64>,
+    pub reloads: mpsc::Sender<Result<Settings>>,
+}
+
+/// The other ends of [`Senders`].
+pub struct Receivers {
+    pub datagrams: mpsc::Receiver<Vec<u8>>,
+    pub grpc: mpsc::Receiver<Event>,
+    pub long_poll: mpsc::Receiver<wrenthread_long_poll::service::Event>,
+    pub queries: mpsc::Receiver<Query>,
+    pub rosters: mpsc::Receiver<Vec<RosterEntry>>,
+    pub streams_with_capacity: mpsc::Receiver<u64>,
+    pub reloads: mpsc::Receiver<Result<Settings>>,
+}
+
+/// The channels to the task that owns all state.
+pub fn channels() -> (Senders, Receivers) {
+    let (datagrams, received_datagrams) = mpsc::channel(EVENT_QUEUE);
+    let (grpc, received_grpc) = mpsc::channel(EVENT_QUEUE);
+    let (long_poll, received_long_poll) = mpsc::channel(EVENT_QUEUE);
+    let (queries, received_queries) = mpsc::channel(QUERY_QUEUE);
+    let (rosters, received_rosters) = mpsc::channel(RELOAD_QUEUE);
+    let (streams_with_capacity, received_streams) = mpsc::channel(EVENT_QUEUE);
+    let (reloads, received_reloads) = mpsc::channel(RELOAD_QUEUE);
+    let senders = Senders { datagrams, grpc, long_poll, queries, rosters, streams_with_capacity, reloads };
+    let receivers = Receivers {
+        datagrams: received_datagrams,
+        grpc: received_grpc,
+        long_poll: received_long_poll,
+        queries: received_queries,
+        rosters: received_rosters,
+        streams_with_capacity: received_streams,
+        reloads: received_reloads,
+    };
+    (senders, receivers)
+}
+
+/// The keys that the settings name, by their files' names. A file holds nothing but the secret.
+///
+/// # Errors
+/// A file that can't be read, or whose secret is no key.
+pub fn signing_keys(settings: &Settings) -> Result<Vec<SigningKey>> {
+    settings.keys.iter().map(|path| signing_key(path)).collect()
+}
+
+fn signing_key(path: &Path) -> Result<SigningKey> {
+    let secret = std::fs::read(path).with_context(|| format!("key {}", path.display()))?;
+    let name = path.file_stem().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default();
+    SigningKey::new(&name, secret.trim_ascii()).with_context(|| format!("key {}", path.display()))
+}
+
+/// What earlier lives of this governor stored, if the settings name a folder for it.
+pub fn stored_state(settings: &Settings, clock: &Clock) -> Option<state::Start> {
+    let folder = settings.state.as_ref()?;
+    let names = StoredItem::Names {
+        governor: settings.governor.clone(),
+        zones: settings.zones.clone(),
+        groups: settings.groups.iter().map(|class| class.name.clone()).collect(),
+    };
+    Some(state::start(folder, names, clock.calendar(clock.now())))
+}
--- /dev/null
+++ b/crates/daemon/src/run/tasks.rs
@@ -0,0 +1,135 @@
+//! The tasks beside the one that owns all state: servers, the roster's watch, the datagrams' reader.
+
+use std::path::PathBuf;
+use std::time::Duration;
+
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, oneshot};
+use tokio::task::JoinHandle;
+use tokio_stream::wrappers::TcpListenerStream;
+use tonic_health::server::HealthReporter;
+use wrenthread_core::roster::RosterEntry;
+use wrenthread_settings::{RosterSource, Settings};
+use wrenthread_xds::service::Front;
+use wrenthread_xds::{Wire, upstream};
+
+use super::load;
+use super::startup::{Senders, Sockets};
+use super::wire::seconds;
+use crate::clock::Clock;
+use crate::host::MAX_POLL_WAIT;
+use crate::{datagrams, http, roster_file};
+
+/// Streams that one connection may have.
+const MAX_STREAMS_PER_CONNECTION: u32 = 1024;
+/// How long streams may take to hear of their end before the sockets close.
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(300);
+
+/// The gRPC server.
+pub struct GrpcServer {
+    pub task: JoinHandle<Result<(), tonic::transport::Error>>,
+    /// Tells proxies, and those who balance over governors, whether to come here.
+    pub health: HealthReporter,
+    stop: oneshot::Sender<()>,
+}
+
+impl GrpcServer {
+    fn start(settings: &Settings, listener: TcpListener, front: Front) -> Self {
+        let (ads, lrs, csds) = front.services();
+        let (health, health_service) = tonic_health::server::health_reporter();
+        let (stop, stopped) = oneshot::channel::<()>();
+        let server = tonic::transport::Server::builder()
+            .http2_keepalive_interval(Some(seconds(settings.keepalive)))
+            .http2_keepalive_timeout(Some(seconds(settings.keepalive_timeout)))
+            .max_concurrent_streams(Some(MAX_STREAMS_PER_CONNECTION))
+            .tcp_nodelay(true)
+            .add_service(ads)
+            .add_service(lrs)
+            .add_service(csds)
+            .add_service(health_service)
+            .serve_with_incoming_shutdown(TcpListenerStream::new(listener), async {
+                let _ = stopped.await;
+            });
+        GrpcServer { task: tokio::task::spawn_local(server), health, stop }
+    }
+}
+
+/// All tasks beside the one that owns all state.
+pub struct Tasks {
+    pub grpc: GrpcServer,
+    http: JoinHandle<()>,
+    long_poll: Option<JoinHandle<std::io::Result<()>>>,
+    datagrams: Option<JoinHandle<()>>,
+    pub roster: JoinHandle<()>,
+}
+
+impl Tasks {
+    /// Starts all but the gRPC front's own streams, which come with their connections.
+    pub fn start(
+        settings: &Settings,
+        wire: &Wire,
+        clock: Clock,
+        sockets: Sockets,
+        senders: &Senders,
+        front: Front,
+    ) -> Self {
+        let received = senders.datagrams.clone();
+        let datagrams =
+            sockets.membership.map(|socket| tokio::task::spawn_local(datagrams::receive(socket, received)));
+        let long_poll = sockets.long_poll.map(|listener| {
+            let router = wrenthread_long_poll::service::router(senders.long_poll.clone(), MAX_POLL_WAIT);
+            tokio::task::spawn_local(async move { axum::serve(listener, router).await })
+        });
+        Tasks {
+            grpc: GrpcServer::start(settings, sockets.grpc, front),
+            http: tokio::task::spawn_local(http::serve(sockets.http, senders.queries.clone())),
+            long_poll,
+            datagrams,
+            roster: watch_roster(settings, wire, clock, senders.rosters.clone()),
+        }
+    }
+
+    /// Ends them all. Streams hear of their end before the sockets close.
+    pub async fn stop(mut self) {
+        if let Some(datagrams) = self.datagrams {
+            datagrams.abort();
+        }
+        let _ = self.grpc.stop.send(());
+        let _ = tokio::time::timeout(SHUTDOWN_GRACE, &mut self.grpc.task).await;
+        self.roster.abort();
+        if let Some(long_poll) = self.long_poll {
+            long_poll.abort();
+        }
+        self.http.abort();
+    }
+}
+
+/// Follows the roster's source.
+pub fn watch_roster(
+    settings: &Settings,
+    wire: &Wire,
+    clock: Clock,
+    rosters: mpsc::Sender<Vec<RosterEntry>>,
+) -> JoinHandle<()> {
+    match &settings.roster {
+        RosterSource::File(path) => {
+            let every = seconds(settings.look_every);
+            let zones = wire.zones.clone();
+            tokio::task::spawn_local(roster_file::watch(path.clone(), every, zones, clock, rosters))
+        }
+        RosterSource::Upstream { uri, clusters } => {
+            let started_at = move |unix_seconds| clock.at(unix_seconds);
+            let (wire, uri, clusters) = (wire.clone(), uri.clone(), clusters.clone());
+            tokio::task::spawn_local(upstream::follow(wire, uri, clusters, started_at, rosters))
+        }
+    }
+}
+
+/// Reads the settings again, aside: that may take seconds, and decisions don't wait for it.
+pub fn reload_settings(path: PathBuf, reloads: mpsc::Sender<anyhow::Result<Settings>>) {
+    tokio::task::spawn_local(async move {
+        if let Ok(read) = tokio::task::spawn_blocking(move || load(&path)).await {
+            let _ = reloads.send(read).await;
+        }
+    });
+}
--- /dev/null
+++ b/crates/daemon/src/run/wire.rs
@@ -0,0 +1,47 @@
+//! What the fronts need of the settings: zones, traffic classes, their routes.
+
+use std::time::Duration;
+
+use wrenthread_settings::{Group, PathRoute, Route, Settings};
+use wrenthread_xds::{Path, Wire, WireGroup};
+
+/// A setting in seconds; zero where it can't be a duration.
+pub fn seconds(seconds: f64) -> Duration {
+    Duration::try_from_secs_f64(seconds).unwrap_or_default()
+}
+
+/// What the fronts need of the settings; without a key for ownership proofs.
+pub fn wire(settings: &Settings, epoch: u64) -> Wire {
+    Wire {
+        epoch,
+        governor: settings.governor.clone(),
+        key: None,
+        zones: settings.zones.clone(),
+        groups: settings.groups.iter().map(class).collect(),
+        report_every: seconds(settings.report_every),
+        load_metrics: settings.load.clone(),
+        answer_metric: settings.answer.clone(),
+    }
+}
+
+fn class(class: &Group) -> WireGroup {
+    WireGroup { name: class.name.clone(), route: route(&class.route), expiry: seconds(class.expiry) }
+}
+
+fn route(route: &Route) -> wrenthread_xds::Route {
+    match route {
+        Route::Prefix(prefix) => wrenthread_xds::Route::Prefix(prefix.clone()),
+        Route::Header(name, value) => wrenthread_xds::Route::Header(name.clone(), value.clone()),
+        Route::Paths(paths) => wrenthread_xds::Route::Paths(paths.iter().map(path).collect()),
+    }
+}
+
+fn path(path: &PathRoute) -> Path {
+    match path {
+        PathRoute::Prefix(prefix) => Path::Prefix(prefix.clone()),
+        PathRoute::Exact(path) => Path::Exact(path.clone()),
+        PathRoute::Firm(prefix) => Path::Firm(prefix.clone()),
+        PathRoute::Pattern(pattern) => Path::Pattern(pattern.clone(), false),
+        PathRoute::AnyCase(pattern) => Path::Pattern(pattern.clone(), true),
+    }
+}
--- a/crates/daemon/tests/polling.rs
+++ b/crates/daemon/tests/polling.rs
@@ -91,7 +91,7 @@
     follow(&session, &kept, 5).await;
     let (code, said) = program(&governor, &["rollback", "999999", "--all", "--why", "x"]);
     assert!(code == Some(1) && said.contains("not given out yet"), "{said}");
-    assert!(governor.log().contains("an operator steps back"));
+    assert!(governor.log().contains("rollback requested by operator"));
     let (code, said) = program(&governor, &["pin", "--proxy", "p", "--why", "looked at"]);
     assert!(code == Some(0) && said.contains("2 tables are held"), "{said}");
     assert!(program(&governor, &["release", "--proxy", "p"]).1.contains("2 tables"));
--- a/crates/daemon/tests/sharing.rs
+++ b/crates/daemon/tests/sharing.rs
@@ -108,7 +108,7 @@
     let session = Session::join(&base(other), &p, &polled).await.unwrap();
     session.ask(&polled, &Unwatched).await.unwrap();
     assert_eq!(polled.borrow().ordered()["match"].0.len(), held["match"].0.len());
-    assert!(other.log().contains("handed over") && other.log().contains("taken over"));
+    assert!(other.log().contains("migrated tables adopted") && other.log().contains("taken over"));
     assert_eq!(seen(other)["came"], 1);
     assert_eq!(program(one, &["drain-governor", "--undo"]).0, Some(0));
     until("it takes proxies again", || one.get("/readyz").filter(|text| text == "ready\n")).await;
