--- /dev/null
+++ b/crates/daemon/src/admin_client.rs
@@ -0,0 +1,49 @@
+//! The command line's client of a running governor's HTTP port.
+
+use std::time::Duration;
+
+use anyhow::{Context, Result, bail};
+use serde_json::Value;
+
+/// No answer is larger: a recording of a thousand proxies is some ten million bytes.
+const MAX_ANSWER_BYTES: u64 = 512 << 20;
+/// A governor that takes longer is not there.
+const TIMEOUT: Duration = Duration::from_secs(5);
+
+/// Asks the governor whose HTTP port is at this address.
+///
+/// # Errors
+/// Nobody answers there, or says that there is no such thing.
+pub fn get(at: &str, path: &str) -> Result<Value> {
+    request(at, path, None)
+}
+
+/// Has the governor whose HTTP port is at this address do something.
+///
+/// # Errors
+/// Nobody answers there, or says why it does not do it.
+pub fn post(at: &str, path: &str, body: &Value) -> Result<Value> {
+    request(at, path, Some(body))
+}
+
+fn request(at: &str, path: &str, body: Option<&Value>) -> Result<Value> {
+    let agent: ureq::Agent = ureq::Agent::config_builder()
+        .timeout_global(Some(TIMEOUT))
+        .http_status_as_error(false)
+        .build()
+        .into();
+    let url = format!("http://{at}{path}");
+    let answer = match body {
+        None => agent.get(&url).call(),
+        Some(body) => agent.post(&url).header("content-type", "application/json").send(body.to_string()),
+    };
+    let mut answer = answer.with_context(|| format!("no governor answers at {at}"))?;
+    let body = answer.body_mut().with_config().limit(MAX_ANSWER_BYTES);
+    let text = body.read_to_string().with_context(|| format!("the answer of {url}"))?;
+    let value: Value =
+        serde_json::from_str(&text).with_context(|| format!("{url} answered: {}", text.trim()))?;
+    match value.get("error").and_then(Value::as_str) {
+        Some(error) => bail!("{error}"),
+        None => Ok(value),
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/cli/export.rs
@@ -0,0 +1,82 @@
+//! `export`: agents beside proxies that can't follow a governor by themselves.
+
+use std::path::PathBuf;
+
+use anyhow::{Result, bail};
+use clap::Subcommand;
+use wrenthread_settings::Settings;
+
+use crate::admin_client::get;
+use crate::{export, run};
+
+#[derive(Subcommand)]
+pub enum ExportTarget {
+    /// An nginx: upstream blocks in a file that it includes, replaced whole (`nginx(...)` in the settings)
+    #[command(after_help = "Examples:\n  \
+        wrenthread export nginx deploy/settings.star --name nginx-1 --zone north\n  \
+        wrenthread export nginx deploy/settings.star --print relay-3")]
+    Nginx(NginxExport),
+}
+
+impl ExportTarget {
+    pub fn run(self) -> Result<()> {
+        match self {
+            ExportTarget::Nginx(export) => export.run(),
+        }
+    }
+}
+
+// (No doc comment: `--help` would print it as that of the verb.)
+#[derive(clap::Args)]
+pub struct NginxExport {
+    settings: PathBuf,
+    /// The nginx's name among proxies
+    #[arg(long, required_unless_present = "print")]
+    name: Option<String>,
+    /// Its zone; the only one, where there is one
+    #[arg(long)]
+    zone: Option<String>,
+    /// Flows a second that it ordinarily receives
+    #[arg(long, default_value = "1")]
+    usual: f64,
+    /// The governor's long-poll port, as http://HOST:PORT; else as the settings say
+    #[arg(long)]
+    at: Option<String>,
+    /// End once the file is written and read
+    #[arg(long)]
+    once: bool,
+    /// Print the blocks of a joined proxy's present tables instead, and follow nobody
+    #[arg(long)]
+    print: Option<String>,
+}
+
+impl NginxExport {
+    fn run(self) -> Result<()> {
+        let settings = run::load(&self.settings)?;
+        if let Some(proxy) = &self.print {
+            let tables = get(&settings.http.to_string(), &format!("/tables/{proxy}"))?;
+            print!("{}", export::print(&tables)?);
+            return Ok(());
+        }
+        let zone = self.zone(&settings)?;
+        let at = self.governor_url(&settings)?;
+        let who = wrenthread_client::Who { name: self.name.unwrap_or_default(), zone, usual: self.usual };
+        export::run(&settings, export::Place { who, at }, self.once)
+    }
+
+    fn zone(&self, settings: &Settings) -> Result<String> {
+        match (&self.zone, settings.zones.as_slice()) {
+            (Some(zone), _) => Ok(zone.clone()),
+            (None, [only]) => Ok(only.clone()),
+            (None, zones) => bail!("which zone? `--zone`, of {}", zones.join(", ")),
+        }
+    }
+
+    fn governor_url(&self, settings: &Settings) -> Result<String> {
+        match (&self.at, settings.poll) {
+            (Some(at), _) => Ok(at.trim_end_matches('/').to_string()),
+            (None, Some(at)) => Ok(format!("http://{at}")),
+            (None, None) => bail!("the settings have no `poll` to listen on: say `--at`"),
+        }
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/cli/import.rs
@@ -0,0 +1,116 @@
+//! `import`: the configuration of other proxies, as settings and a roster.
+
+use std::path::PathBuf;
+use std::process::ExitCode;
+
+use anyhow::{Context, Result, bail};
+use clap::{Subcommand, ValueEnum};
+
+use super::{EXIT_NOT_PASSED, OutputFormat};
+use crate::nginx;
+
+#[derive(Subcommand)]
+pub enum ImportSource {
+    /// nginx's upstream and location blocks; a folder for each pool of replicas
+    #[command(after_help = "Examples:\n  wrenthread import nginx /etc/nginx/nginx.conf --output fleets/\n  \
+        wrenthread import nginx nginx.conf --diff fleets/\n  wrenthread import nginx --explain slow_start")]
+    Nginx(NginxImport),
+}
+
+impl ImportSource {
+    pub fn run(self) -> Result<ExitCode> {
+        match self {
+            ImportSource::Nginx(import) => import.run(),
+        }
+    }
+}
+
+#[derive(Clone, Copy, ValueEnum)]
+enum ZoneRule {
+    /// All in one zone
+    One,
+    /// By the network of the address: the first three numbers, or four groups
+    Network,
+}
+
+// (No doc comment: `--help` would print it as that of the verb.)
+#[derive(clap::Args)]
+pub struct NginxImport {
+    #[arg(required_unless_present = "explain")]
+    file: Option<PathBuf>,
+    /// Write settings and rosters here; nothing is written without it
+    #[arg(long)]
+    output: Option<PathBuf>,
+    /// How the account of all directives is given
+    #[arg(long, value_enum, default_value = "text")]
+    report: OutputFormat,
+    /// Fail where something that bears on routing is not carried over
+    #[arg(long)]
+    strict: bool,
+    /// Say what becomes of a kind of directive
+    #[arg(long)]
+    explain: Option<String>,
+    /// Say what differs from an earlier import's folder, or from the governor at an address
+    #[arg(long)]
+    diff: Option<String>,
+    /// How zones are told
+    #[arg(long, value_enum, default_value = "one")]
+    zones: ZoneRule,
+    /// Proxies that will follow, of all governors together
+    #[arg(long, default_value = "16")]
+    proxies: u64,
+    #[arg(long, default_value = "1")]
+    governors: u64,
+    /// Ports of the first fleet, as gRPC,HTTP,long-poll; each further one has those ten higher
+    #[arg(long, value_delimiter = ',', default_value = "15010,15011,15012")]
+    ports: Vec<u16>,
+}
+
+impl NginxImport {
+    fn run(&self) -> Result<ExitCode> {
+        if let Some(directive) = &self.explain {
+            let (value, text) = nginx::explain(directive)?;
+            self.report.print(&value, |_| text);
+            return Ok(ExitCode::SUCCESS);
+        }
+        let import = self.import()?;
+        if let Some(against) = &self.diff {
+            return self.print_differences(&import, against);
+        }
+        self.report.print(&import.report(), |_| import.summary());
+        if self.strict && import.losses() > 0 {
+            eprintln!("{} directives that bear on routing are not carried over", import.losses());
+            return Ok(ExitCode::from(EXIT_NOT_PASSED));
+        }
+        if let Some(folder) = &self.output {
+            for path in import.write(folder)? {
+                eprintln!("{}", path.display());
+            }
+        }
+        Ok(ExitCode::SUCCESS)
+    }
+
+    fn import(&self) -> Result<nginx::Import> {
+        let zones = match self.zones {
+            ZoneRule::One => wrenthread_nginx::fleet::Zones::One,
+            ZoneRule::Network => wrenthread_nginx::fleet::Zones::Network,
+        };
+        let [grpc, http, long_poll] = self.ports[..] else { bail!("`--ports` takes three") };
+        let terms = wrenthread_nginx::write::Terms {
+            proxies: self.proxies,
+            governors: self.governors,
+            ports: (grpc, http, long_poll),
+        };
+        let file = self.file.as_deref().context("which file?")?;
+        nginx::import(file, zones, terms)
+    }
+
+    fn print_differences(&self, import: &nginx::Import, against: &str) -> Result<ExitCode> {
+        let differences = import.difference(against)?;
+        self.report.print(&differences, nginx::differences);
+        match nginx::any(&differences) {
+            true => Ok(ExitCode::from(EXIT_NOT_PASSED)),
+            false => Ok(ExitCode::SUCCESS),
+        }
+    }
+}
--- a/crates/daemon/src/dry_run.rs
+++ b/crates/daemon/src/dry_run.rs
@@ -1,99 +1,165 @@
-//! `wrenthread tables check`: tables in a file, tried against what a governor holds or a recording of one.
+//! `wrenthread tables check`: tables in a file, checked by the guard against what a governor or a recording of one holds.
 
 use std::path::Path;
 
 use anyhow::{Context, Result, bail};
-use serde_json::{Value, json};
+use serde::Serialize;
+use serde_json::Value;
 use wrenthread_core::recording::{CandidateTable, DryRun, Recording};
 
-use crate::{labels, render};
+use crate::{admin_client, labels};
 
-/// A recording of a file, or of the governor that answers at an address.
+/// What the guard would refuse, and what would be published instead.
+#[derive(Debug, Serialize)]
+struct Outcome {
+    /// How many tables were checked.
+    #[serde(rename = "tried")]
+    checked: usize,
+    /// The governor that they were checked against.
+    against: String,
+    refused: Vec<RefusedChange>,
+    /// What would be published of the tables that something was refused of.
+    #[serde(rename = "told")]
+    published: Vec<PublishedTable>,
+}
+
+#[derive(Debug, Serialize)]
+struct RefusedChange {
+    proxy: Option<String>,
+    #[serde(rename = "group")]
+    class: Option<String>,
+    replica: Option<String>,
+    #[serde(rename = "why")]
+    reason: String,
+    asked: f64,
+    allowed: f64,
+    #[serde(rename = "done")]
+    outcome: &'static str,
+}
+
+#[derive(Debug, Serialize)]
+struct PublishedTable {
+    proxy: String,
+    #[serde(rename = "group")]
+    class: Option<String>,
+    #[serde(rename = "level")]
+    admission_fraction: f64,
+    #[serde(rename = "lines")]
+    entries: Vec<PublishedEntry>,
+}
+
+#[derive(Debug, Serialize)]
+struct PublishedEntry {
+    replica: String,
+    weight: f64,
+}
+
+/// What would be refused of the tables in a file, and what would be published instead of those, as JSON. `proxy`: whose
+/// tables they are, whatever the file says. `against`: a governor's HTTP port, or the file of a recording.
+///
+/// # Errors
+/// A file or a recording that can't be read, or tables that the recording has no proxy or class for.
+pub fn check(file: &Path, proxy: Option<&str>, against: &str) -> Result<Value> {
+    let name = file.display().to_string();
+    let text = std::fs::read_to_string(file).with_context(|| name.clone())?;
+    let tables: Value = serde_json::from_str(&text).with_context(|| name.clone())?;
+    let recording = recording(against)?;
+    let candidates = candidates(&recording, &tables, proxy).with_context(|| name.clone())?;
+    let dry_run = recording.would(&candidates).with_context(|| format!("what is told by {against}"))?;
+    let dry_run = dry_run.with_context(|| name)?;
+    Ok(serde_json::to_value(outcome(&recording, &candidates, &dry_run))?)
+}
+
+/// The recording in a file, or of the governor that answers at an address.
 ///
-/// Errors: neither is there, or it is none; with the place of what is wrong.
+/// # Errors
+/// Neither is there, or it is none; with the place of what is wrong.
 pub fn recording(against: &str) -> Result<Recording> {
     if Path::new(against).exists() {
         let text = std::fs::read_to_string(against).with_context(|| format!("the recording {against}"))?;
         return serde_json::from_str(&text).with_context(|| format!("{against} is no recording"));
     }
-    let told = render::fetch(against, "/recording", None)
+    let answer = admin_client::get(against, "/recording")
         .with_context(|| format!("no file `{against}` is there to try against, nor a governor"))?;
-    serde_json::from_value(told).with_context(|| format!("what {against} tells is no recording"))
+    serde_json::from_value(answer).with_context(|| format!("what {against} tells is no recording"))
 }
 
-/// Tables as `tables PROXY --output json` tells them: one proxy's, or a list of such. `proxy`: whose they
-/// are, whatever the file says.
-fn wanted(recording: &Recording, file: &Value, proxy: Option<&str>) -> Result<Vec<CandidateTable>> {
-    let all = match file {
-        Value::Array(all) => all.iter().collect(),
+/// The tables of a file, in the form of `tables PROXY --output json`: one proxy's, or a list of such.
+fn candidates(recording: &Recording, file: &Value, proxy: Option<&str>) -> Result<Vec<CandidateTable>> {
+    let proxies = match file {
+        Value::Array(proxies) => proxies.iter().collect(),
         one => vec![one],
     };
-    if proxy.is_some() && all.len() != 1 {
-        bail!("tables of {} proxies, and not of one", all.len());
+    if proxy.is_some() && proxies.len() != 1 {
+        bail!("tables of {} proxies, and not of one", proxies.len());
     }
-    let mut wanted = Vec::new();
-    for one in all {
-        let name = proxy.or(one["name"].as_str()).context("tables without their proxy's `name`")?;
-        let groups = one["groups"].as_array();
-        let groups = groups.with_context(|| format!("`groups` of `{name}` is not a list"))?;
-        for said in groups.iter().filter(|said| !said["lines"].is_null()) {
-            let group =
-                said["group"].as_str().with_context(|| format!("a group of `{name}` has no `group`"))?;
-            let place = recording.groups.iter().position(|known| known == group);
-            let place = place.with_context(|| format!("no group `{group}` is there"))?;
-            let lines = said["lines"].as_array();
-            let lines = lines.with_context(|| format!("`lines` of `{name}` for `{group}` is not a list"))?;
-            let line = |line: &Value| {
-                let replica = line["replica"].as_str();
-                let replica = replica
-                    .with_context(|| format!("a line of `{name}` for `{group}` without its `replica`"))?;
-                Ok((replica.into(), line["weight"].as_f64().unwrap_or(f64::NAN)))
-            };
-            let lines = lines.iter().map(line).collect::<Result<_>>()?;
-            let level = said["level"].as_f64().unwrap_or(1.0);
-            wanted.push(CandidateTable { proxy: name.into(), group: place, lines, level });
+    let mut candidates = Vec::new();
+    for tables in proxies {
+        let name = proxy.or(tables["name"].as_str()).context("tables without their proxy's `name`")?;
+        let classes = tables["groups"].as_array();
+        let classes = classes.with_context(|| format!("`groups` of `{name}` is not a list"))?;
+        for class in classes.iter().filter(|class| !class["lines"].is_null()) {
+            candidates.push(candidate(recording, name, class)?);
         }
     }
-    Ok(wanted)
+    Ok(candidates)
 }
 
-/// What would be refused of the tables in a file, and what would be told instead of those.
-///
-/// Errors: a file or a recording that can't be meant.
-pub fn tried(file: &Path, proxy: Option<&str>, against: &str) -> Result<Value> {
-    let name = file.display().to_string();
-    let text = std::fs::read_to_string(file).with_context(|| name.clone())?;
-    let asked: Value = serde_json::from_str(&text).with_context(|| name.clone())?;
-    let recording = recording(against)?;
-    let wanted = wanted(&recording, &asked, proxy).with_context(|| name.clone())?;
-    let would = recording.would(&wanted).with_context(|| format!("what is told by {against}"))?;
-    let DryRun { tables, refusals } = would.with_context(|| name)?;
-    let group = |place: usize| recording.groups.get(place);
-    let refused: Vec<Value> = refusals
-        .iter()
-        .map(|one| {
-            json!({
-                "proxy": one.proxy, "group": group(one.refusal.class), "replica": one.refusal.replica,
-                "why": one.refusal.reason.to_string(), "asked": one.refusal.asked,
-                "allowed": one.refusal.allowed, "done": labels::refusal_outcome(one.refusal.outcome),
-            })
-        })
-        .collect();
-    let concerned = |wanted: &CandidateTable| {
-        refusals.iter().any(|one| {
-            one.proxy.as_ref().is_none_or(|name| *name == wanted.proxy) && one.refusal.class == wanted.group
-        })
-    };
-    let told = wanted.iter().zip(&tables).filter(|(wanted, _)| concerned(wanted)).map(|(wanted, table)| {
-        let lines = table.entries.iter().filter(|line| line.routable);
-        let lines = lines.map(|line| json!({"replica": &*line.replica, "weight": line.weight}));
-        json!({
-            "proxy": &*wanted.proxy, "group": group(wanted.group), "level": table.admission_fraction,
-            "lines": lines.collect::<Vec<_>>(),
-        })
-    });
-    Ok(json!({
-        "tried": wanted.len(), "against": recording.governor, "refused": refused,
-        "told": told.collect::<Vec<_>>(),
-    }))
+/// A proxy's table for one traffic class.
+fn candidate(recording: &Recording, proxy: &str, table: &Value) -> Result<CandidateTable> {
+    let name = table["group"].as_str();
+    let name = name.with_context(|| format!("a group of `{proxy}` has no `group`"))?;
+    let class = recording.groups.iter().position(|known| known == name);
+    let class = class.with_context(|| format!("no group `{name}` is there"))?;
+    let lines = table["lines"].as_array();
+    let lines = lines.with_context(|| format!("`lines` of `{proxy}` for `{name}` is not a list"))?;
+    let mut entries = Vec::new();
+    for line in lines {
+        let replica = line["replica"].as_str();
+        let replica =
+            replica.with_context(|| format!("a line of `{proxy}` for `{name}` without its `replica`"))?;
+        entries.push((replica.into(), line["weight"].as_f64().unwrap_or(f64::NAN)));
+    }
+    let level = table["level"].as_f64().unwrap_or(1.0);
+    Ok(CandidateTable { proxy: proxy.into(), group: class, lines: entries, level })
+}
+
+fn outcome(recording: &Recording, candidates: &[CandidateTable], dry_run: &DryRun) -> Outcome {
+    let class_name = |class: usize| recording.groups.get(class).cloned();
+    let mut refused = Vec::new();
+    for one in &dry_run.refusals {
+        refused.push(RefusedChange {
+            proxy: one.proxy.as_ref().map(ToString::to_string),
+            class: class_name(one.refusal.class),
+            replica: one.refusal.replica.as_ref().map(ToString::to_string),
+            reason: one.refusal.reason.to_string(),
+            asked: one.refusal.asked,
+            allowed: one.refusal.allowed,
+            outcome: labels::refusal_outcome(one.refusal.outcome),
+        });
+    }
+    let mut published = Vec::new();
+    for (candidate, table) in candidates.iter().zip(&dry_run.tables) {
+        if !is_concerned(dry_run, candidate) {
+            continue;
+        }
+        let routable = table.entries.iter().filter(|entry| entry.routable);
+        let entries =
+            routable.map(|entry| PublishedEntry { replica: entry.replica.to_string(), weight: entry.weight });
+        published.push(PublishedTable {
+            proxy: candidate.proxy.to_string(),
+            class: class_name(candidate.group),
+            admission_fraction: table.admission_fraction,
+            entries: entries.collect(),
+        });
+    }
+    Outcome { checked: candidates.len(), against: recording.governor.clone(), refused, published }
+}
+
+/// Whether something of a table was refused.
+fn is_concerned(dry_run: &DryRun, candidate: &CandidateTable) -> bool {
+    dry_run.refusals.iter().any(|one| {
+        let of_proxy = one.proxy.as_ref().is_none_or(|proxy| *proxy == candidate.proxy);
+        of_proxy && one.refusal.class == candidate.group
+    })
 }
