--- a/crates/daemon/src/datagrams.rs
+++ b/crates/daemon/src/datagrams.rs
@@ -6,12 +6,12 @@
 
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
-use wrenthread_membership::messages::MOST_BYTES;
+use wrenthread_membership::messages::MAX_DATAGRAM_BYTES;
 
 /// Carries datagrams to the task that owns all state.
 pub async fn receive(socket: Rc<UdpSocket>, received: mpsc::Sender<Vec<u8>>) {
     // One byte more than the largest: what fills it is too large.
-    let mut buffer = vec![0; MOST_BYTES + 1];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, _)) => drop(received.try_send(buffer[..length].to_vec())),
--- a/crates/daemon/src/host.rs
+++ b/crates/daemon/src/host.rs
@@ -27,7 +27,7 @@
 use wrenthread_long_poll::messages::Terms;
 use wrenthread_long_poll::service as poll;
 use wrenthread_long_poll::sessions::Polls;
-use wrenthread_membership::{Step, Talk};
+use wrenthread_membership::{Action as MembershipAction, Membership};
 use wrenthread_xds::Wire;
 use wrenthread_xds::service::Answers;
 
@@ -60,7 +60,7 @@
     /// The load of a proxy that does not say its own.
     pub default_requests_per_second: f64,
     /// This governor's part among the governors.
-    pub membership: Talk,
+    pub membership: Membership,
 }
 
 /// One governor: the engine, its fronts' streams and sessions, and its part among the governors.
@@ -73,7 +73,7 @@
     takeovers: u64,
     /// Whether the epoch was raised beyond that of an earlier life with a later clock.
     epoch_raised: bool,
-    membership: Talk,
+    membership: Membership,
     /// Closed long-poll sessions whose proxies have yet to hear which governor to go to.
     pending_redirects: BTreeMap<StreamId, Option<String>>,
     default_requests_per_second: f64,
@@ -123,7 +123,7 @@
     /// When [`Host::process`] is to be called at the latest.
     pub fn next_deadline(&self, now: Duration) -> Duration {
         let sessions = self.sessions.next_due().unwrap_or(Duration::MAX);
-        self.engine.next_deadline(now).min(sessions).min(self.membership.next_due())
+        self.engine.next_deadline(now).min(sessions).min(self.membership.next_deadline())
     }
 
     /// A stream that was full has capacity again.
@@ -174,7 +174,7 @@
     fn disconnected(&mut self, now: Duration, stream: StreamId) {
         let proxy = self.engine.number_of(stream).and_then(|number| self.engine.proxy(number));
         if let Some(name) = proxy.map(|proxy| proxy.name.clone()) {
-            self.membership.gone(now, &name);
+            self.membership.proxy_disconnected(now, &name);
         }
         self.engine.stream_closed(now, stream);
     }
@@ -183,9 +183,9 @@
     /// datagrams that are handed to `send`.
     pub fn stop(&mut self, now: Duration, mut send: impl FnMut(SocketAddr, &[u8])) {
         self.membership.leave();
-        while let Some(step) = self.membership.step(now) {
-            if let Step::Send(to, datagram) = step {
-                send(to, &datagram);
+        while let Some(action) = self.membership.next_action(now) {
+            if let MembershipAction::Send { address, datagram } = action {
+                send(address, &datagram);
             }
         }
         for stream in std::mem::take(&mut self.streams).into_values() {
--- a/crates/daemon/src/host/joining.rs
+++ b/crates/daemon/src/host/joining.rs
@@ -76,12 +76,12 @@
     /// that the proxy was with last.
     fn adopt_migrated(&mut self, now: Duration, number: ProxyId, former_governor: Option<&str>) {
         let Some(proxy) = self.engine.proxy(number).map(|proxy| proxy.name.clone()) else { return };
-        let Some(ahead) = self.membership.here(now, &proxy) else { return };
-        if former_governor.is_some_and(|governor| governor != ahead.from) {
-            tracing::info!(%proxy, from = ahead.from, "migrated tables outdated");
+        let Some(transferred) = self.membership.proxy_connected(now, &proxy) else { return };
+        if former_governor.is_some_and(|governor| governor != transferred.from) {
+            tracing::info!(%proxy, from = transferred.from, "migrated tables outdated");
             return;
         }
-        match migration::decode(&self.session_terms, now, ahead) {
+        match migration::decode(&self.session_terms, now, transferred) {
             Ok(migrated) => {
                 let from = migrated.from.clone();
                 let tables = self.engine.adopt_migrated_tables(now, number, migrated);
--- a/crates/daemon/src/host/membership.rs
+++ b/crates/daemon/src/host/membership.rs
@@ -7,11 +7,11 @@
 use wrenthread_core::fleet::StreamId;
 use wrenthread_long_poll::service as poll;
 use wrenthread_membership::members::Member;
-use wrenthread_membership::{Note, Step};
+use wrenthread_membership::{Action, MembershipEvent, ServiceMode};
 use wrenthread_xds::GO_TO;
 
 use super::{Host, WorkItem};
-use crate::{labels, migration};
+use crate::migration;
 
 /// Redirects that are remembered for proxies that had no poll pending; beyond this the oldest are dropped, and
 /// those proxies join again wherever they were.
@@ -58,19 +58,19 @@
 impl GovernorStatus {
     fn new(now: Duration, member: &Member) -> Self {
         let seconds_since = |at: Duration| now.saturating_sub(at).as_secs_f64();
-        let state = match member.heard {
-            None if !member.is_there() => NOT_HEARD_YET,
-            _ => labels::member_state(member.word.standing),
+        let state = match member.last_heard {
+            None if !member.is_live() => NOT_HEARD_YET,
+            _ => member.update.state.name(),
         };
         GovernorStatus {
-            name: member.word.name.clone(),
+            name: member.update.name.clone(),
             state,
-            at: member.word.at.to_string(),
-            joined: member.word.figures.joined,
-            draining: member.word.figures.draining,
-            in_state_seconds: seconds_since(member.since),
-            last_heard_seconds: member.heard.map(seconds_since),
-            incarnation: format!("{:x}", member.word.incarnation),
+            at: member.update.address.to_string(),
+            joined: member.update.load.connected_proxies,
+            draining: member.update.load.draining,
+            in_state_seconds: seconds_since(member.state_since),
+            last_heard_seconds: member.last_heard.map(seconds_since),
+            incarnation: format!("{:x}", member.update.incarnation),
         }
     }
 }
@@ -78,7 +78,7 @@
 impl Host {
     /// A datagram of another governor.
     pub fn datagram_received(&mut self, now: Duration, datagram: &[u8]) {
-        if let Err(error) = self.membership.heard(now, datagram) {
+        if let Err(error) = self.membership.handle_datagram(now, datagram) {
             tracing::debug!(%error, "datagram ignored");
         }
     }
@@ -86,7 +86,8 @@
     /// Begins to migrate all proxies to other governors, or takes proxies again.
     pub fn set_draining(&mut self, now: Duration, draining: bool) -> GovernorsStatus {
         tracing::warn!(draining, proxies = self.engine.fleet().len(), "drain requested by operator");
-        self.membership.drain(now, draining);
+        let mode = if draining { ServiceMode::Draining } else { ServiceMode::Serving };
+        self.membership.set_mode(now, mode);
         self.governors(now)
     }
 
@@ -97,29 +98,29 @@
 
     /// The governors as this one sees them.
     pub fn governors(&self, now: Duration) -> GovernorsStatus {
-        let tally = self.membership.tally();
+        let statistics = self.membership.statistics();
         let others = self.membership.members().others();
         GovernorsStatus {
             name: self.wire.governor.clone(),
             draining: self.membership.is_draining(),
             joined: self.engine.fleet().len(),
-            max_joined: self.membership.bound(),
-            migrating: tally.on_way,
-            migrated_away: tally.moved,
-            migrated_here: tally.came,
-            ignored_datagrams: tally.unheard,
+            max_joined: self.membership.max_proxies(),
+            migrating: statistics.proxies_migrating,
+            migrated_away: statistics.proxies_moved,
+            migrated_here: statistics.proxies_received,
+            ignored_datagrams: statistics.datagrams_rejected,
             others: others.map(|member| GovernorStatus::new(now, member)).collect(),
         }
     }
 
     /// Carries out what membership has to do now.
     pub(super) fn process_membership(&mut self, now: Duration, mut work: impl FnMut(WorkItem)) {
-        while let Some(step) = self.membership.step(now) {
-            match step {
-                Step::Send(to, datagram) => work(WorkItem::SendDatagram { to, datagram }),
-                Step::Gather { proxy, to } => self.offer_proxy(now, &proxy, &to),
-                Step::Move { proxy, to } => self.redirect(now, &proxy, to),
-                Step::Note(note) => log_note(&note),
+        while let Some(action) = self.membership.next_action(now) {
+            match action {
+                Action::Send { address, datagram } => work(WorkItem::SendDatagram { to: address, datagram }),
+                Action::CollectState { proxy, to } => self.offer_proxy(now, &proxy, &to),
+                Action::MoveProxy { proxy, to } => self.redirect(now, &proxy, to),
+                Action::Event(event) => log_event(&event),
             }
         }
     }
@@ -128,7 +129,7 @@
     fn offer_proxy(&mut self, now: Duration, proxy: &str, to: &str) {
         let number = self.engine.fleet().named(proxy).map(|(number, _)| number);
         let state = number.map(|number| migration::encode(&self.engine, &self.session_terms, now, number));
-        self.membership.offer(now, proxy, to, state.unwrap_or_default());
+        self.membership.offer_proxy(now, proxy, to, state.unwrap_or_default());
     }
 
     /// Ends a proxy's stream or session and names the governor to go to; none: the next in the proxy's own order.
@@ -161,13 +162,15 @@
     }
 }
 
-fn log_note(note: &Note) {
-    match note {
-        Note::Stands(governor, state) => {
-            tracing::info!(governor, state = labels::member_state(*state), "governor state changed");
+fn log_event(event: &MembershipEvent) {
+    match event {
+        MembershipEvent::MemberStateChanged { governor, state } => {
+            tracing::info!(governor, state = state.name(), "governor state changed");
         }
-        Note::Stalled(late) => tracing::warn!(?late, "event loop stalled"),
-        Note::Unanswered { proxy, to } => tracing::warn!(proxy, to, "migration offer unanswered"),
-        Note::Drained => tracing::info!("drain complete"),
+        MembershipEvent::Stalled { late } => tracing::warn!(?late, "event loop stalled"),
+        MembershipEvent::OfferUnanswered { proxy, to } => {
+            tracing::warn!(proxy, to, "migration offer unanswered");
+        }
+        MembershipEvent::Drained => tracing::info!("drain complete"),
     }
 }
--- a/crates/daemon/src/host/metrics.rs
+++ b/crates/daemon/src/host/metrics.rs
@@ -71,10 +71,10 @@
     }
 
     fn update_membership_gauges(&self) {
-        let tally = self.membership.tally();
-        gauge!(GOVERNORS_REACHABLE).set(self.membership.members().there() as f64);
+        let statistics = self.membership.statistics();
+        gauge!(GOVERNORS_REACHABLE).set(self.membership.members().live_governors() as f64);
         gauge!(DRAINING).set(f64::from(u8::from(self.membership.is_draining())));
-        gauge!(PROXIES_REDIRECTED).set(tally.moved as f64);
-        gauge!(DATAGRAMS_IGNORED).set(tally.unheard as f64);
+        gauge!(PROXIES_REDIRECTED).set(statistics.proxies_moved as f64);
+        gauge!(DATAGRAMS_IGNORED).set(statistics.datagrams_rejected as f64);
     }
 }
--- a/crates/daemon/src/labels.rs
+++ b/crates/daemon/src/labels.rs
@@ -4,7 +4,6 @@
 use wrenthread_core::engine::Cause;
 use wrenthread_core::guard::{RefusalOutcome, RefusalReason};
 use wrenthread_core::recording::RecordedPhase;
-use wrenthread_membership::messages::Standing;
 
 #[cfg(test)]
 mod tests;
@@ -39,16 +38,6 @@
     }
 }
 
-/// The state of another governor, as the list of governors says it.
-pub fn member_state(state: Standing) -> &'static str {
-    match state {
-        Standing::Alive => "alive",
-        Standing::Suspect => "suspect",
-        Standing::Dead => "dead",
-        Standing::Left => "left",
-    }
-}
-
 /// The phase of a replica, as rosters and import reports spell it.
 pub fn replica_phase(phase: RecordedPhase) -> &'static str {
     match phase {
--- a/crates/daemon/src/labels/tests.rs
+++ b/crates/daemon/src/labels/tests.rs
@@ -1,5 +1,7 @@
 //! The labels are those of the earlier release (commit b735929), which printed the variants as they were named there.
 
+use wrenthread_membership::messages::MemberState;
+
 use super::*;
 
 #[test]
@@ -41,13 +43,13 @@
 #[test]
 fn labels_of_member_states_stay_as_they_are() {
     let labels = [
-        (Standing::Alive, "alive"),
-        (Standing::Suspect, "suspect"),
-        (Standing::Dead, "dead"),
-        (Standing::Left, "left"),
+        (MemberState::Alive, "alive"),
+        (MemberState::Suspect, "suspect"),
+        (MemberState::Dead, "dead"),
+        (MemberState::Left, "left"),
     ];
     for (state, label) in labels {
-        assert_eq!(member_state(state), label);
+        assert_eq!(state.name(), label);
     }
 }
 
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -38,7 +38,7 @@
 
 fn exit_code(error: &anyhow::Error) -> ExitCode {
     let wrong_settings = error.is::<wrenthread_settings::Faults>();
-    let wrong_configuration = error.is::<platform::config::Fault>();
+    let wrong_configuration = error.is::<platform::config::ConfigError>();
     match wrong_settings || wrong_configuration {
         true => ExitCode::from(EXIT_USAGE),
         false => ExitCode::FAILURE,
--- a/crates/daemon/src/migration.rs
+++ b/crates/daemon/src/migration.rs
@@ -7,7 +7,7 @@
 use wrenthread_core::engine::{Engine, MigratedProxy};
 use wrenthread_core::table_versions::PublishedState;
 use wrenthread_long_poll::messages::{ReportAsked, TablesTold, Terms, Unclear};
-use wrenthread_membership::migration::Ahead;
+use wrenthread_membership::migration::TransferredState;
 
 /// A report older than this says nothing of the present, wherever it was received.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(5);
@@ -57,17 +57,21 @@
 ///
 /// # Errors
 /// Why it can't be understood.
-pub fn decode(terms: &Terms, now: Duration, ahead: Ahead) -> Result<MigratedProxy, MigrationError> {
-    let state: ProxyState = ciborium::from_reader(ahead.bytes.as_slice())?;
+pub fn decode(
+    terms: &Terms,
+    now: Duration,
+    transferred: TransferredState,
+) -> Result<MigratedProxy, MigrationError> {
+    let state: ProxyState = ciborium::from_reader(transferred.bytes.as_slice())?;
     let report = match &state.report {
-        Some((age, report)) if Duration::from_millis(*age) + ahead.waited < MAX_REPORT_AGE => {
+        Some((age, report)) if Duration::from_millis(*age) + transferred.held_for < MAX_REPORT_AGE => {
             Some(terms.report(report)?)
         }
         _ => None,
     };
-    let age = Duration::from_millis(state.age_millis).saturating_add(ahead.waited);
+    let age = Duration::from_millis(state.age_millis).saturating_add(transferred.held_for);
     Ok(MigratedProxy {
-        from: ahead.from.into(),
+        from: transferred.from.into(),
         state: complete_state(terms, &state.tables)?,
         published_at: now.saturating_sub(age),
         report,
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -12,7 +12,7 @@
 use metrics_exporter_prometheus::PrometheusHandle;
 use tokio::task::LocalSet;
 use wrenthread_core::ownership::SigningKey;
-use wrenthread_membership::{Talk, Terms};
+use wrenthread_membership::{Membership, MembershipSettings, Peer};
 use wrenthread_settings::Settings;
 use wrenthread_xds::Wire;
 use wrenthread_xds::service::Front;
@@ -101,16 +101,16 @@
     clock: &Clock,
     has_membership: bool,
 ) -> Host {
-    let terms = Terms {
-        name: settings.governor.clone(),
-        at: settings.talk.unwrap_or(settings.grpc),
-        peers: settings.peers.clone(),
+    let peers = settings.peers.iter().cloned();
+    let membership_settings = MembershipSettings {
+        local: Peer { name: settings.governor.clone(), address: settings.talk.unwrap_or(settings.grpc) },
+        peers: peers.map(|(name, address)| Peer { name, address }).collect(),
         keys: if has_membership { signing_keys.clone() } else { Vec::new() },
-        moves_per_s: settings.moves_per_s,
+        moves_per_second: settings.moves_per_s,
     };
     let parts = HostParts {
         engine_settings: settings.setup(),
-        membership: Talk::new(terms, wire.epoch, clock.now()),
+        membership: Membership::new(membership_settings, wire.epoch, clock.now()),
         wire,
         signing_keys,
         default_requests_per_second: settings.usual,
