--- a/crates/daemon/src/cli/import.rs
+++ b/crates/daemon/src/cli/import.rs
@@ -92,11 +92,11 @@
 
     fn import(&self) -> Result<nginx::Import> {
         let zones = match self.zones {
-            ZoneRule::One => wrenthread_nginx::fleet::Zones::One,
-            ZoneRule::Network => wrenthread_nginx::fleet::Zones::Network,
+            ZoneRule::One => wrenthread_nginx::fleet::ZoneAssignment::One,
+            ZoneRule::Network => wrenthread_nginx::fleet::ZoneAssignment::Network,
         };
         let [grpc, http, long_poll] = self.ports[..] else { bail!("`--ports` takes three") };
-        let terms = wrenthread_nginx::write::Terms {
+        let terms = wrenthread_nginx::write::DeploymentTerms {
             proxies: self.proxies,
             governors: self.governors,
             ports: (grpc, http, long_poll),
--- a/crates/daemon/src/export.rs
+++ b/crates/daemon/src/export.rs
@@ -20,8 +20,8 @@
 use wrenthread_client::keeper::{Keeper, Outcome};
 use wrenthread_client::{Ordered, Watch, Who, poll};
 use wrenthread_nginx::access_log::{self, Lines as LogLines};
-use wrenthread_nginx::blocks::{self, Lines, Tables};
-use wrenthread_nginx::write_debouncer::Pacer;
+use wrenthread_nginx::blocks::{self, Tables, UpstreamTable};
+use wrenthread_nginx::write_debouncer::WriteDebouncer;
 use wrenthread_settings::{Nginx, Settings};
 
 /// How long until a governor is asked again that could not be had.
@@ -50,7 +50,10 @@
             bail!("the proxy stands on its own table for `{name}`: there is nothing to write");
         };
         let lines = lines.iter().filter(open).filter_map(line).collect();
-        all.insert(name.to_string(), Lines { lines, level: group["level"].as_f64().unwrap_or(1.0) });
+        all.insert(
+            name.to_string(),
+            UpstreamTable { servers: lines, admission_fraction: group["level"].as_f64().unwrap_or(1.0) },
+        );
     }
     let name = tables["name"].as_str().unwrap_or_default();
     Ok(blocks::write(&all, &format!("what `{name}` holds, at version {}", tables["sent"]))?)
@@ -75,9 +78,9 @@
 
 impl Watch for Told {
     fn ordered(&self, mark: &str, _: usize, tables: &Ordered) {
-        let lines = |(lines, level): &(Vec<(Arc<str>, f64)>, f64)| Lines {
-            lines: lines.iter().map(|(at, weight)| (at.to_string(), *weight)).collect(),
-            level: *level,
+        let lines = |(lines, level): &(Vec<(Arc<str>, f64)>, f64)| UpstreamTable {
+            servers: lines.iter().map(|(at, weight)| (at.to_string(), *weight)).collect(),
+            admission_fraction: *level,
         };
         let tables: Tables = tables.iter().map(|(group, one)| (group.clone(), lines(one))).collect();
         if !tables.is_empty() {
@@ -122,11 +125,11 @@
     let mut terminate =
         tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()).context("signals")?;
     let span = |seconds: f64| Duration::try_from_secs_f64(seconds).unwrap_or_default();
-    let mut pacer = Pacer::new(span(settings.nginx.every), span(settings.nginx.drains_every));
+    let mut pacer = WriteDebouncer::new(span(settings.nginx.every), span(settings.nginx.drains_every));
     let (mut mark, mut running) = (String::new(), None);
     let (ends, mut ended) = mpsc::channel(1);
     loop {
-        let due = pacer.next_due();
+        let due = pacer.next_deadline();
         let wait = due.map(|due| due.saturating_sub(began.elapsed()));
         tokio::select! {
             biased;
@@ -135,10 +138,10 @@
             Ok(()) = tables.changed() => {
                 let (told, newest) = tables.borrow_and_update().clone();
                 mark = told;
-                pacer.told(newest);
+                pacer.set_wanted(newest);
             }
             Some(well) = ended.recv() => {
-                pacer.ended(well);
+                pacer.write_finished(well);
                 metrics::counter!("wrenthread_nginx_files_total", "well" => well.to_string()).increment(1);
                 if once && well {
                     break;
@@ -146,7 +149,7 @@
             }
             () = tokio::time::sleep(wait.unwrap_or(Duration::MAX / 2).min(Duration::from_secs(3600))) => {}
         }
-        let Some(tables) = pacer.write(began.elapsed()) else { continue };
+        let Some(tables) = pacer.start_write(began.elapsed()) else { continue };
         let (nginx, says, ends) = (settings.nginx.clone(), format!("version {mark}"), ends.clone());
         let failures = pacer.failures();
         running = Some(tokio::task::spawn_local(async move {
--- a/crates/daemon/src/nginx.rs
+++ b/crates/daemon/src/nginx.rs
@@ -6,27 +6,27 @@
 
 use anyhow::{Context, Result, bail};
 use serde_json::{Value, json};
-use wrenthread_nginx::difference::{self, Known};
+use wrenthread_nginx::difference::{self, ComparableFleet};
 use wrenthread_nginx::directive_support::{self, Outcome};
-use wrenthread_nginx::files::{self, Disk, Whole};
-use wrenthread_nginx::fleet::{self, Fleet, Imported, Zones};
-use wrenthread_nginx::write::{self, Terms};
+use wrenthread_nginx::files::{self, Configuration, LocalFiles};
+use wrenthread_nginx::fleet::{self, ImportResult, ImportedFleet, ZoneAssignment};
+use wrenthread_nginx::write::{self, DeploymentTerms};
 use wrenthread_settings::{PathRoute, Route};
 
 use crate::{dry_run, render};
 
 /// An import: the configuration as it was read, and what it came to.
 pub struct Import {
-    whole: Whole,
-    imported: Imported,
-    terms: Terms,
+    whole: Configuration,
+    imported: ImportResult,
+    terms: DeploymentTerms,
 }
 
 /// Reads and imports a configuration.
 ///
 /// Errors: it can't be read, with file, line and column; what it came to would not be taken as settings.
-pub fn import(file: &Path, zones: Zones, terms: Terms) -> Result<Import> {
-    let whole = files::read(&Disk, file)?;
+pub fn import(file: &Path, zones: ZoneAssignment, terms: DeploymentTerms) -> Result<Import> {
+    let whole = files::read(&LocalFiles, file)?;
     let imported = fleet::import(&whole, zones);
     for (place, fleet) in imported.fleets.iter().enumerate() {
         let script = write::settings(fleet, place, &terms);
@@ -46,7 +46,7 @@
 impl Import {
     /// Directives that bear on routing and are not carried over.
     pub fn losses(&self) -> usize {
-        self.imported.account.losses()
+        self.imported.report.routing_losses()
     }
 
     /// Writes a folder for each fleet. Settings that somebody has changed since they were imported stay, and
@@ -73,27 +73,27 @@
     }
 
     pub fn report(&self) -> Value {
-        let Imported { fleets, account } = &self.imported;
-        let count = |outcome| account.tally().get(&outcome).copied().unwrap_or(0);
+        let ImportResult { fleets, report: account } = &self.imported;
+        let count = |outcome| account.outcome_counts().get(&outcome).copied().unwrap_or(0);
         json!({
             "fleets": fleets,
-            "directives": account.told(&self.whole),
-            "carried": count(Outcome::Carried), "differs": count(Outcome::Differs),
-            "left": count(Outcome::Left),
-            "losses": account.losses(),
+            "directives": account.entries(&self.whole),
+            "carried": count(Outcome::Supported), "differs": count(Outcome::Partial),
+            "left": count(Outcome::Unsupported),
+            "losses": account.routing_losses(),
         })
     }
 
     /// For people: fleets, and what is not carried over as it is, but for the proxy's own business.
     pub fn summary(&self) -> String {
-        let Imported { fleets, account } = &self.imported;
+        let ImportResult { fleets, report: account } = &self.imported;
         let rows: Vec<Vec<String>> = fleets
             .iter()
             .map(|fleet| {
                 let ready = fleet.replicas.iter().filter(|one| one.phase == "ready" && !one.backup).count();
                 vec![
                     fleet.name.clone(),
-                    fleet.groups.iter().map(|group| group.name.as_str()).collect::<Vec<_>>().join(" "),
+                    fleet.classes.iter().map(|group| group.name.as_str()).collect::<Vec<_>>().join(" "),
                     format!("{ready} of {}", fleet.replicas.len()),
                     fleet.zones.join(" "),
                     fleet.origin.clone(),
@@ -101,33 +101,36 @@
             })
             .collect();
         let mut text = render::columns(&["fleet", "groups", "ready", "zones", "from"], &rows);
-        let told = account.told(&self.whole);
+        let told = account.entries(&self.whole);
         let rows: Vec<Vec<String>> = told
             .iter()
-            .filter(|one| one.fate.routing && one.fate.outcome != Outcome::Carried)
+            .filter(|one| one.support.affects_routing && one.support.outcome != Outcome::Supported)
             .map(|one| {
-                let outcome = match one.fate.outcome {
-                    Outcome::Left => "NOT CARRIED OVER",
+                let outcome = match one.support.outcome {
+                    Outcome::Unsupported => "NOT CARRIED OVER",
                     _ => "differs",
                 };
-                let advice = if one.fate.advice.is_empty() { "" } else { "; " };
-                let why = format!("{}{advice}{}", one.fate.why, one.fate.advice);
+                let advice = if one.support.advice.is_empty() { "" } else { "; " };
+                let why = format!("{}{advice}{}", one.support.reason, one.support.advice);
                 vec![format!("{}:{}", one.at, one.column), one.directive.clone(), outcome.to_string(), why]
             })
             .collect();
         if !rows.is_empty() {
             text += &format!("\n{}", render::columns(&["at", "directive", "outcome", "why"], &rows));
         }
-        let tally = account.tally();
+        let tally = account.outcome_counts();
         let count = |outcome| tally.get(&outcome).copied().unwrap_or(0);
-        let own = told.iter().filter(|one| one.fate.outcome == Outcome::Left && !one.fate.routing).count();
+        let own = told
+            .iter()
+            .filter(|one| one.support.outcome == Outcome::Unsupported && !one.support.affects_routing)
+            .count();
         text += &format!(
             "\n{} carried over, {} with a difference, {} not: {} bear on routing, {own} are the proxy's own \
              business\n",
-            count(Outcome::Carried),
-            count(Outcome::Differs),
-            count(Outcome::Left),
-            account.losses(),
+            count(Outcome::Supported),
+            count(Outcome::Partial),
+            count(Outcome::Unsupported),
+            account.routing_losses(),
         );
         text
     }
@@ -142,13 +145,13 @@
             let recording = dry_run::recording(against)?;
             let known = running(&recording);
             // A governor runs one of the fleets: the one with most of its groups and replicas.
-            let shared = |fleet: &&Fleet| {
-                let later = Known::from(*fleet);
-                let groups = later.groups.keys().filter(|name| known.groups.contains_key(*name)).count();
+            let shared = |fleet: &&ImportedFleet| {
+                let later = ComparableFleet::from(*fleet);
+                let groups = later.classes.keys().filter(|name| known.classes.contains_key(*name)).count();
                 groups + later.replicas.keys().filter(|name| known.replicas.contains_key(*name)).count()
             };
             let fleet = self.imported.fleets.iter().max_by_key(shared).context("nothing was imported")?;
-            let mut later = Known::from(fleet);
+            let mut later = ComparableFleet::from(fleet);
             // What is listed as gone, or as a backup that is not called, a governor does not hold.
             let held =
                 |figures: &BTreeMap<_, String>| figures["phase"] != "gone" && figures["backup"] != "true";
@@ -164,7 +167,10 @@
                 let name = entry.file_name().to_string_lossy().into_owned();
                 let is_fleet = entry.path().join("roster.json").exists();
                 if is_fleet && self.imported.fleets.iter().all(|fleet| fleet.name != name) {
-                    all.push((name, difference::between(&written(&entry.path())?, &Known::default())));
+                    all.push((
+                        name,
+                        difference::between(&written(&entry.path())?, &ComparableFleet::default()),
+                    ));
                 }
             }
         }
@@ -175,7 +181,7 @@
 }
 
 /// What a governor that runs knows.
-fn running(recording: &wrenthread_core::recording::Recording) -> Known {
+fn running(recording: &wrenthread_core::recording::Recording) -> ComparableFleet {
     let replica = |one: &wrenthread_core::recording::RecordedReplica| {
         let zone = recording.zones.get(one.zone).cloned().unwrap_or_default();
         let phase = crate::labels::replica_phase(one.phase).to_string();
@@ -188,12 +194,12 @@
         (one.id.to_string(), known.into())
     };
     let groups = recording.groups.iter().map(|name| (name.clone(), BTreeMap::new()));
-    Known { replicas: recording.replicas.iter().map(replica).collect(), groups: groups.collect() }
+    ComparableFleet { replicas: recording.replicas.iter().map(replica).collect(), classes: groups.collect() }
 }
 
 /// What a folder of an import says; nothing where it is not there.
-fn written(folder: &Path) -> Result<Known> {
-    let mut known = Known::default();
+fn written(folder: &Path) -> Result<ComparableFleet> {
+    let mut known = ComparableFleet::default();
     let settings = folder.join("settings.star");
     if settings.exists() {
         for group in crate::run::load(&settings)?.groups {
@@ -215,7 +221,7 @@
                 ("expiry", group.expiry.to_string()),
                 ("routes", routes),
             ];
-            known.groups.insert(group.name, figures.into());
+            known.classes.insert(group.name, figures.into());
         }
     }
     let roster = folder.join("roster.json");
@@ -268,14 +274,14 @@
     let Some(rule) = directive_support::explain(name) else {
         bail!("this importer does not know `{name}`: where it stands it is not carried over");
     };
-    let outcome = match (rule.outcome, rule.routing) {
-        (Outcome::Carried, _) => "carried over",
-        (Outcome::Differs, _) => "carried over, with a difference",
-        (Outcome::Left, true) => "not carried over, though it bears on routing",
-        (Outcome::Left, false) => "not carried over",
+    let outcome = match (rule.outcome, rule.affects_routing) {
+        (Outcome::Supported, _) => "carried over",
+        (Outcome::Partial, _) => "carried over, with a difference",
+        (Outcome::Unsupported, true) => "not carried over, though it bears on routing",
+        (Outcome::Unsupported, false) => "not carried over",
     };
     let advice = if rule.advice.is_empty() { String::new() } else { format!("\nadvice: {}", rule.advice) };
-    Ok((serde_json::to_value(rule)?, format!("{name}: {outcome}: {}{advice}\n", rule.why)))
+    Ok((serde_json::to_value(rule)?, format!("{name}: {outcome}: {}{advice}\n", rule.reason)))
 }
 
 /// Whether anything differs.
--- a/crates/daemon/tests/nginx.rs
+++ b/crates/daemon/tests/nginx.rs
@@ -127,7 +127,7 @@
         Nginx { folder: folder.to_path_buf(), rng: ChaCha8Rng::seed_from_u64(3) }
     }
 
-    fn said(&self) -> blocks::Said {
+    fn said(&self) -> blocks::ParsedUpstreams {
         let text = std::fs::read_to_string(self.folder.join("loaded.conf")).unwrap_or_default();
         blocks::read(&text).unwrap()
     }
--- a/crates/nginx-importer/benches/import.rs
+++ b/crates/nginx-importer/benches/import.rs
@@ -7,8 +7,8 @@
 use std::time::Instant;
 
 use wrenthread_nginx::directive_support::Outcome;
-use wrenthread_nginx::files::{self, Disk, Whole};
-use wrenthread_nginx::fleet::{Zones, import};
+use wrenthread_nginx::files::{self, Configuration, LocalFiles};
+use wrenthread_nginx::fleet::{ZoneAssignment, import};
 use wrenthread_nginx::syntax::{self, MOST};
 use wrenthread_nginx::{blocks, write};
 
@@ -52,12 +52,12 @@
             let began = Instant::now();
             let directives = syntax::parse(text.as_bytes(), 0, MOST).expect("it is sound");
             parse.push(ms(began));
-            let whole = Whole { files: vec!["large.conf".into()], directives };
+            let whole = Configuration { files: vec!["large.conf".into()], directives };
             let began = Instant::now();
-            let imported = import(&whole, Zones::One);
+            let imported = import(&whole, ZoneAssignment::One);
             imports.push(ms(began));
             let began = Instant::now();
-            let terms = write::Terms::default();
+            let terms = write::DeploymentTerms::default();
             for (place, fleet) in imported.fleets.iter().enumerate() {
                 std::hint::black_box((write::settings(fleet, place, &terms), write::roster(fleet)));
             }
@@ -72,9 +72,9 @@
     let mut entries: Vec<_> = std::fs::read_dir(corpus).expect("the corpus").flatten().collect();
     entries.sort_by_key(std::fs::DirEntry::path);
     for entry in entries.iter().filter(|entry| entry.path().extension().is_some_and(|one| one == "conf")) {
-        let whole = files::read(&Disk, &entry.path()).expect("a sample");
-        for one in import(&whole, Zones::One).account.told(&whole) {
-            *outcomes.entry((one.fate.outcome, one.fate.routing)).or_default() += 1;
+        let whole = files::read(&LocalFiles, &entry.path()).expect("a sample");
+        for one in import(&whole, ZoneAssignment::One).report.entries(&whole) {
+            *outcomes.entry((one.support.outcome, one.support.affects_routing)).or_default() += 1;
         }
     }
     println!("\nin the corpus (outcome, whether it bears on routing): {outcomes:?}");
--- a/crates/nginx-importer/src/blocks.rs
+++ b/crates/nginx-importer/src/blocks.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use crate::syntax::{self, Fault, MOST};
+use crate::syntax::{self, MOST, SyntaxError};
 
 /// The weights of an upstream come to this together at the most: every whole number up to it is one that
 /// nginx takes and adds up.
@@ -13,19 +13,19 @@
 
 /// What a proxy is to do with the flows of a group.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Lines {
+pub struct UpstreamTable {
     /// Addresses and weights of open lines.
-    pub lines: Vec<(String, f64)>,
+    pub servers: Vec<(String, f64)>,
     /// The share of flows to let in.
-    pub level: f64,
+    pub admission_fraction: f64,
 }
 
 /// All groups' lines, by name.
-pub type Tables = BTreeMap<String, Lines>;
+pub type Tables = BTreeMap<String, UpstreamTable>;
 
 /// What is wrong with what was written.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub enum Wrong {
+pub enum ExportError {
     #[error("it can't be read: {0}")]
     Syntax(String),
     #[error("group `{0}` would have other lines than it should")]
@@ -34,9 +34,9 @@
     Address(String),
 }
 
-impl From<Fault> for Wrong {
-    fn from(fault: Fault) -> Self {
-        Wrong::Syntax(fault.to_string())
+impl From<SyntaxError> for ExportError {
+    fn from(fault: SyntaxError) -> Self {
+        ExportError::Syntax(fault.to_string())
     }
 }
 
@@ -74,27 +74,28 @@
 /// of its processes with every reload, and all of them would send their first flows to the heaviest line.
 ///
 /// Errors: what was written would not be read as what it should say; it is not to be used.
-pub fn write(tables: &Tables, says: &str) -> Result<String, Wrong> {
+pub fn write(tables: &Tables, says: &str) -> Result<String, ExportError> {
     let says: String = says.chars().map(|letter| if letter.is_control() { ' ' } else { letter }).collect();
     let mut text =
         format!("# {says}\n# Written by wrenthread, and replaced whole: changes here do not last.\n");
     for (group, table) in tables {
         let name = upstream(group);
         let _ = writeln!(text, "upstream {name} {{\n    random;");
-        if table.lines.is_empty() {
+        if table.servers.is_empty() {
             let _ = writeln!(text, "    server {NOWHERE} down;");
         }
-        for ((address, _), weight) in table.lines.iter().zip(weights(&table.lines)) {
+        for ((address, _), weight) in table.servers.iter().zip(weights(&table.servers)) {
             if !matches!(
                 crate::values::target(address, 80),
                 Some(crate::values::Target::Address(_) | crate::values::Target::Name(_))
             ) {
-                return Err(Wrong::Address(address.clone()));
+                return Err(ExportError::Address(address.clone()));
             }
             let _ = writeln!(text, "    server {address} weight={weight};");
         }
         text += "}\n";
-        let level = if table.level.is_finite() { table.level.clamp(0.0, 1.0) } else { 1.0 };
+        let level =
+            if table.admission_fraction.is_finite() { table.admission_fraction.clamp(0.0, 1.0) } else { 1.0 };
         let blocked = ((1.0 - level) * 10_000.0).round() / 100.0;
         let entries = match blocked {
             0.0 => String::new(),
@@ -109,30 +110,30 @@
 }
 
 /// Reads what was written as nginx would, and compares.
-fn check(text: &str, tables: &Tables) -> Result<(), Wrong> {
+fn check(text: &str, tables: &Tables) -> Result<(), ExportError> {
     let said = read(text)?;
     for (group, table) in tables {
         let wanted = table
-            .lines
+            .servers
             .iter()
-            .zip(weights(&table.lines))
+            .zip(weights(&table.servers))
             .map(|((at, _), weight)| (at.clone(), weight as f64));
         let wanted: Vec<(String, f64)> = wanted.collect();
         if said.get(&upstream(group)).is_none_or(|(lines, _)| *lines != wanted) {
-            return Err(Wrong::Lines(group.clone()));
+            return Err(ExportError::Lines(group.clone()));
         }
     }
     Ok(())
 }
 
 /// Open lines, and the share that is blocked.
-pub type Said = BTreeMap<String, (Vec<(String, f64)>, f64)>;
+pub type ParsedUpstreams = BTreeMap<String, (Vec<(String, f64)>, f64)>;
 
 /// What a file of upstream blocks says, by upstream.
 ///
 /// Errors: its syntax.
-pub fn read(text: &str) -> Result<Said, Fault> {
-    let mut said: Said = BTreeMap::new();
+pub fn read(text: &str) -> Result<ParsedUpstreams, SyntaxError> {
+    let mut said: ParsedUpstreams = BTreeMap::new();
     for directive in syntax::parse(text.as_bytes(), 0, MOST)? {
         if directive.is("upstream") {
             let servers = directive.block().iter().filter(|one| one.is("server"));
@@ -167,9 +168,9 @@
 
     #[test]
     fn a_table_is_written_as_nginx_reads_it() {
-        let table = |lines: &[(&str, f64)], level| Lines {
-            lines: lines.iter().map(|(at, weight)| ((*at).to_string(), *weight)).collect(),
-            level,
+        let table = |lines: &[(&str, f64)], level| UpstreamTable {
+            servers: lines.iter().map(|(at, weight)| ((*at).to_string(), *weight)).collect(),
+            admission_fraction: level,
         };
         let tables: Tables = [
             ("exit-charge".to_string(), table(&[("10.0.0.1:80", 2.0), ("[fd00::1]:80", 1.0)], 0.875)),
@@ -186,7 +187,7 @@
         assert_eq!((said["wrenthread_bare"].0.len(), said["wrenthread_shut"].1), (0, 1.0));
         for address in ["10.0.0.1:80 down", "x;}", "unix:/run/x", ""] {
             let odd = [("g".to_string(), table(&[(address, 1.0)], 1.0))].into();
-            assert_eq!(write(&odd, ""), Err(Wrong::Address(address.to_string())));
+            assert_eq!(write(&odd, ""), Err(ExportError::Address(address.to_string())));
         }
         assert_ne!(upstream("a-b"), upstream("a_b"));
     }
@@ -202,7 +203,7 @@
             for (weight, whole) in drawn.iter().zip(&whole) {
                 prop_assert!((weight / sum - *whole as f64 / all as f64).abs() < 61e-6);
             }
-            let tables: Tables = [("g".to_string(), Lines { lines, level: 1.0 })].into();
+            let tables: Tables = [("g".to_string(), UpstreamTable { servers: lines, admission_fraction: 1.0 })].into();
             prop_assert!(write(&tables, "").is_ok());
         }
     }
--- a/crates/nginx-importer/src/difference.rs
+++ b/crates/nginx-importer/src/difference.rs
@@ -4,18 +4,18 @@
 
 use serde::Serialize;
 
-use crate::fleet::{Fleet, Routes};
+use crate::fleet::{ImportedFleet, Routes};
 
 /// Replicas and groups by name, each with what is known of it. Only what both sides know is compared.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Known {
+pub struct ComparableFleet {
     pub replicas: BTreeMap<String, BTreeMap<&'static str, String>>,
-    pub groups: BTreeMap<String, BTreeMap<&'static str, String>>,
+    pub classes: BTreeMap<String, BTreeMap<&'static str, String>>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum ChangeKind {
     Added,
     Gone,
     /// Which figure, from what to what.
@@ -27,12 +27,12 @@
     /// `replica` or `group`.
     pub kind: &'static str,
     pub name: String,
-    pub what: What,
+    pub what: ChangeKind,
 }
 
-impl From<&Fleet> for Known {
-    fn from(fleet: &Fleet) -> Self {
-        let replica = |one: &crate::fleet::Replica| {
+impl From<&ImportedFleet> for ComparableFleet {
+    fn from(fleet: &ImportedFleet) -> Self {
+        let replica = |one: &crate::fleet::ImportedReplica| {
             let known = [
                 ("address", one.address.clone()),
                 ("zone", one.zone.clone()),
@@ -42,11 +42,11 @@
             ];
             (one.id.clone(), known.into())
         };
-        let group = |one: &crate::fleet::Group| {
+        let group = |one: &crate::fleet::ImportedClass| {
             let known = [
-                ("effect", if one.retriable { "retriable" } else { "non-retriable" }.to_string()),
-                ("latency_budget", one.latency_budget.to_string()),
-                ("expiry", one.expiry.to_string()),
+                ("effect", if one.idempotent { "retriable" } else { "non-retriable" }.to_string()),
+                ("latency_budget", one.latency_objective.to_string()),
+                ("expiry", one.request_deadline.to_string()),
                 (
                     "routes",
                     match &one.routes {
@@ -57,29 +57,29 @@
             ];
             (one.name.clone(), known.into())
         };
-        Known {
+        ComparableFleet {
             replicas: fleet.replicas.iter().map(replica).collect(),
-            groups: fleet.groups.iter().map(group).collect(),
+            classes: fleet.classes.iter().map(group).collect(),
         }
     }
 }
 
 /// What stands differently in the later one.
-pub fn between(now: &Known, later: &Known) -> Vec<Difference> {
+pub fn between(now: &ComparableFleet, later: &ComparableFleet) -> Vec<Difference> {
     let mut all = Vec::new();
     for (kind, now, later) in
-        [("group", &now.groups, &later.groups), ("replica", &now.replicas, &later.replicas)]
+        [("group", &now.classes, &later.classes), ("replica", &now.replicas, &later.replicas)]
     {
         let mut add = |name: &String, what| all.push(Difference { kind, name: name.clone(), what });
-        now.keys().filter(|name| !later.contains_key(*name)).for_each(|name| add(name, What::Gone));
+        now.keys().filter(|name| !later.contains_key(*name)).for_each(|name| add(name, ChangeKind::Gone));
         for (name, known) in later {
             let Some(before) = now.get(name) else {
-                add(name, What::Added);
+                add(name, ChangeKind::Added);
                 continue;
             };
             for (field, value) in known {
                 if let Some(was) = before.get(field).filter(|was| *was != value) {
-                    add(name, What::Changed(field, was.clone(), value.clone()));
+                    add(name, ChangeKind::Changed(field, was.clone(), value.clone()));
                 }
             }
         }
@@ -94,17 +94,20 @@
     #[test]
     fn what_is_known_on_both_sides_is_compared() {
         let replica = |weight: &str| BTreeMap::from([("weight", weight.to_string())]);
-        let now = Known {
+        let now = ComparableFleet {
             replicas: [("a".into(), replica("1")), ("b".into(), replica("1"))].into(),
-            groups: [("entry".into(), BTreeMap::new())].into(),
+            classes: [("entry".into(), BTreeMap::new())].into(),
         };
-        let later = Known {
+        let later = ComparableFleet {
             replicas: [("b".into(), replica("2")), ("c".into(), replica("1"))].into(),
-            groups: [("entry".into(), BTreeMap::from([("expiry", "3".to_string())]))].into(),
+            classes: [("entry".into(), BTreeMap::from([("expiry", "3".to_string())]))].into(),
         };
         let said: Vec<_> = between(&now, &later).into_iter().map(|one| (one.name, one.what)).collect();
-        let changed = What::Changed("weight", "1".into(), "2".into());
-        assert_eq!(said, [("a".into(), What::Gone), ("b".into(), changed), ("c".into(), What::Added)]);
+        let changed = ChangeKind::Changed("weight", "1".into(), "2".into());
+        assert_eq!(
+            said,
+            [("a".into(), ChangeKind::Gone), ("b".into(), changed), ("c".into(), ChangeKind::Added)]
+        );
         assert_eq!(between(&now, &now), []);
     }
 }
--- a/crates/nginx-importer/src/directive_support.rs
+++ b/crates/nginx-importer/src/directive_support.rs
@@ -5,36 +5,43 @@
 
 use serde::Serialize;
 
-use crate::files::Whole;
-use crate::syntax::{Body, Directive, Place};
+use crate::files::Configuration;
+use crate::syntax::{Body, Directive, Position};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    Carried,
-    /// Carried over, with a stated difference.
-    Differs,
+    #[serde(rename = "carried")]
+    Supported,
+    /// Supported over, with a stated difference.
+    #[serde(rename = "differs")]
+    Partial,
     /// Not carried over.
-    Left,
+    #[serde(rename = "left")]
+    Unsupported,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Fate {
+pub struct DirectiveSupport {
     pub outcome: Outcome,
     /// It bears on where flows go, when they are tried again or how many there are: `--strict` minds if such
     /// a directive is left. What does not stays the proxy's own business.
-    pub routing: bool,
-    pub why: Cow<'static, str>,
+    #[serde(rename = "routing")]
+    pub affects_routing: bool,
+    #[serde(rename = "why")]
+    pub reason: Cow<'static, str>,
     pub advice: Cow<'static, str>,
 }
 
 /// One kind of directive, as far as nothing more is known of it than its name.
 #[derive(Debug, Clone, Copy, Serialize)]
-pub struct Rule {
+pub struct KnownDirective {
     pub name: &'static str,
     pub outcome: Outcome,
-    pub routing: bool,
-    pub why: &'static str,
+    #[serde(rename = "routing")]
+    pub affects_routing: bool,
+    #[serde(rename = "why")]
+    pub reason: &'static str,
     pub advice: &'static str,
 }
 
@@ -44,25 +51,25 @@
     routing: bool,
     why: &'static str,
     advice: &'static str,
-) -> Rule {
-    Rule { name, outcome, routing, why, advice }
+) -> KnownDirective {
+    KnownDirective { name, outcome, affects_routing: routing, reason: why, advice }
 }
 
-use Outcome::{Carried, Differs, Left};
+use Outcome::{Partial, Supported, Unsupported};
 
 /// What is said of directives that bear on routing, by name.
-pub const RULES: &[Rule] = &[
-    rule("http", Carried, false, "what is in it is read", ""),
-    rule("server", Carried, false, "what is in it is read", ""),
-    rule("include", Carried, false, "what it names stands in its place", ""),
-    rule("upstream", Carried, true, "a pool of replicas: a governor's settings and roster", ""),
-    rule("location", Carried, true, "a path of a traffic group", ""),
-    rule("proxy_pass", Carried, true, "leads the location's flows to its pool", ""),
-    rule("weight", Carried, true, "the replica's weight on the roster", ""),
-    rule("down", Carried, true, "the replica is listed as gone", "change `phase` to bring it back"),
+pub const RULES: &[KnownDirective] = &[
+    rule("http", Supported, false, "what is in it is read", ""),
+    rule("server", Supported, false, "what is in it is read", ""),
+    rule("include", Supported, false, "what it names stands in its place", ""),
+    rule("upstream", Supported, true, "a pool of replicas: a governor's settings and roster", ""),
+    rule("location", Supported, true, "a path of a traffic group", ""),
+    rule("proxy_pass", Supported, true, "leads the location's flows to its pool", ""),
+    rule("weight", Supported, true, "the replica's weight on the roster", ""),
+    rule("down", Supported, true, "the replica is listed as gone", "change `phase` to bring it back"),
     rule(
         "backup",
-        Differs,
+        Partial,
         true,
         "on the list only while no other replica is ready, and until one of those has been for as long as a \
          replica takes to warm up; nginx lets backups in when its own tries at the others fail",
@@ -70,112 +77,118 @@
     ),
     rule(
         "max_conns",
-        Left,
+        Unsupported,
         true,
         "a governor knows no bound on connections",
         "say a lower weight; proxies keep their own bound",
     ),
     rule(
         "max_fails",
-        Differs,
+        Partial,
         true,
         "the governor holds a replica back by what all proxies report, and not by a count",
         "",
     ),
     rule(
         "fail_timeout",
-        Differs,
+        Partial,
         true,
         "a replica that is held back is tried again in steps of the governor's own",
         "",
     ),
     rule(
         "resolve",
-        Left,
+        Unsupported,
         true,
         "a roster holds addresses, and names are looked up by nobody",
         "have the roster written anew where the name's addresses change",
     ),
     rule(
         "slow_start",
-        Differs,
+        Partial,
         true,
         "the longest of a pool is the time to warm up, from a twentieth of its part and not from nothing; it \
          holds after a start that the roster tells, not after each failure",
         "let the roster say `started`",
     ),
-    rule("drain", Carried, true, "the replica is listed as draining", ""),
-    rule("service", Left, true, "names are looked up by nobody", "list the addresses"),
-    rule("route", Left, true, "sessions are not bound to replicas", ""),
+    rule("drain", Supported, true, "the replica is listed as draining", ""),
+    rule("service", Unsupported, true, "names are looked up by nobody", "list the addresses"),
+    rule("route", Unsupported, true, "sessions are not bound to replicas", ""),
     rule(
         "zone",
-        Differs,
+        Partial,
         true,
         "workers of a proxy share nothing through the governor: its proxies all follow it",
         "",
     ),
     rule(
         "least_conn",
-        Differs,
+        Partial,
         true,
         "weights are solved from reported load, so that the busiest replica is least busy",
         "",
     ),
-    rule("least_time", Differs, true, "weights are solved from reported load", ""),
+    rule("least_time", Partial, true, "weights are solved from reported load", ""),
     rule(
         "random",
-        Differs,
+        Partial,
         true,
         "picks are by weight and chance; weights are solved from reported load",
         "",
     ),
     rule(
         "ip_hash",
-        Left,
+        Unsupported,
         true,
         "flows of one client do not stay with one replica",
         "where replicas keep sessions, leave this upstream to nginx",
     ),
     rule(
         "hash",
-        Left,
+        Unsupported,
         true,
         "flows of one key do not stay with one replica",
         "where replicas keep state by key, leave this upstream to nginx",
     ),
-    rule("sticky", Left, true, "sessions are not bound to replicas", "leave this upstream to nginx"),
-    rule("queue", Left, true, "flows do not wait for a replica", "levels let in what can be done in time"),
-    rule("state", Left, true, "the roster is the list", ""),
-    rule("keepalive", Left, false, "connections are the proxy's own", "keep it in the proxy"),
-    rule("keepalive_requests", Left, false, "connections are the proxy's own", "keep it in the proxy"),
-    rule("keepalive_time", Left, false, "connections are the proxy's own", "keep it in the proxy"),
-    rule("keepalive_timeout", Left, false, "connections are the proxy's own", "keep it in the proxy"),
-    rule("ntlm", Left, true, "connections are not bound to clients", "leave this upstream to nginx"),
+    rule("sticky", Unsupported, true, "sessions are not bound to replicas", "leave this upstream to nginx"),
+    rule(
+        "queue",
+        Unsupported,
+        true,
+        "flows do not wait for a replica",
+        "levels let in what can be done in time",
+    ),
+    rule("state", Unsupported, true, "the roster is the list", ""),
+    rule("keepalive", Unsupported, false, "connections are the proxy's own", "keep it in the proxy"),
+    rule("keepalive_requests", Unsupported, false, "connections are the proxy's own", "keep it in the proxy"),
+    rule("keepalive_time", Unsupported, false, "connections are the proxy's own", "keep it in the proxy"),
+    rule("keepalive_timeout", Unsupported, false, "connections are the proxy's own", "keep it in the proxy"),
+    rule("ntlm", Unsupported, true, "connections are not bound to clients", "leave this upstream to nginx"),
     rule(
         "proxy_next_upstream",
-        Differs,
+        Partial,
         true,
         "which failures may be tried again: by the group's effect, and at most one further try",
         "say `effect` where a group's flows may run twice",
     ),
     rule(
         "proxy_next_upstream_tries",
-        Differs,
+        Partial,
         true,
         "one further try at the most; more of them are not made",
         "",
     ),
-    rule("proxy_next_upstream_timeout", Differs, true, "bounds the expiry of the group", ""),
+    rule("proxy_next_upstream_timeout", Partial, true, "bounds the expiry of the group", ""),
     rule(
         "proxy_connect_timeout",
-        Differs,
+        Partial,
         true,
         "with the time to read it is the latency budget, as nginx takes any answer within both",
         "say the latency budget that clients really have",
     ),
     rule(
         "proxy_read_timeout",
-        Differs,
+        Partial,
         true,
         "with the time to connect it is the latency budget; it bounds the whole answer, not the time between \
          two reads",
@@ -183,59 +196,59 @@
     ),
     rule(
         "proxy_send_timeout",
-        Left,
+        Unsupported,
         true,
         "there is a latency budget for the whole, and none for sending",
         "",
     ),
     rule(
         "limit_req",
-        Differs,
+        Partial,
         true,
         "the governor sets the share of a group that is let in by load, and knows no rate",
         "keep limits by client in the proxy",
     ),
     rule(
         "limit_conn",
-        Differs,
+        Partial,
         true,
         "the governor sets the share of a group that is let in by load, and knows no count",
         "keep limits by client in the proxy",
     ),
-    rule("limit_req_zone", Left, true, "keys of limits are the proxy's own", "keep it in the proxy"),
-    rule("limit_conn_zone", Left, true, "keys of limits are the proxy's own", "keep it in the proxy"),
-    rule("limit_except", Carried, true, "flows that only read may run twice: the group is retriable", ""),
-    rule("proxy_method", Differs, true, "a method that only reads makes the group retriable", ""),
+    rule("limit_req_zone", Unsupported, true, "keys of limits are the proxy's own", "keep it in the proxy"),
+    rule("limit_conn_zone", Unsupported, true, "keys of limits are the proxy's own", "keep it in the proxy"),
+    rule("limit_except", Supported, true, "flows that only read may run twice: the group is retriable", ""),
+    rule("proxy_method", Partial, true, "a method that only reads makes the group retriable", ""),
     rule(
         "split_clients",
-        Differs,
+        Partial,
         true,
         "one pool of all its upstreams with their weights in these parts; a client may change its part",
         "",
     ),
-    rule("map", Differs, true, "a group for each value of the header, in its upstream's pool", ""),
-    rule("stream", Left, true, "connections without HTTP are not followed", "leave them to nginx"),
-    rule("mail", Left, false, "mail is not followed", "leave it to nginx"),
+    rule("map", Partial, true, "a group for each value of the header, in its upstream's pool", ""),
+    rule("stream", Unsupported, true, "connections without HTTP are not followed", "leave them to nginx"),
+    rule("mail", Unsupported, false, "mail is not followed", "leave it to nginx"),
     rule(
         "rewrite",
-        Left,
+        Unsupported,
         true,
         "flows are matched by their path as it comes",
         "keep it in the proxy, ahead of the route",
     ),
-    rule("if", Left, true, "conditions are not followed", "say what it chooses by paths or a header"),
-    rule("error_page", Left, true, "answers are passed as they come", "keep it in the proxy"),
-    rule("try_files", Left, true, "files are the proxy's own", "keep it in the proxy"),
-    rule("mirror", Left, true, "flows are not doubled", "keep it in the proxy"),
-    rule("server_name", Differs, true, "governors do not tell hosts apart", "run a governor for each host"),
-    rule("listen", Left, false, "where proxies listen is their own", ""),
-    rule("return", Left, false, "the proxy answers by itself", "keep it in the proxy"),
-    rule("internal", Left, true, "a location that no client reaches is no route", ""),
-    rule("fastcgi_pass", Left, true, "only HTTP and gRPC are followed", "leave it to nginx"),
-    rule("uwsgi_pass", Left, true, "only HTTP and gRPC are followed", "leave it to nginx"),
-    rule("scgi_pass", Left, true, "only HTTP and gRPC are followed", "leave it to nginx"),
-    rule("memcached_pass", Left, true, "only HTTP and gRPC are followed", "leave it to nginx"),
-    rule("grpc_pass", Carried, true, "leads the location's flows to its pool", ""),
+    rule("if", Unsupported, true, "conditions are not followed", "say what it chooses by paths or a header"),
+    rule("error_page", Unsupported, true, "answers are passed as they come", "keep it in the proxy"),
+    rule("try_files", Unsupported, true, "files are the proxy's own", "keep it in the proxy"),
+    rule("mirror", Unsupported, true, "flows are not doubled", "keep it in the proxy"),
+    rule("server_name", Partial, true, "governors do not tell hosts apart", "run a governor for each host"),
+    rule("listen", Unsupported, false, "where proxies listen is their own", ""),
+    rule("return", Unsupported, false, "the proxy answers by itself", "keep it in the proxy"),
+    rule("internal", Unsupported, true, "a location that no client reaches is no route", ""),
+    rule("fastcgi_pass", Unsupported, true, "only HTTP and gRPC are followed", "leave it to nginx"),
+    rule("uwsgi_pass", Unsupported, true, "only HTTP and gRPC are followed", "leave it to nginx"),
+    rule("scgi_pass", Unsupported, true, "only HTTP and gRPC are followed", "leave it to nginx"),
+    rule("memcached_pass", Unsupported, true, "only HTTP and gRPC are followed", "leave it to nginx"),
+    rule("grpc_pass", Supported, true, "leads the location's flows to its pool", ""),
 ];
 
 /// Directives that are the proxy's own business: how it listens, logs, caches, compresses, encrypts, allows.
@@ -388,22 +401,22 @@
 /// Blocks of entries that are no directives.
 pub const TABLES: &[&str] = &["types", "map", "geo", "split_clients"];
 
-impl Fate {
+impl DirectiveSupport {
     pub fn new(
         outcome: Outcome,
         routing: bool,
         why: impl Into<Cow<'static, str>>,
         advice: impl Into<Cow<'static, str>>,
     ) -> Self {
-        Fate { outcome, routing, why: why.into(), advice: advice.into() }
+        DirectiveSupport { outcome, affects_routing: routing, reason: why.into(), advice: advice.into() }
     }
 
     /// As its name alone says.
-    pub fn of(name: &str) -> Fate {
+    pub fn of(name: &str) -> DirectiveSupport {
         match explain(name) {
-            Some(rule) => Fate::new(rule.outcome, rule.routing, rule.why, rule.advice),
-            None => Fate::new(
-                Left,
+            Some(rule) => DirectiveSupport::new(rule.outcome, rule.affects_routing, rule.reason, rule.advice),
+            None => DirectiveSupport::new(
+                Unsupported,
                 true,
                 "this importer does not know it",
                 "look up whether it bears on where flows go",
@@ -413,10 +426,10 @@
 }
 
 /// What is said of a kind of directive; none if it is not known.
-pub fn explain(name: &str) -> Option<Rule> {
+pub fn explain(name: &str) -> Option<KnownDirective> {
     let own = |_: &&str| {
         let why = "it is the proxy's own business";
-        rule("", Left, false, why, "keep it in the proxy")
+        rule("", Unsupported, false, why, "keep it in the proxy")
     };
     let known = RULES.iter().find(|rule| rule.name == name).copied();
     known.or_else(|| OWN.iter().find(|own| **own == name).map(own))
@@ -424,28 +437,28 @@
 
 /// One entry of the account.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Told {
+pub struct ReportEntry {
     /// `file:line`.
     pub at: String,
     pub line: u32,
     pub column: u32,
     pub directive: String,
     #[serde(flatten)]
-    pub fate: Fate,
+    pub support: DirectiveSupport,
 }
 
 /// What becomes of each directive, by its place.
 #[derive(Debug, Clone, Default)]
-pub struct Account {
-    fates: BTreeMap<Place, Vec<(String, Fate)>>,
+pub struct ImportReport {
+    entries: BTreeMap<Position, Vec<(String, DirectiveSupport)>>,
 }
 
-impl Account {
+impl ImportReport {
     /// A directive ends so. What was said of it before stands unless this is worse: a directive that two
     /// locations inherit is carried over only if both do.
-    pub fn end(&mut self, directive: &Directive, fate: Fate) {
+    pub fn record(&mut self, directive: &Directive, fate: DirectiveSupport) {
         let name = directive.name.text().into_owned();
-        let told = self.fates.entry(directive.name.at).or_default();
+        let told = self.entries.entry(directive.name.at).or_default();
         match told.iter_mut().find(|(known, _)| *known == name) {
             Some((_, known)) if known.outcome < fate.outcome => *known = fate,
             Some(_) => {}
@@ -454,69 +467,73 @@
     }
 
     /// A parameter of a directive ends so, as `weight` of a `server` does.
-    pub fn parameter(&mut self, at: Place, name: &str, fate: Fate) {
-        self.fates.entry(at).or_default().push((name.to_string(), fate));
+    pub fn record_parameter(&mut self, at: Position, name: &str, fate: DirectiveSupport) {
+        self.entries.entry(at).or_default().push((name.to_string(), fate));
     }
 
     /// A directive and its words come to nothing after all, whatever was said of them.
-    pub fn void(&mut self, directive: &Directive, routing: bool, why: &str, advice: &str) {
+    pub fn revoke(&mut self, directive: &Directive, routing: bool, why: &str, advice: &str) {
         let words = directive.words.iter().map(|word| word.at);
         for at in std::iter::once(directive.name.at).chain(words) {
-            for (_, fate) in self.fates.get_mut(&at).into_iter().flatten() {
-                *fate = Fate::new(Left, routing, why.to_string(), advice.to_string());
+            for (_, fate) in self.entries.get_mut(&at).into_iter().flatten() {
+                *fate = DirectiveSupport::new(Unsupported, routing, why.to_string(), advice.to_string());
             }
         }
     }
 
     /// Ends all that nothing was said of: what would be carried over elsewhere is not where it stands.
-    pub fn close(&mut self, directives: &[Directive]) {
+    pub fn complete(&mut self, directives: &[Directive]) {
         for directive in directives {
             let name = directive.name.text();
-            if !self.fates.contains_key(&directive.name.at) {
-                let mut fate = Fate::of(&name);
-                if fate.outcome != Left && name != "include" {
+            if !self.entries.contains_key(&directive.name.at) {
+                let mut fate = DirectiveSupport::of(&name);
+                if fate.outcome != Unsupported && name != "include" {
                     let why = "it stands where nothing of it is followed";
-                    fate = Fate::new(Left, true, why, fate.advice);
+                    fate = DirectiveSupport::new(Unsupported, true, why, fate.advice);
                 }
-                self.end(directive, fate);
+                self.record(directive, fate);
             }
             // Entries of a table are words, not directives.
             if TABLES.contains(&&*name) {
                 continue;
             }
             if let Body::Block(within) | Body::Included(within) = &directive.body {
-                self.close(within);
+                self.complete(within);
             }
         }
     }
 
     /// In the order of files and lines.
-    pub fn told(&self, whole: &Whole) -> Vec<Told> {
-        let each = self.fates.iter().flat_map(|(at, all)| all.iter().map(move |one| (at, one)));
-        each.map(|(at, (directive, fate))| Told {
+    pub fn entries(&self, whole: &Configuration) -> Vec<ReportEntry> {
+        let each = self.entries.iter().flat_map(|(at, all)| all.iter().map(move |one| (at, one)));
+        each.map(|(at, (directive, fate))| ReportEntry {
             at: whole.origin(*at),
             line: at.line,
             column: at.column,
             directive: directive.clone(),
-            fate: fate.clone(),
+            support: fate.clone(),
         })
         .collect()
     }
 
     /// Whether something was said of what stands at a place.
-    pub fn knows(&self, at: Place) -> bool {
-        self.fates.contains_key(&at)
+    pub fn covers(&self, at: Position) -> bool {
+        self.entries.contains_key(&at)
     }
 
     /// How many ended in each way.
-    pub fn tally(&self) -> BTreeMap<Outcome, usize> {
+    pub fn outcome_counts(&self) -> BTreeMap<Outcome, usize> {
         let mut tally = BTreeMap::new();
-        self.fates.values().flatten().for_each(|(_, fate)| *tally.entry(fate.outcome).or_default() += 1);
+        self.entries.values().flatten().for_each(|(_, fate)| *tally.entry(fate.outcome).or_default() += 1);
         tally
     }
 
     /// What bears on routing and is left.
-    pub fn losses(&self) -> usize {
-        self.fates.values().flatten().filter(|(_, fate)| fate.outcome == Left && fate.routing).count()
+    pub fn routing_losses(&self) -> usize {
+        self.entries
+            .values()
+            .flatten()
+            .filter(|(_, fate)| fate.outcome == Unsupported && fate.affects_routing)
+            .count()
     }
 }
--- a/crates/nginx-importer/src/files.rs
+++ b/crates/nginx-importer/src/files.rs
@@ -3,26 +3,26 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-use crate::syntax::{self, Body, DEEPEST, Directive, MOST, Place};
+use crate::syntax::{self, Body, DEEPEST, Directive, MOST, Position};
 
 /// Files of one configuration, at the most, and their bytes together.
 pub const MOST_FILES: usize = 10_000;
 pub const MOST_BYTES: u64 = 64 << 20;
 
 /// Where files come from.
-pub trait Files {
+pub trait FileSource {
     /// Errors: why it can't be read, or that it is larger than `most`.
     fn read(&self, path: &Path, most: u64) -> Result<Vec<u8>, String>;
     /// Files that fit a pattern, in the order of their names.
     ///
     /// Errors: a pattern that is none.
-    fn fitting(&self, pattern: &str) -> Result<Vec<PathBuf>, String>;
+    fn matching(&self, pattern: &str) -> Result<Vec<PathBuf>, String>;
 }
 
 /// Files of this machine.
-pub struct Disk;
+pub struct LocalFiles;
 
-impl Files for Disk {
+impl FileSource for LocalFiles {
     fn read(&self, path: &Path, most: u64) -> Result<Vec<u8>, String> {
         use std::io::Read;
         let mut text = Vec::new();
@@ -35,7 +35,7 @@
         Ok(text)
     }
 
-    fn fitting(&self, pattern: &str) -> Result<Vec<PathBuf>, String> {
+    fn matching(&self, pattern: &str) -> Result<Vec<PathBuf>, String> {
         let paths = glob::glob(pattern).map_err(|error| error.to_string())?;
         // One that can't be looked at says so when it is read.
         Ok(paths.map(|path| path.unwrap_or_else(|error| error.path().to_path_buf())).collect())
@@ -44,15 +44,15 @@
 
 /// A configuration, with all that it includes.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Whole {
+pub struct Configuration {
     /// By their number, as they are named in errors and origins.
     pub files: Vec<PathBuf>,
     pub directives: Vec<Directive>,
 }
 
-impl Whole {
+impl Configuration {
     /// A place as `file:line`.
-    pub fn origin(&self, at: Place) -> String {
+    pub fn origin(&self, at: Position) -> String {
         let file =
             self.files.get(at.file as usize).map_or_else(String::new, |file| file.display().to_string());
         format!("{file}:{}", at.line)
@@ -61,24 +61,24 @@
 
 /// Why a configuration can't be read, and where.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub struct Unread {
+pub struct ReadError {
     pub file: PathBuf,
     pub line: u32,
     pub column: u32,
-    pub why: String,
+    pub reason: String,
 }
 
-impl fmt::Display for Unread {
+impl fmt::Display for ReadError {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.line {
-            0 => write!(to, "{}: {}", self.file.display(), self.why),
-            line => write!(to, "{}:{line}:{}: {}", self.file.display(), self.column, self.why),
+            0 => write!(to, "{}: {}", self.file.display(), self.reason),
+            line => write!(to, "{}:{line}:{}: {}", self.file.display(), self.column, self.reason),
         }
     }
 }
 
-struct Reader<'a> {
-    from: &'a dyn Files,
+struct ConfigurationReader<'a> {
+    from: &'a dyn FileSource,
     /// What relative names are relative to: the folder of the main file.
     folder: PathBuf,
     files: Vec<PathBuf>,
@@ -91,19 +91,20 @@
 /// Reads a configuration from its main file.
 ///
 /// Errors: what can't be read or understood, and where.
-pub fn read(from: &dyn Files, main: &Path) -> Result<Whole, Unread> {
+pub fn read(from: &dyn FileSource, main: &Path) -> Result<Configuration, ReadError> {
     let folder = main.parent().map(Path::to_path_buf).unwrap_or_default();
-    let mut reader = Reader { from, folder, files: Vec::new(), open: Vec::new(), bytes: 0, directives: 0 };
+    let mut reader =
+        ConfigurationReader { from, folder, files: Vec::new(), open: Vec::new(), bytes: 0, directives: 0 };
     let directives = reader.file(main, None, 0)?;
-    Ok(Whole { files: reader.files, directives })
+    Ok(Configuration { files: reader.files, directives })
 }
 
-impl Reader<'_> {
+impl ConfigurationReader<'_> {
     /// `by`: where it is included, and in how many blocks.
-    fn file(&mut self, path: &Path, by: Option<Place>, depth: usize) -> Result<Vec<Directive>, Unread> {
+    fn file(&mut self, path: &Path, by: Option<Position>, depth: usize) -> Result<Vec<Directive>, ReadError> {
         let at = |reader: &Self, why: String| match by {
             Some(by) => reader.fault(by, why),
-            None => Unread { file: path.to_path_buf(), line: 0, column: 0, why },
+            None => ReadError { file: path.to_path_buf(), line: 0, column: 0, reason: why },
         };
         if self.open.iter().any(|open| open == path) {
             return Err(at(self, format!("{} includes itself", path.display())));
@@ -117,19 +118,19 @@
         let number = self.files.len() as u32;
         self.files.push(path.to_path_buf());
         let read = syntax::parse(&text, number, MOST - self.directives);
-        let mut read = read.map_err(|fault| self.fault(fault.at, fault.why.to_string()))?;
+        let mut read = read.map_err(|fault| self.fault(fault.position, fault.kind.to_string()))?;
         self.open.push(path.to_path_buf());
         self.includes(&mut read, depth)?;
         self.open.pop();
         Ok(read)
     }
 
-    fn fault(&self, at: Place, why: String) -> Unread {
+    fn fault(&self, at: Position, why: String) -> ReadError {
         let file = self.files.get(at.file as usize).cloned().unwrap_or_default();
-        Unread { file, line: at.line, column: at.column, why }
+        ReadError { file, line: at.line, column: at.column, reason: why }
     }
 
-    fn includes(&mut self, directives: &mut [Directive], depth: usize) -> Result<(), Unread> {
+    fn includes(&mut self, directives: &mut [Directive], depth: usize) -> Result<(), ReadError> {
         for directive in directives {
             self.directives += 1;
             let at = directive.name.at;
@@ -149,7 +150,7 @@
             let path = self.folder.join(&*word.text());
             let pattern = path.to_string_lossy().into_owned();
             let paths = match pattern.contains(['*', '?', '[']) {
-                true => self.from.fitting(&pattern).map_err(|why| self.fault(at, why))?,
+                true => self.from.matching(&pattern).map_err(|why| self.fault(at, why))?,
                 false => vec![path],
             };
             let mut included = Vec::new();
@@ -169,19 +170,19 @@
 
     struct Held(BTreeMap<&'static str, &'static str>);
 
-    impl Files for Held {
+    impl FileSource for Held {
         fn read(&self, path: &Path, _: u64) -> Result<Vec<u8>, String> {
             let text = self.0.get(&*path.to_string_lossy()).ok_or("no such file")?;
             Ok(text.as_bytes().to_vec())
         }
 
-        fn fitting(&self, pattern: &str) -> Result<Vec<PathBuf>, String> {
+        fn matching(&self, pattern: &str) -> Result<Vec<PathBuf>, String> {
             let pattern = glob::Pattern::new(pattern).map_err(|error| error.to_string())?;
             Ok(self.0.keys().filter(|path| pattern.matches(path)).map(PathBuf::from).collect())
         }
     }
 
-    fn whole(files: &[(&'static str, &'static str)]) -> Result<Whole, String> {
+    fn whole(files: &[(&'static str, &'static str)]) -> Result<Configuration, String> {
         read(&Held(files.iter().copied().collect()), Path::new("etc/nginx.conf"))
             .map_err(|unread| unread.to_string())
     }
--- a/crates/nginx-importer/src/fleet.rs
+++ b/crates/nginx-importer/src/fleet.rs
@@ -7,9 +7,9 @@
 
 use serde::Serialize;
 
-use crate::directive_support::{Account, Fate, Outcome};
-use crate::files::Whole;
-use crate::syntax::{Body, Directive, Place, Word};
+use crate::directive_support::{DirectiveSupport, ImportReport, Outcome};
+use crate::files::Configuration;
+use crate::syntax::{Body, Directive, Position, Word};
 use crate::values::{Target, name, seconds, share, target};
 
 /// Groups of one governor, at the most.
@@ -22,7 +22,7 @@
 
 /// How zones are told, as nginx has none.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Zones {
+pub enum ZoneAssignment {
     /// All in one.
     #[default]
     One,
@@ -31,7 +31,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Replica {
+pub struct ImportedReplica {
     /// Its address, so that it keeps its name over repeated imports.
     pub id: String,
     pub address: String,
@@ -54,52 +54,60 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Tries {
+pub enum ImportedRetryPolicy {
     Never,
     #[serde(rename = "if-never-ran")]
     IfNotExecuted,
-    Once,
+    #[serde(rename = "once")]
+    OnAnyFailure,
 }
 
-impl Tries {
-    pub fn word(self) -> &'static str {
+impl ImportedRetryPolicy {
+    pub fn name(self) -> &'static str {
         match self {
-            Tries::Never => "never",
-            Tries::IfNotExecuted => "if-never-ran",
-            Tries::Once => "once",
+            ImportedRetryPolicy::Never => "never",
+            ImportedRetryPolicy::IfNotExecuted => "if-never-ran",
+            ImportedRetryPolicy::OnAnyFailure => "once",
         }
     }
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Group {
+pub struct ImportedClass {
     pub name: String,
     pub routes: Routes,
-    pub retriable: bool,
+    #[serde(rename = "retriable")]
+    pub idempotent: bool,
     /// Seconds.
-    pub latency_budget: f64,
-    pub expiry: f64,
-    pub tries: Tries,
+    #[serde(rename = "latency_budget")]
+    pub latency_objective: f64,
+    #[serde(rename = "expiry")]
+    pub request_deadline: f64,
+    #[serde(rename = "tries")]
+    pub retry_policy: ImportedRetryPolicy,
     /// The locations it comes from: what they are, and `file:line`.
     pub origins: Vec<String>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Fleet {
+pub struct ImportedFleet {
     pub name: String,
     pub origin: String,
     pub zones: Vec<String>,
-    pub replicas: Vec<Replica>,
-    pub groups: Vec<Group>,
+    pub replicas: Vec<ImportedReplica>,
+    #[serde(rename = "groups")]
+    pub classes: Vec<ImportedClass>,
     /// Seconds; none where nothing is said.
-    pub warm_after: Option<f64>,
-    pub tries: Tries,
+    #[serde(rename = "warm_after")]
+    pub slow_start_seconds: Option<f64>,
+    #[serde(rename = "tries")]
+    pub retry_policy: ImportedRetryPolicy,
 }
 
 #[derive(Debug, Clone)]
-pub struct Imported {
-    pub fleets: Vec<Fleet>,
-    pub account: Account,
+pub struct ImportResult {
+    pub fleets: Vec<ImportedFleet>,
+    pub report: ImportReport,
 }
 
 #[derive(Debug, Clone)]
@@ -108,21 +116,21 @@
     weight: f64,
     phase: &'static str,
     backup: bool,
-    at: Place,
+    at: Position,
 }
 
 #[derive(Debug, Clone, Default)]
 struct Upstream {
     servers: Vec<Server>,
     slow_start: Option<f64>,
-    at: Place,
+    at: Position,
     /// Itself and what stands in it, for their fates.
     heads: Vec<Directive>,
 }
 
 /// What is said outside a location, and holds within it unless it says otherwise.
 #[derive(Debug, Clone, Default)]
-struct Inherited {
+struct InheritedSettings {
     connect: Option<f64>,
     read: Option<f64>,
     next: Option<Vec<String>>,
@@ -132,45 +140,45 @@
 }
 
 /// Upstreams, and the part of flows that each gets.
-type Parts = Vec<(String, f64)>;
+type Shares = Vec<(String, f64)>;
 
 /// One location that passes flows on.
-struct Lead {
-    to: Parts,
-    route: LeadRoute,
-    retriable: bool,
-    latency_budget: f64,
-    expiry: f64,
-    tries: Tries,
-    at: Place,
+struct RoutedLocation {
+    shares: Shares,
+    route: LocationRoute,
+    idempotent: bool,
+    latency_objective: f64,
+    request_deadline: f64,
+    retry_policy: ImportedRetryPolicy,
+    position: Position,
     /// As it is written.
     written: String,
     /// The location and what passes its flows on, for their fates.
-    heads: [Directive; 2],
+    directives: [Directive; 2],
 }
 
 #[derive(Debug, Clone, PartialEq)]
-enum LeadRoute {
+enum LocationRoute {
     Path(String),
     Header(String),
 }
 
 /// A variable that chooses an upstream.
-enum Choice {
+enum UpstreamSelector {
     /// By chance: upstreams and their parts.
-    Split(Parts),
+    Split(Shares),
     /// By a header: its name, upstreams by value, and by default.
     Header(String, Vec<(String, String)>, Option<String>),
 }
 
 struct Importer<'a> {
-    whole: &'a Whole,
-    zones: Zones,
-    account: Account,
+    whole: &'a Configuration,
+    zones: ZoneAssignment,
+    account: ImportReport,
     upstreams: BTreeMap<String, Upstream>,
     /// By the variable, with the directive that says it.
-    choices: BTreeMap<String, (Choice, Directive)>,
-    leads: Vec<Lead>,
+    choices: BTreeMap<String, (UpstreamSelector, Directive)>,
+    leads: Vec<RoutedLocation>,
 }
 
 /// Directives with what is included among them in its place.
@@ -186,11 +194,11 @@
 }
 
 /// Imports a configuration.
-pub fn import(whole: &Whole, zones: Zones) -> Imported {
+pub fn import(whole: &Configuration, zones: ZoneAssignment) -> ImportResult {
     let mut importer = Importer {
         whole,
         zones,
-        account: Account::default(),
+        account: ImportReport::default(),
         upstreams: BTreeMap::new(),
         choices: BTreeMap::new(),
         leads: Vec::new(),
@@ -198,7 +206,7 @@
     let top = each(&whole.directives);
     let mut blocks: Vec<Vec<&Directive>> = Vec::new();
     for http in top.iter().filter(|one| one.is("http")) {
-        importer.account.end(http, Fate::of("http"));
+        importer.account.record(http, DirectiveSupport::of("http"));
         blocks.push(each(http.block()));
     }
     // A file that is included elsewhere within `http` may be given by itself.
@@ -210,23 +218,23 @@
         importer.choices(block);
     }
     for block in &blocks {
-        let inherited = importer.inherited(&Inherited::default(), block);
+        let inherited = importer.inherited(&InheritedSettings::default(), block);
         for server in block.iter().filter(|one| one.is("server") && matches!(one.body, Body::Block(_))) {
-            importer.account.end(server, Fate::of("server"));
+            importer.account.record(server, DirectiveSupport::of("server"));
             let within = each(server.block());
             let inherited = importer.inherited(&inherited, &within);
             importer.locations(&within, &inherited, None);
         }
     }
     let fleets = importer.fleets();
-    importer.account.close(&whole.directives);
-    Imported { fleets, account: importer.account }
+    importer.account.complete(&whole.directives);
+    ImportResult { fleets, report: importer.account }
 }
 
 impl Importer<'_> {
     fn left(&mut self, directive: &Directive, why: impl Into<String>) {
-        let advice = Fate::of(&directive.name.text()).advice;
-        self.account.end(directive, Fate::new(Outcome::Left, true, why.into(), advice));
+        let advice = DirectiveSupport::of(&directive.name.text()).advice;
+        self.account.record(directive, DirectiveSupport::new(Outcome::Unsupported, true, why.into(), advice));
     }
 
     // ---- upstreams
@@ -241,7 +249,7 @@
                 self.left(directive, format!("`{name}` was said already; nginx takes no second one"));
                 continue;
             }
-            self.account.end(directive, Fate::of("upstream"));
+            self.account.record(directive, DirectiveSupport::of("upstream"));
             let mut upstream = Upstream { at: directive.name.at, ..Upstream::default() };
             upstream.heads.push(directive.head());
             for one in each(directive.block()) {
@@ -250,7 +258,7 @@
                     self.server(one, &mut upstream);
                 } else {
                     // Not what an `http` block's directive of the same name is, but its own meaning here.
-                    self.account.end(one, Fate::of(&one.name.text()));
+                    self.account.record(one, DirectiveSupport::of(&one.name.text()));
                 }
             }
             self.upstreams.insert(name.into_owned(), upstream);
@@ -261,13 +269,13 @@
         let Some(said) = directive.word(0) else {
             return self.left(directive, "a server without an address");
         };
-        let mut fate = Fate::new(Outcome::Carried, true, "a replica on the roster", "");
+        let mut fate = DirectiveSupport::new(Outcome::Supported, true, "a replica on the roster", "");
         let address = match target(&said, 80) {
             Some(Target::Address(address)) => address,
             Some(Target::Name(address)) => {
                 let why = "the name is handed to proxies as it is, and looked up by nobody here";
                 let advice = "list the addresses: public proxies take nothing else";
-                fate = Fate::new(Outcome::Differs, true, why, advice);
+                fate = DirectiveSupport::new(Outcome::Partial, true, why, advice);
                 address
             }
             Some(Target::Unix(_)) => {
@@ -280,7 +288,7 @@
         for word in &directive.words[1..] {
             let text = word.text();
             let (parameter, value) = text.split_once('=').map_or((&*text, None), |(one, of)| (one, Some(of)));
-            let mut ended = Fate::of(parameter);
+            let mut ended = DirectiveSupport::of(parameter);
             match (parameter, value) {
                 ("weight", Some(value)) => match value.parse::<u32>() {
                     Ok(weight) if weight > 0 => server.weight = f64::from(weight),
@@ -300,9 +308,9 @@
                 ("resolve" | "drain", None) => {}
                 _ => ended = odd(&text, "a parameter that this importer knows"),
             }
-            self.account.parameter(word.at, parameter, ended);
+            self.account.record_parameter(word.at, parameter, ended);
         }
-        self.account.end(directive, fate);
+        self.account.record(directive, fate);
         match upstream.servers.iter_mut().find(|known| known.address == server.address) {
             // Said twice, it gets twice as much.
             Some(known) if known.backup == server.backup && known.phase == server.phase => {
@@ -331,14 +339,17 @@
                 Ok(Some(choice)) => drop(self.choices.insert(variable, (choice, directive.head()))),
                 Ok(None) => {
                     let why = "it chooses no upstream";
-                    self.account.end(directive, Fate::new(Outcome::Left, false, why, "keep it in the proxy"));
+                    self.account.record(
+                        directive,
+                        DirectiveSupport::new(Outcome::Unsupported, false, why, "keep it in the proxy"),
+                    );
                 }
                 Err(why) => self.left(directive, why),
             }
         }
     }
 
-    fn split(&self, directive: &Directive) -> Result<Option<Choice>, String> {
+    fn split(&self, directive: &Directive) -> Result<Option<UpstreamSelector>, String> {
         let (mut parts, mut rest) = (Vec::new(), 1.0);
         for entry in each(directive.block()) {
             let Some(to) = entry.word(0) else { return Err("an entry without its value".to_string()) };
@@ -360,10 +371,10 @@
             return Err("its parts are more than the whole".to_string());
         }
         // Without `*`, what is left goes to an empty value: nowhere.
-        Ok((!parts.is_empty()).then_some(Choice::Split(parts)))
+        Ok((!parts.is_empty()).then_some(UpstreamSelector::Split(parts)))
     }
 
-    fn header_choice(&self, from: &str, directive: &Directive) -> Result<Option<Choice>, String> {
+    fn header_choice(&self, from: &str, directive: &Directive) -> Result<Option<UpstreamSelector>, String> {
         let (mut values, mut otherwise, mut any) = (Vec::new(), None, false);
         for entry in each(directive.block()) {
             let value = entry.name.text().into_owned();
@@ -394,20 +405,24 @@
             return Err(format!("`{stray}` is no upstream"));
         }
         values.retain(|(_, to)| !to.is_empty());
-        Ok(Some(Choice::Header(header.replace('_', "-"), values, otherwise.filter(|to| !to.is_empty()))))
+        Ok(Some(UpstreamSelector::Header(
+            header.replace('_', "-"),
+            values,
+            otherwise.filter(|to| !to.is_empty()),
+        )))
     }
 
     // ---- locations
 
     /// What a block says for all within it.
-    fn inherited(&mut self, outer: &Inherited, block: &[&Directive]) -> Inherited {
+    fn inherited(&mut self, outer: &InheritedSettings, block: &[&Directive]) -> InheritedSettings {
         let mut here = outer.clone();
         for directive in block {
             let name = directive.name.text();
             let (text, span) =
                 (directive.word(0).unwrap_or_default(), directive.word(0).and_then(|one| seconds(&one)));
             let odd_span = || odd(&text, "a span");
-            let mut fate = Fate::of(&name);
+            let mut fate = DirectiveSupport::of(&name);
             let is_span = span.is_some();
             match &*name {
                 "proxy_connect_timeout" | "grpc_connect_timeout" if is_span => here.connect = span,
@@ -432,16 +447,17 @@
                 "server_name" | "limit_req" | "limit_conn" => {}
                 _ => continue,
             }
-            if let Some(known) = name.strip_prefix("grpc_").filter(|_| fate.why.contains("does not know")) {
-                fate = Fate::of(&format!("proxy_{known}"));
+            if let Some(known) = name.strip_prefix("grpc_").filter(|_| fate.reason.contains("does not know"))
+            {
+                fate = DirectiveSupport::of(&format!("proxy_{known}"));
             }
-            self.account.end(directive, fate);
+            self.account.record(directive, fate);
         }
         here
     }
 
     /// `within`: the path of the location that these stand in.
-    fn locations(&mut self, block: &[&Directive], inherited: &Inherited, within: Option<&str>) {
+    fn locations(&mut self, block: &[&Directive], inherited: &InheritedSettings, within: Option<&str>) {
         for directive in block.iter().filter(|one| one.is("location")) {
             let Body::Block(_) = &directive.body else {
                 self.left(directive, "a location has a block");
@@ -461,12 +477,13 @@
             for except in inner.iter().filter(|one| one.is("limit_except")) {
                 if only_reads(except) {
                     own.reads_only = true;
-                    self.account.end(except, Fate::of("limit_except"));
+                    self.account.record(except, DirectiveSupport::of("limit_except"));
                 } else {
                     let why =
                         "some flows that write are let in by it, too: the group is not retriable for it";
-                    let fate = Fate::new(Outcome::Left, false, why, "keep it in the proxy");
-                    self.account.end(except, fate);
+                    let fate =
+                        DirectiveSupport::new(Outcome::Unsupported, false, why, "keep it in the proxy");
+                    self.account.record(except, fate);
                 }
             }
             if inner.iter().any(|one| one.is("internal")) {
@@ -478,8 +495,9 @@
             match passes.as_slice() {
                 [] => {
                     let why = "no flows are passed on from here: the proxy answers by itself";
-                    let fate = Fate::new(Outcome::Left, false, why, "keep it in the proxy");
-                    self.account.end(directive, fate);
+                    let fate =
+                        DirectiveSupport::new(Outcome::Unsupported, false, why, "keep it in the proxy");
+                    self.account.record(directive, fate);
                 }
                 [pass] => self.pass(directive, pass, &path, &own),
                 [first, second, ..] => {
@@ -489,14 +507,17 @@
             }
             if within.is_some() && path.starts_with('~') {
                 let why = "a pattern within a location counts for all paths, and not only for those there";
-                self.account.end(directive, Fate::new(Outcome::Differs, true, why, "begin it with the path"));
+                self.account.record(
+                    directive,
+                    DirectiveSupport::new(Outcome::Partial, true, why, "begin it with the path"),
+                );
             }
             self.locations(&inner, &here, Some(&path));
         }
     }
 
-    fn pass(&mut self, location: &Directive, pass: &Directive, path: &str, here: &Inherited) {
-        self.account.end(location, Fate::of("location"));
+    fn pass(&mut self, location: &Directive, pass: &Directive, path: &str, here: &InheritedSettings) {
+        self.account.record(location, DirectiveSupport::of("location"));
         let said = pass.word(0).unwrap_or_default().into_owned();
         let (scheme, rest) = said.split_once("://").unwrap_or(("", &said));
         let at = rest.find('/').unwrap_or(rest.len());
@@ -507,28 +528,29 @@
             "" if pass.is("grpc_pass") => 80,
             _ => return self.nowhere(location, pass, format!("`{said}` is neither HTTP nor HTTPS")),
         };
-        let mut fate = Fate::of("proxy_pass");
+        let mut fate = DirectiveSupport::of("proxy_pass");
         if default == 443 {
             let why = "it is followed, and encryption to replicas is the proxy's own";
-            fate = Fate::new(Outcome::Differs, true, why, "keep `proxy_ssl_...` in the proxy");
+            fate = DirectiveSupport::new(Outcome::Partial, true, why, "keep `proxy_ssl_...` in the proxy");
         }
         if !uri.is_empty() && uri != path.trim_start_matches("^~ ") {
             let why = format!("it replaces the location's path by `{uri}`, and flows keep theirs");
-            fate = Fate::new(Outcome::Differs, true, why, "have replicas take the path as it comes");
+            fate =
+                DirectiveSupport::new(Outcome::Partial, true, why, "have replicas take the path as it comes");
         }
-        let path_route = || LeadRoute::Path(path.to_string());
+        let path_route = || LocationRoute::Path(path.to_string());
         let variable = to.strip_prefix("${").and_then(|to| to.strip_suffix('}')).or(to.strip_prefix('$'));
-        let leads: Result<Vec<(Parts, LeadRoute)>, String> = match variable {
+        let leads: Result<Vec<(Shares, LocationRoute)>, String> = match variable {
             Some(variable) => match self.choices.get(variable) {
-                Some((Choice::Split(parts), _)) => Ok(vec![(parts.clone(), path_route())]),
-                Some((Choice::Header(header, values, otherwise), _)) if path == "/" => {
+                Some((UpstreamSelector::Split(parts), _)) => Ok(vec![(parts.clone(), path_route())]),
+                Some((UpstreamSelector::Header(header, values, otherwise), _)) if path == "/" => {
                     let by_value = |(value, to): &(String, String)| {
-                        (vec![(to.clone(), 1.0)], LeadRoute::Header(format!("{header}: {value}")))
+                        (vec![(to.clone(), 1.0)], LocationRoute::Header(format!("{header}: {value}")))
                     };
                     let otherwise = otherwise.iter().map(|to| (vec![(to.clone(), 1.0)], path_route()));
                     Ok(values.iter().map(by_value).chain(otherwise).collect())
                 }
-                Some((Choice::Header(..), _)) => {
+                Some((UpstreamSelector::Header(..), _)) => {
                     Err("a group is told by paths or by a header: with both only the location `/` is"
                         .to_string())
                 }
@@ -561,9 +583,9 @@
         if !leads.iter().all(|(to, _)| to.iter().any(listed)) {
             return self.nowhere(location, pass, "none of its servers can be listed".to_string());
         }
-        self.account.end(pass, fate);
+        self.account.record(pass, fate);
         if let Some((_, said)) = variable.and_then(|variable| self.choices.get(variable)) {
-            self.account.end(said, Fate::of(&said.name.text()));
+            self.account.record(said, DirectiveSupport::of(&said.name.text()));
         }
         let attempt = (here.connect.unwrap_or(CONNECT) + here.read.unwrap_or(READ)).clamp(0.001, LONGEST);
         let next: Vec<&str> = match &here.next {
@@ -572,28 +594,28 @@
         };
         let repeats = next.contains(&"non_idempotent");
         let tries = match (next.contains(&"off") || here.tries == Some(1), repeats) {
-            (true, _) => Tries::Never,
-            (false, false) => Tries::IfNotExecuted,
-            (false, true) => Tries::Once,
+            (true, _) => ImportedRetryPolicy::Never,
+            (false, false) => ImportedRetryPolicy::IfNotExecuted,
+            (false, true) => ImportedRetryPolicy::OnAnyFailure,
         };
         let expiry = match (tries, here.next_within.unwrap_or(0.0)) {
-            (Tries::Never, _) => attempt,
+            (ImportedRetryPolicy::Never, _) => attempt,
             (_, 0.0) => 2.0 * attempt,
             // The first try is not cut short by it.
             (_, within) => (2.0 * attempt).min(within.max(attempt)),
         };
         for (to, route) in leads {
             let written = location.words.iter().map(Word::text).collect::<Vec<_>>().join(" ");
-            self.leads.push(Lead {
-                to,
+            self.leads.push(RoutedLocation {
+                shares: to,
                 route,
-                retriable: here.reads_only || repeats,
-                latency_budget: attempt,
-                expiry: expiry.min(LONGEST),
-                tries,
-                at: location.name.at,
+                idempotent: here.reads_only || repeats,
+                latency_objective: attempt,
+                request_deadline: expiry.min(LONGEST),
+                retry_policy: tries,
+                position: location.name.at,
                 written,
-                heads: [location.head(), pass.head()],
+                directives: [location.head(), pass.head()],
             });
         }
     }
@@ -605,13 +627,13 @@
 
     // ---- fleets
 
-    fn fleets(&mut self) -> Vec<Fleet> {
-        let mut fleets: Vec<Fleet> = Vec::new();
+    fn fleets(&mut self) -> Vec<ImportedFleet> {
+        let mut fleets: Vec<ImportedFleet> = Vec::new();
         let (mut known, mut taken): (BTreeMap<String, usize>, BTreeSet<String>) = Default::default();
         for place in 0..self.leads.len() {
             let lead = &self.leads[place];
-            let (replicas, warm_after) = self.pool(&lead.to);
-            let bare = |one: &Replica| (one.id.clone(), one.weight, one.phase, one.backup);
+            let (replicas, warm_after) = self.pool(&lead.shares);
+            let bare = |one: &ImportedReplica| (one.id.clone(), one.weight, one.phase, one.backup);
             // Upstreams that say the same are one pool.
             let same = format!("{warm_after:?} {:?}", replicas.iter().map(bare).collect::<Vec<_>>());
             let at = match known.get(&same) {
@@ -626,27 +648,33 @@
             };
             self.group(place, at, &mut fleets);
         }
-        let led: BTreeSet<&String> = self.leads.iter().flat_map(|lead| &lead.to).map(|(to, _)| to).collect();
+        let led: BTreeSet<&String> =
+            self.leads.iter().flat_map(|lead| &lead.shares).map(|(to, _)| to).collect();
         for (_, upstream) in self.upstreams.iter().filter(|(name, _)| !led.contains(name)) {
             if upstream.servers.is_empty() {
                 let why = "none of its servers can be listed";
-                upstream.heads.first().into_iter().for_each(|head| self.account.void(head, true, why, ""));
+                upstream.heads.first().into_iter().for_each(|head| self.account.revoke(head, true, why, ""));
                 continue;
             }
             let (why, advice) = ("no location leads to this upstream", "import the file that does, too");
-            upstream.heads.iter().for_each(|head| self.account.void(head, false, why, advice));
+            upstream.heads.iter().for_each(|head| self.account.revoke(head, false, why, advice));
         }
         self.shared(&fleets);
-        fleets.retain(|fleet| !fleet.groups.is_empty());
+        fleets.retain(|fleet| !fleet.classes.is_empty());
         for fleet in &mut fleets {
-            fleet.tries = fleet.groups.iter().map(|group| group.tries).min().unwrap_or(Tries::Never);
+            fleet.retry_policy = fleet
+                .classes
+                .iter()
+                .map(|group| group.retry_policy)
+                .min()
+                .unwrap_or(ImportedRetryPolicy::Never);
         }
         fleets
     }
 
     /// The replicas of some upstreams together, each with its part.
-    fn pool(&self, to: &[(String, f64)]) -> (Vec<Replica>, Option<f64>) {
-        let mut all: BTreeMap<String, Replica> = BTreeMap::new();
+    fn pool(&self, to: &[(String, f64)]) -> (Vec<ImportedReplica>, Option<f64>) {
+        let mut all: BTreeMap<String, ImportedReplica> = BTreeMap::new();
         let mut warm_after: Option<f64> = None;
         for (name, part) in to {
             let upstream = &self.upstreams[name];
@@ -659,7 +687,7 @@
             let scale = if to.len() == 1 { 1.0 } else { part * 100.0 / sum.max(1.0) };
             for server in &upstream.servers {
                 let weight = (server.weight * scale * 1e6).round().max(1.0) / 1e6;
-                let replica = Replica {
+                let replica = ImportedReplica {
                     id: server.address.clone(),
                     address: server.address.clone(),
                     zone: self.zone(&server.address),
@@ -677,47 +705,48 @@
     fn zone(&self, address: &str) -> String {
         let host = address.rsplit_once(':').map_or(address, |(host, _)| host).trim_matches(['[', ']']);
         match (self.zones, host.parse::<std::net::IpAddr>()) {
-            (Zones::One, _) => "all".to_string(),
-            (Zones::Network, Ok(std::net::IpAddr::V4(at))) => {
+            (ZoneAssignment::One, _) => "all".to_string(),
+            (ZoneAssignment::Network, Ok(std::net::IpAddr::V4(at))) => {
                 let [a, b, c, _] = at.octets();
                 format!("{a}.{b}.{c}")
             }
-            (Zones::Network, Ok(std::net::IpAddr::V6(at))) => {
+            (ZoneAssignment::Network, Ok(std::net::IpAddr::V6(at))) => {
                 let [a, b, c, d, ..] = at.segments();
                 format!("{a:x}:{b:x}:{c:x}:{d:x}")
             }
-            (Zones::Network, Err(_)) => "names".to_string(),
+            (ZoneAssignment::Network, Err(_)) => "names".to_string(),
         }
     }
 
     fn fleet(
         &self,
-        lead: &Lead,
-        replicas: Vec<Replica>,
+        lead: &RoutedLocation,
+        replicas: Vec<ImportedReplica>,
         warm_after: Option<f64>,
         taken: &BTreeSet<String>,
-    ) -> Fleet {
-        let names: Vec<&str> = lead.to.iter().map(|(to, _)| to.as_str()).collect();
+    ) -> ImportedFleet {
+        let names: Vec<&str> = lead.shares.iter().map(|(to, _)| to.as_str()).collect();
         let first = &self.upstreams[names[0]];
         let zones: BTreeSet<String> = replicas.iter().map(|replica| replica.zone.clone()).collect();
-        Fleet {
+        ImportedFleet {
             name: unlike(&name(&names.join(" ")), "pool", taken),
             origin: format!("upstream {} ({})", names.join(" and "), self.whole.origin(first.at)),
             zones: zones.into_iter().collect(),
             replicas,
-            groups: Vec::new(),
-            warm_after,
-            tries: Tries::Never,
+            classes: Vec::new(),
+            slow_start_seconds: warm_after,
+            retry_policy: ImportedRetryPolicy::Never,
         }
     }
 
     /// Puts a lead into the group of its fleet that is like it, or into a new one.
-    fn group(&mut self, place: usize, at: usize, fleets: &mut [Fleet]) {
+    fn group(&mut self, place: usize, at: usize, fleets: &mut [ImportedFleet]) {
         let lead = &self.leads[place];
-        let origin = format!("location {} ({})", lead.written, self.whole.origin(lead.at));
-        let groups = &mut fleets[at].groups;
-        if let LeadRoute::Path(path) = &lead.route {
-            let holds = |group: &Group| matches!(&group.routes, Routes::Paths(paths) if paths.contains(path));
+        let origin = format!("location {} ({})", lead.written, self.whole.origin(lead.position));
+        let groups = &mut fleets[at].classes;
+        if let LocationRoute::Path(path) = &lead.route {
+            let holds =
+                |group: &ImportedClass| matches!(&group.routes, Routes::Paths(paths) if paths.contains(path));
             if let Some(known) = groups.iter_mut().find(|group| holds(group)) {
                 if alike(known, lead) {
                     known.origins.push(origin);
@@ -725,10 +754,11 @@
                 }
                 let why = format!("`{path}` leads to group `{}` already, said otherwise there", known.name);
                 let advice = "governors do not tell hosts apart: run one for each";
-                lead.heads.iter().for_each(|head| self.account.void(head, true, &why, advice));
+                lead.directives.iter().for_each(|head| self.account.revoke(head, true, &why, advice));
                 return;
             }
-            let joins = |group: &&mut Group| matches!(group.routes, Routes::Paths(_)) && alike(group, lead);
+            let joins =
+                |group: &&mut ImportedClass| matches!(group.routes, Routes::Paths(_)) && alike(group, lead);
             if let Some(group) = groups.iter_mut().find(joins) {
                 if let Routes::Paths(paths) = &mut group.routes {
                     paths.push(path.clone());
@@ -737,8 +767,8 @@
                 return;
             }
         }
-        let same_header = |group: &Group| match (&group.routes, &lead.route) {
-            (Routes::Header(one), LeadRoute::Header(other)) => one == other,
+        let same_header = |group: &ImportedClass| match (&group.routes, &lead.route) {
+            (Routes::Header(one), LocationRoute::Header(other)) => one == other,
             _ => false,
         };
         let full = groups.len() >= MOST_GROUPS;
@@ -747,34 +777,34 @@
                 true => format!("a governor has {MOST_GROUPS} groups at the most"),
                 false => "the same header leads to a group already".to_string(),
             };
-            lead.heads
+            lead.directives
                 .iter()
-                .for_each(|head| self.account.void(head, true, &why, "run a governor of its own"));
+                .for_each(|head| self.account.revoke(head, true, &why, "run a governor of its own"));
             return;
         }
         let (said, routes) = match &lead.route {
-            LeadRoute::Path(path) => (name(path), Routes::Paths(vec![path.clone()])),
-            LeadRoute::Header(header) => (name(header), Routes::Header(header.clone())),
+            LocationRoute::Path(path) => (name(path), Routes::Paths(vec![path.clone()])),
+            LocationRoute::Header(header) => (name(header), Routes::Header(header.clone())),
         };
         let taken = groups.iter().map(|group| group.name.clone()).collect();
-        groups.push(Group {
+        groups.push(ImportedClass {
             name: unlike(&said, "root", &taken),
             routes,
-            retriable: lead.retriable,
-            latency_budget: lead.latency_budget,
-            expiry: lead.expiry,
-            tries: lead.tries,
+            idempotent: lead.idempotent,
+            latency_objective: lead.latency_objective,
+            request_deadline: lead.request_deadline,
+            retry_policy: lead.retry_policy,
             origins: vec![origin],
         });
     }
 
     /// Says of replicas that several fleets send to.
-    fn shared(&mut self, fleets: &[Fleet]) {
+    fn shared(&mut self, fleets: &[ImportedFleet]) {
         let mut of: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
         for fleet in fleets {
             fleet.replicas.iter().for_each(|one| of.entry(&one.address).or_default().push(&fleet.name));
         }
-        let mut upstreams: Vec<(Place, String)> = Vec::new();
+        let mut upstreams: Vec<(Position, String)> = Vec::new();
         for upstream in self.upstreams.values() {
             upstreams.extend(upstream.servers.iter().map(|server| (server.at, server.address.clone())));
         }
@@ -783,7 +813,11 @@
             let why =
                 format!("{} send there, and none of them sees what the others do", fleets.join(" and "));
             let advice = "say in each roster the part of its weight that is meant for it";
-            self.account.parameter(at, "shared address", Fate::new(Outcome::Differs, true, why, advice));
+            self.account.record_parameter(
+                at,
+                "shared address",
+                DirectiveSupport::new(Outcome::Partial, true, why, advice),
+            );
         }
     }
 }
@@ -795,9 +829,9 @@
     }
 }
 
-fn odd(said: &str, wanted: &str) -> Fate {
-    Fate::new(
-        Outcome::Left,
+fn odd(said: &str, wanted: &str) -> DirectiveSupport {
+    DirectiveSupport::new(
+        Outcome::Unsupported,
         true,
         format!("`{said}` is not {wanted}"),
         "mend it: nginx takes none of it, either",
@@ -817,11 +851,11 @@
 }
 
 /// Whether a lead may be in a group: all that matters is the same.
-fn alike(group: &Group, lead: &Lead) -> bool {
-    group.retriable == lead.retriable
-        && group.latency_budget == lead.latency_budget
-        && group.expiry == lead.expiry
-        && group.tries == lead.tries
+fn alike(group: &ImportedClass, lead: &RoutedLocation) -> bool {
+    group.idempotent == lead.idempotent
+        && group.latency_objective == lead.latency_objective
+        && group.request_deadline == lead.request_deadline
+        && group.retry_policy == lead.retry_policy
 }
 
 /// A name that none of the taken ones is.
--- a/crates/nginx-importer/src/lib.rs
+++ b/crates/nginx-importer/src/lib.rs
@@ -8,12 +8,12 @@
 //! let text = b"upstream gates { server 10.0.0.1:80 weight=2; server 10.0.0.2:80 backup; }
 //!     server { location /entry { proxy_pass http://gates; proxy_read_timeout 2s; } }";
 //! let directives = wrenthread_nginx::syntax::parse(text, 0, 1000).unwrap();
-//! let whole = files::Whole { files: vec![PathBuf::from("gates.conf")], directives };
-//! let imported = fleet::import(&whole, fleet::Zones::One);
+//! let configuration = files::Configuration { files: vec![PathBuf::from("gates.conf")], directives };
+//! let imported = fleet::import(&configuration, fleet::ZoneAssignment::One);
 //! let gates = &imported.fleets[0];
-//! assert_eq!((gates.groups[0].name.as_str(), gates.replicas[0].weight), ("entry", 2.0));
-//! assert!(write::settings(gates, 0, &write::Terms::default()).contains("paths = [\"/entry\"]"));
-//! assert_eq!(imported.account.losses(), 0);
+//! assert_eq!((gates.classes[0].name.as_str(), gates.replicas[0].weight), ("entry", 2.0));
+//! assert!(write::settings(gates, 0, &write::DeploymentTerms::default()).contains("paths = [\"/entry\"]"));
+//! assert_eq!(imported.report.routing_losses(), 0);
 //! ```
 
 pub mod access_log;
--- a/crates/nginx-importer/src/syntax.rs
+++ b/crates/nginx-importer/src/syntax.rs
@@ -16,7 +16,7 @@
 
 /// Where something stands: the file by its number, line and column (in bytes) from 1.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct Position {
     pub file: u32,
     pub line: u32,
     pub column: u32,
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Word {
     pub bytes: Vec<u8>,
-    pub at: Place,
+    pub at: Position,
 }
 
 impl Word {
@@ -75,7 +75,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Why {
+pub enum SyntaxErrorKind {
     #[error("the file ends within a quoted word")]
     OpenQuote,
     #[error("the file ends within the block of `{0}`; a `}}` is missing")]
@@ -96,27 +96,27 @@
 
 /// What is wrong with a file's syntax, and where in it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
-    pub at: Place,
-    pub why: Why,
+pub struct SyntaxError {
+    pub position: Position,
+    pub kind: SyntaxErrorKind,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SyntaxError {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(to, "{}:{}: {}", self.at.line, self.at.column, self.why)
+        write!(to, "{}:{}: {}", self.position.line, self.position.column, self.kind)
     }
 }
 
 enum Token {
     Word(Word),
     /// `;`, `{` or `}`.
-    Mark(u8, Place),
+    Mark(u8, Position),
 }
 
 struct Tokens<'a> {
     text: &'a [u8],
     next: usize,
-    at: Place,
+    at: Position,
 }
 
 fn is_space(byte: u8) -> bool {
@@ -127,7 +127,7 @@
     fn new(text: &'a [u8], file: u32) -> Self {
         // A mark of byte order that some editors leave at the beginning.
         let next = if text.starts_with(b"\xef\xbb\xbf") { 3 } else { 0 };
-        Tokens { text, next, at: Place { file, line: 1, column: 1 } }
+        Tokens { text, next, at: Position { file, line: 1, column: 1 } }
     }
 
     fn peek(&self) -> Option<u8> {
@@ -157,7 +157,7 @@
         true
     }
 
-    fn token(&mut self) -> Result<Option<Token>, Fault> {
+    fn token(&mut self) -> Result<Option<Token>, SyntaxError> {
         loop {
             match self.peek() {
                 None => return Ok(None),
@@ -171,7 +171,7 @@
             }
         }
         let (at, mut bytes) = (self.at, Vec::new());
-        let fault = |why| Err(Fault { at, why });
+        let fault = |why| Err(SyntaxError { position: at, kind: why });
         let first = self.peek().unwrap_or_default();
         if matches!(first, b';' | b'{' | b'}') {
             self.take();
@@ -181,18 +181,18 @@
             self.take();
             loop {
                 match self.take() {
-                    None => return fault(Why::OpenQuote),
+                    None => return fault(SyntaxErrorKind::OpenQuote),
                     Some(byte) if byte == first => break,
-                    Some(b'\\') if !self.escaped(&mut bytes) => return fault(Why::OpenQuote),
+                    Some(b'\\') if !self.escaped(&mut bytes) => return fault(SyntaxErrorKind::OpenQuote),
                     Some(b'\\') => {}
                     Some(byte) => bytes.push(byte),
                 }
                 if bytes.len() > LONGEST {
-                    return fault(Why::Long);
+                    return fault(SyntaxErrorKind::Long);
                 }
             }
             if self.peek().is_some_and(|byte| !is_space(byte) && !matches!(byte, b';' | b'{' | b')')) {
-                return Err(Fault { at: self.at, why: Why::AfterQuote });
+                return Err(SyntaxError { position: self.at, kind: SyntaxErrorKind::AfterQuote });
             }
             return Ok(Some(Token::Word(Word { bytes, at })));
         }
@@ -212,7 +212,7 @@
                 byte => bytes.push(byte),
             }
             if bytes.len() > LONGEST {
-                return fault(Why::Long);
+                return fault(SyntaxErrorKind::Long);
             }
         }
         Ok(Some(Token::Word(Word { bytes, at })))
@@ -222,7 +222,7 @@
 /// Reads a file's text. `file`: its number, for places; `most`: how many directives it may have.
 ///
 /// Errors: what is wrong with its syntax, and where.
-pub fn parse(text: &[u8], file: u32, most: usize) -> Result<Vec<Directive>, Fault> {
+pub fn parse(text: &[u8], file: u32, most: usize) -> Result<Vec<Directive>, SyntaxError> {
     let mut tokens = Tokens::new(text, file);
     // What is open: the words of each block's directive, and what stands in it so far.
     let mut open: Vec<(Vec<Word>, Vec<Directive>)> = Vec::new();
@@ -238,11 +238,11 @@
             }
             Token::Mark(mark, at) => (mark, at),
         };
-        let unexpected = Fault { at, why: Why::Unexpected(char::from(mark)) };
+        let unexpected = SyntaxError { position: at, kind: SyntaxErrorKind::Unexpected(char::from(mark)) };
         if mark != b'}' {
             count += 1;
             if count > most.min(MOST) {
-                return Err(Fault { at, why: Why::Many });
+                return Err(SyntaxError { position: at, kind: SyntaxErrorKind::Many });
             }
         }
         match mark {
@@ -252,7 +252,7 @@
                     return Err(unexpected);
                 }
                 if open.len() == DEEPEST {
-                    return Err(Fault { at, why: Why::Deep });
+                    return Err(SyntaxError { position: at, kind: SyntaxErrorKind::Deep });
                 }
                 open.push((std::mem::take(&mut words), std::mem::take(&mut here)));
             }
@@ -268,12 +268,12 @@
     }
     let named = |words: &[Word]| words.first().map_or_else(String::new, |word| word.text().into_owned());
     if let Some(word) = words.first() {
-        return Err(Fault { at: word.at, why: Why::Unended(named(&words)) });
+        return Err(SyntaxError { position: word.at, kind: SyntaxErrorKind::Unended(named(&words)) });
     }
     match open.pop() {
         Some((words, _)) => {
             let at = words.first().map_or(tokens.at, |word| word.at);
-            Err(Fault { at, why: Why::OpenBlock(named(&words)) })
+            Err(SyntaxError { position: at, kind: SyntaxErrorKind::OpenBlock(named(&words)) })
         }
         None => Ok(here),
     }
@@ -330,7 +330,7 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn read(text: &str) -> Result<Vec<Directive>, Fault> {
+    fn read(text: &str) -> Result<Vec<Directive>, SyntaxError> {
         parse(text.as_bytes(), 0, MOST)
     }
 
@@ -351,8 +351,8 @@
         assert_eq!(said[2], ["w", "${v}x#y"]);
         assert_eq!(words(&all[2].block()[0]), ["i", "1"]);
         assert_eq!(said[3], ["j", ""]);
-        assert_eq!(all[1].name.at, Place { file: 0, line: 2, column: 1 });
-        assert_eq!(all[0].words[1].at, Place { file: 0, line: 1, column: 6 });
+        assert_eq!(all[1].name.at, Position { file: 0, line: 2, column: 1 });
+        assert_eq!(all[0].words[1].at, Position { file: 0, line: 1, column: 6 });
         assert_eq!(read("\u{feff}a;").unwrap().len(), 1);
         assert_eq!(parse(b"a \xff\xfe;", 0, MOST).unwrap()[0].words[0].bytes, b"\xff\xfe");
     }
@@ -371,11 +371,11 @@
         assert!(wrong("a 'b'c;").starts_with("1:6: a quoted word must be followed"));
         assert!(wrong(&format!("a {};", "x".repeat(LONGEST + 1))).contains("a word of more"));
         assert!(wrong(&"a {".repeat(DEEPEST + 1)).contains("blocks within"));
-        assert_eq!(parse(b"a; b; c;", 0, 2).unwrap_err().why, Why::Many);
+        assert_eq!(parse(b"a; b; c;", 0, 2).unwrap_err().kind, SyntaxErrorKind::Many);
     }
 
     fn any_word() -> impl Strategy<Value = Word> {
-        prop::collection::vec(any::<u8>(), 0..8).prop_map(|bytes| Word { bytes, at: Place::default() })
+        prop::collection::vec(any::<u8>(), 0..8).prop_map(|bytes| Word { bytes, at: Position::default() })
     }
 
     fn any_directive() -> impl Strategy<Value = Directive> {
@@ -389,8 +389,8 @@
 
     fn without_places(directives: &mut [Directive]) {
         for directive in directives {
-            directive.name.at = Place::default();
-            directive.words.iter_mut().for_each(|word| word.at = Place::default());
+            directive.name.at = Position::default();
+            directive.words.iter_mut().for_each(|word| word.at = Position::default());
             if let Body::Block(block) = &mut directive.body {
                 without_places(block);
             }
--- a/crates/nginx-importer/src/write.rs
+++ b/crates/nginx-importer/src/write.rs
@@ -5,11 +5,11 @@
 
 use serde_json::{Value, json};
 
-use crate::fleet::{Fleet, Replica, Routes};
+use crate::fleet::{ImportedFleet, ImportedReplica, Routes};
 
 /// What a configuration of proxies does not say.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Terms {
+pub struct DeploymentTerms {
     /// Proxies that will follow, of all governors together.
     pub proxies: u64,
     pub governors: u64,
@@ -17,9 +17,9 @@
     pub ports: (u16, u16, u16),
 }
 
-impl Default for Terms {
+impl Default for DeploymentTerms {
     fn default() -> Self {
-        Terms { proxies: 16, governors: 1, ports: (15010, 15011, 15012) }
+        DeploymentTerms { proxies: 16, governors: 1, ports: (15010, 15011, 15012) }
     }
 }
 
@@ -51,10 +51,10 @@
 }
 
 /// The settings script. `place`: the fleet's among those of one import.
-pub fn settings(fleet: &Fleet, place: usize, terms: &Terms) -> String {
+pub fn settings(fleet: &ImportedFleet, place: usize, terms: &DeploymentTerms) -> String {
     let mut text = String::new();
     let zones: Vec<String> = fleet.zones.iter().map(|zone| quoted(zone)).collect();
-    let ready = |one: &&Replica| one.phase == "ready" && !one.backup;
+    let ready = |one: &&ImportedReplica| one.phase == "ready" && !one.backup;
     let ready = fleet.replicas.iter().filter(ready).count();
     let lines = ready.clamp(1, 12);
     let _ = writeln!(text, "# From {}.", plain(&fleet.origin));
@@ -70,12 +70,12 @@
          tries = {},\n)",
         zones.join(", "),
         terms.proxies,
-        quoted(fleet.tries.word()),
+        quoted(fleet.retry_policy.name()),
     );
     if terms.governors > 1 {
         let _ = writeln!(text, "governor(name = {})", quoted(&fleet.name));
     }
-    if let Some(warm_after) = fleet.warm_after {
+    if let Some(warm_after) = fleet.slow_start_seconds {
         // nginx begins with nothing; a share of 0 could never be seen to be well.
         let _ = writeln!(text, "# slow_start");
         let _ = writeln!(text, "replicas(cold_share = 0.05, warm_after = {})", number(warm_after));
@@ -90,7 +90,7 @@
         port(http),
         port(poll)
     );
-    for group in &fleet.groups {
+    for group in &fleet.classes {
         text.push('\n');
         for origin in &group.origins {
             let _ = writeln!(text, "# {}", plain(origin));
@@ -102,22 +102,22 @@
                 format!("paths = [{}]", paths.join(", "))
             }
         };
-        let effect = if group.retriable { "retriable" } else { "non-retriable" };
+        let effect = if group.idempotent { "retriable" } else { "non-retriable" };
         let _ = writeln!(
             text,
             "group(\n    {},\n    effect = \"{effect}\",\n    latency_budget = {},\n    expiry = {},\n    \
              {routes},\n)",
             quoted(&group.name),
-            number(group.latency_budget),
-            number(group.expiry),
+            number(group.latency_objective),
+            number(group.request_deadline),
         );
     }
     text
 }
 
 /// The roster.
-pub fn roster(fleet: &Fleet) -> String {
-    let entry = |one: &Replica| -> Value {
+pub fn roster(fleet: &ImportedFleet) -> String {
+    let entry = |one: &ImportedReplica| -> Value {
         let mut entry = json!({
             "id": one.id, "address": one.address, "zone": one.zone, "weight": one.weight, "phase": one.phase,
             "origin": one.origin,
--- a/crates/nginx-importer/tests/corpus.rs
+++ b/crates/nginx-importer/tests/corpus.rs
@@ -9,10 +9,10 @@
 use proptest::prelude::*;
 use wrenthread_nginx::blocks;
 use wrenthread_nginx::directive_support::{Outcome, TABLES};
-use wrenthread_nginx::files::{self, Disk, Whole};
-use wrenthread_nginx::fleet::{Imported, Routes, Zones, import};
+use wrenthread_nginx::files::{self, Configuration, LocalFiles};
+use wrenthread_nginx::fleet::{ImportResult, Routes, ZoneAssignment, import};
 use wrenthread_nginx::syntax::{self, Body, Directive, MOST};
-use wrenthread_nginx::write::{self, Terms};
+use wrenthread_nginx::write::{self, DeploymentTerms};
 
 fn folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/corpus")
@@ -26,52 +26,58 @@
     names
 }
 
-fn read(name: &str) -> (Whole, Imported) {
-    let mut whole = files::read(&Disk, &folder().join(name)).unwrap();
+fn read(name: &str) -> (Configuration, ImportResult) {
+    let mut whole = files::read(&LocalFiles, &folder().join(name)).unwrap();
     // Origins are told as in the corpus, wherever that is.
     for file in &mut whole.files {
         *file = file.strip_prefix(folder()).unwrap().to_path_buf();
     }
-    let zones = if name == "zones.conf" { Zones::Network } else { Zones::One };
+    let zones = if name == "zones.conf" { ZoneAssignment::Network } else { ZoneAssignment::One };
     let imported = import(&whole, zones);
     (whole, imported)
 }
 
-fn told(whole: &Whole, imported: &Imported) -> String {
+fn told(whole: &Configuration, imported: &ImportResult) -> String {
     let mut text = String::new();
     for fleet in &imported.fleets {
-        let warm = fleet.warm_after.map_or(String::new(), |span| format!(", warm after {span}"));
-        let _ =
-            writeln!(text, "fleet {} from {}, tries {}{warm}", fleet.name, fleet.origin, fleet.tries.word());
+        let warm = fleet.slow_start_seconds.map_or(String::new(), |span| format!(", warm after {span}"));
+        let _ = writeln!(
+            text,
+            "fleet {} from {}, tries {}{warm}",
+            fleet.name,
+            fleet.origin,
+            fleet.retry_policy.name()
+        );
         for one in &fleet.replicas {
             let backup = if one.backup { " backup" } else { "" };
             let _ =
                 writeln!(text, "  {} in {} weight {} {}{backup}", one.id, one.zone, one.weight, one.phase);
         }
-        for group in &fleet.groups {
+        for group in &fleet.classes {
             let routes = match &group.routes {
                 Routes::Paths(paths) => paths.join(" | "),
                 Routes::Header(header) => format!("header {header}"),
             };
-            let effect = if group.retriable { "retriable" } else { "non-retriable" };
+            let effect = if group.idempotent { "retriable" } else { "non-retriable" };
             let _ = writeln!(
                 text,
                 "  group {}: {routes}; {effect}, {} s of {} s, {}",
                 group.name,
-                group.latency_budget,
-                group.expiry,
-                group.tries.word()
+                group.latency_objective,
+                group.request_deadline,
+                group.retry_policy.name()
             );
         }
     }
-    for one in imported.account.told(whole) {
-        let outcome = match (one.fate.outcome, one.fate.routing) {
-            (Outcome::Carried, _) => "carried",
-            (Outcome::Differs, _) => "differs",
-            (Outcome::Left, true) => "LEFT",
-            (Outcome::Left, false) => "own",
+    for one in imported.report.entries(whole) {
+        let outcome = match (one.support.outcome, one.support.affects_routing) {
+            (Outcome::Supported, _) => "carried",
+            (Outcome::Partial, _) => "differs",
+            (Outcome::Unsupported, true) => "LEFT",
+            (Outcome::Unsupported, false) => "own",
         };
-        let _ = writeln!(text, "{}:{} {}: {outcome}: {}", one.at, one.column, one.directive, one.fate.why);
+        let _ =
+            writeln!(text, "{}:{} {}: {outcome}: {}", one.at, one.column, one.directive, one.support.reason);
     }
     text
 }
@@ -110,12 +116,12 @@
         let (whole, imported) = read(&name);
         for directive in all(&whole.directives) {
             let (at, name) = (directive.name.at, directive.name.text());
-            assert!(imported.account.knows(at), "{}: `{name}`", whole.origin(at));
+            assert!(imported.report.covers(at), "{}: `{name}`", whole.origin(at));
         }
         for (place, fleet) in imported.fleets.iter().enumerate() {
-            let script = write::settings(fleet, place, &Terms::default());
+            let script = write::settings(fleet, place, &DeploymentTerms::default());
             let settings = wrenthread_settings::parse(&name, &script).unwrap();
-            assert_eq!(settings.groups.len(), fleet.groups.len(), "{name}");
+            assert_eq!(settings.groups.len(), fleet.classes.len(), "{name}");
             let marked = write::marked(&script);
             assert!(
                 write::untouched(&marked)
@@ -135,13 +141,13 @@
         let (whole, imported) = read(&name);
         let text = syntax::write(&whole.directives);
         let directives = syntax::parse(&text, 0, MOST).unwrap();
-        let printed = Whole { files: vec![name.clone().into()], directives };
-        let zones = if name == "zones.conf" { Zones::Network } else { Zones::One };
+        let printed = Configuration { files: vec![name.clone().into()], directives };
+        let zones = if name == "zones.conf" { ZoneAssignment::Network } else { ZoneAssignment::One };
         let again = import(&printed, zones);
-        let bare = |imported: &Imported| {
+        let bare = |imported: &ImportResult| {
             let fleets = imported.fleets.iter().map(|fleet| {
                 let groups: Vec<_> =
-                    fleet.groups.iter().map(|one| (one.name.clone(), one.routes.clone())).collect();
+                    fleet.classes.iter().map(|one| (one.name.clone(), one.routes.clone())).collect();
                 let replicas = fleet.replicas.iter().map(|one| (one.id.clone(), one.weight, one.phase));
                 (fleet.name.clone(), groups, replicas.collect::<Vec<_>>())
             });
@@ -157,21 +163,27 @@
     let mut compared = 0;
     for name in names() {
         for fleet in read(&name).1.fleets {
-            let ready = |one: &&wrenthread_nginx::fleet::Replica| one.phase == "ready" && !one.backup;
+            let ready = |one: &&wrenthread_nginx::fleet::ImportedReplica| one.phase == "ready" && !one.backup;
             let lines: Vec<(String, f64)> =
                 fleet.replicas.iter().filter(ready).map(|one| (one.address.clone(), one.weight)).collect();
             let tables: blocks::Tables = fleet
-                .groups
+                .classes
                 .iter()
-                .map(|group| (group.name.clone(), blocks::Lines { lines: lines.clone(), level: 0.75 }))
+                .map(|group| {
+                    (
+                        group.name.clone(),
+                        blocks::UpstreamTable { servers: lines.clone(), admission_fraction: 0.75 },
+                    )
+                })
                 .collect();
             let mut text = blocks::write(&tables, "a test").unwrap();
-            for group in &fleet.groups {
+            for group in &fleet.classes {
                 let to = blocks::upstream(&group.name);
                 let _ = writeln!(text, "server {{ location /{} {{ proxy_pass http://{to}; }} }}", group.name);
             }
             let directives = syntax::parse(text.as_bytes(), 0, MOST).unwrap();
-            let again = import(&Whole { files: vec!["again.conf".into()], directives }, Zones::One);
+            let again =
+                import(&Configuration { files: vec!["again.conf".into()], directives }, ZoneAssignment::One);
             if lines.is_empty() {
                 assert_eq!(again.fleets[0].replicas.iter().filter(ready).count(), 0, "{name}");
                 continue;
@@ -201,9 +213,9 @@
         })
         .collect();
     let directives = syntax::parse((text + &many).as_bytes(), 0, MOST).unwrap();
-    let whole = Whole { files: vec!["many.conf".into()], directives };
-    let imported = import(&whole, Zones::One);
-    assert_eq!((imported.fleets[0].groups.len(), imported.account.losses()), (64, 12));
+    let whole = Configuration { files: vec!["many.conf".into()], directives };
+    let imported = import(&whole, ZoneAssignment::One);
+    assert_eq!((imported.fleets[0].classes.len(), imported.report.routing_losses()), (64, 12));
     assert!(told(&whole, &imported).contains("a governor has 64 groups at the most"));
 }
 
@@ -219,7 +231,8 @@
     }
     text += "}\n";
     let directives = syntax::parse(text.as_bytes(), 0, MOST).unwrap();
-    let imported = import(&Whole { files: vec!["large.conf".into()], directives }, Zones::One);
+    let imported =
+        import(&Configuration { files: vec!["large.conf".into()], directives }, ZoneAssignment::One);
     assert_eq!((imported.fleets.len(), imported.fleets[499].replicas.len()), (500, 40));
     let replicas: BTreeMap<_, _> =
         imported.fleets.iter().flat_map(|one| &one.replicas).map(|one| (&one.id, 1)).collect();
@@ -247,11 +260,11 @@
             }
         }
         if let Ok(directives) = syntax::parse(&text, 0, MOST) {
-            let whole = Whole { files: vec!["x.conf".into()], directives };
-            let imported = import(&whole, Zones::Network);
-            prop_assert!(imported.account.told(&whole).len() >= whole.directives.len());
+            let whole = Configuration { files: vec!["x.conf".into()], directives };
+            let imported = import(&whole, ZoneAssignment::Network);
+            prop_assert!(imported.report.entries(&whole).len() >= whole.directives.len());
             for (place, fleet) in imported.fleets.iter().enumerate() {
-                let script = write::settings(fleet, place, &Terms::default());
+                let script = write::settings(fleet, place, &DeploymentTerms::default());
                 prop_assert!(wrenthread_settings::parse("x", &script).is_ok());
             }
         }
