--- a/crates/adapter/src/events.rs
+++ b/crates/adapter/src/events.rs
@@ -85,8 +85,8 @@
     Tick,
     /// A message took effect this long after it was sent.
     Acknowledged(Duration),
-    /// Nothing that the decision module makes use of: governors tell each other nothing, and key slices are not
-    /// served.
+    /// Nothing that the decision module makes use of: governors tell each other nothing, and key slices are
+    /// not served.
     Ignored,
 }
 
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -42,7 +42,8 @@
     ///
     /// # Errors
     ///
-    /// If the message can't be understood, or names a governor or a list that is not there. It then has no effect.
+    /// If the message can't be understood, or names a governor or a list that is not there. It then has no
+    /// effect.
     pub fn receive(&mut self, message: &Message) -> Result<(), MessageError> {
         if message.kind() == MessageKind::DefineList {
             let list = events::replica_list(message, &mut self.names)?;
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,7 +1,7 @@
 //! Speaks the bench's wire on standard input and output: what [`wrenthread`] decides, without a platform.
 //!
-//! A line that can't be understood is named on standard error and left out; what the rest of its batch says still
-//! counts. A batch without its end is never answered.
+//! A line that can't be understood is named on standard error and left out; what the rest of its batch says
+//! still counts. A batch without its end is never answered.
 
 #![warn(missing_docs)]
 
--- a/crates/adapter/src/serve/tests.rs
+++ b/crates/adapter/src/serve/tests.rs
@@ -25,13 +25,13 @@
 }
 
 #[test]
-fn an_empty_batch_is_answered() {
+fn answers_an_empty_batch() {
     let (good, output, errors) = answer("{\"begin_batch\":{\"ts_us\":5}}\n{\"go\":{}}\n");
     assert_eq!((good, output.as_str(), errors.as_str()), (true, "{\"ok\":{}}\n", ""));
 }
 
 #[test]
-fn a_joiner_is_bound_and_lines_come_before() {
+fn assigns_a_table_to_a_connected_proxy_after_its_entries() {
     let (_, output, errors) = answer(&(start() + "{\"go\":{}}\n"));
     assert_eq!(errors, "");
     let assign = output.find(r#"{"assign":"#).expect("a line");
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn bad_lines_are_named_and_left_out() {
+fn names_and_skips_bad_lines() {
     let bad = [
         ("nonsense", "line 6: not JSON"),
         ("[1]", "line 6: not an object"),
@@ -62,19 +62,19 @@
 }
 
 #[test]
-fn a_batch_without_its_end_is_not_answered() {
+fn does_not_answer_a_batch_without_its_end() {
     let (good, output, _) = answer(&start());
     assert_eq!((good, output.as_str()), (false, ""));
 }
 
 #[test]
-fn an_event_outside_a_batch_is_named() {
+fn names_an_event_outside_a_batch() {
     let (good, output, errors) = answer("{\"left\":{\"governor_id\":3,\"forwarder\":0}}\n");
     assert!(good && output.is_empty() && errors.contains("line 1: `left` outside a batch"));
 }
 
 #[test]
-fn a_killed_instance_may_start_again_in_one_batch() {
+fn restarts_a_killed_governor_in_one_batch() {
     let again = start().lines().skip(1).map(|line| format!("{line}\n")).collect::<String>();
     let killed = format!("{}{{\"crash_now\":{{\"governor_id\":3}}}}\n{again}{{\"go\":{{}}}}\n", start());
     let (good, output, errors) = answer(&killed);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_list_number_means_the_newest_list() {
+fn takes_the_newest_list_of_a_number() {
     let newer =
         "{\"define_list\":{\"list\":0,\"elements\":[{\"replica\":\"r2\",\"phase\":1,\"weight\":1}]}}\n";
     let update = "{\"directory_update\":{\"governor_id\":3,\"kind\":1,\"list\":0,\"version\":2}}\n";
--- a/src/governor.rs
+++ b/src/governor.rs
@@ -1,9 +1,9 @@
-//! All decisions of one governor process: which tables a service's plain proxies hold, which replicas they avoid,
-//! what they admit, and when they are told.
+//! All decisions of one governor process: which tables a service's plain proxies hold, which replicas they
+//! avoid, what they admit, and when they are told.
 //!
 //! A host makes one [`Governor`] for each governor process, calls its inputs as things happen, and pulls
-//! [`Governor::next_decision`] until it gives `None`: what comes in one go is one message to each proxy concerned.
-//! The types of both sides are in [`types`](crate::types).
+//! [`Governor::next_decision`] until it gives `None`: what comes in one go is one message to each proxy
+//! concerned. The types of both sides are in [`types`](crate::types).
 //!
 //! The mechanism is that of the FlexDATE paper, which `critical_set` and `water_filling` cite (see also
 //! `docs/design.md`). Decisions take precedence in the order of the files that hold them: `ejection` (by
@@ -190,7 +190,8 @@
         self.last_connections.insert(zone, now);
     }
 
-    /// Whether a newly sampled default table is known to name ready replicas of the zone only, with their full weight.
+    /// Whether a newly sampled default table is known to name ready replicas of the zone only, with their
+    /// full weight.
     fn default_table_suits(&self, zone: usize, now: Duration) -> bool {
         let mut in_zone = self.replicas.values().filter(|replica| replica.zone == zone);
         let ready = in_zone.clone().filter(|replica| replica.ready).count();
@@ -243,7 +244,8 @@
                 Some(in_flight) => {
                     replica.in_flight = Some(known + (in_flight - known) / HEALTH_CHECK_AVERAGING)
                 }
-                // A health check waits behind requests: a failed one tells of load where answered ones tell of none.
+                // A health check waits behind requests: a failed one tells of load where answered ones tell
+                // of none.
                 None if took.is_none() => {
                     replica.in_flight = Some(FAILED_HEALTH_CHECK_GROWTH * known.max(1.0));
                 }
--- a/src/governor/admission_control.rs
+++ b/src/governor/admission_control.rs
@@ -1,4 +1,5 @@
-//! How many requests proxies admit: load is shed while the fleet answers late, the least valuable classes first.
+//! How many requests proxies admit: load is shed while the fleet answers late, the least valuable classes
+//! first.
 
 use std::time::Duration;
 
@@ -160,8 +161,9 @@
         self.admission.fraction = (self.admission.fraction * growth).min(1.0);
     }
 
-    /// The demand of those proxies whose answers are observed by now. When many connect at once, as after another
-    /// governor's end, none of their answers are, and the fleet would seem to answer a part of its demand only.
+    /// The demand of those proxies whose answers are observed by now. When many connect at once, as after
+    /// another governor's end, none of their answers are, and the fleet would seem to answer a part of its
+    /// demand only.
     fn settled_demand(&self, now: Duration) -> f64 {
         let settled_fraction = |proxy: &ProxyState| {
             let settled_at = proxy.connected_at + self.parameters.settling_time + self.reports.delay;
@@ -178,7 +180,8 @@
         let received = |class: &usize| self.proxies.values().map(|proxy| proxy.request_rates[*class]).sum();
         let demand: Vec<f64> = classes.iter().map(received).collect();
         let mut excess = self.shed_fraction(now) * demand.iter().sum::<f64>();
-        // A retry in overload takes the place of a first attempt; one that was not executed is safe to repeat.
+        // A retry in overload takes the place of a first attempt; one that was not executed is safe to
+        // repeat.
         let overloaded = self.admission.fraction < 1.0;
         let retry_policy = if overloaded { RetryPolicy::Never } else { RetryPolicy::IfNotExecuted };
         for (class, demand) in classes.into_iter().zip(demand) {
@@ -189,8 +192,8 @@
         }
     }
 
-    /// The least valuable first. A class is worth what it brings if answered: one whose requests hang would fill the
-    /// fleet's queues for the others.
+    /// The least valuable first. A class is worth what it brings if answered: one whose requests hang would
+    /// fill the fleet's queues for the others.
     fn classes_by_value(&self) -> Vec<usize> {
         let value = |class: &usize| {
             self.parameters.class_values[*class] * (1.0 - self.admission.failed_fractions[*class])
@@ -211,7 +214,8 @@
         1.0 - self.admission.fraction.min(most)
     }
 
-    /// An admission fraction goes to all proxies: where that would fill the channel it waits, a rise sooner than a cut.
+    /// An admission fraction goes to all proxies: where that would fill the channel it waits, a rise sooner
+    /// than a cut.
     fn publish_class_admission(&mut self, class: usize, wanted: ClassAdmission) {
         let published = self.admission.classes[class];
         let cost = (1.0 + self.parameters.message_overhead_entries) * self.proxies.len() as f64;
--- a/src/governor/critical_set.rs
+++ b/src/governor/critical_set.rs
@@ -1,13 +1,13 @@
 //! The critical set: the few proxies that are given solved tables. This is the paper's mechanism.
 //!
 //! M. Ye, J. Zhang, Z. Guo and H. J. Chao, "FlexDATE: Flexible and Disturbance-Aware Traffic Engineering With
-//! Reinforcement Learning in Software-Defined Networks": most flows stay on a static routing; a few critical ones
-//! are given split ratios that minimise the peak utilisation, and a reward weighs the performance ratio against the
-//! network disturbance, the part of all traffic that was rerouted (equations 2 to 4 and 11).
+//! Reinforcement Learning in Software-Defined Networks": most flows stay on a static routing; a few critical
+//! ones are given split ratios that minimise the peak utilisation, and a reward weighs the performance ratio
+//! against the network disturbance, the part of all traffic that was rerouted (equations 2 to 4 and 11).
 //!
-//! A greedy loop takes the place of the paper's trained policy. It starts from the previous critical set, which is
-//! thereby kept unless another pays more, and adds the proxy that sends most to the most utilised replica. It is
-//! `water_filling` that solves the tables.
+//! A greedy loop takes the place of the paper's trained policy. It starts from the previous critical set,
+//! which is thereby kept unless another pays more, and adds the proxy that sends most to the most utilised
+//! replica. It is `water_filling` that solves the tables.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -64,7 +64,8 @@
 }
 
 impl Governor {
-    /// Takes the best-paying set on the way from the previous one, if it pays more than the tables as they stand.
+    /// Takes the best-paying set on the way from the previous one, if it pays more than the tables as they
+    /// stand.
     pub(super) fn update_critical_set(&mut self, now: Duration) {
         self.count_cycle_below_target(now);
         let waiting = self.critical_set.cycles_below_target < MIN_CYCLES_BELOW_TARGET;
--- a/src/governor/default_tables.rs
+++ b/src/governor/default_tables.rs
@@ -1,7 +1,7 @@
 //! The default table of each zone, and whether proxies may still follow one that was sampled earlier.
 //!
-//! A zone's default stays in the zone. Where that can't bear its demand, what is above its headroom spills over to
-//! zones with capacity to spare.
+//! A zone's default stays in the zone. Where that can't bear its demand, what is above its headroom spills
+//! over to zones with capacity to spare.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,7 +23,8 @@
 const MIN_KEPT_FRACTION: f64 = 0.05;
 /// A zone that could keep more than this spills nothing.
 const MAX_SPILLING_FRACTION: f64 = 0.95;
-/// A sampled table is stale once less than this part of its zone's capacity is left in what it was sampled from.
+/// A sampled table is stale once less than this part of its zone's capacity is left in what it was sampled
+/// from.
 const MIN_SAMPLED_CAPACITY: f64 = 0.6;
 /// Sampled tables are urgently stale once more than this many are expected to name no available replica.
 const MAX_EXPECTED_BARE_TABLES: f64 = 0.02;
@@ -137,8 +138,8 @@
         demand
     }
 
-    /// Other governors' proxies are not observed. They are taken to be where fewer are connected here than the
-    /// zones' sizes suggest.
+    /// Other governors' proxies are not observed. They are taken to be where fewer are connected here than
+    /// the zones' sizes suggest.
     fn add_unobserved_demand(&self, demand: &mut ZoneDemand, own_demand: f64) {
         let shared = self.parameters.shared_proxies;
         let connected = self.proxies.len() as f64;
--- a/src/governor/ejection.rs
+++ b/src/governor/ejection.rs
@@ -55,7 +55,8 @@
         }
     }
 
-    /// Whether a zone to which requests are bound would lose its last warm replica, or too much of its capacity.
+    /// Whether a zone to which requests are bound would lose its last warm replica, or too much of its
+    /// capacity.
     fn would_starve_zone(&self, outlier: &Outlier, now: Duration) -> bool {
         if !self.parameters.has_zone_bound_classes() {
             return false;
@@ -83,7 +84,8 @@
         remainder
     }
 
-    /// Where no warm replica is available a faulty one is better than none, as when others drain after an ejection.
+    /// Where no warm replica is available a faulty one is better than none, as when others drain after an
+    /// ejection.
     pub(super) fn restore_ejected(&mut self, now: Duration) {
         let slow_start = self.parameters.slow_start;
         let available_fraction = |replica: &ReplicaState| {
--- a/src/governor/ejection_updates.rs
+++ b/src/governor/ejection_updates.rs
@@ -56,8 +56,8 @@
         }
     }
 
-    /// The entries that so many changes take in the channel. Each is sent to all proxies whose tables are not known,
-    /// and to those whose tables name the replica.
+    /// The entries that so many changes take in the channel. Each is sent to all proxies whose tables are not
+    /// known, and to those whose tables name the replica.
     fn ejection_cost(&self, replicas: usize) -> f64 {
         let entries = self.parameters.default_table_size as f64;
         let naming_fraction = (NAMING_MARGIN * ratio(entries, self.ready_replicas())).min(1.0);
@@ -69,8 +69,8 @@
         self.proxies.values().map(cost).sum()
     }
 
-    /// Over years, replicas under new names would add up. One that a table may still name is kept with its ejection,
-    /// as proxies would send to it again, and so is one that went lately.
+    /// Over years, replicas under new names would add up. One that a table may still name is kept with its
+    /// ejection, as proxies would send to it again, and so is one that went lately.
     pub(super) fn forget_gone_replicas(&mut self, now: Duration) {
         let expired_at = |replica: &ReplicaState| replica.gone_since.filter(|gone| *gone + RETENTION < now);
         let expired = self.replicas.values().filter(|replica| expired_at(replica).is_some()).count();
--- a/src/governor/health.rs
+++ b/src/governor/health.rs
@@ -23,7 +23,8 @@
 /// What is known of the fleet's health.
 #[derive(Default)]
 pub(super) struct FleetHealth {
-    /// By zone: the fraction of attempts that fails, or the fleet's if that is more. Only stressed zones are named.
+    /// By zone: the fraction of attempts that fails, or the fleet's if that is more. Only stressed zones are
+    /// named.
     pub(super) zone_stress: BTreeMap<usize, f64>,
     /// Many attempts fail at most replicas, which is no fault of single ones.
     pub(super) fleet_wide_fault: bool,
--- a/src/governor/load_model.rs
+++ b/src/governor/load_model.rs
@@ -1,7 +1,8 @@
 //! What each replica is sent by the tables as they stand, and what it can take.
 //!
-//! Replicas are numbered by their place among the governor's replicas. A flow, in the words of the paper, is what
-//! one proxy sends by one table; many flows share a distribution over replicas, as they follow default tables.
+//! Replicas are numbered by their place among the governor's replicas. A flow, in the words of the paper, is
+//! what one proxy sends by one table; many flows share a distribution over replicas, as they follow default
+//! tables.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -117,8 +118,8 @@
         }
     }
 
-    /// The weights that a route sends by. A default table is taken to name all candidates, as proxies drew theirs
-    /// from them by chance.
+    /// The weights that a route sends by. A default table is taken to name all candidates, as proxies drew
+    /// theirs from them by chance.
     fn routed_weights(&self, route: Route) -> Weights {
         let mut weights = match route {
             Route::DefaultTable(sample) => {
--- a/src/governor/outlier_detection.rs
+++ b/src/governor/outlier_detection.rs
@@ -140,7 +140,8 @@
         missing * ratio(replica.expected_rate, rates.values().sum()).min(1.0)
     }
 
-    /// Seconds of silence that a zone's statistics attest: none where they stopped or its proxies just connected.
+    /// Seconds of silence that a zone's statistics attest: none where they stopped or its proxies just
+    /// connected.
     fn silence(&self, zone: usize, silent_from: Duration, baseline: &FleetBaseline) -> f64 {
         let connected_at = self.last_connections.get(&zone).copied().unwrap_or(baseline.now);
         let from = silent_from.max(connected_at + baseline.settling_time);
@@ -175,7 +176,8 @@
     counts.failed > counts.succeeded.max(1.0)
 }
 
-/// The failure rate from which a replica is an outlier. Where many attempts fail everywhere it is halfway to 1.
+/// The failure rate from which a replica is an outlier. Where many attempts fail everywhere it is halfway to
+/// 1.
 fn outlier_failure_rate(fleet: f64) -> f64 {
     (OUTLIER_FAILURE_FACTOR * fleet).min(0.5 + 0.5 * fleet).max(MIN_OUTLIER_FAILURE_RATE)
 }
--- a/src/governor/parameters.rs
+++ b/src/governor/parameters.rs
@@ -107,7 +107,8 @@
 impl Parameters {
     pub(super) fn new(settings: &Settings) -> Self {
         let class_count = settings.classes.len().min(MAX_CLASSES);
-        // The work of a class is not stated. Its latency objective stands in, as what needs longer is given longer.
+        // The work of a class is not stated. Its latency objective stands in, as what needs longer is given
+        // longer.
         let objective = |class: usize| settings.classes[class].latency_objective.as_secs_f64();
         let value = |class: usize| ratio(settings.classes[class].priority_weight, objective(class));
         let shared = settings.governor_count > 1;
@@ -150,7 +151,8 @@
     }
 }
 
-/// None are decided on where the key space is sliced: slices have tables of their own, which are not supported.
+/// None are decided on where the key space is sliced: slices have tables of their own, which are not
+/// supported.
 fn scoped_classes(settings: &Settings) -> ScopedClasses {
     let mut classes = ScopedClasses::default();
     if settings.key_slices > 0 {
--- a/src/governor/proxy_state.rs
+++ b/src/governor/proxy_state.rs
@@ -12,8 +12,8 @@
 /// A rate is averaged over this many requests at least: over fewer, chance would look like change.
 const MIN_AVERAGED_REQUESTS: f64 = 4.0;
 
-/// What default tables were sampled from: the replicas of a zone that were listed by then. Which of them a table
-/// names is not known.
+/// What default tables were sampled from: the replicas of a zone that were listed by then. Which of them a
+/// table names is not known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct DefaultTableSample {
     pub(super) roster_at: Duration,
@@ -39,7 +39,8 @@
     pub(super) fn record_demand(&mut self, now: Duration, report: &DemandStatistics, averaging_seconds: f64) {
         let last_report = std::mem::replace(&mut self.last_reports[report.class], now);
         let rate = &mut self.request_rates[report.class];
-        // A report's interval may be cut short, and silence has no report: both would look like more requests.
+        // A report's interval may be cut short, and silence has no report: both would look like more
+        // requests.
         let interval = report.interval.max(now.saturating_sub(last_report)).as_secs_f64().max(0.001);
         let longest = MAX_AVERAGING_FACTOR * averaging_seconds;
         let averaging_seconds = ratio(MIN_AVERAGED_REQUESTS, *rate).clamp(averaging_seconds, longest);
--- a/src/governor/report_timing.rs
+++ b/src/governor/report_timing.rs
@@ -22,8 +22,8 @@
         self.shortest_interval = Some(shortest);
     }
 
-    /// What is busy has statistics as soon as it can, so the shortest interval tells how long they wait; that of
-    /// what is rarely used is longer.
+    /// What is busy has statistics as soon as it can, so the shortest interval tells how long they wait; that
+    /// of what is rarely used is longer.
     pub(super) fn update_delay(&mut self, report_interval: Duration) {
         if let Some(shortest) = self.shortest_interval.take() {
             self.delay = shortest.saturating_sub(report_interval);
--- a/src/governor/send_queue.rs
+++ b/src/governor/send_queue.rs
@@ -34,7 +34,8 @@
         }
     }
 
-    /// A message took effect this long after it was sent. The channel keeps order: what was sent before it has left.
+    /// A message took effect this long after it was sent. The channel keeps order: what was sent before it
+    /// has left.
     pub(super) fn acknowledge(&mut self, elapsed: Duration, max_transit_delay: Duration) {
         let sent_at = self.drained_at.saturating_sub(elapsed + max_transit_delay);
         self.batches.retain(|batch| batch.at >= sent_at);
--- a/src/governor/slow_start.rs
+++ b/src/governor/slow_start.rs
@@ -1,7 +1,7 @@
 //! How much replicas that warm up are sent.
 //!
-//! A replica's warm fraction is the least part of its capacity that it has by now. While many attempts fail it is
-//! sent less than that, since proxies then pile onto the replicas that still answer.
+//! A replica's warm fraction is the least part of its capacity that it has by now. While many attempts fail
+//! it is sent less than that, since proxies then pile onto the replicas that still answer.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -35,7 +35,8 @@
             get_or_default(&health.zone_stress, &replica.zone)
         };
         let underprovisioned = health.underprovisioned_zones.contains(&replica.zone);
-        // What is bound to a zone without a warm replica can't go elsewhere: all of them must take their part.
+        // What is bound to a zone without a warm replica can't go elsewhere: all of them must take their
+        // part.
         let cautious = if self.parameters.has_zone_bound_classes() {
             stress > 0.0 && !underprovisioned
         } else {
@@ -52,8 +53,8 @@
         }
     }
 
-    /// A default table whose entries are not known can't be sent a part of its weight for a replica: the replica
-    /// is withheld until it bears its usual load.
+    /// A default table whose entries are not known can't be sent a part of its weight for a replica: the
+    /// replica is withheld until it bears its usual load.
     pub(super) fn update_withheld(&mut self, now: Duration) {
         let samples: BTreeSet<DefaultTableSample> =
             self.proxies.values().filter_map(|proxy| proxy.default_table).collect();
@@ -72,7 +73,8 @@
         candidates > self.parameters.default_table_size.max(MAX_TABLE_ENTRIES)
     }
 
-    /// By zone without a warm replica, where requests are bound to it: how many a second its replicas may be sent.
+    /// By zone without a warm replica, where requests are bound to it: how many a second its replicas may be
+    /// sent.
     pub(super) fn underprovisioned_capacity(&self, now: Duration) -> BTreeMap<usize, f64> {
         let available = self.sum_by_zone(|replica| replica.available_weight(&self.parameters, now));
         let rate_by_weight = WARMING_HEADROOM * ratio(self.success_rate(), available.values().sum());
--- a/src/governor/table_updates.rs
+++ b/src/governor/table_updates.rs
@@ -183,8 +183,8 @@
         }
     }
 
-    /// What a table should hold. In a zone without a warm replica only as many tables as its capacity allows hold
-    /// anything: the other proxies do without until one is warm.
+    /// What a table should hold. In a zone without a warm replica only as many tables as its capacity allows
+    /// hold anything: the other proxies do without until one is warm.
     fn wanted_weights(&self, key: TableKey, sources: &mut TableSources, now: Duration) -> Weights {
         let proxy = &self.proxies[&key.proxy];
         let default = &sources.defaults[&ZoneScope { zone: proxy.zone, scope: key.scope }];
@@ -251,7 +251,8 @@
             Assignment::New => {
                 let classes = self.parameters.classes.in_scope(key.scope);
                 self.pending.push_back(Decision::AssignTable { proxy: key.proxy, table, classes });
-                // A host may name each entry of a first table twice, as proxies keep other governors' ejections.
+                // A host may name each entry of a first table twice, as proxies keep other governors'
+                // ejections.
                 1 + 2 * table_size
             }
         }
--- a/src/governor/tests/publishing.rs
+++ b/src/governor/tests/publishing.rs
@@ -65,7 +65,8 @@
     governor.send_queue.entries = 800.0;
     governor.send_tables(Duration::ZERO, Recipients::All);
     assert!(governor.pending.is_empty());
-    // Nor for an unsynchronised proxy, though it may send to a draining replica: many of them would overfill it.
+    // Nor for an unsynchronised proxy, though it may send to a draining replica: many of them would overfill
+    // it.
     governor.proxy_connected(Duration::ZERO, with_unknown_tables(2, 1.0));
     governor.send_tables(Duration::ZERO, Recipients::Unsynchronised);
     assert!(governor.pending.is_empty());
@@ -169,7 +170,8 @@
 fn counts_an_ejection_once_for_each_default_table() {
     let mut governor = without_replicas(governor_with_large_zone(), 1);
     governor.send_ejections(EjectionChange::Eject);
-    // What default tables name is not known, so each of ten proxies is sent an entry and a message's overhead.
+    // What default tables name is not known, so each of ten proxies is sent an entry and a message's
+    // overhead.
     assert_eq!(governor.send_queue.entries, 10.0 * (1.0 + 7.0));
 }
 
--- a/src/governor/utilisation.rs
+++ b/src/governor/utilisation.rs
@@ -31,7 +31,8 @@
 }
 
 impl Governor {
-    /// Requests in flight by listed weight, where they are known: from health checks, or else by Little's law.
+    /// Requests in flight by listed weight, where they are known: from health checks, or else by Little's
+    /// law.
     pub(super) fn utilisation(&self, replica: &ReplicaState, now: Duration) -> Option<f64> {
         let in_flight = replica.in_flight.or_else(|| self.estimated_in_flight(replica))?;
         Some(in_flight / replica.weight / replica.warm_fraction(self.parameters.slow_start, now))
@@ -66,8 +67,8 @@
         FleetUtilisation { mean: ratio(load, weights), peak }
     }
 
-    /// A slow replica holds more requests at the same rate. Its capacity moves towards what would give it the mean
-    /// utilisation.
+    /// A slow replica holds more requests at the same rate. Its capacity moves towards what would give it the
+    /// mean utilisation.
     pub(super) fn correct_capacities(&mut self, now: Duration) {
         let mean = self.fleet_utilisation(now).mean;
         let utilisations: Vec<Option<f64>> =
@@ -88,7 +89,8 @@
         observations.map(|(zone, observation)| self.observed_success_rate(*zone, observation)).sum()
     }
 
-    /// What is gone, or is sent nothing, has no further reports; nor has a rarely used replica between two attempts.
+    /// What is gone, or is sent nothing, has no further reports; nor has a rarely used replica between two
+    /// attempts.
     fn observed_success_rate(&self, zone: usize, observation: &ZoneObservation) -> f64 {
         let averaging_seconds = self.parameters.averaging_seconds;
         let last_report = observation.last_report + self.reports.delay;
--- a/src/governor/water_filling.rs
+++ b/src/governor/water_filling.rs
@@ -1,8 +1,8 @@
 //! Water-filling: spreading a flow over replicas so that the highest utilisation is as low as can be.
 //!
-//! This stands in for the linear programme of FlexDATE (M. Ye, J. Zhang, Z. Guo and H. J. Chao, "FlexDATE: Flexible
-//! and Disturbance-Aware Traffic Engineering With Reinforcement Learning in Software-Defined Networks"): with one
-//! hop and divisible flows it comes to the same minimal peak utilisation.
+//! This stands in for the linear programme of FlexDATE (M. Ye, J. Zhang, Z. Guo and H. J. Chao, "FlexDATE:
+//! Flexible and Disturbance-Aware Traffic Engineering With Reinforcement Learning in Software-Defined
+//! Networks"): with one hop and divisible flows it comes to the same minimal peak utilisation.
 
 use std::collections::BTreeSet;
 
@@ -54,8 +54,8 @@
 }
 
 impl LoadModel {
-    /// Replicas by their level for a zone's proxies, the lowest first. The price multiplies a replica's level and
-    /// divides its capacity; those without one are left out.
+    /// Replicas by their level for a zone's proxies, the lowest first. The price multiplies a replica's level
+    /// and divides its capacity; those without one are left out.
     fn bins_by_level(&self, zone: usize, added_rate: f64, price: impl Fn(usize) -> Option<f64>) -> Vec<Bin> {
         let bins = self.capacities.iter().zip(&self.loads).enumerate();
         let bins = bins.filter_map(|(replica, (capacity, load))| {
@@ -116,8 +116,8 @@
         weights
     }
 
-    /// A default table of few entries with equal weights: the replicas with the lowest levels, where those that the
-    /// table names already are preferred.
+    /// A default table of few entries with equal weights: the replicas with the lowest levels, where those
+    /// that the table names already are preferred.
     pub(super) fn small_default(&mut self, wanted: &SmallDefault) -> Weights {
         self.remove_flow(wanted.key);
         let rate_by_entry = wanted.requests_per_second / wanted.entries as f64;
@@ -126,7 +126,8 @@
             let price = if wanted.current.contains_key(id) { 1.0 / self.retention_preference } else { 1.0 };
             wanted.candidates.contains_key(id).then_some(price)
         });
-        // Among many more elsewhere some are always cooler: entries cross zones only as far as the default spills.
+        // Among many more elsewhere some are always cooler: entries cross zones only as far as the default
+        // spills.
         let entries_in_zone = self.entries_in_zone(wanted);
         let (mut chosen, mut elsewhere): (Vec<Bin>, Vec<Bin>) =
             bins.into_iter().partition(|bin| self.capacities[bin.replica].zone == wanted.zone);
