--- a/crates/core/src/engine/inspection.rs
+++ b/crates/core/src/engine/inspection.rs
@@ -10,7 +10,9 @@
 use crate::frozen_tables::FrozenTable;
 use crate::guard::Guard;
 use crate::history::History;
-use crate::recording::{FORM, RecordedProxy, RecordedReplica, RecordedTable, RecordedThroughput, Recording};
+use crate::recording::{
+    FORM, RecordedEntry, RecordedProxy, RecordedReplica, RecordedTable, RecordedThroughput, Recording,
+};
 use crate::reports::DiscardReason;
 use crate::roster::{KnownReplica, Roster};
 use crate::tables::{ResolvedEntry, VersionedTable};
@@ -96,10 +98,10 @@
     /// What is known now, as far as the guard judges by it, for tables to be tried against. Names of zones and
     /// traffic classes are the caller's to fill in.
     pub fn record(&self, now: Duration) -> Recording {
-        let throughput = |(id, zone, per_s): (&ReplicaId, usize, f64)| RecordedThroughput {
+        let throughput = |(id, zone, per_second): (&ReplicaId, usize, f64)| RecordedThroughput {
             replica: id.clone(),
             zone,
-            per_s,
+            per_second,
         };
         Recording {
             form: FORM,
@@ -110,7 +112,7 @@
             limits: self.guard.limits().into(),
             replicas: self.roster.iter().map(|(id, known)| self.record_replica(now, id, known)).collect(),
             proxies: self.fleet.iter().map(|(id, proxy)| self.record_proxy(id, proxy)).collect(),
-            seen: self.guard.throughput(now).map(throughput).collect(),
+            throughput: self.guard.throughput(now).map(throughput).collect(),
         }
     }
 
@@ -121,26 +123,30 @@
             zone: known.zone,
             weight: known.weight,
             phase: known.phase.into(),
-            age_s: known.started_at.map(|started| now.saturating_sub(started).as_secs_f64()),
+            age_seconds: known.started_at.map(|started| now.saturating_sub(started).as_secs_f64()),
             out: self.is_out(id),
         }
     }
 
     fn record_proxy(&self, id: ProxyId, proxy: &Proxy) -> RecordedProxy {
-        let entry = |entry: &ResolvedEntry| (entry.replica.clone(), entry.weight, entry.routable);
+        let entry = |entry: &ResolvedEntry| RecordedEntry {
+            replica: entry.replica.clone(),
+            weight: entry.weight,
+            routable: entry.routable,
+        };
         let table = |(class, held): (usize, &Option<VersionedTable>)| {
             let table = held.as_ref().map(|held| &*held.table);
             RecordedTable {
-                flows: self.guard.requests_per_second(id, class),
-                level: table.map_or(1.0, |table| table.admission_fraction),
-                lines: table.map(|table| table.entries.iter().map(entry).collect()),
+                requests_per_second: self.guard.requests_per_second(id, class),
+                admission_fraction: table.map_or(1.0, |table| table.admission_fraction),
+                entries: table.map(|table| table.entries.iter().map(entry).collect()),
             }
         };
         RecordedProxy {
             name: proxy.name.clone(),
             zone: proxy.zone,
-            standing: proxy.default_table.clone(),
-            groups: proxy.tables.iter().enumerate().map(table).collect(),
+            default_table: proxy.default_table.clone(),
+            classes: proxy.tables.iter().enumerate().map(table).collect(),
         }
     }
 
--- a/crates/core/src/recording/tests.rs
+++ b/crates/core/src/recording/tests.rs
@@ -12,16 +12,17 @@
         zone: 0,
         weight: 1.0,
         phase: if at == 3 { RecordedPhase::Draining } else { RecordedPhase::Ready },
-        age_s: None,
+        age_seconds: None,
         out: false,
     };
-    let lines = Some((0..3).map(|at| (id(at), 1.0, true)).collect());
-    let group = RecordedTable { flows: 10.0, level: 1.0, lines };
+    let lines =
+        Some((0..3).map(|at| RecordedEntry { replica: id(at), weight: 1.0, routable: true }).collect());
+    let group = RecordedTable { requests_per_second: 10.0, admission_fraction: 1.0, entries: lines };
     let proxy = |name: &str| RecordedProxy {
         name: name.into(),
         zone: 0,
-        standing: vec![(id(0), 1.0)],
-        groups: vec![group.clone()],
+        default_table: vec![(id(0), 1.0)],
+        classes: vec![group.clone()],
     };
     Recording {
         form: FORM,
@@ -30,16 +31,16 @@
         zones: vec!["z".into()],
         groups: vec!["entry".into()],
         limits: RecordedLimits {
-            cold_share: 0.25,
-            warm_after_s: 20.0,
-            proxies: 2,
-            lines_most: 100.0,
-            own_zone: vec![false],
-            once_only: vec![true],
+            initial_capacity_fraction: 0.25,
+            slow_start_seconds: 20.0,
+            proxy_count: 2,
+            max_entries: 100.0,
+            same_zone_only: vec![false],
+            not_idempotent: vec![true],
         },
         replicas: (0..4).map(replica).collect(),
         proxies: vec![proxy("p"), proxy("q")],
-        seen: vec![],
+        throughput: vec![],
     }
 }
 
@@ -61,7 +62,7 @@
     assert_eq!(tried.tables[1].entries.len(), 3, "the last good one stands");
     // Each alone is well; together they would have all flows on a cold one.
     let mut cold = recording;
-    cold.replicas[0].age_s = Some(1.0);
+    cold.replicas[0].age_seconds = Some(1.0);
     let heavy = |proxy| wanted(proxy, &[("a", 1.0), ("b", 1.0)]);
     let tried = cold.would(&[heavy("p"), heavy("q")]).unwrap().unwrap();
     assert!(tried.refusals.iter().all(|one| one.refusal.reason == RefusalReason::Cold));
@@ -84,10 +85,10 @@
     };
     assert_eq!(spoilt(|one| one.form = 9), "it is of form 9, and this version reads form 1");
     assert_eq!(spoilt(|one| one.proxies[1].zone = 4), "proxy `q` is in zone 4, and there are 1");
-    assert!(spoilt(|one| one.replicas[0].age_s = Some(f64::NAN)).contains("replica `a` has `NaN`"));
+    assert!(spoilt(|one| one.replicas[0].age_seconds = Some(f64::NAN)).contains("replica `a` has `NaN`"));
     assert!(spoilt(|one| one.replicas[1].id = "a".into()).contains("named twice"));
-    assert!(spoilt(|one| one.proxies[0].groups.clear()).contains("`p` has an entry for each of 0"));
-    assert!(spoilt(|one| one.limits.own_zone.clear()).contains("and there are 1"));
+    assert!(spoilt(|one| one.proxies[0].classes.clear()).contains("`p` has an entry for each of 0"));
+    assert!(spoilt(|one| one.limits.same_zone_only.clear()).contains("and there are 1"));
 }
 
 #[test]
--- /dev/null
+++ b/crates/core/src/recording/validation.rs
@@ -0,0 +1,136 @@
+//! Whether a recording is complete and can be meant.
+
+use std::collections::BTreeSet;
+use std::sync::Arc;
+
+use wrenthread::types::{ClassSet, ProxyId};
+
+use super::{FORM, RecordedLimits, RecordedProxy, RecordedReplica, Recording};
+
+/// No governor knows more replicas.
+const MAX_REPLICAS: usize = 100_000;
+
+/// Why a recording can't be tried against.
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
+pub enum RecordingError {
+    /// It is of another form than [`FORM`].
+    #[error("it is of form {form}, and this version reads form {FORM}")]
+    Form { form: u32 },
+    /// It has more replicas or proxies than a governor can have.
+    #[error("it has more {kind} than any governor's")]
+    Size { kind: &'static str },
+    /// Something is in a zone that is not there.
+    #[error("{kind} `{name}` is in zone {zone}, and there are {zone_count}")]
+    Zone { kind: &'static str, name: Arc<str>, zone: usize, zone_count: usize },
+    /// A figure is negative or not finite.
+    #[error("{kind} `{name}` has `{figure}`, which is not a number that it can be")]
+    Number { kind: &'static str, name: Arc<str>, figure: f64 },
+    /// A name occurs twice.
+    #[error("{kind} `{name}` is named twice")]
+    Twice { kind: &'static str, name: Arc<str> },
+    /// Something has entries for other traffic classes than the recording.
+    #[error("`{name}` has an entry for each of {given} groups, and there are {expected}")]
+    Groups { name: Arc<str>, given: usize, expected: usize },
+}
+
+impl Recording {
+    pub(super) fn validate(&self) -> Result<(), RecordingError> {
+        if self.form != FORM {
+            return Err(RecordingError::Form { form: self.form });
+        }
+        if self.replicas.len() > MAX_REPLICAS {
+            return Err(RecordingError::Size { kind: "replicas" });
+        }
+        if self.proxies.len() > usize::from(ProxyId::MAX) {
+            return Err(RecordingError::Size { kind: "proxies" });
+        }
+        self.limits.validate(self.groups.len())?;
+        self.validate_replicas()?;
+        self.validate_proxies()?;
+        for seen in &self.throughput {
+            validate_figure("replica", &seen.replica, seen.per_second)?;
+        }
+        Ok(())
+    }
+
+    fn validate_replicas(&self) -> Result<(), RecordingError> {
+        let mut names = BTreeSet::new();
+        for replica in &self.replicas {
+            replica.validate(self.zones.len())?;
+            if !names.insert(&replica.id) {
+                return Err(RecordingError::Twice { kind: "replica", name: replica.id.clone() });
+            }
+        }
+        Ok(())
+    }
+
+    fn validate_proxies(&self) -> Result<(), RecordingError> {
+        let mut names = BTreeSet::new();
+        for proxy in &self.proxies {
+            proxy.validate(self.zones.len(), self.groups.len())?;
+            if !names.insert(&proxy.name) {
+                return Err(RecordingError::Twice { kind: "proxy", name: proxy.name.clone() });
+            }
+        }
+        Ok(())
+    }
+}
+
+impl RecordedLimits {
+    fn validate(&self, class_count: usize) -> Result<(), RecordingError> {
+        let name: Arc<str> = "limits".into();
+        for given in [self.same_zone_only.len(), self.not_idempotent.len()] {
+            if given != class_count || class_count > ClassSet::BITS as usize {
+                return Err(RecordingError::Groups { name, given, expected: class_count });
+            }
+        }
+        for figure in [self.initial_capacity_fraction, self.slow_start_seconds, self.max_entries] {
+            validate_figure("the recording's", &name, figure)?;
+        }
+        Ok(())
+    }
+}
+
+impl RecordedReplica {
+    fn validate(&self, zone_count: usize) -> Result<(), RecordingError> {
+        validate_zone("replica", &self.id, self.zone, zone_count)?;
+        validate_figure("replica", &self.id, self.weight)?;
+        validate_figure("replica", &self.id, self.age_seconds.unwrap_or(0.0))
+    }
+}
+
+impl RecordedProxy {
+    fn validate(&self, zone_count: usize, class_count: usize) -> Result<(), RecordingError> {
+        validate_zone("proxy", &self.name, self.zone, zone_count)?;
+        if self.classes.len() != class_count {
+            return Err(RecordingError::Groups {
+                name: self.name.clone(),
+                given: self.classes.len(),
+                expected: class_count,
+            });
+        }
+        for class in &self.classes {
+            validate_figure("proxy", &self.name, class.requests_per_second)?;
+        }
+        Ok(())
+    }
+}
+
+fn validate_zone(
+    kind: &'static str,
+    name: &Arc<str>,
+    zone: usize,
+    zone_count: usize,
+) -> Result<(), RecordingError> {
+    if zone < zone_count {
+        return Ok(());
+    }
+    Err(RecordingError::Zone { kind, name: name.clone(), zone, zone_count })
+}
+
+fn validate_figure(kind: &'static str, name: &Arc<str>, figure: f64) -> Result<(), RecordingError> {
+    if figure.is_finite() && figure >= 0.0 {
+        return Ok(());
+    }
+    Err(RecordingError::Number { kind, name: name.clone(), figure })
+}
