--- a/crates/daemon/src/platform/tests.rs
+++ b/crates/daemon/src/platform/tests.rs
@@ -1,5 +1,6 @@
-//! The node in this process, over real connections, while time stands still: what comes between two lines,
-//! and when, is the test's to say. The node takes nothing in unless a test has it do so ([`Stage::step`]).
+//! The governor in this process, over real connections, on paused time: a test says what comes, and when.
+//!
+//! The governor takes nothing in unless a test has it do so ([`Harness::step`]).
 
 use std::cell::RefCell;
 use std::io::ErrorKind;
@@ -21,7 +22,7 @@
 mod silence;
 
 /// Runs a test on one thread, with time standing still.
-fn play(test: impl AsyncFnOnce()) {
+fn run_paused(test: impl AsyncFnOnce()) {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
     LocalSet::new().block_on(&runtime, async {
@@ -34,26 +35,26 @@
     });
 }
 
-fn object(version: u64, whole: bool, rows: &[(&str, &str)]) -> Value {
+fn event(version: u64, is_snapshot: bool, rows: &[(&str, &str)]) -> Value {
     let row =
         |(name, status): &(&str, &str)| json!({"name": name, "zone": "a", "status": status, "weight": 1.0});
-    json!({"index": version, "snapshot": whole, "endpoints": rows.iter().map(row).collect::<Vec<_>>()})
+    json!({"index": version, "snapshot": is_snapshot, "endpoints": rows.iter().map(row).collect::<Vec<_>>()})
 }
 
 const UP: [(&str, &str); 4] = [("r1", "up"), ("r2", "up"), ("r3", "up"), ("r4", "up")];
 
-/// A stand-in for discovery at one address: it takes connections, and says what it is told to say.
+/// A stand-in for discovery at one address: it accepts connections, and sends what a test has it send.
 struct Agent {
     address: SocketAddr,
     /// What was asked for, in order, and the connections on which it was asked.
-    asked: Rc<RefCell<Vec<(String, TcpStream)>>>,
+    requests: Rc<RefCell<Vec<(String, TcpStream)>>>,
 }
 
 impl Agent {
     async fn start() -> Agent {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let agent = Agent { address: listener.local_addr().unwrap(), asked: Rc::default() };
-        let asked = agent.asked.clone();
+        let agent = Agent { address: listener.local_addr().unwrap(), requests: Rc::default() };
+        let requests = agent.requests.clone();
         spawn_local(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 let mut request = Vec::new();
@@ -63,56 +64,57 @@
                 }
                 let request = String::from_utf8(request).unwrap();
                 let path = request.split(' ').nth(1).unwrap_or_default().to_string();
-                asked.borrow_mut().push((path, stream));
+                requests.borrow_mut().push((path, stream));
             }
         });
         agent
     }
 
-    fn heard(&self, path: &str) -> usize {
-        self.asked.borrow().iter().filter(|(asked, _)| asked == path).count()
+    fn request_count(&self, path: &str) -> usize {
+        self.requests.borrow().iter().filter(|(requested, _)| requested == path).count()
     }
 
     /// Answers the newest request for this path, as a watch that stays open.
-    async fn tell(&self, path: &str, objects: &[Value]) {
-        let lines: String = objects.iter().map(|object| format!("{object}\n")).collect();
+    async fn answer_watch(&self, path: &str, events: &[Value]) {
+        let lines: String = events.iter().map(|event| format!("{event}\n")).collect();
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         self.write(path, &format!("{head}{:x}\r\n{lines}\r\n", lines.len())).await;
     }
 
-    /// Says more on the newest watch for this path.
-    async fn tell_more(&self, path: &str, object: &Value) {
-        let line = format!("{object}\n");
+    /// Sends another event on the newest watch for this path.
+    async fn send_event(&self, path: &str, event: &Value) {
+        let line = format!("{event}\n");
         self.write(path, &format!("{:x}\r\n{line}\r\n", line.len())).await;
     }
 
     /// Answers the newest request for the whole list.
-    async fn tell_whole(&self, list: &Value) {
+    async fn send_snapshot(&self, list: &Value) {
         let list = list.to_string();
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
-        self.write(WHOLE, &answer).await;
+        self.write(SNAPSHOT_PATH, &answer).await;
     }
 
     async fn write(&self, path: &str, text: &str) {
-        let mut asked = self.asked.borrow_mut();
-        let (_, stream) = asked.iter_mut().rfind(|(asked, _)| asked == path).expect("it was asked for");
+        let mut requests = self.requests.borrow_mut();
+        let (_, stream) =
+            requests.iter_mut().rfind(|(requested, _)| requested == path).expect("it was asked for");
         stream.try_write(text.as_bytes()).unwrap();
     }
 }
 
-const WHOLE: &str = "/registry/instances";
+const SNAPSHOT_PATH: &str = "/registry/instances";
 
 fn watch_from(version: u64) -> String {
-    format!("{WHOLE}?watch=1&from={version}")
+    format!("{SNAPSHOT_PATH}?watch=1&from={version}")
 }
 
-struct Stage {
+struct Harness {
     service: Service,
     address: SocketAddr,
     folder: PathBuf,
 }
 
-impl Drop for Stage {
+impl Drop for Harness {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
@@ -120,7 +122,7 @@
 
 fn config(discovery: SocketAddr) -> Value {
     json!({"discovery": discovery.to_string(), "limits": {"memory_mb": 32, "sockets": 512},
-    "known": object(1, true, &UP),
+    "known": event(1, true, &UP),
     "settings": {
         "categories": [{"name": "find", "deadline_us": 5000000, "effect": "retryable",
             "objective_us": 2000000}],
@@ -131,14 +133,14 @@
     }})
 }
 
-impl Stage {
-    /// A node that follows `agent`, with its configuration changed as said.
-    async fn start(name: &str, agent: &Agent, change: impl FnOnce(&mut Value)) -> Stage {
-        Stage::on(name, agent, change, listen("127.0.0.1:0".parse().unwrap()).unwrap())
+impl Harness {
+    /// A governor that watches `agent`, with its configuration changed by `change`.
+    async fn start(name: &str, agent: &Agent, change: impl FnOnce(&mut Value)) -> Harness {
+        Harness::on(name, agent, change, listen("127.0.0.1:0".parse().unwrap()).unwrap())
     }
 
-    fn on(name: &str, agent: &Agent, change: impl FnOnce(&mut Value), listener: TcpListener) -> Stage {
-        let folder = std::env::temp_dir().join(format!("wrenthread-stage-{}-{name}", std::process::id()));
+    fn on(name: &str, agent: &Agent, change: impl FnOnce(&mut Value), listener: TcpListener) -> Harness {
+        let folder = std::env::temp_dir().join(format!("wrenthread-harness-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let (address, path) = (listener.local_addr().unwrap(), folder.join("config.json"));
         let mut whole = config(agent.address);
@@ -147,10 +149,10 @@
         let config = Config::read(&path).unwrap();
         let variables =
             Variables { name: "n0".into(), listen: address, discovery: agent.address, config: path };
-        Stage { service: Service::start(variables, config, listener), address, folder }
+        Harness { service: Service::start(variables, config, listener), address, folder }
     }
 
-    /// Has the node take in all that waits for it, and send what comes of it.
+    /// Has the governor take in all that waits for it, and send what comes of it.
     fn step(&mut self) {
         while let Ok(event) = self.service.watch_events.try_recv() {
             self.service.handle_watch_event(event);
@@ -161,8 +163,8 @@
         self.service.advance();
     }
 
-    /// Lets connections go on, but not the node, until something is so.
-    async fn held_until(&mut self, what: &str, mut so: impl FnMut(&Service) -> bool) {
+    /// Lets connections go on, but not the governor, until a condition holds.
+    async fn wait_without_governor(&mut self, what: &str, mut so: impl FnMut(&Service) -> bool) {
         let began = std::time::Instant::now();
         while !so(&self.service) {
             assert!(began.elapsed() < Duration::from_secs(20), "never: {what}");
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Lets all go on, a little time pass with each look, until something is so.
+    /// Lets all go on, and a little time pass with each check, until a condition holds.
     async fn until(&mut self, what: &str, mut so: impl FnMut(&Service) -> bool) {
         let began = std::time::Instant::now();
         loop {
@@ -183,7 +185,7 @@
         }
     }
 
-    /// Lets a span pass, and the node take in what comes meanwhile.
+    /// Lets a time pass, and the governor take in what comes meanwhile.
     async fn pass(&mut self, span: Duration) {
         let until = Instant::now() + span;
         while Instant::now() < until {
@@ -192,15 +194,15 @@
         }
     }
 
-    async fn dial(&self) -> Peer {
+    async fn connect(&self) -> Peer {
         Peer { stream: TcpStream::connect(self.address).await.unwrap(), unread: Vec::new() }
     }
 
-    /// A peer that says it is this proxy.
-    async fn join(&mut self, proxy: u16) -> Peer {
-        let mut peer = self.dial().await;
-        peer.say(&joining(proxy));
-        peer.until_told(self, |order| order["whole"] == true).await;
+    /// A peer that has identified itself as this proxy, and has its table.
+    async fn connect_proxy(&mut self, proxy: u16) -> Peer {
+        let mut peer = self.connect().await;
+        peer.send(&subscribe(proxy));
+        peer.until_message(self, |message| message["whole"] == true).await;
         peer
     }
 
@@ -224,7 +226,7 @@
     }
 }
 
-fn joining(proxy: u16) -> Value {
+fn subscribe(proxy: u16) -> Value {
     json!({"@type": "SUBSCRIBE", "node": proxy, "locality": "a", "w": 2.0, "cold": false})
 }
 
@@ -232,14 +234,14 @@
     json!({"@type": "RATE", "node": proxy, "route": "find", "total": total, "errors": 0, "interval": 500.0})
 }
 
-/// Whoever dials the node's address.
+/// Whoever connects to the governor's address.
 struct Peer {
     stream: TcpStream,
     unread: Vec<u8>,
 }
 
 impl Peer {
-    fn say(&mut self, message: &Value) {
+    fn send(&mut self, message: &Value) {
         self.write(format!("{message}\n").as_bytes());
     }
 
@@ -268,14 +270,14 @@
         (lines.map(|line| serde_json::from_slice(line).unwrap()).collect(), ended)
     }
 
-    /// Hears until something comes that fits.
-    async fn until_told(&mut self, stage: &mut Stage, fits: impl Fn(&Value) -> bool) -> Value {
+    /// Reads until a message comes that fits.
+    async fn until_message(&mut self, harness: &mut Harness, fits: impl Fn(&Value) -> bool) -> Value {
         let mut found = None;
-        let what = "the order comes";
-        stage
+        let what = "the message comes";
+        harness
             .until(what, |_| {
-                let (orders, ended) = self.read();
-                found = found.take().or_else(|| orders.into_iter().find(&fits));
+                let (messages, ended) = self.read();
+                found = found.take().or_else(|| messages.into_iter().find(&fits));
                 assert!(found.is_some() || !ended, "the stream stays until {what}");
                 found.is_some()
             })
@@ -283,12 +285,12 @@
         found.unwrap()
     }
 
-    async fn until_ended(&mut self, stage: &mut Stage) {
-        stage.until("the connection ends", |_| self.read().1).await;
+    async fn until_closed(&mut self, harness: &mut Harness) {
+        harness.until("the connection ends", |_| self.read().1).await;
     }
 }
 
-/// Whether an order takes a replica out of the table.
-fn takes_out(order: &Value, name: &str) -> bool {
-    order["lines"].as_array().is_some_and(|lines| lines.contains(&json!([name, 0.0])))
+/// Whether a message takes a replica out of the table.
+fn removes(message: &Value, name: &str) -> bool {
+    message["lines"].as_array().is_some_and(|lines| lines.contains(&json!([name, 0.0])))
 }
--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_proxy_is_served_from_joining_to_the_governors_end() {
+fn serves_a_proxy_until_the_governor_stops() {
     let mut node = Node::start("path");
     let mut source = node.dial();
     source.say(&json!({"@type": "SOURCE", "locality": "a"}));
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn unidentified_peers_are_sent_away_and_keep_nobody_out() {
+fn unidentified_peers_are_disconnected_and_keep_no_proxy_out() {
     let node = Node::start("unidentified");
     let mut silent: Vec<Party> = (0..300).map(|_| node.dial()).collect();
     let mut proxy = node.join(3);
@@ -292,7 +292,7 @@
 }
 
 #[test]
-fn a_new_configuration_moves_discovery_and_a_broken_one_does_nothing() {
+fn a_reload_moves_discovery_and_an_invalid_file_changes_nothing() {
     let node = Node::start("reload");
     let mut proxy = node.join(3);
     proxy.until(|order| order["whole"] == true);
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn what_is_missing_or_broken_at_the_start_is_named() {
+fn names_missing_and_invalid_variables_at_startup() {
     let start = |variables: &[(&str, &str)]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_wrenthread"));
         command.arg("node").envs(variables.iter().copied());
@@ -333,7 +333,7 @@
 }
 
 #[test]
-fn it_ends_whatever_is_on_its_way_and_starts_again_at_its_address() {
+fn stops_with_connections_open_and_restarts_at_its_address() {
     let mut node = Node::start("again");
     for (signal, code) in [("-TERM", Some(0)), ("-KILL", None)] {
         let mut reading = node.join(17);
--- a/crates/deployment-config/src/fields.rs
+++ b/crates/deployment-config/src/fields.rs
@@ -31,12 +31,6 @@
     NotObject(String),
 }
 
-impl From<FieldError> for String {
-    fn from(error: FieldError) -> String {
-        error.to_string()
-    }
-}
-
 /// The fields of one object. A field that is null counts as absent.
 #[derive(Debug, Clone, Copy)]
 pub struct Fields<'a> {
