--- /dev/null
+++ b/crates/daemon/tests/node/governor_process.rs
@@ -0,0 +1,149 @@
+//! The program as a process, and peers that connect to it.
+
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
+use std::time::{Duration, Instant};
+
+use serde_json::{Value, json};
+
+use super::common;
+use super::discovery_agent::{Events, event, start_discovery};
+
+pub struct GovernorProcess {
+    pub child: Child,
+    pub folder: PathBuf,
+    listen: String,
+    /// What its discovery sends.
+    pub events: Events,
+}
+
+impl Drop for GovernorProcess {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        let _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
+
+pub fn config(discovery: SocketAddr) -> String {
+    json!({"discovery": discovery.to_string(), "limits": {"memory_mb": 32, "sockets": 256},
+    "known": event(1, true, &[("r1", "up"), ("r2", "up"), ("r3", "up"), ("r4", "up")]).1,
+    "settings": {
+        "categories": [{"name": "find", "deadline_us": 5000000, "effect": "retryable",
+            "objective_us": 2000000}],
+        "extra": {"agents": 20, "bootstrap": 8, "channel_rate": 10000.0, "cycle_us": 500000,
+            "level_kind": "ratio", "most_waiting": 20000.0, "per_message": 10.0,
+            "worst_transit_us": 100000},
+        "rules": {"cold_from": 0.3, "warm_after_us": 10000000}, "siblings": 1, "zones": ["a"],
+    }})
+    .to_string()
+}
+
+pub fn spawn_governor(folder: &Path, listen: &str, discovery: SocketAddr) -> Child {
+    Command::new(env!("CARGO_BIN_EXE_wrenthread"))
+        .arg("node")
+        .env("RELAY_NAME", "n0")
+        .env("RELAY_LISTEN", listen)
+        .env("RELAY_DISCOVERY", discovery.to_string())
+        .env("RELAY_CONFIG", folder.join("config.json"))
+        .stderr(Stdio::null())
+        .spawn()
+        .unwrap()
+}
+
+impl GovernorProcess {
+    pub fn start(name: &str) -> GovernorProcess {
+        let folder =
+            std::env::temp_dir().join(format!("wrenthread-platform-governor-{}-{name}", std::process::id()));
+        std::fs::create_dir_all(&folder).unwrap();
+        let (events, listen) = (Events::default(), format!("127.0.0.1:{}", common::port()));
+        let discovery = start_discovery(events.clone());
+        std::fs::write(folder.join("config.json"), config(discovery)).unwrap();
+        let child = spawn_governor(&folder, &listen, discovery);
+        let governor = GovernorProcess { child, folder, listen, events };
+        governor.wait_until_listening();
+        governor
+    }
+
+    pub fn wait_until_listening(&self) {
+        let began = Instant::now();
+        while TcpStream::connect(&self.listen).is_err() {
+            assert!(began.elapsed() < Duration::from_secs(20), "it never listened");
+            std::thread::sleep(Duration::from_millis(20));
+        }
+    }
+
+    /// Starts again under the same name and address, with the list that it was first started with.
+    pub fn restart(&mut self) {
+        self.child = spawn_governor(&self.folder, &self.listen, start_discovery(self.events.clone()));
+        self.wait_until_listening();
+    }
+
+    pub fn connect(&self) -> Peer {
+        let stream = TcpStream::connect(&self.listen).unwrap();
+        stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+        Peer { reader: BufReader::new(stream) }
+    }
+
+    pub fn connect_proxy(&self, proxy: u16) -> Peer {
+        let mut peer = self.connect();
+        peer.send(&json!({"@type": "SUBSCRIBE", "node": proxy, "locality": "a", "w": 2.0, "cold": false}));
+        peer
+    }
+
+    pub fn signal(&self, signal: &str) {
+        let id = self.child.id().to_string();
+        assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
+    }
+}
+
+pub struct Peer {
+    reader: BufReader<TcpStream>,
+}
+
+impl Peer {
+    pub fn send(&mut self, message: &Value) {
+        self.write(format!("{message}\n").as_bytes()).unwrap();
+    }
+
+    pub fn write(&mut self, bytes: &[u8]) -> std::io::Result<()> {
+        self.reader.get_mut().write_all(bytes)
+    }
+
+    /// The next message; none once the stream has ended.
+    pub fn next_message(&mut self) -> Option<Value> {
+        let mut line = String::new();
+        match self.reader.read_line(&mut line) {
+            Ok(0) => None,
+            Ok(_) => Some(serde_json::from_str(&line).unwrap()),
+            Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => None,
+            Err(error) => panic!("never: {error}"),
+        }
+    }
+
+    /// Reads until a message comes that fits.
+    pub fn wait_for(&mut self, fits: impl Fn(&Value) -> bool) -> Value {
+        loop {
+            let message = self.next_message().expect("the stream stays");
+            if fits(&message) {
+                return message;
+            }
+        }
+    }
+
+    /// Whether it is sent a `NACK`, or its connection closed, within a time.
+    pub fn is_rejected_or_closed_within(&mut self, span: Duration) -> bool {
+        self.reader.get_mut().set_read_timeout(Some(span)).unwrap();
+        let mut rest = [0; 256];
+        loop {
+            match self.reader.read(&mut rest) {
+                Ok(0) => return true,
+                Ok(count) if rest[..count].windows(4).any(|it| it == b"NACK") => return true,
+                Ok(_) => {}
+                Err(error) => return error.kind() == std::io::ErrorKind::ConnectionReset,
+            }
+        }
+    }
+}
