--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -633,7 +633,7 @@
         Ok(code) => code,
         Err(error) => {
             eprintln!("wrenthread: {error:#}");
-            let settings = error.downcast_ref::<wrenthread_settings::Faults>().is_some();
+            let settings = error.downcast_ref::<wrenthread_settings::SettingErrors>().is_some();
             let told = error.downcast_ref::<platform::config::ConfigError>().is_some();
             if settings || told { ExitCode::from(2) } else { ExitCode::FAILURE }
         }
--- a/crates/settings/src/day.rs
+++ b/crates/settings/src/day.rs
@@ -2,76 +2,139 @@
 
 use serde::Serialize;
 
+use crate::error::{Problem, SettingErrors};
 use crate::schema;
-use crate::script::{self, About};
-use crate::{Check, Faults};
+use crate::script::{self, Call, ScriptKind};
+use crate::validation::{Fields, Validator};
 
-/// What goes wrong. Times are in seconds from the day's start.
+/// A fault to inject.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Trouble {
-    /// Workers take flows and answer none.
-    Silent { count: usize },
-    /// Workers answer at once, and badly.
-    QuickErrors { count: usize },
-    /// The workers of a hall are replaced, one after another, by cold ones.
-    Deploy { hall: usize, step: f64 },
-    /// Streams of a share of the relays break at once.
-    BrokenStreams { share: f64 },
-    /// Load reports of a share of the relays come late, and twice.
-    LateReports { share: f64, late: f64 },
-    /// The governor is killed once so many orders of a flush are out (none: at once), and is started again at
-    /// the end.
-    Kill { governor: usize, after_orders: usize },
+    /// Workers accept requests and answer none.
+    Silent {
+        /// Number of workers.
+        count: usize,
+    },
+    /// Workers answer at once, with errors.
+    QuickErrors {
+        /// Number of workers.
+        count: usize,
+    },
+    /// The workers of a zone are replaced, one after another, by cold ones.
+    Deploy {
+        /// Index of the zone.
+        hall: usize,
+        /// From one worker to the next, in seconds.
+        step: f64,
+    },
+    /// Streams of some relays break at once.
+    BrokenStreams {
+        /// Fraction of the relays.
+        share: f64,
+    },
+    /// Load reports of some relays come late, and twice.
+    LateReports {
+        /// Fraction of the relays.
+        share: f64,
+        /// How late, in seconds.
+        late: f64,
+    },
+    /// The governor is killed, and started again at the end.
+    Kill {
+        /// Index of the governor.
+        governor: usize,
+        /// Orders of a flush that are sent before; 0: it is killed at once.
+        after_orders: usize,
+    },
     /// The governor's process stands still.
-    Stall { governor: usize },
-    /// The governor and its hall are cut off from all else: relays, governors, roster.
-    Cut { governor: usize },
-    /// What the governor says to others is lost; what they say is heard.
-    OneWay { governor: usize },
+    Stall {
+        /// Index of the governor.
+        governor: usize,
+    },
+    /// The governor and its zone are partitioned from relays, governors and roster.
+    Cut {
+        /// Index of the governor.
+        governor: usize,
+    },
+    /// What the governor sends to others is lost; what they send arrives.
+    OneWay {
+        /// Index of the governor.
+        governor: usize,
+    },
     /// The governor's roster stays as it is.
-    Stale { governor: usize },
+    Stale {
+        /// Index of the governor.
+        governor: usize,
+    },
     /// All governors are drained, stopped and started again, one after another.
     Roll,
-    /// A governor is killed so many times within the span, at chance moments, and started again at once.
-    Storm { governor: usize, count: usize },
-    /// An operator has the version of now told again at the end, for fifteen seconds.
+    /// The governor is killed several times at random moments, and started again at once.
+    Storm {
+        /// Index of the governor.
+        governor: usize,
+        /// How often.
+        count: usize,
+    },
+    /// An operator rolls back to the present version at the end, for fifteen seconds.
     StepBack,
 }
 
+/// A fault with its time, in seconds from the day's start.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Planned {
+    /// When it begins.
     pub at: f64,
+    /// How long it lasts.
     pub lasts: f64,
+    /// What goes wrong.
     pub trouble: Trouble,
 }
 
-/// Fleet, flows, troubles, and the figures of the rules.
+/// Fleet, requests, faults, and the limits of the rules that are checked. Times are in seconds.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Day {
+    /// How long requests come.
     pub seconds: f64,
+    /// The zones.
     pub halls: Vec<String>,
+    /// Number of workers, distributed over the zones.
     pub workers: usize,
+    /// Number of relays, distributed over the zones.
     pub relays: usize,
+    /// Requests per second over all relays.
     pub flows_per_s: f64,
+    /// Capacity of a worker that is warmed up, in requests per second.
     pub worker_flows_per_s: f64,
+    /// Delay of the roster.
     pub roster_late: f64,
+    /// Capacity fraction of a cold worker.
     pub cold_share: f64,
+    /// How long a worker is cold.
     pub warm_after: f64,
+    /// No attempt may go to a replica so long after its drain was listed.
     pub drain_grace: f64,
+    /// Number of governors that share the relays.
     pub governors: usize,
+    /// Governors send gossip to each other.
     pub talk: bool,
     /// Settings and roster are imported from an nginx configuration.
     pub nginx: bool,
-    /// Governors know what they knew before a restart.
+    /// Governors have a durable store.
     pub state: bool,
+    /// No relay may be without a governor for so long.
     pub care_for: f64,
+    /// No relay may be without a table entry for so long.
     pub bare_for: f64,
+    /// A cold worker fails at so many times its even share.
     pub fall_multiple: f64,
+    /// If it lasts so long.
     pub overload_for: f64,
+    /// The faults, in the order of the script.
     pub troubles: Vec<Planned>,
 }
 
+/// The kinds of faults, as scripts name them.
 const KINDS: [&str; 13] = [
     "silent",
     "quick_errors",
@@ -88,56 +151,31 @@
     "storm",
 ];
 
-/// Checks a day's script.
+/// Checks a day's script; `file` is for the errors.
 ///
-/// Errors: all that is wrong with it.
-pub fn parse(file: &str, text: &str) -> Result<Day, Faults> {
-    let draft = script::run(file, text, About::Day)?;
-    let mut check = Check { file, faults: Vec::new() };
-    let said = draft.said.take();
-    let day = check.read("day", said.get("day").and_then(|said| said.first()));
+/// # Errors
+/// All that is wrong with it.
+pub fn parse(file: &str, text: &str) -> Result<Day, SettingErrors> {
+    let calls = script::run(file, text, ScriptKind::Day)?;
+    let mut validator = Validator::new(file);
+    let day = validator.fields("day", calls.first("day"));
     let halls = day.texts("halls");
     let mut troubles = Vec::new();
-    for said in said.get("trouble").into_iter().flatten() {
-        let read = check.read("trouble", Some(said));
-        let hall = read.text("hall").map(|name| halls.iter().position(|hall| *hall == name));
-        let (count, share) = (read.whole("count") as usize, read.number("share"));
-        let governor = read.whole("governor") as usize;
-        let trouble = match said.name.as_str() {
-            "silent" => Trouble::Silent { count },
-            "quick_errors" => Trouble::QuickErrors { count },
-            "deploy" => match hall {
-                Some(Some(hall)) => Trouble::Deploy { hall, step: read.number("step") },
-                _ => {
-                    check.fault(said.line, "a `deploy` needs a `hall` of the day".into());
-                    continue;
+    for call in calls.all("trouble") {
+        let fields = validator.fields("trouble", Some(call));
+        match trouble(call, &fields, &halls) {
+            Ok(trouble) => {
+                let (at, lasts) = (fields.number("at"), fields.number("lasts"));
+                if at + lasts > day.number("seconds") {
+                    validator.report(call.line, Problem::TroubleAfterEnd { kind: call.name.clone() });
                 }
-            },
-            "broken_streams" => Trouble::BrokenStreams { share },
-            "late_reports" => Trouble::LateReports { share, late: read.number("late") },
-            "kill_governor" => Trouble::Kill { governor, after_orders: read.whole("after_orders") as usize },
-            "stall_governor" => Trouble::Stall { governor },
-            "cut_governor" => Trouble::Cut { governor },
-            "one_way" => Trouble::OneWay { governor },
-            "stale_roster" => Trouble::Stale { governor },
-            "storm" => Trouble::Storm { governor, count },
-            "roll_governors" => Trouble::Roll,
-            "step_back" => Trouble::StepBack,
-            other => {
-                let near = schema::nearest(other, KINDS.into_iter());
-                let near = near.map_or_else(|| KINDS.join(", "), |near| format!("did you mean `{near}`?"));
-                check.fault(said.line, format!("no such trouble: `{other}`; {near}"));
-                continue;
+                troubles.push(Planned { at, lasts, trouble });
             }
-        };
-        let (at, lasts) = (read.number("at"), read.number("lasts"));
-        if at + lasts > day.number("seconds") {
-            check.fault(said.line, format!("`{}` goes on after the day's end", said.name));
+            Err(problem) => validator.report(call.line, problem),
         }
-        troubles.push(Planned { at, lasts, trouble });
     }
-    if !check.faults.is_empty() {
-        return Err(Faults(check.faults));
+    if !validator.is_clean() {
+        return Err(validator.into_errors());
     }
     Ok(Day {
         seconds: day.number("seconds"),
@@ -151,9 +189,9 @@
         warm_after: day.number("warm_after"),
         drain_grace: day.number("drain_grace"),
         governors: day.whole("governors") as usize,
-        talk: day.truth("talk"),
-        nginx: day.truth("nginx"),
-        state: day.truth("state"),
+        talk: day.flag("talk"),
+        nginx: day.flag("nginx"),
+        state: day.flag("state"),
         care_for: day.number("care_for"),
         bare_for: day.number("bare_for"),
         fall_multiple: day.number("fall_multiple"),
@@ -162,21 +200,39 @@
     })
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_day_is_read_and_its_faults_are_placed() {
-        let good = "day(seconds = 30, halls = ['a', 'b'])\ntrouble('deploy', at = 5, lasts = 9, hall = 'b')";
-        let day = parse("d.star", good).unwrap();
-        assert_eq!(day.troubles[0].trouble, Trouble::Deploy { hall: 1, step: 2.0 });
-        let why = |text: &str| parse("d.star", text).unwrap_err().to_string();
-        assert!(
-            why(&good.replace("deploy", "deplo"))
-                .contains("d.star:2: no such trouble: `deplo`; did you mean")
-        );
-        assert!(why(&good.replace("'b')", "'c')")).contains("needs a `hall`"));
-        assert!(why(&good.replace("at = 5", "at = 25")).contains("after the day's end"));
-    }
+fn trouble(call: &Call, fields: &Fields, halls: &[String]) -> Result<Trouble, Problem> {
+    let count = fields.whole("count") as usize;
+    let share = fields.number("share");
+    let governor = fields.whole("governor") as usize;
+    let trouble = match call.name.as_str() {
+        "silent" => Trouble::Silent { count },
+        "quick_errors" => Trouble::QuickErrors { count },
+        "deploy" => {
+            let named = fields.text("hall");
+            let hall = named.and_then(|name| halls.iter().position(|hall| *hall == name));
+            let hall = hall.ok_or(Problem::DeployWithoutHall)?;
+            Trouble::Deploy { hall, step: fields.number("step") }
+        }
+        "broken_streams" => Trouble::BrokenStreams { share },
+        "late_reports" => Trouble::LateReports { share, late: fields.number("late") },
+        "kill_governor" => Trouble::Kill { governor, after_orders: fields.whole("after_orders") as usize },
+        "stall_governor" => Trouble::Stall { governor },
+        "cut_governor" => Trouble::Cut { governor },
+        "one_way" => Trouble::OneWay { governor },
+        "stale_roster" => Trouble::Stale { governor },
+        "storm" => Trouble::Storm { governor, count },
+        "roll_governors" => Trouble::Roll,
+        "step_back" => Trouble::StepBack,
+        kind => {
+            let hint = match schema::nearest(kind, KINDS.into_iter()) {
+                Some(nearest) => format!("did you mean `{nearest}`?"),
+                None => KINDS.join(", "),
+            };
+            return Err(Problem::UnknownTrouble { kind: kind.to_string(), hint });
+        }
+    };
+    Ok(trouble)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/settings/src/script.rs
+++ b/crates/settings/src/script.rs
@@ -1,5 +1,5 @@
-//! Runs the script and keeps what it said, each with the line on which it was said. Nothing is checked here
-//! but names; the script can read nothing and reach nothing, and its steps and memory are bounded.
+//! Runs a script and records its calls, each with its line. Only names are checked here. A script can read nothing and
+//! reach nothing, and its steps and memory are bounded.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,87 +13,147 @@
 use starlark::values::Value;
 use starlark::values::none::NoneType;
 
+use crate::error::{Problem, SettingError, SettingErrors};
 use crate::schema::{self, Section};
-use crate::{Fault, Faults};
 
-/// A script larger than this is no settings.
-const MOST_BYTES: usize = 1 << 20;
-const MOST_STEPS: u64 = 500_000;
-const MOST_MEMORY: usize = 32 << 20;
-const MOST_DEPTH: usize = 100;
-/// No settings have more groups, as the module keeps sets of them in 64 bits.
-const MOST_CALLS: usize = 4096;
+/// Size limit of a script, in bytes.
+const MAX_SCRIPT_BYTES: usize = 1 << 20;
+/// Limit of the interpreter's steps.
+const MAX_STEPS: u64 = 500_000;
+/// Limit of the interpreter's memory, in bytes.
+const MAX_HEAP_BYTES: usize = 32 << 20;
+/// Limit of the depth of calls.
+const MAX_CALL_DEPTH: usize = 100;
+/// Limit of the calls for one section.
+const MAX_CALLS: usize = 4096;
 
 /// One call of a section's function.
 #[derive(Debug, Clone)]
-pub struct Said {
-    pub line: usize,
-    /// Empty for sections that are said once.
-    pub name: String,
-    pub fields: BTreeMap<String, serde_json::Value>,
+pub(crate) struct Call {
+    pub(crate) line: usize,
+    /// Empty for sections that are given once.
+    pub(crate) name: String,
+    pub(crate) fields: BTreeMap<String, serde_json::Value>,
 }
 
-/// All that a script said, by section.
+/// All calls of a script, by section.
+#[derive(Debug, Default)]
+pub(crate) struct Calls {
+    by_section: BTreeMap<&'static str, Vec<Call>>,
+}
+
+impl Calls {
+    pub(crate) fn all(&self, section: &str) -> &[Call] {
+        self.by_section.get(section).map_or(&[], Vec::as_slice)
+    }
+
+    pub(crate) fn first(&self, section: &str) -> Option<&Call> {
+        self.all(section).first()
+    }
+}
+
+/// What the functions of a running script write to.
 #[derive(Debug, Default, ProvidesStaticType)]
-pub struct Draft {
-    pub said: RefCell<BTreeMap<&'static str, Vec<Said>>>,
-    pub faults: RefCell<Vec<Fault>>,
+struct Recorder {
+    calls: RefCell<Calls>,
+    errors: RefCell<Vec<SettingError>>,
+}
+
+/// Where the running script calls a section's function.
+struct CallSite {
+    file: String,
+    line: usize,
 }
 
-fn say<'v>(
-    section: &'static Section,
+impl CallSite {
+    fn of(eval: &Evaluator) -> Self {
+        match eval.call_stack_top_location() {
+            Some(span) => {
+                CallSite { file: span.filename().to_string(), line: span.resolve_span().begin.line + 1 }
+            }
+            None => CallSite { file: String::new(), line: 0 },
+        }
+    }
+}
+
+impl Recorder {
+    fn report(&self, site: &CallSite, problem: Problem) {
+        let reason = problem.to_string();
+        self.errors.borrow_mut().push(SettingError { file: site.file.clone(), line: site.line, reason });
+    }
+
+    /// The fields that the section has and whose values are settings.
+    fn fields(
+        &self,
+        site: &CallSite,
+        section: &Section,
+        arguments: SmallMap<String, Value>,
+    ) -> BTreeMap<String, serde_json::Value> {
+        let mut fields = BTreeMap::new();
+        for (field, value) in arguments {
+            if section.field_names().all(|known| known != field) {
+                let hint = hint(&field, section);
+                self.report(site, Problem::UnknownField { section: section.name, field, hint });
+                continue;
+            }
+            match value.to_json_value() {
+                Ok(value) => drop(fields.insert(field, value)),
+                Err(_) => {
+                    let kind = value.get_type();
+                    self.report(site, Problem::NotASetting { section: section.name, field, kind });
+                }
+            }
+        }
+        fields
+    }
+}
+
+/// What may have been meant by a field that the section does not have.
+fn hint(field: &str, section: &Section) -> String {
+    match schema::nearest(field, section.field_names()) {
+        Some(nearest) => format!("did you mean `{nearest}`?"),
+        None => {
+            let known: Vec<&str> = section.field_names().collect();
+            format!("it takes {}", known.join(", "))
+        }
+    }
+}
+
+/// Records the call of a section that is given once.
+fn record<'v>(
+    section: &str,
+    arguments: SmallMap<String, Value<'v>>,
+    eval: &mut Evaluator<'v, '_, '_>,
+) -> anyhow::Result<NoneType> {
+    record_named(section, "", arguments, eval)
+}
+
+/// Records the call of a section that is given by name.
+fn record_named<'v>(
+    section: &str,
     name: &str,
-    kwargs: SmallMap<String, Value<'v>>,
+    arguments: SmallMap<String, Value<'v>>,
     eval: &mut Evaluator<'v, '_, '_>,
 ) -> anyhow::Result<NoneType> {
-    let span = eval.call_stack_top_location();
-    let line = span.as_ref().map_or(0, |span| span.resolve_span().begin.line + 1);
-    let file = span.map_or_else(String::new, |span| span.filename().to_string());
-    let Some(draft) = eval.extra.and_then(|extra| extra.downcast_ref::<Draft>()) else {
+    let section = schema::section(section).expect("a section of the schema");
+    let site = CallSite::of(eval);
+    let Some(recorder) = eval.extra.and_then(|extra| extra.downcast_ref::<Recorder>()) else {
         anyhow::bail!("`{}` can't be called here", section.name);
     };
-    let fault = |why: String| draft.faults.borrow_mut().push(Fault { file: file.clone(), line, why });
-    let mut fields = BTreeMap::new();
-    for (field, value) in kwargs {
-        if !section.fields.iter().any(|known| known.name == field) {
-            let near = schema::nearest(&field, section.fields.iter().map(|known| known.name));
-            let near = near.map_or_else(
-                || {
-                    let known: Vec<_> = section.fields.iter().map(|known| known.name).collect();
-                    format!("it takes {}", known.join(", "))
-                },
-                |near| format!("did you mean `{near}`?"),
-            );
-            fault(format!("`{}` has no `{field}`; {near}", section.name));
-            continue;
-        }
-        match value.to_json_value() {
-            Ok(value) => drop(fields.insert(field, value)),
-            Err(_) => fault(format!(
-                "`{field}` of `{}` is a {}, which is no setting",
-                section.name,
-                value.get_type()
-            )),
-        }
+    let fields = recorder.fields(&site, section, arguments);
+    let mut calls = recorder.calls.borrow_mut();
+    let calls = calls.by_section.entry(section.name).or_default();
+    if calls.len() >= MAX_CALLS {
+        anyhow::bail!("`{}` is said more than {MAX_CALLS} times", section.name);
     }
-    let mut said = draft.said.borrow_mut();
-    let said = said.entry(section.name).or_default();
-    if said.len() >= MOST_CALLS {
-        anyhow::bail!("`{}` is said more than {MOST_CALLS} times", section.name);
+    if let Some(first) = calls.first().filter(|_| !section.repeated) {
+        let problem = Problem::RepeatedSection { section: section.name, line: first.line };
+        recorder.report(&site, problem);
     }
-    if !section.many && !said.is_empty() {
-        fault(format!("`{}` was said already, on line {}; say it once", section.name, said[0].line));
-    }
-    said.push(Said { line, name: name.to_string(), fields });
+    calls.push(Call { line: site.line, name: name.to_string(), fields });
     Ok(NoneType)
 }
 
-macro_rules! once {
-    ($name:literal, $kwargs:expr, $eval:expr) => {
-        say(schema::section($name).expect("a section of the schema"), "", $kwargs, $eval)
-    };
-}
-
 #[starlark_module]
 fn sections(builder: &mut GlobalsBuilder) {
     fn group<'v>(
@@ -101,70 +161,70 @@
         #[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        say(schema::section("group").expect("a section of the schema"), name, kwargs, eval)
+        record_named("group", name, kwargs, eval)
     }
 
     fn fleet<'v>(
         #[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        once!("fleet", kwargs, eval)
+        record("fleet", kwargs, eval)
     }
 
     fn governor<'v>(
         #[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        once!("governor", kwargs, eval)
+        record("governor", kwargs, eval)
     }
 
     fn replicas<'v>(
         #[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        once!("replicas", kwargs, eval)
+        record("replicas", kwargs, eval)
     }
 
     fn channel<'v>(
         #[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        once!("channel", kwargs, eval)
+        record("channel", kwargs, eval)
     }
 
     fn reports<'v>(
         #[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        once!("reports", kwargs, eval)
+        record("reports", kwargs, eval)
     }
 
     fn roster<'v>(
         #[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        once!("roster", kwargs, eval)
+        record("roster", kwargs, eval)
     }
 
     fn state<'v>(
         #[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        once!("state", kwargs, eval)
+        record("state", kwargs, eval)
     }
 
     fn nginx<'v>(
         #[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        once!("nginx", kwargs, eval)
+        record("nginx", kwargs, eval)
     }
 
     fn listen<'v>(
         #[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        once!("listen", kwargs, eval)
+        record("listen", kwargs, eval)
     }
 }
 
@@ -174,7 +234,7 @@
         #[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        once!("day", kwargs, eval)
+        record("day", kwargs, eval)
     }
 
     fn trouble<'v>(
@@ -182,49 +242,54 @@
         #[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        say(schema::section("trouble").expect("a section of the schema"), kind, kwargs, eval)
+        record_named("trouble", kind, kwargs, eval)
     }
 }
 
-/// What a script is about.
+/// Which sections a script may give.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum About {
+pub(crate) enum ScriptKind {
     Settings,
     Day,
 }
 
-/// Runs a script, and says what it said.
+/// Runs a script and returns its calls.
 ///
-/// Errors: what the script can't be run for, with the line; faults of names.
-pub fn run(file: &str, text: &str, about: About) -> Result<Draft, Faults> {
-    let whole = |why: String| Faults(vec![Fault { file: file.to_string(), line: 0, why }]);
-    if text.len() > MOST_BYTES {
-        return Err(whole(format!("{} bytes; {MOST_BYTES} are allowed", text.len())));
+/// Errors: the script does not run, with the line; all unknown names.
+pub(crate) fn run(file: &str, text: &str, kind: ScriptKind) -> Result<Calls, SettingErrors> {
+    if text.len() > MAX_SCRIPT_BYTES {
+        let problem = Problem::ScriptTooLarge { bytes: text.len(), limit: MAX_SCRIPT_BYTES };
+        return Err(SettingErrors::single(file, 0, &problem));
     }
     let dialect = Dialect { enable_top_level_stmt: true, enable_f_strings: true, ..Dialect::Standard };
-    let ast = AstModule::parse(file, text.to_owned(), &dialect).map_err(|error| located(file, &error))?;
+    let ast =
+        AstModule::parse(file, text.to_owned(), &dialect).map_err(|error| script_error(file, &error))?;
     let globals = GlobalsBuilder::standard();
-    let globals: Globals = match about {
-        About::Settings => globals.with(sections).build(),
-        About::Day => globals.with(day_sections).build(),
+    let globals: Globals = match kind {
+        ScriptKind::Settings => globals.with(sections).build(),
+        ScriptKind::Day => globals.with(day_sections).build(),
     };
-    let draft = Draft::default();
-    let ran = Module::with_temp_heap(|module| {
+    let recorder = Recorder::default();
+    evaluate(ast, &globals, &recorder).map_err(|error| script_error(file, &error))?;
+    let errors = recorder.errors.take();
+    if errors.is_empty() { Ok(recorder.calls.take()) } else { Err(SettingErrors { errors }) }
+}
+
+fn evaluate(ast: AstModule, globals: &Globals, recorder: &Recorder) -> Result<(), starlark::Error> {
+    Module::with_temp_heap(|module| {
         let mut eval = Evaluator::new(&module);
-        eval.extra = Some(&draft);
+        eval.extra = Some(recorder);
         let bounded = eval
-            .set_max_callstack_size(MOST_DEPTH)
-            .and_then(|()| eval.set_max_heap_size(MOST_MEMORY))
-            .and_then(|()| eval.set_max_tick_count(MOST_STEPS));
+            .set_max_callstack_size(MAX_CALL_DEPTH)
+            .and_then(|()| eval.set_max_heap_size(MAX_HEAP_BYTES))
+            .and_then(|()| eval.set_max_tick_count(MAX_STEPS));
         bounded.map_err(starlark::Error::new_other)?;
-        eval.eval_module(ast, &globals).map(drop)
-    });
-    ran.map_err(|error| located(file, &error))?;
-    let faults = draft.faults.take();
-    if faults.is_empty() { Ok(draft) } else { Err(Faults(faults)) }
+        eval.eval_module(ast, globals).map(drop)
+    })
 }
 
-fn located(file: &str, error: &starlark::Error) -> Faults {
+fn script_error(file: &str, error: &starlark::Error) -> SettingErrors {
     let line = error.span().map_or(0, |span| span.resolve_span().begin.line + 1);
-    Faults(vec![Fault { file: file.to_string(), line, why: error.without_diagnostic().to_string() }])
+    let problem = Problem::Script(error.without_diagnostic().to_string());
+    SettingErrors::single(file, line, &problem)
 }
--- /dev/null
+++ b/crates/settings/src/validation/fields.rs
@@ -0,0 +1,114 @@
+//! The fields of one section: their types, and the defaults of those that were not given.
+
+use std::collections::BTreeSet;
+
+use serde_json::{Map, Value};
+
+use super::Validator;
+use crate::error::Problem;
+use crate::schema::{self, DefaultValue, Field, FieldType};
+use crate::script::Call;
+
+/// A section's fields, checked, with their defaults.
+pub(crate) struct Fields {
+    /// Where the section was given; 0 if it was not.
+    pub(crate) line: usize,
+    values: Map<String, Value>,
+}
+
+impl Fields {
+    pub(crate) fn value(&self, name: &str) -> Option<&Value> {
+        self.values.get(name)
+    }
+
+    pub(crate) fn number(&self, name: &str) -> f64 {
+        self.value(name).and_then(Value::as_f64).unwrap_or_default()
+    }
+
+    pub(crate) fn whole(&self, name: &str) -> u64 {
+        self.number(name) as u64
+    }
+
+    pub(crate) fn flag(&self, name: &str) -> bool {
+        self.value(name).and_then(Value::as_bool).unwrap_or_default()
+    }
+
+    pub(crate) fn text(&self, name: &str) -> Option<String> {
+        self.value(name).and_then(Value::as_str).map(str::to_string)
+    }
+
+    pub(crate) fn texts(&self, name: &str) -> Vec<String> {
+        let texts = self.value(name).and_then(Value::as_array).into_iter().flatten();
+        texts.filter_map(Value::as_str).map(str::to_string).collect()
+    }
+}
+
+impl Validator<'_> {
+    /// Checks the fields of a section that was given by `call`, or not at all.
+    pub(crate) fn fields(&mut self, section: &str, call: Option<&Call>) -> Fields {
+        let line = call.map_or(0, |call| call.line);
+        let title = match call {
+            Some(call) if !call.name.is_empty() => format!("{section} {}", call.name),
+            _ => section.to_string(),
+        };
+        let known = schema::section(section).unwrap_or(&schema::SECTIONS[0]);
+        let mut values = Map::new();
+        for field in known.fields {
+            let given = call.and_then(|call| call.fields.get(field.name)).filter(|value| !value.is_null());
+            match field_value(&title, field, given) {
+                Ok(Some(value)) => drop(values.insert(field.name.into(), value)),
+                Ok(None) => {}
+                Err(problem) => self.report(line, problem),
+            }
+        }
+        Fields { line, values }
+    }
+}
+
+/// The value of a field; none if it may be and is left out.
+fn field_value(title: &str, field: &Field, given: Option<&Value>) -> Result<Option<Value>, Problem> {
+    let section = title.to_string();
+    if let Some(value) = given {
+        if accepts(&field.field_type, value) {
+            return Ok(Some(value.clone()));
+        }
+        return Err(Problem::WrongValue {
+            section,
+            field: field.name,
+            value: value.clone(),
+            expected: field.field_type,
+        });
+    }
+    match field.default {
+        DefaultValue::Required => Err(Problem::MissingValue {
+            section,
+            field: field.name,
+            meaning: field.meaning,
+            expected: field.field_type,
+        }),
+        DefaultValue::Unset => Ok(None),
+        DefaultValue::Number(number) => Ok(Some(number.into())),
+        DefaultValue::Flag(flag) => Ok(Some(flag.into())),
+        DefaultValue::Text(text) => Ok(Some(text.into())),
+    }
+}
+fn accepts(field_type: &FieldType, value: &Value) -> bool {
+    match field_type {
+        FieldType::Number { min, max } | FieldType::Seconds { min, max } => is_within(value, *min, *max),
+        FieldType::Whole { min, max } => value.is_u64() && is_within(value, *min as f64, *max as f64),
+        FieldType::Flag => value.is_boolean(),
+        FieldType::Text => value.as_str().is_some_and(|text| !text.is_empty()),
+        FieldType::Texts => value.as_array().is_some_and(|texts| are_distinct_texts(texts)),
+        FieldType::OneOf(names) => value.as_str().is_some_and(|text| names.contains(&text)),
+    }
+}
+
+fn is_within(value: &Value, min: f64, max: f64) -> bool {
+    value.as_f64().is_some_and(|number| (min..=max).contains(&number))
+}
+
+fn are_distinct_texts(values: &[Value]) -> bool {
+    let texts = values.iter().filter_map(Value::as_str).filter(|text| !text.is_empty());
+    let distinct: BTreeSet<&str> = texts.collect();
+    distinct.len() == values.len()
+}
--- /dev/null
+++ b/crates/settings/tests/golden/day.star
@@ -0,0 +1,16 @@
+day(seconds = 60, halls = ["a", "b"], workers = 20, relays = 12, flows_per_s = 50, worker_flows_per_s = 9, roster_late = 0.5,
+    cold_share = 0.5, warm_after = 3, drain_grace = 2, governors = 3, talk = True, state = True, nginx = True, care_for = 4,
+    bare_for = 1, fall_multiple = 2, overload_for = 1.25)
+trouble("silent", at = 1, lasts = 2, count = 3)
+trouble("quick_errors", at = 2, lasts = 2)
+trouble("deploy", at = 3, lasts = 9, hall = "b", step = 0.5)
+trouble("broken_streams", at = 4, share = 0.25)
+trouble("late_reports", at = 5, lasts = 1, late = 3)
+trouble("kill_governor", at = 6, lasts = 1, governor = 2, after_orders = 0)
+trouble("stall_governor", at = 7, lasts = 1, governor = 1)
+trouble("cut_governor", at = 8, lasts = 1)
+trouble("one_way", at = 9, lasts = 1, governor = 1)
+trouble("stale_roster", at = 10, lasts = 1)
+trouble("roll_governors", at = 11, lasts = 1)
+trouble("step_back", at = 12, lasts = 1)
+trouble("storm", at = 13, lasts = 1, governor = 2, count = 5)
