--- a/crates/nginx-importer/src/access_log.rs
+++ b/crates/nginx-importer/src/access_log.rs
@@ -17,6 +17,7 @@
 /// One try, as the log has it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Try {
+    /// The replica's address.
     pub address: String,
     /// How long its answer took; none if there was no good one.
     pub answered: Option<Duration>,
@@ -25,19 +26,25 @@
 /// One flow: its group, and its tries; none if it was blocked.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Flow {
+    /// The traffic class.
     pub group: String,
+    /// The attempts, in their order.
     pub tries: Vec<Try>,
 }
 
 /// Why a line does not count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum Odd {
+    /// It has too few fields.
     #[error("it has not the four fields of our format")]
     Fields,
+    /// Its lists of attempts differ in length.
     #[error("its tries have different numbers of addresses, states and times")]
     Tries,
+    /// A field is no number.
     #[error("a state or a time is no number")]
     Number,
+    /// It is too long.
     #[error("it is longer than a line may be")]
     Long,
 }
--- a/crates/nginx-importer/src/blocks.rs
+++ b/crates/nginx-importer/src/blocks.rs
@@ -26,10 +26,13 @@
 /// What is wrong with what was written.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum ExportError {
+    /// nginx could not read it.
     #[error("it can't be read: {0}")]
     Syntax(String),
+    /// A class would have other servers than it should.
     #[error("group `{0}` would have other lines than it should")]
     Lines(String),
+    /// An address that nginx does not take.
     #[error("`{0}` is no address that an nginx takes")]
     Address(String),
 }
--- a/crates/nginx-importer/src/difference.rs
+++ b/crates/nginx-importer/src/difference.rs
@@ -9,24 +9,32 @@
 /// Replicas and groups by name, each with what is known of it. Only what both sides know is compared.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ComparableFleet {
+    /// Replicas by name, and what is known of each by field.
     pub replicas: BTreeMap<String, BTreeMap<&'static str, String>>,
+    /// Traffic classes by name, and what is known of each by field.
     pub classes: BTreeMap<String, BTreeMap<&'static str, String>>,
 }
 
+/// What became of a replica or a class.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeKind {
+    /// It is new.
     Added,
+    /// It is not there any more.
     Gone,
     /// Which figure, from what to what.
     Changed(&'static str, String, String),
 }
 
+/// One difference.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Difference {
     /// `replica` or `group`.
     pub kind: &'static str,
+    /// The replica's or the class's name.
     pub name: String,
+    /// What became of it.
     pub what: ChangeKind,
 }
 
--- a/crates/nginx-importer/src/directive_support.rs
+++ b/crates/nginx-importer/src/directive_support.rs
@@ -8,9 +8,11 @@
 use crate::files::Configuration;
 use crate::syntax::{Body, Directive, Position};
 
+/// Whether a directive is carried over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
+    /// It is carried over.
     #[serde(rename = "carried")]
     Supported,
     /// Supported over, with a stated difference.
@@ -21,27 +23,36 @@
     Unsupported,
 }
 
+/// What becomes of one directive.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct DirectiveSupport {
+    /// Whether it is carried over.
     pub outcome: Outcome,
     /// It bears on where flows go, when they are tried again or how many there are: `--strict` minds if such
     /// a directive is left. What does not stays the proxy's own business.
     #[serde(rename = "routing")]
     pub affects_routing: bool,
+    /// Why.
     #[serde(rename = "why")]
     pub reason: Cow<'static, str>,
+    /// What to do about it; empty if there is nothing to do.
     pub advice: Cow<'static, str>,
 }
 
 /// One kind of directive, as far as nothing more is known of it than its name.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct KnownDirective {
+    /// The directive's name.
     pub name: &'static str,
+    /// Whether directives of this name are carried over.
     pub outcome: Outcome,
+    /// As in [`DirectiveSupport`].
     #[serde(rename = "routing")]
     pub affects_routing: bool,
+    /// Why.
     #[serde(rename = "why")]
     pub reason: &'static str,
+    /// What to do about it; empty if there is nothing to do.
     pub advice: &'static str,
 }
 
@@ -402,6 +413,7 @@
 pub const TABLES: &[&str] = &["types", "map", "geo", "split_clients"];
 
 impl DirectiveSupport {
+    /// What becomes of a directive, in so many words.
     pub fn new(
         outcome: Outcome,
         routing: bool,
@@ -440,9 +452,13 @@
 pub struct ReportEntry {
     /// `file:line`.
     pub at: String,
+    /// The line in its file, from 1 on.
     pub line: u32,
+    /// The column in its line, from 1 on.
     pub column: u32,
+    /// The directive's or the parameter's name.
     pub directive: String,
+    /// What becomes of it.
     #[serde(flatten)]
     pub support: DirectiveSupport,
 }
--- a/crates/nginx-importer/src/files.rs
+++ b/crates/nginx-importer/src/files.rs
@@ -7,6 +7,7 @@
 
 /// Files of one configuration, at the most, and their bytes together.
 pub const MOST_FILES: usize = 10_000;
+/// Bytes of all files of one configuration together, at the most.
 pub const MOST_BYTES: u64 = 64 << 20;
 
 /// Where files come from.
@@ -47,6 +48,7 @@
 pub struct Configuration {
     /// By their number, as they are named in errors and origins.
     pub files: Vec<PathBuf>,
+    /// The directives of the main file, included ones in their places.
     pub directives: Vec<Directive>,
 }
 
@@ -62,9 +64,13 @@
 /// Why a configuration can't be read, and where.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub struct ReadError {
+    /// The file.
     pub file: PathBuf,
+    /// The line, from 1 on; 0 where it is about the file.
     pub line: u32,
+    /// The column, from 1 on.
     pub column: u32,
+    /// Why.
     pub reason: String,
 }
 
--- a/crates/nginx-importer/src/fleet.rs
+++ b/crates/nginx-importer/src/fleet.rs
@@ -30,39 +30,51 @@
     Network,
 }
 
+/// A server of an upstream, as the roster lists it.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ImportedReplica {
     /// Its address, so that it keeps its name over repeated imports.
     pub id: String,
+    /// Its address, `host:port`.
     pub address: String,
+    /// Its zone's name.
     pub zone: String,
+    /// Its weight.
     pub weight: f64,
     /// `ready`, `draining` or `gone`.
     pub phase: &'static str,
+    /// It is listed only while no other is ready.
     pub backup: bool,
     /// Where it is written, `file:line`.
     pub origin: String,
 }
 
+/// What leads requests to a class.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Routes {
     /// As the settings spell them.
     Paths(Vec<String>),
+    /// A header and its value.
     Header(String),
 }
 
+/// What nginx does after a failed attempt, in the terms of the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ImportedRetryPolicy {
+    /// Nothing.
     Never,
+    /// One more attempt if the first was not executed.
     #[serde(rename = "if-never-ran")]
     IfNotExecuted,
+    /// One more attempt whatever became of the first.
     #[serde(rename = "once")]
     OnAnyFailure,
 }
 
 impl ImportedRetryPolicy {
+    /// As the settings spell it.
     pub fn name(self) -> &'static str {
         match self {
             ImportedRetryPolicy::Never => "never",
@@ -72,41 +84,57 @@
     }
 }
 
+/// A traffic class: locations that are alike.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ImportedClass {
+    /// Its name.
     pub name: String,
+    /// What leads requests to it.
     pub routes: Routes,
+    /// Repeats do no harm.
     #[serde(rename = "retriable")]
     pub idempotent: bool,
     /// Seconds.
     #[serde(rename = "latency_budget")]
     pub latency_objective: f64,
+    /// How long a request may take in all, in seconds.
     #[serde(rename = "expiry")]
     pub request_deadline: f64,
+    /// What becomes of failed attempts.
     #[serde(rename = "tries")]
     pub retry_policy: ImportedRetryPolicy,
     /// The locations it comes from: what they are, and `file:line`.
     pub origins: Vec<String>,
 }
 
+/// A pool of replicas with the traffic classes that lead there.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ImportedFleet {
+    /// Its name.
     pub name: String,
+    /// Where it is written.
     pub origin: String,
+    /// The zones' names.
     pub zones: Vec<String>,
+    /// The replicas.
     pub replicas: Vec<ImportedReplica>,
+    /// The traffic classes.
     #[serde(rename = "groups")]
     pub classes: Vec<ImportedClass>,
     /// Seconds; none where nothing is said.
     #[serde(rename = "warm_after")]
     pub slow_start_seconds: Option<f64>,
+    /// The most cautious retry policy of its classes.
     #[serde(rename = "tries")]
     pub retry_policy: ImportedRetryPolicy,
 }
 
+/// What a configuration becomes.
 #[derive(Debug, Clone)]
 pub struct ImportResult {
+    /// A fleet for each pool of replicas.
     pub fleets: Vec<ImportedFleet>,
+    /// What becomes of each directive.
     pub report: ImportReport,
 }
 
--- a/crates/nginx-importer/src/syntax.rs
+++ b/crates/nginx-importer/src/syntax.rs
@@ -17,45 +17,59 @@
 /// Where something stands: the file by its number, line and column (in bytes) from 1.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
+    /// The file's number in its configuration.
     pub file: u32,
+    /// The line, from 1 on.
     pub line: u32,
+    /// The column, from 1 on.
     pub column: u32,
 }
 
 /// One word of a directive, without its quotes and with its escapes resolved.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Word {
+    /// What it says, without quotes and escapes.
     pub bytes: Vec<u8>,
+    /// Where it stands.
     pub at: Position,
 }
 
 impl Word {
+    /// As text; bytes that are none are replaced.
     pub fn text(&self) -> Cow<'_, str> {
         String::from_utf8_lossy(&self.bytes)
     }
 
+    /// Whether it says this.
     pub fn is(&self, text: &str) -> bool {
         self.bytes == text.as_bytes()
     }
 }
 
+/// What stands behind a directive's words.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Body {
     /// Ended by `;`.
     None,
+    /// A block of directives.
     Block(Vec<Directive>),
     /// An `include`, and what came of it: it stands as if written there.
     Included(Vec<Directive>),
 }
 
+/// One directive.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Directive {
+    /// Its name.
     pub name: Word,
+    /// Its parameters.
     pub words: Vec<Word>,
+    /// What stands behind them.
     pub body: Body,
 }
 
 impl Directive {
+    /// Whether it has this name.
     pub fn is(&self, name: &str) -> bool {
         self.name.is(name)
     }
@@ -74,22 +88,31 @@
     }
 }
 
+/// What is wrong with a text.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SyntaxErrorKind {
+    /// It ends within a quoted word.
     #[error("the file ends within a quoted word")]
     OpenQuote,
+    /// It ends within the block of this directive.
     #[error("the file ends within the block of `{0}`; a `}}` is missing")]
     OpenBlock(String),
+    /// It ends within this directive.
     #[error("the file ends within `{0}`; a `;` is missing")]
     Unended(String),
+    /// A character stands where none such may.
     #[error("`{0}` does not belong here")]
     Unexpected(char),
+    /// Something stands right behind a quoted word.
     #[error("a quoted word must be followed by white space, `;` or `{{`")]
     AfterQuote,
+    /// Blocks within too many blocks.
     #[error("blocks within more than {DEEPEST} others")]
     Deep,
+    /// A word that is too long.
     #[error("a word of more than {LONGEST} bytes")]
     Long,
+    /// Too many directives.
     #[error("more than {MOST} directives")]
     Many,
 }
@@ -97,7 +120,9 @@
 /// What is wrong with a file's syntax, and where in it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SyntaxError {
+    /// Where.
     pub position: Position,
+    /// What is wrong.
     pub kind: SyntaxErrorKind,
 }
 
--- a/crates/nginx-importer/src/values.rs
+++ b/crates/nginx-importer/src/values.rs
@@ -40,6 +40,7 @@
     Address(String),
     /// A name that has to be looked up, `host:port`.
     Name(String),
+    /// A local socket, by its path.
     Unix(String),
 }
 
--- a/crates/nginx-importer/src/write.rs
+++ b/crates/nginx-importer/src/write.rs
@@ -12,6 +12,7 @@
 pub struct DeploymentTerms {
     /// Proxies that will follow, of all governors together.
     pub proxies: u64,
+    /// Governors that share the fleet.
     pub governors: u64,
     /// Ports of the first fleet (gRPC, HTTP, long-poll); each further one has those ten higher.
     pub ports: (u16, u16, u16),
--- a/crates/nginx-importer/src/write_debouncer.rs
+++ b/crates/nginx-importer/src/write_debouncer.rs
@@ -12,6 +12,7 @@
 /// After failures in a row the wait doubles, up to this.
 const LONGEST: Duration = Duration::from_secs(60);
 
+/// When to write the file of one nginx.
 #[derive(Debug)]
 pub struct WriteDebouncer {
     min_interval: Duration,
@@ -78,6 +79,7 @@
         Some(last + doubled.min(LONGEST.max(wait)))
     }
 
+    /// Writes that failed since the last that did not.
     pub fn failures(&self) -> u32 {
         self.failures
     }
--- a/crates/xds/src/decode.rs
+++ b/crates/xds/src/decode.rs
@@ -24,16 +24,22 @@
 const LONGEST_NAME: usize = 256;
 const MOST_STANDING: usize = 1000;
 
+/// Why a message can't be understood.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum Unclear {
+    /// The first request names no node.
     #[error("the stream's first message has no node")]
     NoNode,
+    /// The node's id is no name.
     #[error("node id: {0}")]
     Name(String),
+    /// The node's zone is not in the settings.
     #[error("node `{node}` is in zone `{zone}`; the settings know {known}")]
     Zone { node: String, zone: String, known: String },
+    /// A field of the node's metadata can't be meant.
     #[error("node `{node}`: metadata `wrenthread.{field}`: {why}")]
     Metadata { node: String, field: &'static str, why: String },
+    /// An endpoint of an upstream's cluster can't be meant.
     #[error("endpoint {place} of `{cluster}`: {why}")]
     Endpoint { cluster: String, place: usize, why: String },
 }
--- a/crates/xds/src/encode.rs
+++ b/crates/xds/src/encode.rs
@@ -46,6 +46,7 @@
 
 /// The one listener and the one route configuration that all proxies are given.
 pub const LISTENER: &str = "wrenthread";
+/// The name of the one route configuration.
 pub const ROUTES: &str = "wrenthread-routes";
 /// The category under which proxies report flows that a level blocked.
 pub const LEVEL: &str = "level";
@@ -54,15 +55,21 @@
 /// The resource types, in the order in which they are made before what names them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
+    /// CDS: a cluster for each traffic class.
     Clusters,
+    /// EDS: a cluster's endpoints, the table of a class.
     Endpoints,
+    /// LDS: the one listener.
     Listeners,
+    /// RDS: the one route configuration.
     Routes,
 }
 
 impl Kind {
+    /// All types, in the order in which they are sent.
     pub const ALL: [Kind; 4] = [Kind::Clusters, Kind::Endpoints, Kind::Listeners, Kind::Routes];
 
+    /// The type URL.
     pub fn url(self) -> String {
         match self {
             Kind::Clusters => Cluster::type_url(),
@@ -72,6 +79,7 @@
         }
     }
 
+    /// The type with this URL; none if it is not served.
     pub fn of(url: &str) -> Option<Kind> {
         Kind::ALL.into_iter().find(|kind| kind.url() == url)
     }
--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -36,7 +36,9 @@
     pub governor: String,
     /// What it signs claims with; none are given without it.
     pub key: Option<wrenthread_core::ownership::SigningKey>,
+    /// The zones' names, in the order of their numbers.
     pub zones: Vec<String>,
+    /// The traffic classes, in the order of their numbers.
     pub groups: Vec<WireGroup>,
     /// How often proxies are to report.
     pub report_every: std::time::Duration,
@@ -72,15 +74,20 @@
 /// A traffic group: a cluster of its own and a route to it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WireGroup {
+    /// The class's name, which is its cluster's, too.
     pub name: String,
+    /// What leads requests to it.
     pub route: Route,
+    /// How long a request may take in all.
     pub expiry: std::time::Duration,
 }
 
 /// What tells a group's flows from others'.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Route {
+    /// Paths that begin with this.
     Prefix(String),
+    /// Requests whose header (the first) has this value (the second).
     Header(String, String),
     /// Several paths; which goes before which is [`Path`]'s.
     Paths(Vec<Path>),
@@ -90,7 +97,9 @@
 /// first pattern; then the longest prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Path {
+    /// Paths that begin with this.
     Prefix(String),
+    /// This path and no other.
     Exact(String),
     /// A prefix that goes before patterns.
     Firm(String),
--- a/crates/xds/src/service.rs
+++ b/crates/xds/src/service.rs
@@ -37,7 +37,9 @@
 /// Where a stream's answers go.
 #[derive(Debug, Clone)]
 pub enum Answers {
+    /// Of a state-of-the-world stream.
     Sotw(mpsc::Sender<Result<DiscoveryResponse, Status>>),
+    /// Of a delta stream.
     Delta(mpsc::Sender<Result<DeltaDiscoveryResponse, Status>>),
 }
 
@@ -84,12 +86,19 @@
 /// What happens on the sockets, for the one task that owns all state.
 #[derive(Debug)]
 pub enum Event {
+    /// An ADS stream was opened.
     Opened { stream: u64, answers: Answers },
+    /// A request came on it.
     Asked { stream: u64, request: Box<session::Request> },
+    /// It ended.
     Closed { stream: u64 },
+    /// An LRS stream was opened by this node.
     ReportsOpened { stream: u64, node: Box<Node> },
+    /// A load report came on it.
     Reported { stream: u64, stats: Vec<ClusterStats> },
+    /// It ended.
     ReportsClosed { stream: u64 },
+    /// A CSDS request.
     Status { request: Box<ClientStatusRequest>, reply: oneshot::Sender<ClientStatusResponse> },
 }
 
--- a/crates/xds/src/session.rs
+++ b/crates/xds/src/session.rs
@@ -24,19 +24,26 @@
 /// Responses of a type that may be unacknowledged before the oldest is given up for lost.
 const MOST_OUTSTANDING: usize = 32;
 
+/// A request of either variant of ADS.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Request {
+    /// Of the state-of-the-world variant.
     Sotw(DiscoveryRequest),
+    /// Of the delta variant.
     Delta(DeltaDiscoveryRequest),
 }
 
+/// A response of either variant of ADS.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Response {
+    /// Of the state-of-the-world variant.
     Sotw(DiscoveryResponse),
+    /// Of the delta variant.
     Delta(DeltaDiscoveryResponse),
 }
 
 impl Request {
+    /// The node that it names, if it names one.
     pub fn node(&self) -> Option<&crate::pb::envoy::config::core::v3::Node> {
         match self {
             Request::Sotw(request) => request.node.as_ref(),
@@ -66,10 +73,13 @@
     Unserved(String),
 }
 
+/// Why a stream is ended.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum Bad {
+    /// It subscribes to more names than a stream may.
     #[error("subscribes to {0} names of one type; {MOST_NAMES} are allowed")]
     TooManyNames(usize),
+    /// It has requests of both variants.
     #[error("mixes the delta and the state-of-the-world variant on one stream")]
     Mixed,
 }
@@ -102,6 +112,7 @@
     }
 }
 
+/// One ADS stream.
 #[derive(Debug)]
 pub struct Session {
     delta: bool,
@@ -117,6 +128,7 @@
 /// What a flush came to.
 #[derive(Debug, Default, PartialEq)]
 pub struct Flushed {
+    /// The responses to send, in their order.
     pub responses: Vec<Response>,
     /// Lines in them; 0 if there was nothing to say.
     pub lines: usize,
@@ -127,9 +139,13 @@
 /// Where a resource stands, for operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
+    /// The proxy acknowledged the version.
     Acked,
+    /// It was sent, and the proxy has not answered yet.
     Sent,
+    /// The proxy rejected it.
     Nacked,
+    /// It was not sent.
     NotSent,
 }
 
