--- a/src/governor.rs
+++ b/src/governor.rs
@@ -66,6 +66,12 @@
 /// By how much a failed health check raises the requests in flight.
 const FAILED_HEALTH_CHECK_GROWTH: f64 = 1.3;
 
+// Operators and their programs read these texts: they stay as they are.
+const REASON_NOT_READY: &str = "drains or is gone";
+const REASON_WITHHELD: &str = "too cold for tables that can't be read";
+const REASON_EJECTED: &str = "withdrawn: does not answer, or drops far more than the fleet";
+const REASON_PROBATION: &str = "on trial after a withdrawal";
+
 /// One governor's knowledge, and the decisions that wait to be pulled.
 #[derive(Default)]
 pub struct Governor {
@@ -355,12 +361,10 @@
     pub fn ejection_reason(&self, id: &ReplicaId) -> Option<&'static str> {
         let replica = self.replicas.get(id)?;
         match replica.health {
-            _ if !replica.ready => Some("drains or is gone"),
-            _ if replica.withheld => Some("too cold for tables that can't be read"),
-            HealthState::Ejected { .. } => {
-                Some("withdrawn: does not answer, or drops far more than the fleet")
-            }
-            HealthState::Probation { .. } => Some("on trial after a withdrawal"),
+            _ if !replica.ready => Some(REASON_NOT_READY),
+            _ if replica.withheld => Some(REASON_WITHHELD),
+            HealthState::Ejected { .. } => Some(REASON_EJECTED),
+            HealthState::Probation { .. } => Some(REASON_PROBATION),
             HealthState::Healthy => None,
         }
     }
