--- a/crates/core/src/backup_replicas.rs
+++ b/crates/core/src/backup_replicas.rs
@@ -1,8 +1,8 @@
-//! Replicas that are listed as backups: on the list only while no other replica is ready.
+//! Backup replicas: active only while no primary replica is ready.
 //!
-//! They stay on it until one of the others has been ready for as long as a replica takes to warm up, without
-//! a break. That guards against a cold replica that comes back to all flows at once, and against a list that
-//! flaps; it does harm where backups are slow or far, for so long.
+//! They stay active until a primary has been ready for as long as a slow start takes, without a break. That guards
+//! against a cold replica that comes back to all requests at once, and against a roster that flaps; it does harm where
+//! backups are slow or far, for so long.
 
 use std::time::Duration;
 
@@ -10,30 +10,31 @@
 
 use crate::roster::RosterEntry;
 
+/// Which entries of a roster are active.
 #[derive(Debug)]
 pub struct BackupReplicas {
     release_delay: Duration,
-    /// The list as its source said it last; kept only while it has backups.
+    /// The last complete roster; kept only while it has backups.
     last: Vec<RosterEntry>,
-    /// Backups are on the list, as nobody else was ready.
+    /// Backups are active, as no primary was ready.
     active: bool,
-    /// Since when some other one is ready without a break.
+    /// Since when some primary is ready without a break.
     primary_ready_since: Option<Duration>,
 }
 
 impl BackupReplicas {
-    /// `hold`: for how long one of the others must be ready before backups are let go.
-    pub fn new(hold: Duration) -> Self {
-        BackupReplicas { release_delay: hold, last: Vec::new(), active: false, primary_ready_since: None }
+    /// `release_delay`: for how long a primary must be ready before backups are released.
+    pub fn new(release_delay: Duration) -> Self {
+        BackupReplicas { release_delay, last: Vec::new(), active: false, primary_ready_since: None }
     }
 
-    /// A whole list, as its source says it: what is on it now.
+    /// A complete roster, as its source has it: its active entries.
     pub fn update(&mut self, now: Duration, entries: Vec<RosterEntry>) -> Vec<RosterEntry> {
         let any = entries.iter().any(|entry| entry.backup);
         let ready = entries.iter().any(|entry| !entry.backup && entry.phase == Phase::Ready);
         match ready {
             true => drop(self.primary_ready_since.get_or_insert(now)),
-            // An empty list is doubted by whoever takes it; it calls nobody.
+            // An empty roster is doubted by whoever takes it; it activates nobody.
             false if any => (self.active, self.primary_ready_since) = (true, None),
             false => self.primary_ready_since = None,
         }
@@ -41,7 +42,7 @@
         self.active_entries(now, entries)
     }
 
-    /// The list anew, when backups are let go.
+    /// The active entries anew, when backups are released.
     pub fn release_due(&mut self, now: Duration) -> Option<Vec<RosterEntry>> {
         self.next_deadline().filter(|due| now >= *due)?;
         Some(self.active_entries(now, self.last.clone()))
--- a/crates/core/src/engine/actions.rs
+++ b/crates/core/src/engine/actions.rs
@@ -49,11 +49,25 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum EngineEvent {
     /// What the module decided, the version that it goes out under, and the inputs that it answers.
-    Decided { what: DecisionSummary, version: u64, answers: Arc<[Cause]> },
+    Decided {
+        /// The decision.
+        what: DecisionSummary,
+        /// The version that it goes out under.
+        version: u64,
+        /// The inputs since the last flush.
+        answers: Arc<[Cause]>,
+    },
     /// An empty roster is not believed before this time.
     EmptyRosterDoubted(Duration),
     /// A proxy rejected a version, in its own words; its last good tables stand.
-    VersionRejected { proxy: Arc<str>, version: u64, words: String },
+    VersionRejected {
+        /// The proxy's name.
+        proxy: Arc<str>,
+        /// The version that it rejected.
+        version: u64,
+        /// Its reason, in its own words.
+        words: String,
+    },
     /// So many proxies wait in the join queue, as the channel is full.
     JoinsQueued(usize),
     /// An operator's override of a replica has expired.
@@ -61,7 +75,14 @@
     /// Something is not sent as it was decided. A refusal that lasts is reported once.
     TableRefused(Refusal),
     /// A frozen table was released.
-    FrozenTableReleased { proxy: Arc<str>, group: usize, over: ReleaseReason },
+    FrozenTableReleased {
+        /// The proxy's name.
+        proxy: Arc<str>,
+        /// The traffic class.
+        group: usize,
+        /// Why it was released.
+        over: ReleaseReason,
+    },
 }
 
 /// A decision of the module, in short.
--- a/crates/core/src/fault_injection.rs
+++ b/crates/core/src/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Deciders in the module's place that have gone wrong, for tests and rehearsals of what stands behind it.
+//! Fault injection: decision modules that have gone wrong, for tests and rehearsals of what stands behind the module.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -9,20 +9,21 @@
 /// What was seen of the module's decisions so far.
 #[derive(Debug, Default)]
 pub struct ObservedDecisions {
-    laid: BTreeMap<TableId, BTreeMap<ReplicaId, f64>>,
+    entries_by_table: BTreeMap<TableId, BTreeMap<ReplicaId, f64>>,
     replicas: BTreeSet<ReplicaId>,
-    out: BTreeSet<ReplicaId>,
-    beats: u64,
+    ejected: BTreeSet<ReplicaId>,
+    ticks: u64,
 }
 
-/// What one that has gone wrong makes of a decision.
+/// What a faulty module makes of a decision.
 pub type Fault = fn(Decision, &ObservedDecisions) -> Vec<Decision>;
 
 /// A decider that asks the module, and does not do as it says.
-pub fn decider(wrong: Fault) -> FaultyDecider {
-    let (mut seen, mut ahead) = (ObservedDecisions::default(), VecDeque::new());
+pub fn decider(fault: Fault) -> FaultyDecider {
+    let mut seen = ObservedDecisions::default();
+    let mut pending = VecDeque::new();
     Box::new(move |now, rules| {
-        if let Some(decision) = ahead.pop_front() {
+        if let Some(decision) = pending.pop_front() {
             return Some(decision);
         }
         let decision = rules.next_decision(now)?;
@@ -30,19 +31,19 @@
             Decision::UpdateTable { table, entries } => {
                 seen.replicas.extend(entries.iter().map(|entry| entry.replica.clone()));
                 let entries = entries.iter().map(|entry| (entry.replica.clone(), entry.weight));
-                seen.laid.entry(*table).or_default().extend(entries);
+                seen.entries_by_table.entry(*table).or_default().extend(entries);
             }
-            Decision::SetEjected { replica: id, ejected: true } => drop(seen.out.insert(id.clone())),
-            Decision::SetEjected { replica: id, ejected: false } => drop(seen.out.remove(id)),
-            Decision::ScheduleTick(_) => seen.beats += 1,
+            Decision::SetEjected { replica: id, ejected: true } => drop(seen.ejected.insert(id.clone())),
+            Decision::SetEjected { replica: id, ejected: false } => drop(seen.ejected.remove(id)),
+            Decision::ScheduleTick(_) => seen.ticks += 1,
             _ => {}
         }
-        ahead.extend(wrong(decision, &seen));
-        ahead.pop_front()
+        pending.extend(fault(decision, &seen));
+        pending.pop_front()
     })
 }
 
-/// With each beat, lines for every table that was laid; by a replica's place among all.
+/// With each tick, entries for every table that was updated; by a replica's place among all.
 fn every_table(
     decision: Decision,
     seen: &ObservedDecisions,
@@ -50,7 +51,7 @@
 ) -> Vec<Decision> {
     let mut all = vec![decision.clone()];
     if matches!(decision, Decision::ScheduleTick(_)) {
-        for table in seen.laid.keys() {
+        for table in seen.entries_by_table.keys() {
             let entries = seen.replicas.iter().enumerate();
             let entries = entries.map(|(at, id)| TableEntry { replica: id.clone(), weight: weight(at, id) });
             all.push(Decision::UpdateTable { table: *table, entries: entries.collect() });
@@ -59,7 +60,7 @@
     all
 }
 
-fn with_each_beat(decision: Decision, more: Vec<Decision>) -> Vec<Decision> {
+fn with_each_tick(decision: Decision, more: Vec<Decision>) -> Vec<Decision> {
     let more = if matches!(decision, Decision::ScheduleTick(_)) { more } else { Vec::new() };
     more.into_iter().chain([decision]).collect()
 }
@@ -68,7 +69,7 @@
     f64::from(u8::from(is))
 }
 
-/// Kinds of wrong, by what they are.
+/// Faults by name; the names are those of rehearsed days.
 pub const FAULTS: [(&str, Fault); 13] = [
     ("empty-tables", |decision, seen| every_table(decision, seen, |_, _| 0.0)),
     ("all-onto-a-drain", |decision, seen| match decision {
@@ -76,7 +77,7 @@
             vec![Decision::SetEjected { replica: id, ejected: false }]
         }
         other => {
-            let drain = seen.out.first().or(seen.replicas.first()).cloned();
+            let drain = seen.ejected.first().or(seen.replicas.first()).cloned();
             every_table(other, seen, |_, id| one(Some(id) == drain.as_ref()))
         }
     }),
@@ -88,7 +89,7 @@
         Decision::SetEjected { replica: id, .. } => {
             vec![Decision::SetEjected { replica: id, ejected: false }]
         }
-        other => every_table(other, seen, |at, _| one((at as u64 + seen.beats).is_multiple_of(2))),
+        other => every_table(other, seen, |at, _| one((at as u64 + seen.ticks).is_multiple_of(2))),
     }),
     ("infinite-weights", |decision, seen| {
         every_table(decision, seen, |at, _| if at == 2 { f64::INFINITY } else { 1.0 })
@@ -97,19 +98,19 @@
         every_table(decision, seen, |at, _| if at == 2 { 1e200 } else { 1e-200 })
     }),
     ("levels-out-of-bounds", |decision, _| {
-        with_each_beat(
+        with_each_tick(
             decision,
             vec![Decision::SetAdmission { classes: 3, fraction: 7.0, retry_policy: RetryPolicy::Never }],
         )
     }),
     ("levels-not-a-number", |decision, _| {
-        with_each_beat(
+        with_each_tick(
             decision,
             vec![Decision::SetAdmission { classes: 1, fraction: f64::NAN, retry_policy: RetryPolicy::Never }],
         )
     }),
     ("tries-twice", |decision, _| {
-        with_each_beat(
+        with_each_tick(
             decision,
             vec![Decision::SetAdmission {
                 classes: u64::MAX,
@@ -120,10 +121,10 @@
     }),
     ("all-withdrawn", |decision, seen| {
         let out = seen.replicas.iter().map(|id| Decision::SetEjected { replica: id.clone(), ejected: true });
-        with_each_beat(decision, out.collect())
+        with_each_tick(decision, out.collect())
     }),
     ("tables-not-laid", |decision, _| {
-        with_each_beat(
+        with_each_tick(
             decision,
             (0..64).map(|proxy| Decision::AssignTable { proxy, table: 60_000, classes: u64::MAX }).collect(),
         )
@@ -142,7 +143,7 @@
         other => vec![other],
     }),
     ("flood", |decision, seen| {
-        let mut all = every_table(decision, seen, |at, _| 1.0 + (at as u64 + seen.beats) as f64 / 1e3);
+        let mut all = every_table(decision, seen, |at, _| 1.0 + (at as u64 + seen.ticks) as f64 / 1e3);
         if let [_, more @ ..] = all.as_slice() {
             let more: Vec<Decision> = more.iter().cycle().take(more.len() * 30).cloned().collect();
             all.extend(more);
@@ -151,7 +152,7 @@
     }),
 ];
 
-/// The decider of a kind, by its name.
+/// The faulty decider of a name.
 pub fn of(kind: &str) -> Option<FaultyDecider> {
-    FAULTS.iter().find(|(name, _)| *name == kind).map(|(_, wrong)| decider(*wrong))
+    FAULTS.iter().find(|(name, _)| *name == kind).map(|(_, fault)| decider(*fault))
 }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -1,9 +1,9 @@
-//! Who is joined: names and numbers, streams, what each proxy holds, what it was sent and has not
+//! Which proxies are connected: names and numbers, streams, what each proxy holds, what it was sent and has not
 //! acknowledged.
 //!
-//! Proxies come with names, the module knows numbers. A number stays with its name for as long as it can: the
-//! module keeps what it last laid into a number's tables, so a proxy that comes back is sent only changes. It
-//! goes to another name only once its holder has been away for [`REUSE_AFTER`], the longest away first.
+//! Proxies come with names, the module knows numbers. A number stays with its name for as long as it can: the module
+//! retains what it last put into a number's tables, so a proxy that reconnects is sent only changes. It goes to another
+//! name only once its holder has been away for [`REUSE_AFTER`], the longest away first.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -14,76 +14,107 @@
 use crate::tables::VersionedTable;
 
 /// Numbers are 16 bits wide, and the module gives two tables to each proxy out of as many table numbers,
-/// three of which are kept for other ends: a proxy numbered from here on would never get a table of its own.
+/// three of which are reserved: a proxy numbered from here on would never get a dedicated table.
 pub const MOST_PROXIES: usize = (u16::MAX as usize - 2) / 2;
 /// Reports and acknowledgements of the former holder are long over by then.
 pub const REUSE_AFTER: Duration = Duration::from_secs(600);
-/// So many takeovers of one name within [`CONTEST_OVER`] mean two proxies of one name, not a reconnect.
-const CONTESTED: usize = 4;
-const CONTEST_OVER: Duration = Duration::from_secs(10);
-/// Marks beyond this many wait for a proxy that acknowledges nothing: the oldest are dropped.
-const MOST_MARKS: usize = 16;
-
-/// A front's stream. Numbers are given by the host and never used twice in a governor's life.
+/// So many replaced streams of one name within [`CONTEST_PERIOD`] mean two proxies of one name, not a reconnect.
+const MAX_REPLACED_STREAMS: usize = 4;
+/// How long replaced streams are counted.
+const CONTEST_PERIOD: Duration = Duration::from_secs(10);
+/// Acknowledgement requests beyond this many are with a proxy that acknowledges nothing: the oldest are dropped.
+const MAX_OUTSTANDING_ACKNOWLEDGEMENTS: usize = 16;
+/// Characters that are kept of a proxy's reason for rejecting a version: it might be of any length.
+const MAX_REJECTION_LENGTH: usize = 500;
+
+/// A front's stream. Numbers are given by the host and never used twice in a governor's run.
 pub type StreamId = u64;
 
 /// What a proxy says of itself when its stream opens.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JoinRequest {
+    /// Its name (node id).
     pub name: Arc<str>,
+    /// Its place in the zones of the settings.
     pub zone: usize,
-    /// Flows a second that it ordinarily receives.
+    /// Requests a second that it ordinarily receives.
     pub requests_per_second: f64,
-    /// The lines of the standing table that it holds, if it names any.
+    /// Replicas and weights of the default table that it holds, if it names any.
     pub default_table: Vec<(ReplicaId, f64)>,
     /// It says that it holds tables of this or another governor besides.
     pub holds_governor_tables: bool,
-    /// Its signed word of whose they are, if it has one.
+    /// Its signed proof of whose they are, if it has one.
     pub ownership_proof: Option<String>,
-    /// The life and the version of this governor's that the word is proven to name.
+    /// The epoch and the version of this governor's that the proof names, if it is valid.
     pub proven_version: Option<(u64, u64)>,
 }
 
+/// Why a proxy may not connect.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum JoinError {
+    /// All numbers are taken.
     #[error(
         "{joined} proxies are joined, and no more numbers are free (at most {most}); join another governor"
     )]
-    Full { joined: usize, most: usize },
+    Full {
+        /// Proxies that are connected.
+        joined: usize,
+        /// Proxies that may be.
+        most: usize,
+    },
+    /// Two proxies seem to have the same name.
     #[error(
         "streams under the name `{name}` replaced each other {times} times in {over:?}: two proxies have it; \
              give each its own node id"
     )]
-    Contested { name: Arc<str>, times: usize, over: Duration },
+    Contested {
+        /// The name.
+        name: Arc<str>,
+        /// How often its stream was replaced lately.
+        times: usize,
+        /// Within how long.
+        over: Duration,
+    },
+    /// It gave no name.
     #[error("a proxy must come with a name (node id)")]
     Nameless,
 }
 
-/// Which kind of tables a proxy stands on; told to operators only.
+/// Which kind of table a proxy is on, for operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TableKind {
+    /// Its own default table.
     Standing,
+    /// A dedicated table of the module's.
     Own,
 }
 
-/// One joined proxy.
+/// One connected proxy.
 #[derive(Debug, Clone)]
 pub struct Proxy {
+    /// Its name (node id).
     pub name: Arc<str>,
+    /// Its newest stream.
     pub stream: StreamId,
+    /// Its place in the zones of the settings.
     pub zone: usize,
+    /// When that stream opened.
     pub joined_at: Duration,
+    /// Replicas and weights of its default table.
     pub default_table: Vec<(ReplicaId, f64)>,
+    /// Whether it held nothing but that when it connected.
     pub holds_default_table: bool,
-    /// By group: the table that it follows.
+    /// By traffic class: the table that the module assigned to it.
     pub assigned_tables: Vec<Option<TableId>>,
-    /// By group: what it should hold, if the governor has anything to say about it.
+    /// By traffic class: what it should hold, if the governor publishes anything for it.
     pub tables: Vec<Option<VersionedTable>>,
-    /// By group, and the version of the last change.
+    /// The version of the last change, and the policies by traffic class.
     pub retry_policies: (u64, Vec<RetryPolicy>),
+    /// The newest version that was sent.
     pub sent_version: u64,
+    /// The newest version that was acknowledged.
     pub acknowledged_version: u64,
-    /// Version and words of the last table that the proxy would not take, until it takes a later one.
+    /// The version that the proxy rejected last and its reason, until it accepts that or a later one.
     pub rejected: Option<(u64, String)>,
     outstanding_acknowledgements: VecDeque<(u64, Duration)>,
 }
@@ -91,40 +122,41 @@
 impl Proxy {
     /// The version of the newest change to what this proxy should hold.
     pub fn newest(&self) -> u64 {
-        self.tables.iter().flatten().map(|kept| kept.version).fold(self.retry_policies.0, u64::max)
+        self.tables.iter().flatten().map(|table| table.version).fold(self.retry_policies.0, u64::max)
     }
 
+    /// Which kind of table it is on.
     pub fn kind(&self) -> TableKind {
         if self.assigned_tables.iter().any(Option::is_some) { TableKind::Own } else { TableKind::Standing }
     }
 
-    /// Whether there is a word for it: tables, or that it stays on its standing one. Of a proxy that came
-    /// with orders of its own, or with none that are known, nothing can be said before the module has spoken:
-    /// "no table" would take away what it holds.
+    /// Whether it is known what it should hold: tables, or its default table. For a proxy that came with tables of
+    /// its own, or with none that are known, nothing can be published before the module has decided: "no table"
+    /// would take away what it holds.
     pub fn has_known_tables(&self) -> bool {
         self.holds_default_table || self.tables.iter().any(Option::is_some)
     }
 
-    /// A marked order of this version left at this time.
+    /// The module wants the acknowledgement of this version, which was published now.
     pub fn request_acknowledgement(&mut self, version: u64, now: Duration) {
-        if self.outstanding_acknowledgements.len() == MOST_MARKS {
+        if self.outstanding_acknowledgements.len() == MAX_OUTSTANDING_ACKNOWLEDGEMENTS {
             self.outstanding_acknowledgements.pop_front();
         }
         self.outstanding_acknowledgements.push_back((version, now));
     }
 
-    /// How long the oldest marked order has waited for its acknowledgement.
+    /// How long the oldest acknowledgement that the module wants has been outstanding.
     pub fn acknowledgement_delay(&self, now: Duration) -> Duration {
         self.outstanding_acknowledgements.front().map_or(Duration::ZERO, |(_, at)| now.saturating_sub(*at))
     }
 
-    /// Marks that an acknowledgement of a version answers, by the time that they were ordered. An older
-    /// acknowledgement than one heard before answers nothing.
+    /// When the acknowledgement requests were made that an acknowledgement of a version answers. An older
+    /// acknowledgement than one before answers nothing.
     fn acknowledge(&mut self, version: u64) -> Vec<Duration> {
         self.acknowledged_version = self.acknowledged_version.max(version);
         let mut answered = Vec::new();
         while let Some((_, at)) =
-            self.outstanding_acknowledgements.pop_front_if(|(marked, _)| *marked <= version)
+            self.outstanding_acknowledgements.pop_front_if(|(requested, _)| *requested <= version)
         {
             answered.push(at);
         }
@@ -132,7 +164,7 @@
     }
 }
 
-/// Gives a number back to its name, or a free one, or none.
+/// Assigns proxies their numbers.
 #[derive(Debug)]
 pub struct ProxyIdAllocator {
     by_name: BTreeMap<Arc<str>, ProxyId>,
@@ -143,16 +175,18 @@
 }
 
 impl ProxyIdAllocator {
-    pub fn new(most: usize) -> Self {
+    /// At most `capacity` numbers; never more than [`MOST_PROXIES`].
+    pub fn new(capacity: usize) -> Self {
         ProxyIdAllocator {
             by_name: BTreeMap::new(),
             release: BTreeSet::new(),
             next: 0,
-            capacity: most.min(MOST_PROXIES),
+            capacity: capacity.min(MOST_PROXIES),
         }
     }
 
-    /// The second value is the name that loses the number.
+    /// A name's own number, or a free one, or one whose holder has been away for long: then the second value is the
+    /// name that loses it.
     pub fn assign(&mut self, now: Duration, name: &Arc<str>) -> Option<(ProxyId, Option<Arc<str>>)> {
         if let Some(number) = self.by_name.get(name) {
             self.release.retain(|(_, away)| away != name);
@@ -174,30 +208,34 @@
         Some((number, Some(former)))
     }
 
+    /// The holder of a number has disconnected. The number stays with its name as long as others are free.
     pub fn release(&mut self, now: Duration, name: &Arc<str>) {
         if self.by_name.contains_key(name) {
             self.release.insert((now, name.clone()));
         }
     }
 
+    /// Numbers in all.
     pub fn capacity(&self) -> usize {
         self.capacity
     }
 }
 
+/// Connected proxies, by number, stream and name.
 #[derive(Debug)]
 pub struct Fleet {
     proxies: BTreeMap<ProxyId, Proxy>,
     by_stream: BTreeMap<StreamId, ProxyId>,
     by_name: BTreeMap<Arc<str>, ProxyId>,
-    proxy_ids: ProxyIdAllocator,
-    /// By name: when streams under it were replaced while they were still up.
-    contests: BTreeMap<Arc<str>, VecDeque<Duration>>,
+    ids: ProxyIdAllocator,
+    /// By name: when its streams were replaced while they were still up.
+    replaced_streams: BTreeMap<Arc<str>, VecDeque<Duration>>,
 }
 
-/// A join that was let in.
+/// A proxy that was let in.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JoinOutcome {
+    /// Its number.
     pub proxy: ProxyId,
     /// An older stream under the same name, which is over with this.
     pub replaced_stream: Option<StreamId>,
@@ -206,51 +244,55 @@
 }
 
 impl Fleet {
-    /// `most` proxies at once; never more than [`MOST_PROXIES`].
-    pub fn new(most: usize) -> Self {
+    /// `max_proxies` at once; never more than [`MOST_PROXIES`].
+    pub fn new(max_proxies: usize) -> Self {
         Fleet {
             proxies: BTreeMap::new(),
             by_stream: BTreeMap::new(),
             by_name: BTreeMap::new(),
-            proxy_ids: ProxyIdAllocator::new(most),
-            contests: BTreeMap::new(),
+            ids: ProxyIdAllocator::new(max_proxies),
+            replaced_streams: BTreeMap::new(),
         }
     }
 
-    /// Lets a proxy in. The newest stream of a name is the true one: a proxy whose stream broke unnoticed
-    /// comes back before its old one is known to be gone. Names that are taken over again and again are
-    /// refused to the newcomer for a while, or two proxies of one name would throw each other out for ever.
+    /// Lets a proxy in. The newest stream of a name is the true one: a proxy whose stream broke unnoticed reconnects
+    /// before its old one is known to be gone. A newcomer under a name whose streams are replaced again and again is
+    /// rejected for a while, or two proxies of one name would throw each other out for ever.
+    ///
+    /// # Errors
+    /// As [`JoinError`]; nothing but the count of replaced streams is changed then.
     pub fn connect(
         &mut self,
         now: Duration,
         stream: StreamId,
         join: &JoinRequest,
-        fresh: bool,
-        groups: usize,
-        tries: (u64, Vec<RetryPolicy>),
+        holds_default_table: bool,
+        class_count: usize,
+        retry_policies: (u64, Vec<RetryPolicy>),
     ) -> Result<JoinOutcome, JoinError> {
         if join.name.is_empty() {
             return Err(JoinError::Nameless);
         }
-        let held = self.by_name.get(&join.name).and_then(|number| self.proxies.get(number));
-        let replaced = held.map(|held| held.stream);
-        if replaced.is_some() {
-            let times = self.contests.entry(join.name.clone()).or_default();
-            while times.pop_front_if(|at| *at + CONTEST_OVER <= now).is_some() {}
-            if times.len() >= CONTESTED {
+        let connected = self.by_name.get(&join.name).and_then(|id| self.proxies.get(id));
+        let replaced_stream = connected.map(|proxy| proxy.stream);
+        if replaced_stream.is_some() {
+            let times = self.replaced_streams.entry(join.name.clone()).or_default();
+            while times.pop_front_if(|at| *at + CONTEST_PERIOD <= now).is_some() {}
+            if times.len() >= MAX_REPLACED_STREAMS {
                 return Err(JoinError::Contested {
                     name: join.name.clone(),
                     times: times.len(),
-                    over: CONTEST_OVER,
+                    over: CONTEST_PERIOD,
                 });
             }
             times.push_back(now);
         }
-        self.contests.retain(|_, times| times.back().is_some_and(|last| *last + CONTEST_OVER > now));
-        let Some((number, former)) = self.proxy_ids.assign(now, &join.name) else {
-            return Err(JoinError::Full { joined: self.proxies.len(), most: self.proxy_ids.capacity() });
+        self.replaced_streams
+            .retain(|_, times| times.back().is_some_and(|last| *last + CONTEST_PERIOD > now));
+        let Some((number, former)) = self.ids.assign(now, &join.name) else {
+            return Err(JoinError::Full { joined: self.proxies.len(), most: self.ids.capacity() });
         };
-        if let Some(old) = replaced {
+        if let Some(old) = replaced_stream {
             self.by_stream.remove(&old);
         }
         self.by_stream.insert(stream, number);
@@ -261,17 +303,17 @@
             zone: join.zone,
             joined_at: now,
             default_table: join.default_table.clone(),
-            holds_default_table: fresh,
-            assigned_tables: vec![None; groups],
-            tables: vec![None; groups],
-            retry_policies: tries,
+            holds_default_table,
+            assigned_tables: vec![None; class_count],
+            tables: vec![None; class_count],
+            retry_policies,
             sent_version: 0,
             acknowledged_version: 0,
             rejected: None,
             outstanding_acknowledgements: VecDeque::new(),
         };
         self.proxies.insert(number, proxy);
-        Ok(JoinOutcome { proxy: number, replaced_stream: replaced, id_reused: former.is_some() })
+        Ok(JoinOutcome { proxy: number, replaced_stream, id_reused: former.is_some() })
     }
 
     /// A stream is over. None if a later one under the same name has taken its place.
@@ -279,56 +321,63 @@
         let number = self.by_stream.remove(&stream)?;
         let proxy = self.proxies.remove(&number)?;
         self.by_name.remove(&proxy.name);
-        self.proxy_ids.release(now, &proxy.name);
+        self.ids.release(now, &proxy.name);
         Some(number)
     }
 
-    /// A proxy took all up to a version: the times at which the marks that this answers were ordered.
+    /// A proxy accepted everything up to a version: when the acknowledgement requests were made that this answers.
     pub fn acknowledge(&mut self, stream: StreamId, version: u64) -> Vec<Duration> {
         let Some(proxy) = self.proxy_on_stream_mut(stream) else { return Vec::new() };
-        if proxy.rejected.as_ref().is_some_and(|(refused, _)| *refused <= version) {
+        if proxy.rejected.as_ref().is_some_and(|(rejected, _)| *rejected <= version) {
             proxy.rejected = None;
         }
         proxy.acknowledge(version)
     }
 
-    /// A proxy would not take a version. What it held before stands.
+    /// A proxy rejected a version. What it held before stands.
     pub fn reject(&mut self, stream: StreamId, version: u64, words: &str) {
         if let Some(proxy) = self.proxy_on_stream_mut(stream) {
-            // The words are the proxy's, and might be of any length.
-            proxy.rejected = Some((version, words.chars().take(500).collect()));
+            proxy.rejected = Some((version, words.chars().take(MAX_REJECTION_LENGTH).collect()));
         }
     }
 
+    /// A connected proxy.
     pub fn get(&self, number: ProxyId) -> Option<&Proxy> {
         self.proxies.get(&number)
     }
 
+    /// A connected proxy, to change.
     pub fn get_mut(&mut self, number: ProxyId) -> Option<&mut Proxy> {
         self.proxies.get_mut(&number)
     }
 
+    /// The number of the proxy on a stream.
     pub fn number_of(&self, stream: StreamId) -> Option<ProxyId> {
         self.by_stream.get(&stream).copied()
     }
 
+    /// The connected proxy of a name.
     pub fn named(&self, name: &str) -> Option<(ProxyId, &Proxy)> {
         let number = self.by_name.get(name)?;
         Some((*number, self.proxies.get(number)?))
     }
 
+    /// All connected proxies, by number.
     pub fn iter(&self) -> impl Iterator<Item = (ProxyId, &Proxy)> {
         self.proxies.iter().map(|(number, proxy)| (*number, proxy))
     }
 
+    /// Numbers of all connected proxies.
     pub fn proxy_ids(&self) -> Vec<ProxyId> {
         self.proxies.keys().copied().collect()
     }
 
+    /// Proxies that are connected.
     pub fn len(&self) -> usize {
         self.proxies.len()
     }
 
+    /// Whether none is.
     pub fn is_empty(&self) -> bool {
         self.proxies.is_empty()
     }
--- a/crates/core/src/history.rs
+++ b/crates/core/src/history.rs
@@ -1,10 +1,8 @@
-//! The last versions of what each proxy was told, within a bound on memory, to step back to and to make
-//! deltas from.
+//! The last versions of what each proxy was sent, within a bound on memory, to roll back to and to make deltas from.
 //!
-//! What is bounded is lines: each costs about as much as its names. Where the bound is met the oldest version
-//! of all proxies goes first, so that a proxy that changes all the time does not push out the one version of
-//! others before its own older ones; the newest of each joined proxy is never dropped, as it is what the
-//! proxy holds.
+//! What is bounded is table entries: each costs about as much as its names. Where the bound is met the oldest version
+//! of all proxies goes first, so that a proxy that changes all the time does not push out the one version of others
+//! before its own older ones; the newest of each connected proxy is never dropped, as it is what the proxy holds.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -17,12 +15,17 @@
 /// One version of one proxy.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HistoryEntry {
+    /// The version.
     pub version: u64,
+    /// When it was published.
     pub published_at: Duration,
+    /// The digest of its state.
     pub digest: Digest,
+    /// What the proxy should hold as of it.
     pub state: Arc<PublishedState>,
 }
 
+/// Retained versions by proxy.
 #[derive(Debug)]
 pub struct History {
     by_proxy: BTreeMap<ProxyId, VecDeque<HistoryEntry>>,
@@ -33,37 +36,37 @@
     entry_count: usize,
 }
 
-/// What a version costs besides its lines, in lines.
-const HEAD: usize = 2;
+/// What a version costs besides its entries, in entries.
+const VERSION_OVERHEAD: usize = 2;
 
 fn cost(version: &HistoryEntry) -> usize {
-    HEAD + version.state.entry_count()
+    VERSION_OVERHEAD + version.state.entry_count()
 }
 
 impl History {
-    /// The last `each` versions of a proxy, and `lines_most` lines in all.
-    pub fn new(each: usize, lines_most: usize) -> Self {
+    /// At most `max_versions` of a proxy, and `max_entries` in all.
+    pub fn new(max_versions: usize, max_entries: usize) -> Self {
         History {
             by_proxy: BTreeMap::new(),
             order: BTreeSet::new(),
-            max_versions: each.max(1),
-            max_entries: lines_most,
+            max_versions: max_versions.max(1),
+            max_entries,
             entry_count: 0,
         }
     }
 
-    /// A proxy is told something new. Versions grow.
+    /// A proxy is sent something new. Versions grow; one that does not is ignored.
     pub fn push(&mut self, proxy: ProxyId, version: HistoryEntry) {
-        let kept = self.by_proxy.entry(proxy).or_default();
-        if let Some(last) = kept.back() {
+        let versions = self.by_proxy.entry(proxy).or_default();
+        if let Some(last) = versions.back() {
             if version.version <= last.version {
                 return;
             }
             self.order.insert((last.version, proxy));
         }
         self.entry_count += cost(&version);
-        kept.push_back(version);
-        if kept.len() > self.max_versions {
+        versions.push_back(version);
+        if versions.len() > self.max_versions {
             self.drop_oldest_of(proxy);
         }
         while self.entry_count > self.max_entries {
@@ -83,22 +86,23 @@
         self.by_proxy.get(&proxy)?.back()
     }
 
-    /// A version that a proxy says it holds, if it is kept and its content is what the proxy says.
+    /// A version that a proxy says it holds, if it is retained and has the digest that the proxy says.
     pub fn held(&self, proxy: ProxyId, version: u64, digest: &Digest) -> Option<&HistoryEntry> {
-        let kept = self.by_proxy.get(&proxy)?;
-        kept.iter().rev().find(|one| one.version == version && one.digest == *digest)
+        let versions = self.by_proxy.get(&proxy)?;
+        versions.iter().rev().find(|one| one.version == version && one.digest == *digest)
     }
 
-    /// What a proxy was told as of a version: the newest one up to it.
+    /// What a proxy was sent as of a version: the newest one up to it.
     pub fn as_of(&self, proxy: ProxyId, version: u64) -> Option<&HistoryEntry> {
         self.by_proxy.get(&proxy)?.iter().rev().find(|one| one.version <= version)
     }
 
-    /// Oldest first.
+    /// Retained versions of a proxy, oldest first.
     pub fn of(&self, proxy: ProxyId) -> impl Iterator<Item = &HistoryEntry> {
         self.by_proxy.get(&proxy).into_iter().flatten()
     }
 
+    /// Drops all versions of a proxy.
     pub fn forget(&mut self, proxy: ProxyId) {
         for version in self.by_proxy.remove(&proxy).into_iter().flatten() {
             self.entry_count -= cost(&version);
@@ -106,7 +110,7 @@
         }
     }
 
-    /// Lines kept in all.
+    /// Table entries retained in all.
     pub fn entry_count(&self) -> usize {
         self.entry_count
     }
--- a/crates/core/src/recording/validation.rs
+++ b/crates/core/src/recording/validation.rs
@@ -15,22 +15,56 @@
 pub enum RecordingError {
     /// It is of another form than [`FORM`].
     #[error("it is of form {form}, and this version reads form {FORM}")]
-    Form { form: u32 },
+    Form {
+        /// The form that it has.
+        form: u32,
+    },
     /// It has more replicas or proxies than a governor can have.
     #[error("it has more {kind} than any governor's")]
-    Size { kind: &'static str },
+    Size {
+        /// Replicas or proxies.
+        kind: &'static str,
+    },
     /// Something is in a zone that is not there.
     #[error("{kind} `{name}` is in zone {zone}, and there are {zone_count}")]
-    Zone { kind: &'static str, name: Arc<str>, zone: usize, zone_count: usize },
+    Zone {
+        /// Replica or proxy.
+        kind: &'static str,
+        /// Its name.
+        name: Arc<str>,
+        /// Its zone.
+        zone: usize,
+        /// Zones of the recording.
+        zone_count: usize,
+    },
     /// A figure is negative or not finite.
     #[error("{kind} `{name}` has `{figure}`, which is not a number that it can be")]
-    Number { kind: &'static str, name: Arc<str>, figure: f64 },
+    Number {
+        /// What it is of.
+        kind: &'static str,
+        /// Its name.
+        name: Arc<str>,
+        /// The figure.
+        figure: f64,
+    },
     /// A name occurs twice.
     #[error("{kind} `{name}` is named twice")]
-    Twice { kind: &'static str, name: Arc<str> },
+    Twice {
+        /// Replica or proxy.
+        kind: &'static str,
+        /// The name.
+        name: Arc<str>,
+    },
     /// Something has entries for other traffic classes than the recording.
     #[error("`{name}` has an entry for each of {given} groups, and there are {expected}")]
-    Groups { name: Arc<str>, given: usize, expected: usize },
+    Groups {
+        /// A proxy's name, or the limits.
+        name: Arc<str>,
+        /// Entries that it has.
+        given: usize,
+        /// Traffic classes of the recording.
+        expected: usize,
+    },
 }
 
 impl Recording {
--- a/crates/core/src/reports.rs
+++ b/crates/core/src/reports.rs
@@ -1,16 +1,17 @@
-//! Load reports, folded to what the module hears: `Met` by zone and replica, `Came` by proxy and group.
+//! Load reports, aggregated to what the module is given: statistics by zone and replica, and demand by proxy and traffic
+//! class.
 //!
-//! Public load reports carry no number. A report counts once, or not at all, by three marks:
+//! Public load reports carry no sequence number. A report counts once, or not at all, by three marks:
 //!
 //! - its stream: only the newest of a proxy counts, what an older one still brings is over;
-//! - its content: one that says the very same, to the nanosecond of its interval, as one of the last few of
-//!   the same proxy is a copy, on whichever stream it comes. An idle proxy's empty reports may be alike; they
-//!   tell nothing, so nothing is lost;
-//! - its interval: all intervals of a proxy together can't be longer than the time since it began to report.
-//!   What goes beyond that was counted before, out of order. Late reports fit, as their time has passed.
+//! - its content: one that says the very same, to the nanosecond of its interval, as one of the last few of the same
+//!   proxy is a copy, on whichever stream it comes. An idle proxy's empty reports may be equal; they say nothing, so
+//!   nothing is lost;
+//! - its interval: all intervals of a proxy together can't be longer than the time since it began to report. What goes
+//!   beyond that was counted before, out of order. Late reports fit, as their time has passed.
 //!
-//! What was counted is gathered over a period and passed on as so many lines a second at most, those that
-//! have waited longest first; the rest goes on being summed.
+//! What was counted is aggregated over a period and passed on as so many entries a second at most, those that have
+//! waited longest first; the rest goes on being aggregated.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -21,62 +22,83 @@
 use crate::fleet::StreamId;
 
 /// Copies come soon after: so many reports are remembered of each proxy.
-const REMEMBERED: usize = 8;
+const REMEMBERED_REPORTS: usize = 8;
 /// Intervals and their way here are not exact: so much may be counted ahead of time.
-const AHEAD: Duration = Duration::from_millis(1500);
+const CLOCK_TOLERANCE: Duration = Duration::from_millis(1500);
 /// An interval beyond this says nothing of the present.
-const LONGEST: Duration = Duration::from_secs(300);
+const MAX_INTERVAL: Duration = Duration::from_secs(300);
 /// No proxy sends more than this between two reports; beyond it a counter went backwards and wrapped.
-const MOST_TRIES: u64 = 1 << 40;
+const MAX_ATTEMPTS: u64 = 1 << 40;
+/// No period passes on more entries.
+const MAX_ALLOWANCE: f64 = 1e9;
 
-/// What a proxy met at one replica within the interval.
+/// What a proxy observed at one replica within the interval.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReplicaObservation {
+    /// The traffic class.
     pub class: usize,
+    /// The replica.
     pub replica: ReplicaId,
+    /// Attempts that succeeded.
     pub succeeded: u64,
+    /// Attempts that failed.
     pub failed: u64,
+    /// Attempts that were sent.
     pub issued: u64,
+    /// Attempts that have no outcome yet.
     pub in_flight: u64,
-    /// Sum of the answer times of the delivered ones that tell it, and their number.
+    /// Sum of the latencies of the successful ones that say it, and their number.
     pub answers: (Duration, u64),
-    /// The replica's latest word of its load, in the order of the settings' load fields.
+    /// The replica's latest report of its load, in the order of the settings' load fields.
     pub load: Vec<f64>,
 }
 
 /// One report of one proxy.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadReport {
+    /// The time that it is of.
     pub interval: Duration,
+    /// By traffic class and replica.
     pub observations: Vec<ReplicaObservation>,
-    /// By group: flows that were blocked before any try.
+    /// By traffic class: requests that were rejected before any attempt.
     pub rejected: Vec<(usize, u64)>,
 }
 
-/// Why a report, or a line of one, did not count.
+/// Why a report, or an observation of one, was discarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum DiscardReason {
+    /// The proxy is not connected.
     #[error("from a proxy that has not joined")]
     NotJoined,
+    /// A newer stream of the proxy has reported.
     #[error("from an older stream of the proxy")]
     OldStream,
+    /// It was counted before.
     #[error("a copy of one counted before")]
     Copy,
+    /// Its time was counted before.
     #[error("more time reported than has passed")]
     OutOfOrder,
+    /// Its interval can not be.
     #[error("an interval of nothing, or longer than five minutes")]
     Interval,
+    /// Its counters can not be.
     #[error("counters that can't be: more answered than tried, or beyond all bounds")]
     Counters,
+    /// An observation of a replica that is not listed.
     #[error("on a replica that is not listed")]
     Unlisted,
 }
 
 #[derive(Debug, Default)]
 struct Source {
+    /// Its newest stream.
     stream: StreamId,
+    /// When it began to report.
     since: Duration,
+    /// The sum of its intervals.
     covered: Duration,
+    /// Digests of its last reports.
     seen: VecDeque<u64>,
     /// The last report that counted, and when: to be handed over with the proxy.
     last: Option<(Duration, LoadReport)>,
@@ -88,27 +110,39 @@
     DemandStatistics(ProxyId, usize),
 }
 
+/// Requests of one report by traffic class.
+#[derive(Debug, Default)]
+struct Demand {
+    requests: u64,
+    failed: u64,
+}
+
+/// What was counted since the last statistics of its kind.
 #[derive(Debug, Default, Clone)]
-struct Sum {
-    tries: u64,
-    dropped: u64,
-    answers: (Duration, u64),
+struct Aggregate {
+    attempts: u64,
+    failed: u64,
+    latency_sum: Duration,
+    latency_count: u64,
     load: Vec<f64>,
 }
 
-/// A line for the module.
+/// Aggregated statistics for the module.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AggregatedStatistics {
+    /// Of a replica, by the proxies of a zone.
     Replica(ReplicaStatistics),
+    /// Of a proxy's traffic class.
     Demand(DemandStatistics),
 }
 
+/// Counts reports and aggregates them for the module.
 #[derive(Debug)]
 pub struct ReportAggregator {
     period: Duration,
-    lines_per_s: f64,
+    entries_per_second: f64,
     sources: BTreeMap<ProxyId, Source>,
-    sums: BTreeMap<Key, Sum>,
+    aggregates: BTreeMap<Key, Aggregate>,
     /// What waits, by since when.
     order: BTreeSet<(Duration, Key)>,
     last: BTreeMap<Key, Duration>,
@@ -119,13 +153,13 @@
 }
 
 impl ReportAggregator {
-    /// `period`: how often sums are passed on; `lines_per_s`: how many lines a second at most.
-    pub fn new(period: Duration, lines_per_s: f64) -> Self {
+    /// `period`: how often aggregates are passed on; `entries_per_second`: how many a second at most.
+    pub fn new(period: Duration, entries_per_second: f64) -> Self {
         ReportAggregator {
             period: period.max(Duration::from_millis(10)),
-            lines_per_s,
+            entries_per_second,
             sources: BTreeMap::new(),
-            sums: BTreeMap::new(),
+            aggregates: BTreeMap::new(),
             order: BTreeSet::new(),
             last: BTreeMap::new(),
             next: None,
@@ -135,16 +169,18 @@
         }
     }
 
-    pub fn set_limit(&mut self, lines_per_s: f64) {
-        self.lines_per_s = lines_per_s;
+    /// Changes how many entries a second are passed on.
+    pub fn set_limit(&mut self, entries_per_second: f64) {
+        self.entries_per_second = entries_per_second;
     }
 
+    /// Counts a report or an observation as discarded.
     pub fn discard(&mut self, why: DiscardReason) -> DiscardReason {
         *self.discarded.entry(why).or_default() += 1;
         why
     }
 
-    /// Reports thrown away, by why; and those that counted.
+    /// Reports and observations that were discarded, by reason; and reports that counted.
     pub fn tally(&self) -> (&BTreeMap<DiscardReason, u64>, u64) {
         (&self.discarded, self.counted)
     }
@@ -153,7 +189,7 @@
     pub fn forget(&mut self, proxy: ProxyId) {
         self.sources.remove(&proxy);
         let gone = |key: &Key| matches!(key, Key::DemandStatistics(of, _) if *of == proxy);
-        self.sums.retain(|key, _| !gone(key));
+        self.aggregates.retain(|key, _| !gone(key));
         self.order.retain(|(_, key)| !gone(key));
         self.last.retain(|key, _| !gone(key));
     }
@@ -163,8 +199,11 @@
         self.sources.get(&proxy)?.last.as_ref()
     }
 
-    /// Counts a report, but for its lines on replicas that `listed` does not know. Streams are numbered in
-    /// the order in which they were opened.
+    /// Counts a report, but for its observations of replicas that `listed` does not know. Streams are numbered in the
+    /// order in which they were opened.
+    ///
+    /// # Errors
+    /// Why it was discarded.
     pub fn record(
         &mut self,
         now: Duration,
@@ -174,55 +213,63 @@
         report: &LoadReport,
         listed: impl Fn(&ReplicaId) -> bool,
     ) -> Result<(), DiscardReason> {
-        let verdict = self.judge(now, proxy, stream, report);
-        if let Err(why) = verdict {
-            return Err(self.discard(why));
+        if let Err(reason) = self.check(now, proxy, stream, report) {
+            return Err(self.discard(reason));
         }
         self.counted += 1;
         if let Some(source) = self.sources.get_mut(&proxy) {
             source.last = Some((now, report.clone()));
         }
-        let mut came: BTreeMap<usize, (u64, u64)> = BTreeMap::new();
-        for (group, blocked) in &report.rejected {
-            came.entry(*group).or_default().0 += blocked;
+        let mut demand_by_class: BTreeMap<usize, Demand> = BTreeMap::new();
+        for (class, rejected) in &report.rejected {
+            demand_by_class.entry(*class).or_default().requests += rejected;
         }
-        for met in &report.observations {
-            let (flows, dropped) = came.entry(met.class).or_default();
-            // A try of which nothing has come yet is a flow that came.
-            *flows += met.issued.max(met.succeeded + met.failed);
-            *dropped += met.failed;
-            if !listed(&met.replica) {
+        for observation in &report.observations {
+            let attempts = observation.succeeded + observation.failed;
+            let demand = demand_by_class.entry(observation.class).or_default();
+            // An attempt without an outcome yet is a request that came.
+            demand.requests += observation.issued.max(attempts);
+            demand.failed += observation.failed;
+            if listed(&observation.replica) {
+                self.add_observation(now, zone, observation);
+            } else {
                 self.discard(DiscardReason::Unlisted);
-                continue;
-            }
-            if met.succeeded + met.failed > 0 || !met.load.is_empty() {
-                let sum = self.sum(now, Key::ReplicaStatistics(zone, met.replica.clone()));
-                sum.tries += met.succeeded + met.failed;
-                sum.dropped += met.failed;
-                sum.answers.0 = sum.answers.0.saturating_add(met.answers.0);
-                sum.answers.1 += met.answers.1;
-                if !met.load.is_empty() {
-                    sum.load = met.load.clone();
-                }
             }
         }
-        for (group, (flows, dropped)) in came {
-            let sum = self.sum(now, Key::DemandStatistics(proxy, group));
-            sum.tries += flows;
-            sum.dropped += dropped;
+        for (class, demand) in demand_by_class {
+            let aggregate = self.aggregate(now, Key::DemandStatistics(proxy, class));
+            aggregate.attempts += demand.requests;
+            aggregate.failed += demand.failed;
         }
         self.next = self.next.or(Some(now + self.period));
         Ok(())
     }
 
-    fn judge(
+    fn add_observation(&mut self, now: Duration, zone: usize, observation: &ReplicaObservation) {
+        let attempts = observation.succeeded + observation.failed;
+        if attempts == 0 && observation.load.is_empty() {
+            return;
+        }
+        let aggregate = self.aggregate(now, Key::ReplicaStatistics(zone, observation.replica.clone()));
+        aggregate.attempts += attempts;
+        aggregate.failed += observation.failed;
+        let (latency_sum, latency_count) = observation.answers;
+        aggregate.latency_sum = aggregate.latency_sum.saturating_add(latency_sum);
+        aggregate.latency_count += latency_count;
+        if !observation.load.is_empty() {
+            aggregate.load = observation.load.clone();
+        }
+    }
+
+    /// Whether a report is to be counted.
+    fn check(
         &mut self,
         now: Duration,
         proxy: ProxyId,
         stream: StreamId,
         report: &LoadReport,
     ) -> Result<(), DiscardReason> {
-        if report.interval.is_zero() || report.interval > LONGEST {
+        if report.interval.is_zero() || report.interval > MAX_INTERVAL {
             return Err(DiscardReason::Interval);
         }
         let since = now.saturating_sub(report.interval);
@@ -230,103 +277,128 @@
         if stream < source.stream {
             return Err(DiscardReason::OldStream);
         }
-        // What it met while its stream was broken comes on the next one: the account goes on.
+        // What it observed while its stream was broken comes on the next one: coverage goes on.
         source.stream = stream;
-        let odd = |met: &ReplicaObservation| {
-            let most = met.succeeded.max(met.failed).max(met.issued);
-            most > MOST_TRIES || met.answers.1 > met.succeeded || met.load.iter().any(|one| !one.is_finite())
-        };
-        if report.observations.iter().any(odd)
-            || report.rejected.iter().any(|(_, blocked)| *blocked > MOST_TRIES)
+        if report.observations.iter().any(has_impossible_counters)
+            || report.rejected.iter().any(|(_, rejected)| *rejected > MAX_ATTEMPTS)
         {
             return Err(DiscardReason::Counters);
         }
-        let mark = digest(report);
-        if source.seen.contains(&mark) {
+        let digest = digest(report);
+        if source.seen.contains(&digest) {
             return Err(DiscardReason::Copy);
         }
-        if source.covered + report.interval > now.saturating_sub(source.since) + AHEAD + report.interval / 2 {
+        if source.covered + report.interval
+            > now.saturating_sub(source.since) + CLOCK_TOLERANCE + report.interval / 2
+        {
             return Err(DiscardReason::OutOfOrder);
         }
         source.covered += report.interval;
-        source.seen.push_back(mark);
-        if source.seen.len() > REMEMBERED {
+        source.seen.push_back(digest);
+        if source.seen.len() > REMEMBERED_REPORTS {
             source.seen.pop_front();
         }
-        // An account that lags far behind would let copies of long ago in: what was never reported is given
-        // up.
+        // Coverage that lags far behind would let copies of long ago in: what was never reported is given up.
         let passed = now.saturating_sub(source.since);
-        source.covered = source.covered.max(passed.saturating_sub(LONGEST));
+        source.covered = source.covered.max(passed.saturating_sub(MAX_INTERVAL));
         Ok(())
     }
 
-    fn sum(&mut self, now: Duration, key: Key) -> &mut Sum {
-        if !self.sums.contains_key(&key) {
+    fn aggregate(&mut self, now: Duration, key: Key) -> &mut Aggregate {
+        if !self.aggregates.contains_key(&key) {
             self.order.insert((now, key.clone()));
         }
-        self.sums.entry(key).or_default()
+        self.aggregates.entry(key).or_default()
     }
 
+    /// When [`ReportAggregator::take_due`] is next to be called.
     pub fn next_deadline(&self) -> Option<Duration> {
         self.next
     }
 
-    /// Lines for the module, if a period is over.
+    /// Statistics for the module, if a period is over.
     pub fn take_due(&mut self, now: Duration) -> Vec<AggregatedStatistics> {
         if self.next.is_none_or(|next| now < next) {
             return Vec::new();
         }
-        let share = self.lines_per_s * self.period.as_secs_f64();
-        // A share below one line adds up; what was not used is not saved for later.
-        self.spare = self.spare.min(1.0) + share.min(1e9);
-        let mut told = Vec::new();
+        let allowance = self.entries_per_second * self.period.as_secs_f64();
+        // An allowance below one entry adds up; what was not used is not saved for later.
+        self.spare = self.spare.min(1.0) + allowance.min(MAX_ALLOWANCE);
+        let mut due = Vec::new();
         while self.spare >= 1.0 {
             let Some((since, key)) = self.order.pop_first() else { break };
-            let sum = self.sums.remove(&key).unwrap_or_default();
             self.spare -= 1.0;
-            let before = self.last.insert(key.clone(), now);
-            // From the last line of its kind, but no more than a few periods before its first count: what was
-            // not met at all in between would make the rate of what is met now look like nothing.
-            let from = before.unwrap_or_default().max(since.saturating_sub(self.period));
-            let span = now.saturating_sub(from).max(self.period);
-            told.push(match key {
-                Key::ReplicaStatistics(zone, replica) => AggregatedStatistics::Replica(ReplicaStatistics {
-                    zone,
-                    replica,
-                    attempts: sum.tries,
-                    failed: sum.dropped,
-                    mean_latency: (sum.answers.1 > 0).then(|| sum.answers.0.div_f64(sum.answers.1 as f64)),
-                    interval: span,
-                    load: sum.load,
-                }),
-                Key::DemandStatistics(proxy, group) => AggregatedStatistics::Demand(DemandStatistics {
-                    proxy,
-                    class: group,
-                    requests: sum.tries,
-                    failed: sum.dropped,
-                    interval: span,
-                }),
-            });
+            let aggregate = self.aggregates.remove(&key).unwrap_or_default();
+            let interval = self.interval(now, since, &key);
+            due.push(aggregate.into_statistics(key, interval));
         }
-        self.last.retain(|_, at| *at + LONGEST > now);
+        self.last.retain(|_, at| *at + MAX_INTERVAL > now);
         self.next = Some(now + self.period).filter(|_| !self.order.is_empty());
-        told
+        due
     }
 
-    /// Lines that wait for their turn.
+    /// The time that an aggregate is of, which ends now.
+    ///
+    /// Since the last of its kind, but no more than a period before its first count: a time without any count would
+    /// make the rate of what is observed now look like nothing.
+    fn interval(&mut self, now: Duration, since: Duration, key: &Key) -> Duration {
+        let previous = self.last.insert(key.clone(), now).unwrap_or_default();
+        let from = previous.max(since.saturating_sub(self.period));
+        now.saturating_sub(from).max(self.period)
+    }
+
+    /// Statistics that wait for their turn.
     pub fn queued_entries(&self) -> usize {
         self.order.len()
     }
 }
 
+fn has_impossible_counters(observation: &ReplicaObservation) -> bool {
+    let largest = observation.succeeded.max(observation.failed).max(observation.issued);
+    let (_, latency_count) = observation.answers;
+    largest > MAX_ATTEMPTS
+        || latency_count > observation.succeeded
+        || observation.load.iter().any(|field| !field.is_finite())
+}
+
+impl Aggregate {
+    fn into_statistics(self, key: Key, interval: Duration) -> AggregatedStatistics {
+        match key {
+            Key::ReplicaStatistics(zone, replica) => AggregatedStatistics::Replica(ReplicaStatistics {
+                zone,
+                replica,
+                attempts: self.attempts,
+                failed: self.failed,
+                mean_latency: (self.latency_count > 0)
+                    .then(|| self.latency_sum.div_f64(self.latency_count as f64)),
+                interval,
+                load: self.load,
+            }),
+            Key::DemandStatistics(proxy, class) => AggregatedStatistics::Demand(DemandStatistics {
+                proxy,
+                class,
+                requests: self.attempts,
+                failed: self.failed,
+                interval,
+            }),
+        }
+    }
+}
+
+/// Equal for copies of a report; of use within one process only.
 fn digest(report: &LoadReport) -> u64 {
     let mut hasher = DefaultHasher::new();
     report.interval.hash(&mut hasher);
     report.rejected.hash(&mut hasher);
-    for met in &report.observations {
-        (met.class, &met.replica, met.succeeded, met.failed, met.issued, met.in_flight).hash(&mut hasher);
-        met.answers.hash(&mut hasher);
-        met.load.iter().for_each(|one| one.to_bits().hash(&mut hasher));
+    for observation in &report.observations {
+        observation.class.hash(&mut hasher);
+        observation.replica.hash(&mut hasher);
+        observation.succeeded.hash(&mut hasher);
+        observation.failed.hash(&mut hasher);
+        observation.issued.hash(&mut hasher);
+        observation.in_flight.hash(&mut hasher);
+        observation.answers.hash(&mut hasher);
+        observation.load.iter().for_each(|field| field.to_bits().hash(&mut hasher));
     }
     hasher.finish()
 }
--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -1,9 +1,9 @@
-//! The list of replicas: what it says, and whether it is believed.
+//! The roster of replicas: what it says, and whether it is believed.
 //!
-//! Lists come whole. An empty one after one that was not is most often a source that lost its own list: it is
-//! doubted until it has stood for a stated time, and the last one stays in force meanwhile. That guards
-//! against a fleet blocked by a broken source; it does harm where all replicas really left at once, as their
-//! proxies keep lines to them for so long (and find nobody there either way).
+//! Rosters come complete. An empty one after one that was not is most often a source that lost its own list: it is
+//! doubted until it has stood for a stated time, and the last one stays in force meanwhile. That guards against a fleet
+//! blocked by a broken source; it does harm where all replicas really left at once, as their proxies keep entries for
+//! them for so long (and find nobody there either way).
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,29 +14,38 @@
 /// One replica, as its source names it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RosterEntry {
+    /// Its name.
     pub id: ReplicaId,
     /// Where proxies reach it, `host:port`.
     pub address: Arc<str>,
     /// Its place in the zones of the settings.
     pub zone: usize,
+    /// Its capacity beside others'.
     pub weight: f64,
+    /// Whether it may be sent to.
     pub phase: Phase,
     /// When its process started, on the host's clock; none for long ago.
     pub started_at: Option<Duration>,
-    /// It is on the list only while no other is ready: [`crate::backup_replicas`].
+    /// It is active only while no other is ready: [`crate::backup_replicas`].
     pub backup: bool,
 }
 
 /// What the engine knows of a replica beyond what the module needs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KnownReplica {
+    /// Where proxies reach it, `host:port`.
     pub address: Arc<str>,
+    /// Its place in the zones of the settings.
     pub zone: usize,
+    /// Its capacity beside others'.
     pub weight: f64,
+    /// Whether it may be sent to.
     pub phase: Phase,
+    /// When its process started, on the host's clock; none for long ago.
     pub started_at: Option<Duration>,
 }
 
+/// The roster as it was last believed.
 #[derive(Debug)]
 pub struct Roster {
     known: BTreeMap<ReplicaId, KnownReplica>,
@@ -46,30 +55,30 @@
     empty_since: Option<Duration>,
 }
 
-/// What became of a list.
+/// What became of a roster.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RosterChange {
     /// Nothing differs from what was known.
     Same,
-    /// What the module is to be told, whole.
+    /// The complete roster for the module.
     Changed(Vec<ReplicaEntry>),
-    /// The list is empty and the last one stays in force until the time given.
+    /// The roster is empty and the last one stays in force until the time given.
     Doubted(Duration),
 }
 
 impl Roster {
-    /// `empty_after`: how long an empty list must stand before it is believed.
-    pub fn new(empty_after: Duration) -> Self {
+    /// `empty_roster_timeout`: how long an empty roster must stand before it is believed.
+    pub fn new(empty_roster_timeout: Duration) -> Self {
         Roster {
             known: BTreeMap::new(),
             by_address: BTreeMap::new(),
-            empty_roster_timeout: empty_after,
+            empty_roster_timeout,
             empty_since: None,
         }
     }
 
-    /// Takes a whole list. What it leaves out is gone. A start later than `now` is taken for `now`: the
-    /// source's clock runs ahead, and a replica from the future would count as cold for too long.
+    /// Takes a complete roster. What it leaves out is gone. A start later than `now` is taken for `now`: the source's
+    /// clock runs ahead, and a replica from the future would count as cold for too long.
     pub fn update(&mut self, now: Duration, entries: Vec<RosterEntry>) -> RosterChange {
         let held = self.known.values().any(|one| one.phase != Phase::Gone);
         if entries.is_empty() && held {
@@ -83,7 +92,7 @@
         self.replace(now, entries)
     }
 
-    /// To be called when an empty list's time is over: it is believed then.
+    /// Believes an empty roster whose time is over: the complete roster for the module, if that is so.
     pub fn believe_empty(&mut self, now: Duration) -> Option<Vec<ReplicaEntry>> {
         let since = self.empty_since.filter(|since| now >= *since + self.empty_roster_timeout)?;
         match self.replace(since, Vec::new()) {
@@ -103,7 +112,7 @@
         self.known.values_mut().for_each(|one| one.phase = Phase::Gone);
         for entry in entries {
             let RosterEntry { id, address, zone, weight, phase, started_at: started, backup: _ } = entry;
-            // Clamped once: a start that moved with each list would make a new process of each.
+            // Clamped once: a start that moved with each roster would make a new process of each.
             let known = before.get(&id).and_then(|known| known.started_at);
             let started = started.map(|at| if at > now { known.unwrap_or(now) } else { at });
             self.known.insert(id, KnownReplica { address, zone, weight, phase, started_at: started });
@@ -141,23 +150,27 @@
         self.by_address.get(address)
     }
 
+    /// Whether a replica is ready.
     pub fn is_ready(&self, id: &ReplicaId) -> bool {
         self.known.get(id).is_some_and(|one| one.phase == Phase::Ready)
     }
 
+    /// Ready replicas of a zone.
     pub fn ready_count(&self, zone: usize) -> usize {
         self.known.values().filter(|one| one.zone == zone && one.phase == Phase::Ready).count()
     }
 
+    /// All replicas, also those that are gone and named by some table.
     pub fn iter(&self) -> impl Iterator<Item = (&ReplicaId, &KnownReplica)> {
         self.known.iter()
     }
 
+    /// Whether an empty roster is being doubted.
     pub fn empty_roster_doubted(&self) -> bool {
         self.next_deadline().is_some()
     }
 
-    /// Drops what is gone and named nowhere, so that years of deploys under new names don't pile up here.
+    /// Drops what is gone and named nowhere, so that years of deployments under new names don't pile up here.
     pub fn forget_gone(&mut self, named: impl Fn(&ReplicaId) -> bool) {
         self.known.retain(|id, one| one.phase != Phase::Gone || named(id));
         self.by_address.retain(|_, id| self.known.contains_key(id));
--- a/crates/core/src/send_limiter/tests.rs
+++ b/crates/core/src/send_limiter/tests.rs
@@ -6,7 +6,7 @@
     Duration::from_millis(ms)
 }
 
-fn pace(lines_per_s: f64, limit: Option<(usize, Duration)>) -> SendLimiter {
+fn limiter(lines_per_s: f64, limit: Option<(usize, Duration)>) -> SendLimiter {
     let messages_most = limit.map(|(messages, interval)| MessageLimit { messages, interval });
     SendLimiter::new(
         ChannelLimits {
@@ -21,16 +21,16 @@
 
 #[test]
 fn a_proxy_that_comes_back_has_no_new_share_of_messages() {
-    let mut pace = pace(10_000.0, Some((6, Duration::from_secs(10))));
+    let mut limiter = limiter(10_000.0, Some((6, Duration::from_secs(10))));
     let mut sent = 0;
     for at in 0..90 {
         if at % 10 == 0 {
-            pace.forget(1);
+            limiter.forget(1);
         }
-        pace.request(ms(100 * at), 1, 1, true);
-        while let Some(proxy) = pace.next_proxy(ms(100 * at)) {
-            pace.sent(ms(100 * at), proxy, 1, 1);
-            pace.acknowledged(proxy);
+        limiter.request(ms(100 * at), 1, 1, true);
+        while let Some(proxy) = limiter.next_proxy(ms(100 * at)) {
+            limiter.sent(ms(100 * at), proxy, 1, 1);
+            limiter.acknowledged(proxy);
             sent += 1;
         }
     }
@@ -39,79 +39,79 @@
 
 #[test]
 fn drains_go_first_and_the_longest_waiting_next() {
-    let mut pace = pace(10_000.0, None);
-    pace.request(ms(1), 1, 5, false);
-    pace.request(ms(2), 2, 5, false);
-    pace.request(ms(3), 3, 1, true);
+    let mut limiter = limiter(10_000.0, None);
+    limiter.request(ms(1), 1, 5, false);
+    limiter.request(ms(2), 2, 5, false);
+    limiter.request(ms(3), 3, 1, true);
     let mut order = Vec::new();
-    while let Some(proxy) = pace.next_proxy(ms(4)) {
-        pace.sent(ms(4), proxy, 5, 1);
+    while let Some(proxy) = limiter.next_proxy(ms(4)) {
+        limiter.sent(ms(4), proxy, 5, 1);
         order.push(proxy);
     }
     assert_eq!(order, [3, 1, 2]);
-    assert_eq!(pace.queued_entries, 0);
+    assert_eq!(limiter.pending_entries, 0);
 }
 
 #[test]
 fn what_is_due_to_a_slow_proxy_is_merged_but_a_drain_goes_at_once() {
-    let mut pace = pace(10_000.0, None);
-    pace.request(ms(1), 1, 5, false);
-    pace.next_proxy(ms(1)).unwrap();
-    pace.sent(ms(1), 1, 5, 1);
-    pace.request(ms(2), 1, 5, false);
-    assert_eq!(pace.next_proxy(ms(3)), None, "not acknowledged yet");
-    pace.request(ms(4), 1, 2, true);
-    assert_eq!(pace.next_proxy(ms(4)), Some(1));
-    assert_eq!(pace.queued_entries(ms(4)), 12);
-    pace.sent(ms(4), 1, 6, 1);
-    pace.acknowledged(1);
-    assert_eq!(pace.queued_entries(ms(5)), 0);
+    let mut limiter = limiter(10_000.0, None);
+    limiter.request(ms(1), 1, 5, false);
+    limiter.next_proxy(ms(1)).unwrap();
+    limiter.sent(ms(1), 1, 5, 1);
+    limiter.request(ms(2), 1, 5, false);
+    assert_eq!(limiter.next_proxy(ms(3)), None, "not acknowledged yet");
+    limiter.request(ms(4), 1, 2, true);
+    assert_eq!(limiter.next_proxy(ms(4)), Some(1));
+    assert_eq!(limiter.queued_entries(ms(4)), 12);
+    limiter.sent(ms(4), 1, 6, 1);
+    limiter.acknowledged(1);
+    assert_eq!(limiter.queued_entries(ms(5)), 0);
 }
 
 #[test]
 fn a_proxy_that_never_reads_holds_up_nobody_and_grows_nothing() {
-    let mut pace = pace(10_000.0, None);
-    pace.request(ms(1), 1, 5, true);
-    pace.request(ms(2), 2, 5, false);
-    pace.stream_full(1);
-    assert_eq!(pace.next_proxy(ms(2)), Some(2));
-    (0..1000).for_each(|_| pace.request(ms(3), 1, 1, true));
-    assert_eq!((pace.proxies.len(), pace.queue.len()), (2, 1));
-    pace.stream_has_capacity(1);
-    assert_eq!(pace.next_proxy(ms(4)), Some(1));
-    pace.forget(1);
-    assert_eq!(pace.next_proxy(ms(4)), Some(2));
+    let mut limiter = limiter(10_000.0, None);
+    limiter.request(ms(1), 1, 5, true);
+    limiter.request(ms(2), 2, 5, false);
+    limiter.stream_full(1);
+    assert_eq!(limiter.next_proxy(ms(2)), Some(2));
+    (0..1000).for_each(|_| limiter.request(ms(3), 1, 1, true));
+    assert_eq!((limiter.proxies.len(), limiter.queue.len()), (2, 1));
+    limiter.stream_has_capacity(1);
+    assert_eq!(limiter.next_proxy(ms(4)), Some(1));
+    limiter.forget(1);
+    assert_eq!(limiter.next_proxy(ms(4)), Some(2));
 }
 
 #[test]
 fn the_channels_pace_is_kept_and_the_time_of_the_next_is_known() {
-    let mut pace = pace(100.0, None);
-    pace.request(ms(0), 1, 90, false);
-    pace.request(ms(0), 2, 1, false);
-    assert_eq!(pace.next_proxy(ms(0)), Some(1), "a state larger than a burst goes once the burst is full");
-    pace.sent(ms(0), 1, 90, 1);
-    assert_eq!(pace.next_proxy(ms(1)), None);
-    let due = pace.next_deadline(ms(1)).unwrap();
+    let mut limiter = limiter(100.0, None);
+    limiter.request(ms(0), 1, 90, false);
+    limiter.request(ms(0), 2, 1, false);
+    assert_eq!(limiter.next_proxy(ms(0)), Some(1), "a state larger than a burst goes once the burst is full");
+    limiter.sent(ms(0), 1, 90, 1);
+    assert_eq!(limiter.next_proxy(ms(1)), None);
+    let due = limiter.next_deadline(ms(1)).unwrap();
     assert!((ms(800)..ms(900)).contains(&due), "{due:?}");
-    assert_eq!(pace.next_proxy(due), Some(2));
-    pace.request(ms(1), 3, 1, true);
-    pace.sent(due, 2, 1, 1);
-    assert!(!pace.has_capacity(80.0) && pace.has_capacity(60.0));
+    assert_eq!(limiter.next_proxy(due), Some(2));
+    limiter.request(ms(1), 3, 1, true);
+    limiter.sent(due, 2, 1, 1);
+    assert!(!limiter.has_capacity(80.0) && limiter.has_capacity(60.0));
 }
 
 #[test]
 fn messages_to_a_proxy_are_limited_and_the_last_is_kept_for_a_drain() {
-    let mut pace = pace(10_000.0, Some((5, ms(1000))));
-    pace.request(ms(0), 1, 1, false);
-    pace.sent(ms(0), 1, 1, 1);
-    pace.acknowledged(1);
-    pace.request(ms(10), 1, 1, false);
-    assert_eq!(pace.next_proxy(ms(10)), None);
-    assert_eq!(pace.next_deadline(ms(10)), Some(ms(1000)));
-    pace.request(ms(20), 1, 1, true);
-    assert_eq!(pace.next_proxy(ms(20)), Some(1));
-    pace.sent(ms(20), 1, 1, 1);
-    pace.request(ms(30), 1, 1, true);
-    assert_eq!(pace.next_proxy(ms(30)), None);
-    assert_eq!(pace.next_proxy(ms(1000)), Some(1));
+    let mut limiter = limiter(10_000.0, Some((5, ms(1000))));
+    limiter.request(ms(0), 1, 1, false);
+    limiter.sent(ms(0), 1, 1, 1);
+    limiter.acknowledged(1);
+    limiter.request(ms(10), 1, 1, false);
+    assert_eq!(limiter.next_proxy(ms(10)), None);
+    assert_eq!(limiter.next_deadline(ms(10)), Some(ms(1000)));
+    limiter.request(ms(20), 1, 1, true);
+    assert_eq!(limiter.next_proxy(ms(20)), Some(1));
+    limiter.sent(ms(20), 1, 1, 1);
+    limiter.request(ms(30), 1, 1, true);
+    assert_eq!(limiter.next_proxy(ms(30)), None);
+    assert_eq!(limiter.next_proxy(ms(1000)), Some(1));
 }
--- a/crates/core/src/table_versions.rs
+++ b/crates/core/src/table_versions.rs
@@ -1,7 +1,7 @@
-//! What proxies are told, in versions: whole states, their digests, and deltas between them.
+//! What is published to proxies, in versions: complete states, their digests, and deltas between them.
 //!
-//! A delta names the version that it starts from and the digest that it must come to. Who applies it checks
-//! both before anything takes effect; what does not come out is answered by asking for the whole, never by
+//! A delta names the digest of the state that it starts from and the digest that it must come to. Who applies it checks
+//! both before anything takes effect; what does not come out is answered by asking for the complete state, never by
 //! guessing.
 
 use std::collections::BTreeMap;
@@ -12,35 +12,42 @@
 use crate::tables::Table;
 use crate::weights;
 
-/// Levels are said in parts of a million.
+/// Admission fractions are published in millionths.
 pub const MILLION: u32 = 1_000_000;
 
-/// One open line, as proxies hear it: weights are whole, so that everybody's digest is over the same numbers.
+/// One routable entry as it is published: weights are integers, so that everybody's digest is over the same numbers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PublishedEntry {
+    /// Where proxies reach the replica, `host:port`.
     pub address: Arc<str>,
+    /// Its place in the zones of the settings.
     pub zone: usize,
+    /// At least 1.
     pub weight: u32,
 }
 
-/// A group's table as a proxy is told it.
+/// The table of a traffic class as it is published.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PublishedTable {
+    /// Routable entries by replica.
     pub entries: BTreeMap<ReplicaId, PublishedEntry>,
-    /// Flows let in, in parts of a million.
+    /// The fraction of requests to admit, in millionths.
     pub admission_millionths: u32,
+    /// The class's retry policy.
     pub retry_policy: RetryPolicy,
 }
 
-/// All that a proxy is told, by group. None: it stays on its standing table.
+/// All that is published to a proxy.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PublishedState {
+    /// By traffic class; none: it stays on its default table.
     pub classes: Vec<Option<PublishedTable>>,
 }
 
+/// The BLAKE3 digest of a published state.
 pub type Digest = [u8; 32];
 
-/// Bytes as text.
+/// Bytes as hexadecimal text.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
@@ -53,19 +60,25 @@
 }
 
 impl PublishedTable {
-    pub fn of(table: &Table, tries: RetryPolicy) -> PublishedTable {
-        let open: Vec<_> = table.entries.iter().filter(|line| line.routable).collect();
-        let weights = weights::whole(&open.iter().map(|line| line.weight).collect::<Vec<_>>());
-        let lines = open.into_iter().zip(weights).map(|(line, weight)| {
-            (line.replica.clone(), PublishedEntry { address: line.address.clone(), zone: line.zone, weight })
+    /// A table as it is published: its routable entries, with integer weights.
+    pub fn of(table: &Table, retry_policy: RetryPolicy) -> PublishedTable {
+        let routable: Vec<_> = table.entries.iter().filter(|entry| entry.routable).collect();
+        let weights = weights::whole(&routable.iter().map(|entry| entry.weight).collect::<Vec<_>>());
+        let entries = routable.into_iter().zip(weights).map(|(entry, weight)| {
+            let published = PublishedEntry { address: entry.address.clone(), zone: entry.zone, weight };
+            (entry.replica.clone(), published)
         });
-        let level = (table.admission_fraction.clamp(0.0, 1.0) * f64::from(MILLION)).round() as u32;
-        PublishedTable { entries: lines.collect(), admission_millionths: level, retry_policy: tries }
+        let fraction = table.admission_fraction.clamp(0.0, 1.0);
+        PublishedTable {
+            entries: entries.collect(),
+            admission_millionths: (fraction * f64::from(MILLION)).round() as u32,
+            retry_policy,
+        }
     }
 }
 
 impl PublishedState {
-    /// Over all content, each part with its length, so that no two states are spelled alike.
+    /// The digest of all content, each part with its length, so that no two states are written alike.
     pub fn digest(&self) -> Digest {
         let mut hasher = blake3::Hasher::new();
         let text = |hasher: &mut blake3::Hasher, text: &str| {
@@ -73,48 +86,56 @@
             hasher.update(text.as_bytes());
         };
         hasher.update(&(self.classes.len() as u64).to_le_bytes());
-        for said in &self.classes {
-            let Some(said) = said else {
+        for table in &self.classes {
+            let Some(table) = table else {
                 hasher.update(&[0]);
                 continue;
             };
-            hasher.update(&[1 + said.retry_policy as u8]);
-            hasher.update(&said.admission_millionths.to_le_bytes());
-            hasher.update(&(said.entries.len() as u64).to_le_bytes());
-            for (replica, line) in &said.entries {
+            // By the order of the variants, which therefore must stay.
+            hasher.update(&[1 + table.retry_policy as u8]);
+            hasher.update(&table.admission_millionths.to_le_bytes());
+            hasher.update(&(table.entries.len() as u64).to_le_bytes());
+            for (replica, entry) in &table.entries {
                 text(&mut hasher, replica);
-                text(&mut hasher, &line.address);
-                hasher.update(&(line.zone as u64).to_le_bytes());
-                hasher.update(&line.weight.to_le_bytes());
+                text(&mut hasher, &entry.address);
+                hasher.update(&(entry.zone as u64).to_le_bytes());
+                hasher.update(&entry.weight.to_le_bytes());
             }
         }
         hasher.finalize().into()
     }
 
-    /// Lines in all groups.
+    /// Entries of all traffic classes.
     pub fn entry_count(&self) -> usize {
-        self.classes.iter().flatten().map(|said| said.entries.len()).sum()
+        self.classes.iter().flatten().map(|table| table.entries.len()).sum()
     }
 }
 
-/// A line that changed: what a proxy does not know of the replica yet, or what is different, is said.
+/// An entry that changed: what a proxy does not know of the replica yet, or what is different.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChangedEntry {
+    /// The replica's name.
     pub replica: ReplicaId,
+    /// Its weight.
     pub weight: u32,
-    /// None: as in the base.
+    /// Its address and zone; none: as in the base.
     pub at: Option<(Arc<str>, usize)>,
 }
 
-/// What changes in a group.
+/// What changes in a traffic class.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TableChange {
-    /// The proxy stays on its standing table from here on.
+    /// The proxy stays on its default table from here on.
     UseDefaultTable,
+    /// The table changes.
     Entries {
+        /// Entries that are new or different.
         changed: Vec<ChangedEntry>,
+        /// Entries that are no longer there.
         removed: Vec<ReplicaId>,
+        /// The fraction of requests to admit, in millionths.
         level: u32,
+        /// The class's retry policy.
         tries: RetryPolicy,
     },
 }
@@ -122,21 +143,27 @@
 /// From one state to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Delta {
+    /// The digest of the state that it starts from.
     pub base: Digest,
+    /// The digest of the state that it comes to.
     pub digest: Digest,
-    /// By group's place.
+    /// By traffic class.
     pub changes: BTreeMap<usize, TableChange>,
 }
 
-/// Why a delta can't take effect. The answer to each is to ask for the whole.
+/// Why a delta can't take effect. The answer to each is to ask for the complete state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Mismatch {
+    /// It starts from another state.
     #[error("it starts from a state that is not held")]
     Base,
+    /// It names a replica of which the base knows nothing.
     #[error("it names a replica whose address is not known")]
     Unknown,
+    /// It names a traffic class that is not there.
     #[error("it names a group that is not known")]
     Group,
+    /// It does not come to the digest that it names.
     #[error("what it comes to has another digest than it says")]
     Digest,
 }
@@ -176,7 +203,8 @@
 
 /// What a delta comes to from a state that is held.
 ///
-/// Errors: as [`Mismatch`]; the state held stays as it is.
+/// # Errors
+/// As [`Mismatch`]; the state held stays as it is.
 pub fn apply(held: &PublishedState, held_digest: Digest, delta: &Delta) -> Result<PublishedState, Mismatch> {
     if delta.base != held_digest {
         return Err(Mismatch::Base);
