--- a/crates/core/src/backup_replicas/tests.rs
+++ b/crates/core/src/backup_replicas/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn backups_come_when_nobody_else_is_ready_and_go_once_one_has_been_for_a_while() {
+fn activates_backups_when_no_primary_is_ready_and_releases_them_later() {
     let mut standby = BackupReplicas::new(s(20));
     let ids = |list: &[RosterEntry]| list.iter().map(|one| one.id.to_string()).collect::<Vec<_>>().join(" ");
     assert_eq!(ids(&standby.update(s(1), list(Phase::Ready))), "a");
--- a/crates/core/src/engine/migration.rs
+++ b/crates/core/src/engine/migration.rs
@@ -58,7 +58,7 @@
             let ejected = |id: &ReplicaId| self.tables.is_ejected(id);
             // A table that an operator froze here goes before.
             if !self.frozen_tables.contains_key(&(id, class))
-                && frozen_tables::told(&frozen, &current, &self.roster, ejected).0.is_some()
+                && frozen_tables::resolve(&frozen, &current, &self.roster, ejected).0.is_some()
             {
                 self.frozen_tables.insert((id, class), frozen);
                 adopted += 1;
--- a/crates/core/src/engine/publishing.rs
+++ b/crates/core/src/engine/publishing.rs
@@ -183,7 +183,7 @@
             Some(frozen) => {
                 let current = module_table.as_ref().unwrap_or(&empty);
                 let ejected = |id: &ReplicaId| self.tables.is_ejected(id);
-                match frozen_tables::told(frozen, current, &self.roster, ejected) {
+                match frozen_tables::resolve(frozen, current, &self.roster, ejected) {
                     (Some(table), _) => DesiredTable { table, frozen_table_empty: false },
                     (None, _) => {
                         DesiredTable { table: module_table.unwrap_or(empty), frozen_table_empty: true }
--- a/crates/core/src/engine/rollback.rs
+++ b/crates/core/src/engine/rollback.rs
@@ -116,7 +116,7 @@
     ) {
         let current = self.current_table(id, class);
         let ejected = |id: &ReplicaId| self.tables.is_ejected(id);
-        let (table, left_out) = frozen_tables::told(&frozen, &current, &self.roster, ejected);
+        let (table, left_out) = frozen_tables::resolve(&frozen, &current, &self.roster, ejected);
         if table.is_none() {
             report.unfreezable += 1;
             return;
--- a/crates/core/src/fleet/tests.rs
+++ b/crates/core/src/fleet/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn numbers_stay_with_names_and_are_reused_only_long_after() {
+fn keeps_numbers_with_names_and_reuses_them_only_long_after() {
     let mut fleet = Fleet::new(2);
     assert_eq!(put(&mut fleet, 1, 1, "a").unwrap().proxy, 0);
     assert_eq!(put(&mut fleet, 1, 2, "b").unwrap().proxy, 1);
@@ -32,14 +32,14 @@
 }
 
 #[test]
-fn no_number_is_given_beyond_those_that_can_hold_tables() {
+fn assigns_no_number_beyond_those_that_can_have_tables() {
     let mut numbers = ProxyIdAllocator::new(usize::MAX);
     let given = (0..70_000).map_while(|n| numbers.assign(Duration::ZERO, &format!("p{n}").into()));
     assert_eq!(given.map(|(number, _)| number).last(), Some(32_765));
 }
 
 #[test]
-fn the_newest_stream_of_a_name_counts_and_the_old_ones_end_is_no_leaving() {
+fn newest_stream_of_a_name_counts_and_the_old_ones_end_is_no_disconnect() {
     let mut fleet = Fleet::new(9);
     put(&mut fleet, 1, 1, "a").unwrap();
     assert_eq!(put(&mut fleet, 2, 2, "a").unwrap().replaced_stream, Some(1));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn two_proxies_of_one_name_do_not_throw_each_other_out_for_ever() {
+fn rejects_a_second_proxy_of_a_contested_name() {
     let mut fleet = Fleet::new(9);
     for stream in 0..5 {
         put(&mut fleet, 1, stream, "a").unwrap();
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_ack_answers_all_marks_up_to_it_and_an_older_one_none() {
+fn acknowledgement_answers_all_requests_up_to_its_version() {
     let mut fleet = Fleet::new(9);
     put(&mut fleet, 1, 1, "a").unwrap();
     let proxy = fleet.get_mut(0).unwrap();
--- a/crates/core/src/frozen_tables.rs
+++ b/crates/core/src/frozen_tables.rs
@@ -75,7 +75,7 @@
 /// frozen one, or is omitted where the module gives it none.
 ///
 /// None where no entry is left: the frozen table is to be released then.
-pub fn told(
+pub fn resolve(
     frozen: &FrozenTable,
     current: &Table,
     roster: &Roster,
--- a/crates/core/src/frozen_tables/tests.rs
+++ b/crates/core/src/frozen_tables/tests.rs
@@ -54,11 +54,11 @@
 }
 
 #[test]
-fn what_has_drained_is_gone_or_withdrawn_never_comes_back() {
+fn omits_replicas_that_drain_are_gone_or_ejected() {
     use Phase::{Draining, Gone, Ready};
     let roster = roster(&[("a", Ready, None), ("b", Draining, None), ("c", Gone, None), ("d", Ready, None)]);
     let (table, left_out) =
-        told(&hold(&["a", "b", "c", "d", "e"]), &present(&[("a", 1.0)]), &roster, |id| &**id == "d");
+        resolve(&hold(&["a", "b", "c", "d", "e"]), &present(&[("a", 1.0)]), &roster, |id| &**id == "d");
     let table = table.unwrap();
     assert_eq!(table.entries.iter().map(|line| &*line.replica).collect::<Vec<_>>(), ["a"]);
     assert_eq!(&*table.entries[0].address, "a:1", "where it is now");
@@ -71,11 +71,11 @@
 }
 
 #[test]
-fn what_started_since_gets_no_more_than_the_module_gives_it() {
+fn caps_replicas_that_restarted_since() {
     let roster =
         roster(&[("a", Phase::Ready, None), ("b", Phase::Ready, Some(40)), ("c", Phase::Ready, Some(40))]);
     let now = present(&[("a", 0.9), ("b", 0.1)]);
-    let (table, left_out) = told(&hold(&["a", "b", "c"]), &now, &roster, |_| false);
+    let (table, left_out) = resolve(&hold(&["a", "b", "c"]), &now, &roster, |_| false);
     let lines = table.unwrap().entries;
     let all: f64 = lines.iter().map(|line| line.weight).sum();
     assert!((lines[1].weight / all - 0.1).abs() < 1e-9, "{lines:?}");
@@ -83,8 +83,8 @@
 }
 
 #[test]
-fn a_deploy_that_replaced_all_that_a_table_names_ends_its_hold() {
+fn releases_a_frozen_table_all_of_whose_replicas_were_replaced() {
     let roster = roster(&[("a", Phase::Ready, Some(40)), ("b", Phase::Ready, Some(40))]);
     let now = present(&[("a", 0.5), ("b", 0.5)]);
-    assert_eq!(told(&hold(&["a", "b"]), &now, &roster, |_| false).0, None);
+    assert_eq!(resolve(&hold(&["a", "b"]), &now, &roster, |_| false).0, None);
 }
--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -62,7 +62,7 @@
         self.off = true;
     }
 
-    // ---- what the ledger is told
+    // ---- what the ledger records
 
     /// A proxy has connected: its ordinary demand as it says it is, on its default table.
     pub fn proxy_connected(
--- a/crates/core/src/guard/tests.rs
+++ b/crates/core/src/guard/tests.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn who_would_be_bare_keeps_what_is_good_of_the_last_or_is_given_its_own_or_all_that_are_ready() {
+fn replaces_a_table_without_routes_by_the_last_good_one_or_a_last_resort() {
     let (mut guard, roster) = (guard(false), roster(&["b"], &[]));
     let held = table(&[("a", 2.0), ("b", 1.0), ("c", 1.0)]);
     let (out, why) = judged(&mut guard, &roster, Some(&held), table(&[]));
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn lines_out_of_the_zone_and_numbers_that_mean_nothing_do_not_go_out() {
+fn corrects_entries_out_of_the_zone_and_impossible_figures() {
     let (mut own, roster) = (guard(true), roster(&[], &[]));
     let (out, why) = judged(&mut own, &roster, None, table(&[("a", 1.0), ("g", 1.0)]));
     assert_eq!((open(&out).len(), why), (1, vec![(RefusalReason::OutOfZone, RefusalOutcome::Corrected)]));
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_not_tried_again_where_it_must_not_run_twice() {
+fn forbids_retries_after_any_failure_of_requests_that_are_not_idempotent() {
     let mut guard = guard(false);
     let split = vec![(0b10, RetryPolicy::OnAnyFailure), (0b01, RetryPolicy::IfNotExecuted)];
     assert_eq!(guard.check_retry_policy(s(1), 0b11, RetryPolicy::OnAnyFailure), split);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_cold_replica_gets_no_more_than_its_part_of_all_proxies_together_and_a_warm_one_what_it_can_take() {
+fn limits_the_load_of_cold_and_warm_replicas_over_all_proxies() {
     let (mut guard, cold) = (guard(false), roster(&[], &["a"]));
     // 120 flows over 6.3 replicas: 19 each, 5.4 for the cold one, twice that at the most.
     let heavy = || table(&[("a", 10.0), ("b", 1.0), ("c", 1.0), ("d", 1.0)]);
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn a_sweep_without_a_cause_is_held_for_a_while_and_too_many_lines_wait() {
+fn holds_back_a_shift_without_a_cause_and_defers_excess_entries() {
     let (mut guard, roster) = (guard(false), roster(&[], &[]));
     let held = table(&[("a", 1.0), ("b", 1.0), ("c", 1.0)]);
     let first = (0..4).map(|proxy| change(proxy, None, held.clone())).collect();
--- a/crates/core/src/history/tests.rs
+++ b/crates/core/src/history/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_last_versions_are_kept_within_both_bounds() {
+fn retains_the_last_versions_within_both_bounds() {
     let mut history = History::new(3, 1000);
     (1..6).for_each(|n| history.push(0, version(n, 8)));
     assert_eq!(versions(&history, 0), [3, 4, 5]);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_version_is_held_only_with_its_content() {
+fn finds_a_held_version_only_with_its_digest() {
     let mut history = History::new(3, 1000);
     (1..4).for_each(|n| history.push(0, version(n * 10, 2)));
     let digest = version(20, 2).digest;
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn version_numbers_near_their_end_are_no_harm() {
+fn accepts_versions_near_the_end_of_their_range() {
     let mut history = History::new(3, 1000);
     history.push(0, version(u64::MAX - 1, 1));
     history.push(0, version(u64::MAX, 1));
--- a/crates/core/src/recording/tests.rs
+++ b/crates/core/src/recording/tests.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn tables_are_judged_together_against_what_was_held() {
+fn checks_candidate_tables_together_against_what_was_held() {
     let recording = recording();
     let even = wanted("p", &[("a", 1.0), ("b", 1.0), ("c", 2.0)]);
     assert_eq!(recording.would(std::slice::from_ref(&even)).unwrap().unwrap().refusals, []);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn what_can_not_be_meant_is_said() {
+fn rejects_impossible_recordings_and_candidates() {
     let twice = [wanted("p", &[("a", 1.0)]), wanted("p", &[("b", 1.0)])];
     assert_eq!(recording().would(&twice).unwrap(), Err(CandidateError::Twice("p".into())));
     let nobody = recording().would(&[wanted("x", &[])]).unwrap();
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_recording_comes_back_from_its_file_as_it_was() {
+fn reads_back_a_recording_as_it_was_written() {
     let text = serde_json::to_string(&recording()).unwrap();
     assert_eq!(serde_json::from_str::<Recording>(&text).unwrap(), recording());
     let cut = serde_json::from_str::<Recording>(&text[..text.len() / 2]).unwrap_err().to_string();
--- a/crates/core/src/reports/tests.rs
+++ b/crates/core/src/reports/tests.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_report_becomes_a_line_by_replica_and_one_by_group() {
+fn aggregates_by_replica_and_by_traffic_class() {
     let mut reports = reports();
     take(&mut reports, 11_000, 1, &report(1000, 9, 1)).unwrap();
     take(&mut reports, 11_300, 1, &report(500, 10, 0)).unwrap();
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_copy_counts_once_on_whichever_stream_it_comes() {
+fn discards_copies_on_any_stream() {
     let mut reports = reports();
     take(&mut reports, 11_000, 1, &report(1000, 9, 1)).unwrap();
     assert_eq!(take(&mut reports, 30_000, 1, &report(1000, 9, 1)), Err(DiscardReason::Copy));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn late_reports_count_but_not_more_time_than_has_passed() {
+fn counts_late_reports_but_not_more_time_than_has_passed() {
     let mut reports = reports();
     take(&mut reports, 11_000, 1, &report(1000, 1, 0)).unwrap();
     for late in 2..=5 {
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn spans_of_nothing_and_impossible_counters_do_not_count() {
+fn discards_empty_intervals_and_impossible_counters() {
     let mut reports = reports();
     assert_eq!(take(&mut reports, 11_000, 1, &report(0, 1, 0)), Err(DiscardReason::Interval));
     assert_eq!(take(&mut reports, 11_000, 1, &report(400_000, 1, 0)), Err(DiscardReason::Interval));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn lines_on_unlisted_replicas_are_left_out_and_the_rest_counts() {
+fn discards_observations_of_unlisted_replicas_and_counts_the_rest() {
     let mut reports = reports();
     let mut both = report(1000, 5, 0);
     both.observations.push(ReplicaObservation { replica: "gone".into(), ..both.observations[0].clone() });
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn the_limit_holds_and_the_oldest_lines_go_first() {
+fn passes_on_the_oldest_statistics_first_within_the_limit() {
     let mut reports = ReportAggregator::new(ms(500), 4.0);
     for proxy in 0..6 {
         let idle = LoadReport {
--- a/crates/core/src/roster/tests.rs
+++ b/crates/core/src/roster/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn an_empty_list_is_believed_only_once_it_has_stood() {
+fn believes_an_empty_roster_only_after_its_timeout() {
     let mut roster = Roster::new(s(30));
     roster.update(s(1), vec![entry("a", Phase::Ready, None)]);
     assert_eq!(roster.update(s(10), vec![]), RosterChange::Doubted(s(40)));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_start_ahead_of_the_clock_is_taken_for_the_first_sight_of_it() {
+fn takes_a_start_ahead_of_the_clock_for_its_first_sight() {
     let mut roster = Roster::new(s(30));
     roster.update(s(10), vec![entry("a", Phase::Ready, Some(500))]);
     assert_eq!(roster.get(&"a".into()).unwrap().started_at, Some(s(10)));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_new_process_under_an_old_name_is_told_of() {
+fn reports_a_new_process_under_an_old_name() {
     let mut roster = Roster::new(s(30));
     roster.update(s(10), vec![entry("a", Phase::Ready, Some(1))]);
     let RosterChange::Changed(listed) = roster.update(s(20), vec![entry("a", Phase::Ready, Some(15))]) else {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_address_belongs_to_whoever_is_not_gone() {
+fn finds_the_replica_at_an_address_that_is_not_gone() {
     let mut roster = Roster::new(s(30));
     roster.update(s(1), vec![entry("b", Phase::Ready, None)]);
     roster.update(s(2), vec![entry("a", Phase::Ready, None)]);
--- a/crates/core/src/send_limiter/tests.rs
+++ b/crates/core/src/send_limiter/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_proxy_that_comes_back_has_no_new_share_of_messages() {
+fn reconnecting_does_not_reset_the_message_limit() {
     let mut limiter = limiter(10_000.0, Some((6, Duration::from_secs(10))));
     let mut sent = 0;
     for at in 0..90 {
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn drains_go_first_and_the_longest_waiting_next() {
+fn urgent_updates_go_first_and_the_longest_waiting_next() {
     let mut limiter = limiter(10_000.0, None);
     limiter.request(ms(1), 1, 5, false);
     limiter.request(ms(2), 2, 5, false);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn what_is_due_to_a_slow_proxy_is_merged_but_a_drain_goes_at_once() {
+fn merges_updates_of_a_slow_proxy_but_sends_urgent_ones_at_once() {
     let mut limiter = limiter(10_000.0, None);
     limiter.request(ms(1), 1, 5, false);
     limiter.next_proxy(ms(1)).unwrap();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_proxy_that_never_reads_holds_up_nobody_and_grows_nothing() {
+fn stalled_proxy_delays_nobody_and_grows_nothing() {
     let mut limiter = limiter(10_000.0, None);
     limiter.request(ms(1), 1, 5, true);
     limiter.request(ms(2), 2, 5, false);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn the_channels_pace_is_kept_and_the_time_of_the_next_is_known() {
+fn keeps_the_entry_rate_and_knows_the_next_deadline() {
     let mut limiter = limiter(100.0, None);
     limiter.request(ms(0), 1, 90, false);
     limiter.request(ms(0), 2, 1, false);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn messages_to_a_proxy_are_limited_and_the_last_is_kept_for_a_drain() {
+fn limits_messages_and_reserves_the_last_for_an_urgent_update() {
     let mut limiter = limiter(10_000.0, Some((5, ms(1000))));
     limiter.request(ms(0), 1, 1, false);
     limiter.sent(ms(0), 1, 1, 1);
--- a/crates/core/src/snapshot/tests.rs
+++ b/crates/core/src/snapshot/tests.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn knowledge_counts_less_as_it_ages_each_kind_by_its_own_time() {
+fn ages_each_kind_of_knowledge_by_its_own_half_life() {
     let soon = at(1001.0);
     assert_eq!((soon.age, soon.ejected["a"]), (Duration::from_secs(1), 19));
     assert!((soon.throughput[&("a".into(), 0)] - 8.0 * 0.5f64.powf(1.0 / 60.0)).abs() < 1e-9);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_calendar_that_stepped_makes_nothing_younger_and_nothing_last_longer() {
+fn calendar_steps_make_nothing_younger_and_nothing_last_longer() {
     let back = at(500.0);
     assert_eq!((back.age, back.admission_fractions.len(), back.ejected.len()), (UNKNOWN, 0, 0));
     assert_eq!(back.overrides["a"].remaining, Duration::from_secs(100), "as long as was left, and no longer");
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn what_is_anothers_or_of_other_settings_or_can_not_be_is_left_out_and_said() {
+fn reports_and_omits_items_that_can_not_be_used() {
     let with = |change: fn(&mut StoredItems)| {
         let mut known = known();
         change(&mut known);
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn only_what_differs_is_written() {
+fn writes_only_what_differs() {
     let (before, mut now) = (known(), known());
     assert_eq!(changes(&before, &now), []);
     now.remove("level/entry");
@@ -171,7 +171,7 @@
 
 proptest! {
     #[test]
-    fn entries_come_back_as_they_were(weight in 1e-300f64..1e300, open in any::<bool>(), id in ".{0,9}") {
+    fn reads_back_items_as_they_were_written(weight in 1e-300f64..1e300, open in any::<bool>(), id in ".{0,9}") {
         let mut proxy = proxy();
         let entries = vec![StoredTableEntry {
             replica: id.as_str().into(), address: "x".into(), zone: 3, weight, routable: open,
@@ -182,7 +182,7 @@
     }
 
     #[test]
-    fn no_bytes_make_it_panic(bytes in prop::collection::vec(any::<u8>(), 0..80)) {
+    fn no_bytes_make_restoring_panic(bytes in prop::collection::vec(any::<u8>(), 0..80)) {
         if let Some(item) = decode(&bytes) {
             let known = [(NAMES, names(&[])), (ALIVE, item.clone()), ("proxy/x", item)];
             recall(known.map(|(name, item)| (name.to_string(), Arc::new(item))).into(), 5.0, &names(&[]));
@@ -191,7 +191,7 @@
 
     /// Also where a whole entry was changed in the midst.
     #[test]
-    fn mutated_entries_do_no_harm(at in any::<prop::sample::Index>(), byte in any::<u8>()) {
+    fn mutated_items_do_no_harm(at in any::<prop::sample::Index>(), byte in any::<u8>()) {
         for (name, item) in known() {
             let mut bytes = encode(&item);
             let at = at.index(bytes.len());
--- a/crates/core/src/table_versions.rs
+++ b/crates/core/src/table_versions.rs
@@ -171,36 +171,38 @@
 /// The delta from one state to another. `base` and `digest` are theirs.
 pub fn delta(from: &PublishedState, base: Digest, to: &PublishedState, digest: Digest) -> Delta {
     let mut changes = BTreeMap::new();
-    for (place, new) in to.classes.iter().enumerate() {
-        let old = from.classes.get(place).and_then(Option::as_ref);
-        let Some(new) = new else {
-            if old.is_some() {
-                changes.insert(place, TableChange::UseDefaultTable);
+    for (class, new) in to.classes.iter().enumerate() {
+        let old = from.classes.get(class).and_then(Option::as_ref);
+        match new {
+            None if old.is_some() => {
+                changes.insert(class, TableChange::UseDefaultTable);
             }
-            continue;
-        };
-        if old == Some(new) {
-            continue;
+            Some(new) if old != Some(new) => {
+                changes.insert(class, table_change(old, new));
+            }
+            _ => {}
         }
-        let held = |id: &ReplicaId| old.and_then(|old| old.entries.get(id));
-        let changed = new.entries.iter().filter(|(id, line)| held(id) != Some(line)).map(|(id, line)| {
-            let same = held(id).is_some_and(|held| held.address == line.address && held.zone == line.zone);
-            let at = (!same).then(|| (line.address.clone(), line.zone));
-            ChangedEntry { replica: id.clone(), weight: line.weight, at }
-        });
-        let removed = old.into_iter().flat_map(|old| old.entries.keys());
-        let removed = removed.filter(|id| !new.entries.contains_key(*id)).cloned().collect();
-        let lines = TableChange::Entries {
-            changed: changed.collect(),
-            removed,
-            level: new.admission_millionths,
-            tries: new.retry_policy,
-        };
-        changes.insert(place, lines);
     }
     Delta { base, digest, changes }
 }
 
+fn table_change(old: Option<&PublishedTable>, new: &PublishedTable) -> TableChange {
+    let held = |id: &ReplicaId| old.and_then(|old| old.entries.get(id));
+    let changed = new.entries.iter().filter(|(id, entry)| held(id) != Some(entry)).map(|(id, entry)| {
+        let same_place =
+            held(id).is_some_and(|held| held.address == entry.address && held.zone == entry.zone);
+        let at = (!same_place).then(|| (entry.address.clone(), entry.zone));
+        ChangedEntry { replica: id.clone(), weight: entry.weight, at }
+    });
+    let removed = old.into_iter().flat_map(|old| old.entries.keys());
+    TableChange::Entries {
+        changed: changed.collect(),
+        removed: removed.filter(|id| !new.entries.contains_key(*id)).cloned().collect(),
+        level: new.admission_millionths,
+        tries: new.retry_policy,
+    }
+}
+
 /// What a delta comes to from a state that is held.
 ///
 /// # Errors
@@ -209,37 +211,43 @@
     if delta.base != held_digest {
         return Err(Mismatch::Base);
     }
-    let mut whole = held.clone();
-    for (place, change) in &delta.changes {
-        let group = whole.classes.get_mut(*place).ok_or(Mismatch::Group)?;
-        let TableChange::Entries { changed, removed, level, tries } = change else {
-            *group = None;
-            continue;
-        };
-        let said = group.get_or_insert_with(|| PublishedTable {
-            entries: BTreeMap::new(),
-            admission_millionths: MILLION,
-            retry_policy: RetryPolicy::Never,
-        });
-        (said.admission_millionths, said.retry_policy) = (*level, *tries);
-        for id in removed {
-            said.entries.remove(id);
-        }
-        for ChangedEntry { replica, weight, at } in changed {
-            let line = match (at, said.entries.get(replica)) {
-                (Some((address, zone)), _) => {
-                    PublishedEntry { address: address.clone(), zone: *zone, weight: *weight }
-                }
-                (None, Some(held)) => PublishedEntry { weight: *weight, ..held.clone() },
-                (None, None) => return Err(Mismatch::Unknown),
-            };
-            said.entries.insert(replica.clone(), line);
-        }
+    let mut state = held.clone();
+    for (class, change) in &delta.changes {
+        let table = state.classes.get_mut(*class).ok_or(Mismatch::Group)?;
+        apply_change(table, change)?;
     }
-    if whole.digest() != delta.digest {
+    if state.digest() != delta.digest {
         return Err(Mismatch::Digest);
     }
-    Ok(whole)
+    Ok(state)
+}
+
+fn apply_change(table: &mut Option<PublishedTable>, change: &TableChange) -> Result<(), Mismatch> {
+    let TableChange::Entries { changed, removed, level, tries } = change else {
+        *table = None;
+        return Ok(());
+    };
+    let table = table.get_or_insert_with(|| PublishedTable {
+        entries: BTreeMap::new(),
+        admission_millionths: MILLION,
+        retry_policy: RetryPolicy::Never,
+    });
+    table.admission_millionths = *level;
+    table.retry_policy = *tries;
+    for id in removed {
+        table.entries.remove(id);
+    }
+    for ChangedEntry { replica, weight, at } in changed {
+        let entry = match (at, table.entries.get(replica)) {
+            (Some((address, zone)), _) => {
+                PublishedEntry { address: address.clone(), zone: *zone, weight: *weight }
+            }
+            (None, Some(held)) => PublishedEntry { weight: *weight, ..held.clone() },
+            (None, None) => return Err(Mismatch::Unknown),
+        };
+        table.entries.insert(replica.clone(), entry);
+    }
+    Ok(())
 }
 
 #[cfg(test)]
--- a/crates/core/src/table_versions/tests.rs
+++ b/crates/core/src/table_versions/tests.rs
@@ -24,7 +24,7 @@
 
 proptest! {
     #[test]
-    fn a_delta_comes_to_its_end_from_its_base_and_from_nothing_else(one in states(), two in states()) {
+    fn applies_a_delta_to_its_base_and_to_nothing_else(one in states(), two in states()) {
         let change = delta(&one, one.digest(), &two, two.digest());
         prop_assert_eq!(apply(&one, one.digest(), &change).unwrap(), two.clone());
         if one != two {
@@ -36,7 +36,7 @@
     /// Relays skip, repeat and reorder deltas, and restart; whoever asks for the whole whenever one does
     /// not fit ends on the governor's version.
     #[test]
-    fn any_history_ends_on_the_governors_version(
+    fn any_delivery_order_ends_on_the_governors_version(
         history in prop::collection::vec(states(), 2..10),
         deliveries in prop::collection::vec((0usize..10, 0usize..10), 0..40),
     ) {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn what_does_not_come_out_is_refused_before_it_takes_effect() {
+fn rejects_a_delta_that_does_not_fit_before_it_takes_effect() {
     let (one, two) = (said(1), said(2));
     let good = delta(&one, one.digest(), &two, two.digest());
     // As a wrong hasher on one side would have it.
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn only_what_a_proxy_does_not_know_is_said_of_a_line() {
+fn sends_addresses_only_of_replicas_new_to_a_proxy() {
     let (one, two) = (said(1), said(2));
     let change = delta(&one, one.digest(), &two, two.digest());
     let TableChange::Entries { changed, .. } = &change.changes[&0] else { panic!() };
--- a/crates/core/src/tables/tests.rs
+++ b/crates/core/src/tables/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_standing_table_is_spoken_of_only_once_there_is_something_to_say() {
+fn publishes_a_default_table_only_once_it_is_restricted() {
     let (roster, mut tables) = (roster(&["a", "b"]), Tables::new(1, RetryPolicy::Never));
     let standing = [("b".into(), 1.0), ("a".into(), 2.0)];
     assert_eq!(tables.resolve(&roster, 0, None, &standing, false), None);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_withdrawal_shuts_lines_laid_before_and_after_it() {
+fn ejection_closes_entries_from_before_and_after_it() {
     let (roster, mut tables) = (roster(&["a", "b"]), Tables::new(1, RetryPolicy::Never));
     tables.update_entries(4, vec![entry("a", 1.0)]);
     tables.set_ejected("b".into(), true);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn differing_lines_are_counted_and_what_lets_flows_to_drains_is_known() {
+fn counts_differences_and_knows_tables_that_route_to_ejected_replicas() {
     let line = |name: &str, weight, open| ResolvedEntry {
         replica: name.into(),
         address: "x".into(),
--- a/crates/core/src/weights/tests.rs
+++ b/crates/core/src/weights/tests.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn lines_that_mean_nothing_are_kept_as_the_lightest() {
+fn keeps_entries_without_a_valid_weight_as_the_lightest() {
     assert_eq!(whole(&[f64::NAN, 2.0, -1.0, 0.0]), [1000, 1000, 1000, 1000]);
     assert_eq!(whole(&[]), Vec::<u32>::new());
     assert_eq!(whole(&[f64::INFINITY]), [1000]);
@@ -12,7 +12,7 @@
 
 proptest! {
     #[test]
-    fn shares_stay_and_no_line_is_lost(weights in prop::collection::vec(0.001f64..1000.0, 1..200)) {
+    fn keeps_fractions_and_loses_no_entry(weights in prop::collection::vec(0.001f64..1000.0, 1..200)) {
         let whole = whole(&weights);
         let sum: f64 = weights.iter().sum();
         let lightest = weights.iter().copied().fold(f64::INFINITY, f64::min);
@@ -26,7 +26,7 @@
     }
 
     #[test]
-    fn sums_fit_however_far_apart(weights in prop::collection::vec(0.0f64..f64::MAX, 1..50)) {
+    fn sums_fit_however_far_apart_weights_are(weights in prop::collection::vec(0.0f64..f64::MAX, 1..50)) {
         let whole = whole(&weights);
         prop_assert!(whole.iter().map(|one| u64::from(*one)).sum::<u64>() <= u64::from(u32::MAX));
         prop_assert!(whole.iter().all(|one| *one >= 1));
