--- a/crates/daemon/src/cli/export.rs
+++ b/crates/daemon/src/cli/export.rs
@@ -54,7 +54,7 @@
     fn run(self) -> Result<()> {
         let settings = run::load(&self.settings)?;
         if let Some(proxy) = &self.print {
-            let tables = get(&settings.http.to_string(), &format!("/tables/{proxy}"))?;
+            let tables = get(&settings.http_address.to_string(), &format!("/tables/{proxy}"))?;
             print!("{}", export::print(&tables)?);
             return Ok(());
         }
@@ -73,7 +73,7 @@
     }
 
     fn governor_url(&self, settings: &Settings) -> Result<String> {
-        match (&self.at, settings.poll) {
+        match (&self.at, settings.long_poll_address) {
             (Some(at), _) => Ok(at.trim_end_matches('/').to_string()),
             (None, Some(at)) => Ok(format!("http://{at}")),
             (None, None) => bail!("the settings have no `poll` to listen on: say `--at`"),
--- a/crates/daemon/src/export.rs
+++ b/crates/daemon/src/export.rs
@@ -60,7 +60,7 @@
 ///
 /// Errors: sockets, signals or the folder of the file can't be had.
 pub fn run(settings: &Settings, place: Place, once: bool) -> Result<()> {
-    let folder = settings.nginx.include.parent().unwrap_or(Path::new("."));
+    let folder = settings.nginx.include_file.parent().unwrap_or(Path::new("."));
     let folder = if folder.as_os_str().is_empty() { Path::new(".") } else { folder };
     std::fs::metadata(folder).with_context(|| format!("the folder {}", folder.display()))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().context("tokio")?;
@@ -117,12 +117,12 @@
     }
     if let Some(log) = settings.nginx.access_log.clone() {
         tokio::task::spawn_local(read_log(log, began, keeper.clone()));
-        tokio::task::spawn_local(report(settings.report_every, keeper.clone(), sessions));
+        tokio::task::spawn_local(report(settings.report_interval, keeper.clone(), sessions));
     }
     let mut terminate =
         tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()).context("signals")?;
     let span = |seconds: f64| Duration::try_from_secs_f64(seconds).unwrap_or_default();
-    let mut pacer = Pacer::new(span(settings.nginx.every), span(settings.nginx.drains_every));
+    let mut pacer = Pacer::new(span(settings.nginx.min_interval), span(settings.nginx.min_drain_interval));
     let (mut mark, mut running) = (String::new(), None);
     let (ends, mut ended) = mpsc::channel(1);
     loop {
@@ -160,7 +160,7 @@
     }
     // A reload in the midst is let come to its end: half of one would leave a file that nobody reads.
     if let Some(running) = running.filter(|running| !running.is_finished()) {
-        let _ = tokio::time::timeout(span(settings.nginx.reload_within), running).await;
+        let _ = tokio::time::timeout(span(settings.nginx.reload_timeout), running).await;
     }
     tracing::info!("the agent stops; nginx keeps what it has");
     Ok(())
@@ -169,17 +169,19 @@
 /// Replaces the file whole, and has nginx read it. Where it does not, the file is as it was before.
 async fn put(nginx: &Nginx, tables: &Tables, says: &str) -> Result<()> {
     let text = blocks::write(tables, says).context("what is told can't be written as upstream blocks")?;
-    let before = match tokio::fs::read(&nginx.include).await {
+    let before = match tokio::fs::read(&nginx.include_file).await {
         Ok(before) => Some(before),
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => None,
-        Err(error) => return Err(error).with_context(|| nginx.include.display().to_string()),
+        Err(error) => return Err(error).with_context(|| nginx.include_file.display().to_string()),
     };
-    replace(&nginx.include, text.as_bytes()).await?;
+    replace(&nginx.include_file, text.as_bytes()).await?;
     let Err(why) = reload(nginx).await else { return Ok(()) };
     // nginx may be started anew at any time, and must not find there what it would not take.
     match before {
-        Some(before) => replace(&nginx.include, &before).await?,
-        None => tokio::fs::remove_file(&nginx.include).await.context("the file that nginx would not take")?,
+        Some(before) => replace(&nginx.include_file, &before).await?,
+        None => {
+            tokio::fs::remove_file(&nginx.include_file).await.context("the file that nginx would not take")?
+        }
     }
     Err(why)
 }
@@ -195,15 +197,15 @@
 }
 
 async fn reload(nginx: &Nginx) -> Result<()> {
-    let [program, arguments @ ..] = nginx.reload.as_slice() else { return Ok(()) };
+    let [program, arguments @ ..] = nginx.reload_command.as_slice() else { return Ok(()) };
     let command = tokio::process::Command::new(program)
         .args(arguments)
         .stdin(Stdio::null())
         .kill_on_drop(true)
         .output();
-    let within = Duration::try_from_secs_f64(nginx.reload_within).unwrap_or_default();
+    let within = Duration::try_from_secs_f64(nginx.reload_timeout).unwrap_or_default();
     let ran = tokio::time::timeout(within, command).await;
-    let ran = ran.with_context(|| format!("`{program}` takes more than {} s", nginx.reload_within))?;
+    let ran = ran.with_context(|| format!("`{program}` takes more than {} s", nginx.reload_timeout))?;
     let ran = ran.with_context(|| format!("`{program}` can't be run"))?;
     if !ran.status.success() {
         let said: String = String::from_utf8_lossy(&ran.stderr).chars().take(500).collect();
--- a/crates/daemon/src/nginx.rs
+++ b/crates/daemon/src/nginx.rs
@@ -210,9 +210,9 @@
                 Route::Paths(paths) => paths.iter().map(path).collect::<Vec<_>>().join(", "),
             };
             let figures = [
-                ("effect", group.effect),
-                ("latency_budget", group.latency_budget.to_string()),
-                ("expiry", group.expiry.to_string()),
+                ("effect", group.idempotency),
+                ("latency_budget", group.latency_objective.to_string()),
+                ("expiry", group.request_deadline.to_string()),
                 ("routes", routes),
             ];
             known.groups.insert(group.name, figures.into());
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -103,17 +103,20 @@
 ) -> Host {
     let peers = settings.peers.iter().cloned();
     let membership_settings = MembershipSettings {
-        local: Peer { name: settings.governor.clone(), address: settings.talk.unwrap_or(settings.grpc) },
+        local: Peer {
+            name: settings.governor.clone(),
+            address: settings.gossip_address.unwrap_or(settings.grpc_address),
+        },
         peers: peers.map(|(name, address)| Peer { name, address }).collect(),
         keys: if has_membership { signing_keys.clone() } else { Vec::new() },
-        moves_per_second: settings.moves_per_s,
+        moves_per_second: settings.moves_per_second,
     };
     let parts = HostParts {
-        engine_settings: settings.setup(),
+        engine_settings: settings.engine_settings(),
         membership: Membership::new(membership_settings, wire.epoch, clock.now()),
         wire,
         signing_keys,
-        default_requests_per_second: settings.usual,
+        default_requests_per_second: settings.default_requests_per_second,
     };
     Host::new(parts, clock.now())
 }
--- a/crates/daemon/src/run/event_loop.rs
+++ b/crates/daemon/src/run/event_loop.rs
@@ -62,7 +62,7 @@
 
     /// Handles events until one of them ends the governor: why it ends.
     async fn handle_events(&mut self, receivers: &mut Receivers) -> Result<&'static str> {
-        let mut persist = tokio::time::interval(seconds(self.settings.state_every));
+        let mut persist = tokio::time::interval(seconds(self.settings.state_interval));
         persist.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut hangup = signal(SignalKind::hangup()).context("signals")?;
         let mut terminate = signal(SignalKind::terminate()).context("signals")?;
@@ -142,7 +142,7 @@
     fn settings_read(&mut self, read: Result<Settings>) {
         let Some(settings) = accept_settings(read, &self.settings) else { return };
         self.settings = settings;
-        self.host.engine.limit_reports(self.settings.report_lines_per_s);
+        self.host.engine.limit_reports(self.settings.report_entries_per_second);
         self.tasks.roster.abort();
         let rosters = self.senders.rosters.clone();
         self.tasks.roster = watch_roster(&self.settings, &self.wire, self.clock, rosters);
--- a/crates/daemon/src/run/startup.rs
+++ b/crates/daemon/src/run/startup.rs
@@ -38,18 +38,18 @@
     /// # Errors
     /// An address that can't be had.
     pub async fn bind(settings: &Settings) -> Result<Self> {
-        let grpc = TcpListener::bind(settings.grpc).await;
-        let grpc = grpc.with_context(|| format!("gRPC on {}", settings.grpc))?;
-        let http = TcpListener::bind(settings.http).await;
-        let http = http.with_context(|| format!("HTTP on {}", settings.http))?;
-        let membership = match settings.talk {
+        let grpc = TcpListener::bind(settings.grpc_address).await;
+        let grpc = grpc.with_context(|| format!("gRPC on {}", settings.grpc_address))?;
+        let http = TcpListener::bind(settings.http_address).await;
+        let http = http.with_context(|| format!("HTTP on {}", settings.http_address))?;
+        let membership = match settings.gossip_address {
             None => None,
             Some(at) => {
                 let socket = UdpSocket::bind(at).await.with_context(|| format!("talk on {at}"))?;
                 Some(Rc::new(socket))
             }
         };
-        let long_poll = match settings.poll {
+        let long_poll = match settings.long_poll_address {
             None => None,
             Some(at) => Some(TcpListener::bind(at).await.with_context(|| format!("long-poll on {at}"))?),
         };
@@ -117,7 +117,7 @@
 
 /// What earlier lives of this governor stored, if the settings name a folder for it.
 pub fn stored_state(settings: &Settings, clock: &Clock) -> Option<state::Start> {
-    let folder = settings.state.as_ref()?;
+    let folder = settings.state_folder.as_ref()?;
     let names = StoredItem::Names {
         governor: settings.governor.clone(),
         zones: settings.zones.clone(),
--- a/crates/daemon/src/run/tasks.rs
+++ b/crates/daemon/src/run/tasks.rs
@@ -39,7 +39,7 @@
         let (health, health_service) = tonic_health::server::health_reporter();
         let (stop, stopped) = oneshot::channel::<()>();
         let server = tonic::transport::Server::builder()
-            .http2_keepalive_interval(Some(seconds(settings.keepalive)))
+            .http2_keepalive_interval(Some(seconds(settings.keepalive_interval)))
             .http2_keepalive_timeout(Some(seconds(settings.keepalive_timeout)))
             .max_concurrent_streams(Some(MAX_STREAMS_PER_CONNECTION))
             .tcp_nodelay(true)
@@ -113,7 +113,7 @@
 ) -> JoinHandle<()> {
     match &settings.roster {
         RosterSource::File(path) => {
-            let every = seconds(settings.look_every);
+            let every = seconds(settings.roster_poll_interval);
             let zones = wire.zones.clone();
             tokio::task::spawn_local(roster_file::watch(path.clone(), every, zones, clock, rosters))
         }
--- a/crates/daemon/src/run/wire.rs
+++ b/crates/daemon/src/run/wire.rs
@@ -18,14 +18,18 @@
         key: None,
         zones: settings.zones.clone(),
         groups: settings.groups.iter().map(class).collect(),
-        report_every: seconds(settings.report_every),
-        load_metrics: settings.load.clone(),
-        answer_metric: settings.answer.clone(),
+        report_every: seconds(settings.report_interval),
+        load_metrics: settings.load_metrics.clone(),
+        answer_metric: settings.answer_time_metric.clone(),
     }
 }
 
 fn class(class: &Group) -> WireGroup {
-    WireGroup { name: class.name.clone(), route: route(&class.route), expiry: seconds(class.expiry) }
+    WireGroup {
+        name: class.name.clone(),
+        route: route(&class.route),
+        expiry: seconds(class.request_deadline),
+    }
 }
 
 fn route(route: &Route) -> wrenthread_xds::Route {
--- a/crates/settings/src/engine_settings.rs
+++ b/crates/settings/src/engine_settings.rs
@@ -32,23 +32,23 @@
     fn traffic_class(&self) -> types::TrafficClass {
         types::TrafficClass {
             idempotency: self.idempotency(),
-            latency_objective: seconds(self.latency_budget),
-            request_deadline: seconds(self.expiry),
-            priority_weight: self.utility,
-            same_zone_only: self.own_zone,
+            latency_objective: seconds(self.latency_objective),
+            request_deadline: seconds(self.request_deadline),
+            priority_weight: self.priority_weight,
+            same_zone_only: self.same_zone_only,
         }
     }
 
     fn idempotency(&self) -> Idempotency {
-        match self.effect.as_str() {
+        match self.idempotency.as_str() {
             "retriable" => Idempotency::Idempotent,
             "deduped" => Idempotency::IdempotentWithKey {
-                scope: match self.deduped_by.as_deref() {
+                scope: match self.deduplication_scope.as_deref() {
                     Some("all") => DeduplicationScope::All,
                     Some("pack") => DeduplicationScope::SameCell,
                     _ => DeduplicationScope::SameZone,
                 },
-                window: seconds(self.deduped_for.unwrap_or_default()),
+                window: seconds(self.deduplication_window.unwrap_or_default()),
             },
             _ => Idempotency::NotIdempotent,
         }
@@ -57,48 +57,48 @@
 
 impl Settings {
     /// The settings of an engine.
-    pub fn setup(&self) -> EngineSettings {
+    pub fn engine_settings(&self) -> EngineSettings {
         EngineSettings {
             governor: self.governor_settings(),
-            max_proxies: self.joined_most as usize,
-            max_report_entries_per_second: self.report_lines_per_s,
-            empty_roster_timeout: seconds(self.empty_after),
-            history: (self.history_versions as usize, self.history_lines as usize),
+            max_proxies: self.max_proxies as usize,
+            max_report_entries_per_second: self.report_entries_per_second,
+            empty_roster_timeout: seconds(self.empty_roster_timeout),
+            history: (self.history_versions as usize, self.history_entries as usize),
         }
     }
 
     fn governor_settings(&self) -> types::Settings {
         types::Settings {
-            governor_count: self.governors,
+            governor_count: self.governor_count,
             classes: self.groups.iter().map(Group::traffic_class).collect(),
             key_slices: 0,
-            proxy_count: self.proxies,
-            default_table_size: self.standing_lines as usize,
-            initial_capacity_fraction: self.cold_share,
-            slow_start_duration: seconds(self.warm_after),
-            proxies_eject_locally: self.proxies_avoid,
-            report_interval: seconds(self.report_every),
-            entries_per_second: self.lines_per_s,
-            message_overhead_entries: self.head_lines,
-            max_queued_entries: self.waiting_most,
-            max_transit_delay: seconds(self.transit_most),
-            message_limit: self.messages_most.map(|messages| types::MessageLimit {
+            proxy_count: self.proxy_count,
+            default_table_size: self.default_table_size as usize,
+            initial_capacity_fraction: self.initial_capacity_fraction,
+            slow_start_duration: seconds(self.slow_start_duration),
+            proxies_eject_locally: self.proxies_eject_locally,
+            report_interval: seconds(self.report_interval),
+            entries_per_second: self.entries_per_second,
+            message_overhead_entries: self.message_overhead_entries,
+            max_queued_entries: self.max_queued_entries,
+            max_transit_delay: seconds(self.max_transit_delay),
+            message_limit: self.message_limit.map(|messages| types::MessageLimit {
                 messages: messages as usize,
-                interval: seconds(self.messages_over),
+                interval: seconds(self.message_limit_interval),
             }),
-            admission_control: if self.levels {
+            admission_control: if self.admission_control {
                 AdmissionControl::Fraction
             } else {
                 AdmissionControl::Unsupported
             },
-            default_retry_policy: match self.tries.as_str() {
+            default_retry_policy: match self.default_retry_policy.as_str() {
                 "once" => RetryPolicy::OnAnyFailure,
                 "if-never-ran" => RetryPolicy::IfNotExecuted,
                 _ => RetryPolicy::Never,
             },
-            cross_zone_cost: self.crossing_cost,
+            cross_zone_cost: self.cross_zone_cost,
             health_check_cost: None,
-            load_fields: self.load.iter().filter_map(|name| load_field(name)).collect(),
+            load_fields: self.load_metrics.iter().filter_map(|name| load_field(name)).collect(),
         }
     }
 }
--- a/crates/settings/src/loading.rs
+++ b/crates/settings/src/loading.rs
@@ -31,11 +31,11 @@
     if let RosterSource::File(roster) = &mut settings.roster {
         *roster = folder.join(&*roster);
     }
-    if let Some(state) = &mut settings.state {
+    if let Some(state) = &mut settings.state_folder {
         *state = folder.join(&*state);
     }
     let nginx = &mut settings.nginx;
-    nginx.include = folder.join(&nginx.include);
+    nginx.include_file = folder.join(&nginx.include_file);
     if let Some(access_log) = &mut nginx.access_log {
         *access_log = folder.join(&*access_log);
     }
--- a/crates/settings/src/model.rs
+++ b/crates/settings/src/model.rs
@@ -14,19 +14,26 @@
     /// Its name, of which there is one.
     pub name: String,
     /// `retriable`, `deduped` or `non-retriable`.
-    pub effect: String,
+    #[serde(rename = "effect")]
+    pub idempotency: String,
     /// Which replicas recognise a repeated request: `all`, `zone` or `pack`.
-    pub deduped_by: Option<String>,
+    #[serde(rename = "deduped_by")]
+    pub deduplication_scope: Option<String>,
     /// How long after the first attempt they do, in seconds.
-    pub deduped_for: Option<f64>,
+    #[serde(rename = "deduped_for")]
+    pub deduplication_window: Option<f64>,
     /// The latency objective, in seconds.
-    pub latency_budget: f64,
+    #[serde(rename = "latency_budget")]
+    pub latency_objective: f64,
     /// The request deadline, in seconds.
-    pub expiry: f64,
+    #[serde(rename = "expiry")]
+    pub request_deadline: f64,
     /// The priority weight.
-    pub utility: f64,
+    #[serde(rename = "utility")]
+    pub priority_weight: f64,
     /// Requests may only go to replicas in the proxy's zone.
-    pub own_zone: bool,
+    #[serde(rename = "own_zone")]
+    pub same_zone_only: bool,
     /// Which requests belong to it.
     pub route: Route,
 }
@@ -104,15 +111,20 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Nginx {
     /// The file that it includes.
-    pub include: PathBuf,
+    #[serde(rename = "include")]
+    pub include_file: PathBuf,
     /// The command that has it read the file; empty if none is run.
-    pub reload: Vec<String>,
+    #[serde(rename = "reload")]
+    pub reload_command: Vec<String>,
     /// From one file to the next, in seconds, at the least.
-    pub every: f64,
+    #[serde(rename = "every")]
+    pub min_interval: f64,
     /// The same for a file that drains or ejects a replica.
-    pub drains_every: f64,
+    #[serde(rename = "drains_every")]
+    pub min_drain_interval: f64,
     /// Timeout of the command, in seconds.
-    pub reload_within: f64,
+    #[serde(rename = "reload_within")]
+    pub reload_timeout: f64,
     /// Its access log, read as load reports.
     pub access_log: Option<PathBuf>,
 }
@@ -144,79 +156,111 @@
     /// Files with the fleet's keys; the first signs.
     pub keys: Vec<PathBuf>,
     /// Where other governors reach this one, by UDP.
-    pub talk: Option<SocketAddr>,
+    #[serde(rename = "talk")]
+    pub gossip_address: Option<SocketAddr>,
     /// Other governors, by name and address.
     pub peers: Vec<(String, SocketAddr)>,
     /// Limit of the proxies moved to other governors per second.
-    pub moves_per_s: f64,
+    #[serde(rename = "moves_per_s")]
+    pub moves_per_second: f64,
     /// Number of governors that share the proxies.
-    pub governors: u64,
+    #[serde(rename = "governors")]
+    pub governor_count: u64,
     /// Number of proxies of all governors together.
-    pub proxies: u64,
+    #[serde(rename = "proxies")]
+    pub proxy_count: u64,
     /// Replicas in a default table.
-    pub standing_lines: u64,
+    #[serde(rename = "standing_lines")]
+    pub default_table_size: u64,
     /// Requests per second of a proxy that reports none.
-    pub usual: f64,
+    #[serde(rename = "usual")]
+    pub default_requests_per_second: f64,
     /// Proxies eject replicas locally.
-    pub proxies_avoid: bool,
+    #[serde(rename = "proxies_avoid")]
+    pub proxies_eject_locally: bool,
     /// The default retry policy: `never`, `if-never-ran` or `once`.
-    pub tries: String,
+    #[serde(rename = "tries")]
+    pub default_retry_policy: String,
     /// Proxies enforce admission fractions.
-    pub levels: bool,
+    #[serde(rename = "levels")]
+    pub admission_control: bool,
     /// Limit of the proxies connected here.
-    pub joined_most: u64,
+    #[serde(rename = "joined_most")]
+    pub max_proxies: u64,
     /// Capacity fraction of a replica at its start, at the worst.
-    pub cold_share: f64,
+    #[serde(rename = "cold_share")]
+    pub initial_capacity_fraction: f64,
     /// Duration of slow start.
-    pub warm_after: f64,
+    #[serde(rename = "warm_after")]
+    pub slow_start_duration: f64,
     /// Limit of the table entries sent per second.
-    pub lines_per_s: f64,
+    #[serde(rename = "lines_per_s")]
+    pub entries_per_second: f64,
     /// Cost of a message on top of its entries, in entries.
-    pub head_lines: f64,
+    #[serde(rename = "head_lines")]
+    pub message_overhead_entries: f64,
     /// Limit of the queued entries.
-    pub waiting_most: f64,
+    #[serde(rename = "waiting_most")]
+    pub max_queued_entries: f64,
     /// Longest transit delay of a message.
-    pub transit_most: f64,
+    #[serde(rename = "transit_most")]
+    pub max_transit_delay: f64,
     /// Limit of the messages to one proxy within `messages_over`.
-    pub messages_most: Option<u64>,
+    #[serde(rename = "messages_most")]
+    pub message_limit: Option<u64>,
     /// The interval for that.
-    pub messages_over: f64,
+    #[serde(rename = "messages_over")]
+    pub message_limit_interval: f64,
     /// Cost of a request into another zone.
-    pub crossing_cost: f64,
+    #[serde(rename = "crossing_cost")]
+    pub cross_zone_cost: f64,
     /// How often proxies report.
-    pub report_every: f64,
+    #[serde(rename = "report_every")]
+    pub report_interval: f64,
     /// Limit of the report entries that are taken per second.
-    pub report_lines_per_s: f64,
+    #[serde(rename = "report_lines_per_s")]
+    pub report_entries_per_second: f64,
     /// The load metrics that replicas report.
-    pub load: Vec<String>,
+    #[serde(rename = "load")]
+    pub load_metrics: Vec<String>,
     /// The metric that holds an answer's time.
-    pub answer: String,
+    #[serde(rename = "answer")]
+    pub answer_time_metric: String,
     /// Where the endpoint list comes from.
     pub roster: RosterSource,
     /// How often its file is looked at.
-    pub look_every: f64,
+    #[serde(rename = "look_every")]
+    pub roster_poll_interval: f64,
     /// How long an empty list must last before it is believed.
-    pub empty_after: f64,
+    #[serde(rename = "empty_after")]
+    pub empty_roster_timeout: f64,
     /// Versions of a proxy's tables that are retained.
     pub history_versions: u64,
     /// Entries in all of them.
-    pub history_lines: u64,
+    #[serde(rename = "history_lines")]
+    pub history_entries: u64,
     /// The address for proxies by gRPC.
-    pub grpc: SocketAddr,
+    #[serde(rename = "grpc")]
+    pub grpc_address: SocketAddr,
     /// The address for health, metrics and status.
-    pub http: SocketAddr,
+    #[serde(rename = "http")]
+    pub http_address: SocketAddr,
     /// The address for proxies by long poll.
-    pub poll: Option<SocketAddr>,
+    #[serde(rename = "poll")]
+    pub long_poll_address: Option<SocketAddr>,
     /// How often a stream is asked for a sign of life.
-    pub keepalive: f64,
+    #[serde(rename = "keepalive")]
+    pub keepalive_interval: f64,
     /// How long it may take to answer.
     pub keepalive_timeout: f64,
     /// The nginx that follows by files.
     pub nginx: Nginx,
     /// The folder of the durable store.
-    pub state: Option<PathBuf>,
+    #[serde(rename = "state")]
+    pub state_folder: Option<PathBuf>,
     /// How often changes are written to it.
-    pub state_every: f64,
+    #[serde(rename = "state_every")]
+    pub state_interval: f64,
 }
 
 /// Settings that take effect while a governor runs, by their serialised names.
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -26,7 +26,7 @@
     let names: Vec<_> = settings.groups.iter().map(|group| group.name.as_str()).collect();
     assert_eq!(names, ["match", "count", "charge"]);
     assert_eq!(settings.groups[2].route, Route::Header("x-group".into(), "charge".into()));
-    let setup = settings.setup();
+    let setup = settings.engine_settings();
     assert_eq!(setup.governor.default_retry_policy, RetryPolicy::IfNotExecuted);
     assert!(matches!(
         setup.governor.classes[2].idempotency,
--- a/crates/settings/src/validation/groups.rs
+++ b/crates/settings/src/validation/groups.rs
@@ -45,13 +45,13 @@
         }
         Some(Group {
             name: name.clone(),
-            effect,
-            deduped_by,
-            deduped_for: deduped_for.and_then(Value::as_f64),
-            latency_budget: budget,
-            expiry,
-            utility: fields.number("utility"),
-            own_zone: fields.flag("own_zone"),
+            idempotency: effect,
+            deduplication_scope: deduped_by,
+            deduplication_window: deduped_for.and_then(Value::as_f64),
+            latency_objective: budget,
+            request_deadline: expiry,
+            priority_weight: fields.number("utility"),
+            same_zone_only: fields.flag("own_zone"),
             route: route?,
         })
     }
