--- a/crates/daemon/src/platform/config.rs
+++ b/crates/daemon/src/platform/config.rs
@@ -109,7 +109,7 @@
     value.parse().map_err(|_| ConfigError::InvalidAddress { variable: name, value })
 }
 
-/// The configuration, as far as a governor heeds it.
+/// The configuration, as far as a governor uses it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
     /// Discovery's address, if the file states one.
--- a/crates/daemon/src/platform/tests.rs
+++ b/crates/daemon/src/platform/tests.rs
@@ -1,4 +1,4 @@
-//! The governor in this process, over real connections, on paused time: a test says what comes, and when.
+//! The governor in this process, over real connections, on paused time: a test decides what comes, and when.
 //!
 //! The governor takes nothing in unless a test has it do so ([`Harness::step`]).
 
@@ -87,7 +87,7 @@
         self.write(path, &format!("{:x}\r\n{line}\r\n", line.len())).await;
     }
 
-    /// Answers the newest request for the whole list.
+    /// Answers the newest request for a snapshot.
     async fn send_snapshot(&self, list: &Value) {
         let list = list.to_string();
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
@@ -143,9 +143,9 @@
         let folder = std::env::temp_dir().join(format!("wrenthread-harness-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let (address, path) = (listener.local_addr().unwrap(), folder.join("config.json"));
-        let mut whole = config(agent.address);
-        change(&mut whole);
-        std::fs::write(&path, whole.to_string()).unwrap();
+        let mut value = config(agent.address);
+        change(&mut value);
+        std::fs::write(&path, value.to_string()).unwrap();
         let config = Config::read(&path).unwrap();
         let variables =
             Variables { name: "n0".into(), listen: address, discovery: agent.address, config: path };
@@ -207,8 +207,8 @@
     }
 
     /// Writes another configuration, and has it read.
-    fn reload(&mut self, whole: &Value) {
-        std::fs::write(self.folder.join("config.json"), whole.to_string()).unwrap();
+    fn reload(&mut self, config: &Value) {
+        std::fs::write(self.folder.join("config.json"), config.to_string()).unwrap();
         self.service.reload_config();
     }
 
@@ -249,7 +249,7 @@
         assert_eq!(self.stream.try_write(bytes).unwrap(), bytes.len());
     }
 
-    /// What has come: whole messages, and whether the connection has ended.
+    /// What has come: complete messages, and whether the connection has ended.
     fn read(&mut self) -> (Vec<Value>, bool) {
         let (mut bytes, mut ended) = ([0; 4096], false);
         loop {
@@ -264,8 +264,8 @@
             }
             break;
         }
-        let whole = self.unread.iter().rposition(|byte| *byte == b'\n').map_or(0, |end| end + 1);
-        let lines: Vec<u8> = self.unread.drain(..whole).collect();
+        let complete = self.unread.iter().rposition(|byte| *byte == b'\n').map_or(0, |end| end + 1);
+        let lines: Vec<u8> = self.unread.drain(..complete).collect();
         let lines = lines.split(|byte| *byte == b'\n').filter(|line| !line.is_empty());
         (lines.map(|line| serde_json::from_slice(line).unwrap()).collect(), ended)
     }
--- a/crates/daemon/src/platform/tests/discovery.rs
+++ b/crates/daemon/src/platform/tests/discovery.rs
@@ -11,14 +11,14 @@
 fn fetches_a_snapshot_for_an_invalid_drain_read_after_discovery_moved() {
     run_paused(async || {
         let (from, to) = (Agent::start().await, Agent::start().await);
-        let mut harness = Harness::start("spoilt", &from, |_| {}).await;
+        let mut harness = Harness::start("invalid", &from, |_| {}).await;
         let mut proxy = harness.connect_proxy(3).await;
         harness.until("it watches", |_| from.request_count(&watch_from(1)) == 1).await;
         from.answer_watch(&watch_from(1), &[event(2, false, &[("r3", "drained")])]).await;
         harness.wait_without_governor("the object has come", |service| service.watch_events.len() == 1).await;
         harness.reload(&config_for(&to));
-        // Only now it is read: whoever heard it is on the way out, and the next watches from before it.
-        harness.until("all is asked for", |_| to.request_count(SNAPSHOT_PATH) == 1).await;
+        // Only now it is read: its watcher is a former one, and the next one watches from before it.
+        harness.until("a snapshot is fetched", |_| to.request_count(SNAPSHOT_PATH) == 1).await;
         to.send_snapshot(&event(2, true, &[("r1", "up"), ("r2", "up"), ("r3", "draining"), ("r4", "up")]))
             .await;
         proxy.until_message(&mut harness, |message| removes(message, "r3")).await;
@@ -36,7 +36,7 @@
         from.answer_watch(&watch_from(1), &[event(2, false, &[("r3", "draining")])]).await;
         harness.reload(&config_for(&to));
         proxy.until_message(&mut harness, |message| removes(message, "r3")).await;
-        // The old connection is heard out and then left; nobody goes back to the old address.
+        // The old connection is read for a while and then closed; nobody reconnects to the old address.
         harness.pass(FORMER_WATCHER_TIME + Duration::from_secs(10)).await;
         assert_eq!(from.requests.borrow().len(), 1);
         let mut rest = [0; 16];
@@ -55,7 +55,7 @@
         harness.until("the last one is watched", |_| to.request_count(&watch_from(1)) == 1).await;
         to.answer_watch(&watch_from(1), &[event(2, false, &[("r3", "draining")])]).await;
         proxy.until_message(&mut harness, |message| removes(message, "r3")).await;
-        // One that was left behind and is still open tells of nothing that is newer.
+        // A former watch that is still open gives nothing that is newer.
         if by.request_count(&watch_from(1)) == 1 {
             by.answer_watch(&watch_from(1), &[event(2, false, &[("r3", "up")])]).await;
             harness.pass(Duration::from_secs(1)).await;
@@ -72,7 +72,7 @@
         let mut proxy = harness.connect_proxy(3).await;
         harness.until("it watches", |_| agent.request_count(&watch_from(1)) == 1).await;
         agent.answer_watch(&watch_from(1), &[event(2, false, &[("r3", "drained")])]).await;
-        harness.until("all is asked for", |_| agent.request_count(SNAPSHOT_PATH) == 1).await;
+        harness.until("a snapshot is fetched", |_| agent.request_count(SNAPSHOT_PATH) == 1).await;
         agent.send_snapshot(&event(1, true, &UP)).await;
         harness.until("and once more", |_| agent.request_count(SNAPSHOT_PATH) == 2).await;
         agent
@@ -92,15 +92,15 @@
         let mut proxy = harness.connect_proxy(3).await;
         let older = event(5, true, &[("r1", "up"), ("r2", "up"), ("r4", "up")]);
         let began = Instant::now();
-        let mut dials = 0;
+        let mut requests = 0;
         while agent.request_count(SNAPSHOT_PATH) == 0 {
-            // A watch that says nothing more is dialled anew, and told the same.
-            harness.until("it dials", |_| agent.requests.borrow().len() > dials).await;
-            dials = agent.requests.borrow().len();
+            // A watch that sends nothing more is reconnected, and given the same.
+            harness.until("it reconnects", |_| agent.requests.borrow().len() > requests).await;
+            requests = agent.requests.borrow().len();
             if agent.request_count(SNAPSHOT_PATH) == 0 {
                 agent.answer_watch(&watch_from(100), std::slice::from_ref(&older)).await;
             }
-            assert!(began.elapsed() < 40 * Duration::from_secs(1), "it is never believed");
+            assert!(began.elapsed() < 40 * Duration::from_secs(1), "the numbering is never accepted");
         }
         assert!(began.elapsed() > 20 * Duration::from_secs(1), "{:?}", began.elapsed());
         assert!(!proxy.read().0.iter().any(|message| removes(message, "r3")), "it may just be behind");
@@ -141,6 +141,6 @@
         assert!(!proxy.read().0.iter().any(|message| message.to_string().contains("r3")), "it is older");
         agent.send_event(&watch_from(1), &event(5, true, &[("r1", "up"), ("r2", "up")])).await;
         proxy.until_message(&mut harness, |message| removes(message, "r4")).await;
-        assert_eq!(agent.requests.borrow().len(), 1, "one watch told all of it");
+        assert_eq!(agent.requests.borrow().len(), 1, "one watch gave all of it");
     });
 }
--- a/crates/daemon/src/platform/tests/peers.rs
+++ b/crates/daemon/src/platform/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Who dials: stampedes, messages in pieces, two streams of one proxy.
+//! Connections: a whole fleet at once, messages in pieces, two streams of one proxy.
 
 use super::*;
 
@@ -12,7 +12,7 @@
     run_paused(async || {
         let agent = Agent::start().await;
         let mut harness = Harness::start("stampede", &agent, crowded).await;
-        // Nothing runs between these: all have said who they are before the first of them is accepted.
+        // Nothing runs between these: all have sent their first message before the first of them is accepted.
         let dial =
             |_| std::net::TcpStream::connect_timeout(&harness.address, Duration::from_secs(5)).unwrap();
         let mut peers: Vec<std::net::TcpStream> = (0..300).map(dial).collect();
@@ -44,8 +44,8 @@
             silent.push(harness.connect().await);
         }
         let sent_away = |service: &Service| {
-            let faults = service.connections.discard_counts();
-            faults.get("unidentified: evicted for others").is_some_and(|count| *count >= 49)
+            let counts = service.connections.discard_counts();
+            counts.get("unidentified: evicted for others").is_some_and(|count| *count >= 49)
         };
         harness.until("the others are sent away", sent_away).await;
         // One whose first bytes are there, but not yet read, is not silent either.
@@ -99,7 +99,7 @@
         let agent = Agent::start().await;
         let mut harness = Harness::start("older", &agent, |_| {}).await;
         let mut older = harness.connect().await;
-        // Its joining is held up while the proxy dials anew.
+        // Its first message is held up while the proxy reconnects.
         let mut newer = harness.connect_proxy(17).await;
         older.send(&subscribe(17));
         older.until_closed(&mut harness).await;
--- a/crates/daemon/src/platform/tests/silence.rs
+++ b/crates/daemon/src/platform/tests/silence.rs
@@ -30,6 +30,6 @@
             }
             harness.pass(Duration::from_millis(500)).await;
         }
-        assert!(!harness.serves(1), "it said nothing for fifteen seconds");
+        assert!(!harness.serves(1), "it sent nothing for fifteen seconds");
     });
 }
--- a/crates/platform-governor/src/governor.rs
+++ b/crates/platform-governor/src/governor.rs
@@ -168,7 +168,7 @@
         if now >= self.housekeeping_at {
             let is_late = now > self.housekeeping_at + HOUSEKEEPING_INTERVAL;
             self.housekeeping_at = now + HOUSEKEEPING_INTERVAL;
-            // A governor that stood still has heard nobody: what waits is read before the next check.
+            // A governor that stood still has received nothing: what waits is read before the next check.
             if !is_late {
                 self.disconnect_silent_proxies(now, last_received);
             }
@@ -243,7 +243,7 @@
         let mut activities = Vec::with_capacity(self.streams.len());
         for (proxy, stream) in &self.streams {
             let received_at = last_received(stream.connection);
-            // Whether what it is to acknowledge has left or is stuck on its way: nothing is heard either way.
+            // Whether what it is to acknowledge has left or is stuck on its way: nothing is received either way.
             let outstanding_since = self.outbox.outstanding_since(*proxy, received_at);
             activities.push(StreamActivity {
                 proxy: *proxy,
--- a/crates/platform-governor/src/silence.rs
+++ b/crates/platform-governor/src/silence.rs
@@ -19,7 +19,7 @@
     pub proxy: ProxyId,
     /// Time since bytes last came on the stream.
     pub silent_for: Duration,
-    /// Time since the oldest acknowledgement request that nothing was heard after.
+    /// Time since the oldest acknowledgement request that nothing was received after.
     pub unacknowledged_for: Option<Duration>,
     /// The request rate that the proxy ordinarily receives.
     pub requests_per_second: f64,
@@ -38,8 +38,8 @@
     }
 }
 
-/// The proxies that have fallen silent; none while fewer than half of all streams are heard, as whatever keeps them
-/// from being heard is then not each of them.
+/// The proxies that have fallen silent; none while fewer than half of all streams are active, as the cause then does not
+/// lie with each of them.
 pub(crate) fn silent_proxies(streams: &[StreamActivity], report_interval: Duration) -> Vec<ProxyId> {
     let active = streams.iter().filter(|stream| stream.silent_for < ACKNOWLEDGEMENT_TIMEOUT).count();
     if 2 * active < streams.len() {
--- a/crates/platform-governor/src/watch.rs
+++ b/crates/platform-governor/src/watch.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Watcher {
     number: u64,
-    /// It has been told to fetch a snapshot, and none has come.
+    /// It is to fetch a snapshot, and none has come.
     requests_snapshot: bool,
     /// Since when it has given nothing but older versions.
     stale_since: Option<Duration>,
--- a/crates/platform-protocol/src/outbox.rs
+++ b/crates/platform-protocol/src/outbox.rs
@@ -1,7 +1,7 @@
 //! What each stream was sent and is to be sent: the decisions of one pull become at most one message to each proxy.
 //!
 //! A proxy keeps over streams, and from other governors, which replicas are ejected; one that uses this governor's
-//! tables is to heed nobody else's ejections. So a stream is sent the state of each replica in its tables, once,
+//! tables ignores the ejections of others. So a stream is sent the state of each replica in its tables, once,
 //! whether it is ejected or restored, and what changes from then on.
 
 mod builder;
