--- a/crates/client/src/poll.rs
+++ b/crates/client/src/poll.rs
@@ -6,8 +6,10 @@
 
 use reqwest::{Client, RequestBuilder, StatusCode};
 use wrenthread_core::table_versions::hex;
+use wrenthread_long_poll::conversion::DecodedTables;
 use wrenthread_long_poll::messages::{
-    JoinAsked, JoinTold, MetTold, ReportAsked, ReportTold, StandingLine, TablesTold, Terms, Trouble,
+    DefaultTableEntry, ErrorResponse, JoinRequest, JoinResponse, ReplicaStatistics, ReportRequest,
+    ReportResponse, SessionParameters, TablesResponse,
 };
 use wrenthread_long_poll::service::CBOR;
 
@@ -26,7 +28,7 @@
     client: Client,
     base: String,
     session: u64,
-    pub terms: Terms,
+    pub parameters: SessionParameters,
 }
 
 fn reach(base: &str) -> impl Fn(reqwest::Error) -> Error + '_ {
@@ -40,8 +42,8 @@
     match status.is_success() || status == StatusCode::NOT_MODIFIED {
         true => Ok((status, body.to_vec())),
         false => {
-            let said: Result<Trouble, Error> = read(&body);
-            if let Ok(Trouble { go_to: Some(to), .. }) = &said {
+            let said: Result<ErrorResponse, Error> = read(&body);
+            if let Ok(ErrorResponse { redirect_to: Some(to), .. }) = &said {
                 return Err(Error::Moved((!to.is_empty()).then(|| to.clone())));
             }
             Err(Error::Refused(
@@ -71,22 +73,22 @@
         let base = format!("{at}/v1/proxies/{}", who.name);
         let asked = {
             let keeper = keeper.borrow();
-            let line = |line: &crate::keeper::Standing| StandingLine {
+            let line = |line: &crate::keeper::Standing| DefaultTableEntry {
                 replica: line.replica.clone(),
                 weight: line.weight,
             };
-            JoinAsked {
+            JoinRequest {
                 zone: who.zone.clone(),
-                usual: Some(who.usual),
-                standing: keeper.standing().iter().map(line).collect(),
-                holds_orders: keeper.has_orders(),
-                claim: keeper.claim().map(str::to_string),
+                requests_per_second: Some(who.usual),
+                default_table: keeper.standing().iter().map(line).collect(),
+                holds_tables: keeper.has_orders(),
+                ownership_proof: keeper.claim().map(str::to_string),
             }
         };
         let request = written(client.post(&base).timeout(MARGIN), &asked)?;
-        let told: JoinTold = read(&answered(&base, request).await?.1)?;
-        keeper.borrow_mut().follow(&told.terms.governor);
-        Ok(Session { client, base, session: told.session, terms: told.terms })
+        let told: JoinResponse = read(&answered(&base, request).await?.1)?;
+        keeper.borrow_mut().follow(&told.parameters.governor);
+        Ok(Session { client, base, session: told.session, parameters: told.parameters })
     }
 
     /// One question, and what it brings.
@@ -102,20 +104,23 @@
         if status == StatusCode::NOT_MODIFIED {
             return Ok(());
         }
-        let told: TablesTold = read(&body)?;
+        let told: TablesResponse = read(&body)?;
         let of = told.version.split_once('.');
         let life = of.and_then(|(epoch, at)| Some((u64::from_str_radix(epoch, 16).ok()?, at.parse().ok()?)));
         let (epoch, at) = life.ok_or_else(|| Error::Unclear(format!("version `{}`", told.version)))?;
-        keeper.borrow_mut().heed(&self.terms.governor, epoch, at, told.claim.as_deref())?;
-        let understood = self.terms.read(&told).map_err(|error| Error::Unclear(error.to_string()))?;
+        keeper.borrow_mut().heed(&self.parameters.governor, epoch, at, told.ownership_proof.as_deref())?;
+        let understood =
+            self.parameters.decode_tables(&told).map_err(|error| Error::Unclear(error.to_string()))?;
         let lines: usize =
-            told.groups.values().map(|group| 1 + group.lines.len() + group.removed.len()).sum();
+            told.classes.values().map(|class| 1 + class.entries.len() + class.removed.len()).sum();
         let taken = match understood {
-            Ok(whole) => {
+            DecodedTables::Complete(whole) => {
                 keeper.borrow_mut().tell_whole(told.version.clone(), whole);
                 true
             }
-            Err(delta) => keeper.borrow_mut().tell_delta(told.version.clone(), &delta).is_ok(),
+            DecodedTables::Delta(delta) => {
+                keeper.borrow_mut().tell_delta(told.version.clone(), &delta).is_ok()
+            }
         };
         let tables = if taken { keeper.borrow().ordered() } else { Ordered::new() };
         watch.ordered(&told.version, lines, &tables);
@@ -126,10 +131,10 @@
     /// Reports; again under the same number if the answer got lost.
     ///
     /// Errors: as [`Session::ask`].
-    pub async fn report(&self, number: u64, report: &ReportAsked) -> Result<bool, Error> {
+    pub async fn report(&self, number: u64, report: &ReportRequest) -> Result<bool, Error> {
         let url = format!("{}/reports/{number}?session={}", self.base, self.session);
         let request = written(self.client.post(url).timeout(MARGIN), report)?;
-        let told: ReportTold = read(&answered(&self.base, request).await?.1)?;
+        let told: ReportResponse = read(&answered(&self.base, request).await?.1)?;
         Ok(told.counted)
     }
 }
@@ -149,24 +154,24 @@
 
 /// A report as this front spells it. Replicas are named by those that the tables told; an address that is in
 /// no table any more is left out.
-pub fn report(keeper: &Keeper, interval: Duration, stats: &Stats) -> ReportAsked {
+pub fn report(keeper: &Keeper, interval: Duration, stats: &Stats) -> ReportRequest {
     let groups = keeper.groups();
     let met = stats.met.iter().filter_map(|((group, at), met)| {
         let delivered = met.delivered.max(1) as f64;
-        Some(MetTold {
-            group: groups.get(*group)?.clone(),
+        Some(ReplicaStatistics {
+            class: groups.get(*group)?.clone(),
             replica: keeper.replica_at(at)?,
             issued: met.issued,
-            delivered: met.delivered,
-            dropped: met.dropped,
-            answer_ms: met.answer.as_secs_f64() * 1000.0,
+            succeeded: met.delivered,
+            failed: met.dropped,
+            total_latency_millis: met.answer.as_secs_f64() * 1000.0,
             load: met.load.iter().map(|sum| sum / delivered).collect(),
         })
     });
     let blocked = groups.iter().zip(&stats.blocked).map(|(group, flows)| (group.clone(), *flows));
-    ReportAsked {
-        interval_ms: interval.as_secs_f64() * 1000.0,
-        met: met.collect(),
-        blocked: blocked.collect(),
+    ReportRequest {
+        interval_millis: interval.as_secs_f64() * 1000.0,
+        replicas: met.collect(),
+        rejected: blocked.collect(),
     }
 }
--- a/crates/client/tests/model.rs
+++ b/crates/client/tests/model.rs
@@ -12,8 +12,9 @@
 use wrenthread_core::fleet::JoinRequest;
 use wrenthread_core::roster::RosterEntry;
 use wrenthread_core::table_versions::PublishedTable;
-use wrenthread_long_poll::messages::Terms;
-use wrenthread_long_poll::sessions::{Polls, Told};
+use wrenthread_long_poll::conversion::DecodedTables;
+use wrenthread_long_poll::messages::SessionParameters;
+use wrenthread_long_poll::sessions::{HeldVersion, Poll, PollOutcome, Sessions};
 use wrenthread_xds::encode::Kind;
 use wrenthread_xds::pb::envoy::config::endpoint::v3::ClusterLoadAssignment;
 use wrenthread_xds::pb::envoy::config::endpoint::v3::lb_endpoint::HostIdentifier;
@@ -41,15 +42,15 @@
     }
 }
 
-fn terms() -> Terms {
-    Terms {
+fn parameters() -> SessionParameters {
+    SessionParameters {
         epoch: "1".into(),
         governor: String::new(),
         zones: vec!["north".into()],
-        groups: vec!["match".into(), "charge".into()],
-        report_every_s: "1".into(),
-        load: vec![],
-        wait_most_s: 30,
+        classes: vec!["match".into(), "charge".into()],
+        report_interval_seconds: "1".into(),
+        load_metrics: vec![],
+        max_wait_seconds: 30,
     }
 }
 
@@ -63,7 +64,7 @@
     engine: Engine,
     now: Duration,
     streams: u64,
-    polls: Polls<()>,
+    sessions: Sessions<()>,
     proxies: Vec<Proxy>,
 }
 
@@ -74,7 +75,7 @@
         let keeper = || Keeper::new(vec!["match".into(), "charge".into()], vec![], None);
         let proxies = vec![ads(false), ads(true), Proxy::Poll(Box::new(keeper()))];
         let engine = Engine::new(EngineSettings::example(2), now);
-        let mut world = World { engine, now, streams: 0, polls: Polls::default(), proxies };
+        let mut world = World { engine, now, streams: 0, sessions: Sessions::default(), proxies };
         world.list(0b1111);
         (0..3).for_each(|place| world.start_over(place));
         world
@@ -114,7 +115,7 @@
         };
         self.engine.proxy_connected(now, stream, &join).unwrap();
         match &mut self.proxies[place] {
-            Proxy::Poll(_) => self.polls.opened(now, stream, name.as_str().into()),
+            Proxy::Poll(_) => self.sessions.open(now, stream, name.as_str().into()),
             Proxy::Ads { delta, session, .. } => {
                 let names = vec!["match".to_string()];
                 let first = match delta {
@@ -181,27 +182,32 @@
                 (lost && messages > 0).then_some(place)
             }
             Proxy::Poll(keeper) => {
-                let (session, terms) = (proxy.stream, terms());
-                let held = keeper
-                    .held()
-                    .map(|(version, digest)| (terms.number(version).unwrap().unwrap_or(0), *digest));
+                let (session, parameters) = (proxy.stream, parameters());
+                let held = keeper.held().map(|(version, digest)| HeldVersion {
+                    version: parameters.parse_version(version).unwrap().unwrap_or(0),
+                    digest: *digest,
+                });
                 let wait = Duration::from_secs(60);
                 let history = self.engine.history();
-                let asked = self.polls.asked(self.now, session, number, held, wait, history, ());
-                assert!(asked.is_ok());
+                let poll = Poll { session, proxy: number, held, wait, reply: () };
+                assert!(self.sessions.poll(self.now, poll, history).is_ok());
                 let told = match proxy.has_known_tables() {
-                    true => self.polls.flush(self.now, session, number, history),
+                    true => self.sessions.answer_pending(self.now, session, number, history),
                     false => None,
                 };
                 self.engine.tables_sent(self.now, number, usize::from(told.is_some()), 1);
-                let told = match told.filter(|_| !lost) {
-                    Some((_, Told::Whole(one), _)) => terms.whole(one.version, &one.digest, &one.state),
-                    Some((_, Told::Delta(version, delta), _)) => terms.delta(version, &delta),
+                let told = match told.filter(|_| !lost).map(|answer| answer.outcome) {
+                    Some(PollOutcome::Complete(one)) => {
+                        parameters.encode_complete(one.version, &one.digest, &one.state)
+                    }
+                    Some(PollOutcome::Delta { version, delta }) => parameters.encode_delta(version, &delta),
                     _ => return None,
                 };
-                match terms.read(&told).unwrap() {
-                    Ok(whole) => keeper.tell_whole(told.version, whole),
-                    Err(delta) => assert_eq!(keeper.tell_delta(told.version, &delta), Ok(())),
+                match parameters.decode_tables(&told).unwrap() {
+                    DecodedTables::Complete(whole) => keeper.tell_whole(told.version, whole),
+                    DecodedTables::Delta(delta) => {
+                        assert_eq!(keeper.tell_delta(told.version, &delta), Ok(()))
+                    }
                 }
                 None
             }
--- a/crates/daemon/benches/fronts.rs
+++ b/crates/daemon/benches/fronts.rs
@@ -15,7 +15,7 @@
 use tokio::task::LocalSet;
 use tokio_stream::StreamExt;
 use tokio_stream::wrappers::ReceiverStream;
-use wrenthread_long_poll::messages::{JoinAsked, JoinTold, TablesTold};
+use wrenthread_long_poll::messages::{JoinRequest, JoinResponse, TablesResponse};
 use wrenthread_xds::clients::ads::AggregatedDiscoveryServiceClient;
 use wrenthread_xds::encode::Kind;
 use wrenthread_xds::pb::envoy::config::core::v3::{Locality, Node};
@@ -101,19 +101,20 @@
 async fn by_poll(place: usize, at: String, heard: Rc<Heard>) {
     let client = reqwest::Client::new();
     let base = format!("{at}/v1/proxies/relay-{place}");
-    let join = JoinAsked {
+    let join = JoinRequest {
         zone: ZONES[place % 3].into(),
-        usual: None,
-        standing: vec![],
-        holds_orders: false,
-        claim: None,
+        requests_per_second: None,
+        default_table: vec![],
+        holds_tables: false,
+        ownership_proof: None,
     };
     let mut body = Vec::new();
     ciborium::into_writer(&join, &mut body).unwrap();
     let cbor = "application/cbor";
     let joined =
         client.post(&base).header("content-type", cbor).header("accept", cbor).body(body).send().await;
-    let joined: JoinTold = ciborium::from_reader(joined.unwrap().bytes().await.unwrap().as_ref()).unwrap();
+    let joined: JoinResponse =
+        ciborium::from_reader(joined.unwrap().bytes().await.unwrap().as_ref()).unwrap();
     let mut held: Option<(String, String)> = None;
     loop {
         let mut url = format!("{base}/tables?session={}&wait=30", joined.session);
@@ -126,7 +127,7 @@
         }
         let Ok(body) = answer.bytes().await else { return };
         heard.add(body.len());
-        let told: TablesTold = ciborium::from_reader(body.as_ref()).unwrap();
+        let told: TablesResponse = ciborium::from_reader(body.as_ref()).unwrap();
         held = Some((told.version, told.digest));
     }
 }
--- a/crates/daemon/src/host.rs
+++ b/crates/daemon/src/host.rs
@@ -24,9 +24,9 @@
 use wrenthread_core::ownership::SigningKey;
 use wrenthread_core::roster::RosterEntry;
 use wrenthread_core::snapshot::StoredItems;
-use wrenthread_long_poll::messages::Terms;
-use wrenthread_long_poll::service as poll;
-use wrenthread_long_poll::sessions::Polls;
+use wrenthread_long_poll::messages::SessionParameters;
+use wrenthread_long_poll::service::{PollResponse, Reply, RequestError};
+use wrenthread_long_poll::sessions::Sessions;
 use wrenthread_membership::{Action as MembershipAction, Membership};
 use wrenthread_xds::Wire;
 use wrenthread_xds::service::Answers;
@@ -80,8 +80,8 @@
     streams: BTreeMap<StreamId, AdsStream>,
     /// Load report streams, by the name that their node gave.
     report_streams: BTreeMap<StreamId, Arc<str>>,
-    sessions: Polls<poll::Reply<poll::Answer>>,
-    session_terms: Terms,
+    sessions: Sessions<Reply<PollResponse>>,
+    session_parameters: SessionParameters,
     roster_received: bool,
 }
 
@@ -92,7 +92,7 @@
             parts;
         Host {
             engine: Engine::new(engine_settings, now),
-            session_terms: session_terms(&wire),
+            session_parameters: session_parameters(&wire),
             wire,
             signing_keys,
             takeovers: 0,
@@ -102,7 +102,7 @@
             default_requests_per_second,
             streams: BTreeMap::new(),
             report_streams: BTreeMap::new(),
-            sessions: Polls::default(),
+            sessions: Sessions::default(),
             roster_received: false,
         }
     }
@@ -122,7 +122,7 @@
 
     /// When [`Host::process`] is to be called at the latest.
     pub fn next_deadline(&self, now: Duration) -> Duration {
-        let sessions = self.sessions.next_due().unwrap_or(Duration::MAX);
+        let sessions = self.sessions.next_deadline().unwrap_or(Duration::MAX);
         self.engine.next_deadline(now).min(sessions).min(self.membership.next_deadline())
     }
 
@@ -153,7 +153,7 @@
     fn flush(&mut self, now: Duration, proxy: ProxyId) -> Option<WorkItem> {
         let stream = self.engine.proxy(proxy).map(|proxy| proxy.stream);
         match stream {
-            Some(session) if self.sessions.name(session).is_some() => {
+            Some(session) if self.sessions.proxy_name(session).is_some() => {
                 self.flush_session(now, proxy, session);
                 None
             }
@@ -163,7 +163,7 @@
 
     /// Ends a stream or session whose proxy has connected again.
     fn close_replaced_stream(&mut self, stream: StreamId) {
-        if self.sessions.name(stream).is_some() {
+        if self.sessions.proxy_name(stream).is_some() {
             self.close_replaced_session(stream);
         } else if let Some(replaced) = self.streams.remove(&stream) {
             replaced.answers.end(Status::aborted("a later stream of this node id took over"));
@@ -191,14 +191,14 @@
         for stream in std::mem::take(&mut self.streams).into_values() {
             stream.answers.end(Status::unavailable("the governor stops; keep your tables and come back"));
         }
-        for reply in self.sessions.stop() {
-            let _ = reply.send(Err(poll::Refusal::Stopping));
+        for reply in self.sessions.close_all() {
+            let _ = reply.send(Err(RequestError::Stopping));
         }
     }
 
     /// What is to be stored beyond this life. `previous`: what was stored last.
     pub fn stored_items(&self, now: Duration, unix_seconds: f64, previous: &StoredItems) -> StoredItems {
-        let classes = &self.session_terms.groups;
+        let classes = &self.session_parameters.classes;
         self.engine.stored_items(now, previous, unix_seconds, self.wire.epoch, classes)
     }
 
@@ -214,14 +214,14 @@
 }
 
 /// What proxies of the long-poll front learn when they join.
-fn session_terms(wire: &Wire) -> Terms {
-    Terms {
+fn session_parameters(wire: &Wire) -> SessionParameters {
+    SessionParameters {
         epoch: format!("{:x}", wire.epoch),
         governor: wire.governor.clone(),
         zones: wire.zones.clone(),
-        groups: wire.groups.iter().map(|class| class.name.clone()).collect(),
-        report_every_s: wire.report_every.as_secs_f64().to_string(),
-        load: wire.load_metrics.clone(),
-        wait_most_s: MAX_POLL_WAIT.as_secs(),
+        classes: wire.groups.iter().map(|class| class.name.clone()).collect(),
+        report_interval_seconds: wire.report_every.as_secs_f64().to_string(),
+        load_metrics: wire.load_metrics.clone(),
+        max_wait_seconds: MAX_POLL_WAIT.as_secs(),
     }
 }
--- a/crates/daemon/src/host/engine_events.rs
+++ b/crates/daemon/src/host/engine_events.rs
@@ -2,7 +2,7 @@
 
 use wrenthread_core::engine::{Cause, DecisionSummary, EngineEvent};
 use wrenthread_core::guard::Refusal;
-use wrenthread_long_poll::messages::tries_word;
+use wrenthread_long_poll::conversion::retry_policy_name;
 
 use super::{Host, metrics};
 use crate::labels;
@@ -50,7 +50,7 @@
             }
             DecisionSummary::Level(classes, admission_fraction, retry_policy) => {
                 let classes = self.class_names(*classes);
-                let retries = tries_word(*retry_policy);
+                let retries = retry_policy_name(*retry_policy);
                 tracing::info!(classes, admission_fraction, retries, version, causes, "admission changed");
             }
         }
--- a/crates/daemon/src/host/inspection.rs
+++ b/crates/daemon/src/host/inspection.rs
@@ -11,7 +11,7 @@
 use wrenthread_core::recording::Recording;
 use wrenthread_core::table_versions;
 use wrenthread_core::tables::ResolvedEntry;
-use wrenthread_long_poll::messages::GroupTold;
+use wrenthread_long_poll::messages::ClassUpdate;
 
 use super::Host;
 use crate::labels;
@@ -98,7 +98,7 @@
     from: u64,
     to: u64,
     #[serde(rename = "groups")]
-    classes: BTreeMap<String, GroupTold>,
+    classes: BTreeMap<String, ClassUpdate>,
 }
 
 /// What the guard refused about a proxy or a replica, newest first.
@@ -214,7 +214,7 @@
             governor: self.wire.governor.clone(),
             taken_at: unix_seconds,
             zones: self.wire.zones.clone(),
-            groups: self.session_terms.groups.clone(),
+            groups: self.session_parameters.classes.clone(),
             ..self.engine.record(now)
         }
     }
@@ -246,7 +246,7 @@
             name: name.to_string(),
             from: from.version,
             to: to.version,
-            classes: self.session_terms.delta(to.version, &delta).groups,
+            classes: self.session_parameters.encode_delta(to.version, &delta).classes,
         })
     }
 
--- a/crates/daemon/src/host/joining.rs
+++ b/crates/daemon/src/host/joining.rs
@@ -9,7 +9,7 @@
 use wrenthread_core::fleet::StreamId;
 use wrenthread_core::ownership;
 use wrenthread_core::reports::LoadReport;
-use wrenthread_long_poll::sessions::Told;
+use wrenthread_long_poll::sessions::PollOutcome;
 
 use super::{Host, metrics};
 use crate::migration;
@@ -61,14 +61,14 @@
         }
         self.epoch_raised = true;
         self.wire.epoch = earlier.saturating_add(1);
-        self.session_terms.epoch = format!("{:x}", self.wire.epoch);
-        tracing::warn!(epoch = self.session_terms.epoch, "clock was set back, epoch raised");
+        self.session_parameters.epoch = format!("{:x}", self.wire.epoch);
+        tracing::warn!(epoch = self.session_parameters.epoch, "clock was set back, epoch raised");
         for (stream, open) in std::mem::take(&mut self.streams) {
             open.answers.end(Status::unavailable("the governor takes up a later epoch; come back"));
             self.disconnected(now, stream);
         }
-        for session in self.sessions.sessions() {
-            self.end_session(now, session, Told::Over);
+        for session in self.sessions.ids() {
+            self.end_session(now, session, PollOutcome::SessionClosed);
         }
     }
 
@@ -81,7 +81,7 @@
             tracing::info!(%proxy, from = transferred.from, "migrated tables outdated");
             return;
         }
-        match migration::decode(&self.session_terms, now, transferred) {
+        match migration::decode(&self.session_parameters, now, transferred) {
             Ok(migrated) => {
                 let from = migrated.from.clone();
                 let tables = self.engine.adopt_migrated_tables(now, number, migrated);
--- a/crates/daemon/src/host/long_poll.rs
+++ b/crates/daemon/src/host/long_poll.rs
@@ -4,45 +4,45 @@
 
 use wrenthread::types::ProxyId;
 use wrenthread_core::fleet::{JoinError, Proxy, StreamId};
-use wrenthread_core::table_versions::Digest;
+use wrenthread_long_poll::conversion::{InvalidMessageError, parse_digest};
 use wrenthread_long_poll::messages::{
-    JoinAsked, JoinTold, ReportAsked, ReportTold, TablesTold, Unclear, digest_of,
+    JoinRequest, JoinResponse, ReportRequest, ReportResponse, TablesResponse,
 };
-use wrenthread_long_poll::service as poll;
-use wrenthread_long_poll::sessions::{Due, Told};
+use wrenthread_long_poll::service::{ClaimedVersion, PollResponse, Reply, Request, RequestError};
+use wrenthread_long_poll::sessions::{Expired, HeldVersion, Poll, PollAnswer, PollOutcome, ReportNumber};
 
 use super::{Host, metrics};
 
-type PollReply = poll::Reply<poll::Answer>;
+type PollReply = Reply<PollResponse>;
 
 impl Host {
     /// A request of the long-poll front. `next_stream`: a number for a new session, in the order of all streams.
     pub fn long_poll_request(
         &mut self,
         now: Duration,
-        request: poll::Event,
+        request: Request,
         next_stream: impl FnOnce() -> StreamId,
     ) {
         // Whoever asked may be gone by the time of the reply; nothing depends on that.
         match request {
-            poll::Event::Join { proxy, asked, reply } => {
-                let joined = self.join_by_session(now, next_stream(), &proxy, asked);
+            Request::Join { proxy, join, reply } => {
+                let joined = self.join_by_session(now, next_stream(), &proxy, join);
                 if let Err(error) = &joined {
                     tracing::warn!(proxy, ?error, "proxy rejected");
                     ::metrics::counter!(metrics::JOINS_REFUSED).increment(1);
                 }
                 let _ = reply.send(joined);
             }
-            poll::Event::Poll { session, held, wait, reply } => {
+            Request::Poll { session, held, wait, reply } => {
                 self.poll_requested(now, session, held, wait, reply);
             }
-            poll::Event::Report { session, number, report, reply } => {
+            Request::Report { session, number, report, reply } => {
                 let _ = reply.send(self.session_report(now, session, number, &report));
             }
-            poll::Event::Leave { session, reply } => {
-                let known = self.sessions.name(session).is_some();
-                self.end_session(now, session, Told::Over);
-                let _ = reply.send(if known { Ok(()) } else { Err(poll::Refusal::NoSession) });
+            Request::Leave { session, reply } => {
+                let known = self.sessions.proxy_name(session).is_some();
+                self.end_session(now, session, PollOutcome::SessionClosed);
+                let _ = reply.send(if known { Ok(()) } else { Err(RequestError::UnknownSession) });
             }
         }
     }
@@ -52,51 +52,51 @@
         now: Duration,
         session: StreamId,
         proxy: &str,
-        request: JoinAsked,
-    ) -> Result<JoinTold, poll::Refusal> {
-        let join = self.session_terms.join(proxy, request, self.default_requests_per_second);
+        request: JoinRequest,
+    ) -> Result<JoinResponse, RequestError> {
+        let join = self.session_parameters.decode_join(proxy, request, self.default_requests_per_second);
         let mut join = join.map_err(invalid)?;
         join.proven_version = self.proven_version(proxy, join.ownership_proof.as_deref());
         let joined = self.engine.proxy_connected(now, session, &join).map_err(join_refusal)?;
         let holds_default_table =
             self.engine.proxy(joined.proxy).is_some_and(|proxy| proxy.holds_default_table);
         tracing::info!(proxy, zone = join.zone, holds_default_table, session, "proxy connected by long-poll");
-        self.sessions.opened(now, session, join.name);
+        self.sessions.open(now, session, join.name);
         self.connected(now, joined.proxy, proxy, join.ownership_proof.as_deref());
-        Ok(JoinTold { session, terms: self.session_terms.clone() })
+        Ok(JoinResponse { session, parameters: self.session_parameters.clone() })
     }
 
     fn poll_requested(
         &mut self,
         now: Duration,
         session: StreamId,
-        held: Option<(String, String)>,
+        held: Option<ClaimedVersion>,
         wait: Duration,
         reply: PollReply,
     ) {
-        let held = match held.map(|(version, digest)| self.held_version(&version, &digest)).transpose() {
+        let held = match held.map(|held| self.held_version(&held)).transpose() {
             Ok(held) => held,
             Err(error) => return drop(reply.send(Err(invalid(error)))),
         };
         let Some(number) = self.engine.number_of(session) else {
             let redirect = self.pending_redirects.remove(&session);
-            let refusal = redirect.map_or(poll::Refusal::NoSession, poll::Refusal::Moved);
+            let refusal = redirect.map_or(RequestError::UnknownSession, RequestError::Redirected);
             return drop(reply.send(Err(refusal)));
         };
-        let polled = self.sessions.asked(now, session, number, held, wait, self.engine.history(), reply);
-        let accepted = match polled {
+        let poll = Poll { session, proxy: number, held, wait, reply };
+        let accepted = match self.sessions.poll(now, poll, self.engine.history()) {
             Ok(accepted) => accepted,
-            Err((_, reply)) => return drop(reply.send(Err(poll::Refusal::NoSession))),
+            Err((_, reply)) => return drop(reply.send(Err(RequestError::UnknownSession))),
         };
         if let Some(superseded) = accepted.superseded {
-            self.reply(superseded, Told::Superseded);
+            self.reply(superseded, PollOutcome::Superseded);
         }
-        if let Some(version) = accepted.acked {
+        if let Some(version) = accepted.acknowledged_version {
             self.engine.version_acknowledged(now, session, version);
             self.engine.settled(session);
         }
         let newest = self.engine.history().newest(number).map(|newest| newest.version);
-        if accepted.acked != newest {
+        if accepted.acknowledged_version != newest {
             self.engine.settled(session);
             self.engine.resend_requested(now, session, 1);
         }
@@ -105,9 +105,9 @@
 
     /// The version that a proxy says it holds. A version of another epoch counts as version 0: its content may still be
     /// the same as a later one's here.
-    fn held_version(&self, version: &str, digest: &str) -> Result<(u64, Digest), Unclear> {
-        let number = self.session_terms.number(version)?.unwrap_or(0);
-        Ok((number, digest_of(digest)?))
+    fn held_version(&self, held: &ClaimedVersion) -> Result<HeldVersion, InvalidMessageError> {
+        let version = self.session_parameters.parse_version(&held.version)?.unwrap_or(0);
+        Ok(HeldVersion { version, digest: parse_digest(&held.digest)? })
     }
 
     fn session_report(
@@ -115,31 +115,32 @@
         now: Duration,
         session: StreamId,
         number: u64,
-        report: &ReportAsked,
-    ) -> Result<ReportTold, poll::Refusal> {
-        let report = self.session_terms.report(report).map_err(invalid)?;
-        let proxy = self.sessions.name(session).cloned().ok_or(poll::Refusal::NoSession)?;
-        if !self.sessions.reported(session, number).map_err(|_| poll::Refusal::NoSession)? {
-            return Ok(ReportTold { counted: false, why: Some("this number was taken before".into()) });
+        report: &ReportRequest,
+    ) -> Result<ReportResponse, RequestError> {
+        let report = self.session_parameters.decode_report(report).map_err(invalid)?;
+        let proxy = self.sessions.proxy_name(session).cloned().ok_or(RequestError::UnknownSession)?;
+        let recorded = self.sessions.record_report_number(session, number);
+        if recorded.map_err(|_| RequestError::UnknownSession)? == ReportNumber::Duplicate {
+            return Ok(not_counted("this number was taken before"));
         }
         Ok(match self.record_report(now, &proxy, session, &report) {
-            Ok(()) => ReportTold { counted: true, why: None },
-            Err(reason) => ReportTold { counted: false, why: Some(reason.to_string()) },
+            Ok(()) => ReportResponse { counted: true, reason: None },
+            Err(reason) => not_counted(&reason.to_string()),
         })
     }
 
     /// Answers polls that have waited for as long as they may, and ends sessions that were not heard from.
     pub(super) fn expire_polls(&mut self, now: Duration) {
-        while let Some(expired) = self.sessions.due(now) {
+        while let Some(expired) = self.sessions.next_expired(now) {
             match expired {
-                Due::Waited(reply, outcome) => self.reply(reply, outcome),
-                Due::Lost(session) => self.end_session(now, session, Told::Over),
+                Expired::Poll { reply, outcome } => self.reply(reply, outcome),
+                Expired::Session(session) => self.end_session(now, session, PollOutcome::SessionClosed),
             }
         }
     }
 
-    pub(super) fn end_session(&mut self, now: Duration, session: StreamId, outcome: Told) {
-        if let Some(proxy) = self.sessions.name(session) {
+    pub(super) fn end_session(&mut self, now: Duration, session: StreamId, outcome: PollOutcome) {
+        if let Some(proxy) = self.sessions.proxy_name(session) {
             tracing::info!(%proxy, session, "proxy disconnected");
         }
         if let Some(reply) = self.sessions.close(session) {
@@ -152,7 +153,7 @@
     pub(super) fn close_replaced_session(&mut self, session: StreamId) {
         if let Some(reply) = self.sessions.close(session) {
             let reason = "a later stream or session of this name took over";
-            let _ = reply.send(Err(poll::Refusal::Conflict(reason.into())));
+            let _ = reply.send(Err(RequestError::Conflict(reason.into())));
         }
     }
 
@@ -161,16 +162,16 @@
         if !self.engine.proxy(number).is_some_and(Proxy::has_known_tables) {
             return self.engine.tables_sent(now, number, 0, 0);
         }
-        match self.sessions.flush(now, session, number, self.engine.history()) {
-            Some((reply, outcome, entries)) => {
+        match self.sessions.answer_pending(now, session, number, self.engine.history()) {
+            Some(PollAnswer { reply, outcome, entries }) => {
                 ::metrics::counter!(metrics::ENTRIES_SENT).increment(entries as u64);
                 ::metrics::counter!(metrics::RESPONSES_SENT).increment(1);
-                let proxy = self.sessions.name(session).cloned().unwrap_or_default();
+                let proxy = self.sessions.proxy_name(session).cloned().unwrap_or_default();
                 self.reply_with_tables(&proxy, reply, outcome);
                 self.engine.tables_sent(now, number, entries, 1);
             }
             // The proxy holds the newest version already.
-            None if self.sessions.waits(session) => {
+            None if self.sessions.has_pending_poll(session) => {
                 self.engine.tables_sent(now, number, 0, 0);
                 let newest = self.engine.history().newest(number).map_or(0, |newest| newest.version);
                 self.engine.version_acknowledged(now, session, newest);
@@ -181,39 +182,47 @@
     }
 
     /// Replies with an outcome that has no tables.
-    fn reply(&self, reply: PollReply, outcome: Told) {
+    fn reply(&self, reply: PollReply, outcome: PollOutcome) {
         self.reply_with_tables("", reply, outcome);
     }
 
-    fn reply_with_tables(&self, proxy: &str, reply: PollReply, outcome: Told) {
-        let terms = &self.session_terms;
+    fn reply_with_tables(&self, proxy: &str, reply: PollReply, outcome: PollOutcome) {
+        let parameters = &self.session_parameters;
         let answer = match outcome {
-            Told::Whole(version) => {
-                let tables = terms.whole(version.version, &version.digest, &version.state);
+            PollOutcome::Complete(version) => {
+                let tables = parameters.encode_complete(version.version, &version.digest, &version.state);
                 Ok(self.with_proof(proxy, version.version, tables))
             }
-            Told::Delta(version, delta) => Ok(self.with_proof(proxy, version, terms.delta(version, &delta))),
-            Told::Unchanged(..) => Ok(poll::Answer::Unchanged),
-            Told::Superseded => Err(poll::Refusal::Conflict("a later question took its place".into())),
-            Told::Over => Err(poll::Refusal::NoSession),
+            PollOutcome::Delta { version, delta } => {
+                let tables = parameters.encode_delta(version, &delta);
+                Ok(self.with_proof(proxy, version, tables))
+            }
+            PollOutcome::Unchanged { .. } => Ok(PollResponse::Unchanged),
+            PollOutcome::Superseded => Err(RequestError::Conflict("a later question took its place".into())),
+            PollOutcome::SessionClosed => Err(RequestError::UnknownSession),
         };
         let _ = reply.send(answer);
     }
 
     /// Tables with the proof that they are this governor's.
-    fn with_proof(&self, proxy: &str, version: u64, tables: TablesTold) -> poll::Answer {
-        poll::Answer::Tables(TablesTold { claim: self.wire.claim(proxy, version), ..tables })
+    fn with_proof(&self, proxy: &str, version: u64, tables: TablesResponse) -> PollResponse {
+        let ownership_proof = self.wire.claim(proxy, version);
+        PollResponse::Tables(TablesResponse { ownership_proof, ..tables })
     }
 }
 
-fn invalid(error: Unclear) -> poll::Refusal {
-    poll::Refusal::Unclear(error.to_string())
+fn not_counted(reason: &str) -> ReportResponse {
+    ReportResponse { counted: false, reason: Some(reason.to_string()) }
+}
+
+fn invalid(error: InvalidMessageError) -> RequestError {
+    RequestError::Invalid(error.to_string())
 }
 
-fn join_refusal(error: JoinError) -> poll::Refusal {
+fn join_refusal(error: JoinError) -> RequestError {
     match error {
-        JoinError::Full { .. } => poll::Refusal::Full(error.to_string()),
-        JoinError::Contested { .. } => poll::Refusal::Conflict(error.to_string()),
-        JoinError::Nameless => poll::Refusal::Unclear(error.to_string()),
+        JoinError::Full { .. } => RequestError::Full(error.to_string()),
+        JoinError::Contested { .. } => RequestError::Conflict(error.to_string()),
+        JoinError::Nameless => RequestError::Invalid(error.to_string()),
     }
 }
--- a/crates/daemon/src/host/membership.rs
+++ b/crates/daemon/src/host/membership.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use tonic::Status;
 use wrenthread_core::fleet::StreamId;
-use wrenthread_long_poll::service as poll;
+use wrenthread_long_poll::service::RequestError;
 use wrenthread_membership::members::Member;
 use wrenthread_membership::{Action, MembershipEvent, ServiceMode};
 use wrenthread_xds::GO_TO;
@@ -128,7 +128,8 @@
     /// Offers a proxy to another governor, with what is known of it.
     fn offer_proxy(&mut self, now: Duration, proxy: &str, to: &str) {
         let number = self.engine.fleet().named(proxy).map(|(number, _)| number);
-        let state = number.map(|number| migration::encode(&self.engine, &self.session_terms, now, number));
+        let state =
+            number.map(|number| migration::encode(&self.engine, &self.session_parameters, now, number));
         self.membership.offer_proxy(now, proxy, to, state.unwrap_or_default());
     }
 
@@ -136,7 +137,7 @@
     fn redirect(&mut self, now: Duration, proxy: &str, to: Option<String>) {
         let Some(stream) = self.engine.fleet().named(proxy).map(|(_, proxy)| proxy.stream) else { return };
         tracing::info!(proxy, to = to.as_deref().unwrap_or("next in its order"), "proxy redirected");
-        if self.sessions.name(stream).is_some() {
+        if self.sessions.proxy_name(stream).is_some() {
             self.redirect_session(stream, to);
         } else if let Some(open) = self.streams.remove(&stream) {
             let mut status = Status::unavailable("this proxy is to go to another governor");
@@ -151,7 +152,7 @@
 
     fn redirect_session(&mut self, session: StreamId, to: Option<String>) {
         match self.sessions.close(session) {
-            Some(reply) => drop(reply.send(Err(poll::Refusal::Moved(to)))),
+            Some(reply) => drop(reply.send(Err(RequestError::Redirected(to)))),
             None => {
                 self.pending_redirects.insert(session, to);
                 while self.pending_redirects.len() > MAX_PENDING_REDIRECTS {
--- a/crates/daemon/src/host/status.rs
+++ b/crates/daemon/src/host/status.rs
@@ -9,7 +9,7 @@
 use wrenthread_core::fleet::{Proxy, TableKind};
 use wrenthread_core::overrides::{Override, OverrideKind};
 use wrenthread_core::roster::KnownReplica;
-use wrenthread_long_poll::messages::tries_word;
+use wrenthread_long_poll::conversion::retry_policy_name;
 
 use super::Host;
 
@@ -183,7 +183,7 @@
                 ClassStatus {
                     name: class.name.clone(),
                     admission_fraction: *admission_fraction,
-                    retry_policy: tries_word(*retry_policy),
+                    retry_policy: retry_policy_name(*retry_policy),
                 }
             };
         classes.map(status).collect()
--- a/crates/daemon/src/migration.rs
+++ b/crates/daemon/src/migration.rs
@@ -6,7 +6,8 @@
 use wrenthread::types::ProxyId;
 use wrenthread_core::engine::{Engine, MigratedProxy};
 use wrenthread_core::table_versions::PublishedState;
-use wrenthread_long_poll::messages::{ReportAsked, TablesTold, Terms, Unclear};
+use wrenthread_long_poll::conversion::{DecodedTables, InvalidMessageError};
+use wrenthread_long_poll::messages::{ReportRequest, SessionParameters, TablesResponse};
 use wrenthread_membership::migration::TransferredState;
 
 /// A report older than this says nothing of the present, wherever it was received.
@@ -15,11 +16,11 @@
 /// The state of a proxy as it is sent: messages of the long-poll front, with ages instead of times, as clocks differ.
 #[derive(Debug, Serialize, Deserialize)]
 struct ProxyState {
-    tables: TablesTold,
+    tables: TablesResponse,
     #[serde(rename = "told_ms")]
     age_millis: u64,
     /// Its age in milliseconds beside it.
-    report: Option<(u64, ReportAsked)>,
+    report: Option<(u64, ReportRequest)>,
 }
 
 /// Why what another governor sent can't be used, as when its settings are others.
@@ -28,7 +29,7 @@
     #[error(transparent)]
     Encoding(#[from] ciborium::de::Error<std::io::Error>),
     #[error(transparent)]
-    Message(#[from] Unclear),
+    Message(#[from] InvalidMessageError),
     #[error("a delta went ahead of a proxy, not the whole")]
     DeltaOnly,
 }
@@ -38,13 +39,13 @@
 }
 
 /// What this governor knows of a proxy. Empty if it has not published anything to it: then the proxy goes without.
-pub fn encode(engine: &Engine, terms: &Terms, now: Duration, proxy: ProxyId) -> Vec<u8> {
+pub fn encode(engine: &Engine, parameters: &SessionParameters, now: Duration, proxy: ProxyId) -> Vec<u8> {
     let Some((newest, last_report)) = engine.migration_state(now, proxy) else { return Vec::new() };
     let report = last_report.filter(|(age, _)| *age < MAX_REPORT_AGE);
     let state = ProxyState {
-        tables: terms.whole(newest.version, &newest.digest, &newest.state),
+        tables: parameters.encode_complete(newest.version, &newest.digest, &newest.state),
         age_millis: millis(now.saturating_sub(newest.published_at)),
-        report: report.map(|(age, report)| (millis(age), terms.report_again(report))),
+        report: report.map(|(age, report)| (millis(age), parameters.encode_report(report))),
     };
     let mut bytes = Vec::new();
     match ciborium::into_writer(&state, &mut bytes) {
@@ -58,26 +59,32 @@
 /// # Errors
 /// Why it can't be understood.
 pub fn decode(
-    terms: &Terms,
+    parameters: &SessionParameters,
     now: Duration,
     transferred: TransferredState,
 ) -> Result<MigratedProxy, MigrationError> {
     let state: ProxyState = ciborium::from_reader(transferred.bytes.as_slice())?;
     let report = match &state.report {
         Some((age, report)) if Duration::from_millis(*age) + transferred.held_for < MAX_REPORT_AGE => {
-            Some(terms.report(report)?)
+            Some(parameters.decode_report(report)?)
         }
         _ => None,
     };
     let age = Duration::from_millis(state.age_millis).saturating_add(transferred.held_for);
     Ok(MigratedProxy {
         from: transferred.from.into(),
-        state: complete_state(terms, &state.tables)?,
+        state: complete_state(parameters, &state.tables)?,
         published_at: now.saturating_sub(age),
         report,
     })
 }
 
-fn complete_state(terms: &Terms, tables: &TablesTold) -> Result<PublishedState, MigrationError> {
-    terms.read(tables)?.map_err(|_| MigrationError::DeltaOnly)
+fn complete_state(
+    parameters: &SessionParameters,
+    tables: &TablesResponse,
+) -> Result<PublishedState, MigrationError> {
+    match parameters.decode_tables(tables)? {
+        DecodedTables::Complete(state) => Ok(state),
+        DecodedTables::Delta(_) => Err(MigrationError::DeltaOnly),
+    }
 }
--- a/crates/daemon/src/run/startup.rs
+++ b/crates/daemon/src/run/startup.rs
@@ -61,7 +61,7 @@
 pub struct Senders {
     pub datagrams: mpsc::Sender<Vec<u8>>,
     pub grpc: mpsc::Sender<Event>,
-    pub long_poll: mpsc::Sender<wrenthread_long_poll::service::Event>,
+    pub long_poll: mpsc::Sender<wrenthread_long_poll::service::Request>,
     pub queries: mpsc::Sender<Query>,
     pub rosters: mpsc::Sender<Vec<RosterEntry>>,
     pub streams_with_capacity: mpsc::Sender<u64>,
@@ -72,7 +72,7 @@
 pub struct Receivers {
     pub datagrams: mpsc::Receiver<Vec<u8>>,
     pub grpc: mpsc::Receiver<Event>,
-    pub long_poll: mpsc::Receiver<wrenthread_long_poll::service::Event>,
+    pub long_poll: mpsc::Receiver<wrenthread_long_poll::service::Request>,
     pub queries: mpsc::Receiver<Query>,
     pub rosters: mpsc::Receiver<Vec<RosterEntry>>,
     pub streams_with_capacity: mpsc::Receiver<u64>,
--- a/crates/daemon/tests/state.rs
+++ b/crates/daemon/tests/state.rs
@@ -156,7 +156,8 @@
     std::fs::write(state.join(format!("journal.{}", number + 1)), b"").unwrap();
     let bytes = std::fs::read(&journal).unwrap();
     std::fs::write(&journal, [&bytes[..], b"half a rec"].concat()).unwrap();
-    assert!(wrenthread(&["state", "verify", &folder]).1.contains("it ends within a record"));
+    let (_, said) = wrenthread(&["state", "verify", &folder]);
+    assert!(said.contains("it ends within a record"), "{said}; the journal had {} bytes", bytes.len());
     governor.spawn().await;
     end(&mut governor);
     let (code, said) = wrenthread(&["state", "import", &folder, copy.to_str().unwrap()]);
--- a/crates/long-poll/src/service.rs
+++ b/crates/long-poll/src/service.rs
@@ -1,6 +1,9 @@
-//! The handlers: they read and write messages, in JSON or CBOR as asked, and hand questions to the task that
+//! The HTTP handlers: they read and write messages, in JSON or CBOR as the client asks, and hand requests to the task that
 //! owns all state.
 
+#[cfg(test)]
+mod tests;
+
 use std::time::Duration;
 
 use axum::Router;
@@ -19,73 +22,111 @@
 use utoipa::{IntoParams, OpenApi};
 
 use crate::messages::{
-    GroupTold, JoinAsked, JoinTold, LineTold, MetTold, ReportAsked, ReportTold, StandingLine, TablesTold,
-    Terms, Trouble,
+    ClassUpdate, DefaultTableEntry, ErrorResponse, JoinRequest, JoinResponse, ReplicaStatistics,
+    ReportRequest, ReportResponse, SessionParameters, TableEntry, TablesResponse,
 };
 
-/// Larger bodies are turned away.
-pub const MOST_BYTES: usize = 1 << 20;
+/// Larger bodies are rejected.
+pub const MAX_BODY_BYTES: usize = 1 << 20;
+/// The content type of CBOR.
 pub const CBOR: &str = "application/cbor";
+/// The content type of JSON.
 const JSON: &str = "application/json";
+/// After how many seconds to come again where no more proxies fit.
+const RETRY_AFTER_FULL: &str = "10";
+/// After how many seconds to come again when the governor stops.
+const RETRY_AFTER_STOP: &str = "2";
 
-/// Why a question is turned away.
+/// Why a request is not served.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Refusal {
-    Unclear(String),
-    /// Another stream or session has the name, or took the question's place.
+pub enum RequestError {
+    /// It is not understood.
+    Invalid(String),
+    /// Another stream or session has the name, or took the poll's place.
     Conflict(String),
-    NoSession,
-    /// The proxy is to go to this governor, or (none) to whoever is next in its order.
-    Moved(Option<String>),
-    /// No room for more proxies: try again after a while.
+    /// There is no such session.
+    UnknownSession,
+    /// The proxy is to go to this governor, or (none) to the next in its own order.
+    Redirected(Option<String>),
+    /// No more proxies fit: try again after a while.
     Full(String),
+    /// The governor stops.
     Stopping,
 }
 
-/// What a question for tables is answered by.
+/// What a poll is answered by.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Answer {
-    Tables(TablesTold),
+pub enum PollResponse {
+    /// Tables that the proxy does not hold yet.
+    Tables(TablesResponse),
+    /// Nothing newer.
     Unchanged,
 }
 
-pub type Reply<T> = oneshot::Sender<Result<T, Refusal>>;
+/// Where the answer to a request goes.
+pub type Reply<T> = oneshot::Sender<Result<T, RequestError>>;
+
+/// The version that a proxy says it holds, as it was sent.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct ClaimedVersion {
+    /// `EPOCH.NUMBER`.
+    pub version: String,
+    /// The digest, in hexadecimal.
+    pub digest: String,
+}
 
-/// What is asked of the task that owns all state.
+/// A request to the task that owns all state.
 #[derive(Debug)]
-pub enum Event {
+pub enum Request {
+    /// A proxy joins.
     Join {
+        /// Its name.
         proxy: String,
-        asked: JoinAsked,
-        reply: Reply<JoinTold>,
+        /// What it says of itself.
+        join: JoinRequest,
+        /// Where the answer goes.
+        reply: Reply<JoinResponse>,
     },
-    /// Version and digest as the proxy says it holds them.
+    /// A proxy polls for tables.
     Poll {
+        /// Its session.
         session: u64,
-        held: Option<(String, String)>,
+        /// What it says it holds.
+        held: Option<ClaimedVersion>,
+        /// How long the poll may wait.
         wait: Duration,
-        reply: Reply<Answer>,
+        /// Where the answer goes.
+        reply: Reply<PollResponse>,
     },
+    /// A proxy reports its load.
     Report {
+        /// Its session.
         session: u64,
+        /// The report's number: one number counts once.
         number: u64,
-        report: ReportAsked,
-        reply: Reply<ReportTold>,
+        /// The report.
+        report: ReportRequest,
+        /// Where the answer goes.
+        reply: Reply<ReportResponse>,
     },
+    /// A proxy leaves.
     Leave {
+        /// Its session.
         session: u64,
+        /// Where the answer goes.
         reply: Reply<()>,
     },
 }
 
+// Doc comments of parameters are the text of the OpenAPI document.
 #[derive(Debug, Deserialize, IntoParams)]
-pub struct Of {
+struct SessionQuery {
     /// As told when joining.
     session: u64,
 }
 
 #[derive(Debug, Deserialize, IntoParams)]
-pub struct Question {
+struct TablesQuery {
     /// As told when joining.
     session: u64,
     /// The version that is held, as it was told.
@@ -101,45 +142,45 @@
     info(title = "wrenthread long-poll front", description = "Tables as deltas, load reports by number"),
     paths(join, leave, tables, report),
     components(schemas(
-        JoinAsked,
-        JoinTold,
-        Terms,
-        StandingLine,
-        TablesTold,
-        GroupTold,
-        LineTold,
-        ReportAsked,
-        MetTold,
-        ReportTold,
-        Trouble
+        JoinRequest,
+        JoinResponse,
+        SessionParameters,
+        DefaultTableEntry,
+        TablesResponse,
+        ClassUpdate,
+        TableEntry,
+        ReportRequest,
+        ReplicaStatistics,
+        ReportResponse,
+        ErrorResponse
     ))
 )]
 struct Description;
 
-/// The description of this front, as it is served.
+/// The OpenAPI document of this front, as it is served.
 pub fn description() -> utoipa::openapi::OpenApi {
     Description::openapi()
 }
 
 #[derive(Debug, Clone)]
 struct Front {
-    events: mpsc::Sender<Event>,
-    wait_most: Duration,
+    requests: mpsc::Sender<Request>,
+    max_wait: Duration,
 }
 
-/// The routes. Questions wait for `wait_most` at the longest.
-pub fn router(events: mpsc::Sender<Event>, wait_most: Duration) -> Router {
+/// The routes. Polls wait for `max_wait` at the longest.
+pub fn router(requests: mpsc::Sender<Request>, max_wait: Duration) -> Router {
     Router::new()
         .route("/v1/proxies/{proxy}", post(join).delete(leave))
         .route("/v1/proxies/{proxy}/tables", get(tables))
         .route("/v1/proxies/{proxy}/reports/{number}", post(report))
         .route("/v1/openapi.json", get(|| async { axum::Json(description()) }))
         // The limit holds for what comes out of a compressed body, too.
-        .layer(DefaultBodyLimit::max(MOST_BYTES))
+        .layer(DefaultBodyLimit::max(MAX_BODY_BYTES))
         .layer(RequestDecompressionLayer::new())
-        .layer(RequestBodyLimitLayer::new(MOST_BYTES))
+        .layer(RequestBodyLimitLayer::new(MAX_BODY_BYTES))
         .layer(CompressionLayer::new())
-        .with_state(Front { events, wait_most })
+        .with_state(Front { requests, max_wait })
 }
 
 fn wants_cbor(headers: &HeaderMap) -> bool {
@@ -160,257 +201,160 @@
     }
 }
 
-fn refuse(headers: &HeaderMap, refusal: &Refusal) -> Response {
-    let mut go_to = None;
-    let (status, error, again) = match refusal {
-        Refusal::Moved(to) => {
-            go_to = Some(to.clone().unwrap_or_default());
-            (StatusCode::MISDIRECTED_REQUEST, "this proxy is to go to another governor".into(), None)
+impl RequestError {
+    fn status(&self) -> StatusCode {
+        match self {
+            RequestError::Invalid(_) => StatusCode::BAD_REQUEST,
+            RequestError::Conflict(_) => StatusCode::CONFLICT,
+            RequestError::UnknownSession => StatusCode::GONE,
+            RequestError::Redirected(_) => StatusCode::MISDIRECTED_REQUEST,
+            RequestError::Full(_) | RequestError::Stopping => StatusCode::SERVICE_UNAVAILABLE,
         }
-        Refusal::Unclear(why) => (StatusCode::BAD_REQUEST, why.clone(), None),
-        Refusal::Conflict(why) => (StatusCode::CONFLICT, why.clone(), None),
-        Refusal::NoSession => (StatusCode::GONE, "no such session here: join again".into(), None),
-        Refusal::Full(why) => (StatusCode::SERVICE_UNAVAILABLE, why.clone(), Some("10")),
-        Refusal::Stopping => {
-            let why = "the governor stops: keep your tables and come back";
-            (StatusCode::SERVICE_UNAVAILABLE, why.into(), Some("2"))
+    }
+
+    /// After how many seconds to come again, if that helps.
+    fn retry_after(&self) -> Option<&'static str> {
+        match self {
+            RequestError::Full(_) => Some(RETRY_AFTER_FULL),
+            RequestError::Stopping => Some(RETRY_AFTER_STOP),
+            _ => None,
         }
-    };
-    let mut response = write(headers, status, &Trouble { error, go_to });
-    if let Some(again) = again {
-        response.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from_static(again));
+    }
+
+    fn message(&self) -> ErrorResponse {
+        let mut redirect_to = None;
+        let error: &str = match self {
+            RequestError::Invalid(reason) | RequestError::Conflict(reason) | RequestError::Full(reason) => {
+                reason
+            }
+            RequestError::UnknownSession => "no such session here: join again",
+            RequestError::Redirected(to) => {
+                redirect_to = Some(to.clone().unwrap_or_default());
+                "this proxy is to go to another governor"
+            }
+            RequestError::Stopping => "the governor stops: keep your tables and come back",
+        };
+        ErrorResponse { error: error.to_string(), redirect_to }
+    }
+}
+
+fn error_response(headers: &HeaderMap, error: &RequestError) -> Response {
+    let mut response = write(headers, error.status(), &error.message());
+    if let Some(seconds) = error.retry_after() {
+        response.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from_static(seconds));
     }
     response
 }
 
-fn read<T: DeserializeOwned>(headers: &HeaderMap, body: &Bytes) -> Result<T, Refusal> {
+fn read<T: DeserializeOwned>(headers: &HeaderMap, body: &Bytes) -> Result<T, RequestError> {
     let kind = headers.get(header::CONTENT_TYPE).and_then(|value| value.to_str().ok()).unwrap_or(JSON);
-    let unclear = |error: String| Refusal::Unclear(format!("the body: {error}"));
+    let invalid = |error: String| RequestError::Invalid(format!("the body: {error}"));
     match kind.split(';').next().map(str::trim) {
-        Some(CBOR) => ciborium::from_reader(body.as_ref()).map_err(|error| unclear(error.to_string())),
-        Some(JSON) => serde_json::from_slice(body).map_err(|error| unclear(error.to_string())),
-        _ => Err(unclear(format!("content type `{kind}`; it takes {JSON} or {CBOR}"))),
+        Some(CBOR) => ciborium::from_reader(body.as_ref()).map_err(|error| invalid(error.to_string())),
+        Some(JSON) => serde_json::from_slice(body).map_err(|error| invalid(error.to_string())),
+        _ => Err(invalid(format!("content type `{kind}`; it takes {JSON} or {CBOR}"))),
     }
 }
 
 impl Front {
-    async fn ask<T>(&self, event: impl FnOnce(Reply<T>) -> Event) -> Result<T, Refusal> {
+    async fn request<T>(&self, request: impl FnOnce(Reply<T>) -> Request) -> Result<T, RequestError> {
         let (reply, answer) = oneshot::channel();
-        self.events.send(event(reply)).await.map_err(|_| Refusal::Stopping)?;
-        answer.await.map_err(|_| Refusal::Stopping)?
+        self.requests.send(request(reply)).await.map_err(|_| RequestError::Stopping)?;
+        answer.await.map_err(|_| RequestError::Stopping)?
     }
 }
 
 /// Join: say who you are, and learn the terms.
-#[utoipa::path(post, path = "/v1/proxies/{proxy}", request_body = JoinAsked,
+#[utoipa::path(post, path = "/v1/proxies/{proxy}", request_body = JoinRequest,
     params(("proxy" = String, Path, description = "the proxy's name, its own")),
-    responses((status = 200, body = JoinTold), (status = 400, body = Trouble), (status = 409, body = Trouble),
-        (status = 503, body = Trouble)))]
+    responses((status = 200, body = JoinResponse), (status = 400, body = ErrorResponse), (status = 409, body = ErrorResponse),
+        (status = 503, body = ErrorResponse)))]
 async fn join(
     State(front): State<Front>,
     Path(proxy): Path<String>,
     headers: HeaderMap,
     body: Bytes,
 ) -> Response {
-    let asked = match read::<JoinAsked>(&headers, &body) {
-        Ok(asked) => asked,
-        Err(refusal) => return refuse(&headers, &refusal),
+    let join = match read::<JoinRequest>(&headers, &body) {
+        Ok(join) => join,
+        Err(error) => return error_response(&headers, &error),
     };
-    match front.ask(|reply| Event::Join { proxy, asked, reply }).await {
-        Ok(told) => write(&headers, StatusCode::OK, &told),
-        Err(refusal) => refuse(&headers, &refusal),
+    match front.request(|reply| Request::Join { proxy, join, reply }).await {
+        Ok(response) => write(&headers, StatusCode::OK, &response),
+        Err(error) => error_response(&headers, &error),
     }
 }
 
 /// Leave: the session is over.
-#[utoipa::path(delete, path = "/v1/proxies/{proxy}", params(("proxy" = String, Path), Of),
-    responses((status = 204), (status = 410, body = Trouble)))]
+#[utoipa::path(delete, path = "/v1/proxies/{proxy}", params(("proxy" = String, Path), SessionQuery),
+    responses((status = 204), (status = 410, body = ErrorResponse)))]
 async fn leave(
     State(front): State<Front>,
     Path(_proxy): Path<String>,
-    Query(of): Query<Of>,
+    Query(query): Query<SessionQuery>,
     headers: HeaderMap,
 ) -> Response {
-    match front.ask(|reply| Event::Leave { session: of.session, reply }).await {
+    match front.request(|reply| Request::Leave { session: query.session, reply }).await {
         Ok(()) => StatusCode::NO_CONTENT.into_response(),
-        Err(refusal) => refuse(&headers, &refusal),
+        Err(error) => error_response(&headers, &error),
     }
 }
 
 /// What differs from the version held; the question itself acknowledges that version.
-#[utoipa::path(get, path = "/v1/proxies/{proxy}/tables", params(("proxy" = String, Path), Question),
-    responses((status = 200, body = TablesTold), (status = 304, description = "nothing differs"),
-        (status = 400, body = Trouble), (status = 409, body = Trouble), (status = 410, body = Trouble),
-        (status = 421, body = Trouble, description = "go to another governor")))]
+#[utoipa::path(get, path = "/v1/proxies/{proxy}/tables", params(("proxy" = String, Path), TablesQuery),
+    responses((status = 200, body = TablesResponse), (status = 304, description = "nothing differs"),
+        (status = 400, body = ErrorResponse), (status = 409, body = ErrorResponse), (status = 410, body = ErrorResponse),
+        (status = 421, body = ErrorResponse, description = "go to another governor")))]
 async fn tables(
     State(front): State<Front>,
     Path(_proxy): Path<String>,
-    Query(question): Query<Question>,
+    Query(query): Query<TablesQuery>,
     headers: HeaderMap,
 ) -> Response {
-    let tag = headers.get(header::IF_NONE_MATCH).and_then(|tag| tag.to_str().ok());
-    let tag = tag.and_then(|tag| tag.trim_matches('"').split_once('-'));
-    let held = question
-        .version
-        .zip(question.digest)
-        .or_else(|| tag.map(|(version, digest)| (version.to_string(), digest.to_string())));
-    let wait = Duration::try_from_secs_f64(question.wait.unwrap_or(0.0)).unwrap_or_default();
-    let (session, wait) = (question.session, wait.min(front.wait_most));
-    match front.ask(|reply| Event::Poll { session, held, wait, reply }).await {
-        Ok(Answer::Tables(told)) => {
-            let tag = HeaderValue::from_str(&format!("\"{}-{}\"", told.version, told.digest));
-            let mut response = write(&headers, StatusCode::OK, &told);
-            if let Ok(tag) = tag {
+    let held = match (query.version, query.digest) {
+        (Some(version), Some(digest)) => Some(ClaimedVersion { version, digest }),
+        _ => version_in_tag(&headers),
+    };
+    let wait = Duration::try_from_secs_f64(query.wait.unwrap_or(0.0)).unwrap_or_default();
+    let (session, wait) = (query.session, wait.min(front.max_wait));
+    match front.request(|reply| Request::Poll { session, held, wait, reply }).await {
+        Ok(PollResponse::Tables(tables)) => {
+            let mut response = write(&headers, StatusCode::OK, &tables);
+            if let Ok(tag) = HeaderValue::from_str(&format!("\"{}-{}\"", tables.version, tables.digest)) {
                 response.headers_mut().insert(header::ETAG, tag);
             }
             response
         }
-        Ok(Answer::Unchanged) => StatusCode::NOT_MODIFIED.into_response(),
-        Err(refusal) => refuse(&headers, &refusal),
+        Ok(PollResponse::Unchanged) => StatusCode::NOT_MODIFIED.into_response(),
+        Err(error) => error_response(&headers, &error),
     }
 }
 
+/// The version in `If-None-Match`: the tag that a response with tables carries.
+fn version_in_tag(headers: &HeaderMap) -> Option<ClaimedVersion> {
+    let tag = headers.get(header::IF_NONE_MATCH)?.to_str().ok()?;
+    let (version, digest) = tag.trim_matches('"').split_once('-')?;
+    Some(ClaimedVersion { version: version.to_string(), digest: digest.to_string() })
+}
+
 /// A load report; one number counts once.
-#[utoipa::path(post, path = "/v1/proxies/{proxy}/reports/{number}", request_body = ReportAsked,
-    params(("proxy" = String, Path), ("number" = u64, Path), Of),
-    responses((status = 200, body = ReportTold), (status = 400, body = Trouble),
-        (status = 410, body = Trouble)))]
+#[utoipa::path(post, path = "/v1/proxies/{proxy}/reports/{number}", request_body = ReportRequest,
+    params(("proxy" = String, Path), ("number" = u64, Path), SessionQuery),
+    responses((status = 200, body = ReportResponse), (status = 400, body = ErrorResponse),
+        (status = 410, body = ErrorResponse)))]
 async fn report(
     State(front): State<Front>,
     Path((_proxy, number)): Path<(String, u64)>,
-    Query(of): Query<Of>,
+    Query(query): Query<SessionQuery>,
     headers: HeaderMap,
     body: Bytes,
 ) -> Response {
-    let report = match read::<ReportAsked>(&headers, &body) {
+    let report = match read::<ReportRequest>(&headers, &body) {
         Ok(report) => report,
-        Err(refusal) => return refuse(&headers, &refusal),
+        Err(error) => return error_response(&headers, &error),
     };
-    match front.ask(|reply| Event::Report { session: of.session, number, report, reply }).await {
-        Ok(told) => write(&headers, StatusCode::OK, &told),
-        Err(refusal) => refuse(&headers, &refusal),
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use axum::body::Body;
-    use axum::http::Request;
-    use std::collections::BTreeMap;
-    use tower::ServiceExt;
-
-    /// A router whose owner answers everything plainly.
-    fn served() -> Router {
-        let (events, mut heard) = mpsc::channel(8);
-        tokio::spawn(async move {
-            while let Some(event) = heard.recv().await {
-                match event {
-                    Event::Join { reply, .. } => {
-                        let terms = Terms {
-                            epoch: "a".into(),
-                            governor: String::new(),
-                            zones: vec![],
-                            groups: vec![],
-                            report_every_s: "1".into(),
-                            load: vec![],
-                            wait_most_s: 30,
-                        };
-                        drop(reply.send(Ok(JoinTold { session: 7, terms })));
-                    }
-                    Event::Poll { held: None, reply, .. } => {
-                        let told = TablesTold {
-                            version: "a.1".into(),
-                            digest: "00".into(),
-                            base: None,
-                            claim: None,
-                            groups: BTreeMap::new(),
-                        };
-                        drop(reply.send(Ok(Answer::Tables(told))));
-                    }
-                    Event::Poll { session: 9, reply, .. } => drop(reply.send(Err(Refusal::NoSession))),
-                    Event::Poll { reply, .. } => drop(reply.send(Ok(Answer::Unchanged))),
-                    Event::Report { reply, .. } => {
-                        drop(reply.send(Ok(ReportTold { counted: true, why: None })))
-                    }
-                    Event::Leave { reply, .. } => drop(reply.send(Err(Refusal::Full("full".into())))),
-                }
-            }
-        });
-        router(events, Duration::from_secs(30))
-    }
-
-    async fn call(method: &str, uri: &str, headers: &[(&str, &str)], body: Vec<u8>) -> Response {
-        let mut request = Request::builder().method(method).uri(uri);
-        for (name, value) in headers {
-            request = request.header(*name, *value);
-        }
-        served().oneshot(request.body(Body::from(body)).unwrap()).await.unwrap()
-    }
-
-    async fn bytes(response: Response) -> Bytes {
-        axum::body::to_bytes(response.into_body(), MOST_BYTES).await.unwrap()
-    }
-
-    #[tokio::test]
-    async fn what_the_description_says_is_what_is_served() {
-        let described: serde_json::Value =
-            serde_json::from_slice(&bytes(call("GET", "/v1/openapi.json", &[], vec![]).await).await).unwrap();
-        let (mut seen, report) = (0, br#"{"interval_ms": 1000}"#.to_vec());
-        for (path, methods) in described["paths"].as_object().unwrap() {
-            let uri = path.replace("{proxy}", "p").replace("{number}", "1") + "?session=1";
-            for (method, described) in methods.as_object().unwrap() {
-                let body = if path.contains("reports") { report.clone() } else { b"{}".to_vec() };
-                let response = call(&method.to_uppercase(), &uri, &[], body).await;
-                let status = response.status();
-                assert!(status != 404 && status != 405, "{method} {path} is described and not served");
-                if status == 200 {
-                    let schema =
-                        &described["responses"]["200"]["content"]["application/json"]["schema"]["$ref"];
-                    let name = schema.as_str().unwrap().rsplit('/').next().unwrap().to_string();
-                    let whole: serde_json::Value = serde_json::from_slice(&bytes(response).await).unwrap();
-                    let schema =
-                        serde_json::to_value(description()).unwrap()["components"]["schemas"][&name].clone();
-                    let said: Vec<&String> = whole.as_object().unwrap().keys().collect();
-                    let known = schema["properties"].as_object().unwrap();
-                    assert!(said.iter().all(|field| known.contains_key(*field)), "{name}: {said:?}");
-                    let needed = schema["required"].as_array().into_iter().flatten();
-                    assert!(
-                        needed.clone().all(|field| whole.get(field.as_str().unwrap()).is_some()),
-                        "{name}"
-                    );
-                }
-                seen += 1;
-            }
-        }
-        assert_eq!(seen, 4);
-    }
-
-    #[tokio::test]
-    async fn forms_tags_and_refusals() {
-        let json = call("GET", "/v1/proxies/p/tables?session=1", &[], vec![]).await;
-        assert_eq!(json.headers()["etag"], "\"a.1-00\"");
-        let unchanged =
-            call("GET", "/v1/proxies/p/tables?session=1", &[("if-none-match", "\"a.1-00\"")], vec![]).await;
-        assert_eq!(unchanged.status(), 304);
-        let cbor = call("GET", "/v1/proxies/p/tables?session=1", &[("accept", CBOR)], vec![]).await;
-        assert_eq!(cbor.headers()["content-type"], CBOR);
-        let told: TablesTold = ciborium::from_reader(bytes(cbor).await.as_ref()).unwrap();
-        assert_eq!(told.version, "a.1");
-        let gone = call("GET", "/v1/proxies/p/tables?session=9&version=a.1&digest=00", &[], vec![]).await;
-        assert_eq!(gone.status(), 410);
-        let full = call("DELETE", "/v1/proxies/p?session=1", &[], vec![]).await;
-        assert_eq!(
-            (full.status().as_u16(), &full.headers()["retry-after"]),
-            (503, &HeaderValue::from_static("10"))
-        );
-        let unclear = call("POST", "/v1/proxies/p", &[], b"{\"zoen\": 1}".to_vec()).await;
-        assert_eq!(unclear.status(), 400);
-        assert!(String::from_utf8_lossy(&bytes(unclear).await).contains("zoen"));
-        let kind = call("POST", "/v1/proxies/p", &[("content-type", "text/plain")], b"{}".to_vec()).await;
-        assert_eq!(kind.status(), 400);
-        let large =
-            call("POST", "/v1/proxies/p", &[("content-length", "1048577")], vec![b' '; MOST_BYTES + 1]).await;
-        assert_eq!(large.status(), 413);
+    match front.request(|reply| Request::Report { session: query.session, number, report, reply }).await {
+        Ok(response) => write(&headers, StatusCode::OK, &response),
+        Err(error) => error_response(&headers, &error),
     }
 }
--- a/crates/long-poll/tests/wire_format.rs
+++ b/crates/long-poll/tests/wire_format.rs
@@ -5,7 +5,9 @@
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use wrenthread_long_poll::messages::{JoinAsked, JoinTold, ReportAsked, ReportTold, TablesTold, Trouble};
+use wrenthread_long_poll::messages::{
+    ErrorResponse, JoinRequest, JoinResponse, ReportRequest, ReportResponse, TablesResponse,
+};
 use wrenthread_long_poll::service::description;
 
 /// Reads a golden message and writes it again: no byte may differ, nor any field be lost.
@@ -22,37 +24,37 @@
 
 #[test]
 fn join_messages_keep_their_form() {
-    reads_and_writes::<JoinAsked>(include_str!("golden/join_request.json"));
-    reads_and_writes::<JoinTold>(include_str!("golden/join_response.json"));
+    reads_and_writes::<JoinRequest>(include_str!("golden/join_request.json"));
+    reads_and_writes::<JoinResponse>(include_str!("golden/join_response.json"));
 }
 
 #[test]
 fn a_join_request_may_leave_out_its_optional_fields() {
-    let request: JoinAsked = serde_json::from_str("{}").unwrap();
+    let request: JoinRequest = serde_json::from_str("{}").unwrap();
     assert_eq!(
         serde_json::to_string(&request).unwrap(),
         r#"{"zone":"","usual":null,"standing":[],"holds_orders":false,"claim":null}"#
     );
-    assert!(serde_json::from_str::<JoinAsked>(r#"{"zoen":"north"}"#).is_err());
+    assert!(serde_json::from_str::<JoinRequest>(r#"{"zoen":"north"}"#).is_err());
 }
 
 #[test]
 fn tables_keep_their_form() {
-    reads_and_writes::<TablesTold>(include_str!("golden/tables_complete.json"));
-    reads_and_writes::<TablesTold>(include_str!("golden/tables_delta.json"));
-    reads_and_writes::<TablesTold>(include_str!("golden/tables_delta_default.json"));
+    reads_and_writes::<TablesResponse>(include_str!("golden/tables_complete.json"));
+    reads_and_writes::<TablesResponse>(include_str!("golden/tables_delta.json"));
+    reads_and_writes::<TablesResponse>(include_str!("golden/tables_delta_default.json"));
 }
 
 #[test]
 fn load_reports_keep_their_form() {
-    reads_and_writes::<ReportAsked>(include_str!("golden/report_request.json"));
-    reads_and_writes::<ReportTold>(include_str!("golden/report_response_counted.json"));
-    reads_and_writes::<ReportTold>(include_str!("golden/report_response_not_counted.json"));
+    reads_and_writes::<ReportRequest>(include_str!("golden/report_request.json"));
+    reads_and_writes::<ReportResponse>(include_str!("golden/report_response_counted.json"));
+    reads_and_writes::<ReportResponse>(include_str!("golden/report_response_not_counted.json"));
 }
 
 #[test]
 fn a_load_report_may_leave_out_its_optional_fields() {
-    let report: ReportAsked = serde_json::from_str(r#"{"interval_ms":1.0,"met":[{}]}"#).unwrap();
+    let report: ReportRequest = serde_json::from_str(r#"{"interval_ms":1.0,"met":[{}]}"#).unwrap();
     let met = r#"{"group":"","replica":"","issued":0,"delivered":0,"dropped":0,"answer_ms":0.0,"load":[]}"#;
     assert_eq!(
         serde_json::to_string(&report).unwrap(),
@@ -62,8 +64,8 @@
 
 #[test]
 fn errors_keep_their_form() {
-    reads_and_writes::<Trouble>(include_str!("golden/error.json"));
-    reads_and_writes::<Trouble>(include_str!("golden/error_moved.json"));
+    reads_and_writes::<ErrorResponse>(include_str!("golden/error.json"));
+    reads_and_writes::<ErrorResponse>(include_str!("golden/error_moved.json"));
 }
 
 #[test]
