--- a/crates/daemon/src/cli/state.rs
+++ b/crates/daemon/src/cli/state.rs
@@ -41,8 +41,8 @@
             StateVerb::Export { folder } => println!("{:#}", state::show(&folder)?),
             StateVerb::Import { folder, file } => println!("{} entries", state::import(&folder, &file)?),
             StateVerb::Compact { folder } => {
-                let (bytes, journal) = state::compact(&folder)?;
-                println!("{bytes} bytes, and {journal} in the journal");
+                let sizes = state::compact(&folder)?;
+                println!("{} bytes, and {} in the journal", sizes.entry_bytes, sizes.journal_bytes);
             }
         }
         Ok(ExitCode::SUCCESS)
--- a/crates/daemon/src/roster_file.rs
+++ b/crates/daemon/src/roster_file.rs
@@ -1,6 +1,10 @@
-//! The roster as a watched file: JSON, replaced whole. What can't be taken is refused with its place and
-//! cause, and the last good list stays.
+//! The roster as a watched file: JSON, replaced whole. A file that can't be taken is rejected with line and cause, and the
+//! last good roster stays.
 
+#[cfg(test)]
+mod tests;
+
+use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -12,205 +16,253 @@
 use crate::clock::Clock;
 
 /// More replicas than any fleet has: a file larger than this is not read.
-const MOST_BYTES: u64 = 64 << 20;
+const MAX_FILE_BYTES: u64 = 64 << 20;
+/// The longest id of a replica.
+const MAX_ID_BYTES: usize = 256;
+/// Counts files that were rejected.
+const ROSTERS_REJECTED: &str = "wrenthread_roster_refused_total";
+
+const PHASE_READY: &str = "ready";
+const PHASE_DRAINING: &str = "draining";
+const PHASE_GONE: &str = "gone";
 
+/// Why a roster's file is rejected.
 #[derive(Debug, thiserror::Error)]
-pub enum Unfit {
+pub enum RosterFileError {
     #[error("{path}: {error}")]
-    Unread { path: PathBuf, error: std::io::Error },
-    #[error("{path}: {bytes} bytes; {MOST_BYTES} are allowed")]
+    Unreadable { path: PathBuf, error: std::io::Error },
+    #[error("{path}: {bytes} bytes; {MAX_FILE_BYTES} are allowed")]
     TooLarge { path: PathBuf, bytes: u64 },
-    #[error("{path}:{line}:{column}: {why}")]
-    Placed { path: PathBuf, line: usize, column: usize, why: String },
+    #[error("{path}:{line}:{column}: {reason}")]
+    Invalid { path: PathBuf, line: usize, column: usize, reason: String },
+}
+
+/// What is wrong with one entry.
+#[derive(Debug, thiserror::Error)]
+enum EntryError {
+    #[error("a replica's `id` has 1 to 256 bytes")]
+    Id,
+    #[error("`address` of `{id}` is \"{address}\"; it takes \"host:port\"")]
+    Address { id: String, address: String },
+    #[error("`weight` of `{id}` is {weight}; it takes a number above 0")]
+    Weight { id: String, weight: f64 },
+    #[error("`phase` of `{id}` is \"{phase}\"; it takes ready, draining or gone")]
+    Phase { id: String, phase: String },
+    #[error("`zone` of `{id}` is \"{zone}\"; the settings know {known}")]
+    Zone { id: String, zone: String, known: String },
+    #[error("`{0}` is listed twice")]
+    DuplicateId(String),
+    #[error("`{id}` and `{other}` have the same address {address}")]
+    DuplicateAddress { id: String, other: String, address: String },
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Whole {
-    replicas: Vec<Raw>,
+struct FileContent {
+    replicas: Vec<FileEntry>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Raw {
+struct FileEntry {
     id: String,
     address: String,
     #[serde(default)]
     zone: String,
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     weight: f64,
-    #[serde(default = "ready")]
+    #[serde(default = "default_phase")]
     phase: String,
+    /// When it started, in seconds since 1970.
     #[serde(default)]
     started: Option<f64>,
     #[serde(default)]
     backup: bool,
     /// Where it comes from, for people.
     #[serde(default)]
-    #[allow(dead_code)]
+    #[allow(dead_code, reason = "accepted in the file, not used")]
     origin: Option<String>,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-fn ready() -> String {
-    "ready".into()
+fn default_phase() -> String {
+    PHASE_READY.into()
 }
 
-/// What is wrong with one entry, if anything is.
-fn unfit(raw: &Raw) -> Option<String> {
-    let Raw { id, address, weight, phase, .. } = raw;
-    let host_port = address.rsplit_once(':').filter(|(host, _)| !host.is_empty());
-    if id.is_empty() || id.len() > 256 {
-        Some("a replica's `id` has 1 to 256 bytes".into())
-    } else if host_port.is_none_or(|(_, port)| port.parse::<u16>().is_err()) {
-        Some(format!("`address` of `{id}` is \"{address}\"; it takes \"host:port\""))
-    } else if !(weight.is_finite() && *weight > 0.0) {
-        Some(format!("`weight` of `{id}` is {weight}; it takes a number above 0"))
-    } else if !["ready", "draining", "gone"].contains(&phase.as_str()) {
-        Some(format!("`phase` of `{id}` is \"{phase}\"; it takes ready, draining or gone"))
-    } else {
-        None
+impl FileEntry {
+    /// Checks the entry by itself: its phase.
+    fn check(&self) -> Result<Phase, EntryError> {
+        let id = || self.id.clone();
+        if self.id.is_empty() || self.id.len() > MAX_ID_BYTES {
+            return Err(EntryError::Id);
+        }
+        if !is_host_and_port(&self.address) {
+            return Err(EntryError::Address { id: id(), address: self.address.clone() });
+        }
+        if !(self.weight.is_finite() && self.weight > 0.0) {
+            return Err(EntryError::Weight { id: id(), weight: self.weight });
+        }
+        match self.phase.as_str() {
+            PHASE_READY => Ok(Phase::Ready),
+            PHASE_DRAINING => Ok(Phase::Draining),
+            PHASE_GONE => Ok(Phase::Gone),
+            other => Err(EntryError::Phase { id: id(), phase: other.into() }),
+        }
+    }
+
+    /// The number of its zone, which may be left out where there is one.
+    fn zone(&self, zones: &[String]) -> Result<usize, EntryError> {
+        if self.zone.is_empty() && zones.len() == 1 {
+            return Ok(0);
+        }
+        let zone = zones.iter().position(|zone| *zone == self.zone);
+        zone.ok_or_else(|| EntryError::Zone {
+            id: self.id.clone(),
+            zone: self.zone.clone(),
+            known: zones.join(", "),
+        })
     }
 }
 
-/// Reads a list from a file's text.
-///
-/// Errors: what is wrong, with line and column.
-pub fn parse(path: &Path, text: &str, zones: &[String], clock: &Clock) -> Result<Vec<RosterEntry>, Unfit> {
-    let placed = |line, column, why| Unfit::Placed { path: path.to_path_buf(), line, column, why };
-    let whole: Whole = serde_json::from_str(text)
-        .map_err(|error| placed(error.line(), error.column(), error.to_string()))?;
-    let line_of = |id: &str| {
-        let at = text.find(&format!("\"{id}\"")).unwrap_or(0);
-        text[..at].matches('\n').count() + 1
-    };
-    let mut entries: Vec<RosterEntry> = Vec::with_capacity(whole.replicas.len());
-    let (mut ids, mut addresses) = (std::collections::BTreeSet::new(), std::collections::BTreeMap::new());
-    for raw in whole.replicas {
-        let fault = |why| placed(line_of(&raw.id), 1, why);
-        if let Some(why) = unfit(&raw) {
-            return Err(fault(why));
+fn is_host_and_port(address: &str) -> bool {
+    let host_and_port = address.rsplit_once(':');
+    host_and_port.is_some_and(|(host, port)| !host.is_empty() && port.parse::<u16>().is_ok())
+}
+
+/// Ids and addresses that were met so far: none may come twice.
+#[derive(Default)]
+struct Seen {
+    ids: BTreeSet<String>,
+    ids_by_address: BTreeMap<String, String>,
+}
+
+impl Seen {
+    fn add(&mut self, entry: &FileEntry, phase: Phase) -> Result<(), EntryError> {
+        if !self.ids.insert(entry.id.clone()) {
+            return Err(EntryError::DuplicateId(entry.id.clone()));
         }
-        let phase = match raw.phase.as_str() {
-            "draining" => Phase::Draining,
-            "gone" => Phase::Gone,
-            _ => Phase::Ready,
-        };
-        let zone = zones.iter().position(|zone| *zone == raw.zone);
-        let zone = zone.or((raw.zone.is_empty() && zones.len() == 1).then_some(0)).ok_or_else(|| {
-            fault(format!(
-                "`zone` of `{}` is \"{}\"; the settings know {}",
-                raw.id,
-                raw.zone,
-                zones.join(", ")
-            ))
-        })?;
-        if !ids.insert(raw.id.clone()) {
-            return Err(fault(format!("`{}` is listed twice", raw.id)));
+        if phase == Phase::Gone {
+            return Ok(());
         }
         // Two at one address would share their reports, and each be judged by the other's.
-        if phase != Phase::Gone
-            && let Some(other) = addresses.insert(raw.address.clone(), raw.id.clone())
-        {
-            return Err(fault(format!("`{}` and `{other}` have the same address {}", raw.id, raw.address)));
+        match self.ids_by_address.insert(entry.address.clone(), entry.id.clone()) {
+            None => Ok(()),
+            Some(other) => Err(EntryError::DuplicateAddress {
+                id: entry.id.clone(),
+                other,
+                address: entry.address.clone(),
+            }),
         }
-        if phase == Phase::Gone {
-            continue;
+    }
+}
+
+/// Reads a roster from a file's text.
+///
+/// # Errors
+/// What is wrong, with line and column.
+pub fn parse(
+    path: &Path,
+    text: &str,
+    zones: &[String],
+    clock: &Clock,
+) -> Result<Vec<RosterEntry>, RosterFileError> {
+    let invalid =
+        |line, column, reason| RosterFileError::Invalid { path: path.to_path_buf(), line, column, reason };
+    let content: FileContent = serde_json::from_str(text)
+        .map_err(|error| invalid(error.line(), error.column(), error.to_string()))?;
+    let mut entries = Vec::with_capacity(content.replicas.len());
+    let mut seen = Seen::default();
+    for entry in &content.replicas {
+        match roster_entry(entry, zones, clock, &mut seen) {
+            Ok(Some(entry)) => entries.push(entry),
+            Ok(None) => {}
+            Err(error) => return Err(invalid(line_of(text, &entry.id), 1, error.to_string())),
         }
-        entries.push(RosterEntry {
-            id: raw.id.as_str().into(),
-            address: raw.address.as_str().into(),
-            zone,
-            weight: raw.weight,
-            phase,
-            started_at: raw.started.and_then(|at| clock.at(at)),
-            backup: raw.backup,
-        });
     }
     Ok(entries)
 }
 
-async fn read(path: &Path) -> Result<String, Unfit> {
-    let unread = |error| Unfit::Unread { path: path.to_path_buf(), error };
-    let bytes = tokio::fs::metadata(path).await.map_err(unread)?.len();
-    if bytes > MOST_BYTES {
-        return Err(Unfit::TooLarge { path: path.to_path_buf(), bytes });
+/// The line where an id stands first.
+fn line_of(text: &str, id: &str) -> usize {
+    let at = text.find(&format!("\"{id}\"")).unwrap_or(0);
+    text[..at].matches('\n').count() + 1
+}
+
+/// An entry of the roster; none for a replica that is gone.
+fn roster_entry(
+    entry: &FileEntry,
+    zones: &[String],
+    clock: &Clock,
+    seen: &mut Seen,
+) -> Result<Option<RosterEntry>, EntryError> {
+    let phase = entry.check()?;
+    let zone = entry.zone(zones)?;
+    seen.add(entry, phase)?;
+    if phase == Phase::Gone {
+        return Ok(None);
     }
-    tokio::fs::read_to_string(path).await.map_err(unread)
+    Ok(Some(RosterEntry {
+        id: entry.id.as_str().into(),
+        address: entry.address.as_str().into(),
+        zone,
+        weight: entry.weight,
+        phase,
+        started_at: entry.started.and_then(|unix_seconds| clock.at(unix_seconds)),
+        backup: entry.backup,
+    }))
 }
 
-/// Looks at the file every so often, and passes lists on when its text differs and can be taken.
+async fn read(path: &Path) -> Result<String, RosterFileError> {
+    let unreadable = |error| RosterFileError::Unreadable { path: path.to_path_buf(), error };
+    let bytes = tokio::fs::metadata(path).await.map_err(unreadable)?.len();
+    if bytes > MAX_FILE_BYTES {
+        return Err(RosterFileError::TooLarge { path: path.to_path_buf(), bytes });
+    }
+    tokio::fs::read_to_string(path).await.map_err(unreadable)
+}
+
+/// Reads the file every so often, and sends the roster on when its text differs and can be taken.
 pub async fn watch(
     path: PathBuf,
     every: Duration,
     zones: Vec<String>,
     clock: Clock,
-    lists: mpsc::Sender<Vec<RosterEntry>>,
+    rosters: mpsc::Sender<Vec<RosterEntry>>,
 ) {
-    let (mut last, mut complained) = (None, String::new());
+    let mut last_text = None;
+    let mut last_error = None;
     let mut ticks = tokio::time::interval(every);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    while !lists.is_closed() {
+    while !rosters.is_closed() {
         ticks.tick().await;
-        let text = read(&path).await;
-        let taken = match &text {
-            Ok(text) if last.as_ref() == Some(text) => continue,
-            Ok(text) => parse(&path, text, &zones, &clock),
-            Err(_) => text.as_ref().map(|_| Vec::new()).map_err(|error| Unfit::Unread {
-                path: path.clone(),
-                error: std::io::Error::other(error.to_string()),
-            }),
+        let roster = match read(&path).await {
+            Ok(text) if last_text.as_ref() == Some(&text) => continue,
+            Ok(text) => {
+                let roster = parse(&path, &text, &zones, &clock);
+                last_text = Some(text);
+                roster
+            }
+            Err(error) => Err(error),
         };
-        match taken {
+        match roster {
             Ok(entries) => {
-                if lists.send(entries).await.is_err() {
+                if rosters.send(entries).await.is_err() {
                     return;
                 }
-                complained.clear();
+                last_error = None;
             }
-            // Said once, not at every look.
-            Err(error) if complained != error.to_string() => {
-                complained = error.to_string();
-                metrics::counter!("wrenthread_roster_refused_total").increment(1);
-                tracing::warn!(%error, "the roster is not taken; the last one stays");
+            Err(error) => {
+                let error = error.to_string();
+                // Logged once, not at every look.
+                if last_error.as_ref() != Some(&error) {
+                    metrics::counter!(ROSTERS_REJECTED).increment(1);
+                    tracing::warn!(%error, "the roster is not taken; the last one stays");
+                    last_error = Some(error);
+                }
             }
-            Err(_) => {}
-        }
-        last = text.ok().or(last);
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn why(text: &str) -> String {
-        let zones = ["north".to_string(), "south".to_string()];
-        parse(Path::new("r.json"), text, &zones, &Clock::start()).unwrap_err().to_string()
-    }
-
-    #[test]
-    fn a_file_is_taken_whole_or_refused_with_its_place() {
-        let good = r#"{"replicas": [
-  {"id": "a", "address": "10.0.0.1:80", "zone": "north"},
-  {"id": "b", "address": "10.0.0.2:80", "zone": "south", "weight": 2, "phase": "draining", "started": 5}
-]}"#;
-        let zones = ["north".to_string(), "south".to_string()];
-        let entries = parse(Path::new("r.json"), good, &zones, &Clock::start()).unwrap();
-        assert_eq!((entries[1].zone, entries[1].weight, entries[1].phase), (1, 2.0, Phase::Draining));
-        assert_eq!(entries[1].started_at, None, "long ago");
-        for cut in 1..good.len() - 1 {
-            assert!(why(&good[..cut]).starts_with("r.json:"), "half written, at {cut}");
         }
-        assert!(why(&good.replace("south", "west")).contains("r.json:3:1: `zone` of `b`"));
-        assert!(why(&good.replace("\"b\"", "\"a\"")).contains("`a` is listed twice"));
-        assert!(why(&good.replace("0.2:80", "0.1:80")).contains("the same address"));
-        let negative = why(&good.replace("\"weight\": 2", "\"weight\": -2"));
-        assert!(negative.starts_with("r.json:3:"), "{negative}");
-        assert!(why(&good.replace("draining", "asleep")).contains("ready, draining or gone"));
-        assert!(why(&good.replace("weight", "wieght")).contains("wieght"));
     }
 }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -54,8 +54,8 @@
 ) -> Result<()> {
     let clock = Clock::start();
     let signing_keys = signing_keys(&settings)?;
-    let (epoch, restored, store) = match stored_state(&settings, &clock) {
-        Some(start) => (start.epoch, Some(start.recalled), start.keeper),
+    let (epoch, restored, state_writer) = match stored_state(&settings, &clock) {
+        Some(stored) => (stored.epoch, Some(stored.restored), stored.writer),
         None => (clock.epoch(), None, None),
     };
     let wire = Wire { key: signing_keys.first().cloned(), ..wire::wire(&settings, epoch) };
@@ -82,7 +82,7 @@
         wire,
         clock,
         host,
-        store,
+        state_writer,
         socket,
         front,
         metrics,
--- a/crates/daemon/src/run/event_loop.rs
+++ b/crates/daemon/src/run/event_loop.rs
@@ -22,7 +22,7 @@
 use crate::datagrams;
 use crate::host::{Host, WorkItem};
 use crate::http::Query;
-use crate::state::Keeper;
+use crate::state::StateWriter;
 
 /// Events that are taken before decisions are made, so that a burst comes to one flush.
 const MAX_BATCH: usize = 256;
@@ -36,7 +36,7 @@
     pub wire: Wire,
     pub clock: Clock,
     pub host: Host,
-    pub store: Option<Keeper>,
+    pub state_writer: Option<StateWriter>,
     /// To other governors.
     pub socket: Option<Rc<UdpSocket>>,
     /// Numbers the streams of both fronts.
@@ -98,7 +98,7 @@
                     });
                 }
                 Some(stream) = receivers.streams_with_capacity.recv() => self.host.stream_has_capacity(stream),
-                _ = persist.tick(), if self.store.is_some() => self.persist(),
+                _ = persist.tick(), if self.state_writer.is_some() => self.persist(),
                 Some(query) = receivers.queries.recv() => self.answer(query),
                 () = tokio::time::sleep_until(deadline) => {}
             }
@@ -150,11 +150,11 @@
 
     /// Hands what has changed to the thread that stores it.
     fn persist(&mut self) {
-        let Some(store) = &mut self.store else { return };
+        let Some(writer) = &mut self.state_writer else { return };
         let now = self.clock.now();
         let unix_seconds = self.clock.calendar(now);
-        let items = self.host.stored_items(now, unix_seconds, store.before());
-        store.keep(items, unix_seconds);
+        let items = self.host.stored_items(now, unix_seconds, writer.previous());
+        writer.store(items, unix_seconds);
     }
 
     /// Answers a query of the HTTP port.
@@ -185,8 +185,8 @@
     /// Stores what is known, notifies proxies and governors, and ends all tasks.
     async fn stop(mut self, receivers: Receivers) {
         self.persist();
-        if let Some(store) = self.store {
-            store.end().await;
+        if let Some(writer) = self.state_writer {
+            writer.finish().await;
         }
         let socket = self.socket.as_ref();
         self.host.stop(self.clock.now(), |to, datagram| datagrams::send(socket, to, datagram));
--- a/crates/daemon/src/run/startup.rs
+++ b/crates/daemon/src/run/startup.rs
@@ -14,7 +14,7 @@
 
 use crate::clock::Clock;
 use crate::http::Query;
-use crate::state;
+use crate::state::{self, StoredState};
 
 /// Events that may be queued for the task that owns all state; streams beyond that wait on their sockets.
 const EVENT_QUEUE: usize = 1024;
@@ -116,12 +116,12 @@
 }
 
 /// What earlier lives of this governor stored, if the settings name a folder for it.
-pub fn stored_state(settings: &Settings, clock: &Clock) -> Option<state::Start> {
+pub fn stored_state(settings: &Settings, clock: &Clock) -> Option<StoredState> {
     let folder = settings.state.as_ref()?;
     let names = StoredItem::Names {
         governor: settings.governor.clone(),
         zones: settings.zones.clone(),
         groups: settings.groups.iter().map(|class| class.name.clone()).collect(),
     };
-    Some(state::start(folder, names, clock.calendar(clock.now())))
+    Some(state::open(folder, names, clock.calendar(clock.now())))
 }
--- /dev/null
+++ b/crates/daemon/src/state/writer.rs
@@ -0,0 +1,161 @@
+//! Writes the state beside the decisions, on a thread of its own.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use tokio::sync::{mpsc, watch};
+use wrenthread_core::snapshot::{self, StoredItem, StoredItems};
+use wrenthread_durable_store::disk::Folder;
+use wrenthread_durable_store::{Change, Store};
+
+/// How often the time is stored: at a restart, ages are reckoned from the last one.
+const ALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// How long the disk is left alone after an error; doubled with each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
+/// The longest that the disk is left alone after an error.
+const MAX_BACKOFF: Duration = Duration::from_secs(30);
+/// How long a stopping governor waits for its last write.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+
+const LAG_SECONDS: &str = "wrenthread_state_lag_seconds";
+const STORED_BYTES: &str = "wrenthread_state_bytes";
+const WRITE_ERRORS: &str = "wrenthread_state_errors";
+
+/// How far the thread has come.
+#[derive(Debug, Clone, Default)]
+struct Progress {
+    batches: u64,
+    errors: u64,
+    bytes: usize,
+}
+
+/// Hands changes to the thread that writes them. It never waits: what the disk does not take yet is merged.
+pub struct StateWriter {
+    previous: StoredItems,
+    /// Encoded changes that the thread has no capacity for yet; none removes an entry.
+    pending: BTreeMap<String, Option<Vec<u8>>>,
+    pending_since: Option<Instant>,
+    alive_stored_at: Option<Instant>,
+    names: Arc<StoredItem>,
+    changes: mpsc::Sender<Vec<Change>>,
+    progress: watch::Receiver<Progress>,
+    batches_sent: u64,
+}
+
+impl StateWriter {
+    /// Starts the thread. `names`: whose state it is; `previous`: what the store holds.
+    ///
+    /// # Errors
+    /// No thread can be had.
+    pub fn start(store: Store<Folder>, names: StoredItem, previous: StoredItems) -> std::io::Result<Self> {
+        let (changes, received) = mpsc::channel(1);
+        let (progress, watched) = watch::channel(Progress::default());
+        let thread = std::thread::Builder::new().name("state".into());
+        thread.spawn(move || write_changes(store, received, &progress))?;
+        Ok(StateWriter {
+            previous,
+            pending: BTreeMap::new(),
+            pending_since: None,
+            alive_stored_at: None,
+            names: Arc::new(names),
+            changes,
+            progress: watched,
+            batches_sent: 0,
+        })
+    }
+
+    /// What was handed to [`StateWriter::store`] last.
+    pub fn previous(&self) -> &StoredItems {
+        &self.previous
+    }
+
+    /// Stores what is known now: what differs from before is sent to the thread, or waits for it.
+    pub fn store(&mut self, mut items: StoredItems, unix_seconds: f64) {
+        items.insert(snapshot::NAMES.into(), self.names.clone());
+        items.insert(snapshot::ALIVE.into(), self.alive(unix_seconds));
+        for (name, item) in snapshot::changes(&self.previous, &items) {
+            self.pending.insert(name, item.map(snapshot::encode));
+        }
+        self.previous = items;
+        self.send_pending();
+        self.update_gauges();
+    }
+
+    /// The time of now, or the one stored before if that was a moment ago.
+    fn alive(&mut self, unix_seconds: f64) -> Arc<StoredItem> {
+        let is_recent = self.alive_stored_at.is_some_and(|at| at.elapsed() < ALIVE_INTERVAL);
+        match self.previous.get(snapshot::ALIVE) {
+            Some(alive) if is_recent => alive.clone(),
+            _ => {
+                self.alive_stored_at = Some(Instant::now());
+                Arc::new(StoredItem::Alive { at: unix_seconds })
+            }
+        }
+    }
+
+    fn update_gauges(&self) {
+        let lag = self.pending_since.map_or(Duration::ZERO, |since| since.elapsed());
+        metrics::gauge!(LAG_SECONDS).set(lag.as_secs_f64());
+        let progress = self.progress.borrow();
+        metrics::gauge!(STORED_BYTES).set(progress.bytes as f64);
+        metrics::gauge!(WRITE_ERRORS).set(progress.errors as f64);
+    }
+
+    fn send_pending(&mut self) {
+        if self.pending.is_empty() {
+            return;
+        }
+        self.pending_since.get_or_insert_with(Instant::now);
+        let Ok(permit) = self.changes.try_reserve() else { return };
+        let pending = std::mem::take(&mut self.pending).into_iter();
+        permit.send(pending.map(|(name, content)| Change { name, content }).collect());
+        self.pending_since = None;
+        self.batches_sent += 1;
+    }
+
+    /// Waits for a while until all is written.
+    pub async fn finish(mut self) {
+        let all_written = async {
+            while self.progress.borrow_and_update().batches < self.batches_sent || !self.pending.is_empty() {
+                self.send_pending();
+                if self.progress.changed().await.is_err() {
+                    return;
+                }
+            }
+        };
+        if tokio::time::timeout(FINAL_WRITE_TIMEOUT, all_written).await.is_err() {
+            tracing::error!("the last of what is known could not be written in time");
+        }
+    }
+}
+
+/// The thread's whole work. After an error the changes are still in the store's hands, and are written with the next try.
+fn write_changes(
+    mut store: Store<Folder>,
+    mut changes: mpsc::Receiver<Vec<Change>>,
+    progress: &watch::Sender<Progress>,
+) {
+    let mut backoff = INITIAL_BACKOFF;
+    while let Some(batch) = changes.blocking_recv() {
+        let mut written = store.write(&batch);
+        while let Err(error) = written {
+            progress.send_modify(|progress| progress.errors += 1);
+            tracing::error!(%error, wait_s = backoff.as_secs_f64(), "what is known could not be written");
+            if error.is_size_limit() {
+                break;
+            }
+            std::thread::sleep(backoff);
+            backoff = (2 * backoff).min(MAX_BACKOFF);
+            written = store.write(&[]);
+            if written.is_ok() {
+                backoff = INITIAL_BACKOFF;
+            }
+        }
+        let sizes = store.sizes();
+        progress.send_modify(|progress| {
+            progress.batches += 1;
+            progress.bytes = sizes.entry_bytes + sizes.journal_bytes;
+        });
+    }
+}
