--- a/crates/daemon/src/run/startup.rs
+++ b/crates/daemon/src/run/startup.rs
@@ -14,7 +14,7 @@
 
 use crate::clock::Clock;
 use crate::http::Query;
-use crate::state;
+use crate::state::{self, StoredState};
 
 /// Events that may be queued for the task that owns all state; streams beyond that wait on their sockets.
 const EVENT_QUEUE: usize = 1024;
@@ -61,7 +61,7 @@
 pub struct Senders {
     pub datagrams: mpsc::Sender<Vec<u8>>,
     pub grpc: mpsc::Sender<Event>,
-    pub long_poll: mpsc::Sender<wrenthread_long_poll::service::Event>,
+    pub long_poll: mpsc::Sender<wrenthread_long_poll::service::Request>,
     pub queries: mpsc::Sender<Query>,
     pub rosters: mpsc::Sender<Vec<RosterEntry>>,
     pub streams_with_capacity: mpsc::Sender<u64>,
@@ -72,7 +72,7 @@
 pub struct Receivers {
     pub datagrams: mpsc::Receiver<Vec<u8>>,
     pub grpc: mpsc::Receiver<Event>,
-    pub long_poll: mpsc::Receiver<wrenthread_long_poll::service::Event>,
+    pub long_poll: mpsc::Receiver<wrenthread_long_poll::service::Request>,
     pub queries: mpsc::Receiver<Query>,
     pub rosters: mpsc::Receiver<Vec<RosterEntry>>,
     pub streams_with_capacity: mpsc::Receiver<u64>,
@@ -116,12 +116,12 @@
 }
 
 /// What earlier lives of this governor stored, if the settings name a folder for it.
-pub fn stored_state(settings: &Settings, clock: &Clock) -> Option<state::Start> {
+pub fn stored_state(settings: &Settings, clock: &Clock) -> Option<StoredState> {
     let folder = settings.state_folder.as_ref()?;
     let names = StoredItem::Names {
         governor: settings.governor.clone(),
         zones: settings.zones.clone(),
         groups: settings.groups.iter().map(|class| class.name.clone()).collect(),
     };
-    Some(state::start(folder, names, clock.calendar(clock.now())))
+    Some(state::open(folder, names, clock.calendar(clock.now())))
 }
