--- a/crates/client/tests/model.rs
+++ b/crates/client/tests/model.rs
@@ -1,6 +1,14 @@
 //! Both fronts against one model: proxies on one engine, by state of the world, by delta and by long-poll,
 //! that skip, repeat and lose what they are told and start over, all end on what the engine says.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -206,7 +214,7 @@
                 match parameters.decode_tables(&told).unwrap() {
                     DecodedTables::Complete(whole) => keeper.tell_whole(told.version, whole),
                     DecodedTables::Delta(delta) => {
-                        assert_eq!(keeper.tell_delta(told.version, &delta), Ok(()))
+                        assert_eq!(keeper.tell_delta(told.version, &delta), Ok(()));
                     }
                 }
                 None
--- a/crates/core/benches/guard.rs
+++ b/crates/core/benches/guard.rs
@@ -2,6 +2,14 @@
 //! A roster event (one replica drains or is back: all tables are judged), and a beat in which nothing
 //! changed.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a benchmark may end by panicking, and reads top-down"
+)]
+
 use std::time::{Duration, Instant};
 
 use wrenthread::types::Phase;
--- a/crates/core/benches/restart.rs
+++ b/crates/core/benches/restart.rs
@@ -2,6 +2,14 @@
 //! its fleet is settled, what it sends, and what keeping it costs. `cargo bench -p wrenthread-core --bench
 //! restart`
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a benchmark may end by panicking, and reads top-down"
+)]
+
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
@@ -99,7 +107,8 @@
                 continue;
             };
             let known = self.held.get(&relay).is_some_and(|(_, held)| *held == digest);
-            let has_word = self.engine.proxy(number).is_some_and(|proxy| proxy.has_known_tables());
+            let has_word =
+                self.engine.proxy(number).is_some_and(wrenthread_core::fleet::Proxy::has_known_tables);
             let lines = if known || !has_word { 0 } else { PublishedState::entry_count(&whole) };
             if lines > 0 {
                 self.held.insert(relay, (version, digest));
--- a/crates/core/src/engine/tests/faulty_module.rs
+++ b/crates/core/src/engine/tests/faulty_module.rs
@@ -1,6 +1,14 @@
 //! The real engine under a module that has gone wrong, in every way that we could think of. With the guard no
 //! table that breaks a rule stands; without it each of these breaks one, so that none of them is idle.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 use std::collections::BTreeMap;
 
 use super::*;
--- a/crates/core/src/engine/tests/inspection.rs
+++ b/crates/core/src/engine/tests/inspection.rs
@@ -1,5 +1,13 @@
 //! Tests of recordings and dry runs.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 use super::*;
 
 #[test]
--- a/crates/core/src/engine/tests/migration.rs
+++ b/crates/core/src/engine/tests/migration.rs
@@ -1,5 +1,13 @@
 //! Tests of proxies that go from one governor to another.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 use super::*;
 
 fn handed(lines: &[&str], told_at: Duration) -> MigratedProxy {
--- a/crates/core/src/engine/tests/recovery.rs
+++ b/crates/core/src/engine/tests/recovery.rs
@@ -1,5 +1,13 @@
 //! Tests of what is known after a restart.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 use super::*;
 
 /// A life that ends, and the next one with what is known of it, so many seconds later.
--- a/crates/core/src/engine/tests/rollback.rs
+++ b/crates/core/src/engine/tests/rollback.rs
@@ -1,5 +1,13 @@
 //! Tests of tables frozen at an earlier version, and of their release.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 use super::*;
 
 /// An engine with one proxy on its own tables, and the version at which it held them all.
--- a/crates/core/src/engine/tests/scheduling.rs
+++ b/crates/core/src/engine/tests/scheduling.rs
@@ -1,5 +1,13 @@
 //! Tests of the order of work: determinism, standstill of the process.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 use super::*;
 use crate::engine::scheduling::CATCH_UP;
 
--- a/crates/core/tests/stored_formats.rs
+++ b/crates/core/tests/stored_formats.rs
@@ -1,6 +1,14 @@
 //! What is stored, signed and sent keeps its bytes: the golden files were written by commit b735929, before the
 //! types and fields took their present names, and are read and written again here, byte for byte.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 use std::time::Duration;
 
 use wrenthread::types::RetryPolicy;
--- a/crates/daemon/benches/common/mod.rs
+++ b/crates/daemon/benches/common/mod.rs
@@ -1,5 +1,5 @@
 //! The real program for benchmarks, with a roster of two dozen replicas in three zones.
-#![allow(dead_code)] // each of the benchmarks that share this uses a part of it
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
--- a/crates/daemon/benches/fronts.rs
+++ b/crates/daemon/benches/fronts.rs
@@ -3,6 +3,14 @@
 //! `cargo bench -p wrenthread-daemon --bench fronts [-- RELAYS]`; figures of one run are to be compared with
 //! each other only.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a benchmark may end by panicking, and reads top-down"
+)]
+
 mod common;
 
 use std::cell::Cell;
--- a/crates/daemon/benches/takeover.rs
+++ b/crates/daemon/benches/takeover.rs
@@ -4,6 +4,14 @@
 //! Relays follow by the client library (gRPC, delta) and pause for 0.1 to 0.3 s between two dials, either
 //! way.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a benchmark may end by panicking, and reads top-down"
+)]
+
 mod common;
 
 use std::cell::{Cell, RefCell};
--- a/crates/daemon/src/export.rs
+++ b/crates/daemon/src/export.rs
@@ -184,7 +184,9 @@
     match before {
         Some(before) => replace(&nginx.include_file, &before).await?,
         None => {
-            tokio::fs::remove_file(&nginx.include_file).await.context("the file that nginx would not take")?
+            tokio::fs::remove_file(&nginx.include_file)
+                .await
+                .context("the file that nginx would not take")?;
         }
     }
     Err(why)
--- a/crates/daemon/src/platform/tests/discovery.rs
+++ b/crates/daemon/src/platform/tests/discovery.rs
@@ -1,5 +1,13 @@
 //! The list: moves of discovery while something is on its way, agents that are behind or count anew.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 use super::*;
 
 /// Moves discovery to another agent.
--- a/crates/daemon/src/platform/tests/peers.rs
+++ b/crates/daemon/src/platform/tests/peers.rs
@@ -1,5 +1,13 @@
 //! Connections: a whole fleet at once, messages in pieces, two streams of one proxy.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 use super::*;
 
 /// Places for sixteen unidentified peers, the fewest there are.
--- a/crates/daemon/src/platform/tests/silence.rs
+++ b/crates/daemon/src/platform/tests/silence.rs
@@ -1,5 +1,13 @@
 //! Streams that fall silent.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 use tokio::net::TcpSocket;
 
 use super::*;
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! The real program on loopback, for tests that meet it from outside.
-#![allow(dead_code)] // each of the tests that share this uses a part of it
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
--- a/crates/daemon/tests/governor.rs
+++ b/crates/daemon/tests/governor.rs
@@ -1,5 +1,13 @@
 //! The real program on loopback, met by scripted peers that speak the public protocol.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 mod common;
 
 use std::process::Command;
--- a/crates/daemon/tests/nginx.rs
+++ b/crates/daemon/tests/nginx.rs
@@ -1,5 +1,13 @@
 //! The importer and the export at the command line, with a stand-in that follows nginx's file format.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 mod common;
 
 use std::cell::RefCell;
--- a/crates/daemon/tests/node/main.rs
+++ b/crates/daemon/tests/node/main.rs
@@ -1,5 +1,13 @@
 //! The program on the platform's protocol: a discovery agent, proxies and unidentified peers on loopback.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 #[path = "../common/mod.rs"]
 mod common;
 mod discovery_agent;
--- a/crates/daemon/tests/polling.rs
+++ b/crates/daemon/tests/polling.rs
@@ -1,5 +1,13 @@
 //! The long-poll front of the real program, and stepping back at its command line.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 mod common;
 
 use std::cell::RefCell;
--- a/crates/daemon/tests/sharing.rs
+++ b/crates/daemon/tests/sharing.rs
@@ -1,5 +1,13 @@
 //! Governors that talk, and proxies that change hands, on the real program.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 mod common;
 
 use std::cell::RefCell;
--- a/crates/daemon/tests/state.rs
+++ b/crates/daemon/tests/state.rs
@@ -1,5 +1,13 @@
 //! What a governor knows beyond its life: killed, damaged, taken by another, shown and carried about.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 mod common;
 
 use std::cell::RefCell;
--- a/crates/deployment-config/src/tests.rs
+++ b/crates/deployment-config/src/tests.rs
@@ -139,7 +139,7 @@
     for (name, value) in object.as_object_mut().expect("an object") {
         match value {
             Value::Object(section) if name != "report" => {
-                section.values_mut().for_each(|it| *it = Value::Null)
+                section.values_mut().for_each(|it| *it = Value::Null);
             }
             value => *value = Value::Null,
         }
--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -1,5 +1,13 @@
 //! Watches against a stand-in agent on loopback that closes connections, falls silent, and sends invalid events.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 use std::time::{Duration, Instant};
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/durable-store/benches/store.rs
+++ b/crates/durable-store/benches/store.rs
@@ -1,6 +1,14 @@
 //! What a write costs that lasts, against the registry's `redb`, in one run on one folder; and an opening of
 //! what is there. `cargo bench -p wrenthread-durable-store --bench store`
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a benchmark may end by panicking, and reads top-down"
+)]
+
 use std::path::Path;
 use std::time::Instant;
 
--- a/crates/durable-store/tests/golden.rs
+++ b/crates/durable-store/tests/golden.rs
@@ -1,5 +1,13 @@
 //! A folder as the release at commit b735929 wrote it, byte for byte: a newer release has to start from it.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 use std::collections::BTreeMap;
 
 use wrenthread_durable_store::disk::{Disk, MemoryDisk};
--- a/crates/durable-store/tests/restarts.rs
+++ b/crates/durable-store/tests/restarts.rs
@@ -1,6 +1,14 @@
 //! A governor's engine with a store on a disk that crashes at each of its calls in turn: the next run starts from
 //! whatever is left, and keeps the rules.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/long-poll/src/service/tests.rs
+++ b/crates/long-poll/src/service/tests.rs
@@ -33,11 +33,11 @@
                     drop(reply.send(Ok(PollResponse::Tables(tables))));
                 }
                 Request::Poll { session: 9, reply, .. } => {
-                    drop(reply.send(Err(RequestError::UnknownSession)))
+                    drop(reply.send(Err(RequestError::UnknownSession)));
                 }
                 Request::Poll { reply, .. } => drop(reply.send(Ok(PollResponse::Unchanged))),
                 Request::Report { reply, .. } => {
-                    drop(reply.send(Ok(ReportResponse { counted: true, reason: None })))
+                    drop(reply.send(Ok(ReportResponse { counted: true, reason: None })));
                 }
                 Request::Leave { reply, .. } => drop(reply.send(Err(RequestError::Full("full".into())))),
             }
--- a/crates/long-poll/tests/wire_format.rs
+++ b/crates/long-poll/tests/wire_format.rs
@@ -3,6 +3,14 @@
 //! The responses and the OpenAPI document were captured from the program of commit b735929. That program accepted the
 //! fields of the requests. `tables_delta_default.json` was composed by hand of the fields that its types had.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use wrenthread_long_poll::messages::{
--- a/crates/membership/benches/gossip.rs
+++ b/crates/membership/benches/gossip.rs
@@ -1,6 +1,14 @@
 //! What gossip costs a governor as their number grows, and how soon a dead one is known to all: on the simulated network of
 //! the tests, in simulated time, with the default settings.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a benchmark may end by panicking, and reads top-down"
+)]
+
 #[path = "../tests/simulated_network/mod.rs"]
 mod simulated_network;
 
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,5 +1,13 @@
 //! Datagrams as the release at commit b735929 wrote them, byte for byte: governors of different versions talk to each other.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 use wrenthread_core::ownership::SigningKey;
 use wrenthread_membership::messages::{
     GovernorLoad, MemberState, MemberUpdate, Message, MessageBody, OfferPart, decode, encode,
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -1,5 +1,13 @@
 //! Membership through faults of the network and of governors, on a simulated network.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 mod simulated_network;
 
 use std::sync::Arc;
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -5,6 +5,14 @@
 //! A message stays in flight once it is sent: that it may be delivered at any time, again, or never, covers loss,
 //! duplication and reordering at once.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::time::Duration;
 
@@ -156,10 +164,10 @@
                 one.migrations.handle_offer(NOW, NAMES[*from], part, |_| true);
             }
             MessageBody::Accept { offer_id, proxy } => {
-                one.migrations.handle_answer(NOW, NAMES[*from], *offer_id, proxy, OfferAnswer::Accepted)
+                one.migrations.handle_answer(NOW, NAMES[*from], *offer_id, proxy, OfferAnswer::Accepted);
             }
             MessageBody::Decline { offer_id, proxy } => {
-                one.migrations.handle_answer(NOW, NAMES[*from], *offer_id, proxy, OfferAnswer::Declined)
+                one.migrations.handle_answer(NOW, NAMES[*from], *offer_id, proxy, OfferAnswer::Declined);
             }
             _ => {}
         }
--- a/crates/membership/tests/simulated_network/mod.rs
+++ b/crates/membership/tests/simulated_network/mod.rs
@@ -1,6 +1,6 @@
 //! Governors on a simulated network in simulated time: datagrams are delayed, lost and duplicated, and links are cut.
 //! The same seed gives the same run.
-#![allow(dead_code)] // each of those that share this uses a part of it
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -134,7 +134,10 @@
     /// Whether one governor believes another to be live.
     pub fn sees(&self, governor: usize, other: usize) -> bool {
         let governor = self.governors[governor].as_ref().expect("it is up");
-        governor.members().get(&format!("g{other}")).is_some_and(|member| member.is_live())
+        governor
+            .members()
+            .get(&format!("g{other}"))
+            .is_some_and(wrenthread_membership::members::Member::is_live)
     }
 
     /// Whether all governors believe each other to be live.
--- a/crates/nginx-importer/benches/import.rs
+++ b/crates/nginx-importer/benches/import.rs
@@ -1,6 +1,14 @@
 //! What an import costs, what becomes of the corpus' directives, and how far the spread is from nginx's
 //! round. `cargo bench -p wrenthread-nginx --bench import`
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a benchmark may end by panicking, and reads top-down"
+)]
+
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::Path;
@@ -94,6 +102,6 @@
             (weight / sum - *whole as f64 / all as f64).abs() / (weight / sum)
         };
         let worst = weights.iter().zip(&whole).map(error).fold(0.0, f64::max);
-        println!("{name}: {:.2e} of the share itself", worst);
+        println!("{name}: {worst:.2e} of the share itself");
     }
 }
--- a/crates/nginx-importer/src/fleet.rs
+++ b/crates/nginx-importer/src/fleet.rs
@@ -456,13 +456,13 @@
                 "proxy_connect_timeout" | "grpc_connect_timeout" if is_span => here.connect = span,
                 "proxy_read_timeout" | "grpc_read_timeout" if is_span => here.read = span,
                 "proxy_next_upstream_timeout" | "grpc_next_upstream_timeout" if is_span => {
-                    here.next_within = span
+                    here.next_within = span;
                 }
                 "proxy_connect_timeout" | "proxy_read_timeout" | "proxy_next_upstream_timeout" => {
-                    fate = odd_span()
+                    fate = odd_span();
                 }
                 "grpc_connect_timeout" | "grpc_read_timeout" | "grpc_next_upstream_timeout" => {
-                    fate = odd_span()
+                    fate = odd_span();
                 }
                 "proxy_next_upstream_tries" | "grpc_next_upstream_tries" => match text.parse() {
                     Ok(tries) => here.tries = Some(tries),
--- a/crates/nginx-importer/tests/corpus.rs
+++ b/crates/nginx-importer/tests/corpus.rs
@@ -2,6 +2,14 @@
 //! directive. `WRITE=1 cargo test -p wrenthread-nginx --test corpus` writes the expected results anew, to be
 //! read before they are committed.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
--- a/crates/platform-governor/src/governor.rs
+++ b/crates/platform-governor/src/governor.rs
@@ -151,7 +151,7 @@
     pub fn collector_message(&mut self, now: Duration, message: Message) {
         match message {
             Message::ReplicaStatistics(statistics) => {
-                self.governor.record_replica_statistics(now, statistics)
+                self.governor.record_replica_statistics(now, statistics);
             }
             Message::DemandStatistics(statistics) => self.governor.record_demand(now, statistics),
             _ => {}
--- a/crates/platform-protocol/tests/golden.rs
+++ b/crates/platform-protocol/tests/golden.rs
@@ -2,6 +2,14 @@
 //!
 //! The platform reads these bytes: the file changes only if the protocol does.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 use std::fmt::Write;
 use std::time::Duration;
 
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -1,6 +1,14 @@
 //! What the release at commit b735929 made of scripts, as JSON: the text of errors, and the names by which settings are
 //! compared, shown and handed from one process to another.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    clippy::too_many_lines,
+    reason = "a test fails by panicking, and reads top-down"
+)]
+
 use wrenthread_settings::day;
 
 fn read(file: &str) -> String {
--- a/crates/xds/src/decode.rs
+++ b/crates/xds/src/decode.rs
@@ -35,13 +35,34 @@
     Name(String),
     /// The node's zone is not in the settings.
     #[error("node `{node}` is in zone `{zone}`; the settings know {known}")]
-    Zone { node: String, zone: String, known: String },
+    Zone {
+        /// The node's id.
+        node: String,
+        /// The zone that it names.
+        zone: String,
+        /// The settings' zones.
+        known: String,
+    },
     /// A field of the node's metadata can't be meant.
     #[error("node `{node}`: metadata `wrenthread.{field}`: {why}")]
-    Metadata { node: String, field: &'static str, why: String },
+    Metadata {
+        /// The node's id.
+        node: String,
+        /// The field of the metadata.
+        field: &'static str,
+        /// What is wrong with it.
+        why: String,
+    },
     /// An endpoint of an upstream's cluster can't be meant.
     #[error("endpoint {place} of `{cluster}`: {why}")]
-    Endpoint { cluster: String, place: usize, why: String },
+    Endpoint {
+        /// The cluster's name.
+        cluster: String,
+        /// The endpoint's place in it.
+        place: usize,
+        /// What is wrong with it.
+        why: String,
+    },
 }
 
 fn field<'a>(fields: &'a Struct, name: &str) -> Option<&'a value::Kind> {
--- a/crates/xds/src/encode.rs
+++ b/crates/xds/src/encode.rs
@@ -274,7 +274,7 @@
     for (place, group) in groups.iter().enumerate() {
         match &group.route {
             Route::Header(name, value) => {
-                routes.push((place, whole(), Some((name.as_str(), value.as_str()))))
+                routes.push((place, whole(), Some((name.as_str(), value.as_str()))));
             }
             Route::Prefix(prefix) if several => paths.push((place, Path::Prefix(prefix.clone()))),
             Route::Prefix(prefix) => routes.push((place, PathSpecifier::Prefix(prefix.clone()), None)),
--- a/crates/xds/src/service.rs
+++ b/crates/xds/src/service.rs
@@ -87,19 +87,50 @@
 #[derive(Debug)]
 pub enum Event {
     /// An ADS stream was opened.
-    Opened { stream: u64, answers: Answers },
+    Opened {
+        /// The number of the stream.
+        stream: u64,
+        /// Where its responses go.
+        answers: Answers,
+    },
     /// A request came on it.
-    Asked { stream: u64, request: Box<session::Request> },
+    Asked {
+        /// The number of the stream.
+        stream: u64,
+        /// The request.
+        request: Box<session::Request>,
+    },
     /// It ended.
-    Closed { stream: u64 },
+    Closed {
+        /// The number of the stream.
+        stream: u64,
+    },
     /// An LRS stream was opened by this node.
-    ReportsOpened { stream: u64, node: Box<Node> },
+    ReportsOpened {
+        /// The number of the stream.
+        stream: u64,
+        /// Who reports.
+        node: Box<Node>,
+    },
     /// A load report came on it.
-    Reported { stream: u64, stats: Vec<ClusterStats> },
+    Reported {
+        /// The number of the stream.
+        stream: u64,
+        /// Statistics by cluster.
+        stats: Vec<ClusterStats>,
+    },
     /// It ended.
-    ReportsClosed { stream: u64 },
+    ReportsClosed {
+        /// The number of the stream.
+        stream: u64,
+    },
     /// A CSDS request.
-    Status { request: Box<ClientStatusRequest>, reply: oneshot::Sender<ClientStatusResponse> },
+    Status {
+        /// The request.
+        request: Box<ClientStatusRequest>,
+        /// Where the response goes.
+        reply: oneshot::Sender<ClientStatusResponse>,
+    },
 }
 
 /// All three services.
--- a/crates/xds/src/upstream.rs
+++ b/crates/xds/src/upstream.rs
@@ -68,7 +68,7 @@
             Ok(true) => wait = AGAIN.0,
             Ok(false) => {}
             Err(error) => {
-                tracing::warn!(%uri, %error, "the upstream roster can't be followed; the last list stays")
+                tracing::warn!(%uri, %error, "the upstream roster can't be followed; the last list stays");
             }
         }
         tokio::time::sleep(wait).await;
--- a/src/governor.rs
+++ b/src/governor.rs
@@ -248,7 +248,7 @@
             let known = replica.in_flight.unwrap_or(1.0);
             match load.get(position) {
                 Some(in_flight) => {
-                    replica.in_flight = Some(known + (in_flight - known) / HEALTH_CHECK_AVERAGING)
+                    replica.in_flight = Some(known + (in_flight - known) / HEALTH_CHECK_AVERAGING);
                 }
                 // A health check waits behind requests: a failed one tells of load where answered ones tell
                 // of none.
