--- a/crates/client/src/grpc.rs
+++ b/crates/client/src/grpc.rs
@@ -35,7 +35,7 @@
 use crate::keeper::{Keeper, Stats};
 use crate::{Error, Governor, Ordered, Watch, Who};
 
-/// What a proxy holds, by type and name: marks of content, or versions of whole types. It outlives streams.
+/// The versions that a proxy holds, by type and resource name; with an empty name, of a whole type. They outlive streams.
 #[derive(Debug, Clone, Default)]
 pub struct Versions(BTreeMap<(Kind, String), String>);
 
@@ -50,22 +50,26 @@
     }
 }
 
-/// A governor's process may stand still while its sockets stay up: the stream is asked for life so often, and
-/// over without an answer.
-const ALIVE: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(2));
-/// A governor that takes a connection and does not answer for so long can't be had.
-const ANSWER: Duration = Duration::from_secs(2);
+/// Interval of HTTP/2 keepalives: a governor's process may stand still while its sockets stay up.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// How long a keepalive may go unanswered before the stream ends.
+const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long the first answer on a stream may take.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a connection may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 async fn answered<T>(uri: &str, answer: impl Future<Output = Result<T, tonic::Status>>) -> Result<T, Error> {
-    let late = |_| Error::Reach(uri.to_string(), format!("no answer within {ANSWER:?}"));
-    tokio::time::timeout(ANSWER, answer).await.map_err(late)?.map_err(status(uri))
+    let late = |_| Error::Reach(uri.to_string(), format!("no answer within {ANSWER_TIMEOUT:?}"));
+    tokio::time::timeout(ANSWER_TIMEOUT, answer).await.map_err(late)?.map_err(status(uri))
 }
 
 pub(crate) async fn connect(uri: &str) -> Result<Channel, Error> {
     let reach = |error: tonic::transport::Error| Error::Reach(uri.to_string(), error.to_string());
     let endpoint = Endpoint::from_shared(uri.to_string()).map_err(reach)?;
-    let endpoint = endpoint.connect_timeout(Duration::from_secs(1)).tcp_nodelay(true);
-    let endpoint = endpoint.http2_keep_alive_interval(ALIVE.0).keep_alive_timeout(ALIVE.1);
+    let endpoint = endpoint.connect_timeout(CONNECT_TIMEOUT).tcp_nodelay(true);
+    let endpoint =
+        endpoint.http2_keep_alive_interval(KEEPALIVE_INTERVAL).keep_alive_timeout(KEEPALIVE_TIMEOUT);
     endpoint.keep_alive_while_idle(true).connect().await.map_err(reach)
 }
 
@@ -91,14 +95,13 @@
     }
 }
 
-/// Endpoints first: who holds orders says so in the first request.
+/// Endpoints first: their request says that the proxy holds tables of a governor.
 fn subscriptions(keeper: &Keeper) -> [(Kind, Vec<String>); 3] {
     let routes = vec![encode::ROUTES.to_string()];
     [(Kind::Endpoints, keeper.groups().to_vec()), (Kind::Clusters, vec![]), (Kind::Routes, routes)]
 }
 
-/// Checks an order against the fence, if its governor is one of several: who says it, in which life, up to
-/// where.
+/// Checks whether a response may be applied, if its governor is one of several: by its name, epoch and version.
 fn heed(
     governor: &Governor,
     keeper: &Rc<RefCell<Keeper>>,
@@ -116,10 +119,10 @@
     Ok(keeper.borrow_mut().heed(name, epoch, version, claim)?)
 }
 
-/// Follows over one stream until it ends. What is held stays as it is then; come back with the same
-/// `versions`.
+/// Follows over one stream until it ends. The tables stay as they are then; call it again with the same `versions`.
 ///
-/// Errors: why the stream ended.
+/// # Errors
+/// Why the stream ended.
 pub async fn follow(
     governor: &Governor,
     who: &Who,
@@ -238,7 +241,7 @@
     Err(Error::Ended)
 }
 
-/// Takes a response in: all of it, or, where some of it can't be understood, none.
+/// Applies a response: all of it, or none if some of it does not decode.
 fn take(
     kind: Kind,
     nonce: &str,
@@ -312,9 +315,10 @@
 }
 
 impl Reports {
-    /// Opens a stream, and hears how often to report.
+    /// Opens a stream, and learns how often to report.
     ///
-    /// Errors: no governor there, or it wants no reports.
+    /// # Errors
+    /// The governor can't be reached, or wants no reports.
     pub async fn open(uri: &str, who: &Who, keeper: &Rc<RefCell<Keeper>>) -> Result<Reports, Error> {
         let mut client = LoadReportingServiceClient::new(connect(uri).await?);
         let (requests, stream) = mpsc::channel(16);
@@ -330,7 +334,8 @@
 
     /// Waits until the next report is due.
     ///
-    /// Errors: the stream is over.
+    /// # Errors
+    /// The stream is over.
     pub async fn wait(&mut self) -> Result<(), Error> {
         tokio::select! {
             () = tokio::time::sleep(self.every) => Ok(()),
@@ -338,13 +343,13 @@
         }
     }
 
-    /// Where reports go, for those who send some later.
+    /// Where reports are sent, for senders that outlive this borrow.
     pub fn sender(&self) -> mpsc::Sender<LoadStatsRequest> {
         self.requests.clone()
     }
 }
 
-/// A report as the specification spells it. `metrics`: the names of the load metrics, in order.
+/// A report as an LRS request. `metrics`: the names of the load metrics, in order.
 pub fn request(groups: &[String], interval: Duration, stats: &Stats, metrics: &[&str]) -> LoadStatsRequest {
     let metric = |name: &str, count: u64, total: f64| EndpointLoadMetricStats {
         metric_name: name.into(),
--- a/crates/client/src/keeper.rs
+++ b/crates/client/src/keeper.rs
@@ -1,4 +1,5 @@
-//! A proxy's state: its tables as last told, or its standing one; what it met; whom it keeps away from.
+//! A proxy's table cache: the tables that its governor published last, or its default table; statistics for the next
+//! report; and the addresses that it ejected.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,39 +11,55 @@
     self, Delta, Digest, MILLION, Mismatch, PublishedState, PublishedTable,
 };
 
-/// Names are forgotten all at once beyond so many, and learnt anew from the next table.
-const MOST_NAMES: usize = 100_000;
+/// Limit of the remembered replicas; beyond it they are forgotten, and learnt again from the next tables.
+const MAX_NAMES: usize = 100_000;
 
-/// A line of the standing table.
+/// An entry of the default table.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Standing {
+    /// The replica's name.
     pub replica: String,
+    /// Its address.
     pub address: Arc<str>,
+    /// Its weight, relative to the other entries.
     pub weight: f64,
 }
 
-/// What the proxy met at one address since the last report.
+/// Statistics of the attempts at one address since the last report.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Met {
+    /// Attempts that were started.
     pub issued: u64,
+    /// Attempts that succeeded.
     pub delivered: u64,
+    /// Attempts that failed.
     pub dropped: u64,
+    /// Sum of the answer times of those that succeeded.
     pub answer: Duration,
-    /// Sum of the load metrics over the delivered tries that told them.
+    /// Sum of the load metrics over the successful attempts that reported them.
     pub load: Vec<f64>,
 }
 
-/// What a report says.
+/// Statistics for one report.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Stats {
+    /// By group index and address.
     pub met: BTreeMap<(usize, Arc<str>), Met>,
-    /// By group: flows blocked before any try.
+    /// By group: requests that were rejected before any attempt.
     pub blocked: Vec<u64>,
 }
 
+/// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Outcome<'a> {
-    Delivered { took: Duration, load: &'a [f64] },
+    /// It succeeded.
+    Delivered {
+        /// How long it took.
+        took: Duration,
+        /// The load metrics that the replica reported, in the order of their names.
+        load: &'a [f64],
+    },
+    /// It failed.
     Dropped,
 }
 
@@ -52,19 +69,20 @@
     level: f64,
 }
 
+/// The table cache of one proxy. No I/O, no clock.
 #[derive(Debug)]
 pub struct Keeper {
     groups: Vec<String>,
     standing: Vec<Standing>,
     told: Vec<Option<Lines>>,
     tries: Vec<RetryPolicy>,
-    /// Long-poll: what is held, to make deltas take effect on.
+    /// Long poll: the state that deltas apply to.
     whole: PublishedState,
     held: Option<(String, Digest)>,
-    /// Whose orders count, and the signed word of whose they are that are held.
+    /// Which governor is followed, and the ownership proof of the tables that are held.
     fence: FencingState,
     claim: Option<String>,
-    /// Addresses that tables have told, and the replicas there.
+    /// Replicas by the addresses that tables named.
     names: BTreeMap<Arc<str>, String>,
     avoid: Option<(u32, Duration)>,
     failing: BTreeMap<Arc<str>, u32>,
@@ -73,7 +91,7 @@
 }
 
 impl Keeper {
-    /// `avoid`: after so many tries in a row that were dropped at an address, keep away from it for so long.
+    /// `avoid`: after so many failures in a row an address is ejected for so long.
     pub fn new(groups: Vec<String>, standing: Vec<Standing>, avoid: Option<(u32, Duration)>) -> Self {
         let count = groups.len();
         Keeper {
@@ -93,24 +111,27 @@
         }
     }
 
+    /// The names of the groups, in order.
     pub fn groups(&self) -> &[String] {
         &self.groups
     }
 
+    /// The default table.
     pub fn standing(&self) -> &[Standing] {
         &self.standing
     }
 
-    // ---- whose orders count
+    // ---- ownership
 
-    /// From now on only this governor's orders count.
+    /// From now on only this governor's tables are accepted.
     pub fn follow(&mut self, governor: &str) {
         self.fence.follow(governor);
     }
 
-    /// An order comes in: from whom, of which life, up to which version, with the claim to keep.
+    /// Checks whether tables of a governor's epoch and version may be applied, and keeps their ownership proof.
     ///
-    /// Errors: why it is not to be heeded.
+    /// # Errors
+    /// They come from another governor, or are outdated.
     pub fn heed(
         &mut self,
         governor: &str,
@@ -123,52 +144,54 @@
         Ok(())
     }
 
-    /// To be shown to the governor that is joined next.
+    /// The ownership proof, for the governor that is joined next.
     pub fn claim(&self) -> Option<&str> {
         self.claim.as_deref()
     }
 
-    // ---- what the governor tells
+    // ---- tables
 
+    /// The index of a group; none for an unknown one.
     pub fn place(&self, group: &str) -> Option<usize> {
         self.groups.iter().position(|known| known == group)
     }
 
-    /// A group's table; none for a group that is not known here.
+    /// Sets a group's table and admission fraction. An unknown group is ignored.
     pub fn tell(&mut self, group: &str, lines: Vec<(Arc<str>, f64)>, level: f64) {
         if let Some(place) = self.place(group) {
             self.told[place] = Some(Lines { lines, level });
         }
     }
 
-    /// A group's table is no more: the standing one holds again.
+    /// Removes a group's table: the default table is used again.
     pub fn untell(&mut self, group: &str) {
         if let Some(place) = self.place(group) {
             self.told[place] = None;
         }
     }
 
+    /// Sets the retry policy of a group.
     pub fn tell_tries(&mut self, group: &str, tries: RetryPolicy) {
         if let Some(place) = self.place(group) {
             self.tries[place] = tries;
         }
     }
 
-    /// Version and digest that a long-poll question names.
+    /// The version and the digest of the state that is held, for the next long poll.
     pub fn held(&self) -> Option<&(String, Digest)> {
         self.held.as_ref()
     }
 
-    /// Whether it holds anything but its standing table: also where a delta did not come out and the next
-    /// question asks for the whole.
+    /// Whether it holds anything but its default table: also where a delta did not apply and the next poll requests a
+    /// snapshot.
     pub fn has_orders(&self) -> bool {
         self.told.iter().any(Option::is_some)
     }
 
-    /// A whole state, checked already.
+    /// Sets a snapshot, which was validated already.
     pub fn tell_whole(&mut self, version: String, whole: PublishedState) {
         self.held = Some((version, whole.digest()));
-        if self.names.len() > MOST_NAMES {
+        if self.names.len() > MAX_NAMES {
             self.names.clear();
         }
         for (id, line) in whole.classes.iter().flatten().flat_map(|said| &said.entries) {
@@ -191,9 +214,10 @@
         self.whole = whole;
     }
 
-    /// A delta; it takes effect only if it starts from what is held and comes out as it says.
+    /// Applies a delta, if it starts from the state that is held and results in the one that it names.
     ///
-    /// Errors: as [`Mismatch`]; what is held still counts, but the next question asks for the whole.
+    /// # Errors
+    /// It does not; the tables stay, and the next poll requests a snapshot.
     pub fn tell_delta(&mut self, version: String, delta: &Delta) -> Result<(), Mismatch> {
         let held = self.held.as_ref().map_or([0; 32], |(_, digest)| *digest);
         match table_versions::apply(&self.whole, held, delta) {
@@ -208,23 +232,24 @@
         }
     }
 
-    /// All that was told, for those who watch.
+    /// All tables that were received, for observers.
     pub fn ordered(&self) -> crate::Ordered {
         let told = self.groups.iter().zip(&self.told);
         let told = told.filter_map(|(group, told)| Some((group, told.as_ref()?)));
         told.map(|(group, told)| (group.clone(), (told.lines.clone(), told.level))).collect()
     }
 
-    /// The replica at an address. Names are remembered for as long as their tries may be reported.
+    /// The replica at an address. Replicas are remembered for as long as their attempts may be reported.
     pub fn replica_at(&self, at: &str) -> Option<String> {
         let standing = self.standing.iter().find(|line| &*line.address == at);
         standing.map(|line| line.replica.clone()).or_else(|| self.names.get(at).cloned())
     }
 
-    // ---- flows
+    // ---- requests
 
-    /// Where a flow of a group goes, by two numbers of chance from 0 up to 1, and other than `but`. None: it
-    /// is blocked, by its level or as there is no line, and counted as such if this is its first try.
+    /// Picks the address for an attempt, by two random numbers from 0 up to 1. `but`: the address of the attempt before,
+    /// which is excluded. None: the request is rejected, by the admission fraction or for want of an entry; it is counted
+    /// if this is its first attempt.
     pub fn pick(
         &mut self,
         now: Duration,
@@ -241,7 +266,7 @@
         let picked = (but.is_some() || chance.0 < level).then(|| {
             let elsewhere = lines.iter().filter(|(at, _)| Some(*at) != but);
             let near: Vec<_> = elsewhere.clone().filter(|(at, _)| !self.avoided.contains_key(*at)).collect();
-            // Where all are avoided, one that fails is better than none.
+            // Where all are ejected, one that fails is better than none.
             let open: Vec<_> = if near.is_empty() { elsewhere.collect() } else { near };
             let mut left = chance.1 * open.iter().map(|(_, weight)| weight).sum::<f64>();
             let passed = |(_, weight): &&&(&Arc<str>, f64)| {
@@ -257,23 +282,24 @@
         picked
     }
 
+    /// The retry policy of a group.
     pub fn tries(&self, group: usize) -> RetryPolicy {
         self.tries.get(group).copied().unwrap_or_default()
     }
 
-    /// A flow was blocked before any try, by somebody else than [`Keeper::pick`].
+    /// Counts a request that was rejected before any attempt by other than [`Keeper::pick`].
     pub fn blocked(&mut self, group: usize) {
         if let Some(blocked) = self.stats.blocked.get_mut(group) {
             *blocked += 1;
         }
     }
 
-    /// A try goes out.
+    /// An attempt starts.
     pub fn began(&mut self, group: usize, at: &Arc<str>) {
         self.stats.met.entry((group, at.clone())).or_default().issued += 1;
     }
 
-    /// A try is over.
+    /// An attempt ended.
     pub fn ended(&mut self, now: Duration, group: usize, at: &Arc<str>, outcome: Outcome) {
         let met = self.stats.met.entry((group, at.clone())).or_default();
         match outcome {
@@ -297,7 +323,7 @@
         }
     }
 
-    /// What was met since the last time.
+    /// Takes the statistics since the last time.
     pub fn take_stats(&mut self) -> Stats {
         let blocked = vec![0; self.groups.len()];
         std::mem::replace(&mut self.stats, Stats { met: BTreeMap::new(), blocked })
@@ -305,65 +331,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn keeper() -> Keeper {
-        let line =
-            |name: &str| Standing { replica: name.into(), address: format!("{name}:1").into(), weight: 1.0 };
-        let avoid = Some((2, Duration::from_secs(3)));
-        Keeper::new(vec!["match".into()], vec![line("a"), line("b")], avoid)
-    }
-
-    fn at(keeper: &mut Keeper, now: u64, chance: f64) -> Option<String> {
-        keeper.pick(Duration::from_secs(now), 0, (0.5, chance), None).map(|at| at.to_string())
-    }
-
-    #[test]
-    fn the_standing_table_holds_until_told_otherwise_and_levels_block() {
-        let mut keeper = keeper();
-        assert_eq!(
-            (at(&mut keeper, 0, 0.1), at(&mut keeper, 0, 0.9)),
-            (Some("a:1".into()), Some("b:1".into()))
-        );
-        keeper.tell("match", vec![("c:1".into(), 5.0)], 1.0);
-        assert_eq!(at(&mut keeper, 0, 0.1), Some("c:1".into()));
-        keeper.tell("match", vec![("c:1".into(), 5.0)], 0.4);
-        assert_eq!(at(&mut keeper, 0, 0.1), None);
-        assert_eq!(keeper.take_stats().blocked, [1]);
-        keeper.untell("match");
-        assert_eq!(at(&mut keeper, 0, 0.1), Some("a:1".into()));
-    }
-
-    #[test]
-    fn an_address_that_drops_tries_in_a_row_is_kept_away_from_for_a_while() {
-        let mut keeper = keeper();
-        let a: Arc<str> = "a:1".into();
-        keeper.ended(Duration::ZERO, 0, &a, Outcome::Dropped);
-        assert_eq!(at(&mut keeper, 0, 0.1), Some("a:1".into()));
-        keeper.ended(Duration::ZERO, 0, &a, Outcome::Dropped);
-        assert_eq!(at(&mut keeper, 2, 0.1), Some("b:1".into()));
-        assert_eq!(at(&mut keeper, 3, 0.1), Some("a:1".into()));
-        let other = keeper.pick(Duration::from_secs(4), 0, (0.5, 0.1), Some(&a));
-        assert_eq!(other.as_deref(), Some("b:1"));
-    }
-
-    #[test]
-    fn a_delta_that_does_not_come_out_leaves_what_is_held_and_asks_for_the_whole() {
-        let mut keeper = keeper();
-        let line = table_versions::PublishedEntry { address: "c:1".into(), zone: 0, weight: 7 };
-        let said = PublishedTable {
-            entries: [("c".into(), line)].into(),
-            admission_millionths: MILLION,
-            retry_policy: RetryPolicy::IfNotExecuted,
-        };
-        let whole = PublishedState { classes: vec![Some(said)] };
-        keeper.tell_whole("e.1".into(), whole.clone());
-        let delta =
-            table_versions::delta(&whole, whole.digest(), &PublishedState { classes: vec![None] }, [9; 32]);
-        assert_eq!(keeper.tell_delta("e.2".into(), &delta), Err(Mismatch::Digest));
-        assert!(keeper.held().is_none() && keeper.has_orders());
-        assert_eq!(at(&mut keeper, 0, 0.5), Some("c:1".into()));
-        assert_eq!(keeper.tries(0), RetryPolicy::IfNotExecuted);
-    }
-}
+mod tests;
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,8 +1,8 @@
-//! For proxies in Rust: follow a governor by either front, keep the table over broken streams, pick by
-//! weight, heed levels and further tries, report.
+//! For proxies in Rust: follow a governor by gRPC or long poll, cache its tables while streams break, pick replicas by
+//! weight, enforce admission fractions and retry policies, and report load.
 //!
-//! [`keeper::Keeper`] is the proxy's state, without I/O; [`grpc`] and [`poll`] keep it up to date and report
-//! for it. All of it lives on one thread (a tokio `LocalSet`), so nothing is locked.
+//! [`keeper::Keeper`] is the table cache, without I/O; [`grpc`] and [`poll`] keep it up to date and report for it. All of
+//! it lives on one thread (a tokio `LocalSet`), so nothing is locked.
 //!
 //! ```
 //! use std::time::Duration;
@@ -17,6 +17,7 @@
 //! let outcome = Outcome::Delivered { took: Duration::from_millis(20), load: &[] };
 //! keeper.ended(Duration::from_millis(20), 0, &address, outcome);
 //! ```
+#![warn(missing_docs)]
 
 pub mod grpc;
 pub mod keeper;
@@ -28,29 +29,30 @@
 /// Who a proxy is.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Who {
-    /// Its name; no other proxy's.
+    /// Its name; no other proxy has it.
     pub name: String,
+    /// Its zone.
     pub zone: String,
-    /// Flows a second that it ordinarily receives.
+    /// Requests per second that it ordinarily receives.
     pub usual: f64,
 }
 
-/// Open lines (address and weight) and level of each group that an order speaks of.
+/// By group: the routable entries (address and weight) and the admission fraction that a response sets.
 pub type Ordered = BTreeMap<String, (Vec<(Arc<str>, f64)>, f64)>;
 
-/// What happens on the way, for those who want to see it.
+/// Observes streams and responses.
 pub trait Watch {
     /// A first message went out on a new stream, or a session was opened.
     fn joined(&self) {}
     /// The stream or session is over.
     fn broken(&self) {}
-    /// Something came from the governor: its mark, how many lines, and what it says.
+    /// A response came: its nonce or version, the number of its entries, and its tables.
     fn ordered(&self, _mark: &str, _lines: usize, _tables: &Ordered) {}
-    /// The proxy took it, or would not.
+    /// The response was accepted, or rejected.
     fn answered(&self, _mark: &str, _taken: bool) {}
 }
 
-/// Sees nothing.
+/// Observes nothing.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Unwatched;
 
@@ -59,14 +61,16 @@
 /// A governor, by its name among those that share the fleet (empty where it is alone), and its ports.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Governor {
+    /// Its name.
     pub name: String,
-    /// `http://host:port`, each.
+    /// `http://host:port` for gRPC.
     pub grpc: String,
+    /// `http://host:port` for long polls.
     pub poll: String,
 }
 
-/// Whether a governor at a gRPC port wants proxies, by the public health protocol, within a second. One that
-/// answers but does not speak that protocol does.
+/// Whether a governor at a gRPC port serves proxies, by the public health protocol, within a second. One that answers
+/// but does not implement that protocol does.
 pub async fn answers(uri: &str) -> bool {
     let ask = async {
         let channel = grpc::connect(uri).await.ok()?;
@@ -79,19 +83,25 @@
     tokio::time::timeout(std::time::Duration::from_secs(1), ask).await.ok().flatten().unwrap_or(false)
 }
 
+/// Why a governor can't be followed, or no longer.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
+    /// Its tables belong to another governor, or are outdated.
     #[error("an order is not heeded: {0}")]
     Fenced(#[from] wrenthread_core::fencing::FencingError),
+    /// It can't be reached: its address, and the cause.
     #[error("the governor at {0}: {1}")]
     Reach(String, String),
+    /// It rejected the proxy, for this reason.
     #[error("the governor turned the proxy away: {0}")]
     Refused(String),
-    /// By name, one that the proxy's list should have; none: whoever is next in its own order.
+    /// It redirects the proxy to a governor of this name; none: to the next in the proxy's own ranking.
     #[error("the governor sends the proxy on to {}", .0.as_deref().unwrap_or("whoever is next"))]
     Moved(Option<String>),
+    /// A response does not decode.
     #[error("what came can't be understood: {0}")]
     Unclear(String),
+    /// The stream ended.
     #[error("the stream ended")]
     Ended,
 }
--- a/crates/client/src/poll.rs
+++ b/crates/client/src/poll.rs
@@ -1,4 +1,4 @@
-//! Following a governor by long-poll HTTP, and reporting there.
+//! Following a governor by long polls over HTTP, and reporting to it.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,11 +14,13 @@
 use crate::keeper::{Keeper, Stats};
 use crate::{Error, Ordered, Watch, Who};
 
-/// How long a question may wait, and how much longer its answer may take.
-///
-/// Plain HTTP has no word of life besides its answers: a governor that stands still is found after both.
-const WAIT: Duration = Duration::from_secs(4);
-const MARGIN: Duration = Duration::from_secs(2);
+/// How long the governor may keep a poll waiting. Plain HTTP has no sign of life besides its answers: a governor that
+/// stands still is found after this and [`ANSWER_TIMEOUT`].
+const POLL_WAIT: Duration = Duration::from_secs(4);
+/// How long an answer may take, beside the time that a poll waits.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a connection may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A session with a governor.
 #[derive(Debug, Clone)]
@@ -26,6 +28,7 @@
     client: Client,
     base: String,
     session: u64,
+    /// What the governor stated when it was joined.
     pub terms: Terms,
 }
 
@@ -64,9 +67,10 @@
 impl Session {
     /// Joins at `http://host:port`.
     ///
-    /// Errors: no governor there, or it turns the proxy away, with its words.
+    /// # Errors
+    /// The governor can't be reached, or rejects the proxy.
     pub async fn join(at: &str, who: &Who, keeper: &Rc<RefCell<Keeper>>) -> Result<Session, Error> {
-        let client = Client::builder().connect_timeout(Duration::from_secs(1)).build();
+        let client = Client::builder().connect_timeout(CONNECT_TIMEOUT).build();
         let client = client.map_err(reach(at))?;
         let base = format!("{at}/v1/proxies/{}", who.name);
         let asked = {
@@ -83,21 +87,22 @@
                 claim: keeper.claim().map(str::to_string),
             }
         };
-        let request = written(client.post(&base).timeout(MARGIN), &asked)?;
+        let request = written(client.post(&base).timeout(ANSWER_TIMEOUT), &asked)?;
         let told: JoinTold = read(&answered(&base, request).await?.1)?;
         keeper.borrow_mut().follow(&told.terms.governor);
         Ok(Session { client, base, session: told.session, terms: told.terms })
     }
 
-    /// One question, and what it brings.
+    /// Polls once, and applies what comes.
     ///
-    /// Errors: the session is over, or what came is not to be understood; join again.
+    /// # Errors
+    /// The session is over, or the response does not decode; join again.
     pub async fn ask(&self, keeper: &Rc<RefCell<Keeper>>, watch: &impl Watch) -> Result<(), Error> {
-        let mut url = format!("{}/tables?session={}&wait={}", self.base, self.session, WAIT.as_secs());
+        let mut url = format!("{}/tables?session={}&wait={}", self.base, self.session, POLL_WAIT.as_secs());
         if let Some((version, digest)) = keeper.borrow().held() {
             url += &format!("&version={version}&digest={}", hex(digest));
         }
-        let request = self.client.get(url).timeout(WAIT + MARGIN);
+        let request = self.client.get(url).timeout(POLL_WAIT + ANSWER_TIMEOUT);
         let (status, body) = answered(&self.base, request).await?;
         if status == StatusCode::NOT_MODIFIED {
             return Ok(());
@@ -123,20 +128,22 @@
         Ok(())
     }
 
-    /// Reports; again under the same number if the answer got lost.
+    /// Sends a report; repeat it under the same number if the answer is lost. False if it was counted already.
     ///
-    /// Errors: as [`Session::ask`].
+    /// # Errors
+    /// As [`Session::ask`].
     pub async fn report(&self, number: u64, report: &ReportAsked) -> Result<bool, Error> {
         let url = format!("{}/reports/{number}?session={}", self.base, self.session);
-        let request = written(self.client.post(url).timeout(MARGIN), report)?;
+        let request = written(self.client.post(url).timeout(ANSWER_TIMEOUT), report)?;
         let told: ReportTold = read(&answered(&self.base, request).await?.1)?;
         Ok(told.counted)
     }
 }
 
-/// Follows one session until it ends. What is held stays as it is then.
+/// Follows one session until it ends. The tables stay as they are then.
 ///
-/// Errors: why it ended.
+/// # Errors
+/// Why it ended.
 pub async fn follow(
     session: &Session,
     keeper: &Rc<RefCell<Keeper>>,
@@ -147,8 +154,8 @@
     }
 }
 
-/// A report as this front spells it. Replicas are named by those that the tables told; an address that is in
-/// no table any more is left out.
+/// A report as a long-poll message. Replicas are named as the tables named them; an address that is forgotten is left
+/// out.
 pub fn report(keeper: &Keeper, interval: Duration, stats: &Stats) -> ReportAsked {
     let groups = keeper.groups();
     let met = stats.met.iter().filter_map(|((group, at), met)| {
