--- /dev/null
+++ b/crates/xds/src/decode/tests.rs
@@ -0,0 +1,112 @@
+use super::*;
+use crate::encode;
+use crate::pb::envoy::config::core::v3::Locality;
+use crate::pb::envoy::config::endpoint::v3::{
+    EndpointLoadMetricStats, UpstreamEndpointStats, UpstreamLocalityStats,
+};
+
+fn wire() -> Wire {
+    Wire {
+        epoch: 1,
+        governor: String::new(),
+        key: None,
+        zones: vec!["north".into(), "south".into()],
+        groups: vec![crate::WireGroup {
+            name: "match".into(),
+            route: crate::Route::Prefix("/".into()),
+            expiry: Duration::from_secs(1),
+        }],
+        report_every: Duration::from_secs(1),
+        load_metrics: vec!["queue".into()],
+        answer_metric: "answer_ms".into(),
+    }
+}
+
+fn node(id: &str, zone: &str, metadata: Option<Value>) -> Node {
+    let fields = metadata.map(|said| (METADATA.to_string(), said)).into_iter().collect();
+    Node {
+        id: id.into(),
+        locality: Some(Locality { zone: zone.into(), ..Locality::default() }),
+        metadata: Some(Struct { fields }),
+        ..Node::default()
+    }
+}
+
+fn structure(fields: Vec<(&str, value::Kind)>) -> Value {
+    let fields =
+        fields.into_iter().map(|(name, kind)| (name.to_string(), Value { kind: Some(kind) })).collect();
+    Value { kind: Some(value::Kind::StructValue(Struct { fields })) }
+}
+
+#[test]
+fn a_node_says_its_zone_its_flows_and_its_standing_table() {
+    let line = structure(vec![
+        ("replica", value::Kind::StringValue("r1".into())),
+        ("weight", value::Kind::NumberValue(2.0)),
+    ]);
+    let list = crate::pb::google::protobuf::ListValue { values: vec![line] };
+    let said =
+        structure(vec![("usual", value::Kind::NumberValue(6.5)), ("standing", value::Kind::ListValue(list))]);
+    let join = super::join(&wire(), Some(&node("p", "south", Some(said))), 1.0, false).unwrap();
+    assert_eq!((join.zone, join.requests_per_second, join.default_table), (1, 6.5, vec![("r1".into(), 2.0)]));
+}
+
+#[test]
+fn nodes_that_can_not_be_placed_are_told_why() {
+    let why = |node: &Node| super::join(&wire(), Some(node), 1.0, false).unwrap_err().to_string();
+    assert!(why(&node("p", "west", None)).contains("`north`, `south`"));
+    assert!(why(&node("", "north", None)).contains("every proxy needs one"));
+    let said = structure(vec![("usual", value::Kind::NumberValue(f64::NAN))]);
+    assert!(why(&node("p", "north", Some(said))).contains("wrenthread.usual"));
+    let said = structure(vec![("standing", value::Kind::BoolValue(true))]);
+    assert!(why(&node("p", "north", Some(said))).contains("is not a list"));
+    assert!(matches!(super::join(&wire(), None, 1.0, false), Err(Unclear::NoNode)));
+}
+
+#[test]
+fn load_statistics_become_reports_by_interval() {
+    let endpoint = |port: u32| UpstreamEndpointStats {
+        address: Some(encode::address(&format!("10.0.0.1:{port}"))),
+        total_successful_requests: 8,
+        total_error_requests: 2,
+        total_issued_requests: 11,
+        load_metric_stats: vec![
+            EndpointLoadMetricStats {
+                metric_name: "answer_ms".into(),
+                num_requests_finished_with_metric: 8,
+                total_metric_value: 160.0,
+            },
+            EndpointLoadMetricStats {
+                metric_name: "queue".into(),
+                num_requests_finished_with_metric: 8,
+                total_metric_value: 16.0,
+            },
+        ],
+        ..UpstreamEndpointStats::default()
+    };
+    let stats = |name: &str| ClusterStats {
+        cluster_name: name.into(),
+        total_dropped_requests: 3,
+        load_report_interval: Some(crate::pb::google::protobuf::Duration { seconds: 1, nanos: 5 }),
+        upstream_locality_stats: vec![UpstreamLocalityStats {
+            upstream_endpoint_stats: vec![endpoint(1), endpoint(2)],
+            ..UpstreamLocalityStats::default()
+        }],
+        ..ClusterStats::default()
+    };
+    let at = |address: &str| (address == "10.0.0.1:1").then(|| "r1".into());
+    let (reports, unknown) = super::reports(&wire(), &[stats("match"), stats("other")], at);
+    assert_eq!((reports.len(), unknown), (1, 2));
+    assert_eq!(reports[0].interval, Duration::new(1, 5));
+    assert_eq!(reports[0].rejected, [(0, 3)]);
+    let met = &reports[0].observations[0];
+    assert_eq!((met.succeeded, met.failed, met.issued, met.load.as_slice()), (8, 2, 11, [2.0].as_slice()));
+    assert_eq!(met.answers, (Duration::from_millis(160), 8));
+}
+
+#[test]
+fn addresses_go_there_and_back() {
+    for at in ["10.0.0.1:80", "[::1]:8080", "worker.local:1"] {
+        assert_eq!(host_port(Some(&encode::address(at))).as_deref(), Some(at));
+    }
+}
