--- a/crates/core/src/backup_replicas.rs
+++ b/crates/core/src/backup_replicas.rs
@@ -48,7 +48,7 @@
         Some(self.active_entries(now, self.last.clone()))
     }
 
-    /// When [`BackupReplicas::due`] is next to be called.
+    /// When [`BackupReplicas::release_due`] is next to be called.
     pub fn next_deadline(&self) -> Option<Duration> {
         self.primary_ready_since
             .filter(|_| self.active && !self.last.is_empty())
--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -101,7 +101,7 @@
         }
     }
 
-    /// When [`Roster::due`] is next to be called.
+    /// When [`Roster::believe_empty`] is next to be called.
     pub fn next_deadline(&self) -> Option<Duration> {
         let held = self.known.values().any(|one| one.phase != Phase::Gone);
         self.empty_since.filter(|_| held).map(|since| since + self.empty_roster_timeout)
