--- /dev/null
+++ b/crates/nginx-importer/src/access_log/tests.rs
@@ -0,0 +1,59 @@
+//! Tests of `access_log`.
+
+use super::*;
+use proptest::prelude::*;
+
+#[test]
+fn flows_are_read_try_by_try() {
+    let read = |line: &str| flow(line).unwrap().unwrap();
+    let one = |address: &str, ms: Option<u64>| Try {
+        address: address.into(),
+        answered: ms.map(Duration::from_millis),
+    };
+    assert_eq!(read("entry|10.0.0.1:80|200|0.020").tries, [one("10.0.0.1:80", Some(20))]);
+    let again = read("entry|10.0.0.1:80, [fd00::1]:80|502, 200|0.001, 0.030");
+    assert_eq!(again.tries, [one("10.0.0.1:80", None), one("[fd00::1]:80", Some(30))]);
+    let inner = read("entry|10.0.0.1:80 : 10.0.0.2:80|404 : 200|0.001 : 0.002");
+    assert_eq!(inner.tries, [one("10.0.0.1:80", Some(1)), one("10.0.0.2:80", Some(2))]);
+    assert_eq!(read("entry|10.0.0.1:80|-|-").tries, [one("10.0.0.1:80", None)], "the client gave up");
+    assert_eq!((read("entry|-|-|-").tries, read("entry|wrenthread_entry|502|0.000").tries), (vec![], vec![]));
+    assert_eq!((flow("-|-|-|-"), flow("|10.0.0.1:80|200|0.1")), (Ok(None), Ok(None)));
+    assert_eq!(flow("entry|10.0.0.1:80|200"), Err(Odd::Fields));
+    assert_eq!(flow("entry|10.0.0.1:80|200, 200|0.1"), Err(Odd::Tries));
+    assert_eq!(flow("entry|10.0.0.1:80|ok|0.1"), Err(Odd::Number));
+    assert_eq!(flow("entry|10.0.0.1:80|200|-5"), Err(Odd::Number));
+}
+
+#[test]
+fn lines_are_whole_over_looks_rotations_and_cuts() {
+    let mut lines = Lines::from_the_midst();
+    assert_eq!(lines.more(b"cut\nwhole\nbegi"), ["whole"]);
+    assert_eq!(lines.more(b"nning\r\n"), ["beginning"]);
+    lines.more(b"lost");
+    lines.rotated();
+    assert_eq!(lines.more(b"new\n"), ["new"]);
+    let long = vec![b'x'; LONGEST + 1];
+    assert!(lines.more(&long).is_empty() && lines.more(&long).is_empty());
+    assert_eq!((lines.more(b"x\nnext\n"), lines.take_long(), lines.take_long()), (vec!["next".into()], 1, 0));
+}
+
+proptest! {
+    #[test]
+    fn lines_do_not_depend_on_how_they_are_looked_at(
+        text in "([a-z|]{0,9}\n){0,9}", cuts in prop::collection::vec(1usize..7, 0..40),
+    ) {
+        let (mut lines, mut rest, mut all) = (Lines::default(), text.as_bytes(), Vec::new());
+        for cut in cuts {
+            let (now, later) = rest.split_at(cut.min(rest.len()));
+            all.extend(lines.more(now));
+            rest = later;
+        }
+        all.extend(lines.more(rest));
+        prop_assert_eq!(all, text.lines().map(str::to_string).collect::<Vec<_>>());
+    }
+
+    #[test]
+    fn no_line_makes_it_panic(line in ".{0,80}") {
+        let _ = flow(&line);
+    }
+}
