--- a/crates/client/examples/follow.rs
+++ b/crates/client/examples/follow.rs
@@ -5,14 +5,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use wrenthread_client::keeper::Keeper;
 use wrenthread_client::poll::{Session, follow};
-use wrenthread_client::{Ordered, Watch, Who};
+use wrenthread_client::table_cache::TableCache;
+use wrenthread_client::{Observer, ProxyIdentity, UpdatedTables};
 
 struct Printed;
 
-impl Watch for Printed {
-    fn ordered(&self, mark: &str, lines: usize, tables: &Ordered) {
+impl Observer for Printed {
+    fn update_received(&self, mark: &str, lines: usize, tables: &UpdatedTables) {
         println!("version {mark}, {lines} lines");
         for (group, (lines, level)) in tables {
             println!("  {group}: level {level}, {lines:?}");
@@ -27,13 +27,13 @@
         eprintln!("follow http://HOST:PORT NAME ZONE GROUP ...");
         std::process::exit(2);
     };
-    let keeper = Rc::new(RefCell::new(Keeper::new(arguments.collect(), vec![], None)));
-    let who = Who { name, zone, usual: 1.0 };
+    let cache = Rc::new(RefCell::new(TableCache::new(arguments.collect(), vec![], None)));
+    let who = ProxyIdentity { name, zone, requests_per_second: 1.0 };
     // The table is kept over broken sessions: only the session is joined anew.
     loop {
-        match Session::join(&at, &who, &keeper).await {
+        match Session::join(&at, &who, &cache).await {
             Ok(session) => {
-                if let Err(error) = follow(&session, &keeper, &Printed).await {
+                if let Err(error) = follow(&session, &cache, &Printed).await {
                     eprintln!("{error}");
                 }
             }
--- a/crates/client/examples/follow_grpc.rs
+++ b/crates/client/examples/follow_grpc.rs
@@ -7,13 +7,13 @@
 
 use tokio::task::LocalSet;
 use wrenthread_client::grpc::{self, Reports, Versions};
-use wrenthread_client::keeper::Keeper;
-use wrenthread_client::{Error, Governor, Ordered, Watch, Who};
+use wrenthread_client::table_cache::TableCache;
+use wrenthread_client::{Error, Governor, Observer, ProxyIdentity, UpdatedTables};
 
 struct Printed;
 
-impl Watch for Printed {
-    fn ordered(&self, mark: &str, lines: usize, tables: &Ordered) {
+impl Observer for Printed {
+    fn update_received(&self, mark: &str, lines: usize, tables: &UpdatedTables) {
         println!("{mark}: {lines} lines");
         for (group, (lines, level)) in tables {
             println!("  {group}: level {level}, {lines:?}");
@@ -21,13 +21,13 @@
     }
 }
 
-async fn report(uri: &str, who: &Who, keeper: &Rc<RefCell<Keeper>>) -> Result<(), Error> {
-    let mut reports = Reports::open(uri, who, keeper).await?;
+async fn report(uri: &str, who: &ProxyIdentity, cache: &Rc<RefCell<TableCache>>) -> Result<(), Error> {
+    let mut reports = Reports::open(uri, who, cache).await?;
     let mut last = Instant::now();
     loop {
         reports.wait().await?;
-        let stats = keeper.borrow_mut().take_stats();
-        let groups = keeper.borrow().groups().to_vec();
+        let stats = cache.borrow_mut().take_counters();
+        let groups = cache.borrow().classes().to_vec();
         let request = grpc::request(&groups, last.elapsed(), &stats, &["waiting"]);
         last = Instant::now();
         reports.sender().send(request).await.map_err(|_| Error::Ended)?;
@@ -41,14 +41,14 @@
         eprintln!("follow_grpc http://HOST:PORT NAME ZONE GROUP ...");
         std::process::exit(2);
     };
-    let keeper = Rc::new(RefCell::new(Keeper::new(arguments.collect(), vec![], None)));
-    let who = Who { name, zone, usual: 1.0 };
+    let cache = Rc::new(RefCell::new(TableCache::new(arguments.collect(), vec![], None)));
+    let who = ProxyIdentity { name, zone, requests_per_second: 1.0 };
     let versions = Rc::new(RefCell::new(Versions::default()));
     let governor = Governor { grpc: uri.clone(), ..Governor::default() };
     let following = async {
         loop {
             // The table, and the marks of what is held, outlive the stream.
-            if let Err(error) = grpc::follow(&governor, &who, true, &keeper, &versions, &Printed).await {
+            if let Err(error) = grpc::follow(&governor, &who, true, &cache, &versions, &Printed).await {
                 eprintln!("{error}");
             }
             tokio::time::sleep(Duration::from_secs(1)).await;
@@ -56,7 +56,7 @@
     };
     let reporting = async {
         loop {
-            if let Err(error) = report(&uri, &who, &keeper).await {
+            if let Err(error) = report(&uri, &who, &cache).await {
                 eprintln!("reports: {error}");
             }
             tokio::time::sleep(Duration::from_secs(1)).await;
--- a/crates/client/src/grpc.rs
+++ b/crates/client/src/grpc.rs
@@ -32,8 +32,8 @@
 use wrenthread_xds::pb::google::rpc::Status;
 use wrenthread_xds::said_by;
 
-use crate::keeper::{Keeper, Stats};
-use crate::{Error, Governor, Ordered, Watch, Who};
+use crate::table_cache::{ReportCounters, TableCache};
+use crate::{Error, Governor, Observer, ProxyIdentity, UpdatedTables};
 
 /// The versions that a proxy holds, by type and resource name; with an empty name, of a whole type. They outlive streams.
 #[derive(Debug, Clone, Default)]
@@ -73,19 +73,19 @@
     endpoint.keep_alive_while_idle(true).connect().await.map_err(reach)
 }
 
-fn node(who: &Who, keeper: &Keeper) -> Node {
+fn node(who: &ProxyIdentity, cache: &TableCache) -> Node {
     let text = |text: &str| Value { kind: Some(value::Kind::StringValue(text.into())) };
     let number = |number: f64| Value { kind: Some(value::Kind::NumberValue(number)) };
     let structure = |fields: Vec<(&str, Value)>| {
         let fields = fields.into_iter().map(|(name, value)| (name.to_string(), value)).collect();
         Value { kind: Some(value::Kind::StructValue(Struct { fields })) }
     };
-    let lines = keeper.standing().iter();
+    let lines = cache.default_table().iter();
     let lines =
         lines.map(|line| structure(vec![("replica", text(&line.replica)), ("weight", number(line.weight))]));
     let standing = Value { kind: Some(value::Kind::ListValue(ListValue { values: lines.collect() })) };
-    let mut said = vec![("usual", number(who.usual)), ("standing", standing)];
-    said.extend(keeper.claim().map(|claim| ("claim", text(claim))));
+    let mut said = vec![("usual", number(who.requests_per_second)), ("standing", standing)];
+    said.extend(cache.ownership_proof().map(|claim| ("claim", text(claim))));
     let said = structure(said);
     Node {
         id: who.name.clone(),
@@ -96,15 +96,15 @@
 }
 
 /// Endpoints first: their request says that the proxy holds tables of a governor.
-fn subscriptions(keeper: &Keeper) -> [(Kind, Vec<String>); 3] {
+fn subscriptions(cache: &TableCache) -> [(Kind, Vec<String>); 3] {
     let routes = vec![encode::ROUTES.to_string()];
-    [(Kind::Endpoints, keeper.groups().to_vec()), (Kind::Clusters, vec![]), (Kind::Routes, routes)]
+    [(Kind::Endpoints, cache.classes().to_vec()), (Kind::Clusters, vec![]), (Kind::Routes, routes)]
 }
 
 /// Checks whether a response may be applied, if its governor is one of several: by its name, epoch and version.
 fn heed(
     governor: &Governor,
-    keeper: &Rc<RefCell<Keeper>>,
+    cache: &Rc<RefCell<TableCache>>,
     control: Option<&ControlPlane>,
     version: &str,
 ) -> Result<(), Error> {
@@ -116,7 +116,7 @@
     let (Some((name, epoch, claim)), Some(version)) = (said_by(said), version) else {
         return Err(unclear("an order that does not say whose it is"));
     };
-    Ok(keeper.borrow_mut().heed(name, epoch, version, claim)?)
+    Ok(cache.borrow_mut().accept(name, epoch, version, claim)?)
 }
 
 /// Follows over one stream until it ends. The tables stay as they are then; call it again with the same `versions`.
@@ -125,30 +125,30 @@
 /// Why the stream ended.
 pub async fn follow(
     governor: &Governor,
-    who: &Who,
+    who: &ProxyIdentity,
     delta: bool,
-    keeper: &Rc<RefCell<Keeper>>,
+    cache: &Rc<RefCell<TableCache>>,
     versions: &Rc<RefCell<Versions>>,
-    watch: &impl Watch,
+    watch: &impl Observer,
 ) -> Result<(), Error> {
     let mut client = AggregatedDiscoveryServiceClient::new(connect(&governor.grpc).await?);
-    keeper.borrow_mut().follow(&governor.name);
+    cache.borrow_mut().follow_governor(&governor.name);
     match delta {
-        true => by_delta(&mut client, governor, who, keeper, versions, watch).await,
-        false => by_state(&mut client, governor, who, keeper, versions, watch).await,
+        true => by_delta(&mut client, governor, who, cache, versions, watch).await,
+        false => by_state(&mut client, governor, who, cache, versions, watch).await,
     }
 }
 
 async fn by_state(
     client: &mut AggregatedDiscoveryServiceClient<Channel>,
     governor: &Governor,
-    who: &Who,
-    keeper: &Rc<RefCell<Keeper>>,
+    who: &ProxyIdentity,
+    cache: &Rc<RefCell<TableCache>>,
     versions: &Rc<RefCell<Versions>>,
-    watch: &impl Watch,
+    watch: &impl Observer,
 ) -> Result<(), Error> {
     let (requests, stream) = mpsc::channel(16);
-    let kinds = subscriptions(&keeper.borrow());
+    let kinds = subscriptions(&cache.borrow());
     let names: BTreeMap<Kind, Vec<String>> = kinds.clone().into();
     let ask = |kind: Kind, nonce: &str, error: Option<String>, node: Option<Node>| DiscoveryRequest {
         version_info: versions.borrow().0.get(&(kind, String::new())).cloned().unwrap_or_default(),
@@ -160,18 +160,18 @@
         ..DiscoveryRequest::default()
     };
     for (place, (kind, _)) in kinds.into_iter().enumerate() {
-        let node = (place == 0).then(|| node(who, &keeper.borrow()));
+        let node = (place == 0).then(|| node(who, &cache.borrow()));
         requests.send(ask(kind, "", None, node)).await.map_err(unclear)?;
     }
-    watch.joined();
+    watch.connected();
     let responses = client.stream_aggregated_resources(ReceiverStream::new(stream));
     let mut responses = answered(&governor.grpc, responses).await?.into_inner();
     while let Some(response) = responses.next().await {
         let response = response.map_err(status(&governor.grpc))?;
-        heed(governor, keeper, response.control_plane.as_ref(), &response.version_info)?;
+        heed(governor, cache, response.control_plane.as_ref(), &response.version_info)?;
         let DiscoveryResponse { version_info, resources, type_url, nonce, .. } = response;
         let Some(kind) = Kind::of(&type_url) else { continue };
-        let error = match take(kind, &nonce, &resources, keeper, watch) {
+        let error = match take(kind, &nonce, &resources, cache, watch) {
             Ok(()) => {
                 versions.borrow_mut().0.insert((kind, String::new()), version_info);
                 None
@@ -180,7 +180,7 @@
         };
         let taken = error.is_none();
         requests.send(ask(kind, &nonce, error, None)).await.map_err(|_| Error::Ended)?;
-        watch.answered(&nonce, taken);
+        watch.update_answered(&nonce, taken);
     }
     Err(Error::Ended)
 }
@@ -188,14 +188,14 @@
 async fn by_delta(
     client: &mut AggregatedDiscoveryServiceClient<Channel>,
     governor: &Governor,
-    who: &Who,
-    keeper: &Rc<RefCell<Keeper>>,
+    who: &ProxyIdentity,
+    cache: &Rc<RefCell<TableCache>>,
     versions: &Rc<RefCell<Versions>>,
-    watch: &impl Watch,
+    watch: &impl Observer,
 ) -> Result<(), Error> {
     let (requests, stream) = mpsc::channel(16);
-    let mut first = Some(node(who, &keeper.borrow()));
-    let kinds = subscriptions(&keeper.borrow());
+    let mut first = Some(node(who, &cache.borrow()));
+    let kinds = subscriptions(&cache.borrow());
     for (kind, names) in kinds {
         let held = versions.borrow().0.clone();
         let held = held.into_iter().filter(|((of, name), _)| *of == kind && !name.is_empty());
@@ -208,23 +208,23 @@
         };
         requests.send(request).await.map_err(unclear)?;
     }
-    watch.joined();
+    watch.connected();
     let responses = client.delta_aggregated_resources(ReceiverStream::new(stream));
     let mut responses = answered(&governor.grpc, responses).await?.into_inner();
     while let Some(response) = responses.next().await {
         let response = response.map_err(status(&governor.grpc))?;
-        heed(governor, keeper, response.control_plane.as_ref(), &response.system_version_info)?;
+        heed(governor, cache, response.control_plane.as_ref(), &response.system_version_info)?;
         let DeltaDiscoveryResponse { resources, type_url, removed_resources, nonce, .. } = response;
         let Some(kind) = Kind::of(&type_url) else { continue };
         let whole: Vec<Any> = resources.iter().filter_map(|one| one.resource.clone()).collect();
-        let error = take(kind, &nonce, &whole, keeper, watch).err().map(|error| error.to_string());
+        let error = take(kind, &nonce, &whole, cache, watch).err().map(|error| error.to_string());
         let taken = error.is_none();
         if taken {
             let held = &mut versions.borrow_mut().0;
             held.extend(resources.into_iter().map(|one| ((kind, one.name), one.version)));
             for name in removed_resources {
                 if kind == Kind::Endpoints {
-                    keeper.borrow_mut().untell(&name);
+                    cache.borrow_mut().use_default_table(&name);
                 }
                 held.remove(&(kind, name));
             }
@@ -236,7 +236,7 @@
             ..DeltaDiscoveryRequest::default()
         };
         requests.send(answer).await.map_err(|_| Error::Ended)?;
-        watch.answered(&nonce, taken);
+        watch.update_answered(&nonce, taken);
     }
     Err(Error::Ended)
 }
@@ -246,10 +246,10 @@
     kind: Kind,
     nonce: &str,
     resources: &[Any],
-    keeper: &Rc<RefCell<Keeper>>,
-    watch: &impl Watch,
+    cache: &Rc<RefCell<TableCache>>,
+    watch: &impl Observer,
 ) -> Result<(), Error> {
-    let (mut tables, mut tries, mut lines) = (Ordered::new(), Vec::new(), 0);
+    let (mut tables, mut tries, mut lines) = (UpdatedTables::new(), Vec::new(), 0);
     let mut read = || {
         for resource in resources {
             match kind {
@@ -279,14 +279,14 @@
         Ok(())
     };
     let read: Result<(), Error> = read();
-    watch.ordered(nonce, lines, &tables);
+    watch.update_received(nonce, lines, &tables);
     read?;
-    let mut keeper = keeper.borrow_mut();
+    let mut cache = cache.borrow_mut();
     for (group, (lines, level)) in tables {
-        keeper.tell(&group, lines, level);
+        cache.set_table(&group, lines, level);
     }
     for (group, allowed) in tries {
-        keeper.tell_tries(&group, allowed);
+        cache.set_retry_policy(&group, allowed);
     }
     Ok(())
 }
@@ -319,10 +319,14 @@
     ///
     /// # Errors
     /// The governor can't be reached, or wants no reports.
-    pub async fn open(uri: &str, who: &Who, keeper: &Rc<RefCell<Keeper>>) -> Result<Reports, Error> {
+    pub async fn open(
+        uri: &str,
+        who: &ProxyIdentity,
+        cache: &Rc<RefCell<TableCache>>,
+    ) -> Result<Reports, Error> {
         let mut client = LoadReportingServiceClient::new(connect(uri).await?);
         let (requests, stream) = mpsc::channel(16);
-        let first = LoadStatsRequest { node: Some(node(who, &keeper.borrow())), cluster_stats: vec![] };
+        let first = LoadStatsRequest { node: Some(node(who, &cache.borrow())), cluster_stats: vec![] };
         requests.send(first).await.map_err(unclear)?;
         let answers = client.stream_load_stats(ReceiverStream::new(stream));
         let mut answers = answered(uri, answers).await?.into_inner();
@@ -350,24 +354,29 @@
 }
 
 /// A report as an LRS request. `metrics`: the names of the load metrics, in order.
-pub fn request(groups: &[String], interval: Duration, stats: &Stats, metrics: &[&str]) -> LoadStatsRequest {
+pub fn request(
+    groups: &[String],
+    interval: Duration,
+    stats: &ReportCounters,
+    metrics: &[&str],
+) -> LoadStatsRequest {
     let metric = |name: &str, count: u64, total: f64| EndpointLoadMetricStats {
         metric_name: name.into(),
         num_requests_finished_with_metric: count,
         total_metric_value: total,
     };
     let group = |(place, name): (usize, &String)| {
-        let here = stats.met.iter().filter(|((group, _), _)| *group == place);
+        let here = stats.replicas.iter().filter(|((group, _), _)| *group == place);
         let endpoints = here.map(|((_, at), met)| UpstreamEndpointStats {
             address: Some(encode::address(at)),
-            total_successful_requests: met.delivered,
-            total_error_requests: met.dropped,
-            total_issued_requests: met.issued,
+            total_successful_requests: met.succeeded,
+            total_error_requests: met.failed,
+            total_issued_requests: met.attempts,
             load_metric_stats: metrics
                 .iter()
                 .zip(&met.load)
-                .map(|(name, total)| metric(name, met.delivered, *total))
-                .chain([metric("answer_ms", met.delivered, met.answer.as_secs_f64() * 1000.0)])
+                .map(|(name, total)| metric(name, met.succeeded, *total))
+                .chain([metric("answer_ms", met.succeeded, met.latency_sum.as_secs_f64() * 1000.0)])
                 .collect(),
             ..UpstreamEndpointStats::default()
         });
@@ -377,7 +386,7 @@
                 upstream_endpoint_stats: endpoints.collect(),
                 ..UpstreamLocalityStats::default()
             }],
-            total_dropped_requests: stats.blocked.get(place).copied().unwrap_or(0),
+            total_dropped_requests: stats.rejected.get(place).copied().unwrap_or(0),
             load_report_interval: Some(wrenthread_xds::pb::google::protobuf::Duration {
                 seconds: interval.as_secs() as i64,
                 nanos: interval.subsec_nanos() as i32,
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,62 +1,62 @@
 //! For proxies in Rust: follow a governor by gRPC or long poll, cache its tables while streams break, pick replicas by
 //! weight, enforce admission fractions and retry policies, and report load.
 //!
-//! [`keeper::Keeper`] is the table cache, without I/O; [`grpc`] and [`poll`] keep it up to date and report for it. All of
+//! [`table_cache::TableCache`] is the table cache, without I/O; [`grpc`] and [`poll`] keep it up to date and report for it. All of
 //! it lives on one thread (a tokio `LocalSet`), so nothing is locked.
 //!
 //! ```
 //! use std::time::Duration;
-//! use wrenthread_client::keeper::{Keeper, Outcome, Standing};
+//! use wrenthread_client::table_cache::{DefaultEntry, Outcome, TableCache};
 //!
-//! let standing = vec![Standing { replica: "r1".into(), address: "10.0.0.1:80".into(), weight: 1.0 }];
-//! let mut keeper = Keeper::new(vec!["match".into()], standing, None);
+//! let default_table = vec![DefaultEntry { replica: "r1".into(), address: "10.0.0.1:80".into(), weight: 1.0 }];
+//! let mut cache = TableCache::new(vec!["match".into()], default_table, None);
 //! // Two numbers from 0 up to 1, from the proxy's own source of chance.
-//! let address = keeper.pick(Duration::ZERO, 0, (0.2, 0.7), None).unwrap();
+//! let address = cache.pick(Duration::ZERO, 0, (0.2, 0.7), None).unwrap();
 //! assert_eq!(&*address, "10.0.0.1:80");
-//! keeper.began(0, &address);
-//! let outcome = Outcome::Delivered { took: Duration::from_millis(20), load: &[] };
-//! keeper.ended(Duration::from_millis(20), 0, &address, outcome);
+//! cache.attempt_started(0, &address);
+//! let outcome = Outcome::Succeeded { latency: Duration::from_millis(20), load: &[] };
+//! cache.attempt_ended(Duration::from_millis(20), 0, &address, outcome);
 //! ```
 #![warn(missing_docs)]
 
 pub mod grpc;
-pub mod keeper;
 pub mod poll;
+pub mod table_cache;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// Who a proxy is.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Who {
+pub struct ProxyIdentity {
     /// Its name; no other proxy has it.
     pub name: String,
     /// Its zone.
     pub zone: String,
     /// Requests per second that it ordinarily receives.
-    pub usual: f64,
+    pub requests_per_second: f64,
 }
 
 /// By group: the routable entries (address and weight) and the admission fraction that a response sets.
-pub type Ordered = BTreeMap<String, (Vec<(Arc<str>, f64)>, f64)>;
+pub type UpdatedTables = BTreeMap<String, (Vec<(Arc<str>, f64)>, f64)>;
 
 /// Observes streams and responses.
-pub trait Watch {
+pub trait Observer {
     /// A first message went out on a new stream, or a session was opened.
-    fn joined(&self) {}
+    fn connected(&self) {}
     /// The stream or session is over.
-    fn broken(&self) {}
+    fn disconnected(&self) {}
     /// A response came: its nonce or version, the number of its entries, and its tables.
-    fn ordered(&self, _mark: &str, _lines: usize, _tables: &Ordered) {}
+    fn update_received(&self, _mark: &str, _lines: usize, _tables: &UpdatedTables) {}
     /// The response was accepted, or rejected.
-    fn answered(&self, _mark: &str, _taken: bool) {}
+    fn update_answered(&self, _mark: &str, _taken: bool) {}
 }
 
 /// Observes nothing.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Unwatched;
+pub struct NoObserver;
 
-impl Watch for Unwatched {}
+impl Observer for NoObserver {}
 
 /// A governor, by its name among those that share the fleet (empty where it is alone), and its ports.
 #[derive(Debug, Clone, Default, PartialEq)]
--- a/crates/client/src/poll.rs
+++ b/crates/client/src/poll.rs
@@ -13,8 +13,8 @@
 };
 use wrenthread_long_poll::service::CBOR;
 
-use crate::keeper::{Keeper, Stats};
-use crate::{Error, Ordered, Watch, Who};
+use crate::table_cache::{ReportCounters, TableCache};
+use crate::{Error, Observer, ProxyIdentity, UpdatedTables};
 
 /// How long the governor may keep a poll waiting. Plain HTTP has no sign of life besides its answers: a governor that
 /// stands still is found after this and [`ANSWER_TIMEOUT`].
@@ -71,27 +71,31 @@
     ///
     /// # Errors
     /// The governor can't be reached, or rejects the proxy.
-    pub async fn join(at: &str, who: &Who, keeper: &Rc<RefCell<Keeper>>) -> Result<Session, Error> {
+    pub async fn join(
+        at: &str,
+        who: &ProxyIdentity,
+        cache: &Rc<RefCell<TableCache>>,
+    ) -> Result<Session, Error> {
         let client = Client::builder().connect_timeout(CONNECT_TIMEOUT).build();
         let client = client.map_err(reach(at))?;
         let base = format!("{at}/v1/proxies/{}", who.name);
         let asked = {
-            let keeper = keeper.borrow();
-            let line = |line: &crate::keeper::Standing| DefaultTableEntry {
+            let cache = cache.borrow();
+            let line = |line: &crate::table_cache::DefaultEntry| DefaultTableEntry {
                 replica: line.replica.clone(),
                 weight: line.weight,
             };
             JoinRequest {
                 zone: who.zone.clone(),
-                requests_per_second: Some(who.usual),
-                default_table: keeper.standing().iter().map(line).collect(),
-                holds_tables: keeper.has_orders(),
-                ownership_proof: keeper.claim().map(str::to_string),
+                requests_per_second: Some(who.requests_per_second),
+                default_table: cache.default_table().iter().map(line).collect(),
+                holds_tables: cache.holds_governor_tables(),
+                ownership_proof: cache.ownership_proof().map(str::to_string),
             }
         };
         let request = written(client.post(&base).timeout(ANSWER_TIMEOUT), &asked)?;
         let told: JoinResponse = read(&answered(&base, request).await?.1)?;
-        keeper.borrow_mut().follow(&told.parameters.governor);
+        cache.borrow_mut().follow_governor(&told.parameters.governor);
         Ok(Session { client, base, session: told.session, parameters: told.parameters })
     }
 
@@ -99,9 +103,9 @@
     ///
     /// # Errors
     /// The session is over, or the response does not decode; join again.
-    pub async fn ask(&self, keeper: &Rc<RefCell<Keeper>>, watch: &impl Watch) -> Result<(), Error> {
+    pub async fn ask(&self, cache: &Rc<RefCell<TableCache>>, watch: &impl Observer) -> Result<(), Error> {
         let mut url = format!("{}/tables?session={}&wait={}", self.base, self.session, POLL_WAIT.as_secs());
-        if let Some((version, digest)) = keeper.borrow().held() {
+        if let Some((version, digest)) = cache.borrow().held_version() {
             url += &format!("&version={version}&digest={}", hex(digest));
         }
         let request = self.client.get(url).timeout(POLL_WAIT + ANSWER_TIMEOUT);
@@ -113,23 +117,23 @@
         let of = told.version.split_once('.');
         let life = of.and_then(|(epoch, at)| Some((u64::from_str_radix(epoch, 16).ok()?, at.parse().ok()?)));
         let (epoch, at) = life.ok_or_else(|| Error::Unclear(format!("version `{}`", told.version)))?;
-        keeper.borrow_mut().heed(&self.parameters.governor, epoch, at, told.ownership_proof.as_deref())?;
+        cache.borrow_mut().accept(&self.parameters.governor, epoch, at, told.ownership_proof.as_deref())?;
         let understood =
             self.parameters.decode_tables(&told).map_err(|error| Error::Unclear(error.to_string()))?;
         let lines: usize =
             told.classes.values().map(|class| 1 + class.entries.len() + class.removed.len()).sum();
         let taken = match understood {
             DecodedTables::Complete(whole) => {
-                keeper.borrow_mut().tell_whole(told.version.clone(), whole);
+                cache.borrow_mut().set_state(told.version.clone(), whole);
                 true
             }
             DecodedTables::Delta(delta) => {
-                keeper.borrow_mut().tell_delta(told.version.clone(), &delta).is_ok()
+                cache.borrow_mut().apply_delta(told.version.clone(), &delta).is_ok()
             }
         };
-        let tables = if taken { keeper.borrow().ordered() } else { Ordered::new() };
-        watch.ordered(&told.version, lines, &tables);
-        watch.answered(&told.version, taken);
+        let tables = if taken { cache.borrow().updated_tables() } else { UpdatedTables::new() };
+        watch.update_received(&told.version, lines, &tables);
+        watch.update_answered(&told.version, taken);
         Ok(())
     }
 
@@ -151,31 +155,31 @@
 /// Why it ended.
 pub async fn follow(
     session: &Session,
-    keeper: &Rc<RefCell<Keeper>>,
-    watch: &impl Watch,
+    cache: &Rc<RefCell<TableCache>>,
+    watch: &impl Observer,
 ) -> Result<(), Error> {
     loop {
-        session.ask(keeper, watch).await?;
+        session.ask(cache, watch).await?;
     }
 }
 
 /// A report as a long-poll message. Replicas are named as the tables named them; an address that is forgotten is left
 /// out.
-pub fn report(keeper: &Keeper, interval: Duration, stats: &Stats) -> ReportRequest {
-    let groups = keeper.groups();
-    let met = stats.met.iter().filter_map(|((group, at), met)| {
-        let delivered = met.delivered.max(1) as f64;
+pub fn report(cache: &TableCache, interval: Duration, stats: &ReportCounters) -> ReportRequest {
+    let groups = cache.classes();
+    let met = stats.replicas.iter().filter_map(|((group, at), met)| {
+        let delivered = met.succeeded.max(1) as f64;
         Some(ReplicaStatistics {
             class: groups.get(*group)?.clone(),
-            replica: keeper.replica_at(at)?,
-            issued: met.issued,
-            succeeded: met.delivered,
-            failed: met.dropped,
-            total_latency_millis: met.answer.as_secs_f64() * 1000.0,
+            replica: cache.replica_at(at)?,
+            issued: met.attempts,
+            succeeded: met.succeeded,
+            failed: met.failed,
+            total_latency_millis: met.latency_sum.as_secs_f64() * 1000.0,
             load: met.load.iter().map(|sum| sum / delivered).collect(),
         })
     });
-    let blocked = groups.iter().zip(&stats.blocked).map(|(group, flows)| (group.clone(), *flows));
+    let blocked = groups.iter().zip(&stats.rejected).map(|(group, flows)| (group.clone(), *flows));
     ReportRequest {
         interval_millis: interval.as_secs_f64() * 1000.0,
         replicas: met.collect(),
--- a/crates/client/src/keeper.rs
+++ b/crates/client/src/table_cache.rs
@@ -16,7 +16,7 @@
 
 /// An entry of the default table.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Standing {
+pub struct DefaultEntry {
     /// The replica's name.
     pub replica: String,
     /// Its address.
@@ -27,40 +27,40 @@
 
 /// Statistics of the attempts at one address since the last report.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Met {
+pub struct ReplicaCounters {
     /// Attempts that were started.
-    pub issued: u64,
+    pub attempts: u64,
     /// Attempts that succeeded.
-    pub delivered: u64,
+    pub succeeded: u64,
     /// Attempts that failed.
-    pub dropped: u64,
+    pub failed: u64,
     /// Sum of the answer times of those that succeeded.
-    pub answer: Duration,
+    pub latency_sum: Duration,
     /// Sum of the load metrics over the successful attempts that reported them.
     pub load: Vec<f64>,
 }
 
 /// Statistics for one report.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Stats {
+pub struct ReportCounters {
     /// By group index and address.
-    pub met: BTreeMap<(usize, Arc<str>), Met>,
+    pub replicas: BTreeMap<(usize, Arc<str>), ReplicaCounters>,
     /// By group: requests that were rejected before any attempt.
-    pub blocked: Vec<u64>,
+    pub rejected: Vec<u64>,
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Outcome<'a> {
     /// It succeeded.
-    Delivered {
+    Succeeded {
         /// How long it took.
-        took: Duration,
+        latency: Duration,
         /// The load metrics that the replica reported, in the order of their names.
         load: &'a [f64],
     },
     /// It failed.
-    Dropped,
+    Failed,
 }
 
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -71,60 +71,60 @@
 
 /// The table cache of one proxy. No I/O, no clock.
 #[derive(Debug)]
-pub struct Keeper {
-    groups: Vec<String>,
-    standing: Vec<Standing>,
+pub struct TableCache {
+    classes: Vec<String>,
+    default_table: Vec<DefaultEntry>,
     told: Vec<Option<Lines>>,
-    tries: Vec<RetryPolicy>,
+    retry_policy: Vec<RetryPolicy>,
     /// Long poll: the state that deltas apply to.
     whole: PublishedState,
-    held: Option<(String, Digest)>,
+    held_version: Option<(String, Digest)>,
     /// Which governor is followed, and the ownership proof of the tables that are held.
     fence: FencingState,
-    claim: Option<String>,
+    ownership_proof: Option<String>,
     /// Replicas by the addresses that tables named.
     names: BTreeMap<Arc<str>, String>,
     avoid: Option<(u32, Duration)>,
     failing: BTreeMap<Arc<str>, u32>,
     avoided: BTreeMap<Arc<str>, Duration>,
-    stats: Stats,
+    stats: ReportCounters,
 }
 
-impl Keeper {
+impl TableCache {
     /// `avoid`: after so many failures in a row an address is ejected for so long.
-    pub fn new(groups: Vec<String>, standing: Vec<Standing>, avoid: Option<(u32, Duration)>) -> Self {
+    pub fn new(groups: Vec<String>, standing: Vec<DefaultEntry>, avoid: Option<(u32, Duration)>) -> Self {
         let count = groups.len();
-        Keeper {
-            groups,
-            standing,
+        TableCache {
+            classes: groups,
+            default_table: standing,
             told: vec![None; count],
-            tries: vec![RetryPolicy::Never; count],
+            retry_policy: vec![RetryPolicy::Never; count],
             whole: PublishedState { classes: vec![None; count] },
-            held: None,
+            held_version: None,
             fence: FencingState::default(),
-            claim: None,
+            ownership_proof: None,
             names: BTreeMap::new(),
             avoid,
             failing: BTreeMap::new(),
             avoided: BTreeMap::new(),
-            stats: Stats { met: BTreeMap::new(), blocked: vec![0; count] },
+            stats: ReportCounters { replicas: BTreeMap::new(), rejected: vec![0; count] },
         }
     }
 
     /// The names of the groups, in order.
-    pub fn groups(&self) -> &[String] {
-        &self.groups
+    pub fn classes(&self) -> &[String] {
+        &self.classes
     }
 
     /// The default table.
-    pub fn standing(&self) -> &[Standing] {
-        &self.standing
+    pub fn default_table(&self) -> &[DefaultEntry] {
+        &self.default_table
     }
 
     // ---- ownership
 
     /// From now on only this governor's tables are accepted.
-    pub fn follow(&mut self, governor: &str) {
+    pub fn follow_governor(&mut self, governor: &str) {
         self.fence.follow(governor);
     }
 
@@ -132,7 +132,7 @@
     ///
     /// # Errors
     /// They come from another governor, or are outdated.
-    pub fn heed(
+    pub fn accept(
         &mut self,
         governor: &str,
         epoch: u64,
@@ -140,57 +140,57 @@
         claim: Option<&str>,
     ) -> Result<(), FencingError> {
         self.fence.accept(governor, epoch, version)?;
-        self.claim = claim.map(str::to_string);
+        self.ownership_proof = claim.map(str::to_string);
         Ok(())
     }
 
     /// The ownership proof, for the governor that is joined next.
-    pub fn claim(&self) -> Option<&str> {
-        self.claim.as_deref()
+    pub fn ownership_proof(&self) -> Option<&str> {
+        self.ownership_proof.as_deref()
     }
 
     // ---- tables
 
     /// The index of a group; none for an unknown one.
-    pub fn place(&self, group: &str) -> Option<usize> {
-        self.groups.iter().position(|known| known == group)
+    pub fn class_index(&self, group: &str) -> Option<usize> {
+        self.classes.iter().position(|known| known == group)
     }
 
     /// Sets a group's table and admission fraction. An unknown group is ignored.
-    pub fn tell(&mut self, group: &str, lines: Vec<(Arc<str>, f64)>, level: f64) {
-        if let Some(place) = self.place(group) {
+    pub fn set_table(&mut self, group: &str, lines: Vec<(Arc<str>, f64)>, level: f64) {
+        if let Some(place) = self.class_index(group) {
             self.told[place] = Some(Lines { lines, level });
         }
     }
 
     /// Removes a group's table: the default table is used again.
-    pub fn untell(&mut self, group: &str) {
-        if let Some(place) = self.place(group) {
+    pub fn use_default_table(&mut self, group: &str) {
+        if let Some(place) = self.class_index(group) {
             self.told[place] = None;
         }
     }
 
     /// Sets the retry policy of a group.
-    pub fn tell_tries(&mut self, group: &str, tries: RetryPolicy) {
-        if let Some(place) = self.place(group) {
-            self.tries[place] = tries;
+    pub fn set_retry_policy(&mut self, group: &str, tries: RetryPolicy) {
+        if let Some(place) = self.class_index(group) {
+            self.retry_policy[place] = tries;
         }
     }
 
     /// The version and the digest of the state that is held, for the next long poll.
-    pub fn held(&self) -> Option<&(String, Digest)> {
-        self.held.as_ref()
+    pub fn held_version(&self) -> Option<&(String, Digest)> {
+        self.held_version.as_ref()
     }
 
     /// Whether it holds anything but its default table: also where a delta did not apply and the next poll requests a
     /// snapshot.
-    pub fn has_orders(&self) -> bool {
+    pub fn holds_governor_tables(&self) -> bool {
         self.told.iter().any(Option::is_some)
     }
 
     /// Sets a snapshot, which was validated already.
-    pub fn tell_whole(&mut self, version: String, whole: PublishedState) {
-        self.held = Some((version, whole.digest()));
+    pub fn set_state(&mut self, version: String, whole: PublishedState) {
+        self.held_version = Some((version, whole.digest()));
         if self.names.len() > MAX_NAMES {
             self.names.clear();
         }
@@ -201,7 +201,7 @@
             self.told[place] = said.as_ref().map(|said| {
                 let PublishedTable { entries: lines, admission_millionths: level, retry_policy: tries } =
                     said;
-                self.tries[place] = *tries;
+                self.retry_policy[place] = *tries;
                 Lines {
                     lines: lines
                         .values()
@@ -218,30 +218,30 @@
     ///
     /// # Errors
     /// It does not; the tables stay, and the next poll requests a snapshot.
-    pub fn tell_delta(&mut self, version: String, delta: &Delta) -> Result<(), Mismatch> {
-        let held = self.held.as_ref().map_or([0; 32], |(_, digest)| *digest);
+    pub fn apply_delta(&mut self, version: String, delta: &Delta) -> Result<(), Mismatch> {
+        let held = self.held_version.as_ref().map_or([0; 32], |(_, digest)| *digest);
         match table_versions::apply(&self.whole, held, delta) {
             Ok(whole) => {
-                self.tell_whole(version, whole);
+                self.set_state(version, whole);
                 Ok(())
             }
             Err(mismatch) => {
-                self.held = None;
+                self.held_version = None;
                 Err(mismatch)
             }
         }
     }
 
     /// All tables that were received, for observers.
-    pub fn ordered(&self) -> crate::Ordered {
-        let told = self.groups.iter().zip(&self.told);
+    pub fn updated_tables(&self) -> crate::UpdatedTables {
+        let told = self.classes.iter().zip(&self.told);
         let told = told.filter_map(|(group, told)| Some((group, told.as_ref()?)));
         told.map(|(group, told)| (group.clone(), (told.lines.clone(), told.level))).collect()
     }
 
     /// The replica at an address. Replicas are remembered for as long as their attempts may be reported.
     pub fn replica_at(&self, at: &str) -> Option<String> {
-        let standing = self.standing.iter().find(|line| &*line.address == at);
+        let standing = self.default_table.iter().find(|line| &*line.address == at);
         standing.map(|line| line.replica.clone()).or_else(|| self.names.get(at).cloned())
     }
 
@@ -260,7 +260,7 @@
         self.avoided.retain(|_, until| now < *until);
         let told = self.told.get(group)?.as_ref();
         let level = told.map_or(1.0, |told| told.level);
-        let standing = || self.standing.iter().map(|line| (&line.address, line.weight)).collect();
+        let standing = || self.default_table.iter().map(|line| (&line.address, line.weight)).collect();
         let lines: Vec<(&Arc<str>, f64)> =
             told.map_or_else(standing, |told| told.lines.iter().map(|(at, weight)| (at, *weight)).collect());
         let picked = (but.is_some() || chance.0 < level).then(|| {
@@ -277,41 +277,41 @@
         });
         let picked = picked.flatten();
         if picked.is_none() && but.is_none() {
-            self.stats.blocked[group] += 1;
+            self.stats.rejected[group] += 1;
         }
         picked
     }
 
     /// The retry policy of a group.
-    pub fn tries(&self, group: usize) -> RetryPolicy {
-        self.tries.get(group).copied().unwrap_or_default()
+    pub fn retry_policy(&self, group: usize) -> RetryPolicy {
+        self.retry_policy.get(group).copied().unwrap_or_default()
     }
 
-    /// Counts a request that was rejected before any attempt by other than [`Keeper::pick`].
-    pub fn blocked(&mut self, group: usize) {
-        if let Some(blocked) = self.stats.blocked.get_mut(group) {
+    /// Counts a request that was rejected before any attempt by other than [`TableCache::pick`].
+    pub fn request_rejected(&mut self, group: usize) {
+        if let Some(blocked) = self.stats.rejected.get_mut(group) {
             *blocked += 1;
         }
     }
 
     /// An attempt starts.
-    pub fn began(&mut self, group: usize, at: &Arc<str>) {
-        self.stats.met.entry((group, at.clone())).or_default().issued += 1;
+    pub fn attempt_started(&mut self, group: usize, at: &Arc<str>) {
+        self.stats.replicas.entry((group, at.clone())).or_default().attempts += 1;
     }
 
     /// An attempt ended.
-    pub fn ended(&mut self, now: Duration, group: usize, at: &Arc<str>, outcome: Outcome) {
-        let met = self.stats.met.entry((group, at.clone())).or_default();
+    pub fn attempt_ended(&mut self, now: Duration, group: usize, at: &Arc<str>, outcome: Outcome) {
+        let met = self.stats.replicas.entry((group, at.clone())).or_default();
         match outcome {
-            Outcome::Delivered { took, load } => {
-                met.delivered += 1;
-                met.answer += took;
+            Outcome::Succeeded { latency: took, load } => {
+                met.succeeded += 1;
+                met.latency_sum += took;
                 met.load.resize(load.len(), 0.0);
                 met.load.iter_mut().zip(load).for_each(|(sum, one)| *sum += one);
                 self.failing.remove(at);
             }
-            Outcome::Dropped => {
-                met.dropped += 1;
+            Outcome::Failed => {
+                met.failed += 1;
                 let Some((most, span)) = self.avoid else { return };
                 let in_a_row = self.failing.entry(at.clone()).or_default();
                 *in_a_row += 1;
@@ -324,9 +324,9 @@
     }
 
     /// Takes the statistics since the last time.
-    pub fn take_stats(&mut self) -> Stats {
-        let blocked = vec![0; self.groups.len()];
-        std::mem::replace(&mut self.stats, Stats { met: BTreeMap::new(), blocked })
+    pub fn take_counters(&mut self) -> ReportCounters {
+        let blocked = vec![0; self.classes.len()];
+        std::mem::replace(&mut self.stats, ReportCounters { replicas: BTreeMap::new(), rejected: blocked })
     }
 }
 
--- a/crates/client/tests/model.rs
+++ b/crates/client/tests/model.rs
@@ -15,7 +15,7 @@
 use proptest::prelude::*;
 use prost::Message;
 use wrenthread::types::{Phase, ProxyId};
-use wrenthread_client::keeper::Keeper;
+use wrenthread_client::table_cache::TableCache;
 use wrenthread_core::engine::{Action, Engine, EngineSettings};
 use wrenthread_core::fleet::JoinRequest;
 use wrenthread_core::roster::RosterEntry;
@@ -65,7 +65,7 @@
 /// One proxy of each kind: what it holds of the first group, and how it hears.
 enum Proxy {
     Ads { delta: bool, session: Option<Session>, held: Option<(Table, String)> },
-    Poll(Box<Keeper>),
+    Poll(Box<TableCache>),
 }
 
 struct World {
@@ -80,8 +80,8 @@
     fn new() -> World {
         let now = Duration::from_secs(1000);
         let ads = |delta| Proxy::Ads { delta, session: None, held: None };
-        let keeper = || Keeper::new(vec!["match".into(), "charge".into()], vec![], None);
-        let proxies = vec![ads(false), ads(true), Proxy::Poll(Box::new(keeper()))];
+        let cache = || TableCache::new(vec!["match".into(), "charge".into()], vec![], None);
+        let proxies = vec![ads(false), ads(true), Proxy::Poll(Box::new(cache()))];
         let engine = Engine::new(EngineSettings::example(2), now);
         let mut world = World { engine, now, streams: 0, sessions: Sessions::default(), proxies };
         world.list(0b1111);
@@ -109,7 +109,7 @@
         self.now = now;
         let (initial, holds_orders) = match &self.proxies[place] {
             Proxy::Ads { held, .. } => (held.as_ref().map(|(_, mark)| mark.clone()), held.is_some()),
-            Proxy::Poll(keeper) => (None, keeper.held().is_some()),
+            Proxy::Poll(cache) => (None, cache.held_version().is_some()),
         };
         let name = format!("p{place}");
         let join = JoinRequest {
@@ -189,9 +189,9 @@
                 self.engine.tables_sent(self.now, number, lines, messages);
                 (lost && messages > 0).then_some(place)
             }
-            Proxy::Poll(keeper) => {
+            Proxy::Poll(cache) => {
                 let (session, parameters) = (proxy.stream, parameters());
-                let held = keeper.held().map(|(version, digest)| HeldVersion {
+                let held = cache.held_version().map(|(version, digest)| HeldVersion {
                     version: parameters.parse_version(version).unwrap().unwrap_or(0),
                     digest: *digest,
                 });
@@ -212,9 +212,9 @@
                     _ => return None,
                 };
                 match parameters.decode_tables(&told).unwrap() {
-                    DecodedTables::Complete(whole) => keeper.tell_whole(told.version, whole),
+                    DecodedTables::Complete(whole) => cache.set_state(told.version, whole),
                     DecodedTables::Delta(delta) => {
-                        assert_eq!(keeper.tell_delta(told.version, &delta), Ok(()));
+                        assert_eq!(cache.apply_delta(told.version, &delta), Ok(()));
                     }
                 }
                 None
@@ -229,8 +229,8 @@
         let said = said.entries.values().map(|line| (line.address.to_string(), line.weight)).collect();
         let held = match &self.proxies[place] {
             Proxy::Ads { held, .. } => held.as_ref().unwrap().0.clone(),
-            Proxy::Poll(keeper) => {
-                let lines = keeper.ordered()["match"].0.clone();
+            Proxy::Poll(cache) => {
+                let lines = cache.updated_tables()["match"].0.clone();
                 lines.into_iter().map(|(at, weight)| (at.to_string(), weight as u32)).collect()
             }
         };
--- a/crates/daemon/benches/takeover.rs
+++ b/crates/daemon/benches/takeover.rs
@@ -22,8 +22,8 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use tokio::task::LocalSet;
-use wrenthread_client::keeper::Keeper;
-use wrenthread_client::{Error, Watch, Who, answers, grpc};
+use wrenthread_client::table_cache::TableCache;
+use wrenthread_client::{Error, Observer, ProxyIdentity, answers, grpc};
 use wrenthread_core::failover::GovernorSelector;
 
 const HOME: (Duration, Duration) = (Duration::from_secs(2), Duration::from_secs(4));
@@ -41,9 +41,9 @@
 
 struct Watched<'a>(&'a Relay, usize);
 
-impl Watch for Watched<'_> {
+impl Observer for Watched<'_> {
     // Not its first order: who holds to the letter what the next governor would tell is told nothing.
-    fn joined(&self) {
+    fn connected(&self) {
         if self.0.at.get().is_none() {
             self.0.at.set(Some((self.1, Instant::now())));
             self.0.gap.set(self.0.lost.get().map(|lost| lost.elapsed()));
@@ -59,11 +59,15 @@
     by_chance: bool,
 ) {
     let names: Vec<&str> = governors.iter().map(|one| one.name.as_str()).collect();
-    let who = Who { name: format!("relay-{number}"), zone: ZONES[number % 3].into(), usual: 1.0 };
+    let who = ProxyIdentity {
+        name: format!("relay-{number}"),
+        zone: ZONES[number % 3].into(),
+        requests_per_second: 1.0,
+    };
     let mut rng = ChaCha8Rng::seed_from_u64(number as u64);
     let mut dialer = GovernorSelector::new(&who.name, &names, HOME.0, HOME.1);
-    let keeper = Keeper::new(common::GROUPS.map(str::to_string).to_vec(), vec![], None);
-    let (keeper, versions, began) = (Rc::new(RefCell::new(keeper)), Rc::default(), Instant::now());
+    let cache = TableCache::new(common::GROUPS.map(str::to_string).to_vec(), vec![], None);
+    let (cache, versions, began) = (Rc::new(RefCell::new(cache)), Rc::default(), Instant::now());
     let mut place = dialer.current();
     loop {
         let watched = Watched(&relay, place);
@@ -78,7 +82,7 @@
             }
         };
         let ended = tokio::select! {
-            ended = grpc::follow(&governors[place], &who, true, &keeper, &versions, &watched) => ended.err(),
+            ended = grpc::follow(&governors[place], &who, true, &cache, &versions, &watched) => ended.err(),
             () = going_home => None,
         };
         if relay.at.take().is_some() {
--- a/crates/daemon/src/cli/export.rs
+++ b/crates/daemon/src/cli/export.rs
@@ -60,7 +60,11 @@
         }
         let zone = self.zone(&settings)?;
         let at = self.governor_url(&settings)?;
-        let who = wrenthread_client::Who { name: self.name.unwrap_or_default(), zone, usual: self.usual };
+        let who = wrenthread_client::ProxyIdentity {
+            name: self.name.unwrap_or_default(),
+            zone,
+            requests_per_second: self.usual,
+        };
         export::run(&settings, export::Place { who, at }, self.once)
     }
 
--- a/crates/daemon/src/export.rs
+++ b/crates/daemon/src/export.rs
@@ -17,8 +17,8 @@
 use tokio::io::{AsyncReadExt, AsyncSeekExt};
 use tokio::sync::{mpsc, watch};
 use tokio::task::LocalSet;
-use wrenthread_client::keeper::{Keeper, Outcome};
-use wrenthread_client::{Ordered, Watch, Who, poll};
+use wrenthread_client::table_cache::{Outcome, TableCache};
+use wrenthread_client::{Observer, ProxyIdentity, UpdatedTables, poll};
 use wrenthread_nginx::access_log::{self, Lines as LogLines};
 use wrenthread_nginx::blocks::{self, Tables, UpstreamTable};
 use wrenthread_nginx::write_debouncer::WriteDebouncer;
@@ -32,7 +32,7 @@
 
 /// Who the nginx is among proxies, and where its governor is.
 pub struct Place {
-    pub who: Who,
+    pub who: ProxyIdentity,
     /// `http://host:port` of the governor's long-poll front.
     pub at: String,
 }
@@ -76,8 +76,8 @@
     tables: watch::Sender<(String, Tables)>,
 }
 
-impl Watch for Told {
-    fn ordered(&self, mark: &str, _: usize, tables: &Ordered) {
+impl Observer for Told {
+    fn update_received(&self, mark: &str, _: usize, tables: &UpdatedTables) {
         let lines = |(lines, level): &(Vec<(Arc<str>, f64)>, f64)| UpstreamTable {
             servers: lines.iter().map(|(at, weight)| (at.to_string(), *weight)).collect(),
             admission_fraction: *level,
@@ -94,20 +94,20 @@
 async fn agent(settings: &Settings, place: Place, once: bool) -> Result<()> {
     let began = Instant::now();
     let groups: Vec<String> = settings.groups.iter().map(|group| group.name.clone()).collect();
-    let keeper = Rc::new(RefCell::new(Keeper::new(groups, Vec::new(), None)));
+    let cache = Rc::new(RefCell::new(TableCache::new(groups, Vec::new(), None)));
     let (told, mut tables) = watch::channel((String::new(), Tables::new()));
     // The session that reports go to, while there is one.
     let (session, sessions) = watch::channel::<Option<poll::Session>>(None);
     let place = Rc::new(place);
     {
-        let (place, keeper, told) = (place.clone(), keeper.clone(), Told { began, tables: told });
+        let (place, cache, told) = (place.clone(), cache.clone(), Told { began, tables: told });
         tokio::task::spawn_local(async move {
             loop {
-                match poll::Session::join(&place.at, &place.who, &keeper).await {
+                match poll::Session::join(&place.at, &place.who, &cache).await {
                     Ok(joined) => {
                         tracing::info!(at = place.at, "the governor is followed");
                         session.send_replace(Some(joined.clone()));
-                        let ended = poll::follow(&joined, &keeper, &told).await;
+                        let ended = poll::follow(&joined, &cache, &told).await;
                         session.send_replace(None);
                         if let Err(why) = ended {
                             tracing::warn!(%why, "the session is over; nginx keeps what it has");
@@ -120,8 +120,8 @@
         });
     }
     if let Some(log) = settings.nginx.access_log.clone() {
-        tokio::task::spawn_local(read_log(log, began, keeper.clone()));
-        tokio::task::spawn_local(report(settings.report_interval, keeper.clone(), sessions));
+        tokio::task::spawn_local(read_log(log, began, cache.clone()));
+        tokio::task::spawn_local(report(settings.report_interval, cache.clone(), sessions));
     }
     let mut terminate =
         tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()).context("signals")?;
@@ -222,7 +222,7 @@
 }
 
 /// Reads what is added to the log, from its present end on, over rotations.
-async fn read_log(path: PathBuf, began: Instant, keeper: Rc<RefCell<Keeper>>) {
+async fn read_log(path: PathBuf, began: Instant, cache: Rc<RefCell<TableCache>>) {
     let mut tail = Tail::default();
     let (mut odd, mut said) = (BTreeMap::<access_log::Odd, u64>::new(), false);
     loop {
@@ -231,7 +231,7 @@
                 said = false;
                 for line in lines {
                     match access_log::flow(&line) {
-                        Ok(Some(flow)) => count(&mut keeper.borrow_mut(), began.elapsed(), &flow),
+                        Ok(Some(flow)) => count(&mut cache.borrow_mut(), began.elapsed(), &flow),
                         Ok(None) => {}
                         Err(why) => {
                             metrics::counter!("wrenthread_log_lines_odd_total", "why" => why.to_string())
@@ -257,23 +257,23 @@
 }
 
 /// A flow as a report has it.
-fn count(keeper: &mut Keeper, now: Duration, flow: &access_log::Flow) {
-    let Some(group) = keeper.place(&flow.group) else { return };
+fn count(cache: &mut TableCache, now: Duration, flow: &access_log::Flow) {
+    let Some(group) = cache.class_index(&flow.group) else { return };
     if flow.tries.is_empty() {
-        return keeper.blocked(group);
+        return cache.request_rejected(group);
     }
     for one in &flow.tries {
         let at: Arc<str> = one.address.as_str().into();
         // A table before the present one may have told it; one that never was told is none of ours.
-        if keeper.replica_at(&at).is_none() {
+        if cache.replica_at(&at).is_none() {
             continue;
         }
-        keeper.began(group, &at);
+        cache.attempt_started(group, &at);
         let outcome = match one.answered {
-            Some(took) => Outcome::Delivered { took, load: &[] },
-            None => Outcome::Dropped,
+            Some(took) => Outcome::Succeeded { latency: took, load: &[] },
+            None => Outcome::Failed,
         };
-        keeper.ended(now, group, &at, outcome);
+        cache.attempt_ended(now, group, &at, outcome);
     }
 }
 
@@ -353,14 +353,18 @@
 }
 
 /// Reports what the log told, to whichever session there is.
-async fn report(every: f64, keeper: Rc<RefCell<Keeper>>, sessions: watch::Receiver<Option<poll::Session>>) {
+async fn report(
+    every: f64,
+    cache: Rc<RefCell<TableCache>>,
+    sessions: watch::Receiver<Option<poll::Session>>,
+) {
     let every = Duration::try_from_secs_f64(every).unwrap_or(Duration::from_secs(1));
     let (mut last, mut number) = (Instant::now(), 0);
     loop {
         tokio::time::sleep(every).await;
         let Some(session) = sessions.borrow().clone() else { continue };
-        let stats = keeper.borrow_mut().take_stats();
-        let report = poll::report(&keeper.borrow(), last.elapsed(), &stats);
+        let stats = cache.borrow_mut().take_counters();
+        let report = poll::report(&cache.borrow(), last.elapsed(), &stats);
         last = Instant::now();
         number += 1;
         match session.report(number, &report).await {
--- a/crates/daemon/tests/governor.rs
+++ b/crates/daemon/tests/governor.rs
@@ -309,14 +309,14 @@
 #[tokio::test]
 async fn a_client_that_follows_one_governor_heeds_no_other_at_its_address() {
     use std::{cell::RefCell, rc::Rc};
-    use wrenthread_client::keeper::Keeper;
-    use wrenthread_client::{Error, Unwatched, Who, grpc};
+    use wrenthread_client::table_cache::TableCache;
+    use wrenthread_client::{Error, NoObserver, ProxyIdentity, grpc};
     let governor = Governor::start("fence", 4).await;
-    let keeper = Rc::new(RefCell::new(Keeper::new(vec!["match".into()], vec![], None)));
+    let cache = Rc::new(RefCell::new(TableCache::new(vec!["match".into()], vec![], None)));
     let (versions, uri) = (Rc::default(), format!("http://127.0.0.1:{}", governor.grpc));
-    let who = Who { name: "p".into(), zone: "north".into(), usual: 1.0 };
+    let who = ProxyIdentity { name: "p".into(), zone: "north".into(), requests_per_second: 1.0 };
     let other = wrenthread_client::Governor { name: "g9".into(), grpc: uri, poll: String::new() };
-    let end = grpc::follow(&other, &who, true, &keeper, &versions, &Unwatched).await;
+    let end = grpc::follow(&other, &who, true, &cache, &versions, &NoObserver).await;
     assert!(matches!(end, Err(Error::Fenced(_))), "{end:?}");
-    assert!(keeper.borrow().ordered().is_empty(), "nothing of it took effect");
+    assert!(cache.borrow().updated_tables().is_empty(), "nothing of it took effect");
 }
--- a/crates/daemon/tests/nginx.rs
+++ b/crates/daemon/tests/nginx.rs
@@ -22,9 +22,9 @@
 use common::{Governor, port, until};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
-use wrenthread_client::keeper::Keeper;
 use wrenthread_client::poll::Session;
-use wrenthread_client::{Unwatched, Who};
+use wrenthread_client::table_cache::TableCache;
+use wrenthread_client::{NoObserver, ProxyIdentity};
 use wrenthread_nginx::blocks;
 
 fn wrenthread(arguments: &[&str]) -> (Option<i32>, String) {
@@ -90,11 +90,11 @@
     let (code, said) = import(&["--diff", &format!("127.0.0.1:{http}")]);
     assert!(code == Some(3) && said.contains("10.0.0.1:80  weight"), "{said}");
 
-    let keeper = Rc::new(RefCell::new(Keeper::new(vec!["entry".into()], vec![], None)));
-    let who = Who { name: "relay".into(), zone: "all".into(), usual: 1.0 };
-    let session = Session::join(&format!("http://127.0.0.1:{poll}"), &who, &keeper).await.unwrap();
-    while keeper.borrow().ordered().get("entry").is_none_or(|(lines, _)| lines.len() != 3) {
-        session.ask(&keeper, &Unwatched).await.unwrap();
+    let cache = Rc::new(RefCell::new(TableCache::new(vec!["entry".into()], vec![], None)));
+    let who = ProxyIdentity { name: "relay".into(), zone: "all".into(), requests_per_second: 1.0 };
+    let session = Session::join(&format!("http://127.0.0.1:{poll}"), &who, &cache).await.unwrap();
+    while cache.borrow().updated_tables().get("entry").is_none_or(|(lines, _)| lines.len() != 3) {
+        session.ask(&cache, &NoObserver).await.unwrap();
     }
     let weights = [("10.0.0.1:80", 5.0), ("10.0.0.2:80", 1.0), ("10.0.0.3:80", 3.0)];
     let weights = weights.map(|(at, weight)| (at.to_string(), weight));
@@ -104,7 +104,7 @@
     let mut chance = || (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
     let mut got: BTreeMap<String, usize> = BTreeMap::new();
     for _ in 0..flows {
-        let at = keeper.borrow_mut().pick(Duration::ZERO, 0, (0.0, chance()), None).unwrap();
+        let at = cache.borrow_mut().pick(Duration::ZERO, 0, (0.0, chance()), None).unwrap();
         *got.entry(at.to_string()).or_default() += 1;
     }
     for (at, wanted) in reference {
--- a/crates/daemon/tests/polling.rs
+++ b/crates/daemon/tests/polling.rs
@@ -19,41 +19,41 @@
 use common::{Governor, until};
 use serde_json::Value;
 use tokio::task::LocalSet;
-use wrenthread_client::keeper::Keeper;
 use wrenthread_client::poll::Session;
-use wrenthread_client::{Error, Unwatched, Who};
+use wrenthread_client::table_cache::TableCache;
+use wrenthread_client::{Error, NoObserver, ProxyIdentity};
 
-type Kept = Rc<RefCell<Keeper>>;
+type Kept = Rc<RefCell<TableCache>>;
 
-fn keeper() -> Kept {
-    Rc::new(RefCell::new(Keeper::new(vec!["match".into(), "charge".into()], vec![], None)))
+fn cache() -> Kept {
+    Rc::new(RefCell::new(TableCache::new(vec!["match".into(), "charge".into()], vec![], None)))
 }
 
-async fn join(governor: &Governor, name: &str, keeper: &Kept) -> Result<Session, Error> {
-    let who = Who { name: name.into(), zone: "north".into(), usual: 1.0 };
-    Session::join(&format!("http://127.0.0.1:{}", governor.poll), &who, keeper).await
+async fn join(governor: &Governor, name: &str, cache: &Kept) -> Result<Session, Error> {
+    let who = ProxyIdentity { name: name.into(), zone: "north".into(), requests_per_second: 1.0 };
+    Session::join(&format!("http://127.0.0.1:{}", governor.poll), &who, cache).await
 }
 
-fn lines(keeper: &Kept) -> usize {
-    keeper.borrow().ordered().get("match").map_or(0, |(lines, _)| lines.len())
+fn lines(cache: &Kept) -> usize {
+    cache.borrow().updated_tables().get("match").map_or(0, |(lines, _)| lines.len())
 }
 
-fn version(keeper: &Kept) -> u64 {
-    keeper.borrow().held().unwrap().0.split_once('.').unwrap().1.parse().unwrap()
+fn version(cache: &Kept) -> u64 {
+    cache.borrow().held_version().unwrap().0.split_once('.').unwrap().1.parse().unwrap()
 }
 
 /// Asks until the table has so many lines.
-async fn follow(session: &Session, keeper: &Kept, wanted: usize) {
+async fn follow(session: &Session, cache: &Kept, wanted: usize) {
     let began = Instant::now();
-    while lines(keeper) != wanted {
+    while lines(cache) != wanted {
         assert!(began.elapsed() < Duration::from_secs(20), "never {wanted} lines");
-        session.ask(keeper, &Unwatched).await.unwrap();
+        session.ask(cache, &NoObserver).await.unwrap();
     }
 }
 
 /// One more question acknowledges what came last; it may well wait, and need not be answered.
-async fn acknowledge(session: &Session, keeper: &Kept) {
-    let _ = tokio::time::timeout(Duration::from_millis(300), session.ask(keeper, &Unwatched)).await;
+async fn acknowledge(session: &Session, cache: &Kept) {
+    let _ = tokio::time::timeout(Duration::from_millis(300), session.ask(cache, &NoObserver)).await;
 }
 
 fn program(governor: &Governor, arguments: &[&str]) -> (Option<i32>, String) {
@@ -67,7 +67,7 @@
 #[tokio::test]
 async fn a_proxy_follows_by_deltas_and_operators_step_back() {
     let governor = Governor::start("poll", 4).await;
-    let kept = keeper();
+    let kept = cache();
     let session = join(&governor, "p", &kept).await.unwrap();
     follow(&session, &kept, 4).await;
     let first = version(&kept);
@@ -153,22 +153,22 @@
 #[tokio::test]
 async fn a_restart_ends_sessions_and_what_is_held_is_not_sent_again() {
     let mut governor = Governor::start("poll-restart", 4).await;
-    let kept = keeper();
+    let kept = cache();
     let session = join(&governor, "p", &kept).await.unwrap();
     follow(&session, &kept, 4).await;
     governor.child.kill().unwrap();
     governor.child.wait().unwrap();
-    assert!(session.ask(&kept, &Unwatched).await.is_err());
+    assert!(session.ask(&kept, &NoObserver).await.is_err());
     assert_eq!(lines(&kept), 4, "the table is kept");
     governor.spawn().await;
-    let gone = session.ask(&kept, &Unwatched).await.unwrap_err().to_string();
+    let gone = session.ask(&kept, &NoObserver).await.unwrap_err().to_string();
     assert!(gone.contains("410"), "{gone}");
-    let before = kept.borrow().held().cloned();
+    let before = kept.borrow().held_version().cloned();
     let session = join(&governor, "p", &kept).await.unwrap();
     acknowledge(&session, &kept).await;
     acknowledge(&session, &kept).await;
     // Bound anew to the same lines: the digest is the same, so nothing was sent.
-    assert_eq!(kept.borrow().held().cloned(), before);
+    assert_eq!(kept.borrow().held_version().cloned(), before);
     let status = governor.status();
     assert_eq!(status["proxies"][0]["acked"], status["proxies"][0]["newest"]);
 }
@@ -176,11 +176,11 @@
 #[tokio::test]
 async fn twice_at_once_under_one_name_the_later_session_counts() {
     let governor = Governor::start("poll-twice", 4).await;
-    let (kept, other) = (keeper(), keeper());
+    let (kept, other) = (cache(), cache());
     let first = join(&governor, "p", &kept).await.unwrap();
     follow(&first, &kept, 4).await;
     let second = join(&governor, "p", &other).await.unwrap();
-    let why = first.ask(&kept, &Unwatched).await.unwrap_err().to_string();
+    let why = first.ask(&kept, &NoObserver).await.unwrap_err().to_string();
     assert!(why.contains("410") || why.contains("409"), "{why}");
     follow(&second, &other, 4).await;
     let url = format!("http://127.0.0.1:{}/v1/proxies/x?session=77", governor.poll);
@@ -202,7 +202,7 @@
     )
     .unwrap();
     slow.read_exact(&mut [0]).unwrap();
-    let kept = keeper();
+    let kept = cache();
     let session = join(&governor, "p", &kept).await.unwrap();
     for workers in [3, 4, 3, 4] {
         governor.list(workers, &[]);
@@ -219,7 +219,7 @@
         .run_until(async {
             let mut waiting = Vec::new();
             for n in 0..MANY {
-                let kept = keeper();
+                let kept = cache();
                 let session = join(&governor, &format!("p{n}"), &kept).await.unwrap();
                 waiting.push((session, kept));
             }
--- a/crates/daemon/tests/sharing.rs
+++ b/crates/daemon/tests/sharing.rs
@@ -18,9 +18,9 @@
 
 use common::{Governor, port, until};
 use serde_json::{Value, json};
-use wrenthread_client::keeper::Keeper;
 use wrenthread_client::poll::Session;
-use wrenthread_client::{Error, Unwatched, Who, answers, grpc};
+use wrenthread_client::table_cache::TableCache;
+use wrenthread_client::{Error, NoObserver, ProxyIdentity, answers, grpc};
 use wrenthread_core::ownership::{OwnershipClaim, SigningKey, ranking, sign};
 
 const SECRET: [u8; 32] = [b'k'; 32];
@@ -60,8 +60,8 @@
     (ran.status.code(), String::from_utf8([ran.stdout, ran.stderr].concat()).unwrap())
 }
 
-fn who(name: &str) -> Who {
-    Who { name: name.into(), zone: "north".into(), usual: 1.0 }
+fn who(name: &str) -> ProxyIdentity {
+    ProxyIdentity { name: name.into(), zone: "north".into(), requests_per_second: 1.0 }
 }
 
 #[tokio::test]
@@ -75,18 +75,19 @@
     let (said, text) = program(one, &["status", "--governors"]);
     assert!(said == Some(0) && text.contains("g1") && text.contains("alive"), "{text}");
     let base = |governor: &Governor| format!("http://127.0.0.1:{}", governor.poll);
-    let keeper = || Rc::new(RefCell::new(Keeper::new(vec!["match".into(), "charge".into()], vec![], None)));
-    let (polled, streamed) = (keeper(), keeper());
+    let cache =
+        || Rc::new(RefCell::new(TableCache::new(vec!["match".into(), "charge".into()], vec![], None)));
+    let (polled, streamed) = (cache(), cache());
     // Proxies that belong with the first: they stay until it drains.
     let names = (0..).map(|n| format!("relay-{n}"));
     let mut theirs = names.filter(|name| ranking(name, &["g0", "g1"])[0] == 0);
     let (p, q) = (who(&theirs.next().unwrap()), who(&theirs.next().unwrap()));
     let session = Session::join(&base(one), &p, &polled).await.unwrap();
-    session.ask(&polled, &Unwatched).await.unwrap();
+    session.ask(&polled, &NoObserver).await.unwrap();
     let uri = |governor: &Governor| format!("http://127.0.0.1:{}", governor.grpc);
     let dialled = wrenthread_client::Governor { name: "g0".into(), grpc: uri(one), poll: base(one) };
     let versions = Rc::default();
-    let following = grpc::follow(&dialled, &q, true, &streamed, &versions, &Unwatched);
+    let following = grpc::follow(&dialled, &q, true, &streamed, &versions, &NoObserver);
     assert!(answers(&uri(one)).await && answers(&uri(other)).await);
     let draining = async {
         // Nobody is moved who has just come.
@@ -100,7 +101,7 @@
     };
     let polling = async {
         loop {
-            if let Err(end) = session.ask(&polled, &Unwatched).await {
+            if let Err(end) = session.ask(&polled, &NoObserver).await {
                 return end;
             }
         }
@@ -112,10 +113,10 @@
     // It says so to whoever asks by the public health protocol, and is not ready.
     assert!(!answers(&uri(one)).await && answers(&uri(other)).await);
     assert_ne!(one.get("/readyz").unwrap(), "ready\n");
-    let held = polled.borrow().ordered();
+    let held = polled.borrow().updated_tables();
     let session = Session::join(&base(other), &p, &polled).await.unwrap();
-    session.ask(&polled, &Unwatched).await.unwrap();
-    assert_eq!(polled.borrow().ordered()["match"].0.len(), held["match"].0.len());
+    session.ask(&polled, &NoObserver).await.unwrap();
+    assert_eq!(polled.borrow().updated_tables()["match"].0.len(), held["match"].0.len());
     assert!(other.log().contains("migrated tables adopted") && other.log().contains("taken over"));
     assert_eq!(seen(other)["came"], 1);
     assert_eq!(program(one, &["drain-governor", "--undo"]).0, Some(0));
--- a/crates/daemon/tests/state.rs
+++ b/crates/daemon/tests/state.rs
@@ -18,9 +18,9 @@
 use std::time::{Duration, Instant};
 
 use common::{Governor, until};
-use wrenthread_client::keeper::{Keeper, Standing};
 use wrenthread_client::poll::Session;
-use wrenthread_client::{Unwatched, Who};
+use wrenthread_client::table_cache::{DefaultEntry, TableCache};
+use wrenthread_client::{NoObserver, ProxyIdentity};
 
 const SECRET: &str = "a secret that no file but its own may hold";
 
@@ -46,17 +46,17 @@
     governor.child.wait().unwrap();
 }
 
-async fn session(governor: &Governor, keeper: &Rc<RefCell<Keeper>>) -> Session {
-    let who = Who { name: "p".into(), zone: "north".into(), usual: 1.0 };
-    Session::join(&format!("http://127.0.0.1:{}", governor.poll), &who, keeper).await.unwrap()
+async fn session(governor: &Governor, cache: &Rc<RefCell<TableCache>>) -> Session {
+    let who = ProxyIdentity { name: "p".into(), zone: "north".into(), requests_per_second: 1.0 };
+    Session::join(&format!("http://127.0.0.1:{}", governor.poll), &who, cache).await.unwrap()
 }
 
 /// Asks until the proxy holds a table of so many lines.
-async fn follow(session: &Session, keeper: &Rc<RefCell<Keeper>>, wanted: usize) {
+async fn follow(session: &Session, cache: &Rc<RefCell<TableCache>>, wanted: usize) {
     let began = Instant::now();
-    while keeper.borrow().ordered().get("match").is_none_or(|(lines, _)| lines.len() != wanted) {
+    while cache.borrow().updated_tables().get("match").is_none_or(|(lines, _)| lines.len() != wanted) {
         assert!(began.elapsed() < Duration::from_secs(20), "never {wanted} lines");
-        session.ask(keeper, &Unwatched).await.unwrap();
+        session.ask(cache, &NoObserver).await.unwrap();
     }
 }
 
@@ -72,33 +72,34 @@
 async fn a_killed_governor_knows_what_its_proxies_hold_and_what_operators_said() {
     let mut governor = governor("state-kill").await;
     let state = governor.folder.join("state");
-    let standing = |n: usize| Standing {
+    let standing = |n: usize| DefaultEntry {
         replica: format!("w{n}"),
         address: format!("10.0.0.{n}:80").as_str().into(),
         weight: 1.0,
     };
     let groups = vec!["match".to_string(), "charge".to_string()];
-    let keeper = Rc::new(RefCell::new(Keeper::new(groups, (0..4).map(standing).collect(), None)));
-    let first = session(&governor, &keeper).await;
+    let cache = Rc::new(RefCell::new(TableCache::new(groups, (0..4).map(standing).collect(), None)));
+    let first = session(&governor, &cache).await;
     let at = format!("127.0.0.1:{}", governor.http);
     assert_eq!(wrenthread(&["exclude", "w2", "--why", "its disk", "--at", &at]).0, Some(0));
-    follow(&first, &keeper, 3).await;
+    follow(&first, &cache, 3).await;
     let kept = || {
         let (_, shown) = wrenthread(&["state", "show", state.to_str().unwrap(), "--output", "json"]);
         let shown: serde_json::Value = serde_json::from_str(&shown).ok()?;
         let version = shown["entries"]["proxy/p"]["Proxy"]["version"].as_u64()?;
-        let held = keeper.borrow().held().unwrap().0.split_once('.').unwrap().1.parse::<u64>().unwrap();
+        let held =
+            cache.borrow().held_version().unwrap().0.split_once('.').unwrap().1.parse::<u64>().unwrap();
         (version == held && !shown["entries"]["override/w2"].is_null()).then_some(())
     };
     until("all of it is kept", kept).await;
-    let held = keeper.borrow().held().cloned();
+    let held = cache.borrow().held_version().cloned();
     end(&mut governor);
     governor.spawn().await;
-    let again = session(&governor, &keeper).await;
+    let again = session(&governor, &cache).await;
     // It holds what it should: nothing is sent, and it is still known to stand on its own table.
-    let told = tokio::time::timeout(Duration::from_millis(700), again.ask(&keeper, &Unwatched)).await;
-    assert!(told.is_err(), "it is told nothing, but {:?}", keeper.borrow().held());
-    assert_eq!(keeper.borrow().held().cloned(), held);
+    let told = tokio::time::timeout(Duration::from_millis(700), again.ask(&cache, &NoObserver)).await;
+    assert!(told.is_err(), "it is told nothing, but {:?}", cache.borrow().held_version());
+    assert_eq!(cache.borrow().held_version().cloned(), held);
     assert_eq!(governor.status()["overrides"][0]["why"], "its disk");
     assert!(governor.log().contains("what was known before a restart"));
     assert!(governor.status()["proxies"][0]["kind"] == "standing", "{}", governor.status()["proxies"]);
@@ -106,8 +107,8 @@
     end(&mut governor);
     std::fs::rename(&state, governor.folder.join("elsewhere")).unwrap();
     governor.spawn().await;
-    let anew = session(&governor, &keeper).await;
-    follow(&anew, &keeper, 4).await;
+    let anew = session(&governor, &cache).await;
+    follow(&anew, &cache, 4).await;
     assert_eq!(governor.status()["overrides"], serde_json::json!([]));
 
     // No file of it, nor the log, holds the secret; and nobody else may read them.
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -37,7 +37,7 @@
 use network_links::Links;
 use relay::{Front, Relay};
 use worker::{Mode, Worker};
-use wrenthread_client::Who;
+use wrenthread_client::ProxyIdentity;
 
 const DAYS: [(&str, &str); 11] = [
     ("bad-day", include_str!("../days/bad-day.star")),
@@ -330,7 +330,7 @@
                     drawn.remove(rng.next_u64() as usize % drawn.len());
                 }
                 let zone = day.halls[place % halls].clone();
-                let who = Who { name: format!("relay-{place}"), zone, usual };
+                let who = ProxyIdentity { name: format!("relay-{place}"), zone, requests_per_second: usual };
                 let standing: Vec<Rc<Worker>> = drawn.iter().map(|place| workers[*place].clone()).collect();
                 let front = fronts.of(place, halls);
                 Relay::new(place, who, front, &standing, by_address.clone(), seed, tape.clone())
--- a/crates/rehearsal/src/relay.rs
+++ b/crates/rehearsal/src/relay.rs
@@ -15,8 +15,8 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 use wrenthread::types::RetryPolicy;
-use wrenthread_client::keeper::{Keeper, Outcome, Standing};
-use wrenthread_client::{Error, Governor, Ordered, Watch, Who, answers, grpc, poll};
+use wrenthread_client::table_cache::{DefaultEntry, Outcome, TableCache};
+use wrenthread_client::{Error, Governor, Observer, ProxyIdentity, UpdatedTables, answers, grpc, poll};
 use wrenthread_core::failover::GovernorSelector;
 
 use crate::event_log::{End, FLOWS, GROUPS, Tape, What};
@@ -43,12 +43,12 @@
 pub struct Relay {
     /// Its number.
     pub place: usize,
-    who: Who,
+    who: ProxyIdentity,
     front: Front,
     workers: Rc<HashMap<String, Rc<Worker>>>,
     tape: Tape,
     rng: RefCell<ChaCha8Rng>,
-    keeper: Rc<RefCell<Keeper>>,
+    cache: Rc<RefCell<TableCache>>,
     versions: Rc<RefCell<grpc::Versions>>,
     session: RefCell<Option<Rc<poll::Session>>>,
     /// Whom it follows now.
@@ -76,19 +76,19 @@
     ever: Cell<bool>,
 }
 
-impl Watch for Taped<'_> {
-    fn joined(&self) {
+impl Observer for Taped<'_> {
+    fn connected(&self) {
         self.joined.set(true);
         self.relay.tape.add(What::Joined { relay: self.relay.place, governor: self.governor });
     }
 
-    fn broken(&self) {
+    fn disconnected(&self) {
         if self.joined.take() {
             self.relay.tape.add(What::Broken { relay: self.relay.place });
         }
     }
 
-    fn ordered(&self, mark: &str, lines: usize, tables: &Ordered) {
+    fn update_received(&self, mark: &str, lines: usize, tables: &UpdatedTables) {
         let worker = |at: &Arc<str>| self.relay.workers.get(&**at).map_or(usize::MAX, |worker| worker.place);
         let tables = tables.iter().map(|(group, (lines, level))| {
             (group.clone(), (lines.iter().map(|(at, _)| worker(at)).collect(), *level))
@@ -99,7 +99,7 @@
         self.relay.tape.add(What::Order { relay, governor, nonce, lines, tables: tables.collect() });
     }
 
-    fn answered(&self, mark: &str, taken: bool) {
+    fn update_answered(&self, mark: &str, taken: bool) {
         self.relay.tape.add(What::Answer { relay: self.relay.place, nonce: mark.to_string(), taken });
     }
 }
@@ -108,20 +108,20 @@
     /// `standing`: the workers of the table that it drew from the list at its start, as proxies do.
     pub fn new(
         place: usize,
-        who: Who,
+        who: ProxyIdentity,
         front: Front,
         standing: &[Rc<Worker>],
         workers: Rc<HashMap<String, Rc<Worker>>>,
         seed: u64,
         tape: Tape,
     ) -> Rc<Relay> {
-        let line = |worker: &Rc<Worker>| Standing {
+        let line = |worker: &Rc<Worker>| DefaultEntry {
             replica: worker.id.clone(),
             address: worker.address.as_str().into(),
             weight: 1.0,
         };
         let groups = GROUPS.map(str::to_string).to_vec();
-        let keeper = Keeper::new(groups, standing.iter().map(line).collect(), Some(AVOID));
+        let cache = TableCache::new(groups, standing.iter().map(line).collect(), Some(AVOID));
         Rc::new(Relay {
             place,
             who,
@@ -129,7 +129,7 @@
             workers,
             tape,
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed ^ (place as u64) << 32)),
-            keeper: Rc::new(RefCell::new(keeper)),
+            cache: Rc::new(RefCell::new(cache)),
             versions: Rc::default(),
             session: RefCell::new(None),
             at: RefCell::default(),
@@ -193,18 +193,18 @@
 
     async fn carry(&self, flow: u64, group: usize) -> End {
         let chance = (self.chance(), self.chance());
-        let Some(first) = self.keeper.borrow_mut().pick(self.now(), group, chance, None) else {
+        let Some(first) = self.cache.borrow_mut().pick(self.now(), group, chance, None) else {
             return End::Blocked;
         };
         let outcome = self.attempt(flow, group, &first).await;
-        let tries = self.keeper.borrow().tries(group);
+        let tries = self.cache.borrow().retry_policy(group);
         let again = match outcome {
             Tried::Ok(_) => return End::Delivered,
             Tried::Refused => tries != RetryPolicy::Never,
             Tried::Bad => tries == RetryPolicy::OnAnyFailure,
         };
         let chance = (0.0, self.chance());
-        let second = again.then(|| self.keeper.borrow_mut().pick(self.now(), group, chance, Some(&first)));
+        let second = again.then(|| self.cache.borrow_mut().pick(self.now(), group, chance, Some(&first)));
         let Some(second) = second.flatten() else { return End::Dropped };
         match self.attempt(flow, group, &second).await {
             Tried::Ok(_) => End::Delivered,
@@ -215,7 +215,7 @@
     async fn attempt(&self, flow: u64, group: usize, at: &Arc<str>) -> Tried {
         let worker = self.workers.get(&**at).map_or(usize::MAX, |worker| worker.place);
         self.tape.add(What::Try { flow, relay: self.place, worker });
-        self.keeper.borrow_mut().began(group, at);
+        self.cache.borrow_mut().attempt_started(group, at);
         // Counted as dropped unless it comes to something: also when the client gives up in the midst of it.
         let mut count = Count { relay: self, group, at, outcome: None };
         let began = self.tape.now();
@@ -242,7 +242,7 @@
             let watch =
                 Taped { relay: &self, governor: place, joined: Cell::new(false), ever: Cell::new(false) };
             let cut = self.cut.notified();
-            let (keeper, versions) = (&self.keeper, &self.versions);
+            let (cache, versions) = (&self.cache, &self.versions);
             let out_of_reach = || self.out_of_reach.borrow().contains(&place);
             let cut_off = async {
                 while !out_of_reach() {
@@ -257,14 +257,14 @@
                 }
                 match self.front {
                     Front::StateOfTheWorld => {
-                        grpc::follow(governor, &self.who, false, keeper, versions, &watch).await
+                        grpc::follow(governor, &self.who, false, cache, versions, &watch).await
                     }
-                    Front::Delta => grpc::follow(governor, &self.who, true, keeper, versions, &watch).await,
+                    Front::Delta => grpc::follow(governor, &self.who, true, cache, versions, &watch).await,
                     Front::LongPoll => {
-                        let session = Rc::new(poll::Session::join(&governor.poll, &self.who, keeper).await?);
-                        watch.joined();
+                        let session = Rc::new(poll::Session::join(&governor.poll, &self.who, cache).await?);
+                        watch.connected();
                         *self.session.borrow_mut() = Some(session.clone());
-                        poll::follow(&session, keeper, &watch).await
+                        poll::follow(&session, cache, &watch).await
                     }
                 }
             };
@@ -287,7 +287,7 @@
             };
             *self.session.borrow_mut() = None;
             let ever = watch.ever.get();
-            watch.broken();
+            watch.disconnected();
             match ended {
                 Some(Error::Moved(Some(to))) if dialer.is_home() && to == names[dialer.home()] => {}
                 Some(Error::Moved(to)) => {
@@ -333,11 +333,11 @@
     }
 
     async fn report_by_grpc(&self, uri: &str) -> Result<(), wrenthread_client::Error> {
-        let mut stream = grpc::Reports::open(uri, &self.who, &self.keeper).await?;
+        let mut stream = grpc::Reports::open(uri, &self.who, &self.cache).await?;
         let mut last = self.now();
         loop {
             stream.wait().await?;
-            let (now, stats) = (self.now(), self.keeper.borrow_mut().take_stats());
+            let (now, stats) = (self.now(), self.cache.borrow_mut().take_counters());
             let request = grpc::request(&GROUPS.map(str::to_string), now - last, &stats, &["waiting"]);
             last = now;
             let sender = stream.sender();
@@ -353,8 +353,8 @@
         loop {
             sleep(Duration::from_millis(500)).await;
             let Some(session) = self.session.borrow().clone() else { continue };
-            let (now, stats) = (self.now(), self.keeper.borrow_mut().take_stats());
-            let report = poll::report(&self.keeper.borrow(), now - last, &stats);
+            let (now, stats) = (self.now(), self.cache.borrow_mut().take_counters());
+            let report = poll::report(&self.cache.borrow(), now - last, &stats);
             last = now;
             let number = self.reports.replace(self.reports.get() + 1);
             self.deliver(move || {
@@ -375,13 +375,18 @@
 
 impl Drop for Count<'_> {
     fn drop(&mut self) {
-        let mut keeper = self.relay.keeper.borrow_mut();
+        let mut cache = self.relay.cache.borrow_mut();
         let now = self.relay.now();
         match self.outcome {
             Some((took, waiting)) => {
-                keeper.ended(now, self.group, self.at, Outcome::Delivered { took, load: &[waiting] });
+                cache.attempt_ended(
+                    now,
+                    self.group,
+                    self.at,
+                    Outcome::Succeeded { latency: took, load: &[waiting] },
+                );
             }
-            None => keeper.ended(now, self.group, self.at, Outcome::Dropped),
+            None => cache.attempt_ended(now, self.group, self.at, Outcome::Failed),
         }
     }
 }
