--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -1,57 +1,57 @@
-//! What is wrong with a line, in the words that standard error shows.
+//! Errors in an input line, as reported on standard error.
 
 use thiserror::Error;
 use wrenthread_deployment_config::FieldError;
 
-/// Why a line is left out.
+/// The reason why a line is skipped.
 #[derive(Debug, Error)]
 pub enum MessageError {
     /// The line is not JSON.
     #[error("not JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// The line is JSON, but no object.
-    #[error("not an object")]
+    /// The line is JSON, but not an object.
+    #[error("not a JSON object")]
     NotAnObject,
     /// The object has no key, or more than one.
-    #[error("a message has one name, and this has none or several")]
+    #[error("a message must have exactly one key, its name")]
     NotOneName,
-    /// The message's fields are no object.
-    #[error("`{name}` holds no object")]
+    /// The value under the message's name is not an object.
+    #[error("the value of `{name}` is not an object")]
     NoFields {
         /// The message's name.
         name: String,
     },
     /// A batch begins inside another.
-    #[error("a batch begins before the last one's `go`")]
+    #[error("`begin_batch` before the previous batch's `go`")]
     BatchNotEnded,
-    /// The message came before a batch began.
+    /// The message is not part of a batch.
     #[error("`{name}` outside a batch")]
     OutsideBatch {
         /// The message's name.
         name: String,
     },
-    /// There is no governor of this number.
-    #[error("no instance {0}")]
+    /// No governor has this number.
+    #[error("unknown `governor_id` {0}")]
     UnknownGovernor(u64),
-    /// No replica list of this number was defined.
-    #[error("no list {0}")]
+    /// No replica list with this number was defined.
+    #[error("undefined `list` {0}")]
     UnknownList(u64),
-    /// A replica list's entry is no object.
-    #[error("a list's entry is no object")]
+    /// An entry of a replica list is not an object.
+    #[error("an entry of `elements` is not an object")]
     EntryNotAnObject,
-    /// A replica is in a phase of this number.
-    #[error("no such phase: {0}")]
+    /// A replica's phase number is unknown.
+    #[error("unknown `phase` {0}")]
     UnknownPhase(u64),
-    /// A roster changes in a way of this number.
-    #[error("no such kind of update: {0}")]
+    /// The kind number of a roster update is unknown.
+    #[error("unknown `kind` of roster update {0}")]
     UnknownUpdateKind(u64),
-    /// No message has this name.
-    #[error("no such event: `{name}`")]
+    /// The message's name is unknown.
+    #[error("unknown message `{name}`")]
     UnknownEvent {
         /// The message's name.
         name: String,
     },
-    /// A field is missing, or of another type.
+    /// A field is missing or has the wrong type.
     #[error(transparent)]
     Field(#[from] FieldError),
 }
--- a/crates/adapter/src/events.rs
+++ b/crates/adapter/src/events.rs
@@ -1,4 +1,5 @@
-//! What the bench tells: its field names are mapped here to what the decision module takes, and nowhere else.
+//! Decodes the simulator's messages into the input types of the decision module. The field names of incoming
+//! messages occur only here.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -14,12 +15,12 @@
 use crate::error::MessageError;
 use crate::message::Message;
 
-/// `membership_mode` where a replica list comes only to those who subscribe.
+/// Value of `membership_mode` if governors must subscribe to replica lists.
 const SUBSCRIBE: &str = "subscribe";
-/// `how` of a health check that was answered.
+/// Value of `how` for a health check with a response.
 const ANSWERED: u64 = 1;
 
-/// Replicas' names: one copy of each, shared by all that hold it.
+/// Interned names of replicas.
 #[derive(Debug, Default)]
 pub struct ReplicaNames(BTreeSet<ReplicaId>);
 
@@ -34,7 +35,7 @@
     }
 }
 
-/// A replica list and the number that later messages name it by.
+/// A replica list and the number that later messages refer to it by.
 #[derive(Debug)]
 pub struct ReplicaList {
     /// The list's number.
@@ -43,67 +44,67 @@
     pub entries: Vec<ReplicaEntry>,
 }
 
-/// What a governor is told first.
+/// The content of a governor's start message.
 #[derive(Debug)]
 pub struct GovernorStart {
-    /// Its settings.
+    /// The governor's settings.
     pub settings: Settings,
-    /// Replica lists come to it only once it has subscribed.
+    /// Whether it must subscribe to receive replica lists.
     pub subscribes: bool,
 }
 
-/// Something that a governor sees.
+/// An event for a governor.
 #[derive(Debug)]
 pub enum GovernorEvent {
-    /// Its roster is that of a list, or changes by it.
+    /// A replica list replaces or updates its roster.
     RosterUpdated {
         /// The list's number.
         list: u64,
-        /// Whether the list names all replicas.
+        /// Whether the list contains all replicas.
         scope: RosterScope,
     },
     /// Its subscription to replica lists has ended.
     SubscriptionEnded,
-    /// A proxy's stream is up.
+    /// A proxy has opened its stream.
     ProxyConnected(ProxyConnection),
-    /// A proxy's stream is down.
+    /// A proxy's stream has closed.
     ProxyDisconnected(ProxyId),
-    /// What proxies observed at a replica.
+    /// Statistics of a replica from the proxies of one zone.
     ReplicaObserved(ReplicaStatistics),
-    /// What a proxy received.
+    /// Statistics of the requests that a proxy received.
     DemandObserved(DemandStatistics),
-    /// What a health check found.
+    /// The result of a health check.
     HealthChecked {
         /// The replica.
         replica: ReplicaId,
-        /// How long the answer took, if one came.
+        /// The response time, if there was a response.
         took: Option<Duration>,
         /// The replica's load report.
         load: Vec<f64>,
     },
     /// The timer fired.
     Tick,
-    /// A message took effect this long after it was sent.
+    /// A message was acknowledged this long after it was sent.
     Acknowledged(Duration),
-    /// Nothing that the decision module makes use of: governors tell each other nothing, and key slices are
-    /// not served.
+    /// An event that the decision module does not use: governors exchange no messages, and key slices are not
+    /// supported.
     Ignored,
 }
 
-/// The time that a batch begins at.
+/// Reads the time of a batch.
 ///
 /// # Errors
 ///
-/// If the time is missing.
+/// Returns an error if the time is missing.
 pub fn batch_time(message: &Message) -> Result<Duration, MessageError> {
     Ok(message.fields().micros("ts_us")?)
 }
 
-/// The number of the governor that a message is about.
+/// Reads the number of the governor that a message is for.
 ///
 /// # Errors
 ///
-/// If the number is missing.
+/// Returns an error if the number is missing.
 pub fn governor_id(message: &Message) -> Result<u64, MessageError> {
     Ok(message.fields().count("governor_id")?)
 }
@@ -112,7 +113,7 @@
 ///
 /// # Errors
 ///
-/// If its number or a replica's name is missing, or a replica's phase is unknown.
+/// Returns an error if the list's number or a replica's name is missing, or if a replica's phase is unknown.
 pub fn replica_list(message: &Message, names: &mut ReplicaNames) -> Result<ReplicaList, MessageError> {
     let fields = message.fields();
     let number = fields.count("list")?;
@@ -143,11 +144,11 @@
     }
 }
 
-/// Reads what a governor is told first.
+/// Reads a governor's start message.
 ///
 /// # Errors
 ///
-/// If its settings can't be read.
+/// Returns an error if the settings are invalid.
 pub fn governor_start(message: &Message) -> Result<GovernorStart, MessageError> {
     let info = message.fields().object_or_empty("info");
     Ok(GovernorStart {
@@ -156,11 +157,11 @@
     })
 }
 
-/// Reads what a governor sees.
+/// Reads an event for a governor.
 ///
 /// # Errors
 ///
-/// If the message's name is unknown, or a field is missing or of another type.
+/// Returns an error if the message's name is unknown, or if a field is missing or has the wrong type.
 pub fn governor_event(message: &Message, names: &mut ReplicaNames) -> Result<GovernorEvent, MessageError> {
     let fields = message.fields();
     Ok(match message.name() {
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The governors of the bench, and what they are told in a batch.
+//! Hosts the simulated governors and passes the messages of each batch to them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Write};
@@ -12,17 +12,17 @@
 use crate::message::{Message, MessageKind};
 use crate::replies;
 
-/// The governors of the bench.
+/// The simulated governors.
 #[derive(Default)]
 pub struct Host {
     now: Duration,
     governors: BTreeMap<u64, Governor>,
-    /// Governors with an event in the batch: only these may act.
+    /// Governors with an event in the current batch; only their decisions are written.
     touched: BTreeSet<u64>,
     lists: BTreeMap<u64, Vec<ReplicaEntry>>,
-    /// Governors to which replica lists come only once they have subscribed.
+    /// Governors that must subscribe to receive replica lists.
     subscribers: BTreeSet<u64>,
-    /// Those that are to subscribe now.
+    /// Governors whose subscription is to be sent at the end of the batch.
     unsubscribed: BTreeSet<u64>,
     names: ReplicaNames,
 }
@@ -32,18 +32,18 @@
     ///
     /// # Errors
     ///
-    /// If the message states no time.
+    /// Returns an error if the message has no time.
     pub fn begin_batch(&mut self, message: &Message) -> Result<(), MessageError> {
         self.now = events::batch_time(message)?;
         Ok(())
     }
 
-    /// Takes in a message of a batch.
+    /// Processes a message of a batch.
     ///
     /// # Errors
     ///
-    /// If the message can't be understood, or names a governor or a list that is not there. It then has no
-    /// effect.
+    /// Returns an error if the message is invalid or refers to an unknown governor or list. The message then
+    /// has no effect.
     pub fn receive(&mut self, message: &Message) -> Result<(), MessageError> {
         if message.kind() == MessageKind::DefineList {
             let list = events::replica_list(message, &mut self.names)?;
@@ -104,11 +104,11 @@
         Ok(())
     }
 
-    /// Answers a batch: what the governors with an event in it decide.
+    /// Writes the reply to a batch: the decisions of the governors with an event in it.
     ///
     /// # Errors
     ///
-    /// Those of the output.
+    /// Returns the errors of the output.
     pub fn end_batch(&mut self, output: &mut impl Write) -> io::Result<()> {
         for id in std::mem::take(&mut self.touched) {
             let Some(governor) = self.governors.get_mut(&id) else { continue };
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,7 +1,8 @@
-//! Speaks the bench's wire on standard input and output: what [`wrenthread`] decides, without a platform.
+//! Adapter between [`wrenthread`] and the simulator: reads the simulator's messages from standard input and
+//! writes decisions to standard output.
 //!
-//! A line that can't be understood is named on standard error and left out; what the rest of its batch says
-//! still counts. A batch without its end is never answered.
+//! An invalid line is reported on standard error and skipped; the other lines of its batch are processed. An
+//! incomplete batch is not answered.
 
 #![warn(missing_docs)]
 
@@ -24,7 +25,8 @@
     match serve::serve(input, &mut output, &mut io::stderr()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            // Standard error may be closed too; the exit code still tells.
+            // A failed write is ignored, as standard error may be closed too. The exit code still reports the
+            // error.
             let _ = writeln!(io::stderr(), "wrenthread-adapter: {error}");
             ExitCode::FAILURE
         }
--- a/crates/adapter/src/message.rs
+++ b/crates/adapter/src/message.rs
@@ -1,28 +1,29 @@
-//! The form of a line: a JSON object whose only key names the message and holds its fields.
+//! Parses input lines. A line is a JSON object whose only key is the message's name; its value is an object
+//! with the message's fields.
 
 use serde_json::{Map, Value};
 use wrenthread_deployment_config::Fields;
 
 use crate::error::MessageError;
 
-/// What a line is about, by its name on the wire.
+/// The kind of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MessageKind {
     /// A batch begins.
     BeginBatch,
-    /// A batch ends and is to be answered.
+    /// A batch ends and must be answered.
     EndBatch,
-    /// A replica list is given a number.
+    /// Defines a replica list with a number.
     DefineList,
     /// A governor starts.
     StartGovernor,
     /// A governor's process is killed.
     KillGovernor,
-    /// Something happens that a governor sees; or an unknown name.
+    /// An event for a governor, or a message with an unknown name.
     GovernorEvent,
 }
 
-/// One line, whose fields are not read yet.
+/// A parsed line whose fields have not been decoded.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Message {
     name: String,
@@ -30,11 +31,11 @@
 }
 
 impl Message {
-    /// Reads a line's form.
+    /// Parses a line.
     ///
     /// # Errors
     ///
-    /// If the line is not a JSON object with one key that holds an object.
+    /// Returns an error if the line is not a JSON object with exactly one key whose value is an object.
     pub fn parse(line: &[u8]) -> Result<Self, MessageError> {
         let Value::Object(object) = serde_json::from_slice(line)? else {
             return Err(MessageError::NotAnObject);
@@ -47,12 +48,12 @@
         }
     }
 
-    /// Its name on the wire.
+    /// The message's name.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// What it is about.
+    /// The message's kind.
     pub fn kind(&self) -> MessageKind {
         match self.name.as_str() {
             "begin_batch" => MessageKind::BeginBatch,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Its fields.
+    /// The message's fields.
     pub fn fields(&self) -> Fields<'_> {
         Fields::new(&self.fields)
     }
--- a/crates/adapter/src/replies.rs
+++ b/crates/adapter/src/replies.rs
@@ -1,4 +1,4 @@
-//! What the bench is told: decisions are mapped here to its field names, and nowhere else.
+//! Encodes decisions as replies to the simulator. The field names of replies occur only here.
 //!
 //! Fields are in alphabetical order.
 
@@ -7,12 +7,12 @@
 use serde::Serialize;
 use wrenthread::types::{ClassSet, Decision, ProxyId, RetryPolicy, TableId};
 
-/// The table number that stands for all connected proxies in [`Reply::Admit`].
+/// Table number that denotes all connected proxies in [`Reply::Admit`].
 const ALL_PROXIES: TableId = TableId::MAX;
-/// The only timer of a governor.
+/// Handle of a governor's only timer.
 const TIMER: u64 = 0;
 
-/// One line to the bench.
+/// One line of output.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum Reply<'a> {
@@ -27,20 +27,20 @@
     Watch { governor_id: u64, set: bool },
 }
 
-/// Subscribes a governor to replica lists.
+/// Writes a governor's subscription to replica lists.
 ///
 /// # Errors
 ///
-/// Those of the output.
+/// Returns the errors of the output.
 pub fn write_subscription(governor_id: u64, output: &mut impl Write) -> io::Result<()> {
     write_reply(&Reply::Watch { governor_id, set: true }, output)
 }
 
-/// Ends the answer to a batch.
+/// Ends the reply to a batch.
 ///
 /// # Errors
 ///
-/// Those of the output.
+/// Returns the errors of the output.
 pub fn write_end(output: &mut impl Write) -> io::Result<()> {
     write_reply(&Reply::Ok {}, output)?;
     output.flush()
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 ///
-/// Those of the output.
+/// Returns the errors of the output.
 pub fn write_decision(governor_id: u64, decision: &Decision, output: &mut impl Write) -> io::Result<()> {
     let reply = match decision {
         Decision::ScheduleTick(after) => {
--- a/crates/adapter/src/serve.rs
+++ b/crates/adapter/src/serve.rs
@@ -1,4 +1,4 @@
-//! Reads batches line by line and answers each at its end.
+//! Reads batches line by line and answers each batch at its end.
 
 #[cfg(test)]
 mod tests;
@@ -13,7 +13,7 @@
 ///
 /// # Errors
 ///
-/// Those of the streams, or a batch that is cut short.
+/// Returns the errors of the streams, or an error if the input ends inside a batch.
 pub fn serve(input: impl BufRead, output: &mut impl Write, errors: &mut impl Write) -> io::Result<()> {
     let mut session = Session::default();
     for (index, line) in input.split(b'\n').enumerate() {
@@ -39,7 +39,7 @@
     Ended,
 }
 
-/// The host, and whether a batch is open.
+/// The state of one run: the host, and whether a batch is open.
 #[derive(Default)]
 struct Session {
     host: Host,
--- a/crates/adapter/src/serve/tests.rs
+++ b/crates/adapter/src/serve/tests.rs
@@ -3,7 +3,7 @@
 const INFO: &str = r#"{"categories":[{"deadline_us":5000000,"effect":"retryable","objective_us":2000000}],
 "extra":{"agents":1,"channel_rate":900,"most_waiting":900,"cycle_us":500000},"zones":["a"],"new":{"x":[1]}}"#;
 
-/// One instance with one ready replica and one proxy, in a batch without its end.
+/// An unfinished batch that starts one governor with one ready replica and one proxy.
 fn start() -> String {
     let info = INFO.replace('\n', "");
     [
@@ -43,15 +43,15 @@
 fn names_and_skips_bad_lines() {
     let bad = [
         ("nonsense", "line 6: not JSON"),
-        ("[1]", "line 6: not an object"),
-        ("{}", "line 6: a message has one name"),
-        (r#"{"go":1}"#, "line 6: `go` holds no object"),
-        (r#"{"surprise":{"governor_id":3}}"#, "line 6: no such event: `surprise`"),
-        (r#"{"left":{"governor_id":9,"forwarder":0}}"#, "line 6: no instance 9"),
+        ("[1]", "line 6: not a JSON object"),
+        ("{}", "line 6: a message must have exactly one key"),
+        (r#"{"go":1}"#, "line 6: the value of `go` is not an object"),
+        (r#"{"surprise":{"governor_id":3}}"#, "line 6: unknown message `surprise`"),
+        (r#"{"left":{"governor_id":9,"forwarder":0}}"#, "line 6: unknown `governor_id` 9"),
         (r#"{"left":{"governor_id":3,"forwarder":70000}}"#, "line 6: `forwarder` is too large"),
         (r#"{"tally":{"governor_id":3,"hall":0,"replica":"r1"}}"#, "line 6: `total` is not a whole number"),
-        (r#"{"directory_update":{"governor_id":3,"kind":1,"list":7}}"#, "line 6: no list 7"),
-        (r#"{"begin_batch":{"ts_us":2000000}}"#, "line 6: a batch begins before"),
+        (r#"{"directory_update":{"governor_id":3,"kind":1,"list":7}}"#, "line 6: undefined `list` 7"),
+        (r#"{"begin_batch":{"ts_us":2000000}}"#, "line 6: `begin_batch` before"),
     ];
     let (_, clean, _) = answer(&(start() + "{\"go\":{}}\n"));
     for (line, why) in bad {
--- a/src/governor.rs
+++ b/src/governor.rs
@@ -1,12 +1,12 @@
-//! All decisions of one governor process: which tables a service's plain proxies hold, which replicas they
-//! avoid, what they admit, and when they are told.
+//! All decisions of one governor process: the routing tables of a service's proxies, the replicas that
+//! proxies must avoid, the requests that they admit, and when each change is sent.
 //!
-//! A host makes one [`Governor`] for each governor process, calls its inputs as things happen, and pulls
-//! [`Governor::next_decision`] until it gives `None`: what comes in one go is one message to each proxy
-//! concerned. The types of both sides are in [`types`](crate::types).
+//! A host creates one [`Governor`] for each governor process, calls its input methods as events arrive, and
+//! calls [`Governor::next_decision`] until it returns `None`. The decisions of one such series form one
+//! message to each proxy that they affect. Input and output types are defined in [`types`](crate::types).
 //!
 //! The mechanism is that of the FlexDATE paper, which `critical_set` and `water_filling` cite (see also
-//! `docs/design.md`). Decisions take precedence in the order of the files that hold them: `ejection` (by
+//! `docs/design.md`). Decisions take precedence in this order of modules: `ejection` (based on
 //! `outlier_detection` and `health`), `slow_start`, `default_tables`, `critical_set`, `admission_control`,
 //! `publishing`.
 
@@ -55,60 +55,61 @@
 #[cfg(test)]
 mod tests;
 
-/// Ticks from one adjustment of the admission fraction to the next: a second.
+/// Ticks between adjustments of the admission fraction: one second.
 const ADMISSION_TICKS: u64 = 4;
-/// Ticks from one solution of the critical set to the next: two seconds.
+/// Ticks between updates of the critical set: two seconds.
 const SOLVER_TICKS: u64 = 8;
-/// A default table is sampled in the proxy's zone if so many replicas are ready there, else in all zones.
+/// Minimum number of ready replicas in a proxy's zone for its default table to be sampled from that zone
+/// only; with fewer, it is sampled from all zones.
 const MIN_SAMPLED_REPLICAS: usize = 3;
-/// Requests in flight are averaged over this many health checks.
+/// Number of health checks over which requests in flight are averaged.
 const HEALTH_CHECK_AVERAGING: f64 = 3.0;
-/// By how much a failed health check raises the requests in flight.
+/// Factor by which a failed health check raises the estimate of requests in flight.
 const FAILED_HEALTH_CHECK_GROWTH: f64 = 1.3;
 
-// Operators and their programs read these texts: they stay as they are.
+// Operators' tools match these texts, so they must not change.
 const REASON_NOT_READY: &str = "drains or is gone";
 const REASON_WITHHELD: &str = "too cold for tables that can't be read";
 const REASON_EJECTED: &str = "withdrawn: does not answer, or drops far more than the fleet";
 const REASON_PROBATION: &str = "on trial after a withdrawal";
 
-/// One governor's knowledge, and the decisions that wait to be pulled.
+/// The state of one governor, and its decisions that the host has not fetched yet.
 #[derive(Default)]
 pub struct Governor {
     parameters: Parameters,
     replicas: BTreeMap<ReplicaId, ReplicaState>,
     proxies: BTreeMap<ProxyId, ProxyState>,
-    /// Dedicated tables as last sent. They outlive the proxy's stream here.
+    /// Dedicated tables as last sent; kept after the proxy disconnects.
     sent_tables: Tables,
     critical_set: CriticalSet,
     fleet_health: FleetHealth,
     reports: ReportTiming,
     admission: Admission,
     send_queue: SendQueue,
-    /// The largest weight that was ever ready.
+    /// The largest total weight of ready replicas seen so far.
     nominal_weight: f64,
     roster_updated_at: Duration,
-    /// By zone: when a proxy last connected.
+    /// Time of the latest proxy connection, by zone.
     last_connections: BTreeMap<usize, Duration>,
     health_checks_due: BTreeSet<DueHealthCheck>,
     ticks: u64,
     tick_pending: bool,
     next_flush_at: Duration,
-    /// Nothing was put in since decisions were last made.
+    /// The host is fetching the decisions of the last pass. The next pass starts after it has fetched all.
     settled: bool,
     pending: VecDeque<Decision>,
 }
 
-/// A health check that is to be sent.
+/// A scheduled health check.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct DueHealthCheck {
     at: Duration,
     replica: ReplicaId,
 }
 
-/// Inputs only update what is known.
+/// Input methods. They update the state and make no decisions.
 impl Governor {
-    /// A governor that has heard of nothing yet. Its first decision asks for a tick.
+    /// Creates a governor without replicas or proxies. Its first decision schedules a tick.
     pub fn new(settings: Settings, now: Duration) -> Self {
         Governor {
             parameters: Parameters::new(&settings),
@@ -120,7 +121,7 @@
         }
     }
 
-    /// The roster, or what changed in it. What a complete roster leaves out is gone.
+    /// Applies the complete roster, or changes to it. Replicas missing from a complete roster are gone.
     pub fn update_replicas(&mut self, now: Duration, entries: &[ReplicaEntry], scope: RosterScope) {
         if scope == RosterScope::Complete {
             self.remove_unlisted(now, entries);
@@ -148,7 +149,7 @@
         let replica = self.replicas.entry(entry.id.clone()).or_default();
         let is_new = replica.weight == 0.0;
         if is_new || replica.started_at != entry.started_at {
-            // What the old process did is not held against the new one.
+            // Observations of the previous process do not apply to the new one.
             replica.started_at = entry.started_at;
             replica.reset_observations(now, HealthState::Healthy);
         }
@@ -177,7 +178,7 @@
         }
     }
 
-    /// A proxy's stream is up.
+    /// Records that a proxy has opened its stream.
     pub fn proxy_connected(&mut self, now: Duration, connection: ProxyConnection) {
         let ProxyConnection { proxy, zone, requests_per_second, holds_default_table } = connection;
         self.proxy_disconnected(proxy);
@@ -196,21 +197,21 @@
         self.last_connections.insert(zone, now);
     }
 
-    /// Whether a newly sampled default table is known to name ready replicas of the zone only, with their
-    /// full weight.
+    /// Whether a newly sampled default table is certain to contain only ready replicas of the zone, at full
+    /// weight.
     fn default_table_suits(&self, zone: usize, now: Duration) -> bool {
         let mut in_zone = self.replicas.values().filter(|replica| replica.zone == zone);
         let ready = in_zone.clone().filter(|replica| replica.ready).count();
         ready >= MIN_SAMPLED_REPLICAS && in_zone.all(|replica| self.usable_fraction(replica, now) >= 1.0)
     }
 
-    /// A proxy's stream is down.
+    /// Records that a proxy's stream has closed.
     pub fn proxy_disconnected(&mut self, proxy: ProxyId) {
         self.proxies.remove(&proxy);
         self.critical_set.remove(proxy);
     }
 
-    /// What the proxies of a zone observed at a replica.
+    /// Records statistics about a replica from the proxies of one zone.
     pub fn record_replica_statistics(&mut self, now: Duration, report: ReplicaStatistics) {
         self.reports.last_by_zone.insert(report.zone, now);
         self.reports.record_interval(report.interval);
@@ -224,7 +225,7 @@
         self.admission.record_latency(&report);
     }
 
-    /// What a proxy received.
+    /// Records the number of requests that a proxy received.
     pub fn record_demand(&mut self, now: Duration, report: DemandStatistics) {
         self.reports.record_interval(report.interval);
         let Some(proxy) = self.proxies.get_mut(&report.proxy) else { return };
@@ -234,7 +235,8 @@
         }
     }
 
-    /// What a health check found: how long the answer took, if one came, and the replica's load report.
+    /// Records the result of a health check: the response time, if there was a response, and the replica's
+    /// load report.
     pub fn record_health_check(
         &mut self,
         now: Duration,
@@ -250,8 +252,7 @@
                 Some(in_flight) => {
                     replica.in_flight = Some(known + (in_flight - known) / HEALTH_CHECK_AVERAGING);
                 }
-                // A health check waits behind requests: a failed one tells of load where answered ones tell
-                // of none.
+                // Health checks queue behind requests, so a failed one without a load report indicates load.
                 None if took.is_none() => {
                     replica.in_flight = Some(FAILED_HEALTH_CHECK_GROWTH * known.max(1.0));
                 }
@@ -263,7 +264,7 @@
         }
     }
 
-    /// A message took effect this long after it was sent.
+    /// Records that a message was acknowledged, and how long after it was sent.
     pub fn acknowledged(&mut self, took: Duration) {
         self.send_queue.acknowledge(took, self.parameters.max_transit_delay);
     }
@@ -274,9 +275,9 @@
     }
 }
 
-/// Decisions.
+/// Output methods.
 impl Governor {
-    /// The next decision. What was put in is settled by the first pull after a `None`.
+    /// Returns the next decision. The first call after a `None` processes the inputs received since.
     pub fn next_decision(&mut self, now: Duration) -> Option<Decision> {
         if !self.settled {
             self.decide(now);
@@ -329,14 +330,14 @@
     }
 }
 
-/// What operators are shown.
+/// Inspection methods for operators.
 impl Governor {
-    /// Whether anything is still known of a replica; of what is gone and in no table nothing is.
+    /// Whether the governor still has state for a replica; it drops gone replicas that are in no table.
     pub fn tracks(&self, id: &ReplicaId) -> bool {
         self.replicas.contains_key(id)
     }
 
-    /// What the governor takes for true.
+    /// Returns the governor's current estimate of the fleet's state.
     pub fn state_estimate(&self) -> StateEstimate {
         let ready = self.replicas.values().filter(|replica| replica.ready);
         let ready_replicas = ready.clone().count();
@@ -352,12 +353,12 @@
         }
     }
 
-    /// Whether a proxy has solved tables.
+    /// Whether a proxy is in the critical set and thus has solved tables.
     pub fn is_critical(&self, proxy: ProxyId) -> bool {
         self.critical_set.contains(proxy)
     }
 
-    /// Why a replica is sent nothing, or little, if that is so.
+    /// Returns the reason why a replica is sent no requests or only a few, if that is so.
     pub fn ejection_reason(&self, id: &ReplicaId) -> Option<&'static str> {
         let replica = self.replicas.get(id)?;
         match replica.health {
--- a/src/governor/admission_control.rs
+++ b/src/governor/admission_control.rs
@@ -1,5 +1,5 @@
-//! How many requests proxies admit: load is shed while the fleet answers late, the least valuable classes
-//! first.
+//! Admission control: sheds load while the fleet's latency is too high, starting with the least valuable
+//! classes.
 
 use std::time::Duration;
 
@@ -11,38 +11,38 @@
 use super::tables::MAX_CLASSES;
 use crate::types::{Decision, DemandStatistics, ReplicaStatistics, RetryPolicy, Settings};
 
-/// Answers since the last look, before their mean latency means anything.
+/// Minimum number of responses since the last adjustment for their mean latency to be significant.
 const MIN_ANSWERS: f64 = 10.0;
-/// Load is shed once answers take this part of the latency objective.
+/// Load is shed while the mean latency exceeds this fraction of the latency objective.
 const LATE_OBJECTIVE_FRACTION: f64 = 0.5;
-/// Admission recovers below this part of the latency objective.
+/// Admission recovers while the mean latency is below this fraction of the latency objective.
 const RECOVERY_OBJECTIVE_FRACTION: f64 = 0.7 * LATE_OBJECTIVE_FRACTION;
-/// Admission is cut to this part of what is answered, so that queues drain.
+/// Admission is cut to this fraction of the answered rate, so that queues drain.
 pub(super) const QUEUE_DRAINING_FRACTION: f64 = 0.77;
-/// A cut lowers the admission fraction by this factor at least.
+/// A cut multiplies the admission fraction by this factor or a smaller one.
 const MIN_CUT: f64 = 0.95;
-/// No cut goes below this admission fraction.
+/// Lower bound of the admission fraction.
 const MIN_ADMISSION_FRACTION: f64 = 0.2;
-/// The least growth in a second up to what was answered at the last cut.
+/// Minimum growth per second, up to the fraction that was answered at the last cut.
 const MIN_RECOVERY: f64 = 1.05;
-/// The largest growth in a second up to what was answered at the last cut.
+/// Maximum growth per second, up to the fraction that was answered at the last cut.
 const MAX_RECOVERY: f64 = 1.15;
-/// The growth in a second beyond that.
+/// Growth per second beyond the fraction that was answered at the last cut.
 const CAUTIOUS_RECOVERY: f64 = 1.02;
-/// Ticks until a cut shows in statistics, beside the settling time.
+/// Ticks, in addition to the settling time, until a cut shows in statistics.
 const CUT_SETTLING_TICKS: u32 = 4;
-/// A replica that reports so many queued requests counts as having a queue.
+/// Minimum number of reported queued requests for a replica to count as having a queue.
 const MIN_QUEUE: f64 = 1.0;
-/// What one report counts in the fraction of a class's requests that fail.
+/// Weight of one report in the moving average of a class's failed fraction.
 const FAILED_FRACTION_GAIN: f64 = 0.01;
-/// Averaging periods until a proxy's demand counts in full.
+/// Averaging periods after connection until a proxy's demand is counted in full.
 const DEMAND_SETTLING_PERIODS: f64 = 2.0;
-/// Published admission fractions are multiples of 1 by this.
+/// Published admission fractions are rounded to multiples of 1 divided by this.
 const FRACTION_STEPS: f64 = 20.0;
-/// The part of the channel's queue that a rise of an admission fraction may use.
+/// Fraction of the send queue up to which a rise of an admission fraction may be sent.
 const RISE_QUEUE_FRACTION: f64 = 0.6;
 
-/// What proxies admit of one class.
+/// The admission settings of one class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ClassAdmission {
     pub(super) fraction: f64,
@@ -52,35 +52,35 @@
 /// The last load-shedding step.
 #[derive(Clone, Copy, Default)]
 pub(super) struct LastCut {
-    /// The fraction of requests that was answered then; beyond it the fraction recovers cautiously.
+    /// The fraction of requests that was answered at the cut; beyond it admission recovers more slowly.
     pub(super) answered_fraction: f64,
     pub(super) at: Duration,
 }
 
-/// The latency of the answers since the last look.
+/// The summed latency of the responses since the last adjustment.
 #[derive(Clone, Copy, Default)]
 pub(super) struct LatencySum {
     pub(super) answers: f64,
     pub(super) seconds: f64,
 }
 
-/// The reports of queued requests that are recent enough to count.
+/// Counts of recent reports of queued requests.
 #[derive(Clone, Copy, Default)]
 struct QueueReports {
     all: u32,
     with_queue: u32,
 }
 
-/// What is admitted, and what that goes by.
+/// The state of admission control.
 #[derive(Default)]
 pub(super) struct Admission {
     /// The fraction of all requests that should be admitted.
     pub(super) fraction: f64,
-    /// By class, as last published.
+    /// Admission settings by class, as last published.
     pub(super) classes: Vec<ClassAdmission>,
     pub(super) last_cut: LastCut,
     pub(super) latency: LatencySum,
-    /// By class: the fraction of admitted requests that fails.
+    /// The fraction of admitted requests that fail, by class.
     pub(super) failed_fractions: Vec<f64>,
 }
 
@@ -113,7 +113,8 @@
 }
 
 impl Governor {
-    /// Goes by the fleet's mean latency: a fault of a few replicas doesn't move that far enough.
+    /// Adjusts the admission fraction by the fleet's mean latency, which a fault of a few replicas does not
+    /// raise enough to cause a cut.
     pub(super) fn adjust_admission(&mut self, now: Duration) {
         let latency = std::mem::take(&mut self.admission.latency);
         if latency.answers < MIN_ANSWERS {
@@ -122,7 +123,7 @@
         let lateness = latency.seconds / latency.answers / self.parameters.latency_objective_seconds;
         let settling_time =
             self.parameters.settling_time + self.reports.delay + CUT_SETTLING_TICKS * TICK_INTERVAL;
-        // Latency tells of queues that may have drained since: reports of queued requests say so.
+        // Latency may reflect queues that have drained since. Reported queue lengths are more recent.
         let queues = self.queue_reports(now, settling_time);
         let late = lateness > LATE_OBJECTIVE_FRACTION && 2 * queues.with_queue >= queues.all;
         if late && now >= self.admission.last_cut.at + settling_time {
@@ -161,9 +162,9 @@
         self.admission.fraction = (self.admission.fraction * growth).min(1.0);
     }
 
-    /// The demand of those proxies whose answers are observed by now. When many connect at once, as after
-    /// another governor's end, none of their answers are, and the fleet would seem to answer a part of its
-    /// demand only.
+    /// The demand of proxies whose responses are included in statistics by now. When many proxies connect at
+    /// once, for example after another governor has failed, their responses are not yet reported and the
+    /// fleet would appear to answer only part of its demand.
     fn settled_demand(&self, now: Duration) -> f64 {
         let settled_fraction = |proxy: &ProxyState| {
             let settled_at = proxy.connected_at + self.parameters.settling_time + self.reports.delay;
@@ -174,14 +175,14 @@
         self.proxies.values().map(|proxy| settled_fraction(proxy) * demand(proxy)).sum()
     }
 
-    /// Sheds the least valuable classes first.
+    /// Publishes an admission fraction for each class, shedding the least valuable classes first.
     pub(super) fn publish_admission(&mut self, now: Duration) {
         let classes = self.classes_by_value();
         let received = |class: &usize| self.proxies.values().map(|proxy| proxy.request_rates[*class]).sum();
         let demand: Vec<f64> = classes.iter().map(received).collect();
         let mut excess = self.shed_fraction(now) * demand.iter().sum::<f64>();
-        // A retry in overload takes the place of a first attempt; one that was not executed is safe to
-        // repeat.
+        // During overload a retry displaces a first attempt. Otherwise, attempts that were not executed are
+        // safe to repeat.
         let overloaded = self.admission.fraction < 1.0;
         let retry_policy = if overloaded { RetryPolicy::Never } else { RetryPolicy::IfNotExecuted };
         for (class, demand) in classes.into_iter().zip(demand) {
@@ -192,8 +193,8 @@
         }
     }
 
-    /// The least valuable first. A class is worth what it brings if answered: one whose requests hang would
-    /// fill the fleet's queues for the others.
+    /// Classes in ascending order of value. The value is scaled by the fraction of requests that succeed,
+    /// since a class whose requests hang would fill the queues that the other classes use.
     fn classes_by_value(&self) -> Vec<usize> {
         let value = |class: &usize| {
             self.parameters.class_values[*class] * (1.0 - self.admission.failed_fractions[*class])
@@ -203,19 +204,19 @@
         classes
     }
 
-    /// The fraction of all requests that should not be admitted.
+    /// The fraction of all requests that should be rejected.
     fn shed_fraction(&self, now: Duration) -> f64 {
         if !self.parameters.limits_admission {
             return 0.0;
         }
-        // A fleet that mostly warms up would be overloaded by its usual demand.
+        // A fleet in which most replicas are warming up can't serve its usual demand.
         let available = self.sum_replicas(|replica| replica.available_weight(&self.parameters, now));
         let most = ratio(available, NOMINAL_UTILISATION * self.nominal_weight).min(1.0);
         1.0 - self.admission.fraction.min(most)
     }
 
-    /// An admission fraction goes to all proxies: where that would fill the channel it waits, a rise sooner
-    /// than a cut.
+    /// An admission fraction is sent to all proxies, so it is postponed while the send queue lacks room. A
+    /// rise is postponed at a lower queue length than a cut.
     fn publish_class_admission(&mut self, class: usize, wanted: ClassAdmission) {
         let published = self.admission.classes[class];
         let cost = (1.0 + self.parameters.message_overhead_entries) * self.proxies.len() as f64;
--- a/src/governor/critical_set.rs
+++ b/src/governor/critical_set.rs
@@ -1,13 +1,13 @@
-//! The critical set: the few proxies that are given solved tables. This is the paper's mechanism.
+//! The critical set: the few proxies whose tables are computed by the solver, as in the paper:
 //!
 //! M. Ye, J. Zhang, Z. Guo and H. J. Chao, "FlexDATE: Flexible and Disturbance-Aware Traffic Engineering With
 //! Reinforcement Learning in Software-Defined Networks": most flows stay on a static routing; a few critical
 //! ones are given split ratios that minimise the peak utilisation, and a reward weighs the performance ratio
 //! against the network disturbance, the part of all traffic that was rerouted (equations 2 to 4 and 11).
 //!
-//! A greedy loop takes the place of the paper's trained policy. It starts from the previous critical set,
-//! which is thereby kept unless another pays more, and adds the proxy that sends most to the most utilised
-//! replica. It is `water_filling` that solves the tables.
+//! A greedy loop replaces the paper's trained policy. It starts from the previous critical set, which is thus
+//! kept unless a larger set has a higher payoff, and adds the proxies that send the most to the most utilised
+//! replica. The tables are solved in `water_filling`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,17 +18,17 @@
 use super::tables::{RouteScope, TableKey, Tables};
 use crate::types::ProxyId;
 
-/// The performance ratio that the paper aims for.
+/// The paper's target for the performance ratio.
 const TARGET_RATIO: f64 = 0.9;
-/// What the disturbance costs while the ratio is below the target.
+/// Penalty for disturbance while the ratio is below the target.
 const PENALTY_BELOW_TARGET: f64 = 0.5;
-/// What the disturbance costs once the ratio meets the target.
+/// Penalty for disturbance once the ratio has reached the target.
 const PENALTY_AT_TARGET: f64 = 1.0;
-/// Cycles in a row below the target before anything is solved.
+/// Consecutive cycles below the target before the critical set is solved.
 const MIN_CYCLES_BELOW_TARGET: u32 = 3;
-/// The part of this governor's proxies that may be critical.
+/// Maximum fraction of this governor's proxies in the critical set.
 const MAX_CRITICAL_FRACTION: f64 = 0.15;
-/// The part of the set's size that joins at a time, so that large fleets are solved in time.
+/// Each iteration adds the set's size divided by this, which bounds the solving time for large fleets.
 const JOINING_DIVISOR: usize = 4;
 
 /// The critical proxies and their tables.
@@ -54,18 +54,18 @@
     }
 }
 
-/// What the loads are worth.
+/// The value of a load distribution, as in the paper.
 #[derive(Clone, Copy)]
 pub(super) struct Reward {
-    /// Mean utilisation by the peak.
+    /// Mean utilisation divided by peak utilisation.
     pub(super) ratio: f64,
-    /// The ratio less what the disturbance costs.
+    /// The ratio minus the penalty for disturbance.
     pub(super) payoff: f64,
 }
 
 impl Governor {
-    /// Takes the best-paying set on the way from the previous one, if it pays more than the tables as they
-    /// stand.
+    /// Grows the previous critical set step by step and adopts the step with the highest payoff, if that
+    /// exceeds the payoff of the current tables.
     pub(super) fn update_critical_set(&mut self, now: Duration) {
         self.count_cycle_below_target(now);
         let waiting = self.critical_set.cycles_below_target < MIN_CYCLES_BELOW_TARGET;
@@ -103,7 +103,8 @@
 }
 
 impl LoadModel {
-    /// The performance ratio, and the paper's reward with the disturbance that the solved flows bring.
+    /// Computes the performance ratio, and the paper's reward for it given the disturbance by the solved
+    /// flows.
     pub(super) fn reward(&self) -> Reward {
         let disturbed: f64 = self.solved.iter().map(|(key, rates)| self.rerouted_rate(key, rates)).sum();
         let load: f64 = self.loads.iter().sum();
@@ -114,7 +115,7 @@
         Reward { ratio: ratio_to_peak, payoff: ratio_to_peak - penalty * ratio(disturbed, load) }
     }
 
-    /// Requests a second that a solved flow sends elsewhere than by the tables as they stand.
+    /// Requests per second of a solved flow that go to other replicas than by the current tables.
     fn rerouted_rate(&self, key: &TableKey, rates: &[ReplicaRate]) -> f64 {
         let flow = self.flows[key];
         let shares = &self.distributions[flow.distribution];
@@ -127,7 +128,7 @@
         rerouted.sum()
     }
 
-    /// The proxies outside the set that send most to the most utilised replica.
+    /// Returns the proxies outside the set that send the most to the most utilised replica.
     pub(super) fn largest_senders(&self, set: &BTreeSet<ProxyId>, most: usize) -> Vec<ProxyId> {
         let Some(peak) = self.most_utilised() else { return Vec::new() };
         let mut rates: BTreeMap<ProxyId, f64> = BTreeMap::new();
--- a/src/governor/default_tables.rs
+++ b/src/governor/default_tables.rs
@@ -1,7 +1,7 @@
-//! The default table of each zone, and whether proxies may still follow one that was sampled earlier.
+//! The default table of each zone, and whether a default table that was sampled earlier is stale.
 //!
-//! A zone's default stays in the zone. Where that can't bear its demand, what is above its headroom spills
-//! over to zones with capacity to spare.
+//! A zone's default table normally contains only replicas of that zone. If the zone lacks capacity for its
+//! demand, the excess spills over to zones with spare capacity.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,23 +13,25 @@
 use super::tables::{RouteScope, Weights};
 use crate::types::ReplicaId;
 
-/// A correction below this is no noise, and dedicated tables of a few proxies can't unload the replica alone.
+/// Capacity correction below which a replica's default weight is reduced. Such a correction exceeds the
+/// noise, and dedicated tables of a few proxies can't unload the replica alone.
 const SLOW_REPLICA_CORRECTION: f64 = -0.25;
-/// Demand by capacity, beside the fleet's mean, above which a zone with a weak replica spills over.
+/// Demand per capacity, relative to the fleet's mean, above which a zone with a weakened replica spills over.
 const ZONE_HEADROOM: f64 = 1.15;
-/// As [`ZONE_HEADROOM`], for a zone whose replicas are all well: in multiples of that.
+/// Multiple of [`ZONE_HEADROOM`] that applies to a zone whose replicas are all at full weight.
 const HEALTHY_ZONE_HEADROOM: f64 = 1.4;
-/// The least fraction of a zone's demand that stays in it, so that its replicas remain observed.
+/// Minimum fraction of a zone's demand that stays in it, so that statistics of its replicas continue.
 const MIN_KEPT_FRACTION: f64 = 0.05;
-/// A zone that could keep more than this spills nothing.
+/// A zone that can keep at least this fraction of its demand does not spill over.
 const MAX_SPILLING_FRACTION: f64 = 0.95;
-/// A sampled table is stale once less than this part of its zone's capacity is left in what it was sampled
-/// from.
+/// A sampled table is stale if the available replicas that it was sampled from have less than this fraction
+/// of the zone's capacity.
 const MIN_SAMPLED_CAPACITY: f64 = 0.6;
-/// Sampled tables are urgently stale once more than this many are expected to name no available replica.
+/// Sampled tables are urgently stale if the expected number of tables without an available replica exceeds
+/// this.
 const MAX_EXPECTED_BARE_TABLES: f64 = 0.02;
 
-/// Names a default table.
+/// Identifies a default table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ZoneScope {
     pub(super) zone: usize,
@@ -39,37 +41,37 @@
 /// The default tables by zone and scope.
 pub(super) type DefaultTables = BTreeMap<ZoneScope, Weights>;
 
-/// Whether tables of a sample still do what the zone's default table would.
+/// Whether proxies may keep using the default tables of a sample.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Staleness {
     Current,
     Stale,
-    /// Some may name no available replica: this can't wait.
+    /// Some tables may contain no available replica and must be replaced at once.
     Urgent,
 }
 
-/// By zone: what its proxies receive and admit, in requests a second.
+/// Number of proxies, and requests per second that they receive and admit, by zone.
 #[derive(Default)]
 struct ZoneDemand {
     proxies: BTreeMap<usize, f64>,
-    /// Of classes that may not leave the zone.
+    /// Requests of classes that must stay in the zone.
     zone_bound: BTreeMap<usize, f64>,
     total: BTreeMap<usize, f64>,
 }
 
-/// What all zones' default tables are computed from.
+/// Capacity and demand of all zones, from which their default tables are computed.
 struct FleetBalance {
-    /// By zone: the weight that its replicas can be sent.
+    /// Total default weight of the replicas, by zone.
     capacity: BTreeMap<usize, f64>,
     demand: ZoneDemand,
-    /// Demand by capacity that a zone may have before it spills over.
+    /// Demand per capacity above which a zone spills over.
     headroom: f64,
     /// The fraction of this governor's demand that the fleet answers.
     answered_fraction: f64,
 }
 
 impl FleetBalance {
-    /// Requests a second that a zone can take from others.
+    /// Requests per second that a zone can take over from other zones.
     fn spare(&self, zone: usize) -> f64 {
         let capacity = self.headroom * get_or_default(&self.capacity, &zone);
         (capacity - get_or_default(&self.demand.total, &zone)).max(0.0)
@@ -77,7 +79,7 @@
 }
 
 impl Governor {
-    /// The default tables of all zones with a proxy.
+    /// Computes the default tables of all zones that have a proxy.
     pub(super) fn default_tables(&self, now: Duration) -> DefaultTables {
         let balance = self.fleet_balance(now);
         let mut tables = DefaultTables::new();
@@ -100,7 +102,7 @@
         tables
     }
 
-    /// Whatever is available, where nothing is usable.
+    /// Weights of all available replicas in the table's scope, used if none of them is usable.
     fn fallback_weights(&self, table: ZoneScope, now: Duration) -> Weights {
         let reachable =
             |replica: &ReplicaState| table.scope == RouteScope::AnyZone || replica.zone == table.zone;
@@ -138,8 +140,8 @@
         demand
     }
 
-    /// Other governors' proxies are not observed. They are taken to be where fewer are connected here than
-    /// the zones' sizes suggest.
+    /// Adds an estimate of the demand of other governors' proxies, which this governor does not observe. They
+    /// are assumed to be in the zones with fewer connected proxies here than the zones' sizes suggest.
     fn add_unobserved_demand(&self, demand: &mut ZoneDemand, own_demand: f64) {
         let shared = self.parameters.shared_proxies;
         let connected = self.proxies.len() as f64;
@@ -158,7 +160,7 @@
         }
     }
 
-    /// By zone: the fraction of its replicas' weights that they get in the default table of `zone`.
+    /// The factor applied to the weights of each zone's replicas in the default table of `zone`, by zone.
     fn zone_fractions(&self, zone: usize, balance: &FleetBalance, now: Duration) -> BTreeMap<usize, f64> {
         let kept = self.kept_fraction(zone, balance, now);
         let own_capacity = get_or_default(&balance.capacity, &zone);
@@ -174,9 +176,10 @@
         fractions
     }
 
-    /// The fraction of a zone's demand of unbound classes that stays in it.
+    /// The fraction of a zone's demand that stays in it, of the classes that may leave it.
     fn kept_fraction(&self, zone: usize, balance: &FleetBalance, now: Duration) -> f64 {
-        // Where nothing is warm, what is bound there needs all of it, and the rest goes elsewhere.
+        // Without a warm replica, zone-bound requests need all of the zone's capacity, and the others go to
+        // other zones.
         let underprovisioned = self.fleet_health.underprovisioned_zones.contains(&zone);
         if self.parameters.has_zone_bound_classes() && underprovisioned {
             return 0.0;
@@ -193,12 +196,13 @@
         let warming = replicas.any(|replica| {
             !replica.is_unavailable() && replica.warm_fraction(self.parameters.slow_start, now) < 1.0
         });
-        // Demand that the fleet does not answer shows no capacity: it would only overload what is warming up.
+        // The headroom is derived from demand. Demand that the fleet does not answer is no evidence of
+        // capacity and would overload warming replicas.
         let headroom = balance.headroom * if warming { balance.answered_fraction } else { 1.0 };
         ratio(headroom * capacity - zone_bound, total - zone_bound).clamp(MIN_KEPT_FRACTION, 1.0)
     }
 
-    /// Whether tables of a sample still do what the zone's default table would.
+    /// Determines whether proxies may keep using the default tables of a sample.
     pub(super) fn staleness(&self, sample: DefaultTableSample, default: &Weights) -> Staleness {
         if self.is_partial_sample(sample) {
             self.partial_staleness(sample)
@@ -207,7 +211,7 @@
         }
     }
 
-    /// Tables that name all candidates are stale once the zone's default differs.
+    /// Tables that contain all candidates are stale if the zone's default table differs.
     fn full_staleness(&self, sample: DefaultTableSample, default: &Weights) -> Staleness {
         let named = self
             .replicas
@@ -219,7 +223,7 @@
         if stale { Staleness::Urgent } else { Staleness::Current }
     }
 
-    /// Which candidates a table names is not known: expectation tells.
+    /// Uses expected values, as it is not known which candidates each table contains.
     fn partial_staleness(&self, sample: DefaultTableSample) -> Staleness {
         let available = |replica: &ReplicaState| if replica.is_unavailable() { 0.0 } else { replica.weight };
         let of_candidates = |weight: f64, replica: &ReplicaState| {
--- a/src/governor/ejection.rs
+++ b/src/governor/ejection.rs
@@ -1,4 +1,4 @@
-//! Ejecting faulty replicas, and taking ejected ones back where nothing better is left.
+//! Ejects faulty replicas, and restores ejected ones where no better replica is available.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,30 +9,32 @@
 use super::replica_state::{HealthState, ReplicaState};
 use crate::types::ReplicaId;
 
-/// How long a replica is ejected before its first probation; each failed one doubles it.
+/// How long a replica is ejected before its first probation. Each failed probation doubles the time.
 pub(super) const FIRST_EJECTION: Duration = Duration::from_secs(4);
-/// Doublings of [`FIRST_EJECTION`] at most.
+/// Maximum number of doublings of [`FIRST_EJECTION`].
 const MAX_DOUBLINGS: u32 = 4;
-/// At most so many in [`TENTHS`] of the ready replicas are ejected.
+/// Maximum part of the ready replicas that may be ejected, in [`TENTHS`].
 const MAX_EJECTED_TENTHS: usize = 4;
 const TENTHS: usize = 10;
-/// The fraction of its capacity that a zone keeps if requests are bound to it, where replicas are silent.
+/// Minimum fraction of its capacity that a zone with bound requests keeps when unresponsive replicas are
+/// ejected.
 const MIN_ZONE_CAPACITY: f64 = 0.34;
-/// As [`MIN_ZONE_CAPACITY`], where replicas fail some attempts and answer others.
+/// As [`MIN_ZONE_CAPACITY`], when the ejected replicas fail only some of their attempts.
 const MIN_ZONE_CAPACITY_FOR_PARTIAL_FAULTS: f64 = 0.7;
 
-/// What an ejection would leave in a zone.
+/// A zone's capacity after an ejection.
 struct ZoneRemainder {
-    /// Warm fractions of all ready replicas.
+    /// Sum of the warm fractions of all ready replicas.
     total: f64,
-    /// Warm fractions of the available ones without the ejected one.
+    /// Sum of the warm fractions of the available replicas, without the ejected one.
     remaining: f64,
-    /// The largest warm fraction of these.
+    /// The largest warm fraction among the remaining replicas.
     warmest: f64,
 }
 
 impl Governor {
-    /// Ejects the worst, but never so many that the rest, or what is left of a zone, could not bear the load.
+    /// Ejects outliers, the worst first, but not so many that the remaining replicas of the fleet or of a
+    /// zone could not carry the load.
     pub(super) fn eject_outliers(&mut self, now: Duration, outliers: Vec<Outlier>) {
         let ready = self.replicas.values().filter(|replica| replica.ready).count();
         let unavailable = |replica: &&ReplicaState| replica.ready && replica.is_unavailable();
@@ -55,8 +57,8 @@
         }
     }
 
-    /// Whether a zone to which requests are bound would lose its last warm replica, or too much of its
-    /// capacity.
+    /// Whether ejecting the outlier would leave a zone with bound requests without a warm replica, or with
+    /// too little capacity.
     fn would_starve_zone(&self, outlier: &Outlier, now: Duration) -> bool {
         if !self.parameters.has_zone_bound_classes() {
             return false;
@@ -84,8 +86,8 @@
         remainder
     }
 
-    /// Where no warm replica is available a faulty one is better than none, as when others drain after an
-    /// ejection.
+    /// Restores ejected replicas where no warm replica is available, for example because others drained after
+    /// the ejection: a faulty replica is better than none.
     pub(super) fn restore_ejected(&mut self, now: Duration) {
         let slow_start = self.parameters.slow_start;
         let available_fraction = |replica: &ReplicaState| {
--- a/src/governor/ejection_updates.rs
+++ b/src/governor/ejection_updates.rs
@@ -1,4 +1,4 @@
-//! Telling proxies which replicas to send nothing to, and forgetting replicas that are long gone.
+//! Sends ejections and readmissions to proxies, and drops the state of replicas that are long gone.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,25 +9,25 @@
 use super::replica_state::ReplicaState;
 use crate::types::{Decision, ReplicaId};
 
-/// Gone replicas are remembered for this long: a proxy may connect with a default table that old.
+/// How long the state of gone replicas is kept: a proxy may connect with a default table of this age.
 const RETENTION: Duration = Duration::from_secs(120);
-/// The part of the channel's queue that ejections may fill.
+/// Fraction of the send queue that ejections may fill.
 const EJECT_QUEUE_FRACTION: f64 = 1.1;
-/// The part of the channel's queue that readmissions may fill, as they can wait.
+/// Fraction of the send queue that readmissions may fill; they are less urgent.
 const READMIT_QUEUE_FRACTION: f64 = 0.5;
-/// How many times as many proxies as on average are taken to name a replica.
+/// The number of proxies whose table contains a replica is assumed to be this many times the average.
 const NAMING_MARGIN: f64 = 2.0;
 
-/// How an ejection changes.
+/// The kind of ejection update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EjectionChange {
-    /// Proxies are to send a replica nothing.
+    /// Proxies must stop sending to the replica.
     Eject,
-    /// Proxies may send to it again.
+    /// Proxies may send to the replica again.
     Readmit,
 }
 
-/// Sorts draining and gone replicas before faulty ones.
+/// A replica whose ejection changed. Draining and gone replicas sort before faulty ones.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ChangedReplica {
     ready: bool,
@@ -35,7 +35,7 @@
 }
 
 impl Governor {
-    /// Sends as many changes as the channel bears; the others wait.
+    /// Sends as many changes as fit into the send queue. The others are sent later.
     pub(super) fn send_ejections(&mut self, change: EjectionChange) {
         let ejected = change == EjectionChange::Eject;
         let queue_fraction = if ejected { EJECT_QUEUE_FRACTION } else { READMIT_QUEUE_FRACTION };
@@ -56,8 +56,8 @@
         }
     }
 
-    /// The entries that so many changes take in the channel. Each is sent to all proxies whose tables are not
-    /// known, and to those whose tables name the replica.
+    /// Entries that this many changes take in the send queue. Each change is sent to all proxies whose tables
+    /// are not known, and to those whose tables contain the replica.
     fn ejection_cost(&self, replicas: usize) -> f64 {
         let entries = self.parameters.default_table_size as f64;
         let naming_fraction = (NAMING_MARGIN * ratio(entries, self.ready_replicas())).min(1.0);
@@ -69,8 +69,9 @@
         self.proxies.values().map(cost).sum()
     }
 
-    /// Over years, replicas under new names would add up. One that a table may still name is kept with its
-    /// ejection, as proxies would send to it again, and so is one that went lately.
+    /// Drops the state of gone replicas, which would otherwise accumulate as new replicas get new names. A
+    /// replica is kept ejected while a table may contain it, as proxies would otherwise send to it again, and
+    /// for [`RETENTION`] after it is gone.
     pub(super) fn forget_gone_replicas(&mut self, now: Duration) {
         let expired_at = |replica: &ReplicaState| replica.gone_since.filter(|gone| *gone + RETENTION < now);
         let expired = self.replicas.values().filter(|replica| expired_at(replica).is_some()).count();
--- a/src/governor/fleet.rs
+++ b/src/governor/fleet.rs
@@ -1,4 +1,4 @@
-//! Sums over the fleet's replicas.
+//! Aggregates over the fleet's replicas.
 
 use std::collections::BTreeMap;
 
@@ -35,7 +35,7 @@
         zones
     }
 
-    /// A table of all replicas with a positive weight.
+    /// Returns a table of all replicas with a positive weight.
     pub(super) fn weigh_replicas(&self, weight: impl Fn(&ReplicaState) -> f64) -> Weights {
         let weights = self.replicas.iter().filter_map(|(id, replica)| {
             let weight = weight(replica);
@@ -44,7 +44,7 @@
         weights.collect()
     }
 
-    /// Replicas that are listed as ready, as a number to calculate with.
+    /// The number of replicas that are listed as ready.
     pub(super) fn ready_replicas(&self) -> f64 {
         self.sum_replicas(|replica| if replica.ready { 1.0 } else { 0.0 })
     }
--- a/src/governor/health.rs
+++ b/src/governor/health.rs
@@ -1,4 +1,4 @@
-//! The health of the fleet: how many attempts fail in each zone, and which replicas are ejected.
+//! Fleet health: failure rates by zone, and the ejection and probation of replicas.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,28 +7,28 @@
 use super::arithmetic::{get_or_default, ratio};
 use super::replica_state::{AttemptCounts, HealthState, ReplicaState};
 
-/// Attempts before the fraction that fails means anything.
+/// Minimum number of attempts for the fleet's failure rate to be significant.
 const MIN_OBSERVED_ATTEMPTS: f64 = 50.0;
-/// As [`MIN_OBSERVED_ATTEMPTS`], of one zone.
+/// As [`MIN_OBSERVED_ATTEMPTS`], for one zone.
 const MIN_ZONE_ATTEMPTS: f64 = 0.4 * MIN_OBSERVED_ATTEMPTS;
-/// The fraction of failed attempts from which a zone counts as stressed.
+/// Failure rate above which a zone counts as stressed.
 const MIN_STRESS: f64 = 0.05;
-/// Attempts before the fraction that fails at one replica means anything.
+/// Minimum number of attempts for one replica's failure rate to be significant.
 pub(super) const MIN_REPLICA_ATTEMPTS: f64 = 4.0;
-/// With a larger fraction of failed attempts at most replicas, the fault is not that of a few.
+/// If most replicas have a higher failure rate than this, the fault is fleet-wide.
 const FLEET_FAULT_FRACTION: f64 = 0.1;
-/// A replica passes its probation with fewer failed attempts, as a fraction of the answered ones.
+/// Maximum number of failed attempts, as a fraction of the successful ones, with which a replica passes its
+/// probation.
 const PROBATION_FAILURE_FRACTION: f64 = 0.25;
 
-/// What is known of the fleet's health.
+/// The observed health of the fleet.
 #[derive(Default)]
 pub(super) struct FleetHealth {
-    /// By zone: the fraction of attempts that fails, or the fleet's if that is more. Only stressed zones are
-    /// named.
+    /// The larger of the zone's and the fleet's failure rate, by zone; only stressed zones have an entry.
     pub(super) zone_stress: BTreeMap<usize, f64>,
-    /// Many attempts fail at most replicas, which is no fault of single ones.
+    /// Most replicas have a high failure rate, so the cause is not a fault of single replicas.
     pub(super) fleet_wide_fault: bool,
-    /// Too few attempts were observed to tell.
+    /// Too few attempts have been observed since the start to judge the fleet's health.
     pub(super) unobserved: bool,
     /// Zones without an available replica that is warmed up.
     pub(super) underprovisioned_zones: BTreeSet<usize>,
@@ -45,7 +45,7 @@
         self.update_probations(now);
     }
 
-    /// Returns the fraction of attempts that fails in the whole fleet.
+    /// Returns the failure rate of the whole fleet.
     fn update_fleet_health(&mut self) -> f64 {
         let attempts = self.sum_by_zone(|replica| available_attempts(replica).total());
         let failed = self.sum_by_zone(|replica| available_attempts(replica).failed);
@@ -79,7 +79,7 @@
         2 * failing > observed
     }
 
-    /// Ejected replicas go on probation after their time, and count as healthy once they answer.
+    /// Puts ejected replicas on probation when their ejection ends, and marks them healthy once they respond.
     fn update_probations(&mut self, now: Duration) {
         for replica in self.replicas.values_mut() {
             let counts = replica.attempt_counts();
@@ -98,7 +98,7 @@
     }
 }
 
-/// What was observed at an unavailable replica tells nothing of the load on the fleet.
+/// Attempt counts of an available replica. Attempts at unavailable replicas say nothing about the fleet.
 fn available_attempts(replica: &ReplicaState) -> AttemptCounts {
     if replica.is_unavailable() { AttemptCounts::default() } else { replica.attempt_counts() }
 }
--- a/src/governor/load_model.rs
+++ b/src/governor/load_model.rs
@@ -1,8 +1,8 @@
-//! What each replica is sent by the tables as they stand, and what it can take.
+//! The load on each replica under the current tables, and its capacity.
 //!
-//! Replicas are numbered by their place among the governor's replicas. A flow, in the words of the paper, is
-//! what one proxy sends by one table; many flows share a distribution over replicas, as they follow default
-//! tables.
+//! Replicas are identified by their index in the governor's map of replicas. A flow (the paper's term) is the
+//! requests that one proxy sends by one table. Flows that follow the same default table share a distribution
+//! over replicas.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,37 +14,37 @@
 use super::tables::{RouteScope, TableKey, Weights};
 use crate::types::ReplicaId;
 
-/// A small table keeps a replica unless another is cooler by this factor.
+/// A small table keeps a replica unless another one's utilisation is lower by this factor.
 const RETENTION_PREFERENCE: f64 = 1.5;
 
-/// A part of a flow's requests.
+/// The fraction of a flow's requests that goes to one replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ReplicaShare {
     pub(super) replica: usize,
     pub(super) fraction: f64,
 }
 
-/// Requests a second that a flow sends to a replica.
+/// Requests per second that a flow sends to a replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ReplicaRate {
     pub(super) replica: usize,
     pub(super) rate: f64,
 }
 
-/// What a replica can take.
+/// The capacity of a replica.
 #[derive(Clone, Copy)]
 pub(super) struct ReplicaCapacity {
     pub(super) zone: usize,
-    /// The rate at which its utilisation is taken to be the fleet's mean.
+    /// The estimated rate at which the replica has the fleet's mean utilisation.
     pub(super) requests_per_second: f64,
 }
 
-/// What one proxy sends by one table.
+/// The requests that one proxy sends by one table.
 #[derive(Clone, Copy)]
 pub(super) struct Flow {
     pub(super) zone: usize,
     pub(super) requests_per_second: f64,
-    /// The place of its distribution.
+    /// Index of its distribution in [`LoadModel::distributions`].
     pub(super) distribution: usize,
 }
 
@@ -55,7 +55,7 @@
     pub(super) distribution: usize,
 }
 
-/// What a flow is routed by.
+/// The table that a flow is routed by.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Route {
     DefaultTable(DefaultTableSample),
@@ -69,28 +69,29 @@
     pub(super) utilisation: f64,
 }
 
-/// What each replica is sent, and what it can take.
+/// The load and the capacity of each replica.
 #[derive(Default)]
 pub(super) struct LoadModel {
     pub(super) replicas: Vec<ReplicaId>,
     pub(super) capacities: Vec<ReplicaCapacity>,
-    /// Requests a second that each replica is sent.
+    /// Requests per second that each replica is sent.
     pub(super) loads: Vec<f64>,
     pub(super) distributions: Vec<Vec<ReplicaShare>>,
     pub(super) flows: BTreeMap<TableKey, Flow>,
-    /// Requests a second of each group.
+    /// Requests per second of each group.
     pub(super) groups: BTreeMap<FlowGroup, f64>,
-    /// The critical flows, as they were solved.
+    /// The solved rates of the critical flows.
     pub(super) solved: BTreeMap<TableKey, Vec<ReplicaRate>>,
-    /// What the utilisation of a replica in another zone is multiplied by.
+    /// Factor applied to the utilisation of replicas in other zones.
     pub(super) cross_zone_price: f64,
-    /// A small table keeps a replica unless another is cooler by this factor.
+    /// A small table keeps a replica unless another one's utilisation is lower by this factor.
     pub(super) retention_preference: f64,
 }
 
 impl Governor {
     pub(super) fn load_model(&self, now: Duration) -> LoadModel {
-        // Where many attempts fail a new entry mostly brings a connection that fails as well: all are kept.
+        // In a fleet-wide fault, connections to newly added replicas mostly fail too, so tables keep their
+        // replicas.
         let keep_all = self.fleet_health.fleet_wide_fault;
         let mut model = LoadModel {
             replicas: self.replicas.keys().cloned().collect(),
@@ -118,8 +119,8 @@
         }
     }
 
-    /// The weights that a route sends by. A default table is taken to name all candidates, as proxies drew
-    /// theirs from them by chance.
+    /// The weights that a route uses. A default table is assumed to contain all candidates, as each proxy's
+    /// default table is a random sample of them.
     fn routed_weights(&self, route: Route) -> Weights {
         let mut weights = match route {
             Route::DefaultTable(sample) => {
@@ -131,7 +132,7 @@
         weights
     }
 
-    /// Shares the whole load out by what the replicas can take.
+    /// Divides the total load among the replicas in proportion to their usable, corrected weights.
     fn capacities(&self, model: &LoadModel, now: Duration) -> Vec<ReplicaCapacity> {
         let usable_weight = |replica: &ReplicaState| replica.weight * self.usable_fraction(replica, now);
         let rate_by_weight = ratio(model.loads.iter().sum(), self.sum_replicas(usable_weight));
@@ -169,7 +170,8 @@
         }
     }
 
-    /// By replica: requests a second that it is sent, by the proxies' zone, without any critical flow.
+    /// Requests per second that each replica is sent under the current tables, by the proxies' zone. Solved
+    /// flows are not taken into account.
     pub(super) fn rates_by_zone(&self) -> Vec<BTreeMap<usize, f64>> {
         let mut rates = vec![BTreeMap::new(); self.replicas.len()];
         for (group, requests_per_second) in &self.groups {
@@ -181,18 +183,19 @@
         rates
     }
 
-    /// All flows go by the tables as they stand.
+    /// Discards the solved flows and recomputes the loads from the current tables.
     pub(super) fn reset_loads(&mut self) {
         self.solved.clear();
         self.loads = self.rates_by_zone().iter().map(|zones| zones.values().sum()).collect();
     }
 
-    /// How many replicas a flow is spread over; none for one without requests.
+    /// The number of replicas that a flow is spread over; 0 for a flow without requests.
     pub(super) fn spread(&self, key: TableKey) -> usize {
         self.flows.get(&key).map_or(0, |flow| self.distributions[flow.distribution].len())
     }
 
-    /// Utilisation is load by capacity; replicas that can't take anything don't count.
+    /// Finds the replica with the highest ratio of load to capacity. Replicas without capacity count as
+    /// unused.
     pub(super) fn most_utilised(&self) -> Option<PeakUtilisation> {
         let utilisations =
             self.capacities.iter().zip(&self.loads).enumerate().map(|(replica, (capacity, load))| {
@@ -203,7 +206,7 @@
         utilisations.max_by(|one, other| one.utilisation.total_cmp(&other.utilisation))
     }
 
-    /// What a flow sends by the tables as they stand.
+    /// The rates of a flow under the current tables.
     pub(super) fn unsolved_rates(&self, flow: &Flow) -> Vec<ReplicaRate> {
         let shares = &self.distributions[flow.distribution];
         let rate = |share: &ReplicaShare| ReplicaRate {
@@ -213,7 +216,7 @@
         shares.iter().map(rate).collect()
     }
 
-    /// Takes a flow out of the loads, and returns what it sent.
+    /// Subtracts a flow from the loads and returns its rates.
     pub(super) fn remove_flow(&mut self, key: TableKey) -> Vec<ReplicaRate> {
         let Some(flow) = self.flows.get(&key).copied() else { return Vec::new() };
         let rates = self.solved.remove(&key).unwrap_or_else(|| self.unsolved_rates(&flow));
@@ -223,7 +226,7 @@
         rates
     }
 
-    /// Adds what a flow sends to the loads.
+    /// Adds a flow's rates to the loads.
     pub(super) fn add_rates(&mut self, rates: &[ReplicaRate]) {
         for sent in rates {
             self.loads[sent.replica] += sent.rate;
--- a/src/governor/outlier_detection.rs
+++ b/src/governor/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Which replicas look faulty beside the fleet: they do not answer, or fail far more attempts than others do.
+//! Outlier detection: finds replicas that do not respond, or whose failure rate is far above the fleet's.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,63 +10,66 @@
 use super::replica_state::{AttemptCounts, HealthState, ReplicaState};
 use crate::types::ReplicaId;
 
-/// So many expected answers in a row are not missing by chance.
+/// Number of consecutive missing responses from which a replica counts as unresponsive.
 const MAX_MISSING_ANSWERS: f64 = 8.0;
-/// As [`MAX_MISSING_ANSWERS`], where health checks fail too.
+/// As [`MAX_MISSING_ANSWERS`], if health checks fail too.
 const MAX_MISSING_ANSWERS_IF_CHECKS_FAIL: f64 = 0.25 * MAX_MISSING_ANSWERS;
-/// Failed health checks in a row that count.
+/// Minimum number of consecutive failed health checks to be taken into account.
 const MIN_FAILED_CHECKS: u32 = 2;
-/// Health checks wait behind requests. Failed ones tell of a fault only where fewer than one in so many fail.
+/// Failed health checks indicate a fault only if at most one in this many replicas fails them: health checks
+/// queue behind requests, so under load many fail.
 const FAILED_CHECKS_ARE_RARE: usize = 5;
-/// Requests in flight may take this many times the mean latency.
+/// Multiple of the mean latency after which a response is overdue.
 const LATENCY_MARGIN: f64 = 1.5;
-/// A failure rate is an outlier from this fraction on.
+/// Minimum failure rate of an outlier.
 const MIN_OUTLIER_FAILURE_RATE: f64 = 0.3;
-/// A failure rate is an outlier from this many times the fleet's on.
+/// Multiple of the fleet's failure rate from which a replica is an outlier.
 const OUTLIER_FAILURE_FACTOR: f64 = 3.0;
-/// A replica that fails more than this fraction does not work at all, whatever the others do.
+/// A replica with a higher failure rate than this does not work at all, regardless of the fleet's failure
+/// rate.
 const DEAD_FAILURE_RATE: f64 = 0.95;
-/// A replica above this many times the mean utilisation is overloaded rather than faulty.
+/// A replica whose utilisation exceeds this multiple of the mean is overloaded rather than faulty.
 const OVERLOADED_UTILISATION: f64 = 1.3;
 /// A replica that reports this many queued requests is overloaded rather than faulty.
 const OVERLOADED_QUEUE: f64 = 2.0;
-/// Replicas that do not answer are worse than any failure rate.
+/// Minimum severity of an unresponsive replica; at least as high as any failure rate.
 const SILENT_SEVERITY: f64 = 1.0;
-/// Replicas that failed their probation come first.
+/// Severity of a replica that failed its probation, which is ejected first.
 const FAILED_PROBATION_SEVERITY: f64 = f64::MAX;
 
 /// A replica that looks faulty.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Outlier {
-    /// A failure rate; from [`SILENT_SEVERITY`] on the replica does not answer.
+    /// The failure rate of a replica that answers some attempts; [`SILENT_SEVERITY`] or more for one that
+    /// does not respond.
     pub(super) severity: f64,
     pub(super) replica: ReplicaId,
 }
 
 impl Outlier {
-    /// It fails some attempts and answers others.
+    /// Whether the replica fails some attempts and answers others.
     pub(super) fn is_partial(&self) -> bool {
         self.severity < SILENT_SEVERITY
     }
 }
 
-/// What the replicas are compared with.
+/// Values of the fleet that each replica is compared with.
 struct FleetBaseline {
     now: Duration,
     failure_rate: f64,
-    /// The longest time that an answer ordinarily takes.
+    /// The time after which a response is overdue.
     answer_time: Duration,
-    /// From a change of tables until missing answers mean anything.
+    /// The time after a change of tables until missing responses are significant.
     settling_time: Duration,
     mean_utilisation: f64,
     failed_checks_are_rare: bool,
 }
 
-/// Requests a second that the tables send to one replica, by the proxies' zone.
+/// Requests per second that the tables send to one replica, by the proxies' zone.
 type RatesByZone = BTreeMap<usize, f64>;
 
 impl Governor {
-    /// Replicas that look faulty, the worst first.
+    /// Finds replicas that look faulty, the worst first.
     pub(super) fn find_outliers(&mut self, now: Duration, failure_rate: f64) -> Vec<Outlier> {
         let expected_rates = self.load_model(now).rates_by_zone();
         let baseline = self.fleet_baseline(now, failure_rate);
@@ -108,7 +111,7 @@
         Duration::from_secs_f64(LATENCY_MARGIN * latency_seconds / succeeded.max(1.0))
     }
 
-    /// How bad a replica looks; none for one that looks well.
+    /// The severity of a replica's fault, if it is an outlier.
     fn severity(&self, replica: &ReplicaState, rates: &RatesByZone, baseline: &FleetBaseline) -> Option<f64> {
         let counts = replica.attempt_counts();
         let failure_rate = ratio(counts.failed, counts.total().max(1.0));
@@ -129,26 +132,27 @@
         }
     }
 
-    /// How many answers should have come since the last one.
+    /// The number of responses that are overdue since the last one.
     fn missing_answers(&self, replica: &ReplicaState, rates: &RatesByZone, baseline: &FleetBaseline) -> f64 {
         let last_success = replica.observations.values().map(|observation| observation.last_success).max();
         let settled = replica.observed_since + baseline.settling_time;
         let silent_from = (last_success.unwrap_or_default() + baseline.answer_time).max(settled);
         let missing = rates.iter().map(|(zone, rate)| rate * self.silence(*zone, silent_from, baseline));
         let missing: f64 = missing.sum();
-        // Not if its entries were widened just now.
+        // Scaled down if its weights were raised recently, as those requests have not been answered yet.
         missing * ratio(replica.expected_rate, rates.values().sum()).min(1.0)
     }
 
-    /// Seconds of silence that a zone's statistics attest: none where they stopped or its proxies just
-    /// connected.
+    /// Seconds without a response, as far as the zone's statistics show: 0 if the zone sends no statistics
+    /// any more or its proxies have just connected.
     fn silence(&self, zone: usize, silent_from: Duration, baseline: &FleetBaseline) -> f64 {
         let connected_at = self.last_connections.get(&zone).copied().unwrap_or(baseline.now);
         let from = silent_from.max(connected_at + baseline.settling_time);
         self.reports.last_report(zone).saturating_sub(from + self.reports.delay).as_secs_f64()
     }
 
-    /// One that fails attempts for its queue is overloaded: ejecting it would overload the next.
+    /// Whether a replica is overloaded. Failures due to a full queue are no reason to eject it, as that would
+    /// overload the next replica.
     fn is_overloaded(&self, replica: &ReplicaState, baseline: &FleetBaseline) -> bool {
         let limit = OVERLOADED_UTILISATION * baseline.mean_utilisation;
         let utilised = self.utilisation(replica, baseline.now).is_some_and(|utilisation| utilisation > limit);
@@ -162,7 +166,7 @@
             replica.expected_rate +=
                 (rate - replica.expected_rate) * gain / self.parameters.averaging_seconds;
             if rate == 0.0 {
-                replica.observed_since = now; // in no table it owes no answers
+                replica.observed_since = now; // in no table, so no responses are expected
             }
         }
     }
@@ -176,8 +180,8 @@
     counts.failed > counts.succeeded.max(1.0)
 }
 
-/// The failure rate from which a replica is an outlier. Where many attempts fail everywhere it is halfway to
-/// 1.
+/// The failure rate from which a replica is an outlier. If the fleet's failure rate is high, it is halfway
+/// between that and 1.
 fn outlier_failure_rate(fleet: f64) -> f64 {
     (OUTLIER_FAILURE_FACTOR * fleet).min(0.5 + 0.5 * fleet).max(MIN_OUTLIER_FAILURE_RATE)
 }
--- a/src/governor/parameters.rs
+++ b/src/governor/parameters.rs
@@ -1,4 +1,4 @@
-//! What is derived once, at the start, from the settings.
+//! Parameters that are derived from the settings once, at the start.
 
 use std::time::Duration;
 
@@ -6,34 +6,35 @@
 use super::tables::{MAX_CLASSES, RouteScope};
 use crate::types::{AdmissionControl, ClassSet, LoadField, Settings};
 
-/// The interval of the governor's only timer.
+/// Interval of the governor's only timer.
 pub(super) const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Table updates are gathered for this many ticks.
+/// Minimum number of ticks between ordinary flushes.
 const TICKS_PER_FLUSH: u32 = 2;
-/// Ordinary flushes use the limit on messages divided by this; urgent ones take the rest.
+/// Ordinary flushes use the message limit divided by this; the rest is left to urgent flushes.
 const FLUSH_SPACING: f64 = 1.5;
-/// Messages of the limit that flushes leave over, one of them for a connecting proxy. A limit too low for that leaves one
-/// flush.
+/// Messages of the limit that flushes do not use, one of them for a connecting proxy. If the limit is too low
+/// for that, one flush is still allowed.
 const RESERVED_MESSAGES: usize = 2;
-/// The fraction of the channel's rate that is counted on while no acknowledgement tells more.
+/// Fraction of the channel's rate at which the queue is assumed to drain without acknowledgements.
 const ASSURED_RATE_FRACTION: f64 = 0.2;
-/// The fraction of the channel's queue that is made use of.
+/// Fraction of the channel's queue that the governor uses.
 const USED_QUEUE_FRACTION: f64 = 0.8;
-/// Statistics are averaged over this many report intervals.
+/// Number of report intervals over which statistics are averaged.
 const AVERAGED_REPORTS: f64 = 5.0;
-/// Report intervals until the effect of a change shows in statistics.
+/// Number of report intervals until the effect of a change shows in statistics.
 const SETTLING_REPORTS: u32 = 3;
-/// What the settings' cost of a cross-zone request is multiplied by in the price of another zone's replica.
+/// Factor from the configured cost of a cross-zone request to the surcharge on replicas in other zones.
 const CROSS_ZONE_COST_FACTOR: f64 = 4.0;
-/// A warming replica is avoided while its warm fraction is below this many times the zone's stress.
+/// A warming replica is avoided while its warm fraction is below the zone's stress times this.
 const STRESS_FACTOR: f64 = 2.0;
-/// As [`STRESS_FACTOR`], where proxies also avoid failing replicas by themselves and pile onto the others.
+/// As [`STRESS_FACTOR`], if proxies also eject failing replicas locally, which concentrates load on the
+/// others.
 const STRESS_FACTOR_WITH_LOCAL_EJECTION: f64 = 3.0;
-/// Each health check costs its replica work.
+/// Interval between health checks of one replica; each one adds load to it.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The traffic classes by where their requests may go.
+/// The traffic classes, by the zones that their requests may go to.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ScopedClasses {
     pub(super) any_zone: ClassSet,
@@ -49,26 +50,26 @@
     }
 }
 
-/// The least capacity of a replica after its start.
+/// The minimum capacity of a replica after its start.
 #[derive(Clone, Copy, Default)]
 pub(super) struct SlowStart {
-    /// The fraction of its capacity that a replica starts with, at the worst.
+    /// The minimum fraction of its capacity that a replica starts with.
     pub(super) initial_fraction: f64,
-    /// What is added to the fraction each second.
+    /// The increase of the fraction per second.
     pub(super) growth_per_second: f64,
 }
 
-/// How many flushes may be sent within a sliding interval.
+/// Limit on the number of flushes within a sliding interval.
 #[derive(Clone, Copy, Default)]
 pub(super) struct FlushLimit {
-    /// At least one: a drain must go out.
+    /// At least 1, so that draining replicas can be ejected.
     pub(super) flushes: usize,
     pub(super) interval: Duration,
-    /// The limit leaves no message for a connecting proxy beside the flush: its first table waits for one.
+    /// The limit leaves no message for a connecting proxy, whose first table must wait for a flush.
     pub(super) first_tables_need_flush: bool,
 }
 
-/// Where a load report holds the values that are made use of.
+/// Indices of the values in a load report that the governor uses.
 #[derive(Clone, Copy, Default)]
 pub(super) struct LoadPositions {
     pub(super) in_flight: Option<usize>,
@@ -79,31 +80,32 @@
 #[derive(Default)]
 pub(super) struct Parameters {
     pub(super) classes: ScopedClasses,
-    /// By class: priority weight by the work of a request.
+    /// Priority weight per unit of work of a request, by class.
     pub(super) class_values: Vec<f64>,
-    /// Whether proxies heed an admission fraction.
+    /// Whether proxies support an admission fraction.
     pub(super) limits_admission: bool,
     /// The mean latency objective of all classes.
     pub(super) latency_objective_seconds: f64,
-    /// The proxies of all governors; 0 where this governor is the only one.
+    /// Number of proxies of all governors; 0 if this governor is the only one.
     pub(super) shared_proxies: f64,
     pub(super) slow_start: SlowStart,
     pub(super) stress_factor: f64,
-    /// What the utilisation of a replica in another zone is multiplied by when replicas are compared.
+    /// Factor applied to the utilisation of replicas in other zones when replicas are compared.
     pub(super) cross_zone_price: f64,
     pub(super) averaging_seconds: f64,
-    /// Entries of a default table, and of a dedicated one where the zone's default has too many.
+    /// Number of entries of a default table, and of a dedicated table that replaces a default table with too
+    /// many entries.
     pub(super) default_table_size: usize,
-    /// The time from a decision until its effect shows in statistics.
+    /// Time from a decision until its effect shows in statistics.
     pub(super) settling_time: Duration,
     pub(super) flush_interval: Duration,
     pub(super) flush_limit: FlushLimit,
     pub(super) assured_entries_per_second: f64,
-    /// What a message costs in the channel beside its table entries, in entries.
+    /// Cost of a message in the send queue in addition to its table entries, in entries.
     pub(super) message_overhead_entries: f64,
     pub(super) max_queued_entries: f64,
     pub(super) max_transit_delay: Duration,
-    /// None where replicas may not be health-checked.
+    /// `None` if the governor may not send health checks.
     pub(super) health_check_interval: Option<Duration>,
     pub(super) load_positions: LoadPositions,
 }
@@ -111,8 +113,8 @@
 impl Parameters {
     pub(super) fn new(settings: &Settings) -> Self {
         let class_count = settings.classes.len().min(MAX_CLASSES);
-        // The work of a class is not stated. Its latency objective stands in, as what needs longer is given
-        // longer.
+        // The settings do not state the work that a class's requests take. The latency objective is used
+        // instead, as it is longer for requests that take more work.
         let objective = |class: usize| settings.classes[class].latency_objective.as_secs_f64();
         let value = |class: usize| ratio(settings.classes[class].priority_weight, objective(class));
         let shared = settings.governor_count > 1;
@@ -132,7 +134,7 @@
             flush_interval: flush_interval(settings),
             flush_limit: flush_limit(settings),
             assured_entries_per_second: ASSURED_RATE_FRACTION * settings.entries_per_second.max(1.0),
-            // Admission fractions travel with each message.
+            // Each message carries the admission fractions of all classes.
             message_overhead_entries: settings.message_overhead_entries + settings.classes.len() as f64,
             max_queued_entries: USED_QUEUE_FRACTION * settings.max_queued_entries,
             max_transit_delay: settings.max_transit_delay,
@@ -144,19 +146,19 @@
         }
     }
 
-    /// How often statistics are gathered.
+    /// The interval between statistics reports.
     pub(super) fn report_interval(&self) -> Duration {
         Duration::from_secs_f64(self.averaging_seconds / AVERAGED_REPORTS)
     }
 
-    /// Whether requests of some class may go only to the proxy's own zone.
+    /// Whether the requests of some class must stay in the proxy's zone.
     pub(super) fn has_zone_bound_classes(&self) -> bool {
         self.classes.own_zone != 0
     }
 }
 
-/// None are decided on where the key space is sliced: slices have tables of their own, which are not
-/// supported.
+/// Groups the classes by scope. Returns no classes if the key space is sliced: slices need tables of their
+/// own, which are not supported.
 fn scoped_classes(settings: &Settings) -> ScopedClasses {
     let mut classes = ScopedClasses::default();
     if settings.key_slices > 0 {
--- a/src/governor/proxy_state.rs
+++ b/src/governor/proxy_state.rs
@@ -1,5 +1,4 @@
-//! What is known of one connected proxy.
-
+//! The state of one connected proxy.
 use std::time::Duration;
 
 use super::Governor;
@@ -7,40 +6,41 @@
 use super::tables::RouteScope;
 use crate::types::{ClassSet, DemandStatistics};
 
-/// The longest averaging of a rare class's rate, in multiples of the usual one.
+/// Maximum averaging time of a rare class's request rate, as a multiple of the usual averaging time.
 const MAX_AVERAGING_FACTOR: f64 = 12.0;
-/// A rate is averaged over this many requests at least: over fewer, chance would look like change.
+/// Minimum number of requests that a request rate is averaged over: with fewer, random variation would look
+/// like change.
 const MIN_AVERAGED_REQUESTS: f64 = 4.0;
 
-/// What default tables were sampled from: the replicas of a zone that were listed by then. Which of them a
-/// table names is not known.
+/// The set of replicas that default tables were sampled from: those of a zone that were listed at a time. It
+/// is not known which of them a table contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct DefaultTableSample {
     pub(super) roster_at: Duration,
     pub(super) zone: usize,
 }
 
-/// What is known of one connected proxy.
+/// The state of one connected proxy.
 pub(super) struct ProxyState {
     pub(super) zone: usize,
-    /// By class: requests received a second, those that are not admitted among them.
+    /// Requests received per second, including those that are not admitted, by class.
     pub(super) request_rates: Vec<f64>,
     pub(super) connected_at: Duration,
-    /// By class: the time of its last statistics. There are none for an interval without a request.
+    /// Time of the last statistics, by class. An interval without requests has no statistics.
     pub(super) last_reports: Vec<Duration>,
-    /// The default table that it follows; none once it follows dedicated ones.
+    /// The default table that it follows; `None` once it follows dedicated tables.
     pub(super) default_table: Option<DefaultTableSample>,
-    /// What it holds is not known: it must be given tables before anything can be said of it.
+    /// The tables that it holds are not known, so it must be sent new ones.
     pub(super) unsynchronised: bool,
 }
 
 impl ProxyState {
-    /// Averages a report into the class's rate.
+    /// Updates the moving average of the class's request rate.
     pub(super) fn record_demand(&mut self, now: Duration, report: &DemandStatistics, averaging_seconds: f64) {
         let last_report = std::mem::replace(&mut self.last_reports[report.class], now);
         let rate = &mut self.request_rates[report.class];
-        // A report's interval may be cut short, and silence has no report: both would look like more
-        // requests.
+        // A report may cover only part of the time since the previous one, as there are none for intervals
+        // without requests. Its own interval would then overestimate the rate.
         let interval = report.interval.max(now.saturating_sub(last_report)).as_secs_f64().max(0.001);
         let longest = MAX_AVERAGING_FACTOR * averaging_seconds;
         let averaging_seconds = ratio(MIN_AVERAGED_REQUESTS, *rate).clamp(averaging_seconds, longest);
@@ -53,7 +53,7 @@
 }
 
 impl Governor {
-    /// Requests a second that a proxy receives and admits, of some classes.
+    /// Requests per second of the given classes that a proxy receives and admits.
     pub(super) fn admitted_demand(&self, proxy: &ProxyState, classes: ClassSet) -> f64 {
         let rates = proxy.request_rates.iter().zip(&self.admission.classes).enumerate();
         rates
@@ -62,12 +62,12 @@
             .sum()
     }
 
-    /// Requests a second that a proxy receives and admits.
+    /// Requests per second that a proxy receives and admits.
     pub(super) fn total_admitted_demand(&self, proxy: &ProxyState) -> f64 {
         self.admitted_demand(proxy, ClassSet::MAX)
     }
 
-    /// Requests a second that a proxy receives and admits, of the classes of one scope.
+    /// Requests per second of the classes of one scope that a proxy receives and admits.
     pub(super) fn scoped_demand(&self, proxy: &ProxyState, scope: RouteScope) -> f64 {
         self.admitted_demand(proxy, self.parameters.classes.in_scope(scope))
     }
--- a/src/governor/publishing.rs
+++ b/src/governor/publishing.rs
@@ -1,4 +1,5 @@
-//! When decisions are sent. What is sent together is one message to each proxy concerned.
+//! Determines when decisions are sent. Decisions that are sent together form one message to each proxy that
+//! they affect.
 
 use std::time::Duration;
 
@@ -7,10 +8,10 @@
 use super::table_updates::Recipients;
 use crate::types::Decision;
 
-/// Why the governor looks for something to publish.
+/// The reason for a publishing pass.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PublishTrigger {
-    /// Something was observed.
+    /// An input other than the timer arrived.
     Event,
     /// The timer fired.
     Tick,
@@ -19,7 +20,7 @@
 }
 
 impl Governor {
-    /// Sends what is due: ejections first, replicas that may be used again last.
+    /// Sends the decisions that are due. Ejections are sent before tables, and readmissions after them.
     pub(super) fn publish(&mut self, now: Duration, trigger: PublishTrigger) {
         self.send_queue.drain(now, self.parameters.assured_entries_per_second);
         let queued_before = self.send_queue.entries;
--- a/src/governor/replica_state.rs
+++ b/src/governor/replica_state.rs
@@ -1,5 +1,4 @@
-//! What is known of one replica.
-
+//! The state of one replica.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -8,25 +7,25 @@
 use super::proxy_state::DefaultTableSample;
 use crate::types::ReplicaStatistics;
 
-/// A replica's health, by the answers that proxies get from it.
+/// A replica's health, as judged by its responses to proxies.
 #[derive(Clone, Copy, Default, PartialEq, Debug)]
 pub(super) enum HealthState {
     #[default]
     Healthy,
-    /// It is sent nothing until a time.
+    /// The replica is sent no requests until a time.
     Ejected { until: Duration, failures: u32 },
-    /// It is sent a little, and must answer that before it counts as healthy.
+    /// The replica is sent few requests and must answer them before it counts as healthy.
     Probation { failures: u32 },
 }
 
-/// Requests queued at a replica, as it last reported.
+/// A replica's last report of its queued requests.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(super) struct QueueSample {
     pub(super) length: f64,
     pub(super) at: Duration,
 }
 
-/// Attempts with and without a good response; earlier ones count for less.
+/// Attempts with and without a successful response. Older attempts have less weight.
 #[derive(Clone, Copy, Default)]
 pub(super) struct AttemptCounts {
     pub(super) succeeded: f64,
@@ -39,7 +38,7 @@
     }
 }
 
-/// What the proxies of one zone observe at a replica.
+/// Statistics of a replica from the proxies of one zone.
 #[derive(Clone, Default)]
 pub(super) struct ZoneObservation {
     pub(super) succeeded: f64,
@@ -51,14 +50,14 @@
 }
 
 impl ZoneObservation {
-    /// Averages a report into what was observed before.
+    /// Updates the moving averages with a report.
     pub(super) fn record(&mut self, now: Duration, report: &ReplicaStatistics, averaging_seconds: f64) {
         let interval = report.interval.as_secs_f64().max(0.001);
         let succeeded = report.attempts.saturating_sub(report.failed) as f64;
         let decay = (-interval / averaging_seconds).exp();
         self.succeeded = self.succeeded * decay + succeeded;
         self.failed = self.failed * decay + report.failed as f64;
-        // The first report stands for what went before, or there would seem to be few attempts at first.
+        // The first report initialises the average, which would otherwise start too low.
         let decay = if self.last_report.is_zero() { 0.0 } else { decay };
         self.attempts_per_second +=
             (report.attempts as f64 / interval - self.attempts_per_second) * (1.0 - decay);
@@ -74,59 +73,59 @@
     }
 }
 
-/// What is known of one replica.
+/// The state of one replica.
 #[derive(Default)]
 pub(super) struct ReplicaState {
     pub(super) zone: usize,
-    /// Its capacity once warmed up, as listed.
+    /// Capacity once warmed up, as stated in the roster.
     pub(super) weight: f64,
-    /// Listed as serving requests.
+    /// The roster lists it as ready.
     pub(super) ready: bool,
-    /// Since when it is not listed any more.
+    /// When it was first listed as gone, or missing from the roster.
     pub(super) gone_since: Option<Duration>,
     pub(super) started_at: Option<Duration>,
-    /// When it was first listed as ready: default tables sampled later may name it.
+    /// When it was first listed as ready; default tables sampled later may contain it.
     pub(super) first_ready_at: Option<Duration>,
-    /// Sent nothing while it warms up, as default tables that may name it would send it its full weight.
+    /// It is sent nothing while it warms up, as default tables that may contain it would use its full weight.
     pub(super) withheld: bool,
     pub(super) health: HealthState,
-    /// Proxies were told to send it nothing.
+    /// Proxies have been instructed not to send to it.
     pub(super) ejection_sent: bool,
-    /// Missing answers count from here on: what came before was sent by other tables.
+    /// Start of the time in which missing responses count; earlier requests were sent by other tables.
     pub(super) observed_since: Duration,
-    /// By the proxies' zone.
+    /// Statistics, by the proxies' zone.
     pub(super) observations: BTreeMap<usize, ZoneObservation>,
-    /// Requests a second that the tables send it, averaged.
+    /// Moving average of the requests per second that the tables send it.
     pub(super) expected_rate: f64,
-    /// The logarithm of what its capacity is taken to be, beside its listed weight.
+    /// Logarithm of the ratio of its estimated capacity to its listed weight.
     pub(super) capacity_correction: f64,
-    /// Requests in flight, by health checks.
+    /// Requests in flight, averaged over health checks.
     pub(super) in_flight: Option<f64>,
     pub(super) queue: Option<QueueSample>,
-    /// Health checks in a row without an answer.
+    /// Number of consecutive health checks without a response.
     pub(super) failed_health_checks: u32,
 }
 
 impl ReplicaState {
-    /// Draining, gone, ejected, or withheld while it warms up.
+    /// Whether the replica is draining, gone, ejected, or withheld while it warms up.
     pub(super) fn is_unavailable(&self) -> bool {
         !self.ready || self.withheld || matches!(self.health, HealthState::Ejected { .. })
     }
 
-    /// Whether default tables of a sample may name it.
+    /// Whether default tables of a sample may contain the replica.
     pub(super) fn is_candidate(&self, sample: DefaultTableSample) -> bool {
         let known_by_then = self.first_ready_at.is_some_and(|first| first <= sample.roster_at);
         known_by_then && sample.zone == self.zone
     }
 
-    /// The fraction of its capacity that it has by now, at the worst.
+    /// The minimum fraction of its capacity that the replica has reached.
     pub(super) fn warm_fraction(&self, slow_start: SlowStart, now: Duration) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
         let age = now.saturating_sub(started_at).as_secs_f64();
         (slow_start.initial_fraction + slow_start.growth_per_second * age).min(1.0)
     }
 
-    /// The capacity that requests can be sent to by now.
+    /// The replica's weight times its warm fraction; 0 if it is unavailable.
     pub(super) fn available_weight(&self, parameters: &Parameters, now: Duration) -> f64 {
         if self.is_unavailable() {
             return 0.0;
@@ -134,7 +133,7 @@
         self.weight * self.warm_fraction(parameters.slow_start, now)
     }
 
-    /// Attempts that the proxies of all zones made.
+    /// The attempts of the proxies of all zones.
     pub(super) fn attempt_counts(&self) -> AttemptCounts {
         let mut counts = AttemptCounts::default();
         for observation in self.observations.values() {
@@ -144,7 +143,7 @@
         counts
     }
 
-    /// Forgets what was observed, as it says nothing of the replica any more.
+    /// Discards all observations, which no longer apply to the replica.
     pub(super) fn reset_observations(&mut self, now: Duration, health: HealthState) {
         self.health = health;
         self.observed_since = now;
--- a/src/governor/report_timing.rs
+++ b/src/governor/report_timing.rs
@@ -1,18 +1,17 @@
-//! How late statistics come.
-
+//! Estimates the delay of statistics reports.
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use super::arithmetic::get_or_default;
 
-/// How late statistics come.
+/// The delay of statistics reports.
 #[derive(Default)]
 pub(super) struct ReportTiming {
-    /// How long statistics wait behind others before they come.
+    /// How long statistics are queued before they are received.
     pub(super) delay: Duration,
-    /// The shortest interval that statistics were summed over since the delay was last estimated.
+    /// The shortest interval covered by statistics since the delay was last estimated.
     pub(super) shortest_interval: Option<Duration>,
-    /// By zone: when statistics of replicas last came.
+    /// Time of the latest replica statistics, by zone.
     pub(super) last_by_zone: BTreeMap<usize, Duration>,
 }
 
@@ -22,8 +21,8 @@
         self.shortest_interval = Some(shortest);
     }
 
-    /// What is busy has statistics as soon as it can, so the shortest interval tells how long they wait; that
-    /// of what is rarely used is longer.
+    /// Estimates the delay by the shortest interval: busy replicas and proxies are reported as often as
+    /// possible, whereas rarely used ones have longer intervals without being delayed.
     pub(super) fn update_delay(&mut self, report_interval: Duration) {
         if let Some(shortest) = self.shortest_interval.take() {
             self.delay = shortest.saturating_sub(report_interval);
--- a/src/governor/slow_start.rs
+++ b/src/governor/slow_start.rs
@@ -1,7 +1,7 @@
-//! How much replicas that warm up are sent.
+//! Slow start: limits the requests sent to replicas that are warming up.
 //!
-//! A replica's warm fraction is the least part of its capacity that it has by now. While many attempts fail
-//! it is sent less than that, since proxies then pile onto the replicas that still answer.
+//! A replica's warm fraction is the minimum fraction of its capacity that it has reached. While many attempts
+//! fail, it is sent less than that, since load then concentrates on the replicas that still respond.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,13 +12,14 @@
 use super::replica_state::{HealthState, ReplicaState};
 use super::tables::MAX_TABLE_ENTRIES;
 
-/// The fraction of its capacity that a fleet is sized to use.
+/// The fraction of its capacity that a fleet is designed to use.
 pub(super) const NOMINAL_UTILISATION: f64 = 0.7;
-/// The stress that is assumed until enough is observed: a governor may restart while many attempts fail.
+/// The stress assumed until enough attempts are observed, as a governor may restart while many attempts fail.
 const ASSUMED_STRESS: f64 = 0.5;
-/// What a replica on probation is sent: enough for a few answers within seconds.
+/// The fraction of its weight that a replica on probation is sent: enough for a few responses within seconds.
 const PROBATION_FRACTION: f64 = 0.1;
-/// What warming replicas alone are sent, beside what the fleet answers for its capacity.
+/// Requests per unit of capacity for zones with only warming replicas, relative to the fleet's success rate
+/// per unit of capacity.
 const WARMING_HEADROOM: f64 = 1.2;
 
 impl Governor {
@@ -35,8 +36,8 @@
             get_or_default(&health.zone_stress, &replica.zone)
         };
         let underprovisioned = health.underprovisioned_zones.contains(&replica.zone);
-        // What is bound to a zone without a warm replica can't go elsewhere: all of them must take their
-        // part.
+        // Requests bound to a zone without a warm replica can't go elsewhere, so all its replicas must take
+        // their part.
         let cautious = if self.parameters.has_zone_bound_classes() {
             stress > 0.0 && !underprovisioned
         } else {
@@ -53,8 +54,8 @@
         }
     }
 
-    /// A default table whose entries are not known can't be sent a part of its weight for a replica: the
-    /// replica is withheld until it bears its usual load.
+    /// Updates which replicas are withheld. Default tables whose entries are not known can't be sent a
+    /// reduced weight, so a replica that they may contain is withheld until it can take its usual load.
     pub(super) fn update_withheld(&mut self, now: Duration) {
         let samples: BTreeSet<DefaultTableSample> =
             self.proxies.values().filter_map(|proxy| proxy.default_table).collect();
@@ -67,14 +68,15 @@
         }
     }
 
-    /// Whether there were more candidates than a table has entries, so that it is not known which it names.
+    /// Whether there were more candidates than table entries, so that it is not known which ones a table
+    /// contains.
     pub(super) fn is_partial_sample(&self, sample: DefaultTableSample) -> bool {
         let candidates = self.replicas.values().filter(|replica| replica.is_candidate(sample)).count();
         candidates > self.parameters.default_table_size.max(MAX_TABLE_ENTRIES)
     }
 
-    /// By zone without a warm replica, where requests are bound to it: how many a second its replicas may be
-    /// sent.
+    /// Requests per second that may be sent to each zone without a warm replica, if any requests are bound to
+    /// their zone.
     pub(super) fn underprovisioned_capacity(&self, now: Duration) -> BTreeMap<usize, f64> {
         let available = self.sum_by_zone(|replica| replica.available_weight(&self.parameters, now));
         let rate_by_weight = WARMING_HEADROOM * ratio(self.success_rate(), available.values().sum());
--- a/src/governor/table_updates.rs
+++ b/src/governor/table_updates.rs
@@ -1,4 +1,4 @@
-//! Telling proxies what their tables hold: solved tables to critical proxies, default tables to the others.
+//! Sends table updates: solved tables to critical proxies, default tables to the others.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,38 +12,38 @@
 use super::water_filling::SmallDefault;
 use crate::types::{Decision, ProxyId, ReplicaId, TableEntry};
 
-/// A weight that moved by a smaller fraction is within the noise of the statistics.
+/// Minimum relative change of a weight to be sent; smaller changes are within the noise of the statistics.
 const MIN_WEIGHT_CHANGE: f64 = 0.12;
-/// Weights are sent as multiples of 1 by this.
+/// Weights are rounded to multiples of 1 divided by this.
 const WEIGHT_STEPS: f64 = 1000.0;
-/// A table with fewer replicas can't wait.
+/// Updates of a table with fewer replicas than this are urgent.
 const MIN_REPLICAS: usize = 3;
-/// The few entries of a busy proxy make hot spots if each is sent this part of what a replica is due.
+/// A busy proxy's few entries create hot spots if each is sent this fraction of a replica's average load.
 const HOT_SPOT_FRACTION: f64 = 0.07;
-/// The part of the channel's queue that tables may fill for proxies that can't wait.
+/// Fraction of the send queue that urgent tables may fill.
 const URGENT_QUEUE_FRACTION: f64 = 0.8;
-/// The part of the channel's queue that all other tables may fill; the rest is for ejections.
+/// Fraction of the send queue that all other tables may fill; the rest is for ejections.
 const ORDINARY_QUEUE_FRACTION: f64 = 0.5;
 
-/// Which proxies are told of their tables.
+/// The proxies whose tables are updated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Recipients {
     All,
     Unsynchronised,
 }
 
-/// Whether a proxy follows its dedicated table already.
+/// Whether a proxy already uses its dedicated tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Assignment {
     Existing,
     New,
 }
 
-/// Who is told first, as the channel may not bear all at once.
+/// The order of updates, as the channel may not have room for all at once.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Priority {
     Unsynchronised,
-    /// Its table may name few replicas, or none.
+    /// The proxy's table may contain few replicas, or none.
     Urgent,
     Ordinary,
 }
@@ -57,7 +57,7 @@
     }
 }
 
-/// A proxy that is to be told of its tables.
+/// A proxy whose tables are to be updated.
 struct TableRequest {
     priority: Priority,
     demand: f64,
@@ -65,24 +65,24 @@
     assignment: Assignment,
 }
 
-/// What tables are made from.
+/// Inputs for the computation of tables.
 struct TableSources {
     defaults: DefaultTables,
     model: LoadModel,
-    /// By zone without a warm replica: requests a second that may still be sent there.
+    /// Remaining requests per second that may be sent to each zone without a warm replica.
     underprovisioned_capacity: BTreeMap<usize, f64>,
 }
 
-/// What tells which proxies need a table of their own.
+/// Criteria for which proxies need a dedicated table.
 struct Needs {
     critical: BTreeSet<ProxyId>,
-    /// Demand above which the entries of a default table make hot spots.
+    /// Demand above which the entries of a default table create hot spots.
     busy_demand: f64,
     staleness: BTreeMap<DefaultTableSample, Staleness>,
 }
 
 impl Governor {
-    /// Tells proxies what their tables should hold, where they hold something else.
+    /// Sends proxies the changes of their tables, as far as they fit into the send queue.
     pub(super) fn send_tables(&mut self, now: Duration, recipients: Recipients) {
         let mut sources = TableSources {
             defaults: self.default_tables(now),
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Those who can't wait first, then the busiest.
+    /// The proxies to update, by priority and then by demand, the busiest first.
     fn table_requests(&self, sources: &TableSources, recipients: Recipients) -> Vec<TableRequest> {
         let mut needs = Needs {
             critical: self.critical_set.proxies(),
@@ -115,7 +115,8 @@
         requests
     }
 
-    /// Other governors' proxies count alike.
+    /// The demand above which a proxy needs a dedicated table. The proxies of other governors are assumed to
+    /// have the same average demand.
     fn busy_demand(&self, model: &LoadModel) -> f64 {
         let fleet_factor = ratio(self.parameters.shared_proxies, self.proxies.len() as f64).max(1.0);
         let due_rate = model.loads.iter().sum::<f64>() / self.ready_replicas().max(1.0);
@@ -183,8 +184,8 @@
         }
     }
 
-    /// What a table should hold. In a zone without a warm replica only as many tables as its capacity allows
-    /// hold anything: the other proxies do without until one is warm.
+    /// The entries that a table should have. In a zone without a warm replica, only as many tables as its
+    /// capacity allows get entries; the other proxies have empty tables until a replica is warm.
     fn wanted_weights(&self, key: TableKey, sources: &mut TableSources, now: Duration) -> Weights {
         let proxy = &self.proxies[&key.proxy];
         let default = &sources.defaults[&ZoneScope { zone: proxy.zone, scope: key.scope }];
@@ -197,7 +198,7 @@
         if *remaining > 0.0 { wanted } else { Weights::new() }
     }
 
-    /// A proxy's solved table while that stands, else its zone's default.
+    /// A proxy's solved table while it is usable, otherwise its zone's default table.
     pub(super) fn desired_table(
         &self,
         key: TableKey,
@@ -207,7 +208,8 @@
     ) -> Weights {
         let mut solved = self.critical_set.tables.get(&key).cloned().unwrap_or_default();
         solved.retain(|id, _| self.usable_fraction(&self.replicas[id], now) > 0.0);
-        // The solver, or the loss of its other entries, would lean on a warming replica beside busy ones.
+        // The solver prefers warming replicas to busy ones, and the loss of other entries raises their share.
+        // The solved table is used only if it sends them no more than the default table.
         let warming = |weights: &Weights| weight_fraction(weights, |id| self.is_warming(id, now));
         if !solved.is_empty() && warming(&solved) <= warming(default) {
             return solved;
@@ -231,7 +233,7 @@
         self.replicas[id].warm_fraction(self.parameters.slow_start, now) < 1.0
     }
 
-    /// Sends the entries that changed by enough, and returns what that takes in the channel.
+    /// Sends the entries that changed significantly, and returns their cost in the send queue.
     pub(super) fn update_table(&mut self, key: TableKey, wanted: Weights, assignment: Assignment) -> usize {
         let table = self.sent_tables.entry(key).or_default();
         let changes = changed_entries(table, &wanted);
@@ -240,7 +242,7 @@
         }
         table.retain(|_, weight| *weight > 0.0);
         let table_size = table.len();
-        // A proxy whose number leaves none for its tables stays on what it holds.
+        // A proxy without table numbers keeps the tables that it has.
         let Some(table) = key.table_id() else { return 0 };
         let change_count = changes.len();
         if !changes.is_empty() {
@@ -251,15 +253,15 @@
             Assignment::New => {
                 let classes = self.parameters.classes.in_scope(key.scope);
                 self.pending.push_back(Decision::AssignTable { proxy: key.proxy, table, classes });
-                // A host may name each entry of a first table twice, as proxies keep other governors'
-                // ejections.
+                // A host may send each entry of a first table twice, as proxies keep the ejections of other
+                // governors.
                 1 + 2 * table_size
             }
         }
     }
 }
 
-/// Entries that are not wanted any more, and those whose weight moved by more than the noise.
+/// The removed entries, and those whose weight changed by more than [`MIN_WEIGHT_CHANGE`].
 fn changed_entries(table: &Weights, wanted: &Weights) -> Vec<TableEntry> {
     let mut changes = Vec::new();
     for replica in table.keys() {
--- a/src/governor/tables.rs
+++ b/src/governor/tables.rs
@@ -1,15 +1,15 @@
-//! Tables as the governor keeps them, and the numbers that the host knows them by.
+//! The governor's representation of tables, and their numbers towards the host.
 
 use std::collections::BTreeMap;
 
 use crate::types::{ProxyId, ReplicaId, TableId};
 
-/// Traffic classes that are decided on: one for each bit of a class set.
+/// Maximum number of traffic classes: one for each bit of a class set.
 pub(super) const MAX_CLASSES: usize = 64;
-/// The most entries that a solved table has, or a default table that is sent.
+/// Maximum number of entries of a solved table, or of a default table that is sent.
 pub(super) const MAX_TABLE_ENTRIES: usize = 30;
 
-/// Where the requests that a table routes may go.
+/// The zones that the requests routed by a table may go to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum RouteScope {
     AnyZone,
@@ -32,7 +32,7 @@
         TableKey { proxy, scope }
     }
 
-    /// The table's number, two for each proxy; none for a proxy whose number leaves none.
+    /// The table's number; `None` if the proxy's number is too large. Each proxy has two table numbers.
     pub(super) fn table_id(self) -> Option<TableId> {
         let first = self.proxy.checked_mul(2).filter(|first| *first < TableId::MAX - 2)?;
         match self.scope {
@@ -47,7 +47,7 @@
 /// Dedicated tables by proxy and scope.
 pub(super) type Tables = BTreeMap<TableKey, Weights>;
 
-/// Of the requests routed by a table, the fraction that goes to replicas which satisfy a condition.
+/// The fraction of the requests routed by a table that goes to replicas which satisfy a condition.
 pub(super) fn weight_fraction(weights: &Weights, condition: impl Fn(&ReplicaId) -> bool) -> f64 {
     let matching = weights.iter().filter(|(id, _)| condition(id)).map(|(_, weight)| weight).sum();
     super::arithmetic::ratio(matching, weights.values().sum())
--- a/src/governor/tests.rs
+++ b/src/governor/tests.rs
@@ -1,4 +1,4 @@
-//! Each test builds the state it needs and calls one function.
+//! Unit tests of the governor. Each test builds the state it needs and calls one function.
 
 use super::admission_control::{ClassAdmission, LastCut, LatencySum, QUEUE_DRAINING_FRACTION};
 use super::arithmetic::get_or_default;
--- a/src/governor/tests/admission_control.rs
+++ b/src/governor/tests/admission_control.rs
@@ -1,4 +1,4 @@
-//! How many requests are admitted.
+//! Tests of admission control.
 
 use super::fixtures::*;
 use super::*;
--- a/src/governor/tests/critical_set.rs
+++ b/src/governor/tests/critical_set.rs
@@ -1,4 +1,4 @@
-//! The paper's part: critical set and water-filling.
+//! Tests of the paper's mechanism: critical set and water-filling.
 
 use super::fixtures::*;
 use super::*;
@@ -11,7 +11,7 @@
     Bin { level, capacity, replica }
 }
 
-/// Proxy 1 sends 12 requests a second to `a` and proxy 2 sends 8, while `b` idles beside it.
+/// Proxy 1 sends 12 requests per second to `a` and proxy 2 sends 8, while `b` is idle.
 fn load_model() -> LoadModel {
     let capacity = ReplicaCapacity { zone: 0, requests_per_second: 10.0 };
     let flow = |requests_per_second| Flow { zone: 0, requests_per_second, distribution: 0 };
--- a/src/governor/tests/default_tables.rs
+++ b/src/governor/tests/default_tables.rs
@@ -1,4 +1,4 @@
-//! The default tables, and when sampled ones are stale.
+//! Tests of default tables and their staleness.
 
 use super::fixtures::*;
 use super::*;
--- a/src/governor/tests/ejection.rs
+++ b/src/governor/tests/ejection.rs
@@ -1,4 +1,4 @@
-//! Ejecting faulty replicas, and taking them back.
+//! Tests of ejecting and restoring replicas.
 
 use super::fixtures::*;
 use super::*;
--- a/src/governor/tests/fixtures.rs
+++ b/src/governor/tests/fixtures.rs
@@ -1,15 +1,15 @@
-//! Governors, replicas and proxies that tests start from.
+//! Governors, replicas and proxies for tests.
 
 use super::*;
 
 pub(super) const SECOND: Duration = Duration::from_secs(1);
 
-/// A proxy of zone 0 that holds its default table and nothing else.
+/// A proxy of zone 0 that has its default table and no other.
 pub(super) fn with_default_table(proxy: ProxyId, requests_per_second: f64) -> ProxyConnection {
     ProxyConnection { proxy, zone: 0, requests_per_second, holds_default_table: true }
 }
 
-/// A proxy of zone 0 of which it is not known what it holds.
+/// A proxy of zone 0 whose tables are not known.
 pub(super) fn with_unknown_tables(proxy: ProxyId, requests_per_second: f64) -> ProxyConnection {
     ProxyConnection { holds_default_table: false, ..with_default_table(proxy, requests_per_second) }
 }
@@ -63,7 +63,7 @@
     }
 }
 
-/// A governor that has observed enough to trust the fleet.
+/// A governor that has observed enough attempts to judge the fleet's health.
 pub(super) fn observed(settings: Settings) -> Governor {
     let mut governor = Governor::new(settings, Duration::ZERO);
     governor.fleet_health.unobserved = false;
@@ -74,7 +74,7 @@
     observed(settings())
 }
 
-/// One whose second class is bound to the proxy's own zone.
+/// A governor whose second class is bound to the proxy's own zone.
 pub(super) fn governor_with_zone_bound_class() -> Governor {
     let classes = vec![
         traffic_class(Idempotency::Idempotent, false, 1.0),
@@ -101,7 +101,7 @@
     ReplicaState { started_at: Some(started), ..warm_replica(zone) }
 }
 
-/// What the proxies of zone 0 observed; as many attempts a second as are counted.
+/// Statistics from the proxies of zone 0, with an attempt rate equal to the number of attempts.
 pub(super) fn observations(
     succeeded: f64,
     failed: f64,
@@ -119,7 +119,7 @@
     BTreeMap::from([(0, observation)])
 }
 
-/// A warm replica that proxies of zone 0 observed with a latency of 100 ms.
+/// A warm replica with statistics from proxies of zone 0 and a latency of 100 ms.
 pub(super) fn observed_replica(
     zone: usize,
     succeeded: f64,
@@ -150,7 +150,8 @@
     governor.replicas.get_mut(name).expect("the test added it")
 }
 
-/// A proxy that follows dedicated tables with these entries and receives 5 requests a second of each class.
+/// Adds a proxy that follows dedicated tables with these entries and receives 5 requests per second of each
+/// class.
 pub(super) fn add_follower(governor: &mut Governor, proxy: ProxyId, zone: usize, entries: &[(&str, f64)]) {
     let state = ProxyState {
         zone,
@@ -168,7 +169,7 @@
     }
 }
 
-/// Sets the requests a second that a proxy receives of each class.
+/// Sets the requests per second that a proxy receives of each class.
 pub(super) fn set_class_rates(governor: &mut Governor, proxy: ProxyId, requests_per_second: f64) {
     let proxy = governor.proxies.get_mut(&proxy).expect("the test connected it");
     proxy.request_rates = vec![requests_per_second; 2];
@@ -187,7 +188,8 @@
     governor.pending.iter().collect()
 }
 
-/// Late answers from replicas of which `queued` report queued requests, with 100 requests a second received.
+/// A governor with late responses from four replicas, of which `queued` report queued requests. Its proxy
+/// receives 100 requests per second.
 pub(super) fn governor_with_late_answers(queued: usize) -> Governor {
     let mut governor = governor();
     governor.admission.latency = LatencySum { answers: 50.0, seconds: 60.0 };
@@ -202,7 +204,7 @@
     governor
 }
 
-/// One zone of 40 replicas, of which 10 default tables hold partial samples.
+/// A governor with one zone of 40 replicas and 10 proxies whose default tables are partial samples of them.
 pub(super) fn governor_with_large_zone() -> Governor {
     let mut governor = governor();
     for index in 0..40 {
@@ -215,7 +217,7 @@
     governor
 }
 
-/// The first replicas drain.
+/// Marks the first `lost` replicas as not ready.
 pub(super) fn without_replicas(mut governor: Governor, lost: usize) -> Governor {
     for replica in governor.replicas.values_mut().take(lost) {
         replica.ready = false;
@@ -223,7 +225,7 @@
     governor
 }
 
-/// Two replicas that are sent 5 requests a second each; the last report of `a` is 10 s old.
+/// A governor with two replicas that are sent 5 requests per second each. The last report of `a` is 10 s old.
 pub(super) fn governor_with_silent_replica() -> Governor {
     let mut governor = governor();
     add_follower(&mut governor, 1, 0, &[("a", 1.0), ("b", 1.0)]);
--- a/src/governor/tests/health.rs
+++ b/src/governor/tests/health.rs
@@ -1,4 +1,4 @@
-//! The health of the fleet.
+//! Tests of fleet health.
 
 use super::fixtures::*;
 use super::*;
--- a/src/governor/tests/outlier_detection.rs
+++ b/src/governor/tests/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Which replicas look faulty beside the fleet.
+//! Tests of outlier detection.
 
 use super::fixtures::*;
 use super::*;
--- a/src/governor/tests/publishing.rs
+++ b/src/governor/tests/publishing.rs
@@ -1,4 +1,4 @@
-//! When decisions are sent, in which order, and how they fill the channel.
+//! Tests of when and in which order decisions are sent, and of the send queue.
 
 use super::fixtures::*;
 use super::*;
@@ -65,8 +65,8 @@
     governor.send_queue.entries = 800.0;
     governor.send_tables(Duration::ZERO, Recipients::All);
     assert!(governor.pending.is_empty());
-    // Nor for an unsynchronised proxy, though it may send to a draining replica: many of them would overfill
-    // it.
+    // No table is sent to an unsynchronised proxy either, although it may send to a draining replica: many
+    // such proxies would overfill the channel.
     governor.proxy_connected(Duration::ZERO, with_unknown_tables(2, 1.0));
     governor.send_tables(Duration::ZERO, Recipients::Unsynchronised);
     assert!(governor.pending.is_empty());
@@ -75,7 +75,7 @@
     assert!(governor.pending.contains(&Decision::AssignTable { proxy: 2, table: 4, classes: 0b11 }));
 }
 
-/// A hundred proxies whose tables are not known, and a few replicas.
+/// A governor with 100 proxies whose tables are not known, and the named replicas.
 fn governor_with_unsynchronised_proxies(names: &[&str]) -> Governor {
     let mut governor = governor();
     governor.replicas.extend(names.iter().map(|name| (id(name), warm_replica(0))));
@@ -101,10 +101,10 @@
     add_replica(&mut governor, "d", draining_replica(0));
     governor.send_ejections(EjectionChange::Eject);
     assert_eq!(decisions(&governor), [&Decision::SetEjected { replica: id("d"), ejected: true }]);
-    // An entry and a message's overhead for each proxy whose tables are not known.
+    // One entry and the overhead of a message for each proxy whose tables are not known.
     assert_eq!(governor.send_queue.entries, 100.0 * (1.0 + 7.0));
     governor.send_ejections(EjectionChange::Eject);
-    assert_eq!(decisions(&governor).len(), 1, "the others do not fit");
+    assert_eq!(decisions(&governor).len(), 1, "the other ejections do not fit into the channel");
     governor.send_queue.entries = 0.0;
     governor.send_ejections(EjectionChange::Eject);
     assert_eq!(decisions(&governor)[1], &Decision::SetEjected { replica: id("a"), ejected: true });
@@ -142,12 +142,12 @@
     quick.acknowledged(SECOND);
     assert_eq!(
         quick.send_queue.entries, 100.0,
-        "it was sent at 3.5 s at the soonest, as its acknowledgement was in transit as well"
+        "the acknowledged message was sent at 3.5 s at the earliest, due to the acknowledgement's transit"
     );
     let mut slow = channel();
     slow.acknowledged(4 * SECOND);
     assert_eq!(slow.send_queue.entries, 400.0);
-    // Without acknowledgements time counts, at a bad channel's rate.
+    // Without acknowledgements the queue drains over time, at the assured rate.
     slow.publish(6 * SECOND, PublishTrigger::Event);
     assert_eq!(slow.send_queue.entries, 400.0 - 0.2 * 1000.0);
     slow.publish(60 * SECOND, PublishTrigger::Event);
@@ -170,8 +170,8 @@
 fn counts_an_ejection_once_for_each_default_table() {
     let mut governor = without_replicas(governor_with_large_zone(), 1);
     governor.send_ejections(EjectionChange::Eject);
-    // What default tables name is not known, so each of ten proxies is sent an entry and a message's
-    // overhead.
+    // The contents of default tables are not known, so each of the ten proxies costs one entry and the
+    // overhead of a message.
     assert_eq!(governor.send_queue.entries, 10.0 * (1.0 + 7.0));
 }
 
@@ -186,9 +186,9 @@
     assert_eq!(
         governor.send_queue.entries,
         900.0 - 0.2 * 500.0,
-        "other messages of the same batch may be queued yet"
+        "other messages of the same batch may still be queued"
     );
     governor.publish(3 * SECOND / 2, PublishTrigger::Event);
     governor.acknowledged(SECOND / 2);
-    assert_eq!(governor.send_queue.entries, 0.0, "it was sent later, and has left");
+    assert_eq!(governor.send_queue.entries, 0.0, "the batch was sent earlier than the message");
 }
--- a/src/governor/tests/roster.rs
+++ b/src/governor/tests/roster.rs
@@ -1,4 +1,4 @@
-//! Replicas and proxies that come and go.
+//! Tests of roster updates and proxy connections.
 
 use super::fixtures::*;
 use super::*;
@@ -54,6 +54,6 @@
     add_replica(&mut governor, "d", ReplicaState { gone_since: Some(250 * SECOND), ..old() });
     governor.forget_gone_replicas(300 * SECOND);
     let left: Vec<&str> = governor.replicas.keys().map(|id| &**id).collect();
-    assert_eq!(left, ["b", "c", "d"], "a table may still name it, or one that was sampled lately");
+    assert_eq!(left, ["b", "c", "d"], "a sent table contains `b`, and a sampled one may contain `d`");
     assert_eq!(governor.pending, [Decision::SetEjected { replica: id("a"), ejected: false }]);
 }
--- a/src/governor/tests/slow_start.rs
+++ b/src/governor/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! How much replicas that warm up are sent.
+//! Tests of slow start.
 
 use super::fixtures::*;
 use super::*;
--- a/src/governor/tests/statistics.rs
+++ b/src/governor/tests/statistics.rs
@@ -1,4 +1,4 @@
-//! What statistics and health checks are taken to say.
+//! Tests of statistics and health check results.
 
 use super::fixtures::*;
 use super::*;
@@ -77,7 +77,7 @@
 fn does_not_overestimate_the_rate_of_rare_requests() {
     let mut governor = governor();
     governor.proxy_connected(Duration::ZERO, with_unknown_tables(1, 0.4));
-    // A request every five seconds; its statistics are of the last half second only.
+    // One request every five seconds, with statistics that cover the last half second only.
     for second in (5..200).step_by(5) {
         governor.record_demand(
             second * SECOND,
--- a/src/governor/tests/table_updates.rs
+++ b/src/governor/tests/table_updates.rs
@@ -1,4 +1,4 @@
-//! What proxies are told of their tables.
+//! Tests of table updates.
 
 use super::fixtures::*;
 use super::*;
--- a/src/governor/utilisation.rs
+++ b/src/governor/utilisation.rs
@@ -1,4 +1,4 @@
-//! How much of its capacity each replica uses, and what the fleet answers.
+//! Estimates the utilisation of replicas and the fleet's success rate.
 
 use std::time::Duration;
 
@@ -6,21 +6,21 @@
 use super::arithmetic::ratio;
 use super::replica_state::{ReplicaState, ZoneObservation};
 
-/// The part of its distance from the mean by which a replica's capacity is corrected in a cycle.
+/// Fraction of a replica's logarithmic distance from the mean utilisation that is corrected per cycle.
 const CORRECTION_GAIN: f64 = 0.25;
-/// What remains of a correction after a cycle.
+/// Factor by which a correction decays per cycle.
 const CORRECTION_RETENTION: f64 = 0.95;
-/// The largest decrease of a capacity's logarithm in a cycle.
+/// Maximum decrease of a capacity's logarithm per cycle.
 const MAX_CORRECTION_DECREASE: f64 = -0.5;
-/// The largest increase of a capacity's logarithm in a cycle.
+/// Maximum increase of a capacity's logarithm per cycle.
 const MAX_CORRECTION_INCREASE: f64 = 0.2;
-/// The least correction: about a quarter of the listed capacity.
+/// Minimum correction: about a quarter of the listed capacity.
 const MIN_CORRECTION: f64 = -1.4;
-/// The largest correction: about 1.3 of the listed capacity.
+/// Maximum correction: about 1.3 times the listed capacity.
 const MAX_CORRECTION: f64 = 0.25;
-/// Silence longer than the time of this many attempts counts as a falling rate.
+/// Expected time between attempts, times this, after which missing reports count as a falling rate.
 const SILENT_ATTEMPTS: f64 = 2.0;
-/// As [`SILENT_ATTEMPTS`], where attempts are rare: in averaging periods.
+/// Upper bound of the time given by [`SILENT_ATTEMPTS`], in averaging periods, for rare attempts.
 const MAX_SILENT_PERIODS: f64 = 4.0;
 
 /// Utilisation of the replicas that are in use.
@@ -31,14 +31,14 @@
 }
 
 impl Governor {
-    /// Requests in flight by listed weight, where they are known: from health checks, or else by Little's
-    /// law.
+    /// Requests in flight divided by the warm part of the listed weight, if known. Requests in flight are
+    /// taken from health checks, or otherwise estimated by Little's law.
     pub(super) fn utilisation(&self, replica: &ReplicaState, now: Duration) -> Option<f64> {
         let in_flight = replica.in_flight.or_else(|| self.estimated_in_flight(replica))?;
         Some(in_flight / replica.weight / replica.warm_fraction(self.parameters.slow_start, now))
     }
 
-    /// Little's law: the rate of attempts times their latency. Observations fade once reports stop.
+    /// Little's law: the rate of attempts times their latency. Observations decay once reports stop.
     fn estimated_in_flight(&self, replica: &ReplicaState) -> Option<f64> {
         let observed = replica.observations.iter().filter(|(_, one)| one.attempts_per_second > 0.0);
         let in_flight = observed.map(|(zone, observation)| {
@@ -67,8 +67,8 @@
         FleetUtilisation { mean: ratio(load, weights), peak }
     }
 
-    /// A slow replica holds more requests at the same rate. Its capacity moves towards what would give it the
-    /// mean utilisation.
+    /// Moves the capacity of each replica towards the value that would give it the mean utilisation. A slow
+    /// replica has more requests in flight at the same rate.
     pub(super) fn correct_capacities(&mut self, now: Duration) {
         let mean = self.fleet_utilisation(now).mean;
         let utilisations: Vec<Option<f64>> =
@@ -83,14 +83,15 @@
         }
     }
 
-    /// Requests a second that the fleet answers.
+    /// Requests per second that the fleet answers.
     pub(super) fn success_rate(&self) -> f64 {
         let observations = self.replicas.values().flat_map(|replica| &replica.observations);
         observations.map(|(zone, observation)| self.observed_success_rate(*zone, observation)).sum()
     }
 
-    /// What is gone, or is sent nothing, has no further reports; nor has a rarely used replica between two
-    /// attempts.
+    /// The success rate decays after the last report, as replicas that are gone or sent nothing are not
+    /// reported. Between two attempts at a rarely used replica there are no reports either, so the decay
+    /// starts later.
     fn observed_success_rate(&self, zone: usize, observation: &ZoneObservation) -> f64 {
         let averaging_seconds = self.parameters.averaging_seconds;
         let last_report = observation.last_report + self.reports.delay;
--- a/src/governor/water_filling.rs
+++ b/src/governor/water_filling.rs
@@ -1,8 +1,8 @@
-//! Water-filling: spreading a flow over replicas so that the highest utilisation is as low as can be.
+//! Water-filling: distributes a flow over replicas so that the peak utilisation is minimal.
 //!
-//! This stands in for the linear programme of FlexDATE (M. Ye, J. Zhang, Z. Guo and H. J. Chao, "FlexDATE:
+//! This replaces the linear programme of FlexDATE (M. Ye, J. Zhang, Z. Guo and H. J. Chao, "FlexDATE:
 //! Flexible and Disturbance-Aware Traffic Engineering With Reinforcement Learning in Software-Defined
-//! Networks"): with one hop and divisible flows it comes to the same minimal peak utilisation.
+//! Networks"). With one hop and divisible flows both reach the same peak utilisation.
 
 use std::collections::BTreeSet;
 
@@ -13,20 +13,20 @@
 
 /// The sum of a solved table's weights.
 const SOLVED_TABLE_WEIGHT: f64 = 100.0;
-/// Of [`SOLVED_TABLE_WEIGHT`]: a smaller weight is not worth an entry.
+/// Minimum weight of an entry in a solved table, out of [`SOLVED_TABLE_WEIGHT`].
 const MIN_SOLVED_WEIGHT: f64 = 1.5;
 
-/// A replica, as a bin that is filled to a level.
+/// A replica as a bin to fill.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Bin {
-    /// Its utilisation before anything is filled in.
+    /// The replica's utilisation before filling.
     pub(super) level: f64,
-    /// Requests a second that raise the level by 1.
+    /// Requests per second that raise the level by 1.
     pub(super) capacity: f64,
     pub(super) replica: usize,
 }
 
-/// Fills a rate into bins, sorted by their level, so that the highest level stays lowest.
+/// Distributes a rate over bins so that the highest level is minimal. The bins must be sorted by level.
 pub(super) fn water_fill(rate: f64, bins: &[Bin]) -> Vec<ReplicaRate> {
     let mut capacity = 0.0;
     let mut filled = rate;
@@ -41,21 +41,21 @@
     bins.iter().map(rate).filter(|filled| filled.rate > 0.0).collect()
 }
 
-/// A small default table that is to be made.
+/// Inputs for the computation of a small default table.
 pub(super) struct SmallDefault<'a> {
     pub(super) key: TableKey,
     pub(super) zone: usize,
     pub(super) requests_per_second: f64,
     pub(super) entries: usize,
-    /// The zone's whole default table.
+    /// The zone's complete default table.
     pub(super) candidates: &'a Weights,
-    /// What the proxy's table names now.
+    /// The proxy's current table.
     pub(super) current: &'a Weights,
 }
 
 impl LoadModel {
-    /// Replicas by their level for a zone's proxies, the lowest first. The price multiplies a replica's level
-    /// and divides its capacity; those without one are left out.
+    /// Replicas as bins for the proxies of a zone, in ascending order of level. A replica's level is
+    /// multiplied by its price and its capacity divided by it. Replicas without a price are omitted.
     fn bins_by_level(&self, zone: usize, added_rate: f64, price: impl Fn(usize) -> Option<f64>) -> Vec<Bin> {
         let bins = self.capacities.iter().zip(&self.loads).enumerate();
         let bins = bins.filter_map(|(replica, (capacity, load))| {
@@ -69,7 +69,8 @@
         bins
     }
 
-    /// Solves the flows of the critical proxies against all others: the largest first, twice over.
+    /// Solves the flows of the critical proxies while all other flows stay unchanged: largest first, in two
+    /// passes.
     pub(super) fn solve(&mut self, critical: &BTreeSet<ProxyId>) {
         self.reset_loads();
         let mut keys: Vec<TableKey> =
@@ -99,7 +100,7 @@
         self.solved.insert(key, rates);
     }
 
-    /// The solved flows as tables.
+    /// Converts the solved flows to tables.
     pub(super) fn solved_tables(&self) -> Tables {
         self.solved.iter().map(|(key, rates)| (*key, self.solved_weights(rates))).collect()
     }
@@ -116,8 +117,8 @@
         weights
     }
 
-    /// A default table of few entries with equal weights: the replicas with the lowest levels, where those
-    /// that the table names already are preferred.
+    /// Computes a default table of few entries with equal weights from the replicas with the lowest levels.
+    /// Replicas that the current table contains are preferred.
     pub(super) fn small_default(&mut self, wanted: &SmallDefault) -> Weights {
         self.remove_flow(wanted.key);
         let rate_by_entry = wanted.requests_per_second / wanted.entries as f64;
@@ -126,8 +127,8 @@
             let price = if wanted.current.contains_key(id) { 1.0 / self.retention_preference } else { 1.0 };
             wanted.candidates.contains_key(id).then_some(price)
         });
-        // Among many more elsewhere some are always cooler: entries cross zones only as far as the default
-        // spills.
+        // Other zones have many more replicas, some of which always have a lower level. The number of entries
+        // in other zones is therefore limited to the part that the default table spills over.
         let entries_in_zone = self.entries_in_zone(wanted);
         let (mut chosen, mut elsewhere): (Vec<Bin>, Vec<Bin>) =
             bins.into_iter().partition(|bin| self.capacities[bin.replica].zone == wanted.zone);
@@ -142,7 +143,8 @@
         weights
     }
 
-    /// How many entries of a small default table stay in its zone: as large a part as of the whole default.
+    /// The number of entries of a small default table in its own zone, in proportion to the complete default
+    /// table.
     fn entries_in_zone(&self, wanted: &SmallDefault) -> usize {
         let in_zone = super::tables::weight_fraction(wanted.candidates, |id| {
             let replica = self.replicas.binary_search(id);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decides what tables a service's plain proxies hold.
+//! Computes the routing tables of a service's proxies.
 //!
-//! A host (the simulator's adapter, the daemon's engine, the platform's governor) feeds one
-//! [`governor::Governor`] the events that one governor process sees and carries out what it decides. The governor
-//! reads no clock, opens no socket and shares nothing.
+//! A host (the simulator's adapter, the daemon's engine, the platform's governor) passes the events that one
+//! governor process receives to a [`governor::Governor`] and carries out its decisions. The governor reads no
+//! clock, opens no socket and shares no state.
 
 #![warn(missing_docs)]
 
--- a/src/types.rs
+++ b/src/types.rs
@@ -1,18 +1,19 @@
-//! The types that a host and the decision module exchange. Nothing here decides.
+//! The types that a host and the decision module exchange.
 //!
-//! Times are durations since the zero of the host's clock; replica identifiers are kept as the host gives them.
-//! Proxies, zones, traffic classes and tables are numbers.
+//! Times are durations since the epoch of the host's clock. Replica identifiers are strings chosen by the
+//! host. Proxies, zones, traffic classes and tables are identified by numbers.
 //!
-//! A host creates one [`Governor`](crate::governor::Governor) for each governor process, follows the roster of
-//! replicas for it, and
+//! A host creates one [`Governor`](crate::governor::Governor) for each governor process, subscribes to the
+//! roster of replicas, and
 //!
-//! 1. tells it what has happened: [`update_replicas`](crate::governor::Governor::update_replicas) first, with the
-//!    complete roster as last known, then the other inputs as they come;
-//! 2. pulls [`next_decision`](crate::governor::Governor::next_decision) until it gives `None`, and carries out each
-//!    decision in the order given. All that is pulled in one go reaches each proxy concerned as one message.
+//! 1. passes inputs to it: first [`update_replicas`](crate::governor::Governor::update_replicas) with the
+//!    latest complete roster, then the other inputs as they arrive;
+//! 2. calls [`next_decision`](crate::governor::Governor::next_decision) until it returns `None`, and carries
+//!    out the decisions in this order. The decisions of one such series are sent as one message to each proxy
+//!    that they affect.
 //!
-//! A governor that restarts is created anew; proxies that reconnect to it are reported as not holding a default
-//! table.
+//! After a restart, a governor is created anew, and proxies that reconnect to it are reported as not holding
+//! a default table.
 //!
 //! ```
 //! use std::time::Duration;
@@ -57,7 +58,7 @@
 //!     ProxyConnection { proxy: 7, zone: 0, requests_per_second: 10.0, holds_default_table: false },
 //! );
 //! let decisions: Vec<Decision> = std::iter::from_fn(|| governor.next_decision(now)).collect();
-//! // What the proxy holds is not known: it is given its zone's default table at once.
+//! // The proxy's tables are not known, so it is sent its zone's default table at once.
 //! let entry = TableEntry { replica: "r1".into(), weight: 2.0 };
 //! assert!(decisions.contains(&Decision::UpdateTable { table: 14, entries: vec![entry] }));
 //! assert!(decisions.contains(&Decision::AssignTable { proxy: 7, table: 14, classes: 1 }));
@@ -76,11 +77,11 @@
 
 use std::sync::Arc;
 
-/// A replica's name, as the host spells it. It says nothing of zone, size or age.
+/// A replica's name as given by the host. The decision module does not interpret it.
 pub type ReplicaId = Arc<str>;
 /// A proxy's number.
 pub type ProxyId = u16;
-/// A table's number, chosen by the decision module; the host need not know what it stands for.
+/// A table's number, chosen by the decision module and opaque to the host.
 pub type TableId = u16;
-/// A set of traffic classes: the bit `1 << k` for the class at place `k` of [`Settings::classes`].
+/// A set of traffic classes: bit `1 << k` stands for the class at index `k` of [`Settings::classes`].
 pub type ClassSet = u64;
--- a/src/types/decisions.rs
+++ b/src/types/decisions.rs
@@ -1,38 +1,38 @@
-//! What a governor decides, and what it takes for true.
+//! A governor's decisions, and its estimate of the fleet's state.
 
 use std::time::Duration;
 
 use super::{ClassSet, ProxyId, ReplicaId, RetryPolicy, TableId};
 
-/// One entry of a table: a replica and the weight that a proxy picks it by.
+/// One entry of a table: a replica and its weight in a proxy's random choice.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TableEntry {
     /// The replica.
     pub replica: ReplicaId,
-    /// Its weight beside the table's other entries; in an update, 0 removes the entry.
+    /// Its weight relative to the table's other entries. In an update, 0 removes the entry.
     pub weight: f64,
 }
 
-/// One thing decided. All that is pulled in one go travels as one message to each proxy concerned.
+/// One decision. The decisions up to the next `None` are sent as one message to each proxy that they affect.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
-    /// Call [`Governor::tick`](crate::governor::Governor::tick) after this time.
+    /// The host must call [`Governor::tick`](crate::governor::Governor::tick) after this time.
     ScheduleTick(Duration),
-    /// Whether connected proxies are to send to a replica, whatever their tables hold.
+    /// Sets whether connected proxies may send to a replica, regardless of their tables.
     SetEjected {
         /// The replica.
         replica: ReplicaId,
-        /// True stops them; false lets them send again.
+        /// True if proxies must not send to it, false if they may again.
         ejected: bool,
     },
-    /// Entries of a table change.
+    /// Changes entries of a table.
     UpdateTable {
         /// The table.
         table: TableId,
         /// The changed entries; a weight of 0 removes one.
         entries: Vec<TableEntry>,
     },
-    /// A proxy uses a table for these classes until its stream ends.
+    /// Assigns a table to a proxy for these classes, until the proxy's stream ends.
     AssignTable {
         /// The proxy.
         proxy: ProxyId,
@@ -41,36 +41,36 @@
         /// The classes whose requests are routed by it.
         classes: ClassSet,
     },
-    /// For all connected proxies: what they admit of these classes, and how they retry.
+    /// Sets the admission fraction and the retry policy of these classes for all connected proxies.
     SetAdmission {
         /// The classes.
         classes: ClassSet,
-        /// The fraction of requests that is admitted, 1 for all of them.
+        /// The fraction of requests to admit; 1 admits all.
         fraction: f64,
-        /// What becomes of failed attempts.
+        /// How failed attempts are retried.
         retry_policy: RetryPolicy,
     },
-    /// Have each proxy that this message reaches acknowledge it by this number.
+    /// Requests that each proxy that receives this message acknowledges it with this number.
     RequestAcknowledgement(u16),
-    /// Send a replica a health check.
+    /// Sends a health check to a replica.
     CheckHealth(ReplicaId),
 }
 
-/// What a governor takes for true, for operators to hold against what they see.
+/// A governor's estimate of the fleet's state, for operators to compare with their own observations.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StateEstimate {
-    /// Requests a second that its proxies receive.
+    /// Requests per second that its proxies receive.
     pub offered_per_second: f64,
-    /// Requests a second that replicas answer.
+    /// Requests per second that replicas answer.
     pub answered_per_second: f64,
-    /// The fraction of requests that is admitted.
+    /// The fraction of requests that are admitted.
     pub admission_fraction: f64,
-    /// Replicas that are ready and not ejected.
+    /// Number of replicas that are ready and not ejected.
     pub available_replicas: usize,
-    /// Replicas that are ready and ejected, or held back while they warm up.
+    /// Number of replicas that are ready and ejected, or withheld while they warm up.
     pub ejected_replicas: usize,
-    /// Connected proxies.
+    /// Number of connected proxies.
     pub proxies: usize,
-    /// Proxies that must be given tables before anything is known of what they hold.
+    /// Number of proxies whose tables are not known and that must be sent new ones.
     pub unsynchronised_proxies: usize,
 }
--- a/src/types/events.rs
+++ b/src/types/events.rs
@@ -1,17 +1,17 @@
-//! What a host tells a governor as things happen.
+//! The inputs of a governor.
 
 use std::time::Duration;
 
 use super::{ProxyId, ReplicaId};
 
-/// What the roster says of a replica.
+/// A replica's phase according to the roster.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Phase {
     /// It serves requests.
     Ready,
-    /// It finishes what it has, and wants no further requests.
+    /// It completes its current requests and should not be sent any more.
     Draining,
-    /// It is not there any more.
+    /// It no longer exists.
     #[default]
     Gone,
 }
@@ -21,69 +21,69 @@
 pub struct ReplicaEntry {
     /// The replica's name.
     pub id: ReplicaId,
-    /// Whether it serves requests.
+    /// The replica's phase.
     pub phase: Phase,
     /// The zone it runs in.
     pub zone: usize,
-    /// Its capacity once warmed up, beside that of others.
+    /// Its capacity once warmed up, relative to other replicas.
     pub weight: f64,
-    /// When it last started; none for long ago.
+    /// When it last started; `None` if that is long ago.
     pub started_at: Option<Duration>,
 }
 
-/// Whether an update of the roster names all replicas.
+/// Whether a roster update lists all replicas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RosterScope {
-    /// Replicas that are not named are gone.
+    /// Replicas that are not listed are gone.
     Complete,
-    /// Replicas that are not named have not changed.
+    /// Replicas that are not listed have not changed.
     Changes,
 }
 
-/// A proxy's stream, as it is opened.
+/// A proxy that has opened its stream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ProxyConnection {
     /// The proxy's number.
     pub proxy: ProxyId,
     /// The zone it runs in.
     pub zone: usize,
-    /// The request rate that it ordinarily receives.
+    /// The rate of requests that it usually receives.
     pub requests_per_second: f64,
-    /// It holds its default table and nothing else; otherwise what it holds is not known.
+    /// True if it has its default table and no other; false if its tables are not known.
     pub holds_default_table: bool,
 }
 
-/// What the proxies of a zone observed at a replica, summed over `interval`.
+/// Statistics of a replica from the proxies of one zone, summed over `interval`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReplicaStatistics {
     /// The proxies' zone.
     pub zone: usize,
     /// The replica.
     pub replica: ReplicaId,
-    /// Requests sent to it, retries among them.
+    /// Requests sent to it, including retries.
     pub attempts: u64,
-    /// Attempts without a good response.
+    /// Attempts without a successful response.
     pub failed: u64,
-    /// Mean time of the answered ones; none if there was none.
+    /// Mean latency of the successful attempts, if there were any.
     pub mean_latency: Option<Duration>,
-    /// What the counts are summed over.
+    /// The period that the counts cover.
     pub interval: Duration,
-    /// The replica's latest load report, in the order of [`Settings::load_fields`](super::Settings::load_fields);
-    /// may be empty.
+    /// The replica's latest load report, in the order of
+    /// [`Settings::load_fields`](super::Settings::load_fields); may be empty.
     pub load: Vec<f64>,
 }
 
-/// Requests of a class that a proxy received, summed over `interval`.
+/// Statistics of a class's requests at a proxy, summed over `interval`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DemandStatistics {
     /// The proxy's number.
     pub proxy: ProxyId,
-    /// The class, by its place in [`Settings::classes`](super::Settings::classes).
+    /// The class's index in [`Settings::classes`](super::Settings::classes).
     pub class: usize,
-    /// Requests received, those that were not admitted among them.
+    /// Requests received, including those that were not admitted.
     pub requests: u64,
     /// Requests that were admitted and not answered.
     pub failed: u64,
-    /// What the counts are summed over.
+    /// The period that the counts cover.
     pub interval: Duration,
 }
--- a/src/types/settings.rs
+++ b/src/types/settings.rs
@@ -1,24 +1,23 @@
-//! What a governor is told at its start.
-
+//! The settings of a governor.
 use std::time::Duration;
 
-/// Which replicas drop a repeat of the same request that carries an idempotency key.
+/// The replicas that recognise and drop a repeated request by its idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// Every replica of the fleet.
     All,
-    /// Those in the zone of the replica that ran it first.
+    /// Those in the zone of the replica that executed it first.
     SameZone,
-    /// Those in the cell (a group of replicas that share state) of the replica that ran it first.
+    /// Those in the cell (a group of replicas that share state) of the replica that executed it first.
     SameCell,
 }
 
-/// What running a request of a class a second time would do.
+/// The effect of executing a request of a class a second time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Nothing more than running it once.
+    /// No additional effect.
     Idempotent,
-    /// Repeats are dropped within `scope`, for `window` after the first attempt that may have run.
+    /// Repeats are dropped within `scope`, for `window` after the first attempt that may have been executed.
     IdempotentWithKey {
         /// Where repeats are recognised.
         scope: DeduplicationScope,
@@ -32,42 +31,42 @@
 /// One traffic class.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TrafficClass {
-    /// What a repeated request does.
+    /// The effect of a repeated request.
     pub idempotency: Idempotency,
-    /// Within this a response is worth the whole priority weight.
+    /// A response within this time is worth the full priority weight.
     pub latency_objective: Duration,
-    /// After this the client has given up.
+    /// The time after which the client gives up.
     pub request_deadline: Duration,
-    /// What a successful request is worth beside those of other classes.
+    /// The value of a successful request relative to other classes.
     pub priority_weight: f64,
     /// Its requests may go only to replicas in the proxy's own zone.
     pub same_zone_only: bool,
 }
 
-/// How proxies limit the admission of a class, if they do.
+/// How proxies limit the admission of requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionControl {
-    /// By the fraction of requests that are admitted.
+    /// By the fraction of admitted requests.
     Fraction,
-    /// By a rate of requests that are admitted.
+    /// By the rate of admitted requests.
     Rate,
     /// Proxies admit everything.
     Unsupported,
 }
 
-/// What a proxy does after an attempt without a good response.
+/// When a proxy retries an attempt without a successful response.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum RetryPolicy {
     /// No further attempt.
     #[default]
     Never,
-    /// One more, at another replica, once it is proven that the first was not executed.
+    /// One retry at another replica, if the first attempt was certainly not executed.
     IfNotExecuted,
-    /// One more, at another replica, whatever became of the first.
+    /// One retry at another replica after any failure.
     OnAnyFailure,
 }
 
-/// What one value of a load report means.
+/// The meaning of one value in a load report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadField {
     /// Requests being executed or queued.
@@ -76,59 +75,60 @@
     Queued,
     /// Mean service time in milliseconds.
     ServiceMillis,
-    /// Something that the decision module makes no use of.
+    /// A value that the decision module does not use.
     Other,
 }
 
-/// How many messages one proxy may be sent within an interval.
+/// Limit on the number of messages sent to one proxy within an interval.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MessageLimit {
-    /// The largest number of messages.
+    /// The maximum number of messages.
     pub messages: usize,
-    /// The sliding interval that they are counted in.
+    /// The sliding interval in which they are counted.
     pub interval: Duration,
 }
 
-/// What a governor is told at its start. The module derives its parameters from it and drops the rest.
+/// The settings of a governor. The decision module derives its parameters from them at the start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// How many governors share the fleet of proxies.
+    /// Number of governors that share the fleet of proxies.
     pub governor_count: u64,
-    /// The traffic classes, at most 64 of which are decided on.
+    /// The traffic classes. Only the first 64 are taken into account.
     pub classes: Vec<TrafficClass>,
-    /// Slices of the key space; the module serves deployments without any (0).
+    /// Number of slices of the key space. Only deployments without slices (0) are supported.
     pub key_slices: u64,
-    /// How many proxies all governors have together.
+    /// Number of proxies of all governors together.
     pub proxy_count: u64,
-    /// Most replicas in a default table, sampled in the proxy's zone if at least three are there.
+    /// Maximum number of replicas in a default table, which is sampled from the proxy's zone if at least
+    /// three replicas are ready there.
     pub default_table_size: usize,
-    /// A replica starts with this fraction of its capacity or more, and has all of it after
+    /// Minimum fraction of its capacity that a replica starts with. It reaches full capacity after
     /// `slow_start_duration`.
     pub initial_capacity_fraction: f64,
-    /// How long a replica takes to warm up.
+    /// Time that a replica takes to warm up.
     pub slow_start_duration: Duration,
-    /// Proxies by themselves avoid, for some seconds, a replica that failed a few of their attempts in a row.
+    /// Whether proxies locally avoid a replica for some seconds after a few consecutive failed attempts.
     pub proxies_eject_locally: bool,
-    /// How often statistics are gathered.
+    /// Interval between statistics reports.
     pub report_interval: Duration,
-    /// Table entries that the channel to the proxies carries in a second.
+    /// Table entries per second that the channel to the proxies transmits.
     pub entries_per_second: f64,
-    /// What a message costs in the channel beside its entries, in entries.
+    /// Cost of a message in the channel in addition to its entries, in entries.
     pub message_overhead_entries: f64,
-    /// Table entries that may be queued in the channel.
+    /// Maximum number of table entries queued in the channel.
     pub max_queued_entries: f64,
-    /// The longest time that a message takes from the channel to its proxy.
+    /// Maximum time that a message takes from the channel to its proxy.
     pub max_transit_delay: Duration,
-    /// How often one proxy may be sent a message; none where there is no such limit.
+    /// Limit on messages to one proxy; `None` if there is no limit.
     pub message_limit: Option<MessageLimit>,
     /// How proxies limit admission.
     pub admission_control: AdmissionControl,
-    /// What proxies do about retries until told otherwise.
+    /// The proxies' retry policy until a decision changes it.
     pub default_retry_policy: RetryPolicy,
-    /// What a request that crosses zones costs, as a fraction of a successful one's priority weight.
+    /// Cost of a request to another zone, as a fraction of a successful request's priority weight.
     pub cross_zone_cost: f64,
-    /// What a health check costs, as a fraction of a request; none where the governor may send none.
+    /// Cost of a health check, as a fraction of a request; `None` if the governor may not send any.
     pub health_check_cost: Option<f64>,
-    /// The meaning of a load report's values, in their order.
+    /// The meaning of each value in a load report, in order.
     pub load_fields: Vec<LoadField>,
 }
