--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -14,10 +14,10 @@
     NotAnObject,
     /// The object has no key, or more than one.
     #[error("a message must have exactly one key, its name")]
-    NotOneName,
+    NotSingleKey,
     /// The value under the message's name is not an object.
     #[error("the value of `{name}` is not an object")]
-    NoFields {
+    ValueNotAnObject {
         /// The message's name.
         name: String,
     },
--- a/crates/adapter/src/events.rs
+++ b/crates/adapter/src/events.rs
@@ -16,9 +16,9 @@
 use crate::message::Message;
 
 /// Value of `membership_mode` if governors must subscribe to replica lists.
-const SUBSCRIBE: &str = "subscribe";
+const MEMBERSHIP_MODE_SUBSCRIBE: &str = "subscribe";
 /// Value of `how` for a health check with a response.
-const ANSWERED: u64 = 1;
+const HOW_ANSWERED: u64 = 1;
 
 /// Interned names of replicas.
 #[derive(Debug, Default)]
@@ -78,7 +78,7 @@
         /// The replica.
         replica: ReplicaId,
         /// The response time, if there was a response.
-        took: Option<Duration>,
+        response_time: Option<Duration>,
         /// The replica's load report.
         load: Vec<f64>,
     },
@@ -153,7 +153,7 @@
     let info = message.fields().object_or_empty("info");
     Ok(GovernorStart {
         settings: wrenthread_deployment_config::read(&info)?.settings,
-        subscribes: info.text_or_empty("membership_mode") == SUBSCRIBE,
+        subscribes: info.text_or_empty("membership_mode") == MEMBERSHIP_MODE_SUBSCRIBE,
     })
 }
 
@@ -220,10 +220,14 @@
 }
 
 fn health_check(fields: &Fields, names: &mut ReplicaNames) -> Result<GovernorEvent, MessageError> {
-    let took = fields.micros("took_us")?;
+    let response_time = fields.micros("took_us")?;
     let replica = names.intern(fields.text("replica")?);
-    let answered = fields.count("how")? == ANSWERED;
-    Ok(GovernorEvent::HealthChecked { replica, took: answered.then_some(took), load: load_report(fields) })
+    let answered = fields.count("how")? == HOW_ANSWERED;
+    Ok(GovernorEvent::HealthChecked {
+        replica,
+        response_time: answered.then_some(response_time),
+        load: load_report(fields),
+    })
 }
 
 fn load_report(fields: &Fields) -> Vec<f64> {
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -18,12 +18,12 @@
     now: Duration,
     governors: BTreeMap<u64, Governor>,
     /// Governors with an event in the current batch; only their decisions are written.
-    touched: BTreeSet<u64>,
+    active: BTreeSet<u64>,
     lists: BTreeMap<u64, Vec<ReplicaEntry>>,
     /// Governors that must subscribe to receive replica lists.
-    subscribers: BTreeSet<u64>,
+    must_subscribe: BTreeSet<u64>,
     /// Governors whose subscription is to be sent at the end of the batch.
-    unsubscribed: BTreeSet<u64>,
+    pending_subscriptions: BTreeSet<u64>,
     names: ReplicaNames,
 }
 
@@ -61,16 +61,16 @@
 
     fn start_governor(&mut self, id: u64, start: GovernorStart) {
         self.governors.insert(id, Governor::new(start.settings, self.now));
-        self.touched.insert(id);
-        self.unsubscribed.remove(&id);
+        self.active.insert(id);
+        self.pending_subscriptions.remove(&id);
         if start.subscribes {
-            self.subscribers.insert(id);
-            self.unsubscribed.insert(id);
+            self.must_subscribe.insert(id);
+            self.pending_subscriptions.insert(id);
         }
     }
 
     fn kill_governor(&mut self, id: u64) -> Result<(), MessageError> {
-        self.touched.remove(&id);
+        self.active.remove(&id);
         self.governors.remove(&id).map(drop).ok_or(MessageError::UnknownGovernor(id))
     }
 
@@ -83,8 +83,8 @@
                 governor.update_replicas(now, entries, scope);
             }
             GovernorEvent::SubscriptionEnded => {
-                if self.subscribers.contains(&id) {
-                    self.unsubscribed.insert(id);
+                if self.must_subscribe.contains(&id) {
+                    self.pending_subscriptions.insert(id);
                 }
             }
             GovernorEvent::ProxyConnected(connection) => governor.proxy_connected(now, connection),
@@ -93,14 +93,14 @@
                 governor.record_replica_statistics(now, statistics);
             }
             GovernorEvent::DemandObserved(statistics) => governor.record_demand(now, statistics),
-            GovernorEvent::HealthChecked { replica, took, load } => {
-                governor.record_health_check(now, &replica, took, &load);
+            GovernorEvent::HealthChecked { replica, response_time, load } => {
+                governor.record_health_check(now, &replica, response_time, &load);
             }
             GovernorEvent::Tick => governor.tick(),
-            GovernorEvent::Acknowledged(took) => governor.acknowledged(took),
+            GovernorEvent::Acknowledged(elapsed) => governor.acknowledged(elapsed),
             GovernorEvent::Ignored => {}
         }
-        self.touched.insert(id);
+        self.active.insert(id);
         Ok(())
     }
 
@@ -110,9 +110,9 @@
     ///
     /// Returns the errors of the output.
     pub fn end_batch(&mut self, output: &mut impl Write) -> io::Result<()> {
-        for id in std::mem::take(&mut self.touched) {
+        for id in std::mem::take(&mut self.active) {
             let Some(governor) = self.governors.get_mut(&id) else { continue };
-            if self.unsubscribed.remove(&id) {
+            if self.pending_subscriptions.remove(&id) {
                 replies::write_subscription(id, output)?;
             }
             while let Some(decision) = governor.next_decision(self.now) {
--- a/crates/adapter/src/message.rs
+++ b/crates/adapter/src/message.rs
@@ -43,8 +43,8 @@
         let mut entries = object.into_iter();
         match (entries.next(), entries.next()) {
             (Some((name, Value::Object(fields))), None) => Ok(Message { name, fields }),
-            (Some((name, _)), None) => Err(MessageError::NoFields { name }),
-            _ => Err(MessageError::NotOneName),
+            (Some((name, _)), None) => Err(MessageError::ValueNotAnObject { name }),
+            _ => Err(MessageError::NotSingleKey),
         }
     }
 
--- a/crates/adapter/src/replies.rs
+++ b/crates/adapter/src/replies.rs
@@ -10,7 +10,7 @@
 /// Table number that denotes all connected proxies in [`Reply::Admit`].
 const ALL_PROXIES: TableId = TableId::MAX;
 /// Handle of a governor's only timer.
-const TIMER: u64 = 0;
+const TIMER_HANDLE: u64 = 0;
 
 /// One line of output.
 #[derive(Debug, Serialize)]
@@ -54,7 +54,7 @@
 pub fn write_decision(governor_id: u64, decision: &Decision, output: &mut impl Write) -> io::Result<()> {
     let reply = match decision {
         Decision::ScheduleTick(after) => {
-            Reply::Schedule { governor_id, handle: TIMER, wait_us: after.as_micros() as u64 }
+            Reply::Schedule { governor_id, handle: TIMER_HANDLE, wait_us: after.as_micros() as u64 }
         }
         Decision::SetEjected { replica, ejected } => Reply::HoldBack { governor_id, replica, set: *ejected },
         Decision::UpdateTable { table, entries } => {
--- a/crates/adapter/src/serve/tests.rs
+++ b/crates/adapter/src/serve/tests.rs
@@ -1,11 +1,11 @@
 use super::serve;
 
-const INFO: &str = r#"{"categories":[{"deadline_us":5000000,"effect":"retryable","objective_us":2000000}],
+const GOVERNOR_INFO: &str = r#"{"categories":[{"deadline_us":5000000,"effect":"retryable","objective_us":2000000}],
 "extra":{"agents":1,"channel_rate":900,"most_waiting":900,"cycle_us":500000},"zones":["a"],"new":{"x":[1]}}"#;
 
 /// An unfinished batch that starts one governor with one ready replica and one proxy.
-fn start() -> String {
-    let info = INFO.replace('\n', "");
+fn unfinished_batch() -> String {
+    let info = GOVERNOR_INFO.replace('\n', "");
     [
         r#"{"begin_batch":{"ts_us":1000000}}"#,
         &format!(r#"{{"init":{{"governor_id":3,"init_seed":1,"info":{info}}}}}"#),
@@ -17,22 +17,22 @@
     .join("\n")
 }
 
-fn answer(input: &str) -> (bool, String, String) {
+fn run_adapter(input: &str) -> (bool, String, String) {
     let (mut output, mut errors) = (Vec::new(), Vec::new());
-    let good = serve(input.as_bytes(), &mut output, &mut errors).is_ok();
+    let succeeded = serve(input.as_bytes(), &mut output, &mut errors).is_ok();
     let text = |bytes| String::from_utf8(bytes).expect("the adapter writes UTF-8");
-    (good, text(output), text(errors))
+    (succeeded, text(output), text(errors))
 }
 
 #[test]
 fn answers_an_empty_batch() {
-    let (good, output, errors) = answer("{\"begin_batch\":{\"ts_us\":5}}\n{\"go\":{}}\n");
-    assert_eq!((good, output.as_str(), errors.as_str()), (true, "{\"ok\":{}}\n", ""));
+    let (succeeded, output, errors) = run_adapter("{\"begin_batch\":{\"ts_us\":5}}\n{\"go\":{}}\n");
+    assert_eq!((succeeded, output.as_str(), errors.as_str()), (true, "{\"ok\":{}}\n", ""));
 }
 
 #[test]
 fn assigns_a_table_to_a_connected_proxy_after_its_entries() {
-    let (_, output, errors) = answer(&(start() + "{\"go\":{}}\n"));
+    let (_, output, errors) = run_adapter(&(unfinished_batch() + "{\"go\":{}}\n"));
     assert_eq!(errors, "");
     let assign = output.find(r#"{"assign":"#).expect("a line");
     assert!(output.find(r#"{"bind":"#).is_some_and(|bind| assign < bind));
@@ -40,8 +40,8 @@
 }
 
 #[test]
-fn names_and_skips_bad_lines() {
-    let bad = [
+fn reports_and_skips_invalid_lines() {
+    let invalid_lines = [
         ("nonsense", "line 6: not JSON"),
         ("[1]", "line 6: not a JSON object"),
         ("{}", "line 6: a message must have exactly one key"),
@@ -53,41 +53,43 @@
         (r#"{"directory_update":{"governor_id":3,"kind":1,"list":7}}"#, "line 6: undefined `list` 7"),
         (r#"{"begin_batch":{"ts_us":2000000}}"#, "line 6: `begin_batch` before"),
     ];
-    let (_, clean, _) = answer(&(start() + "{\"go\":{}}\n"));
-    for (line, why) in bad {
-        let (good, output, errors) = answer(&format!("{}{line}\n{{\"go\":{{}}}}\n", start()));
-        assert!(good && errors.contains(why), "{line}: {errors}");
-        assert_eq!(output, clean, "{line}");
+    let (_, expected_output, _) = run_adapter(&(unfinished_batch() + "{\"go\":{}}\n"));
+    for (line, expected_error) in invalid_lines {
+        let (succeeded, output, errors) =
+            run_adapter(&format!("{}{line}\n{{\"go\":{{}}}}\n", unfinished_batch()));
+        assert!(succeeded && errors.contains(expected_error), "{line}: {errors}");
+        assert_eq!(output, expected_output, "{line}");
     }
 }
 
 #[test]
-fn does_not_answer_a_batch_without_its_end() {
-    let (good, output, _) = answer(&start());
-    assert_eq!((good, output.as_str()), (false, ""));
+fn does_not_answer_an_unfinished_batch() {
+    let (succeeded, output, _) = run_adapter(&unfinished_batch());
+    assert_eq!((succeeded, output.as_str()), (false, ""));
 }
 
 #[test]
-fn names_an_event_outside_a_batch() {
-    let (good, output, errors) = answer("{\"left\":{\"governor_id\":3,\"forwarder\":0}}\n");
-    assert!(good && output.is_empty() && errors.contains("line 1: `left` outside a batch"));
+fn reports_an_event_outside_a_batch() {
+    let (succeeded, output, errors) = run_adapter("{\"left\":{\"governor_id\":3,\"forwarder\":0}}\n");
+    assert!(succeeded && output.is_empty() && errors.contains("line 1: `left` outside a batch"));
 }
 
 #[test]
 fn restarts_a_killed_governor_in_one_batch() {
-    let again = start().lines().skip(1).map(|line| format!("{line}\n")).collect::<String>();
-    let killed = format!("{}{{\"crash_now\":{{\"governor_id\":3}}}}\n{again}{{\"go\":{{}}}}\n", start());
-    let (good, output, errors) = answer(&killed);
-    assert!(good && errors.is_empty());
-    assert_eq!(output, answer(&(start() + "{\"go\":{}}\n")).1);
+    let again = unfinished_batch().lines().skip(1).map(|line| format!("{line}\n")).collect::<String>();
+    let killed =
+        format!("{}{{\"crash_now\":{{\"governor_id\":3}}}}\n{again}{{\"go\":{{}}}}\n", unfinished_batch());
+    let (succeeded, output, errors) = run_adapter(&killed);
+    assert!(succeeded && errors.is_empty());
+    assert_eq!(output, run_adapter(&(unfinished_batch() + "{\"go\":{}}\n")).1);
 }
 
 #[test]
-fn takes_the_newest_list_of_a_number() {
+fn uses_the_latest_list_with_a_number() {
     let newer =
         "{\"define_list\":{\"list\":0,\"elements\":[{\"replica\":\"r2\",\"phase\":1,\"weight\":1}]}}\n";
     let update = "{\"directory_update\":{\"governor_id\":3,\"kind\":1,\"list\":0,\"version\":2}}\n";
-    let (_, output, _) = answer(&format!("{}{newer}{update}{{\"go\":{{}}}}\n", start()));
+    let (_, output, _) = run_adapter(&format!("{}{newer}{update}{{\"go\":{{}}}}\n", unfinished_batch()));
     assert!(
         output.contains(r#""replica":"r2""#)
             && !output.contains(r#""assign":{"governor_id":3,"replica":"r1""#)
--- a/src/governor.rs
+++ b/src/governor.rs
@@ -96,7 +96,7 @@
     tick_pending: bool,
     next_flush_at: Duration,
     /// The host is fetching the decisions of the last pass. The next pass starts after it has fetched all.
-    settled: bool,
+    fetching_decisions: bool,
     pending: VecDeque<Decision>,
 }
 
@@ -191,7 +191,7 @@
             connected_at: now,
             last_reports: vec![now; class_count],
             default_table: holds_default_table.then_some(sample),
-            unsynchronised: !holds_default_table || !self.default_table_suits(zone, now),
+            unsynchronised: !holds_default_table || !self.default_table_is_valid(zone, now),
         };
         self.proxies.insert(proxy, state);
         self.last_connections.insert(zone, now);
@@ -199,7 +199,7 @@
 
     /// Whether a newly sampled default table is certain to contain only ready replicas of the zone, at full
     /// weight.
-    fn default_table_suits(&self, zone: usize, now: Duration) -> bool {
+    fn default_table_is_valid(&self, zone: usize, now: Duration) -> bool {
         let mut in_zone = self.replicas.values().filter(|replica| replica.zone == zone);
         let ready = in_zone.clone().filter(|replica| replica.ready).count();
         ready >= MIN_SAMPLED_REPLICAS && in_zone.all(|replica| self.usable_fraction(replica, now) >= 1.0)
@@ -241,20 +241,21 @@
         &mut self,
         now: Duration,
         id: &ReplicaId,
-        took: Option<Duration>,
+        response_time: Option<Duration>,
         load: &[f64],
     ) {
         let Some(replica) = self.replicas.get_mut(id) else { return };
-        replica.failed_health_checks = if took.is_some() { 0 } else { replica.failed_health_checks + 1 };
+        replica.failed_health_checks =
+            if response_time.is_some() { 0 } else { replica.failed_health_checks + 1 };
         if let Some(position) = self.parameters.load_positions.in_flight {
-            let known = replica.in_flight.unwrap_or(1.0);
+            let previous = replica.in_flight.unwrap_or(1.0);
             match load.get(position) {
                 Some(in_flight) => {
-                    replica.in_flight = Some(known + (in_flight - known) / HEALTH_CHECK_AVERAGING);
+                    replica.in_flight = Some(previous + (in_flight - previous) / HEALTH_CHECK_AVERAGING);
                 }
                 // Health checks queue behind requests, so a failed one without a load report indicates load.
-                None if took.is_none() => {
-                    replica.in_flight = Some(FAILED_HEALTH_CHECK_GROWTH * known.max(1.0));
+                None if response_time.is_none() => {
+                    replica.in_flight = Some(FAILED_HEALTH_CHECK_GROWTH * previous.max(1.0));
                 }
                 None => {}
             }
@@ -265,8 +266,8 @@
     }
 
     /// Records that a message was acknowledged, and how long after it was sent.
-    pub fn acknowledged(&mut self, took: Duration) {
-        self.send_queue.acknowledge(took, self.parameters.max_transit_delay);
+    pub fn acknowledged(&mut self, elapsed: Duration) {
+        self.send_queue.acknowledge(elapsed, self.parameters.max_transit_delay);
     }
 
     /// The time that [`Decision::ScheduleTick`] asked for has passed.
@@ -279,10 +280,10 @@
 impl Governor {
     /// Returns the next decision. The first call after a `None` processes the inputs received since.
     pub fn next_decision(&mut self, now: Duration) -> Option<Decision> {
-        if !self.settled {
+        if !self.fetching_decisions {
             self.decide(now);
         }
-        self.settled = !self.pending.is_empty();
+        self.fetching_decisions = !self.pending.is_empty();
         self.pending.pop_front()
     }
 
--- a/src/governor/admission_control.rs
+++ b/src/governor/admission_control.rs
@@ -12,7 +12,7 @@
 use crate::types::{Decision, DemandStatistics, ReplicaStatistics, RetryPolicy, Settings};
 
 /// Minimum number of responses since the last adjustment for their mean latency to be significant.
-const MIN_ANSWERS: f64 = 10.0;
+const MIN_RESPONSES: f64 = 10.0;
 /// Load is shed while the mean latency exceeds this fraction of the latency objective.
 const LATE_OBJECTIVE_FRACTION: f64 = 0.5;
 /// Admission recovers while the mean latency is below this fraction of the latency objective.
@@ -20,15 +20,15 @@
 /// Admission is cut to this fraction of the answered rate, so that queues drain.
 pub(super) const QUEUE_DRAINING_FRACTION: f64 = 0.77;
 /// A cut multiplies the admission fraction by this factor or a smaller one.
-const MIN_CUT: f64 = 0.95;
+const MAX_CUT_FACTOR: f64 = 0.95;
 /// Lower bound of the admission fraction.
 const MIN_ADMISSION_FRACTION: f64 = 0.2;
 /// Minimum growth per second, up to the fraction that was answered at the last cut.
-const MIN_RECOVERY: f64 = 1.05;
+const MIN_RECOVERY_FACTOR: f64 = 1.05;
 /// Maximum growth per second, up to the fraction that was answered at the last cut.
-const MAX_RECOVERY: f64 = 1.15;
+const MAX_RECOVERY_FACTOR: f64 = 1.15;
 /// Growth per second beyond the fraction that was answered at the last cut.
-const CAUTIOUS_RECOVERY: f64 = 1.02;
+const CAUTIOUS_RECOVERY_FACTOR: f64 = 1.02;
 /// Ticks, in addition to the settling time, until a cut shows in statistics.
 const CUT_SETTLING_TICKS: u32 = 4;
 /// Minimum number of reported queued requests for a replica to count as having a queue.
@@ -60,7 +60,7 @@
 /// The summed latency of the responses since the last adjustment.
 #[derive(Clone, Copy, Default)]
 pub(super) struct LatencySum {
-    pub(super) answers: f64,
+    pub(super) responses: f64,
     pub(super) seconds: f64,
 }
 
@@ -99,9 +99,9 @@
 
     pub(super) fn record_latency(&mut self, report: &ReplicaStatistics) {
         let Some(mean_latency) = report.mean_latency else { return };
-        let answers = report.attempts.saturating_sub(report.failed) as f64;
-        self.latency.answers += answers;
-        self.latency.seconds += answers * mean_latency.as_secs_f64();
+        let responses = report.attempts.saturating_sub(report.failed) as f64;
+        self.latency.responses += responses;
+        self.latency.seconds += responses * mean_latency.as_secs_f64();
     }
 
     pub(super) fn record_failures(&mut self, report: &DemandStatistics) {
@@ -117,10 +117,10 @@
     /// raise enough to cause a cut.
     pub(super) fn adjust_admission(&mut self, now: Duration) {
         let latency = std::mem::take(&mut self.admission.latency);
-        if latency.answers < MIN_ANSWERS {
+        if latency.responses < MIN_RESPONSES {
             return;
         }
-        let lateness = latency.seconds / latency.answers / self.parameters.latency_objective_seconds;
+        let lateness = latency.seconds / latency.responses / self.parameters.latency_objective_seconds;
         let settling_time =
             self.parameters.settling_time + self.reports.delay + CUT_SETTLING_TICKS * TICK_INTERVAL;
         // Latency may reflect queues that have drained since. Reported queue lengths are more recent.
@@ -149,15 +149,15 @@
         let answered = self.success_rate();
         self.admission.last_cut = LastCut { answered_fraction: ratio(answered, demand).min(1.0), at: now };
         let drained = ratio(QUEUE_DRAINING_FRACTION * answered, demand);
-        let fraction = drained.min(MIN_CUT * self.admission.fraction);
+        let fraction = drained.min(MAX_CUT_FACTOR * self.admission.fraction);
         self.admission.fraction = fraction.max(MIN_ADMISSION_FRACTION);
     }
 
     fn recover_admission(&mut self, lateness: f64) {
         let growth = if self.admission.fraction < self.admission.last_cut.answered_fraction {
-            (RECOVERY_OBJECTIVE_FRACTION / lateness).clamp(MIN_RECOVERY, MAX_RECOVERY)
+            (RECOVERY_OBJECTIVE_FRACTION / lateness).clamp(MIN_RECOVERY_FACTOR, MAX_RECOVERY_FACTOR)
         } else {
-            CAUTIOUS_RECOVERY
+            CAUTIOUS_RECOVERY_FACTOR
         };
         self.admission.fraction = (self.admission.fraction * growth).min(1.0);
     }
@@ -178,8 +178,9 @@
     /// Publishes an admission fraction for each class, shedding the least valuable classes first.
     pub(super) fn publish_admission(&mut self, now: Duration) {
         let classes = self.classes_by_value();
-        let received = |class: &usize| self.proxies.values().map(|proxy| proxy.request_rates[*class]).sum();
-        let demand: Vec<f64> = classes.iter().map(received).collect();
+        let class_demand =
+            |class: &usize| self.proxies.values().map(|proxy| proxy.request_rates[*class]).sum();
+        let demand: Vec<f64> = classes.iter().map(class_demand).collect();
         let mut excess = self.shed_fraction(now) * demand.iter().sum::<f64>();
         // During overload a retry displaces a first attempt. Otherwise, attempts that were not executed are
         // safe to repeat.
@@ -200,7 +201,7 @@
             self.parameters.class_values[*class] * (1.0 - self.admission.failed_fractions[*class])
         };
         let mut classes: Vec<usize> = (0..self.parameters.class_values.len()).collect();
-        classes.sort_by(|one, other| value(one).total_cmp(&value(other)));
+        classes.sort_by(|a, b| value(a).total_cmp(&value(b)));
         classes
     }
 
@@ -211,8 +212,8 @@
         }
         // A fleet in which most replicas are warming up can't serve its usual demand.
         let available = self.sum_replicas(|replica| replica.available_weight(&self.parameters, now));
-        let most = ratio(available, NOMINAL_UTILISATION * self.nominal_weight).min(1.0);
-        1.0 - self.admission.fraction.min(most)
+        let max_fraction = ratio(available, NOMINAL_UTILISATION * self.nominal_weight).min(1.0);
+        1.0 - self.admission.fraction.min(max_fraction)
     }
 
     /// An admission fraction is sent to all proxies, so it is postponed while the send queue lacks room. A
--- a/src/governor/critical_set.rs
+++ b/src/governor/critical_set.rs
@@ -83,8 +83,9 @@
                 best_payoff = reward.payoff;
                 self.critical_set.tables = model.solved_tables();
             }
-            let most = (1 + proxies.len() / JOINING_DIVISOR).min(max_proxies.saturating_sub(proxies.len()));
-            let joining = model.largest_senders(&proxies, most);
+            let max_count =
+                (1 + proxies.len() / JOINING_DIVISOR).min(max_proxies.saturating_sub(proxies.len()));
+            let joining = model.largest_senders(&proxies, max_count);
             if reward.ratio >= TARGET_RATIO || joining.is_empty() {
                 break;
             }
@@ -129,7 +130,7 @@
     }
 
     /// Returns the proxies outside the set that send the most to the most utilised replica.
-    pub(super) fn largest_senders(&self, set: &BTreeSet<ProxyId>, most: usize) -> Vec<ProxyId> {
+    pub(super) fn largest_senders(&self, set: &BTreeSet<ProxyId>, max_count: usize) -> Vec<ProxyId> {
         let Some(peak) = self.most_utilised() else { return Vec::new() };
         let mut rates: BTreeMap<ProxyId, f64> = BTreeMap::new();
         for (key, flow) in self.flows.iter().filter(|(key, _)| !set.contains(&key.proxy)) {
@@ -139,7 +140,7 @@
             *rates.entry(key.proxy).or_insert(0.0) += flow.requests_per_second * fraction;
         }
         let mut senders: Vec<(ProxyId, f64)> = rates.into_iter().filter(|(_, rate)| *rate > 0.0).collect();
-        senders.sort_by(|one, other| other.1.total_cmp(&one.1).then(other.0.cmp(&one.0)));
-        senders.into_iter().take(most).map(|(proxy, _)| proxy).collect()
+        senders.sort_by(|a, b| b.1.total_cmp(&a.1).then(b.0.cmp(&a.0)));
+        senders.into_iter().take(max_count).map(|(proxy, _)| proxy).collect()
     }
 }
--- a/src/governor/default_tables.rs
+++ b/src/governor/default_tables.rs
@@ -29,7 +29,7 @@
 const MIN_SAMPLED_CAPACITY: f64 = 0.6;
 /// Sampled tables are urgently stale if the expected number of tables without an available replica exceeds
 /// this.
-const MAX_EXPECTED_BARE_TABLES: f64 = 0.02;
+const MAX_EXPECTED_UNAVAILABLE_TABLES: f64 = 0.02;
 
 /// Identifies a default table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -86,9 +86,9 @@
         for &zone in balance.demand.proxies.keys() {
             let fractions = self.zone_fractions(zone, &balance, now);
             for scope in RouteScope::ALL {
-                let fraction = |other: usize| match scope {
-                    RouteScope::AnyZone => fractions[&other],
-                    RouteScope::OwnZone => f64::from(u8::from(other == zone)),
+                let fraction = |target_zone: usize| match scope {
+                    RouteScope::AnyZone => fractions[&target_zone],
+                    RouteScope::OwnZone => f64::from(u8::from(target_zone == zone)),
                 };
                 let weight =
                     |replica: &ReplicaState| self.default_weight(replica, now) * fraction(replica.zone);
@@ -146,32 +146,37 @@
         let shared = self.parameters.shared_proxies;
         let connected = self.proxies.len() as f64;
         let sizes = self.sum_by_zone(|replica| if replica.ready { replica.weight } else { 0.0 });
-        let proxies_by_size = ratio(shared, sizes.values().sum());
+        let proxies_per_weight = ratio(shared, sizes.values().sum());
         let mut missing = BTreeMap::new();
         for (zone, size) in &sizes {
-            let expected = proxies_by_size * size;
+            let expected = proxies_per_weight * size;
             missing.insert(*zone, (expected - get_or_default(&demand.proxies, zone)).max(0.0));
         }
-        let demand_by_proxy = ratio(own_demand, connected);
+        let demand_per_proxy = ratio(own_demand, connected);
         let elsewhere = (shared - connected).max(0.0);
-        let demand_by_missing = demand_by_proxy * ratio(elsewhere, missing.values().sum());
+        let demand_per_missing_proxy = demand_per_proxy * ratio(elsewhere, missing.values().sum());
         for (zone, missing) in missing {
-            *demand.total.entry(zone).or_insert(0.0) += demand_by_missing * missing;
+            *demand.total.entry(zone).or_insert(0.0) += demand_per_missing_proxy * missing;
         }
     }
 
     /// The factor applied to the weights of each zone's replicas in the default table of `zone`, by zone.
     fn zone_fractions(&self, zone: usize, balance: &FleetBalance, now: Duration) -> BTreeMap<usize, f64> {
-        let kept = self.kept_fraction(zone, balance, now);
+        let kept_fraction = self.kept_fraction(zone, balance, now);
         let own_capacity = get_or_default(&balance.capacity, &zone);
-        let spilled = if kept < MAX_SPILLING_FRACTION { own_capacity.max(1.0) * (1.0 - kept) } else { 0.0 };
-        let others = balance.capacity.keys().filter(|other| **other != zone);
-        let spare: f64 = others.map(|other| balance.spare(*other)).sum();
+        let spilled_weight = if kept_fraction < MAX_SPILLING_FRACTION {
+            own_capacity.max(1.0) * (1.0 - kept_fraction)
+        } else {
+            0.0
+        };
+        let other_zones = balance.capacity.keys().filter(|target_zone| **target_zone != zone);
+        let spare: f64 = other_zones.map(|target_zone| balance.spare(*target_zone)).sum();
         let mut fractions = BTreeMap::new();
-        for (&other, &capacity) in &balance.capacity {
-            let share = ratio(balance.spare(other), spare);
-            let fraction = if other == zone { kept } else { spilled * ratio(share, capacity) };
-            fractions.insert(other, fraction);
+        for (&target_zone, &capacity) in &balance.capacity {
+            let share = ratio(balance.spare(target_zone), spare);
+            let fraction =
+                if target_zone == zone { kept_fraction } else { spilled_weight * ratio(share, capacity) };
+            fractions.insert(target_zone, fraction);
         }
         fractions
     }
@@ -188,9 +193,10 @@
         let zone_bound = get_or_default(&balance.demand.zone_bound, &zone);
         let total = get_or_default(&balance.demand.total, &zone);
         let mut replicas = self.replicas.values().filter(|replica| replica.zone == zone);
-        let weak = replicas.clone().any(|replica| self.default_weight(replica, now) < replica.weight);
-        let overfull = total > HEALTHY_ZONE_HEADROOM * balance.headroom * capacity;
-        if !weak && !overfull {
+        let reduced_weight =
+            replicas.clone().any(|replica| self.default_weight(replica, now) < replica.weight);
+        let overloaded = total > HEALTHY_ZONE_HEADROOM * balance.headroom * capacity;
+        if !reduced_weight && !overloaded {
             return 1.0;
         }
         let warming = replicas.any(|replica| {
@@ -213,11 +219,11 @@
 
     /// Tables that contain all candidates are stale if the zone's default table differs.
     fn full_staleness(&self, sample: DefaultTableSample, default: &Weights) -> Staleness {
-        let named = self
+        let available_candidates = self
             .replicas
             .iter()
             .filter(|(_, replica)| replica.is_candidate(sample) && !replica.is_unavailable());
-        let same_replicas = named.map(|(id, _)| id).eq(default.keys());
+        let same_replicas = available_candidates.map(|(id, _)| id).eq(default.keys());
         let reduced = |(id, weight): (&ReplicaId, &f64)| *weight < self.replicas[id].weight;
         let stale = !same_replicas || default.iter().any(reduced);
         if stale { Staleness::Urgent } else { Staleness::Current }
@@ -226,17 +232,17 @@
     /// Uses expected values, as it is not known which candidates each table contains.
     fn partial_staleness(&self, sample: DefaultTableSample) -> Staleness {
         let available = |replica: &ReplicaState| if replica.is_unavailable() { 0.0 } else { replica.weight };
-        let of_candidates = |weight: f64, replica: &ReplicaState| {
+        let if_candidate = |weight: f64, replica: &ReplicaState| {
             if replica.is_candidate(sample) { weight } else { 0.0 }
         };
-        let remaining = self.sum_replicas(|replica| of_candidates(available(replica), replica));
-        let sampled = self.sum_replicas(|replica| of_candidates(replica.weight, replica));
+        let remaining = self.sum_replicas(|replica| if_candidate(available(replica), replica));
+        let sampled = self.sum_replicas(|replica| if_candidate(replica.weight, replica));
         let in_zone =
             self.sum_replicas(|replica| if replica.zone == sample.zone { available(replica) } else { 0.0 });
         let tables = self.proxies.values().filter(|proxy| proxy.default_table == Some(sample)).count() as f64;
         let entries = self.parameters.default_table_size as i32;
-        let expected_bare = tables * (1.0 - ratio(remaining, sampled)).powi(entries);
-        if expected_bare > MAX_EXPECTED_BARE_TABLES {
+        let expected_unavailable = tables * (1.0 - ratio(remaining, sampled)).powi(entries);
+        if expected_unavailable > MAX_EXPECTED_UNAVAILABLE_TABLES {
             Staleness::Urgent
         } else if remaining < MIN_SAMPLED_CAPACITY * in_zone.max(sampled) {
             Staleness::Stale
--- a/src/governor/ejection.rs
+++ b/src/governor/ejection.rs
@@ -64,9 +64,9 @@
             return false;
         }
         let zone = self.zone_remainder(&outlier.replica, now);
-        let least =
+        let min_fraction =
             if outlier.is_partial() { MIN_ZONE_CAPACITY_FOR_PARTIAL_FAULTS } else { MIN_ZONE_CAPACITY };
-        zone.warmest < 1.0 || zone.remaining < zone.total * least
+        zone.warmest < 1.0 || zone.remaining < zone.total * min_fraction
     }
 
     fn zone_remainder(&self, ejected: &ReplicaId, now: Duration) -> ZoneRemainder {
--- a/src/governor/ejection_updates.rs
+++ b/src/governor/ejection_updates.rs
@@ -10,13 +10,13 @@
 use crate::types::{Decision, ReplicaId};
 
 /// How long the state of gone replicas is kept: a proxy may connect with a default table of this age.
-const RETENTION: Duration = Duration::from_secs(120);
+const GONE_REPLICA_RETENTION: Duration = Duration::from_secs(120);
 /// Fraction of the send queue that ejections may fill.
 const EJECT_QUEUE_FRACTION: f64 = 1.1;
 /// Fraction of the send queue that readmissions may fill; they are less urgent.
 const READMIT_QUEUE_FRACTION: f64 = 0.5;
 /// The number of proxies whose table contains a replica is assumed to be this many times the average.
-const NAMING_MARGIN: f64 = 2.0;
+const OCCURRENCE_MARGIN: f64 = 2.0;
 
 /// The kind of ejection update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,9 +46,10 @@
             .filter(|(_, replica)| replica.is_unavailable() == ejected && replica.ejection_sent != ejected);
         let changed: BTreeSet<ChangedReplica> =
             changed.map(|(id, replica)| ChangedReplica { ready: replica.ready, id: id.clone() }).collect();
-        let fitting = (1..=changed.len()).take_while(|count| self.ejection_cost(*count) <= capacity).count();
-        self.send_queue.entries += self.ejection_cost(fitting);
-        for ChangedReplica { id, .. } in changed.into_iter().take(fitting) {
+        let fitting_count =
+            (1..=changed.len()).take_while(|count| self.ejection_cost(*count) <= capacity).count();
+        self.send_queue.entries += self.ejection_cost(fitting_count);
+        for ChangedReplica { id, .. } in changed.into_iter().take(fitting_count) {
             if let Some(replica) = self.replicas.get_mut(&id) {
                 replica.ejection_sent = ejected;
             }
@@ -60,10 +61,10 @@
     /// are not known, and to those whose tables contain the replica.
     fn ejection_cost(&self, replicas: usize) -> f64 {
         let entries = self.parameters.default_table_size as f64;
-        let naming_fraction = (NAMING_MARGIN * ratio(entries, self.ready_replicas())).min(1.0);
+        let containing_fraction = (OCCURRENCE_MARGIN * ratio(entries, self.ready_replicas())).min(1.0);
         let cost = |proxy: &ProxyState| {
             let unknown = proxy.unsynchronised || proxy.follows_default_table();
-            let entries = replicas as f64 * if unknown { 1.0 } else { naming_fraction };
+            let entries = replicas as f64 * if unknown { 1.0 } else { containing_fraction };
             entries + entries.min(1.0) * self.parameters.message_overhead_entries
         };
         self.proxies.values().map(cost).sum()
@@ -71,9 +72,10 @@
 
     /// Drops the state of gone replicas, which would otherwise accumulate as new replicas get new names. A
     /// replica is kept ejected while a table may contain it, as proxies would otherwise send to it again, and
-    /// for [`RETENTION`] after it is gone.
+    /// for [`GONE_REPLICA_RETENTION`] after it is gone.
     pub(super) fn forget_gone_replicas(&mut self, now: Duration) {
-        let expired_at = |replica: &ReplicaState| replica.gone_since.filter(|gone| *gone + RETENTION < now);
+        let expired_at =
+            |replica: &ReplicaState| replica.gone_since.filter(|gone| *gone + GONE_REPLICA_RETENTION < now);
         let expired = self.replicas.values().filter(|replica| expired_at(replica).is_some()).count();
         if expired == 0 {
             return;
@@ -83,15 +85,17 @@
             return;
         }
         let tables = self.sent_tables.values().chain(self.critical_set.tables.values());
-        let named: BTreeSet<&ReplicaId> = tables.flat_map(BTreeMap::keys).collect();
+        let in_tables: BTreeSet<&ReplicaId> = tables.flat_map(BTreeMap::keys).collect();
         let samples: BTreeSet<DefaultTableSample> =
             self.proxies.values().filter_map(|proxy| proxy.default_table).collect();
         let sampled = |zone: usize, gone: Duration| {
-            samples.iter().any(|sample| sample.zone == zone && sample.roster_at < gone + RETENTION)
+            samples
+                .iter()
+                .any(|sample| sample.zone == zone && sample.roster_at < gone + GONE_REPLICA_RETENTION)
         };
         let forgotten = self.replicas.extract_if(.., |id, replica| {
             let forgettable = expired_at(replica).is_some_and(|gone| !sampled(replica.zone, gone));
-            !named.contains(id) && forgettable
+            !in_tables.contains(id) && forgettable
         });
         let ejected: Vec<ReplicaId> =
             forgotten.filter(|(_, replica)| replica.ejection_sent).map(|(id, _)| id).collect();
--- a/src/governor/health.rs
+++ b/src/governor/health.rs
@@ -83,7 +83,7 @@
     fn update_probations(&mut self, now: Duration) {
         for replica in self.replicas.values_mut() {
             let counts = replica.attempt_counts();
-            let answers = counts.succeeded >= MIN_REPLICA_ATTEMPTS
+            let passed = counts.succeeded >= MIN_REPLICA_ATTEMPTS
                 && counts.failed < PROBATION_FAILURE_FRACTION * counts.succeeded;
             match replica.health {
                 HealthState::Ejected { until, failures }
@@ -91,7 +91,7 @@
                 {
                     replica.reset_observations(now, HealthState::Probation { failures });
                 }
-                HealthState::Probation { .. } if answers => replica.health = HealthState::Healthy,
+                HealthState::Probation { .. } if passed => replica.health = HealthState::Healthy,
                 _ => {}
             }
         }
--- a/src/governor/load_model.rs
+++ b/src/governor/load_model.rs
@@ -135,10 +135,10 @@
     /// Divides the total load among the replicas in proportion to their usable, corrected weights.
     fn capacities(&self, model: &LoadModel, now: Duration) -> Vec<ReplicaCapacity> {
         let usable_weight = |replica: &ReplicaState| replica.weight * self.usable_fraction(replica, now);
-        let rate_by_weight = ratio(model.loads.iter().sum(), self.sum_replicas(usable_weight));
+        let rate_per_weight = ratio(model.loads.iter().sum(), self.sum_replicas(usable_weight));
         let capacity = |replica: &ReplicaState| ReplicaCapacity {
             zone: replica.zone,
-            requests_per_second: rate_by_weight * usable_weight(replica) * replica.capacity_correction.exp(),
+            requests_per_second: rate_per_weight * usable_weight(replica) * replica.capacity_correction.exp(),
         };
         self.replicas.values().map(capacity).collect()
     }
@@ -190,7 +190,7 @@
     }
 
     /// The number of replicas that a flow is spread over; 0 for a flow without requests.
-    pub(super) fn spread(&self, key: TableKey) -> usize {
+    pub(super) fn replica_count(&self, key: TableKey) -> usize {
         self.flows.get(&key).map_or(0, |flow| self.distributions[flow.distribution].len())
     }
 
@@ -203,7 +203,7 @@
                 let utilisation = if capacity > 0.0 { load / capacity } else { 0.0 };
                 PeakUtilisation { replica, utilisation }
             });
-        utilisations.max_by(|one, other| one.utilisation.total_cmp(&other.utilisation))
+        utilisations.max_by(|a, b| a.utilisation.total_cmp(&b.utilisation))
     }
 
     /// The rates of a flow under the current tables.
--- a/src/governor/outlier_detection.rs
+++ b/src/governor/outlier_detection.rs
@@ -11,9 +11,9 @@
 use crate::types::ReplicaId;
 
 /// Number of consecutive missing responses from which a replica counts as unresponsive.
-const MAX_MISSING_ANSWERS: f64 = 8.0;
-/// As [`MAX_MISSING_ANSWERS`], if health checks fail too.
-const MAX_MISSING_ANSWERS_IF_CHECKS_FAIL: f64 = 0.25 * MAX_MISSING_ANSWERS;
+const MISSING_RESPONSE_LIMIT: f64 = 8.0;
+/// As [`MISSING_RESPONSE_LIMIT`], if health checks fail too.
+const MISSING_RESPONSE_LIMIT_IF_CHECKS_FAIL: f64 = 0.25 * MISSING_RESPONSE_LIMIT;
 /// Minimum number of consecutive failed health checks to be taken into account.
 const MIN_FAILED_CHECKS: u32 = 2;
 /// Failed health checks indicate a fault only if at most one in this many replicas fails them: health checks
@@ -33,14 +33,14 @@
 /// A replica that reports this many queued requests is overloaded rather than faulty.
 const OVERLOADED_QUEUE: f64 = 2.0;
 /// Minimum severity of an unresponsive replica; at least as high as any failure rate.
-const SILENT_SEVERITY: f64 = 1.0;
+const UNRESPONSIVE_SEVERITY: f64 = 1.0;
 /// Severity of a replica that failed its probation, which is ejected first.
 const FAILED_PROBATION_SEVERITY: f64 = f64::MAX;
 
 /// A replica that looks faulty.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Outlier {
-    /// The failure rate of a replica that answers some attempts; [`SILENT_SEVERITY`] or more for one that
+    /// The failure rate of a replica that answers some attempts; [`UNRESPONSIVE_SEVERITY`] or more for one that
     /// does not respond.
     pub(super) severity: f64,
     pub(super) replica: ReplicaId,
@@ -49,7 +49,7 @@
 impl Outlier {
     /// Whether the replica fails some attempts and answers others.
     pub(super) fn is_partial(&self) -> bool {
-        self.severity < SILENT_SEVERITY
+        self.severity < UNRESPONSIVE_SEVERITY
     }
 }
 
@@ -58,7 +58,7 @@
     now: Duration,
     failure_rate: f64,
     /// The time after which a response is overdue.
-    answer_time: Duration,
+    response_timeout: Duration,
     /// The time after a change of tables until missing responses are significant.
     settling_time: Duration,
     mean_utilisation: f64,
@@ -83,25 +83,25 @@
             }
         }
         self.update_expected_rates(now, &expected_rates);
-        outliers.sort_by(|one, other| other.severity.total_cmp(&one.severity));
+        outliers.sort_by(|a, b| b.severity.total_cmp(&a.severity));
         outliers
     }
 
     fn fleet_baseline(&self, now: Duration, failure_rate: f64) -> FleetBaseline {
-        let answer_time = self.usual_answer_time();
+        let response_timeout = self.response_timeout();
         let ready = self.replicas.values().filter(|replica| replica.ready);
         let failing_checks = ready.clone().filter(|replica| fails_health_checks(replica)).count();
         FleetBaseline {
             now,
             failure_rate,
-            answer_time,
-            settling_time: self.parameters.settling_time + self.reports.delay + answer_time,
+            response_timeout,
+            settling_time: self.parameters.settling_time + self.reports.delay + response_timeout,
             mean_utilisation: self.fleet_utilisation(now).mean,
             failed_checks_are_rare: FAILED_CHECKS_ARE_RARE * failing_checks <= ready.count(),
         }
     }
 
-    fn usual_answer_time(&self) -> Duration {
+    fn response_timeout(&self) -> Duration {
         let mut succeeded = 0.0;
         let mut latency_seconds = 0.0;
         for observation in self.replicas.values().flat_map(|replica| replica.observations.values()) {
@@ -115,17 +115,18 @@
     fn severity(&self, replica: &ReplicaState, rates: &RatesByZone, baseline: &FleetBaseline) -> Option<f64> {
         let counts = replica.attempt_counts();
         let failure_rate = ratio(counts.failed, counts.total().max(1.0));
-        let missing_answers = self.missing_answers(replica, rates, baseline);
+        let missing_responses = self.missing_responses(replica, rates, baseline);
         let checks_fail = fails_health_checks(replica) && baseline.failed_checks_are_rare;
-        let most_missing = if checks_fail { MAX_MISSING_ANSWERS_IF_CHECKS_FAIL } else { MAX_MISSING_ANSWERS };
+        let missing_limit =
+            if checks_fail { MISSING_RESPONSE_LIMIT_IF_CHECKS_FAIL } else { MISSING_RESPONSE_LIMIT };
         let observed = counts.failed >= MIN_REPLICA_ATTEMPTS;
         let dead = observed && failure_rate > DEAD_FAILURE_RATE;
-        let silent = missing_answers >= most_missing || dead;
+        let unresponsive = missing_responses >= missing_limit || dead;
         let failing = observed && failure_rate >= outlier_failure_rate(baseline.failure_rate);
         match replica.health {
-            HealthState::Healthy if silent => Some(SILENT_SEVERITY + missing_answers),
+            HealthState::Healthy if unresponsive => Some(UNRESPONSIVE_SEVERITY + missing_responses),
             HealthState::Healthy if failing && !self.is_overloaded(replica, baseline) => Some(failure_rate),
-            HealthState::Probation { .. } if silent || fails_probation(counts) => {
+            HealthState::Probation { .. } if unresponsive || fails_probation(counts) => {
                 Some(FAILED_PROBATION_SEVERITY)
             }
             _ => None,
@@ -133,11 +134,17 @@
     }
 
     /// The number of responses that are overdue since the last one.
-    fn missing_answers(&self, replica: &ReplicaState, rates: &RatesByZone, baseline: &FleetBaseline) -> f64 {
+    fn missing_responses(
+        &self,
+        replica: &ReplicaState,
+        rates: &RatesByZone,
+        baseline: &FleetBaseline,
+    ) -> f64 {
         let last_success = replica.observations.values().map(|observation| observation.last_success).max();
         let settled = replica.observed_since + baseline.settling_time;
-        let silent_from = (last_success.unwrap_or_default() + baseline.answer_time).max(settled);
-        let missing = rates.iter().map(|(zone, rate)| rate * self.silence(*zone, silent_from, baseline));
+        let overdue_from = (last_success.unwrap_or_default() + baseline.response_timeout).max(settled);
+        let missing =
+            rates.iter().map(|(zone, rate)| rate * self.unanswered_seconds(*zone, overdue_from, baseline));
         let missing: f64 = missing.sum();
         // Scaled down if its weights were raised recently, as those requests have not been answered yet.
         missing * ratio(replica.expected_rate, rates.values().sum()).min(1.0)
@@ -145,9 +152,9 @@
 
     /// Seconds without a response, as far as the zone's statistics show: 0 if the zone sends no statistics
     /// any more or its proxies have just connected.
-    fn silence(&self, zone: usize, silent_from: Duration, baseline: &FleetBaseline) -> f64 {
+    fn unanswered_seconds(&self, zone: usize, overdue_from: Duration, baseline: &FleetBaseline) -> f64 {
         let connected_at = self.last_connections.get(&zone).copied().unwrap_or(baseline.now);
-        let from = silent_from.max(connected_at + baseline.settling_time);
+        let from = overdue_from.max(connected_at + baseline.settling_time);
         self.reports.last_report(zone).saturating_sub(from + self.reports.delay).as_secs_f64()
     }
 
--- a/src/governor/replica_state.rs
+++ b/src/governor/replica_state.rs
@@ -66,8 +66,8 @@
             self.last_success = now;
         }
         if let Some(mean_latency) = report.mean_latency {
-            let known = self.latency_seconds > 0.0;
-            let share = if known { ratio(succeeded, self.succeeded.max(1.0)) } else { 1.0 };
+            let has_latency = self.latency_seconds > 0.0;
+            let share = if has_latency { ratio(succeeded, self.succeeded.max(1.0)) } else { 1.0 };
             self.latency_seconds += (mean_latency.as_secs_f64() - self.latency_seconds) * share;
         }
     }
@@ -114,8 +114,8 @@
 
     /// Whether default tables of a sample may contain the replica.
     pub(super) fn is_candidate(&self, sample: DefaultTableSample) -> bool {
-        let known_by_then = self.first_ready_at.is_some_and(|first| first <= sample.roster_at);
-        known_by_then && sample.zone == self.zone
+        let listed_by_then = self.first_ready_at.is_some_and(|first| first <= sample.roster_at);
+        listed_by_then && sample.zone == self.zone
     }
 
     /// The minimum fraction of its capacity that the replica has reached.
--- a/src/governor/slow_start.rs
+++ b/src/governor/slow_start.rs
@@ -62,9 +62,9 @@
         let partial: Vec<DefaultTableSample> =
             samples.into_iter().filter(|sample| self.is_partial_sample(*sample)).collect();
         for replica in self.replicas.values_mut() {
-            let named = partial.iter().any(|sample| replica.is_candidate(*sample));
+            let in_partial_sample = partial.iter().any(|sample| replica.is_candidate(*sample));
             let warm_fraction = replica.warm_fraction(self.parameters.slow_start, now);
-            replica.withheld = named && warm_fraction < NOMINAL_UTILISATION;
+            replica.withheld = in_partial_sample && warm_fraction < NOMINAL_UTILISATION;
         }
     }
 
@@ -79,14 +79,14 @@
     /// their zone.
     pub(super) fn underprovisioned_capacity(&self, now: Duration) -> BTreeMap<usize, f64> {
         let available = self.sum_by_zone(|replica| replica.available_weight(&self.parameters, now));
-        let rate_by_weight = WARMING_HEADROOM * ratio(self.success_rate(), available.values().sum());
+        let rate_per_weight = WARMING_HEADROOM * ratio(self.success_rate(), available.values().sum());
         let mut capacity = BTreeMap::new();
         if !self.parameters.has_zone_bound_classes() {
             return capacity;
         }
         for (zone, weight) in available {
             if self.fleet_health.underprovisioned_zones.contains(&zone) {
-                capacity.insert(zone, rate_by_weight * weight);
+                capacity.insert(zone, rate_per_weight * weight);
             }
         }
         capacity
--- a/src/governor/table_updates.rs
+++ b/src/governor/table_updates.rs
@@ -58,7 +58,7 @@
 }
 
 /// A proxy whose tables are to be updated.
-struct TableRequest {
+struct PendingUpdate {
     priority: Priority,
     demand: f64,
     proxy: ProxyId,
@@ -74,7 +74,7 @@
 }
 
 /// Criteria for which proxies need a dedicated table.
-struct Needs {
+struct AssignmentCriteria {
     critical: BTreeSet<ProxyId>,
     /// Demand above which the entries of a default table create hot spots.
     busy_demand: f64,
@@ -89,95 +89,96 @@
             model: self.load_model(now),
             underprovisioned_capacity: self.underprovisioned_capacity(now),
         };
-        for request in self.table_requests(&sources, recipients) {
+        for update in self.pending_updates(&sources, recipients) {
             let entries = 2.0 * MAX_TABLE_ENTRIES as f64;
-            if !self.send_queue.fits(entries, request.priority.queue_fraction(), &self.parameters) {
+            if !self.send_queue.fits(entries, update.priority.queue_fraction(), &self.parameters) {
                 break;
             }
-            self.send_proxy_tables(&request, &mut sources, now);
+            self.send_proxy_tables(&update, &mut sources, now);
         }
     }
 
     /// The proxies to update, by priority and then by demand, the busiest first.
-    fn table_requests(&self, sources: &TableSources, recipients: Recipients) -> Vec<TableRequest> {
-        let mut needs = Needs {
+    fn pending_updates(&self, sources: &TableSources, recipients: Recipients) -> Vec<PendingUpdate> {
+        let mut criteria = AssignmentCriteria {
             critical: self.critical_set.proxies(),
             busy_demand: self.busy_demand(&sources.model),
             staleness: BTreeMap::new(),
         };
-        let mut requests = Vec::new();
+        let mut updates = Vec::new();
         for (&id, proxy) in &self.proxies {
-            requests.extend(self.table_request(id, proxy, sources, &mut needs, recipients));
+            updates.extend(self.pending_update(id, proxy, sources, &mut criteria, recipients));
         }
-        requests.sort_by(|one, other| {
-            one.priority.cmp(&other.priority).then(other.demand.total_cmp(&one.demand))
-        });
-        requests
+        updates.sort_by(|a, b| a.priority.cmp(&b.priority).then(b.demand.total_cmp(&a.demand)));
+        updates
     }
 
     /// The demand above which a proxy needs a dedicated table. The proxies of other governors are assumed to
     /// have the same average demand.
     fn busy_demand(&self, model: &LoadModel) -> f64 {
         let fleet_factor = ratio(self.parameters.shared_proxies, self.proxies.len() as f64).max(1.0);
-        let due_rate = model.loads.iter().sum::<f64>() / self.ready_replicas().max(1.0);
-        HOT_SPOT_FRACTION * (fleet_factor * self.parameters.default_table_size as f64) * due_rate
+        let mean_replica_rate = model.loads.iter().sum::<f64>() / self.ready_replicas().max(1.0);
+        HOT_SPOT_FRACTION * (fleet_factor * self.parameters.default_table_size as f64) * mean_replica_rate
     }
 
-    fn table_request(
+    fn pending_update(
         &self,
         id: ProxyId,
         proxy: &ProxyState,
         sources: &TableSources,
-        needs: &mut Needs,
+        criteria: &mut AssignmentCriteria,
         recipients: Recipients,
-    ) -> Option<TableRequest> {
+    ) -> Option<PendingUpdate> {
         let demand = self.total_admitted_demand(proxy);
-        let request = |priority, assignment| Some(TableRequest { priority, demand, proxy: id, assignment });
+        let update = |priority, assignment| Some(PendingUpdate { priority, demand, proxy: id, assignment });
         if proxy.unsynchronised {
-            return request(Priority::Unsynchronised, Assignment::New);
+            return update(Priority::Unsynchronised, Assignment::New);
         }
         if recipients == Recipients::Unsynchronised {
             return None;
         }
         let Some(sample) = proxy.default_table else {
-            let few = self.names_few_replicas(id, &sources.model);
-            return request(if few { Priority::Urgent } else { Priority::Ordinary }, Assignment::Existing);
+            let few_replicas = self.has_few_replicas(id, &sources.model);
+            return update(
+                if few_replicas { Priority::Urgent } else { Priority::Ordinary },
+                Assignment::Existing,
+            );
         };
         let default = &sources.defaults[&ZoneScope { zone: proxy.zone, scope: RouteScope::AnyZone }];
-        let staleness = *needs.staleness.entry(sample).or_insert_with(|| self.staleness(sample, default));
-        let busy = demand > needs.busy_demand && self.is_partial_sample(sample);
+        let staleness = *criteria.staleness.entry(sample).or_insert_with(|| self.staleness(sample, default));
+        let busy = demand > criteria.busy_demand && self.is_partial_sample(sample);
         match staleness {
-            Staleness::Urgent => request(Priority::Urgent, Assignment::New),
-            Staleness::Stale => request(Priority::Ordinary, Assignment::New),
-            Staleness::Current if busy || needs.critical.contains(&id) => {
-                request(Priority::Ordinary, Assignment::New)
+            Staleness::Urgent => update(Priority::Urgent, Assignment::New),
+            Staleness::Stale => update(Priority::Ordinary, Assignment::New),
+            Staleness::Current if busy || criteria.critical.contains(&id) => {
+                update(Priority::Ordinary, Assignment::New)
             }
             Staleness::Current => None,
         }
     }
 
-    fn names_few_replicas(&self, proxy: ProxyId, model: &LoadModel) -> bool {
-        let few = |scope: &RouteScope| {
+    fn has_few_replicas(&self, proxy: ProxyId, model: &LoadModel) -> bool {
+        let few_replicas = |scope: &RouteScope| {
             let used = self.parameters.classes.in_scope(*scope) != 0;
-            used && model.spread(TableKey::new(proxy, *scope)) < MIN_REPLICAS
+            used && model.replica_count(TableKey::new(proxy, *scope)) < MIN_REPLICAS
         };
-        RouteScope::ALL.iter().any(few)
+        RouteScope::ALL.iter().any(few_replicas)
     }
 
-    fn send_proxy_tables(&mut self, request: &TableRequest, sources: &mut TableSources, now: Duration) {
+    fn send_proxy_tables(&mut self, update: &PendingUpdate, sources: &mut TableSources, now: Duration) {
         let mut cost = 0;
         for scope in RouteScope::ALL {
             if self.parameters.classes.in_scope(scope) != 0 {
-                let key = TableKey::new(request.proxy, scope);
+                let key = TableKey::new(update.proxy, scope);
                 let wanted = self.wanted_weights(key, sources, now);
-                cost += self.update_table(key, wanted, request.assignment);
+                cost += self.update_table(key, wanted, update.assignment);
             }
         }
         if cost > 0 {
             self.send_queue.entries += cost as f64 + (self.parameters.message_overhead_entries + 1.0);
         }
-        if request.assignment == Assignment::New
-            && let Some(proxy) = self.proxies.get_mut(&request.proxy)
+        if update.assignment == Assignment::New
+            && let Some(proxy) = self.proxies.get_mut(&update.proxy)
         {
             proxy.unsynchronised = false;
             proxy.default_table = None;
@@ -218,14 +219,14 @@
             return default.clone();
         }
         let proxy = &self.proxies[&key.proxy];
-        let nothing = Weights::new();
+        let no_entries = Weights::new();
         model.small_default(&SmallDefault {
             key,
             zone: proxy.zone,
             requests_per_second: self.scoped_demand(proxy, key.scope),
             entries: self.parameters.default_table_size,
             candidates: default,
-            current: self.sent_tables.get(&key).unwrap_or(&nothing),
+            current: self.sent_tables.get(&key).unwrap_or(&no_entries),
         })
     }
 
--- a/src/governor/tests/critical_set.rs
+++ b/src/governor/tests/critical_set.rs
@@ -54,8 +54,8 @@
 #[test]
 fn solves_after_cycles_below_the_target() {
     let mut governor = governor();
-    add_follower(&mut governor, 1, 0, &[("a", 1.0)]);
-    add_follower(&mut governor, 2, 0, &[("a", 1.0), ("b", 1.0)]);
+    add_proxy(&mut governor, 1, 0, &[("a", 1.0)]);
+    add_proxy(&mut governor, 2, 0, &[("a", 1.0), ("b", 1.0)]);
     add_replica(&mut governor, "a", ReplicaState { in_flight: Some(9.0), ..warm_replica(0) });
     add_replica(&mut governor, "b", ReplicaState { in_flight: Some(1.0), ..warm_replica(0) });
     governor.update_critical_set(SECOND);
--- a/src/governor/tests/default_tables.rs
+++ b/src/governor/tests/default_tables.rs
@@ -6,8 +6,8 @@
 #[test]
 fn keeps_a_default_table_in_its_zone_until_the_zone_loses_capacity() {
     let mut governor = governor();
-    add_follower(&mut governor, 1, 0, &[]);
-    add_follower(&mut governor, 2, 1, &[]);
+    add_proxy(&mut governor, 1, 0, &[]);
+    add_proxy(&mut governor, 2, 1, &[]);
     for (name, zone) in [("a", 0), ("b", 0), ("y", 1), ("z", 1)] {
         add_replica(&mut governor, name, warm_replica(zone));
     }
@@ -24,7 +24,7 @@
 fn counts_other_governors_proxies_in_a_zones_demand() {
     let mut governor = governor();
     governor.parameters.shared_proxies = 40.0;
-    add_follower(&mut governor, 1, 0, &[]);
+    add_proxy(&mut governor, 1, 0, &[]);
     add_replica(&mut governor, "a", warm_replica(0));
     add_replica(&mut governor, "b", warming_replica(0, Duration::ZERO));
     add_replica(&mut governor, "z", warm_replica(1));
@@ -36,7 +36,7 @@
 #[test]
 fn lowers_the_weight_of_a_slow_replica() {
     let mut governor = governor();
-    add_follower(&mut governor, 1, 0, &[]);
+    add_proxy(&mut governor, 1, 0, &[]);
     add_replica(
         &mut governor,
         "a",
@@ -52,9 +52,9 @@
 }
 
 #[test]
-fn takes_a_sample_as_stale_after_changes_of_its_zone() {
+fn marks_a_sample_stale_after_changes_in_its_zone() {
     let mut governor = governor();
-    add_follower(&mut governor, 1, 0, &[]);
+    add_proxy(&mut governor, 1, 0, &[]);
     add_replica(&mut governor, "a", warm_replica(0));
     let is_stale = |governor: &Governor| {
         let default = &default_table(governor);
@@ -72,9 +72,9 @@
 }
 
 #[test]
-fn spills_over_from_an_overfull_zone() {
+fn spills_over_from_an_overloaded_zone() {
     let mut governor = governor();
-    add_follower(&mut governor, 1, 0, &[]);
+    add_proxy(&mut governor, 1, 0, &[]);
     add_replica(&mut governor, "a", warm_replica(0));
     add_replica(&mut governor, "z", warm_replica(1));
     assert!(default_table(&governor).contains_key("z"));
@@ -83,7 +83,7 @@
 #[test]
 fn keeps_less_in_a_warming_zone_while_demand_is_not_answered() {
     let mut governor = governor();
-    add_follower(&mut governor, 1, 0, &[]);
+    add_proxy(&mut governor, 1, 0, &[]);
     add_replica(&mut governor, "a", warming_replica(0, SECOND));
     add_replica(&mut governor, "b", observed_replica(0, 10.0, 0.0, SECOND));
     add_replica(&mut governor, "z", warm_replica(1));
@@ -94,9 +94,9 @@
 }
 
 #[test]
-fn takes_a_partial_sample_as_stale_once_little_of_it_is_left() {
+fn marks_a_partial_sample_stale_once_little_capacity_is_left() {
     let staleness = |lost| {
-        let governor = without_replicas(governor_with_large_zone(), lost);
+        let governor = with_draining_replicas(governor_with_large_zone(), lost);
         governor.staleness(DefaultTableSample { roster_at: SECOND, zone: 0 }, &default_table(&governor))
     };
     assert_eq!((staleness(1), staleness(10)), (Staleness::Current, Staleness::Current));
@@ -104,13 +104,13 @@
 }
 
 #[test]
-fn takes_other_governors_proxies_to_be_in_other_zones() {
+fn assumes_other_governors_proxies_are_in_other_zones() {
     let mut governor = governor();
     governor.parameters.shared_proxies = 4.0;
     for (name, zone) in [("a", 0), ("y", 1)] {
         add_replica(&mut governor, name, warm_replica(zone));
     }
-    add_follower(&mut governor, 1, 0, &[]);
-    add_follower(&mut governor, 2, 0, &[]);
+    add_proxy(&mut governor, 1, 0, &[]);
+    add_proxy(&mut governor, 2, 0, &[]);
     assert!(!default_table(&governor).contains_key("y"));
 }
--- a/src/governor/tests/fixtures.rs
+++ b/src/governor/tests/fixtures.rs
@@ -152,7 +152,7 @@
 
 /// Adds a proxy that follows dedicated tables with these entries and receives 5 requests per second of each
 /// class.
-pub(super) fn add_follower(governor: &mut Governor, proxy: ProxyId, zone: usize, entries: &[(&str, f64)]) {
+pub(super) fn add_proxy(governor: &mut Governor, proxy: ProxyId, zone: usize, entries: &[(&str, f64)]) {
     let state = ProxyState {
         zone,
         request_rates: vec![5.0, 5.0],
@@ -180,7 +180,7 @@
     governor.default_tables(SECOND)[&default_of_zone(0, AnyZone)].clone()
 }
 
-pub(super) fn listed(name: &str, phase: Phase) -> ReplicaEntry {
+pub(super) fn roster_entry(name: &str, phase: Phase) -> ReplicaEntry {
     ReplicaEntry { id: id(name), phase, zone: 0, weight: 1.0, started_at: None }
 }
 
@@ -190,10 +190,10 @@
 
 /// A governor with late responses from four replicas, of which `queued` report queued requests. Its proxy
 /// receives 100 requests per second.
-pub(super) fn governor_with_late_answers(queued: usize) -> Governor {
+pub(super) fn governor_with_late_responses(queued: usize) -> Governor {
     let mut governor = governor();
-    governor.admission.latency = LatencySum { answers: 50.0, seconds: 60.0 };
-    add_follower(&mut governor, 1, 0, &[]);
+    governor.admission.latency = LatencySum { responses: 50.0, seconds: 60.0 };
+    add_proxy(&mut governor, 1, 0, &[]);
     set_class_rates(&mut governor, 1, 50.0);
     for (index, name) in ["a", "b", "c", "d"].into_iter().enumerate() {
         let length = if index < queued { 5.0 } else { 0.0 };
@@ -218,17 +218,17 @@
 }
 
 /// Marks the first `lost` replicas as not ready.
-pub(super) fn without_replicas(mut governor: Governor, lost: usize) -> Governor {
-    for replica in governor.replicas.values_mut().take(lost) {
+pub(super) fn with_draining_replicas(mut governor: Governor, count: usize) -> Governor {
+    for replica in governor.replicas.values_mut().take(count) {
         replica.ready = false;
     }
     governor
 }
 
 /// A governor with two replicas that are sent 5 requests per second each. The last report of `a` is 10 s old.
-pub(super) fn governor_with_silent_replica() -> Governor {
+pub(super) fn governor_with_unresponsive_replica() -> Governor {
     let mut governor = governor();
-    add_follower(&mut governor, 1, 0, &[("a", 1.0), ("b", 1.0)]);
+    add_proxy(&mut governor, 1, 0, &[("a", 1.0), ("b", 1.0)]);
     for (name, last_report) in [("a", 20 * SECOND), ("b", 30 * SECOND)] {
         let observed = observed_replica(0, 20.0, 0.0, last_report);
         add_replica(&mut governor, name, ReplicaState { expected_rate: 5.0, ..observed });
--- a/src/governor/tests/health.rs
+++ b/src/governor/tests/health.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn puts_an_ejected_replica_on_probation_that_answers_end() {
+fn puts_an_ejected_replica_on_probation_until_it_responds() {
     let mut governor = governor();
     add_replica(&mut governor, "b", warm_replica(0));
     add_replica(&mut governor, "a", ejected_replica(SECOND, 1));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn restores_an_ejected_replica_where_no_warm_one_is_available() {
+fn restores_an_ejected_replica_if_no_warm_one_is_available() {
     let mut governor = governor();
     add_replica(&mut governor, "a", ejected_replica(9 * SECOND, 1));
     governor.update_health(SECOND);
@@ -48,7 +48,7 @@
 
 #[test]
 fn ejects_no_replica_in_a_fleet_wide_fault() {
-    let mut governor = governor_with_silent_replica();
+    let mut governor = governor_with_unresponsive_replica();
     for (name, failed) in [("a", 20.0), ("b", 5.0), ("c", 5.0), ("d", 0.0)] {
         let observations = observations(25.0 - failed, failed, 0.1, 30 * SECOND);
         add_replica(&mut governor, name, ReplicaState { observations, ..warm_replica(0) });
--- a/src/governor/tests/publishing.rs
+++ b/src/governor/tests/publishing.rs
@@ -6,7 +6,7 @@
 #[test]
 fn sends_ejections_before_changed_entries() {
     let mut governor = governor();
-    add_follower(&mut governor, 1, 0, &[("a", 1.0), ("b", 1.0)]);
+    add_proxy(&mut governor, 1, 0, &[("a", 1.0), ("b", 1.0)]);
     add_replica(&mut governor, "a", draining_replica(0));
     add_replica(&mut governor, "b", warm_replica(0));
     governor.publish(SECOND, PublishTrigger::Event);
@@ -20,7 +20,7 @@
 #[test]
 fn sends_the_entries_of_a_returning_replica_before_it_is_readmitted() {
     let mut governor = governor();
-    add_follower(&mut governor, 1, 0, &[("b", 1.0)]);
+    add_proxy(&mut governor, 1, 0, &[("b", 1.0)]);
     add_replica(&mut governor, "a", ReplicaState { ejection_sent: true, ..warming_replica(0, SECOND) });
     add_replica(&mut governor, "b", warm_replica(0));
     governor.publish(SECOND, PublishTrigger::FlushDue);
@@ -50,7 +50,7 @@
 #[test]
 fn sends_nothing_once_the_limit_on_messages_is_reached() {
     let mut governor = governor();
-    add_follower(&mut governor, 1, 0, &[("a", 1.0)]);
+    add_proxy(&mut governor, 1, 0, &[("a", 1.0)]);
     add_replica(&mut governor, "a", draining_replica(0));
     governor.send_queue.recent_flushes = vec![SECOND; 8].into();
     governor.publish(2 * SECOND, PublishTrigger::FlushDue);
@@ -60,7 +60,7 @@
 #[test]
 fn sends_no_table_into_a_full_channel() {
     let mut governor = governor();
-    add_follower(&mut governor, 1, 0, &[]);
+    add_proxy(&mut governor, 1, 0, &[]);
     add_replica(&mut governor, "a", warm_replica(0));
     governor.send_queue.entries = 800.0;
     governor.send_tables(Duration::ZERO, Recipients::All);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn ejects_draining_replicas_before_faulty_ones_as_far_as_the_channel_bears() {
+fn ejects_draining_replicas_before_faulty_ones_within_the_channel_capacity() {
     let mut governor = governor_with_unsynchronised_proxies(&["a", "b", "c"]);
     for replica in governor.replicas.values_mut() {
         replica.health = HealthState::Ejected { until: SECOND, failures: 1 };
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn counts_an_ejection_for_tables_that_may_name_the_replica() {
+fn counts_an_ejection_for_tables_that_may_contain_the_replica() {
     let names: Vec<String> = (0..100).map(|index| format!("r{index}")).collect();
     let mut governor =
         governor_with_unsynchronised_proxies(&names.iter().map(String::as_str).collect::<Vec<_>>());
@@ -155,9 +155,9 @@
 }
 
 #[test]
-fn delays_an_urgent_flush_the_more_of_the_limit_is_used() {
+fn delays_an_urgent_flush_longer_the_more_of_the_limit_is_used() {
     let mut governor = governor();
-    add_follower(&mut governor, 1, 0, &[("a", 1.0)]);
+    add_proxy(&mut governor, 1, 0, &[("a", 1.0)]);
     add_replica(&mut governor, "a", draining_replica(0));
     governor.send_queue.recent_flushes = vec![SECOND; 7].into();
     governor.publish(SECOND + SECOND / 2, PublishTrigger::Event);
@@ -168,7 +168,7 @@
 
 #[test]
 fn counts_an_ejection_once_for_each_default_table() {
-    let mut governor = without_replicas(governor_with_large_zone(), 1);
+    let mut governor = with_draining_replicas(governor_with_large_zone(), 1);
     governor.send_ejections(EjectionChange::Eject);
     // The contents of default tables are not known, so each of the ten proxies costs one entry and the
     // overhead of a message.
--- a/src/governor/tests/roster.rs
+++ b/src/governor/tests/roster.rs
@@ -4,10 +4,10 @@
 use super::*;
 
 #[test]
-fn removes_replicas_that_a_complete_roster_leaves_out() {
+fn removes_replicas_missing_from_a_complete_roster() {
     let mut governor = governor();
     add_replica(&mut governor, "a", warm_replica(0));
-    governor.update_replicas(SECOND, &[listed("b", Phase::Ready)], RosterScope::Complete);
+    governor.update_replicas(SECOND, &[roster_entry("b", Phase::Ready)], RosterScope::Complete);
     assert!(!replica(&governor, "a").ready);
 }
 
@@ -17,14 +17,14 @@
     add_replica(&mut governor, "a", ejected_replica(SECOND, 3));
     governor.update_replicas(
         SECOND,
-        &[ReplicaEntry { started_at: Some(SECOND), ..listed("a", Phase::Ready) }],
+        &[ReplicaEntry { started_at: Some(SECOND), ..roster_entry("a", Phase::Ready) }],
         RosterScope::Changes,
     );
     assert_eq!(replica(&governor, "a").health, HealthState::Healthy);
 }
 
 #[test]
-fn takes_a_proxy_with_unknown_tables_as_unsynchronised() {
+fn marks_a_proxy_with_unknown_tables_unsynchronised() {
     let mut governor = governor();
     for name in ["a", "b", "c"] {
         add_replica(&mut governor, name, warm_replica(0));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn takes_a_default_table_that_may_name_a_warming_replica_as_unsynchronised() {
+fn marks_a_proxy_unsynchronised_if_its_default_table_may_contain_a_warming_replica() {
     let mut governor = governor();
     add_replica(&mut governor, "a", warming_replica(0, SECOND));
     governor.proxy_connected(2 * SECOND, with_default_table(1, 4.0));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn forgets_replicas_that_are_long_gone_and_in_no_table() {
+fn drops_replicas_that_are_long_gone_and_in_no_table() {
     let old = || ReplicaState { gone_since: Some(SECOND), ejection_sent: true, ..draining_replica(0) };
     let mut governor = Governor {
         replicas: [(id("a"), old()), (id("b"), old()), (id("c"), warm_replica(0))].into(),
--- a/src/governor/tests/slow_start.rs
+++ b/src/governor/tests/slow_start.rs
@@ -21,12 +21,12 @@
 }
 
 #[test]
-fn gives_an_underprovisioned_zone_only_what_its_replicas_bear() {
+fn limits_an_underprovisioned_zone_to_its_capacity() {
     let mut governor = governor_with_zone_bound_class();
     for proxy in 1..5 {
-        add_follower(&mut governor, proxy, 0, &[]);
+        add_proxy(&mut governor, proxy, 0, &[]);
     }
-    add_follower(&mut governor, 9, 1, &[]);
+    add_proxy(&mut governor, 9, 1, &[]);
     add_replica(&mut governor, "a", warming_replica(0, Duration::ZERO));
     governor.fleet_health.underprovisioned_zones.insert(0);
     let observations = observations(20.0, 0.0, 0.1, SECOND);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn withholds_a_warming_replica_that_partial_samples_may_name() {
+fn withholds_a_warming_replica_that_partial_samples_may_contain() {
     let mut governor = governor_with_large_zone();
     add_replica(&mut governor, "r00", warming_replica(0, SECOND));
     governor.update_withheld(2 * SECOND);
--- a/src/governor/tests/statistics.rs
+++ b/src/governor/tests/statistics.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 #[test]
-fn takes_the_first_report_of_a_replica_at_its_full_rate() {
+fn uses_the_full_rate_of_a_replicas_first_report() {
     let mut governor = governor();
     add_replica(&mut governor, "a", warm_replica(0));
     governor.record_replica_statistics(
@@ -35,7 +35,7 @@
 #[test]
 fn counts_admitted_requests_as_demand() {
     let mut governor = governor();
-    add_follower(&mut governor, 1, 0, &[]);
+    add_proxy(&mut governor, 1, 0, &[]);
     governor.admission.classes[0].fraction = 0.2;
     assert_eq!(governor.admitted_demand(&governor.proxies[&1], 0b11), 6.0);
 }
@@ -43,7 +43,7 @@
 #[test]
 fn estimates_the_report_delay_by_the_shortest_interval() {
     let mut governor = governor();
-    add_follower(&mut governor, 1, 0, &[]);
+    add_proxy(&mut governor, 1, 0, &[]);
     for seconds in [3, 2, 4] {
         governor.record_demand(
             SECOND,
@@ -58,7 +58,7 @@
 
 #[test]
 fn counts_failures_of_admitted_requests_only() {
-    let mut governor = governor_with_late_answers(0);
+    let mut governor = governor_with_late_responses(0);
     let failed_fraction_after = |governor: &mut Governor, failed| {
         governor.record_demand(
             SECOND,
@@ -90,7 +90,7 @@
 
 #[test]
 fn fades_the_success_rate_of_replicas_without_reports() {
-    let mut governor = governor_with_late_answers(4);
+    let mut governor = governor_with_late_responses(4);
     governor.reports.last_by_zone = [(0, 60 * SECOND)].into();
     for replica in governor.replicas.values_mut().take(2) {
         replica.observations = observations(10.0, 0.0, 1.0, 60 * SECOND);
--- a/src/governor/tests/table_updates.rs
+++ b/src/governor/tests/table_updates.rs
@@ -11,7 +11,7 @@
     add_replica(&mut governor, "c", warm_replica(0));
     governor.critical_set.tables.insert(TableKey::new(1, AnyZone), [(id("a"), 10.0), (id("b"), 90.0)].into());
     let default: Weights = [(id("a"), 0.2), (id("c"), 1.0)].into();
-    add_follower(&mut governor, 1, 0, &[]);
+    add_proxy(&mut governor, 1, 0, &[]);
     let mut model = governor.load_model(SECOND);
     assert_eq!(governor.desired_table(TableKey::new(1, AnyZone), &default, &mut model, SECOND), default);
 }
@@ -19,7 +19,7 @@
 #[test]
 fn does_not_send_small_changes_of_a_weight() {
     let mut governor = governor();
-    add_follower(&mut governor, 1, 0, &[("a", 1.0), ("b", 1.0)]);
+    add_proxy(&mut governor, 1, 0, &[("a", 1.0), ("b", 1.0)]);
     let cost = governor.update_table(
         TableKey::new(1, AnyZone),
         [(id("a"), 1.05), (id("b"), 1.5)].into(),
@@ -33,7 +33,7 @@
 
 #[test]
 fn spreads_small_default_tables_evenly_over_a_large_zone() {
-    let mut governor = without_replicas(governor_with_large_zone(), 1);
+    let mut governor = with_draining_replicas(governor_with_large_zone(), 1);
     for proxy in 0..10 {
         governor.proxy_connected(SECOND, with_unknown_tables(proxy, 10.0));
     }
@@ -49,8 +49,8 @@
 }
 
 #[test]
-fn keeps_most_entries_of_small_default_tables_when_a_replica_goes() {
-    let mut governor = without_replicas(governor_with_large_zone(), 1);
+fn keeps_most_entries_of_small_default_tables_when_a_replica_drains() {
+    let mut governor = with_draining_replicas(governor_with_large_zone(), 1);
     for proxy in 0..10 {
         governor.proxy_connected(SECOND, with_unknown_tables(proxy, 10.0));
     }
@@ -74,14 +74,14 @@
         governor.replicas.insert(name.clone(), warming_replica(0, SECOND));
     }
     governor.fleet_health.zone_stress.insert(0, 0.9);
-    add_follower(&mut governor, 1, 0, &[]);
+    add_proxy(&mut governor, 1, 0, &[]);
     let mut model = governor.load_model(SECOND);
     assert_eq!(governor.desired_table(TableKey::new(1, OwnZone), &names, &mut model, SECOND).len(), 8);
 }
 
 #[test]
-fn serves_unsynchronised_proxies_first_and_then_the_busiest() {
-    let mut governor = without_replicas(governor_with_large_zone(), 17);
+fn updates_unsynchronised_proxies_first_and_then_the_busiest() {
+    let mut governor = with_draining_replicas(governor_with_large_zone(), 17);
     governor.proxy_connected(SECOND, with_unknown_tables(20, 1.0));
     set_class_rates(&mut governor, 5, 90.0);
     governor.send_tables(SECOND, Recipients::All);
@@ -106,9 +106,9 @@
 
 #[test]
 fn keeps_the_entries_of_small_default_tables_in_a_fleet_wide_fault() {
-    let mut governor = without_replicas(governor_with_large_zone(), 1);
-    add_follower(&mut governor, 1, 0, &[("r01", 1.0), ("r02", 1.0)]);
-    add_follower(&mut governor, 2, 0, &[("r01", 9.0)]);
+    let mut governor = with_draining_replicas(governor_with_large_zone(), 1);
+    add_proxy(&mut governor, 1, 0, &[("r01", 1.0), ("r02", 1.0)]);
+    add_proxy(&mut governor, 2, 0, &[("r01", 9.0)]);
     set_class_rates(&mut governor, 2, 900.0);
     let default = default_table(&governor);
     let keeps = |governor: &Governor| {
@@ -134,11 +134,11 @@
 
 #[test]
 fn crosses_zones_in_small_default_tables_only_as_far_as_the_default_spills() {
-    let mut governor = without_replicas(governor_with_large_zone(), 1);
+    let mut governor = with_draining_replicas(governor_with_large_zone(), 1);
     for index in 0..120 {
         add_replica(&mut governor, &format!("z{index:03}"), warm_replica(1));
     }
-    add_follower(&mut governor, 1, 0, &[]);
+    add_proxy(&mut governor, 1, 0, &[]);
     let spilling = |weight: f64| {
         let own = (1..40).map(|place| (id(&format!("r{place:02}")), 1.0));
         own.chain((0..120).map(|place| (id(&format!("z{place:03}")), weight))).collect::<Weights>()
@@ -153,12 +153,12 @@
 }
 
 #[test]
-fn serves_proxies_with_few_replicas_before_the_busiest() {
-    let mut governor = without_replicas(governor_with_large_zone(), 1);
+fn updates_proxies_with_few_replicas_before_the_busiest() {
+    let mut governor = with_draining_replicas(governor_with_large_zone(), 1);
     let eight: Vec<String> = (1..9).map(|place| format!("r{place:02}")).collect();
     let eight: Vec<(&str, f64)> = eight.iter().map(|name| (name.as_str(), 2.0)).collect();
-    add_follower(&mut governor, 1, 0, &eight);
-    add_follower(&mut governor, 2, 0, &eight[..2]);
+    add_proxy(&mut governor, 1, 0, &eight);
+    add_proxy(&mut governor, 2, 0, &eight[..2]);
     set_class_rates(&mut governor, 1, 90.0);
     governor.send_queue.entries = 550.0;
     governor.send_tables(SECOND, Recipients::All);
--- a/src/governor/utilisation.rs
+++ b/src/governor/utilisation.rs
@@ -19,9 +19,9 @@
 /// Maximum correction: about 1.3 times the listed capacity.
 const MAX_CORRECTION: f64 = 0.25;
 /// Expected time between attempts, times this, after which missing reports count as a falling rate.
-const SILENT_ATTEMPTS: f64 = 2.0;
-/// Upper bound of the time given by [`SILENT_ATTEMPTS`], in averaging periods, for rare attempts.
-const MAX_SILENT_PERIODS: f64 = 4.0;
+const UNREPORTED_ATTEMPTS: f64 = 2.0;
+/// Upper bound of the time given by [`UNREPORTED_ATTEMPTS`], in averaging periods, for rare attempts.
+const MAX_UNREPORTED_PERIODS: f64 = 4.0;
 
 /// Utilisation of the replicas that are in use.
 #[derive(Clone, Copy)]
@@ -40,7 +40,8 @@
 
     /// Little's law: the rate of attempts times their latency. Observations decay once reports stop.
     fn estimated_in_flight(&self, replica: &ReplicaState) -> Option<f64> {
-        let observed = replica.observations.iter().filter(|(_, one)| one.attempts_per_second > 0.0);
+        let observed =
+            replica.observations.iter().filter(|(_, observation)| observation.attempts_per_second > 0.0);
         let in_flight = observed.map(|(zone, observation)| {
             let last_report = observation.last_report + self.reports.delay;
             let age = self.reports.last_report(*zone).saturating_sub(last_report).as_secs_f64();
@@ -95,10 +96,11 @@
     fn observed_success_rate(&self, zone: usize, observation: &ZoneObservation) -> f64 {
         let averaging_seconds = self.parameters.averaging_seconds;
         let last_report = observation.last_report + self.reports.delay;
-        let silence = self.reports.last_report(zone).saturating_sub(last_report).as_secs_f64();
-        let usual_silence = ratio(SILENT_ATTEMPTS, observation.attempts_per_second);
-        let silence = (silence - usual_silence.min(MAX_SILENT_PERIODS * averaging_seconds)).max(0.0);
+        let gap_seconds = self.reports.last_report(zone).saturating_sub(last_report).as_secs_f64();
+        let expected_gap_seconds = ratio(UNREPORTED_ATTEMPTS, observation.attempts_per_second);
+        let gap_seconds =
+            (gap_seconds - expected_gap_seconds.min(MAX_UNREPORTED_PERIODS * averaging_seconds)).max(0.0);
         let succeeding = ratio(observation.succeeded, observation.succeeded + observation.failed);
-        observation.attempts_per_second * succeeding * (-silence / averaging_seconds).exp()
+        observation.attempts_per_second * succeeding * (-gap_seconds / averaging_seconds).exp()
     }
 }
--- a/src/governor/water_filling.rs
+++ b/src/governor/water_filling.rs
@@ -65,7 +65,7 @@
             Some(Bin { level, capacity: capacity.requests_per_second / price, replica })
         });
         let mut bins: Vec<Bin> = bins.collect();
-        bins.sort_by(|one, other| one.level.total_cmp(&other.level));
+        bins.sort_by(|a, b| a.level.total_cmp(&b.level));
         bins
     }
 
@@ -75,9 +75,9 @@
         self.reset_loads();
         let mut keys: Vec<TableKey> =
             self.flows.keys().filter(|key| critical.contains(&key.proxy)).copied().collect();
-        keys.sort_by(|one, other| {
+        keys.sort_by(|a, b| {
             let rate = |key: &TableKey| self.flows[key].requests_per_second;
-            rate(other).total_cmp(&rate(one))
+            rate(b).total_cmp(&rate(a))
         });
         for key in keys.iter().chain(&keys) {
             self.solve_flow(*key);
@@ -121,8 +121,8 @@
     /// Replicas that the current table contains are preferred.
     pub(super) fn small_default(&mut self, wanted: &SmallDefault) -> Weights {
         self.remove_flow(wanted.key);
-        let rate_by_entry = wanted.requests_per_second / wanted.entries as f64;
-        let bins = self.bins_by_level(wanted.zone, rate_by_entry, |replica| {
+        let rate_per_entry = wanted.requests_per_second / wanted.entries as f64;
+        let bins = self.bins_by_level(wanted.zone, rate_per_entry, |replica| {
             let id = &self.replicas[replica];
             let price = if wanted.current.contains_key(id) { 1.0 / self.retention_preference } else { 1.0 };
             wanted.candidates.contains_key(id).then_some(price)
@@ -137,7 +137,7 @@
         chosen.extend(elsewhere);
         let mut weights = Weights::new();
         for bin in chosen {
-            self.loads[bin.replica] += rate_by_entry;
+            self.loads[bin.replica] += rate_per_entry;
             weights.insert(self.replicas[bin.replica].clone(), 1.0);
         }
         weights
