--- a/src/governor/ejection.rs
+++ b/src/governor/ejection.rs
@@ -16,7 +16,7 @@
 /// Maximum part of the ready replicas that may be ejected, in [`TENTHS`].
 const MAX_EJECTED_TENTHS: usize = 4;
 const TENTHS: usize = 10;
-/// Minimum fraction of its capacity that a zone with bound requests keeps when unresponsive replicas are
+/// Minimum fraction of its capacity that a zone with zone-bound requests keeps when unresponsive replicas are
 /// ejected.
 const MIN_ZONE_CAPACITY: f64 = 0.34;
 /// As [`MIN_ZONE_CAPACITY`], when the ejected replicas fail only some of their attempts.
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Whether ejecting the outlier would leave a zone with bound requests without a warm replica, or with
-    /// too little capacity.
+    /// Whether ejecting the outlier would leave a zone with zone-bound requests without a warm replica, or
+    /// with too little capacity.
     fn would_starve_zone(&self, outlier: &Outlier, now: Duration) -> bool {
         if !self.parameters.has_zone_bound_classes() {
             return false;
--- a/src/governor/outlier_detection.rs
+++ b/src/governor/outlier_detection.rs
@@ -10,7 +10,8 @@
 use super::replica_state::{AttemptCounts, HealthState, ReplicaState};
 use crate::types::ReplicaId;
 
-/// Number of consecutive missing responses from which a replica counts as unresponsive.
+/// Number of consecutive missing responses from which a replica counts as unresponsive; fewer may be missing
+/// by chance.
 const MISSING_RESPONSE_LIMIT: f64 = 8.0;
 /// As [`MISSING_RESPONSE_LIMIT`], if health checks fail too.
 const MISSING_RESPONSE_LIMIT_IF_CHECKS_FAIL: f64 = 0.25 * MISSING_RESPONSE_LIMIT;
@@ -40,8 +41,8 @@
 /// A replica that looks faulty.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Outlier {
-    /// The failure rate of a replica that answers some attempts; [`UNRESPONSIVE_SEVERITY`] or more for one that
-    /// does not respond.
+    /// The failure rate of a replica that answers some attempts; [`UNRESPONSIVE_SEVERITY`] or more for one
+    /// that does not respond.
     pub(super) severity: f64,
     pub(super) replica: ReplicaId,
 }
--- a/src/governor/parameters.rs
+++ b/src/governor/parameters.rs
@@ -9,7 +9,7 @@
 /// Interval of the governor's only timer.
 pub(super) const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Minimum number of ticks between ordinary flushes.
+/// Minimum number of ticks between ordinary flushes, during which table updates are collected.
 const TICKS_PER_FLUSH: u32 = 2;
 /// Ordinary flushes use the message limit divided by this; the rest is left to urgent flushes.
 const FLUSH_SPACING: f64 = 1.5;
--- a/src/governor/water_filling.rs
+++ b/src/governor/water_filling.rs
@@ -13,7 +13,7 @@
 
 /// The sum of a solved table's weights.
 const SOLVED_TABLE_WEIGHT: f64 = 100.0;
-/// Minimum weight of an entry in a solved table, out of [`SOLVED_TABLE_WEIGHT`].
+/// Minimum weight of an entry in a solved table, out of [`SOLVED_TABLE_WEIGHT`]; replicas with less get none.
 const MIN_SOLVED_WEIGHT: f64 = 1.5;
 
 /// A replica as a bin to fill.
