--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -18,7 +18,7 @@
     now: Duration,
     governors: BTreeMap<u64, Governor>,
     /// Governors with an event in the current batch; only their decisions are written.
-    active: BTreeSet<u64>,
+    active_governors: BTreeSet<u64>,
     lists: BTreeMap<u64, Vec<ReplicaEntry>>,
     /// Governors that must subscribe to receive replica lists.
     must_subscribe: BTreeSet<u64>,
@@ -61,7 +61,7 @@
 
     fn start_governor(&mut self, id: u64, start: GovernorStart) {
         self.governors.insert(id, Governor::new(start.settings, self.now));
-        self.active.insert(id);
+        self.active_governors.insert(id);
         self.pending_subscriptions.remove(&id);
         if start.subscribes {
             self.must_subscribe.insert(id);
@@ -70,7 +70,7 @@
     }
 
     fn kill_governor(&mut self, id: u64) -> Result<(), MessageError> {
-        self.active.remove(&id);
+        self.active_governors.remove(&id);
         self.governors.remove(&id).map(drop).ok_or(MessageError::UnknownGovernor(id))
     }
 
@@ -100,7 +100,7 @@
             GovernorEvent::Acknowledged(elapsed) => governor.acknowledged(elapsed),
             GovernorEvent::Ignored => {}
         }
-        self.active.insert(id);
+        self.active_governors.insert(id);
         Ok(())
     }
 
@@ -110,7 +110,7 @@
     ///
     /// Returns the errors of the output.
     pub fn end_batch(&mut self, output: &mut impl Write) -> io::Result<()> {
-        for id in std::mem::take(&mut self.active) {
+        for id in std::mem::take(&mut self.active_governors) {
             let Some(governor) = self.governors.get_mut(&id) else { continue };
             if self.pending_subscriptions.remove(&id) {
                 replies::write_subscription(id, output)?;
