--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The governors of the bench, and what they are told in a batch.
+//! Hosts the simulated governors and passes the messages of each batch to them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Write};
@@ -12,18 +12,18 @@
 use crate::message::{Message, MessageKind};
 use crate::replies;
 
-/// The governors of the bench.
+/// The simulated governors.
 #[derive(Default)]
 pub struct Host {
     now: Duration,
     governors: BTreeMap<u64, Governor>,
-    /// Governors with an event in the batch: only these may act.
-    touched: BTreeSet<u64>,
+    /// Governors with an event in the current batch; only their decisions are written.
+    active_governors: BTreeSet<u64>,
     lists: BTreeMap<u64, Vec<ReplicaEntry>>,
-    /// Governors to which replica lists come only once they have subscribed.
-    subscribers: BTreeSet<u64>,
-    /// Those that are to subscribe now.
-    unsubscribed: BTreeSet<u64>,
+    /// Governors that must subscribe to receive replica lists.
+    must_subscribe: BTreeSet<u64>,
+    /// Governors whose subscription is to be sent at the end of the batch.
+    pending_subscriptions: BTreeSet<u64>,
     names: ReplicaNames,
 }
 
@@ -32,18 +32,18 @@
     ///
     /// # Errors
     ///
-    /// If the message states no time.
+    /// Returns an error if the message has no time.
     pub fn begin_batch(&mut self, message: &Message) -> Result<(), MessageError> {
         self.now = events::batch_time(message)?;
         Ok(())
     }
 
-    /// Takes in a message of a batch.
+    /// Processes a message of a batch.
     ///
     /// # Errors
     ///
-    /// If the message can't be understood, or names a governor or a list that is not there. It then has no
-    /// effect.
+    /// Returns an error if the message is invalid or refers to an unknown governor or list. The message then
+    /// has no effect.
     pub fn receive(&mut self, message: &Message) -> Result<(), MessageError> {
         if message.kind() == MessageKind::DefineList {
             let list = events::replica_list(message, &mut self.names)?;
@@ -61,16 +61,16 @@
 
     fn start_governor(&mut self, id: u64, start: GovernorStart) {
         self.governors.insert(id, Governor::new(start.settings, self.now));
-        self.touched.insert(id);
-        self.unsubscribed.remove(&id);
+        self.active_governors.insert(id);
+        self.pending_subscriptions.remove(&id);
         if start.subscribes {
-            self.subscribers.insert(id);
-            self.unsubscribed.insert(id);
+            self.must_subscribe.insert(id);
+            self.pending_subscriptions.insert(id);
         }
     }
 
     fn kill_governor(&mut self, id: u64) -> Result<(), MessageError> {
-        self.touched.remove(&id);
+        self.active_governors.remove(&id);
         self.governors.remove(&id).map(drop).ok_or(MessageError::UnknownGovernor(id))
     }
 
@@ -83,8 +83,8 @@
                 governor.update_replicas(now, entries, scope);
             }
             GovernorEvent::SubscriptionEnded => {
-                if self.subscribers.contains(&id) {
-                    self.unsubscribed.insert(id);
+                if self.must_subscribe.contains(&id) {
+                    self.pending_subscriptions.insert(id);
                 }
             }
             GovernorEvent::ProxyConnected(connection) => governor.proxy_connected(now, connection),
@@ -93,26 +93,26 @@
                 governor.record_replica_statistics(now, statistics);
             }
             GovernorEvent::DemandObserved(statistics) => governor.record_demand(now, statistics),
-            GovernorEvent::HealthChecked { replica, took, load } => {
-                governor.record_health_check(now, &replica, took, &load);
+            GovernorEvent::HealthChecked { replica, response_time, load } => {
+                governor.record_health_check(now, &replica, response_time, &load);
             }
             GovernorEvent::Tick => governor.tick(),
-            GovernorEvent::Acknowledged(took) => governor.acknowledged(took),
+            GovernorEvent::Acknowledged(elapsed) => governor.acknowledged(elapsed),
             GovernorEvent::Ignored => {}
         }
-        self.touched.insert(id);
+        self.active_governors.insert(id);
         Ok(())
     }
 
-    /// Answers a batch: what the governors with an event in it decide.
+    /// Writes the reply to a batch: the decisions of the governors with an event in it.
     ///
     /// # Errors
     ///
-    /// Those of the output.
+    /// Returns the errors of the output.
     pub fn end_batch(&mut self, output: &mut impl Write) -> io::Result<()> {
-        for id in std::mem::take(&mut self.touched) {
+        for id in std::mem::take(&mut self.active_governors) {
             let Some(governor) = self.governors.get_mut(&id) else { continue };
-            if self.unsubscribed.remove(&id) {
+            if self.pending_subscriptions.remove(&id) {
                 replies::write_subscription(id, output)?;
             }
             while let Some(decision) = governor.next_decision(self.now) {
