--- a/crates/core/benches/guard.rs
+++ b/crates/core/benches/guard.rs
@@ -1,6 +1,6 @@
-//! What the guard costs: an engine with many proxies on tables of their own, with it and without, in one run.
-//! A roster event (one replica drains or is back: all tables are judged), and a beat in which nothing
-//! changed.
+//! Cost of the guard: an engine with many proxies on dedicated tables, with the guard and without it, in one
+//! run. Measures a roster event, where one replica drains or returns and all tables are checked, and a tick
+//! in which nothing changed.
 
 #![allow(
     clippy::unwrap_used,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Microseconds a roster event, and a beat; what passed, and what was refused.
+/// Microseconds per roster event and per idle tick, and the numbers of tables that passed and of refusals.
 fn measure(proxies: usize, guarded: bool) -> (f64, f64, u64, u64) {
     let mut setup = EngineSettings::example(3);
     (setup.governor.proxy_count, setup.max_proxies) = (proxies as u64, proxies);
--- a/crates/core/src/failover.rs
+++ b/crates/core/src/failover.rs
@@ -1,22 +1,23 @@
-//! Failover and failback, at the proxy: which governor it connects to next, and when it goes back to its home. See
-//! `docs/design/takeover.md`.
+//! Failover and failback at the proxy: which governor it connects to next, and when it returns to its home
+//! governor. See `docs/design/takeover.md`.
 
 use std::time::Duration;
 
 use crate::ownership::ranking;
 
-/// When a proxy that is connected elsewhere goes back to its home governor.
+/// Decides when a proxy that is connected elsewhere returns to its home governor.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Failback {
     healthy_for: Duration,
-    /// The proxy's own part of the spread.
+    /// The proxy's own delay within the spread.
     delay: Duration,
     healthy_since: Option<Duration>,
 }
 
 impl Failback {
-    /// The home must have answered for `healthy_for` without a break; then the proxy goes back within `spread`, at
-    /// a moment that its name settles, so that a fleet comes home evenly and the same way each time.
+    /// The proxy returns after its home has answered for `healthy_for` without interruption, plus a delay of
+    /// up to `spread`. The delay is derived from the proxy's name, so that a fleet returns evenly and in the
+    /// same order each time.
     pub fn new(proxy: &str, healthy_for: Duration, spread: Duration) -> Self {
         let hash = blake3::derive_key("wrenthread 2026 homeward", proxy.as_bytes());
         let position = u32::from_le_bytes([hash[0], hash[1], hash[2], hash[3]]);
@@ -24,40 +25,41 @@
         Failback { healthy_for, delay, healthy_since: None }
     }
 
-    /// The home was checked, and answered or did not.
+    /// Records the result of a check of the home.
     pub fn home_checked(&mut self, now: Duration, answered: bool) {
         self.healthy_since = if answered { self.healthy_since.or(Some(now)) } else { None };
     }
 
-    /// When the proxy goes back, as far as is known.
+    /// When the proxy returns; none while its home does not answer.
     pub fn due_at(&self) -> Option<Duration> {
         self.healthy_since.map(|since| since + self.healthy_for + self.delay)
     }
 
-    /// Whether it goes back now.
+    /// Whether the proxy returns now.
     pub fn is_due(&self, now: Duration) -> bool {
         self.due_at().is_some_and(|at| now >= at)
     }
 }
 
-/// Which governor a proxy connects to next, and when it leaves one for its home.
+/// Selects the governor that a proxy connects to next, and decides when it leaves one for its home.
 ///
-/// A governor that can't be reached is passed over for the next in rank; after the last it begins anew at home. So a
-/// proxy whose governors are all dead goes round until one is back.
+/// If a governor can't be reached, the next in rank is selected. After the last one it starts again at the
+/// home, so a proxy whose governors are all dead tries them in turn until one is back.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct GovernorSelector {
-    /// Places in the list of governors, best first.
+    /// Indices into the list of governors, best first.
     ranking: Vec<usize>,
-    /// The place in the ranking that is connected to.
+    /// The index in the ranking of the current governor.
     rank: usize,
-    /// Its governors redirected it here: it stays until the connection is lost, or it is redirected again.
+    /// Whether a governor redirected the proxy here: it stays until the connection is lost or it is
+    /// redirected again.
     redirected: bool,
     failback: Failback,
 }
 
 impl GovernorSelector {
-    /// `governors`: their names, the same list at every proxy; an empty one is of no use, and selects the first for
-    /// ever. `healthy_for` and `spread`: as for [`Failback::new`].
+    /// `governors` are their names, in the same list at every proxy. With an empty list, index 0 is always
+    /// selected. `healthy_for` and `spread` are as for [`Failback::new`].
     pub fn new(proxy: &str, governors: &[&str], healthy_for: Duration, spread: Duration) -> Self {
         GovernorSelector {
             ranking: ranking(proxy, governors),
@@ -67,12 +69,12 @@
         }
     }
 
-    /// The governor to connect to, by its place in the list.
+    /// The governor to connect to, as an index into the list.
     pub fn current(&self) -> usize {
         self.ranking.get(self.rank).copied().unwrap_or(0)
     }
 
-    /// The home governor, by its place in the list.
+    /// The home governor, as an index into the list.
     pub fn home(&self) -> usize {
         self.ranking.first().copied().unwrap_or(0)
     }
@@ -82,17 +84,18 @@
         self.rank == 0
     }
 
-    /// The current governor can't be reached, or its stream is over.
+    /// Selects the next governor, because the current one can't be reached or its stream has ended.
     pub fn connection_lost(&mut self) {
         self.rank = (self.rank + 1) % self.ranking.len().max(1);
         self.redirected = false;
     }
 
-    /// The governor redirects it: to another by its place in the list, or (none, or one that is not listed here)
-    /// away to whichever is next.
+    /// Applies a redirect by the current governor: to the governor with this index in the list, or, if there
+    /// is none or it is not on the list, to the next in rank.
     ///
-    /// A proxy that was redirected doesn't go home by itself: its home may have sent it away for being overloaded,
-    /// and would again. *Harm:* if governors can't talk any more, it stays where it was redirected to.
+    /// A proxy that was redirected doesn't return home by itself: its home may have sent it away because of
+    /// overload, and would do so again. *Harm:* if the governors lose contact with each other, the proxy
+    /// stays where it was redirected to.
     pub fn redirected(&mut self, to: Option<usize>) {
         match to.and_then(|to| self.ranking.iter().position(|place| *place == to)) {
             Some(rank) => {
@@ -104,7 +107,7 @@
         self.failback.healthy_since = None;
     }
 
-    /// Its home was checked, and answered or did not. Whether it goes there now.
+    /// Records the result of a check of the home. Returns whether the proxy returns there now.
     pub fn home_checked(&mut self, now: Duration, answered: bool) -> bool {
         if self.is_home() || self.redirected {
             return false;
--- a/crates/core/src/failover/tests.rs
+++ b/crates/core/src/failover/tests.rs
@@ -14,14 +14,17 @@
     let ranked = ranking("relay-1", &names);
     dialer.redirected(Some(ranked[2]));
     assert_eq!(dialer.current(), ranked[2]);
-    assert!((10..20).all(|at| !dialer.home_checked(s(at), true)), "placed");
+    assert!(
+        (10..20).all(|at| !dialer.home_checked(s(at), true)),
+        "redirected proxies do not return by themselves"
+    );
     dialer.connection_lost();
     assert_eq!(dialer.current(), dialer.home());
     dialer.redirected(None);
     assert_eq!(dialer.current(), ranked[1]);
     assert!(!dialer.home_checked(s(30), true) && dialer.home_checked(s(32), true));
     dialer.redirected(Some(9));
-    assert_eq!(dialer.current(), ranked[1], "not on its list: whoever is next");
+    assert_eq!(dialer.current(), ranked[1], "not on its list, so the next in rank");
 }
 
 #[test]
@@ -53,8 +56,8 @@
     assert!(!dialer.home_checked(s(10), true) && !dialer.home_checked(s(11), false));
     assert!(!dialer.home_checked(s(12), true) && !dialer.home_checked(s(13), true));
     assert!(dialer.home_checked(s(14), true) && dialer.is_home());
-    assert!(!dialer.home_checked(s(15), true), "it is there");
+    assert!(!dialer.home_checked(s(15), true), "it is already there");
     (0..3).for_each(|_| dialer.connection_lost());
-    assert_eq!(dialer.current(), dialer.home(), "all dead: round again");
+    assert_eq!(dialer.current(), dialer.home(), "all are dead, so it starts again");
     assert_eq!(GovernorSelector::new("p", &[], s(1), s(1)).current(), 0);
 }
--- a/crates/core/src/fault_injection.rs
+++ b/crates/core/src/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Fault injection: decision modules that have gone wrong, for tests and rehearsals of what stands behind the module.
+//! Fault injection: faulty decision modules, for tests and rehearsals of the checks behind the module.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -6,7 +6,7 @@
 
 use crate::engine::FaultyDecider;
 
-/// What was seen of the module's decisions so far.
+/// The module's decisions so far, as far as the faults need them.
 #[derive(Debug, Default)]
 pub struct ObservedDecisions {
     entries_by_table: BTreeMap<TableId, BTreeMap<ReplicaId, f64>>,
@@ -15,10 +15,10 @@
     ticks: u64,
 }
 
-/// What a faulty module makes of a decision.
+/// Replaces a decision of the module by those of a faulty one.
 pub type Fault = fn(Decision, &ObservedDecisions) -> Vec<Decision>;
 
-/// A decider that asks the module, and does not do as it says.
+/// A decider that asks the module and applies a fault to each of its decisions.
 pub fn decider(fault: Fault) -> FaultyDecider {
     let mut seen = ObservedDecisions::default();
     let mut pending = VecDeque::new();
@@ -43,7 +43,8 @@
     })
 }
 
-/// With each tick, entries for every table that was updated; by a replica's place among all.
+/// With each tick, adds an update of every table seen so far. `weight` gets the index and the id of each
+/// replica.
 fn every_table(
     decision: Decision,
     seen: &ObservedDecisions,
@@ -69,7 +70,7 @@
     f64::from(u8::from(is))
 }
 
-/// Faults by name; the names are those of rehearsed days.
+/// Faults by name. Rehearsed days use the same names.
 pub const FAULTS: [(&str, Fault); 13] = [
     ("empty-tables", |decision, seen| every_table(decision, seen, |_, _| 0.0)),
     ("all-onto-a-drain", |decision, seen| match decision {
@@ -152,7 +153,7 @@
     }),
 ];
 
-/// The faulty decider of a name.
+/// The faulty decider with this name.
 pub fn of(kind: &str) -> Option<FaultyDecider> {
     FAULTS.iter().find(|(name, _)| *name == kind).map(|(_, fault)| decider(*fault))
 }
--- a/crates/core/src/fencing.rs
+++ b/crates/core/src/fencing.rs
@@ -1,26 +1,27 @@
-//! Fencing, at the proxy: which governor's updates it accepts. A governor that stalled and wakes with old updates,
-//! and two governors that both believe they own a proxy, are fenced off here. See `docs/design/takeover.md`.
+//! Fencing at the proxy: which governor's updates it accepts. This rejects old updates of a governor that
+//! stalled and resumes, and updates of one of two governors that both believe they own the proxy. See
+//! `docs/design/takeover.md`.
 
 use std::collections::BTreeMap;
 
-/// Governors whose epochs are remembered. There are never so many; a made-up name in each update would fill the
-/// memory.
+/// Maximum number of governors whose epochs are remembered, far above the number of real ones: otherwise
+/// updates with a made-up name each would fill the memory.
 const MAX_GOVERNORS: usize = 64;
 
 /// Why an update is not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FencingError {
-    /// It comes from a governor that is not followed.
-    #[error("it comes from another governor than the one that is followed")]
+    /// It comes from a governor that the proxy does not follow.
+    #[error("it comes from a governor that the proxy does not follow")]
     NotFollowed,
-    /// It comes from an older epoch than one that was accepted.
-    #[error("it comes from an older life of its governor than one that was heeded")]
+    /// It has an older epoch than an update that was accepted.
+    #[error("its epoch is older than that of an accepted update")]
     OlderLife,
-    /// It is older than one that was accepted in the same epoch.
-    #[error("it is older than one of the same life that was heeded")]
+    /// It has an older version than an update that was accepted in the same epoch.
+    #[error("its version is older than that of an accepted update of the same epoch")]
     OlderVersion,
-    /// It was sent before the present stream began.
-    #[error("it was said on an older stream")]
+    /// It was sent before the current stream began.
+    #[error("it was sent on an earlier stream")]
     OlderStream,
 }
 
@@ -31,30 +32,31 @@
     version: u64,
 }
 
-/// Accepts updates of one governor's one epoch at a time, and of each governor never an older epoch than the newest
-/// that was ever accepted.
+/// Accepts updates of one epoch of one governor at a time, and never updates of an epoch older than the
+/// newest that was accepted of that governor.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct FencingState {
     following: Option<String>,
-    /// The newest that was accepted of each governor.
+    /// The newest token that was accepted of each governor.
     newest: BTreeMap<String, FencingToken>,
-    /// The newest that was accepted of the governor that is followed, before its present stream began.
+    /// The newest token that was accepted of the followed governor before its current stream began.
     before_stream: Option<FencingToken>,
 }
 
 impl FencingState {
-    /// From now on updates of this governor are accepted, and no other's; a new stream of its begins. What it sent
-    /// on an older one doesn't count again: each join gets a version of its own, beyond all that was sent before.
+    /// Follows this governor from now on, over a new stream, and rejects updates of all others. Updates that
+    /// it sent on an earlier stream are not accepted again: each join gets a new version, above all versions
+    /// sent before.
     pub fn follow(&mut self, governor: &str) {
         self.before_stream = self.newest.get(governor).copied();
         self.following = Some(governor.into());
     }
 
-    /// Accepts an update, or fences it off. Within an epoch versions never go back, and on one stream the same
-    /// version may come in several pieces.
+    /// Accepts or rejects an update. Versions never decrease within an epoch. On one stream, a version may
+    /// arrive in several pieces.
     ///
     /// # Errors
-    /// Why it is fenced off; nothing is changed then.
+    /// Why the update is rejected. The state is unchanged then.
     pub fn accept(&mut self, governor: &str, epoch: u64, version: u64) -> Result<(), FencingError> {
         if self.following.as_deref() != Some(governor) {
             return Err(FencingError::NotFollowed);
--- a/crates/core/src/frozen_tables.rs
+++ b/crates/core/src/frozen_tables.rs
@@ -1,8 +1,9 @@
-//! Frozen tables: tables that operators rolled back to, or that another governor handed over, and what of them may
-//! still be published.
+//! Frozen tables: tables that operators rolled back to or that another governor handed over, and the part of
+//! them that may still be published.
 //!
-//! A frozen table never decides: it takes the entries of an earlier version, which the module decided then, and omits
-//! what the module would not have now. See `docs/design/versions.md` for how the two live together.
+//! A frozen table makes no decisions of its own: it takes the entries of an earlier version, which the
+//! decision module decided, and omits those that the module would not allow now. `docs/design/versions.md`
+//! describes how frozen tables and decisions of the module coexist.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,12 +15,12 @@
 use crate::table_versions::PublishedTable;
 use crate::tables::{ResolvedEntry, Table};
 
-/// An earlier table of a proxy's traffic class, in force until released.
+/// An earlier table of a proxy's traffic class that stays in force until it is released.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FrozenTable {
-    /// The version that it is of.
+    /// The version that the table belongs to.
     pub version: u64,
-    /// When that was published.
+    /// When that version was published.
     pub published_at: Duration,
     /// The table as it was published.
     pub table: PublishedTable,
@@ -29,7 +30,7 @@
     pub until: Duration,
     /// The operator's reason.
     pub why: Arc<str>,
-    /// Another governor published it: it stands until the module here has decided.
+    /// Whether another governor published it. Then it stays in force until the module here has decided.
     pub migrated: bool,
 }
 
@@ -40,10 +41,10 @@
     #[error("gone or draining")]
     Gone,
     /// The replica is ejected.
-    #[error("withdrawn by the module")]
+    #[error("ejected by the module")]
     Withdrawn,
-    /// The replica restarted, and the module does not send to it yet.
-    #[error("started since, and not in the module's present table")]
+    /// The replica restarted, and the module does not send requests to it yet.
+    #[error("restarted since, and not in the module's current table")]
     Cold,
 }
 
@@ -53,28 +54,29 @@
     /// An operator released it.
     #[error("released")]
     Released,
-    /// Its time is over.
-    #[error("its time is over")]
+    /// The freeze has expired.
+    #[error("the freeze has expired")]
     Time,
-    /// Nothing of it is left.
-    #[error("nothing of it is left, and the proxy would be bare")]
+    /// None of its entries can be published any more.
+    #[error("none of its entries is usable, so the proxy would have no route")]
     Bare,
-    /// A later rollback replaced it; its reason.
-    #[error("another step back took its place: {0}")]
+    /// A later rollback replaced it; the reason of that rollback.
+    #[error("replaced by another rollback: {0}")]
     Replaced(Arc<str>),
     /// The proxy's number was assigned to another proxy.
-    #[error("the proxy's number went to another")]
+    #[error("the proxy's number was assigned to another proxy")]
     Reused,
 }
 
-/// What a frozen table comes to now, and what of it is omitted. `current`: the module's current table for the same
-/// proxy and traffic class; `ejected`: whether the module has ejected a replica.
+/// Resolves a frozen table against the current state: the table to publish, and the entries that are omitted.
+/// `current` is the module's current table for the same proxy and traffic class; `ejected` tells whether the
+/// module has ejected a replica.
 ///
-/// A replica that started after the version was published is another process than the one that the table meant: how much
-/// load it can bear is the module's to say. It gets the fraction of the table that the module gives it now, at most its
-/// frozen one, or is omitted where the module gives it none.
+/// A replica that restarted after the version was published is a different process from the one that the
+/// table was made for, and only the module can say how much load it can take. It gets the fraction of the
+/// table that the module gives it now, at most its frozen one, or is omitted if the module gives it none.
 ///
-/// None where no entry is left: the frozen table is to be released then.
+/// The table is none if no entry is left: the frozen table is to be released then.
 pub fn resolve(
     frozen: &FrozenTable,
     current: &Table,
@@ -117,25 +119,27 @@
         }
     }
     if entries.is_empty() {
-        // With nothing but what restarted since, the module's own table is the only one that is known to be borne.
+        // If only restarted replicas are left, the module's own table is the only one that they are known to
+        // be able to take.
         return (None, omitted);
     }
     add_capped(&mut entries, restarted);
     entries.sort_by(|one, other| one.replica.cmp(&other.replica));
-    // Admission control is not frozen: it says what the fleet bears now.
+    // Admission control is not frozen: it depends on what the fleet can take now.
     (Some(Table { entries, admission_fraction: current.admission_fraction }), omitted)
 }
 
-/// An entry that may have at most a fraction of the table.
+/// An entry that is limited to a fraction of the table.
 struct CappedEntry {
     entry: ResolvedEntry,
     cap: f64,
 }
 
-/// Together, capped entries have at most this fraction of a table.
+/// The largest fraction of a table that capped entries may have together.
 const MAX_CAPPED_FRACTION: f64 = 0.95;
 
-/// Fractions are of the table as it comes out: what is omitted must not raise a capped one's beyond its cap.
+/// Adds capped entries. Caps are fractions of the resulting table, so that omitted entries don't raise a
+/// capped entry above its cap.
 fn add_capped(entries: &mut Vec<ResolvedEntry>, capped: Vec<CappedEntry>) {
     let uncapped_total: f64 = entries.iter().map(|entry| entry.weight).sum();
     let caps: f64 = capped.iter().map(|capped| capped.cap).sum::<f64>().min(MAX_CAPPED_FRACTION);
--- a/crates/core/src/frozen_tables/tests.rs
+++ b/crates/core/src/frozen_tables/tests.rs
@@ -61,7 +61,7 @@
         resolve(&hold(&["a", "b", "c", "d", "e"]), &present(&[("a", 1.0)]), &roster, |id| &**id == "d");
     let table = table.unwrap();
     assert_eq!(table.entries.iter().map(|line| &*line.replica).collect::<Vec<_>>(), ["a"]);
-    assert_eq!(&*table.entries[0].address, "a:1", "where it is now");
+    assert_eq!(&*table.entries[0].address, "a:1", "its current address");
     assert_eq!(table.admission_fraction, 0.5);
     let why: Vec<OmissionReason> = left_out.into_values().collect();
     assert_eq!(
--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -1,23 +1,26 @@
-//! The guard: what may not reach a proxy, whoever made it: the module by a fault, an operator, another governor,
-//! a front's bug. See `docs/design/guard.md`.
+//! The guard: checks every change of tables before it is published to proxies, whatever the source of a bad
+//! change is: a fault of the decision module, an operator, another governor or a bug in a front. See
+//! `docs/design/guard.md`.
 //!
-//! The guard keeps its own ledger of expected load: the requests a second that each replica would be sent by all
-//! proxies here, by their demand and their tables, and what each can take. A change is checked as the state that
-//! all proxies would be in after it. What passes is left as it is, to the letter. What does not is brought to the
-//! nearest state that does: an entry without meaning is left out, a fraction that is too large is made smaller, a
-//! change that can't be is not carried out and the last good table stands, less what drains or is ejected. The
-//! guard never opens an entry that nobody asked for, but where a proxy would be left with none.
+//! The guard keeps its own ledger of expected load: the requests per second that all proxies of this governor
+//! send each replica, computed from their demand and their tables, and what each replica can take. A change
+//! is checked as the state that all proxies would be in after it. What passes is published unchanged. What
+//! does not is replaced by the nearest state that does: an entry without meaning is removed, a fraction that
+//! is too large is reduced, and where a change is not possible at all the last good table stays in force,
+//! without replicas that drain or are ejected. The guard never opens an entry that was not requested, unless
+//! a proxy would be left without any.
 //!
-//! When two rules conflict, the earlier holds: no proxy without a routable entry; drains and ejections; no cold
-//! replica over its part; no warm one over what it can take; no more at once than was asked for.
+//! When two rules conflict, the earlier one wins: no proxy without a routable entry; drains and ejections; no
+//! cold replica above its share; no warm replica above what it can take; no larger shift of traffic at once
+//! than was requested.
 //!
-//! | file | what is in it |
+//! | file | contents |
 //! | --- | --- |
-//! | `limits` | what the guard is given at its start, and its constants |
+//! | `limits` | the guard's parameters and constants |
 //! | `ledger` | demand, tables and throughput: the expected load of each replica |
-//! | `capacity` | what each replica may be sent |
-//! | `checks` | a change of tables, checked step by step |
-//! | `repair` | what a table must be in itself, and what stands in the place of one that is not |
+//! | `capacity` | the load that each replica may be given |
+//! | `checks` | the steps of checking a change of tables |
+//! | `repair` | the rules for a single table, and replacements for a table that breaks them |
 //! | `refusals` | what was refused, why, and for how long |
 
 mod capacity;
@@ -42,7 +45,7 @@
 use ledger::LoadLedger;
 use refusals::RefusalLog;
 
-/// Checks all tables on their way to proxies.
+/// Checks all tables before they are published to proxies.
 #[derive(Debug, Clone)]
 pub struct Guard {
     limits: GuardLimits,
@@ -52,19 +55,19 @@
 }
 
 impl Guard {
-    /// A guard that knows no proxies and no replicas.
+    /// A guard without proxies and replicas.
     pub fn new(limits: GuardLimits) -> Self {
         Guard { limits, ledger: LoadLedger::default(), refusals: RefusalLog::default(), off: false }
     }
 
-    /// Lets everything through, for measurements of what it is worth.
+    /// Publishes every change unchecked, to measure what the guard contributes.
     pub fn switch_off(&mut self) {
         self.off = true;
     }
 
     // ---- what the ledger records
 
-    /// A proxy has connected: its ordinary demand as it says it is, on its default table.
+    /// Records a proxy that has connected, with the demand that it declares, on its default table.
     pub fn proxy_connected(
         &mut self,
         proxy: ProxyId,
@@ -74,18 +77,18 @@
         self.ledger.connect(proxy, self.limits.class_count(), requests_per_second, default_table);
     }
 
-    /// A proxy has disconnected: its load and its refusals are forgotten.
+    /// Removes the load and the refusals of a proxy that has disconnected.
     pub fn proxy_disconnected(&mut self, proxy: ProxyId) {
         self.ledger.disconnect(proxy);
         self.refusals.forget_proxy(proxy);
     }
 
-    /// Requests that came to a proxy within an interval, as it reports.
+    /// Records the number of requests that a proxy reports for an interval.
     pub fn record_demand(&mut self, proxy: ProxyId, class: usize, requests: u64, interval: Duration) {
         self.ledger.record_demand(proxy, class, requests, interval);
     }
 
-    /// Requests that succeeded at a replica within an interval, as the proxies of a zone report.
+    /// Records how many requests to a replica succeeded within an interval, as the proxies of a zone report.
     pub fn record_throughput(
         &mut self,
         now: Duration,
@@ -97,12 +100,12 @@
         self.ledger.record_throughput(now, replica, zone, succeeded, interval);
     }
 
-    /// What a replica was seen to deliver a second, as known from elsewhere.
+    /// Sets the throughput of a replica, in requests per second, from stored state or a recording.
     pub fn restore_throughput(&mut self, now: Duration, replica: &ReplicaId, zone: usize, per_second: f64) {
         self.ledger.restore_throughput(now, replica, zone, per_second);
     }
 
-    /// A proxy that has connected has so many requests a second of a class, and holds a table.
+    /// Sets the demand of a connected proxy for a class, and the table that it holds, if any.
     pub fn set_current_table(
         &mut self,
         proxy: ProxyId,
@@ -113,15 +116,15 @@
         self.ledger.set_current_table(proxy, class, requests_per_second, table);
     }
 
-    /// The roster has changed: what is not on it any more is forgotten.
+    /// Removes replicas that are no longer on the roster.
     pub fn roster_changed(&mut self, roster: &Roster) {
         self.ledger.roster_changed(roster);
     }
 
-    // ---- what is checked besides tables; those are in `checks`
+    // ---- checks other than those of tables, which are in `checks`
 
-    /// The retry policy that proxies may have in each class of a set: an attempt that may have run is never
-    /// followed by another where its effect must not happen twice.
+    /// The retry policies that may be published for a set of classes: a request that may have been executed
+    /// is never retried in a class whose requests are not idempotent.
     pub fn check_retry_policy(
         &mut self,
         now: Duration,
@@ -135,13 +138,13 @@
         }
         let barred_set: ClassSet = barred.iter().map(|class| 1 << class).sum();
         for class in barred {
-            // Two attempts were asked for; one is allowed.
+            // The policy asks for two attempts; one is allowed.
             self.record_refusal(now, class, RefusalReason::Tries, 2.0, 1.0);
         }
         vec![(classes & !barred_set, policy), (barred_set, RetryPolicy::IfNotExecuted)]
     }
 
-    /// Something that is about no one proxy was refused, and corrected.
+    /// Records a refusal that does not concern a single proxy and was corrected.
     pub fn record_refusal(
         &mut self,
         now: Duration,
@@ -153,13 +156,13 @@
         self.refusals.record_general(now, class, reason, asked, allowed);
     }
 
-    /// A proxy holds what is wanted for a class: nothing of it is refused any more.
+    /// A proxy holds the wanted table of a class, so its refusals there have ended.
     pub fn clear_refusals(&mut self, proxy: ProxyId, class: usize) {
         self.refusals.clear(proxy, class);
     }
 
-    /// Replicas that are sent more than they may be by the tables that stand, as when one restarts cold, or
-    /// demand grows.
+    /// Replicas whose load under the current tables exceeds what they may be given, for instance because they
+    /// restarted cold or because demand grew.
     pub fn overloaded_replicas(
         &self,
         now: Duration,
@@ -177,12 +180,12 @@
 
     // ---- what the log and operators read
 
-    /// The next refusal that is new, for the log; one that goes on is none.
+    /// The next refusal to be logged. A refusal that continues is returned only the first time.
     pub fn next_new_refusal(&mut self) -> Option<Refusal> {
         self.refusals.next_new()
     }
 
-    /// Proxies something of whose tables is being refused: they are to be checked again now and then.
+    /// Proxies with a refusal that has not ended: their tables are to be checked again periodically.
     pub fn proxies_with_refusals(&self) -> BTreeSet<ProxyId> {
         self.refusals.proxies()
     }
@@ -197,27 +200,27 @@
         self.refusals.iter()
     }
 
-    /// Refusals by reason; and tables that passed as they were.
+    /// Counts of refusals by reason, and of tables that passed unchanged.
     pub fn tally(&self) -> (&BTreeMap<RefusalReason, u64>, u64) {
         self.refusals.tally()
     }
 
-    /// Requests a second that a proxy has of a class, by the ledger.
+    /// The demand of a proxy for a class in requests per second, by the ledger.
     pub fn requests_per_second(&self, proxy: ProxyId, class: usize) -> f64 {
         self.ledger.requests_per_second(proxy, class)
     }
 
-    /// The most that was delivered a second lately, by replica and zone, counting less with age.
+    /// Recent peak throughput by replica and zone of the proxies, in requests per second, decayed with age.
     pub fn throughput(&self, now: Duration) -> impl Iterator<Item = (&ReplicaId, usize, f64)> {
         self.ledger.throughput(now)
     }
 
-    /// What the guard was given at its start.
+    /// The parameters of this guard.
     pub fn limits(&self) -> &GuardLimits {
         &self.limits
     }
 
-    /// Requests a second that a replica is sent by proxies here, by the ledger.
+    /// Requests per second that the proxies of this governor send a replica, by the ledger.
     pub fn sent_to(&self, replica: &ReplicaId) -> f64 {
         self.ledger.load(replica).max(0.0)
     }
--- a/crates/core/src/guard/capacity.rs
+++ b/crates/core/src/guard/capacity.rs
@@ -1,4 +1,4 @@
-//! What each replica may be sent.
+//! The load that each replica may be given.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,21 +10,21 @@
 use super::limits::{COLD_FAILURE, MIN_CAPACITY_LEFT, NEARLY_ALL, WARM_MARGIN, allowed_cold_load};
 use super::{Guard, RefusalReason};
 
-/// A replica may always be sent this much, in requests a second.
+/// Every replica may be given at least this load, in requests per second.
 const MIN_ALLOWED_LOAD: f64 = 1.0;
 
-/// Requests a second for a warm replica of weight 1.
+/// Capacity of a warm replica of weight 1, in requests per second.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Capacity {
-    /// What falls to each if all requests here are spread evenly.
+    /// The share of each replica if all requests of this governor's proxies are spread evenly.
     even_part: f64,
-    /// What it is known to take.
+    /// The load that it is known to take.
     known: f64,
-    /// How many times the demand here all governors' proxies together have.
+    /// Demand of all governors' proxies together, as a multiple of the demand of the proxies here.
     total_to_local: f64,
 }
 
-/// A replica that is sent too much, in requests a second.
+/// A replica with too much load; the figures are in requests per second.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Overload {
     pub(super) reason: RefusalReason,
@@ -33,7 +33,7 @@
 }
 
 impl Guard {
-    /// The fraction of its capacity that a replica has in its slow start.
+    /// The fraction of its capacity that a replica currently has, below 1 during its slow start.
     fn warmth(&self, now: Duration, roster: &Roster, id: &ReplicaId) -> f64 {
         let Some(started) = roster.get(id).and_then(|known| known.started_at) else { return 1.0 };
         let age = now.saturating_sub(started).as_secs_f64();
@@ -45,15 +45,17 @@
         initial + (1.0 - initial) * age / slow_start
     }
 
-    /// The capacity of ready replicas, in weights of warm ones.
+    /// The total capacity of the ready replicas that `counts` selects, as a sum of the weights of warm
+    /// replicas.
     fn ready_capacity(&self, now: Duration, roster: &Roster, counts: impl Fn(&ReplicaId) -> bool) -> f64 {
         let ready = roster.iter().filter(|(id, known)| known.phase == Phase::Ready && counts(id));
         ready.map(|(id, known)| known.weight.max(0.0) * self.warmth(now, roster, id)).sum()
     }
 
-    /// Whether the module's ejections are followed. Those that leave less than [`MIN_CAPACITY_LEFT`] are not: all
-    /// requests would fall on the rest. *Harm:* where so many are really bad, they are sent to until the module
-    /// restores them or the roster drops them.
+    /// Whether the decision module's ejections are followed. They are not if they leave less than
+    /// [`MIN_CAPACITY_LEFT`], because all requests would fall on the remaining replicas. *Harm:* where so
+    /// many replicas are really bad, they keep getting requests until the module restores them or the roster
+    /// drops them.
     pub(super) fn follows_ejections(
         &self,
         now: Duration,
@@ -64,10 +66,10 @@
         left >= MIN_CAPACITY_LEFT * self.ready_capacity(now, roster, |_| true)
     }
 
-    /// What a warm replica is known to take is the most that any was seen to deliver lately, or what falls to
-    /// each if everything is spread evenly, whichever is more: so neither a fleet that was never under load nor
-    /// one that grows makes refusals by itself. A cold one is judged by the even part alone: the most that was
-    /// seen comes in bursts, and a cold one has nothing to bear them with.
+    /// The known capacity of a warm replica is the highest throughput that any replica showed recently, or
+    /// the even share of each replica, whichever is larger. So neither a fleet that was never under load nor
+    /// one that grows causes refusals by itself. A cold replica is judged by the even share alone: peaks of
+    /// throughput come from bursts, and a cold replica has no reserve for bursts.
     pub(super) fn capacity(
         &self,
         now: Duration,
@@ -82,18 +84,19 @@
         let proven = delivered.iter().map(|(id, per_second)| per_second / weight(id)).fold(0.0, f64::max);
         let ready = self.ready_capacity(now, roster, |id| !ejected(id));
         let even_part = if ready > 0.0 { self.ledger.total_demand() / ready } else { f64::INFINITY };
-        // A warm one can take its even part of the demand of all governors. With a few proxies here, of one zone,
-        // their own tables alone come to several times the even part of theirs.
+        // A warm replica can take its even share of the demand of all governors. With only a few proxies
+        // here, all of one zone, their tables alone add up to several times the even share of their own
+        // requests.
         let local = self.ledger.assignment_count() as f64 / self.limits.class_count().max(1) as f64;
         let total_to_local = (self.limits.proxy_count as f64 / local.max(1.0)).max(1.0);
         Capacity { even_part, known: proven.max(even_part * total_to_local), total_to_local }
     }
 
-    /// Whether a replica is sent too much; none if it is not, or is not ready.
+    /// The overload of a replica; none if it has no overload or is not ready.
     ///
-    /// What other governors send is on neither side: what a replica was seen to take and what falls to each are by
-    /// the requests of the proxies here. *Harm:* where others send a replica more than their even part, nobody
-    /// sees all of it.
+    /// Load sent by other governors is left out on both sides: throughput and even shares are computed from
+    /// the requests of the proxies here. *Harm:* where other governors send a replica more than their even
+    /// share, no governor sees its total load.
     pub(super) fn overload(
         &self,
         now: Duration,
--- a/crates/core/src/guard/checks.rs
+++ b/crates/core/src/guard/checks.rs
@@ -1,4 +1,4 @@
-//! A change of tables, checked step by step as the state that all proxies would be in after it.
+//! Checks a change of tables step by step, as the state that all proxies would be in after it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -17,34 +17,35 @@
 /// How much of all traffic one change may move to other replicas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShiftLimit {
-    /// As much as it takes: the roster changed, a proxy came or went, a replica was ejected, an operator spoke.
+    /// No limit: the cause requires the shift, such as a change of the roster, a proxy that connected or
+    /// disconnected, an ejection, or an operation of an operator.
     Unlimited,
-    /// At most [`AT_ONCE`], as nothing asks for more.
+    /// At most [`AT_ONCE`], because no event requires more.
     Limited,
 }
 
-/// A table on its way to a proxy.
+/// A table that is to be published to a proxy.
 #[derive(Debug, Clone)]
 pub struct ProposedTable<'a> {
-    /// The proxy that it is for.
+    /// The proxy that the table is for.
     pub proxy: ProxyId,
     /// That proxy's zone.
     pub zone: usize,
-    /// The traffic class that it is for.
+    /// The traffic class that the table is for.
     pub class: usize,
-    /// What the proxy holds, if it was sent anything.
+    /// The table that the proxy holds; none if it was sent none.
     pub held: Option<&'a Table>,
     /// The proxy's own default table.
     pub default_table: &'a [(ReplicaId, f64)],
-    /// The table that it should hold.
+    /// The table to be published.
     pub wanted: Table,
 }
 
-/// Changes under check, and what becomes of them.
+/// A check in progress: the changes, and the tables and findings so far.
 struct Check<'a, Open> {
     now: Duration,
     roster: &'a Roster,
-    /// Whether a replica may be sent to.
+    /// Whether a replica may get requests.
     open: &'a Open,
     changes: &'a [ProposedTable<'a>],
     /// In the order of the changes.
@@ -53,7 +54,8 @@
 }
 
 impl Guard {
-    /// Checks a change as the state that all proxies are in after it: the tables that may be published, in order.
+    /// Checks changes as the state that all proxies would be in after them, and returns the tables that may
+    /// be published, in the order of the changes.
     pub fn check(
         &mut self,
         now: Duration,
@@ -104,7 +106,8 @@
         }
     }
 
-    /// What does not fit the channel waits: the first changes are carried out, the rest keep what they hold.
+    /// Limits the number of entries to what the channel can carry: the first changes are carried out, and the
+    /// other proxies keep their current tables for now.
     fn defer_excess_entries<Open: Fn(&ReplicaId) -> bool>(&self, check: &mut Check<'_, Open>) {
         let limit = self.limits.max_entries;
         let entries: usize = check.tables.iter().map(|table| table.entries.len()).sum();
@@ -124,7 +127,7 @@
         }
     }
 
-    /// Holds back a change that moves too much at once, until it has been held back for long enough.
+    /// Holds back a change that moves too much traffic at once, for at most [`HELD_FOR`].
     fn hold_back_shift<Open: Fn(&ReplicaId) -> bool>(&self, check: &mut Check<'_, Open>) {
         let shifted = self.ledger.shifted_fraction(check.changes, &check.tables);
         let too_much = shifted > AT_ONCE;
@@ -152,12 +155,13 @@
         last_good_table(change, self.limits.is_same_zone_only(change.class), check.open)
     }
 
-    /// Makes the weights of replicas smaller that would be sent too much, in the tables that change. What one gives
-    /// up goes to others, which may then be sent too much: hence the passes.
+    /// Reduces the weights of overloaded replicas in the tables that change. Load that is taken off one
+    /// replica moves to others, which may then be overloaded, so this takes several passes.
     fn limit_loads<Open: Fn(&ReplicaId) -> bool>(&mut self, check: &mut Check<'_, Open>) {
         let open = check.open;
         let capacity = self.capacity(check.now, check.roster, &|id: &ReplicaId| !open(id));
-        // A table that is kept was made smaller before: what is left of an entry is by the others, not by itself.
+        // Weights in a table that is kept have been reduced before: the minimum is a fraction of the table's
+        // mean weight, so that repeated checks do not reduce an entry further and further.
         let mut min_weights: Vec<f64> = check.tables.iter().map(min_weight).collect();
         for pass in 0..MAX_PASSES {
             let routable =
@@ -179,7 +183,7 @@
         }
     }
 
-    /// One pass over one table; whether it has entries that could give way.
+    /// One pass over one table. Returns whether it has an entry that requests can move to.
     fn limit_table<Open: Fn(&ReplicaId) -> bool>(
         &mut self,
         check: &mut Check<'_, Open>,
@@ -206,7 +210,7 @@
             all_overloaded = false;
         }
         if first_pass {
-            // With nothing else to send to, over is better than bare.
+            // Where no other replica is available, an overloaded one is better than none.
             let outcome = if all_overloaded { RefusalOutcome::LetThrough } else { RefusalOutcome::Corrected };
             check.find_overloads(place, overloads, outcome);
         }
@@ -218,8 +222,9 @@
         !all_overloaded
     }
 
-    /// Where all of a table is too much, and for a cold replica: what is good of the last table, or of the proxy's
-    /// default table, if that has others, too. What is too much for warm ones only is published as it was asked.
+    /// A replacement for a table whose replicas are all overloaded, at least one of them cold: the last good
+    /// table, else a last-resort table, if it has a replica that is not overloaded. A table that only
+    /// overloads warm replicas is published as requested.
     fn table_with_headroom<Open: Fn(&ReplicaId) -> bool>(
         &self,
         check: &Check<'_, Open>,
@@ -249,7 +254,7 @@
         self.findings.push(Finding { change, reason, outcome, replica: None, asked, allowed });
     }
 
-    /// A finding for each routable entry of a table whose replica is overloaded.
+    /// Adds a finding for each routable entry whose replica is overloaded.
     fn find_overloads(&mut self, place: usize, overloads: &Overloads, outcome: RefusalOutcome) {
         for entry in self.tables[place].entries.iter().filter(|entry| entry.routable) {
             let Some(overload) = overloads.get(&entry.replica) else { continue };
@@ -265,7 +270,7 @@
     }
 }
 
-/// Replicas that are sent too much.
+/// Overloaded replicas.
 type Overloads = BTreeMap<ReplicaId, Overload>;
 
 fn is_overloaded(entry: &ResolvedEntry, overloads: &Overloads) -> bool {
@@ -279,7 +284,7 @@
     table.entries.iter().any(|entry| entry.routable && is_cold(entry))
 }
 
-/// The smallest weight that an entry of a table is brought down to.
+/// The weight below which no entry of the table is reduced.
 fn min_weight(table: &Table) -> f64 {
     let routable = table.entries.iter().filter(|entry| entry.routable);
     let mean = routable.clone().map(|entry| entry.weight).sum::<f64>() / routable.count().max(1) as f64;
@@ -289,7 +294,7 @@
 fn reduce_weights(table: &mut Table, overloads: &Overloads, min_weight: f64) {
     for entry in table.entries.iter_mut().filter(|entry| entry.routable) {
         let Some(overload) = overloads.get(&entry.replica) else { continue };
-        // Where others send it too much, to give up everything here would not mend that.
+        // If the overload comes from other tables, removing all weight here would not end it.
         let weight = (entry.weight * rounded_down(overload.allowed / overload.load)).max(min_weight);
         if weight < entry.weight {
             entry.weight = weight;
@@ -297,13 +302,13 @@
     }
 }
 
-/// Rounded down to steps of a tenth or so: a limit that moves a little with each report must not make a new table
+/// Rounds down to a power of 1.1: a limit that moves slightly with each report must not cause a new table
 /// each time.
 fn rounded_down(factor: f64) -> f64 {
     1.1f64.powf((factor.clamp(1e-3, 1.0).ln() / 1.1f64.ln()).floor())
 }
 
-/// Opens entries of ejected replicas again, where the module's ejections are not followed.
+/// Opens the entries of ejected replicas again, where the decision module's ejections are not followed.
 fn reopen_ejected(
     changes: &mut [ProposedTable],
     open: &impl Fn(&ReplicaId) -> bool,
--- a/crates/core/src/guard/ledger.rs
+++ b/crates/core/src/guard/ledger.rs
@@ -1,4 +1,5 @@
-//! Demand, tables and throughput as far as this governor knows them: the expected load of each replica.
+//! The load ledger: the demand and tables of this governor's proxies, and the expected load and observed
+//! throughput of each replica.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,25 +11,25 @@
 
 use super::checks::ProposedTable;
 
-/// Observed throughput counts half after so many seconds.
+/// Half-life of observed throughput, in seconds.
 const THROUGHPUT_HALF_LIFE_SECONDS: f64 = 60.0;
-/// No proxy says truly that it has more.
+/// Upper limit of the demand that a proxy can declare; a larger figure can't be true.
 const MAX_REQUESTS_PER_SECOND: f64 = 1e9;
-/// Shorter intervals are taken for this long.
+/// Intervals are taken to be at least this long.
 const MIN_INTERVAL_SECONDS: f64 = 0.1;
 
 /// A proxy and a traffic class.
 type Place = (ProxyId, usize);
 
-/// What one proxy has of one traffic class, and where it sends that.
+/// The demand of one proxy for one traffic class, and how it is distributed over replicas.
 #[derive(Debug, Clone, Default, PartialEq)]
 struct Assignment {
     requests_per_second: f64,
-    /// By replica; together 1.
+    /// By replica; their sum is 1.
     fractions: Vec<(ReplicaId, f64)>,
 }
 
-/// The most that was delivered a second lately, and when.
+/// Recent peak throughput of a replica, and when it was observed.
 #[derive(Debug, Clone, Copy)]
 struct PeakThroughput {
     per_second: f64,
@@ -42,17 +43,17 @@
     }
 }
 
-/// Expected load by replica, and what it is made of.
+/// Expected load by replica, and the figures that it is computed from.
 #[derive(Debug, Clone, Default)]
 pub(super) struct LoadLedger {
     assignments: BTreeMap<Place, Assignment>,
-    /// Requests a second by replica.
+    /// Requests per second by replica.
     load: BTreeMap<ReplicaId, f64>,
     /// By replica and zone of the proxies.
     throughput: BTreeMap<(ReplicaId, usize), PeakThroughput>,
 }
 
-/// Routable entries as fractions of the whole.
+/// Routable entries as fractions of the sum of their weights.
 fn fractions(table: &Table) -> Vec<(ReplicaId, f64)> {
     let sound = |entry: &&ResolvedEntry| entry.routable && entry.weight.is_finite() && entry.weight > 0.0;
     let total: f64 = table.entries.iter().filter(sound).map(|entry| entry.weight).sum();
@@ -108,14 +109,16 @@
         }
     }
 
-    /// Half of a new report counts at once, so that one odd report does not turn the ledger over.
+    /// Averages the reported demand with the previous one, so that a single odd report does not distort the
+    /// ledger.
     pub(super) fn record_demand(&mut self, proxy: ProxyId, class: usize, requests: u64, interval: Duration) {
         if !self.assignments.contains_key(&(proxy, class)) {
             return;
         }
         let reported = rate(requests, interval);
         self.change((proxy, class), |assignment| {
-            // What came while a stream was broken is reported at once, as if it had come within one interval.
+            // Requests that arrived while a stream was broken are reported together, as if they had all come
+            // within one interval: the rise of a single report is limited.
             let known = assignment.requests_per_second;
             assignment.requests_per_second = 0.5 * (known + reported.min(2.0 * known + 1.0));
         });
@@ -162,12 +165,13 @@
         });
     }
 
-    /// A proxy sends by this table from now on.
+    /// Sets the table by which a proxy distributes its requests from now on.
     pub(super) fn set_table(&mut self, proxy: ProxyId, class: usize, table: &Table) {
         self.change((proxy, class), |assignment| assignment.fractions = fractions(table));
     }
 
-    /// Forgets replicas that are gone, and makes the load anew, so that rounding does not add up.
+    /// Removes the throughput of replicas that are gone, and computes the load from scratch, so that rounding
+    /// errors do not accumulate.
     pub(super) fn roster_changed(&mut self, roster: &Roster) {
         let listed = |id: &ReplicaId| roster.get(id).is_some_and(|known| known.phase != Phase::Gone);
         self.throughput.retain(|(id, _), _| listed(id));
@@ -185,7 +189,7 @@
             let Some(assignment) = self.assignments.get(&(change.proxy, change.class)) else { continue };
             let before: BTreeMap<&ReplicaId, f64> =
                 assignment.fractions.iter().map(|(id, fraction)| (id, *fraction)).collect();
-            // A first table moves nothing that was put there by a table.
+            // A proxy's first table does not move requests that an earlier table had placed.
             if before.is_empty() || change.held.is_none() {
                 continue;
             }
@@ -199,12 +203,12 @@
         if total > 0.0 { shifted / total } else { 0.0 }
     }
 
-    /// Requests a second of all proxies here.
+    /// Total demand of the proxies here, in requests per second.
     pub(super) fn total_demand(&self) -> f64 {
         self.assignments.values().map(|assignment| assignment.requests_per_second).sum()
     }
 
-    /// Proxies here times traffic classes.
+    /// Number of proxies here times the number of traffic classes.
     pub(super) fn assignment_count(&self) -> usize {
         self.assignments.len()
     }
@@ -213,7 +217,7 @@
         self.assignments.get(&(proxy, class)).map_or(0.0, |assignment| assignment.requests_per_second)
     }
 
-    /// Requests a second that a replica is sent by proxies here; rounding may leave it a little below 0.
+    /// Requests per second that proxies here send a replica. Rounding may leave it slightly below 0.
     pub(super) fn load(&self, replica: &ReplicaId) -> f64 {
         self.load.get(replica).copied().unwrap_or(0.0)
     }
--- a/crates/core/src/guard/refusals.rs
+++ b/crates/core/src/guard/refusals.rs
@@ -8,16 +8,18 @@
 use super::checks::ProposedTable;
 use super::limits::{ALARM, HELD_FOR};
 
-/// Refusals that are kept for operators.
+/// Maximum number of refusals that are kept for operators.
 const MAX_REFUSALS: usize = 512;
 
-/// Why something of a change is not published.
+/// Why a part of a change is not published.
+///
+/// The texts are also keys of the JSON status (`refused`) and must not change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum RefusalReason {
     /// The proxy would be left without a routable entry.
     #[error("no line of it is open, though a replica is ready")]
     Bare,
-    /// Every routable entry names a replica that is not open.
+    /// Every routable entry names a replica that is draining or gone.
     #[error("all of its lines are to replicas that drain or are gone")]
     Draining,
     /// As [`RefusalReason::Bare`], for a traffic class that is confined to the proxy's zone.
@@ -29,19 +31,19 @@
     /// An entry's weight is not a positive number.
     #[error("a weight is not finite, or not above 0")]
     Weight,
-    /// Weights are too far apart for the wire.
+    /// The ratio of two weights is too large for the wire format.
     #[error("a weight is so small beside another that the wire can't say both")]
     Wire,
-    /// An admission fraction out of its range.
+    /// An admission fraction is not from 0 to 1.
     #[error("a level is not from 0 to 1")]
     Level,
-    /// A retry policy that could have an effect happen twice.
+    /// A retry policy that could execute a request twice that is not idempotent.
     #[error("a flow that may have run would be tried again, and must not take effect twice")]
     Tries,
-    /// A module that goes on deciding without end.
+    /// The decision module produces decisions without end.
     #[error("more decisions at once than there can be")]
     Flood,
-    /// Ejections that leave too little capacity.
+    /// Ejections leave too little capacity.
     #[error("so much is withdrawn that the rest could not take the flows")]
     Withdrawn,
     /// Too much load on a replica in its slow start.
@@ -50,7 +52,7 @@
     /// Too much load on a warm replica.
     #[error("a replica would be sent more than it can take, while others have room")]
     Over,
-    /// Too much of all traffic moved at once.
+    /// Too large a fraction of all traffic moves at once.
     #[error("it moves more of all flows at once than its cause asks for")]
     Sweep,
     /// Too many table entries in one change.
@@ -63,11 +65,11 @@
 pub enum RefusalOutcome {
     /// The rest of the table is published.
     Corrected,
-    /// The last good table stands, less what drains or is ejected.
+    /// The last good table stays in force, without replicas that drain or are ejected.
     Kept,
-    /// Nothing good was left: the proxy's own default table, or all ready replicas of the roster.
+    /// No good table was left: the proxy's default table is published, or all ready replicas of the roster.
     LastResort,
-    /// It is published all the same: an earlier rule holds, or it was held back for long enough.
+    /// It is published anyway, because an earlier rule takes precedence or it was held back for long enough.
     LetThrough,
 }
 
@@ -76,7 +78,7 @@
 pub struct Refusal {
     /// When it was refused.
     pub at: Duration,
-    /// None where it is about all of them.
+    /// The proxy; none where the refusal concerns all of them.
     pub proxy: Option<ProxyId>,
     /// The traffic class.
     pub class: usize,
@@ -84,17 +86,17 @@
     pub reason: RefusalReason,
     /// What was done about it.
     pub outcome: RefusalOutcome,
-    /// The replica that it is about, if it is about one.
+    /// The replica, if the refusal concerns a single one.
     pub replica: Option<ReplicaId>,
-    /// What was asked: requests a second, fractions, entries; by the reason.
+    /// The requested value: requests per second, a fraction or a number of entries, depending on the reason.
     pub asked: f64,
-    /// What is allowed, in the same unit.
+    /// The allowed value, in the same unit.
     pub allowed: f64,
-    /// Since when the same has been refused without a break.
+    /// Since when the same has been refused without interruption.
     pub since: Duration,
 }
 
-/// A refusal in the making: of the change at a place in the list of changes.
+/// A violation found by a check, before it is recorded as a refusal. `change` is the index of the change.
 #[derive(Debug, Clone)]
 pub(super) struct Finding {
     pub(super) change: usize,
@@ -105,7 +107,7 @@
     pub(super) allowed: f64,
 }
 
-/// What the same refusal is known by.
+/// Identifies a refusal that continues over several checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RefusalKey {
     proxy: ProxyId,
@@ -113,20 +115,21 @@
     reason: RefusalReason,
 }
 
-/// Refusals, how long they have lasted, and how many there were.
+/// Recent refusals, since when those that continue have lasted, and counts of all.
 #[derive(Debug, Clone, Default)]
 pub(super) struct RefusalLog {
     kept: VecDeque<Refusal>,
-    /// Refusals that were not reported yet.
+    /// Refusals that are not logged yet.
     new: VecDeque<Refusal>,
-    /// Since when what is refused now has been refused.
+    /// The start of each refusal that has not ended.
     lasting: BTreeMap<RefusalKey, Duration>,
     counts: BTreeMap<RefusalReason, u64>,
     passed: u64,
 }
 
 impl RefusalLog {
-    /// Records what was found wrong with these changes; what was refused before and is not any more has ended.
+    /// Records the findings of a check. A refusal of these proxies and classes that is not found again has
+    /// ended.
     pub(super) fn record(&mut self, now: Duration, changes: &[ProposedTable], findings: Vec<Finding>) {
         let refused: BTreeSet<usize> = findings.iter().map(|finding| finding.change).collect();
         self.passed += (changes.len() - refused.len()) as u64;
@@ -161,7 +164,7 @@
         }
     }
 
-    /// Records a correction that is about no one proxy.
+    /// Records a correction that does not concern a single proxy.
     pub(super) fn record_general(
         &mut self,
         now: Duration,
@@ -194,7 +197,7 @@
         self.kept.push_back(refusal);
     }
 
-    /// Since when a reason has been refused without a break.
+    /// Since when a change has been refused for a reason without interruption.
     pub(super) fn refused_since(
         &self,
         proxy: ProxyId,
--- a/crates/core/src/guard/repair.rs
+++ b/crates/core/src/guard/repair.rs
@@ -1,4 +1,4 @@
-//! What a table must be in itself, whatever the others are, and what stands in the place of one that is not.
+//! Rules for a single table, independent of all others, and replacements for a table that breaks them.
 
 use wrenthread::types::{Phase, ReplicaId};
 
@@ -17,16 +17,17 @@
     table.entries.iter().filter(|entry| entry.routable).count()
 }
 
-/// A table as it was published, less what drains, is gone or is ejected now; an entry that was closed for that and
-/// is not any more is open again. Otherwise a table that is kept through a deployment would come down to its last
-/// entries, and those be overloaded.
+/// A published table with its entries opened or closed by the current state of their replicas: those that
+/// drain, are gone or are ejected are closed, and those that are available again are opened. If closed
+/// entries stayed closed, a table that is kept through a deployment would shrink to its last entries and
+/// overload them.
 fn reopened(held: &Table, open: &impl Fn(&ReplicaId) -> bool) -> Table {
     let mut table = held.clone();
     table.entries.iter_mut().for_each(|entry| entry.routable = open(&entry.replica));
     table
 }
 
-/// The last good table in the place of a change, as it may be published now, if anything of it is left.
+/// The proxy's last good table as it may be published now; none if no entry of it is routable.
 pub(super) fn last_good_table(
     change: &ProposedTable,
     same_zone_only: bool,
@@ -39,7 +40,8 @@
     Some(last).filter(has_route)
 }
 
-/// A proxy's default table, as far as `fits` allows; else all replicas that fit, in its zone if one is there.
+/// The replicas of the proxy's default table that `fits` accepts. If there are none, all replicas that it
+/// accepts, restricted to the proxy's zone if any is there.
 pub(super) fn last_resort_table(
     change: &ProposedTable,
     roster: &Roster,
@@ -67,14 +69,14 @@
     Table { entries, admission_fraction: 1.0 }
 }
 
-/// Brings one table to what it must be in itself.
+/// Checks a single table and corrects it.
 pub(super) struct SingleTableCheck<'a, Open> {
-    /// The place of the change among all.
+    /// The index of the change.
     pub(super) place: usize,
     pub(super) change: &'a ProposedTable<'a>,
     pub(super) same_zone_only: bool,
     pub(super) roster: &'a Roster,
-    /// Whether a replica may be sent to.
+    /// Whether a replica may get requests.
     pub(super) open: &'a Open,
     pub(super) findings: &'a mut Vec<Finding>,
 }
@@ -122,7 +124,7 @@
             let replica = Some(&entry.replica);
             self.find(RefusalReason::Weight, RefusalOutcome::Corrected, replica, entry.weight, f64::MAX);
         }
-        // A closed entry says only that nothing is to be sent there: its weight is never used.
+        // The weight of a closed entry is never used, so an invalid one is replaced.
         table.entries.retain(|entry| !entry.routable || sound(entry));
         table.entries.iter_mut().filter(|entry| !sound(entry)).for_each(|entry| entry.weight = 1.0);
     }
@@ -159,14 +161,15 @@
         }
     }
 
-    /// What stands in the place of a table without a route: the last good one, or a last resort, or, where nobody
-    /// is there, the table as it was asked, less what is closed.
+    /// A replacement for a table without a routable entry: the last good one, else a last resort, else, where
+    /// no replica is ready, the requested table without its closed entries.
     fn replace_bare_table(&mut self, table: Table, asked: usize) -> Table {
         let (roster, change, open) = (self.roster, self.change, self.open);
         let near_enough = |id: &ReplicaId| {
             !self.same_zone_only || roster.get(id).is_some_and(|known| known.zone == change.zone)
         };
-        // A module that has ejected all of them is not followed in that: one that may be bad is better than none.
+        // If the module has ejected every replica, its ejections are ignored: a replica that may be bad is
+        // better than none.
         let any_open = roster.iter().any(|(id, _)| open(id) && near_enough(id));
         let is_ready = |id: &ReplicaId| roster.get(id).is_some_and(|known| known.phase == Phase::Ready);
         let fits = |id: &ReplicaId| near_enough(id) && if any_open { open(id) } else { is_ready(id) };
--- a/crates/core/src/guard/tests.rs
+++ b/crates/core/src/guard/tests.rs
@@ -10,7 +10,8 @@
     Duration::from_secs(seconds)
 }
 
-/// Replicas a to f in zone 0 and g in zone 1; what drains, and what started a second ago.
+/// Replicas a to f in zone 0 and g in zone 1. Those in `draining` drain; those in `cold` started a second
+/// ago.
 fn roster(draining: &[&str], cold: &[&str]) -> Roster {
     let mut roster = Roster::new(s(30));
     let entry = |id: &str| RosterEntry {
@@ -56,7 +57,7 @@
     ProposedTable { proxy, zone: 0, class: 0, held, default_table: &[], wanted }
 }
 
-/// Judges one change of proxy 0: what goes out, and what was refused.
+/// Checks one change of proxy 0. Returns the table that is published and the new refusals.
 fn judged(
     guard: &mut Guard,
     roster: &Roster,
@@ -87,14 +88,15 @@
         why,
         [(RefusalReason::Draining, RefusalOutcome::Kept), (RefusalReason::Bare, RefusalOutcome::LastResort)]
     );
-    assert_eq!(open(&out).len(), 5, "all that are ready in its zone");
+    assert_eq!(open(&out).len(), 5, "all ready replicas of its zone");
     let standing = [("b".into(), 1.0), ("d".into(), 3.0)];
     let own = ProposedTable { default_table: &standing, ..change(0, None, table(&[])) };
     assert_eq!(
         open(&guard.check(s(100), &roster, |_| false, ShiftLimit::Unlimited, vec![own])[0]),
         [("d".to_string(), 3.0)]
     );
-    // All withdrawn: one that may be bad is better than none. All draining: nobody is there.
+    // With all replicas ejected, one that may be bad is better than none. With all draining, no replica is
+    // left.
     let change = change(0, Some(&held), table(&[("a", 1.0)]));
     let out = guard.check(s(100), &roster, |_| true, ShiftLimit::Unlimited, vec![change.clone()]).remove(0);
     assert_eq!(open(&out), [("a".to_string(), 1.0)]);
@@ -111,12 +113,12 @@
     assert_eq!((open(&out).len(), why), (1, vec![(RefusalReason::OutOfZone, RefusalOutcome::Corrected)]));
     let (out, why) = judged(&mut own, &roster, None, table(&[("g", 1.0)]));
     assert!(why.contains(&(RefusalReason::ZoneBare, RefusalOutcome::LastResort)) && open(&out).len() == 6);
-    // A last good table that was shut in a line for a drain has it back once that is over.
+    // An entry of the last good table that was closed for a drain is opened again after the drain.
     let mut held = table(&[("a", 1.0), ("b", 1.0), ("g", 1.0)]);
     held.entries.iter_mut().for_each(|line| line.routable = &*line.replica == "b");
     let back = super::tests::roster(&["b"], &[]);
     let (out, _) = judged(&mut super::tests::guard(true), &back, Some(&held), table(&[]));
-    assert_eq!(open(&out), [("a".to_string(), 1.0)], "and none that its group must not go to");
+    assert_eq!(open(&out), [("a".to_string(), 1.0)], "and no replica outside the zone of a same-zone class");
     let last = repair::last_good_table(&change(0, Some(&held), table(&[])), true, &|_| true);
     assert_eq!(last.map(|last| open(&last).len()), Some(2));
     let mut guard = guard(false);
@@ -153,7 +155,8 @@
 #[test]
 fn limits_the_load_of_cold_and_warm_replicas_over_all_proxies() {
     let (mut guard, cold) = (guard(false), roster(&[], &["a"]));
-    // 120 flows over 6.3 replicas: 19 each, 5.4 for the cold one, twice that at the most.
+    // 120 requests per second over a capacity of 6.3 warm replicas make 19 each and 5.4 for the cold one, at
+    // most twice that.
     let heavy = || table(&[("a", 10.0), ("b", 1.0), ("c", 1.0), ("d", 1.0)]);
     let changes = (0..4).map(|proxy| change(proxy, None, heavy())).collect();
     let out = guard.check(s(100), &cold, |_| false, ShiftLimit::Unlimited, changes);
@@ -161,17 +164,17 @@
         out.iter().map(|out| 30.0 * open(out)[0].1 / open(out).iter().map(|one| one.1).sum::<f64>()).sum();
     assert!(sent < 12.5 && sent > 4.0, "{sent}");
     assert!(guard.refusals().all(|one| one.reason == RefusalReason::Cold));
-    assert!((guard.sent_to(&"a".into()) - sent).abs() < 1e-6, "the account is of what goes out");
-    // Few flows come in bursts; of many the means say enough.
+    assert!((guard.sent_to(&"a".into()) - sent).abs() < 1e-6, "the ledger holds the published tables");
+    // A small load comes in bursts; for a large load the mean is enough.
     let times = [1.0, 3.5, 20.0, 500.0].map(|part| (limits::allowed_cold_load(part) / part * 100.0).round());
     assert_eq!(times, [160.0, 160.0, 189.0, 200.0]);
-    // The same one warm: 17 each, three times that at the most.
+    // The same replica when warm: 17 each, at most three times that.
     let warm = roster(&[], &[]);
     let changes = (0..4).map(|proxy| change(proxy, None, heavy())).collect();
     guard.check(s(100), &warm, |_| false, ShiftLimit::Unlimited, changes);
     assert!(guard.sent_to(&"a".into()) < 52.0, "{}", guard.sent_to(&"a".into()));
     assert!(guard.tally().0[&RefusalReason::Over] > 0);
-    // Where all but a cold one are withdrawn, they are not.
+    // If all replicas but a cold one are ejected, the ejections are not followed.
     let mut most = super::tests::guard(false);
     let mut wanted = heavy();
     wanted.entries.iter_mut().skip(1).for_each(|line| line.routable = false);
@@ -180,13 +183,14 @@
         most.check(s(100), &cold, |id| &**id != "a", ShiftLimit::Unlimited, (0..4).map(change_of).collect());
     assert!(out.iter().all(|out| open(out).len() == 4) && most.sent_to(&"a".into()) < 12.5);
     assert!(most.tally().0[&RefusalReason::Withdrawn] > 0);
-    // Also where all are withdrawn, and what is ready is told all the same.
+    // The same if all are ejected and the ready replicas are published anyway.
     let mut out = super::tests::guard(false);
     let held = heavy();
     let changes = (0..4).map(|proxy| change(proxy, Some(&held), table(&[]))).collect();
     out.check(s(100), &cold, |_| true, ShiftLimit::Unlimited, changes);
     assert!(out.sent_to(&"a".into()) < 12.5, "{}", out.sent_to(&"a".into()));
-    // Unless it was seen to take more; or there is nothing else in the table: bare is worse than over.
+    // No limit applies if a replica has shown a higher throughput, or if it is the only one in the table: an
+    // overloaded replica is better than none.
     guard.record_throughput(s(100), &"a".into(), 0, 100, s(1));
     let (_, why) = judged(&mut guard, &warm, None, heavy());
     assert_eq!(why, []);
@@ -199,13 +203,13 @@
             .all(|out| open(out).len() == 1)
     );
     assert!(fresh.refusals().all(|one| one.outcome == RefusalOutcome::LetThrough));
-    // Four proxies of eighty here: what is much for them is little for a replica.
+    // With four of eighty proxies here, a large load by their demand is small for a replica.
     let mut few = super::tests::guard(false);
     few.limits.proxy_count = 80;
     let changes = (0..4).map(|proxy| change(proxy, None, heavy())).collect();
     few.check(s(100), &warm, |_| false, ShiftLimit::Unlimited, changes);
     assert_eq!(few.refusals().count(), 0);
-    // What stands is looked at again when it starts anew, or demand grows.
+    // Current tables are checked again when a replica restarts or demand grows.
     assert!(guard.overloaded_replicas(s(100), &cold, |_| false).contains("a"));
     assert!(guard.overloaded_replicas(s(100), &warm, |_| false).is_empty());
 }
@@ -216,12 +220,12 @@
     let held = table(&[("a", 1.0), ("b", 1.0), ("c", 1.0)]);
     let first = (0..4).map(|proxy| change(proxy, None, held.clone())).collect();
     guard.check(s(100), &roster, |_| false, ShiftLimit::Limited, first);
-    assert!(guard.tally().0.is_empty(), "a first word moves nothing");
+    assert!(guard.tally().0.is_empty(), "first tables move no traffic");
     let wanted = table(&[("d", 1.0), ("e", 1.0), ("f", 1.0)]);
     let sweep = || (0..4).map(|proxy| change(proxy, Some(&held), wanted.clone())).collect();
     let mut at = |seconds, asked| guard.check(s(seconds), &roster, |_| false, asked, sweep())[0] == wanted;
     assert!(!at(101, ShiftLimit::Limited) && !at(104, ShiftLimit::Limited));
-    assert!(at(106, ShiftLimit::Limited), "a guard that is wrong must not freeze a fleet");
+    assert!(at(106, ShiftLimit::Limited), "a mistake of the guard must not block a fleet");
     let mut asked = super::tests::guard(false);
     asked.check(
         s(100),
@@ -232,13 +236,13 @@
     );
     assert!(
         asked.check(s(101), &roster, |_| false, ShiftLimit::Unlimited, sweep())[0] == wanted,
-        "its cause asks for it"
+        "the cause requires the shift"
     );
-    // Twenty lines at a time: six tables of three.
+    // The limit is 20 entries per change: six tables of three.
     let many = (0..8).map(|proxy| change(proxy, Some(&held), wanted.clone())).collect();
     let out = asked.check(s(102), &roster, |_| false, ShiftLimit::Unlimited, many);
     assert_eq!(out.iter().filter(|out| **out == wanted).count(), 6);
-    assert_eq!(asked.proxies_with_refusals().len(), 2, "the rest are judged again");
+    assert_eq!(asked.proxies_with_refusals().len(), 2, "the others are checked again");
     assert_eq!((asked.alarms(s(102)), asked.alarms(s(113))), (0, 2));
     asked.clear_refusals(6, 0);
     asked.proxy_disconnected(7);
--- a/crates/core/src/ownership.rs
+++ b/crates/core/src/ownership.rs
@@ -1,21 +1,23 @@
-//! Ownership of proxies, where no governor can be asked: the order of governors for a proxy, the shared keys, and
-//! signed proofs of whose tables a proxy holds. No I/O, no clock. See `docs/design/takeover.md`.
+//! Ownership of proxies, for use where no governor can be asked: the order in which a proxy prefers
+//! governors, the shared keys, and signed proofs of which governor's tables a proxy holds. No I/O, no clock.
+//! See `docs/design/takeover.md`.
 
 use crate::table_versions::{hex, unhex};
 
-/// Bytes of a secret, at least.
+/// Minimum length of a secret, in bytes.
 const MIN_SECRET_BYTES: usize = 32;
-/// Characters of a key's name.
+/// Maximum length of a key's name, in characters.
 const MAX_KEY_NAME: usize = 32;
-/// Bytes of a message authentication code.
+/// Length of a message authentication code, in bytes.
 const MAC_BYTES: usize = 32;
-/// No signed proof is longer, in bytes.
+/// Maximum length of a signed proof, in bytes.
 const MAX_PROOF_BYTES: usize = 2048;
 
-/// The order in which a proxy prefers governors: best first, by rendezvous hashing of both names. A dead governor's
-/// proxies spread evenly over the others, nobody else moves, and each comes back to the same one.
+/// The order in which a proxy prefers governors, best first, by rendezvous hashing of both names. The proxies
+/// of a dead governor spread evenly over the others, no other proxy moves, and each proxy returns to the same
+/// governor later.
 ///
-/// Returns places in `governors`.
+/// Returns indices into `governors`.
 pub fn ranking(proxy: &str, governors: &[&str]) -> Vec<usize> {
     let score = |governor: &str| {
         let mut hasher = blake3::Hasher::new_derive_key("wrenthread 2026 rendezvous");
@@ -26,25 +28,25 @@
         *hasher.finalize().as_bytes()
     };
     let mut ranked: Vec<usize> = (0..governors.len()).collect();
-    // Two of one name stand in the order in which they are listed.
+    // Governors with equal names keep the order of the list.
     ranked.sort_by_key(|place| (std::cmp::Reverse(score(governors[*place])), *place));
     ranked
 }
 
-/// Whose tables a proxy holds.
+/// A claim about which governor's tables a proxy holds, and in which version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OwnershipClaim {
     /// The name of the governor.
     pub governor: String,
-    /// The number of that governor's run.
+    /// The epoch of that governor, which numbers its runs.
     pub epoch: u64,
     /// The version of the tables.
     pub version: u64,
-    /// The proxy that was given them: a claim is no other's.
+    /// The proxy that the tables were sent to: a claim is valid for this proxy only.
     pub proxy: String,
 }
 
-/// A secret that all governors share, by its name. Two live ones make a rotation possible: the first signs, all are
+/// A named secret that all governors share. Two live keys allow a rotation: the first one signs, and all are
 /// accepted.
 #[derive(Clone, PartialEq, Eq)]
 pub struct SigningKey {
@@ -53,7 +55,7 @@
 }
 
 impl std::fmt::Debug for SigningKey {
-    /// Without the secret: keys must not show in logs.
+    /// Omits the secret, which must not appear in logs.
     fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(to, "Key({})", self.id)
     }
@@ -62,19 +64,19 @@
 /// Why a key can't be used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
-    /// Its name could not stand in a proof.
-    #[error("a key's name has 1 to 32 letters, digits, `-` or `_`")]
+    /// The key's name has characters or a length that a proof can't contain.
+    #[error("the name of a key must have 1 to 32 letters, digits, `-` or `_`")]
     Name,
-    /// The key's name and the length of its secret, which could be guessed.
-    #[error("the secret of key `{0}` has {1} bytes; it takes 32 at least")]
+    /// The secret is so short that it could be guessed: the key's name and the length of the secret in bytes.
+    #[error("the secret of key `{0}` has {1} bytes; at least 32 are required")]
     Short(String, usize),
 }
 
 impl SigningKey {
-    /// A key from a secret of at least 32 bytes.
+    /// Creates a key from a secret of at least 32 bytes.
     ///
     /// # Errors
-    /// A name that could not stand in a proof, a secret that could be guessed.
+    /// The name is invalid, or the secret is too short.
     pub fn new(id: &str, secret: &[u8]) -> Result<SigningKey, KeyError> {
         let allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
         if id.is_empty() || id.len() > MAX_KEY_NAME || !id.chars().all(allowed) {
@@ -87,26 +89,27 @@
     }
 }
 
-/// Why a proof or a sealed body is not accepted.
+/// Why a proof or a sealed datagram is not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ProofError {
-    /// It can't be read.
-    #[error("it is no claim")]
+    /// It is malformed.
+    #[error("it is malformed")]
     Unclear,
-    /// It names a key that is not live.
-    #[error("it is signed with a key that is not live")]
+    /// It names a key that is not in use.
+    #[error("it is signed with a key that is not in use")]
     Key,
-    /// It was signed with another secret, or changed.
-    #[error("its signature is not right")]
+    /// It was signed with another secret, or modified.
+    #[error("its signature is wrong")]
     Signature,
-    /// It was given to another proxy.
-    #[error("it is another proxy's")]
+    /// It was issued to another proxy.
+    #[error("it was issued to another proxy")]
     NotItsOwn,
 }
 
 // ---- datagrams between governors
 
-/// Seals a datagram between governors: `LENGTH NAME MAC BODY`. That authenticates the sender, and hides nothing.
+/// Seals a datagram between governors as `LENGTH NAME MAC BODY`. This authenticates the sender and does not
+/// encrypt the body.
 pub fn seal(key: &SigningKey, body: &[u8]) -> Vec<u8> {
     let mut sealed = Vec::with_capacity(1 + key.id.len() + MAC_BYTES + body.len());
     sealed.push(key.id.len() as u8);
@@ -116,8 +119,8 @@
     sealed
 }
 
-/// The body of what was sealed with any live key. An old one is as good as a new one: a receiver must bear copies
-/// anyhow.
+/// Returns the body of a datagram that was sealed with any live key. There is no protection against replays:
+/// a receiver must tolerate copies anyway.
 ///
 /// # Errors
 /// As [`ProofError`].
@@ -127,11 +130,13 @@
     let (mac, body) = rest.split_at_checked(MAC_BYTES).ok_or(ProofError::Unclear)?;
     let key = keys.iter().find(|key| key.id.as_bytes() == id).ok_or(ProofError::Key)?;
     let mac = blake3::Hash::from_slice(mac).map_err(|_| ProofError::Unclear)?;
-    // Compared in a time that does not tell how much of it was right, as `blake3::Hash` does.
+    // `blake3::Hash` compares in constant time, so the duration does not reveal how much of the code was
+    // right.
     if datagram_mac(key, body) == mac { Ok(body) } else { Err(ProofError::Signature) }
 }
 
-/// A proof is text: no body that begins with a zero is ever one.
+/// The MAC of a datagram covers a leading zero byte. A proof is text and never contains one, so no MAC is
+/// valid for both.
 fn datagram_mac(key: &SigningKey, body: &[u8]) -> blake3::Hash {
     let mut hasher = blake3::Hasher::new_keyed(&key.key);
     hasher.update(&[0]).update(body).finalize()
@@ -139,7 +144,8 @@
 
 // ---- proofs of ownership
 
-/// Signs a claim: `KEY.GOVERNOR.EPOCH.VERSION.PROXY.MAC`, names in hexadecimal, so that nothing needs quoting.
+/// Signs a claim as `KEY.GOVERNOR.EPOCH.VERSION.PROXY.MAC`. Names are in hexadecimal, so that nothing needs
+/// quoting.
 pub fn sign(key: &SigningKey, claim: &OwnershipClaim) -> String {
     let governor = hex(claim.governor.as_bytes());
     let proxy = hex(claim.proxy.as_bytes());
@@ -148,10 +154,10 @@
     format!("{text}.{}", mac.to_hex())
 }
 
-/// The claim of a proxy's signed proof.
+/// Verifies a proxy's signed proof and returns its claim.
 ///
 /// # Errors
-/// As [`ProofError`]; a claim that is not proven counts for nothing.
+/// As [`ProofError`]. A claim that is not proven must not be used.
 pub fn prove(keys: &[SigningKey], proxy: &str, signed: &str) -> Result<OwnershipClaim, ProofError> {
     if signed.len() > MAX_PROOF_BYTES {
         return Err(ProofError::Unclear);
@@ -161,7 +167,7 @@
     let [id, governor, epoch, version, owned_proxy] = parts[..] else { return Err(ProofError::Unclear) };
     let key = keys.iter().find(|key| key.id == id).ok_or(ProofError::Key)?;
     let mac = blake3::Hash::from_hex(mac).map_err(|_| ProofError::Unclear)?;
-    // Compared in a time that does not tell how much of it was right.
+    // Compared in constant time, so that the duration does not reveal how much of the code was right.
     if blake3::keyed_hash(&key.key, text.as_bytes()) != mac {
         return Err(ProofError::Signature);
     }
--- a/crates/core/src/ownership/tests.rs
+++ b/crates/core/src/ownership/tests.rs
@@ -36,7 +36,7 @@
     let (old, new) = (key("2026-a", 1), key("2026-b", 2));
     let signed = sign(&old, &claim());
     assert_eq!(prove(&[new.clone(), old], "relay é", &signed), Ok(claim()));
-    assert_eq!(prove(&[new], "relay é", &signed), Err(ProofError::Key), "out of rotation");
+    assert_eq!(prove(&[new], "relay é", &signed), Err(ProofError::Key), "the key was rotated out");
     assert_eq!(prove(&[key("2026-a", 3)], "relay é", &signed), Err(ProofError::Signature));
     assert_eq!(prove(&[key("2026-a", 1)], "relay-2", &signed), Err(ProofError::NotItsOwn));
     assert_eq!(prove(&[key("2026-a", 1)], "relay é", "nothing"), Err(ProofError::Unclear));
--- a/crates/core/src/recording.rs
+++ b/crates/core/src/recording.rs
@@ -1,13 +1,14 @@
-//! A recording: what a governor knew at one moment, as far as the guard judges by it. It is taken from a running
-//! one, kept in a file, and tables are tried against it. Nothing that is tried takes effect anywhere.
+//! Recordings: what a governor knew at one moment, as far as the guard needs it to judge tables. A recording
+//! is taken from a running governor and kept in a file. Candidate tables are checked against it in a dry run,
+//! which takes no effect anywhere.
 //!
-//! Ages, not times, are kept: a recording is read on another clock.
+//! Ages are kept instead of times, because a recording is read under another clock.
 //!
-//! | file | what is in it |
+//! | file | contents |
 //! | --- | --- |
 //! | this one | the stored types, under their stored names |
-//! | `validation` | whether a recording is complete and can be meant |
-//! | `dry_run` | tables tried against one |
+//! | `validation` | whether a recording is complete and its values are possible |
+//! | `dry_run` | checks of candidate tables against a recording |
 
 mod dry_run;
 mod validation;
@@ -23,37 +24,38 @@
 
 use crate::guard::GuardLimits;
 
-/// The form of recordings that this version writes, and the only one that it reads.
+/// The version of the recording format that this release writes, and the only one that it reads.
 pub const FORM: u32 = 1;
-/// The moment of a dry run, on a clock of its own: replicas may have started before it.
+/// The present time in a dry run, on a clock of its own. It is not 0, so that replicas can have started
+/// before it.
 const NOW: Duration = Duration::from_secs(10 * 86_400);
 
 /// What a governor knew at one moment.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Recording")]
 pub struct Recording {
-    /// As [`FORM`].
+    /// The format version, as [`FORM`].
     pub form: u32,
     /// The governor's name.
     pub governor: String,
-    /// Seconds of the calendar.
+    /// When it was taken, as Unix time in seconds.
     pub taken_at: f64,
     /// Names of the zones.
     pub zones: Vec<String>,
     /// Names of the traffic classes.
     pub groups: Vec<String>,
-    /// What the guard was given.
+    /// The parameters of the guard.
     pub limits: RecordedLimits,
-    /// Replicas that were known.
+    /// The replicas of the roster.
     pub replicas: Vec<RecordedReplica>,
-    /// Proxies that were connected.
+    /// The connected proxies.
     pub proxies: Vec<RecordedProxy>,
-    /// What replicas delivered lately.
+    /// Recent throughput of replicas.
     #[serde(rename = "seen")]
     pub throughput: Vec<RecordedThroughput>,
 }
 
-/// As [`GuardLimits`].
+/// [`GuardLimits`] under their stored names.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Bounds")]
 pub struct RecordedLimits {
@@ -77,7 +79,7 @@
     pub not_idempotent: Vec<bool>,
 }
 
-/// As [`Phase`], under its stored names.
+/// [`Phase`] under its stored names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RecordedPhase {
@@ -89,15 +91,15 @@
     Gone,
 }
 
-/// A replica that was known.
+/// A replica of the roster.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Replica")]
 pub struct RecordedReplica {
     /// Its name.
     pub id: Arc<str>,
-    /// Where proxies reach it.
+    /// The address at which proxies reach it.
     pub address: Arc<str>,
-    /// Its place in the recording's zones.
+    /// The index of its zone in the recording.
     pub zone: usize,
     /// Its weight in the roster.
     pub weight: f64,
@@ -106,37 +108,37 @@
     /// How long ago it started; none for long ago.
     #[serde(rename = "age_s")]
     pub age_seconds: Option<f64>,
-    /// Ejected by the module, or excluded by operators.
+    /// Whether it was ejected by the module or excluded by an operator.
     pub out: bool,
 }
 
-/// A proxy that was connected.
+/// A connected proxy.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Held")]
 pub struct RecordedProxy {
     /// Its name.
     pub name: Arc<str>,
-    /// Its place in the recording's zones.
+    /// The index of its zone in the recording.
     pub zone: usize,
     /// Replicas and weights of its default table.
     #[serde(rename = "standing")]
     pub default_table: Vec<(Arc<str>, f64)>,
-    /// In the order of the recording's traffic classes.
+    /// Its tables, in the order of the recording's traffic classes.
     #[serde(rename = "groups")]
     pub classes: Vec<RecordedTable>,
 }
 
-/// What a proxy held for a traffic class.
+/// The table that a proxy held for a traffic class, and its demand.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct HeldTable")]
 pub struct RecordedTable {
-    /// By the guard's ledger.
+    /// Demand in requests per second, by the guard's ledger.
     #[serde(rename = "flows")]
     pub requests_per_second: f64,
     /// The fraction of requests that was admitted.
     #[serde(rename = "level")]
     pub admission_fraction: f64,
-    /// None where nothing was published.
+    /// The table's entries; none if no table was published.
     #[serde(rename = "lines")]
     pub entries: Option<Vec<RecordedEntry>>,
 }
@@ -148,7 +150,7 @@
     pub replica: Arc<str>,
     /// Its weight.
     pub weight: f64,
-    /// Whether it could be sent to.
+    /// Whether the replica could get requests.
     pub routable: bool,
 }
 
@@ -165,7 +167,7 @@
     }
 }
 
-/// What was delivered lately at a replica by the proxies of a zone.
+/// Recent throughput of a replica for the proxies of a zone.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Seen")]
 pub struct RecordedThroughput {
@@ -173,7 +175,7 @@
     pub replica: Arc<str>,
     /// The proxies' zone.
     pub zone: usize,
-    /// The most in a second, counting less with age already.
+    /// Peak throughput in requests per second, already decayed with age.
     #[serde(rename = "per_s")]
     pub per_second: f64,
 }
@@ -224,7 +226,7 @@
     }
 }
 
-/// Seconds as a duration, at most as long ago as the clock of a dry run can tell.
+/// Seconds as a duration, limited to [`NOW`], since a dry run's clock can't express an earlier time.
 fn span(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or(NOW).min(NOW)
 }
--- a/crates/core/src/recording/dry_run.rs
+++ b/crates/core/src/recording/dry_run.rs
@@ -1,4 +1,4 @@
-//! Tables tried against a recording, as the guard would check them.
+//! Dry runs: checks candidate tables against a recording as the guard would check them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,12 +12,12 @@
 
 use super::{NOW, RecordedEntry, RecordedProxy, RecordedReplica, Recording, RecordingError, span};
 
-/// A table to try.
+/// A table to check.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CandidateTable {
     /// The proxy's name.
     pub proxy: Arc<str>,
-    /// The traffic class, by its place in the recording.
+    /// The index of the traffic class in the recording.
     pub group: usize,
     /// Replicas and weights.
     pub lines: Vec<(ReplicaId, f64)>,
@@ -25,33 +25,33 @@
     pub level: f64,
 }
 
-/// Why a table can't be tried.
+/// Why a candidate table can't be checked.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum CandidateError {
     /// The recording has no proxy of this name.
     #[error("no proxy `{0}` is joined there")]
     NoProxy(Arc<str>),
-    /// The recording has no traffic class at this place.
-    #[error("no group number {0} is there")]
+    /// The recording has no traffic class with this index.
+    #[error("group index {0} is out of range")]
     NoGroup(usize),
-    /// Two tables for the same proxy and traffic class.
-    #[error("two tables for the same group of `{0}`")]
+    /// There are two candidate tables for the same proxy and traffic class.
+    #[error("proxy `{0}` has two candidate tables for the same group")]
     Twice(Arc<str>),
 }
 
-/// What would become of tables, and what of them would be refused.
+/// The result of a dry run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DryRun {
-    /// In the order in which they were wanted.
+    /// The tables that would be published, in the order of the candidates.
     pub tables: Vec<Table>,
     /// What the guard refused.
     pub refusals: Vec<DryRunRefusal>,
 }
 
-/// One refusal, by the proxy's name.
+/// A refusal, with the proxy's name.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DryRunRefusal {
-    /// None where it is about no one proxy.
+    /// The proxy's name; none if the refusal does not concern a single proxy.
     pub proxy: Option<Arc<str>>,
     /// What was refused, and why.
     pub refusal: Refusal,
@@ -61,12 +61,13 @@
 type HeldTables = BTreeMap<(ProxyId, usize), Table>;
 
 impl Recording {
-    /// Checks tables as one change against what the recording holds. The inner error: one that can't be tried.
+    /// Checks the candidate tables as one change against the state in the recording. The inner error is for a
+    /// candidate that can't be checked.
     ///
-    /// A replica that the recording does not name is taken for one that is gone.
+    /// A replica that is not in the recording is treated as gone.
     ///
     /// # Errors
-    /// A recording that can't be meant.
+    /// The recording is invalid.
     pub fn would(&self, wanted: &[CandidateTable]) -> Result<Result<DryRun, CandidateError>, RecordingError> {
         self.validate()?;
         Ok(self.dry_run(wanted))
@@ -101,12 +102,12 @@
         roster
     }
 
-    /// Proxies are numbered by their places in the recording.
+    /// Proxies with their indices in the recording, which serve as their ids.
     fn numbered_proxies(&self) -> impl Iterator<Item = (ProxyId, &RecordedProxy)> {
         self.proxies.iter().enumerate().map(|(place, proxy)| (place as ProxyId, proxy))
     }
 
-    /// Tells the guard what was known; what proxies held.
+    /// Loads the recorded state into the guard, and returns the tables that proxies held.
     fn load_guard(&self, guard: &mut Guard, roster: &Roster) -> HeldTables {
         for seen in &self.throughput {
             guard.restore_throughput(NOW, &seen.replica, seen.zone, seen.per_second);
@@ -168,7 +169,8 @@
     }
 }
 
-/// An entry with what the roster knows of its replica; one that is not known is of the proxy's zone.
+/// An entry with the address and zone of its replica by the roster. A replica that is not on the roster gets
+/// the proxy's zone.
 fn resolved(
     roster: &Roster,
     proxy_zone: usize,
--- a/crates/core/src/recording/tests.rs
+++ b/crates/core/src/recording/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::guard::{RefusalOutcome, RefusalReason};
 
-/// Two proxies with ten flows a second each on four replicas, of which the last drains.
+/// Two proxies with ten requests per second each on three of four replicas. The fourth replica drains.
 fn recording() -> Recording {
     let id = |at: usize| Arc::<str>::from(["a", "b", "c", "d"][at]);
     let replica = |at| RecordedReplica {
@@ -59,8 +59,8 @@
     assert_eq!(tried.tables[0].entries.len(), 3);
     let said: Vec<_> = tried.refusals.iter().map(|one| (one.proxy.as_deref(), one.refusal.reason)).collect();
     assert_eq!(said, [(Some("q"), RefusalReason::Draining), (Some("q"), RefusalReason::Bare)]);
-    assert_eq!(tried.tables[1].entries.len(), 3, "the last good one stands");
-    // Each alone is well; together they would have all flows on a cold one.
+    assert_eq!(tried.tables[1].entries.len(), 3, "the last good table stays in force");
+    // Each table is valid by itself, but together they would put all requests on a cold replica.
     let mut cold = recording;
     cold.replicas[0].age_seconds = Some(1.0);
     let heavy = |proxy| wanted(proxy, &[("a", 1.0), ("b", 1.0)]);
@@ -69,7 +69,7 @@
     assert!(tried.refusals.iter().any(|one| one.refusal.outcome == RefusalOutcome::Corrected));
     cold.replicas[0].out = true;
     let tried = cold.would(&[heavy("p")]).unwrap().unwrap();
-    assert!(!tried.tables[0].entries[0].routable, "what is out stays so");
+    assert!(!tried.tables[0].entries[0].routable, "an ejected replica stays closed");
 }
 
 #[test]
@@ -83,12 +83,15 @@
         spoil(&mut recording);
         recording.would(&[]).unwrap_err().to_string()
     };
-    assert_eq!(spoilt(|one| one.form = 9), "it is of form 9, and this version reads form 1");
-    assert_eq!(spoilt(|one| one.proxies[1].zone = 4), "proxy `q` is in zone 4, and there are 1");
-    assert!(spoilt(|one| one.replicas[0].age_seconds = Some(f64::NAN)).contains("replica `a` has `NaN`"));
-    assert!(spoilt(|one| one.replicas[1].id = "a".into()).contains("named twice"));
-    assert!(spoilt(|one| one.proxies[0].classes.clear()).contains("`p` has an entry for each of 0"));
-    assert!(spoilt(|one| one.limits.same_zone_only.clear()).contains("and there are 1"));
+    assert_eq!(spoilt(|one| one.form = 9), "the recording has format 9; this version reads format 1");
+    assert_eq!(spoilt(|one| one.proxies[1].zone = 4), "proxy `q` has zone index 4; the number of zones is 1");
+    assert!(
+        spoilt(|one| one.replicas[0].age_seconds = Some(f64::NAN))
+            .contains("replica `a` has the figure `NaN`")
+    );
+    assert!(spoilt(|one| one.replicas[1].id = "a".into()).contains("occurs twice"));
+    assert!(spoilt(|one| one.proxies[0].classes.clear()).contains("`p` has entries for 0 groups"));
+    assert!(spoilt(|one| one.limits.same_zone_only.clear()).contains("the number of groups is 1"));
 }
 
 #[test]
--- a/crates/core/src/recording/validation.rs
+++ b/crates/core/src/recording/validation.rs
@@ -1,4 +1,4 @@
-//! Whether a recording is complete and can be meant.
+//! Checks that a recording is complete and its values are possible.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -7,40 +7,40 @@
 
 use super::{FORM, RecordedLimits, RecordedProxy, RecordedReplica, Recording};
 
-/// No governor knows more replicas.
+/// Upper limit of the number of replicas.
 const MAX_REPLICAS: usize = 100_000;
 
-/// Why a recording can't be tried against.
+/// Why a recording can't be used for a dry run.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum RecordingError {
-    /// It is of another form than [`FORM`].
-    #[error("it is of form {form}, and this version reads form {FORM}")]
+    /// It has another format version than [`FORM`].
+    #[error("the recording has format {form}; this version reads format {FORM}")]
     Form {
-        /// The form that it has.
+        /// The format version that it has.
         form: u32,
     },
-    /// It has more replicas or proxies than a governor can have.
-    #[error("it has more {kind} than any governor's")]
+    /// It has more replicas or proxies than a governor supports.
+    #[error("the recording has more {kind} than a governor supports")]
     Size {
-        /// Replicas or proxies.
+        /// `replicas` or `proxies`.
         kind: &'static str,
     },
-    /// Something is in a zone that is not there.
-    #[error("{kind} `{name}` is in zone {zone}, and there are {zone_count}")]
+    /// A replica or a proxy has a zone index that is out of range.
+    #[error("{kind} `{name}` has zone index {zone}; the number of zones is {zone_count}")]
     Zone {
         /// Replica or proxy.
         kind: &'static str,
         /// Its name.
         name: Arc<str>,
-        /// Its zone.
+        /// The index of its zone.
         zone: usize,
-        /// Zones of the recording.
+        /// Number of zones of the recording.
         zone_count: usize,
     },
     /// A figure is negative or not finite.
-    #[error("{kind} `{name}` has `{figure}`, which is not a number that it can be")]
+    #[error("{kind} `{name}` has the figure `{figure}`, which is negative or not finite")]
     Number {
-        /// What it is of.
+        /// The kind of object that has the figure.
         kind: &'static str,
         /// Its name.
         name: Arc<str>,
@@ -48,21 +48,21 @@
         figure: f64,
     },
     /// A name occurs twice.
-    #[error("{kind} `{name}` is named twice")]
+    #[error("{kind} `{name}` occurs twice")]
     Twice {
         /// Replica or proxy.
         kind: &'static str,
         /// The name.
         name: Arc<str>,
     },
-    /// Something has entries for other traffic classes than the recording.
-    #[error("`{name}` has an entry for each of {given} groups, and there are {expected}")]
+    /// A proxy or the limits have values for another number of traffic classes than the recording.
+    #[error("`{name}` has entries for {given} groups; the number of groups is {expected}")]
     Groups {
-        /// A proxy's name, or the limits.
+        /// A proxy's name, or `limits`.
         name: Arc<str>,
-        /// Entries that it has.
+        /// The number of classes for which it has values.
         given: usize,
-        /// Traffic classes of the recording.
+        /// Number of traffic classes of the recording.
         expected: usize,
     },
 }
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -1,15 +1,17 @@
-//! What a governor knows beyond a restart, as items by name, and how much of it counts when it comes back.
+//! Snapshots: the state that a governor keeps across a restart, as named items, and how much of it is used
+//! when the governor comes back.
 //!
-//! Nothing that was known is taken for present truth. Each kind of knowledge counts half after its half-life, and
-//! does something stated at the start (`docs/design/state.md`): demand is mixed with what a proxy says; a replica
-//! that was ejected is reported with as many failed attempts as its age leaves, and the module judges; admission
-//! fractions hold for some seconds; a proxy's tables are believed only if its own signed proof says that it holds
-//! them. Operators' overrides and frozen tables end when they would have.
+//! Stored state is never taken for the present state. Each kind decays with its own half-life and has a
+//! defined effect at the start (`docs/design/state.md`): demand is averaged with what a proxy declares; a
+//! replica that was ejected is reported with a number of failed attempts that depends on its age, and the
+//! decision module decides; admission fractions hold for some seconds; a proxy's tables are believed only if
+//! its signed proof says that it holds them. Overrides and frozen tables of operators end when they would
+//! have ended.
 //!
-//! | file | what is in it |
+//! | file | contents |
 //! | --- | --- |
 //! | `items` | the stored types, under their stored names |
-//! | `restore` | what of them counts at a start |
+//! | `restore` | what of them is used at a start |
 
 mod items;
 mod restore;
@@ -25,12 +27,13 @@
 
 use std::sync::Arc;
 
-/// Name of the item that says whose items these are.
+/// Name of the item with the governor's name and its lists of zones and classes.
 pub const NAMES: &str = "names";
-/// Name of the item that says until when they were known.
+/// Name of the item with the time until which all items were current.
 pub const ALIVE: &str = "alive";
 
-/// A figure in steps of a tenth: what moves a little all the time is not written all the time.
+/// Rounds a figure to a power of 1.1, so that a value that moves slightly all the time is not written each
+/// time.
 pub fn stepped(figure: f64) -> f64 {
     if !(figure > 1e-3 && figure.is_finite()) {
         return 0.0;
@@ -38,22 +41,23 @@
     1.1f64.powf((figure.ln() / 1.1f64.ln()).round())
 }
 
-/// An item as bytes (CBOR).
+/// Encodes an item as CBOR.
 pub fn encode(item: &StoredItem) -> Vec<u8> {
     let mut bytes = Vec::new();
-    // Into memory, and of plain types: it can't fail but for a bug, and then nothing is kept.
+    // Writing plain types to memory can't fail except for a bug. Then nothing is stored.
     if ciborium::into_writer(item, &mut bytes).is_err() {
         bytes.clear();
     }
     bytes
 }
 
-/// What [`encode`] made; none if it is not of its making.
+/// Decodes an item that [`encode`] wrote; none if the bytes are invalid.
 pub fn decode(bytes: &[u8]) -> Option<StoredItem> {
     ciborium::from_reader(bytes).ok()
 }
 
-/// What differs from what was written before: names, and what they are from now on.
+/// The differences from the items written before: names with their new items, or none where an item was
+/// removed.
 pub fn changes<'a>(before: &StoredItems, now: &'a StoredItems) -> Vec<(String, Option<&'a StoredItem>)> {
     let same = |one: &Arc<StoredItem>, other: &Arc<StoredItem>| Arc::ptr_eq(one, other) || one == other;
     let changed = now.iter().filter(|(name, item)| before.get(*name).is_none_or(|old| !same(old, item)));
--- a/crates/core/src/snapshot/items.rs
+++ b/crates/core/src/snapshot/items.rs
@@ -1,5 +1,5 @@
-//! The stored types. They are read by later and earlier releases: their names in the store are those in the serde
-//! attributes, and `tests/stored_formats.rs` holds their bytes.
+//! The stored types. Later and earlier releases read them: the serde attributes give the names in the store,
+//! and `tests/stored_formats.rs` checks the bytes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,13 +10,13 @@
 use crate::table_versions::{PublishedEntry, PublishedTable};
 use crate::tables::{ResolvedEntry, Table};
 
-/// Items by name. What does not change is shared with what was known before.
+/// Items by name. An unchanged item is shared with the previous snapshot.
 pub type StoredItems = BTreeMap<String, Arc<StoredItem>>;
 
-/// One item. Traffic classes and zones are by their places in [`StoredItem::Names`].
+/// One item. Traffic classes and zones are indices into the lists of [`StoredItem::Names`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum StoredItem {
-    /// Whose items these are.
+    /// The governor that the items belong to, and the names behind the indices.
     Names {
         /// The governor's name.
         governor: String,
@@ -25,9 +25,9 @@
         /// Names of the traffic classes.
         groups: Vec<String>,
     },
-    /// All items held until now.
+    /// The time until which all items were current.
     Alive {
-        /// Seconds of the calendar.
+        /// Unix time in seconds.
         at: f64,
     },
     /// A proxy and what it holds.
@@ -46,29 +46,29 @@
     },
     /// An operator's override of a replica.
     Override {
-        /// A factor to its weights; none: it is excluded.
+        /// A factor for its weights; none if the replica is excluded.
         weight: Option<f64>,
-        /// Seconds of the calendar.
+        /// When the override ends, as Unix time in seconds.
         until: f64,
         /// The operator's reason.
         #[serde(rename = "why")]
         reason: Arc<str>,
     },
-    /// A table that operators froze.
+    /// A table that an operator froze.
     #[serde(rename = "Hold")]
     FrozenTable(StoredFrozenTable),
 }
 
-/// A table that operators froze, by proxy and traffic class.
+/// A table that an operator froze, by proxy and traffic class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(expecting = "struct Hold")]
 pub struct StoredFrozenTable {
-    /// The version that it is of.
+    /// The version that the table belongs to.
     pub version: u64,
-    /// When that was published, in seconds of the calendar.
+    /// When that version was published, as Unix time in seconds.
     #[serde(rename = "told_at")]
     pub published_at: f64,
-    /// Until when it is frozen, in seconds of the calendar.
+    /// When the freeze ends, as Unix time in seconds.
     pub until: f64,
     /// The operator's reason.
     #[serde(rename = "why")]
@@ -89,7 +89,7 @@
 pub struct StoredFrozenEntry {
     /// The replica's name.
     pub replica: Arc<str>,
-    /// Where it was.
+    /// Its address.
     pub address: Arc<str>,
     /// Its zone.
     pub zone: usize,
@@ -132,27 +132,27 @@
 pub struct StoredProxy {
     /// Its zone.
     pub zone: usize,
-    /// The run in which it was sent its tables last.
+    /// The epoch in which it was last sent tables.
     pub epoch: u64,
-    /// The version of those.
+    /// The version of those tables.
     pub version: u64,
-    /// It was assigned a dedicated table.
+    /// Whether it was assigned a dedicated table.
     #[serde(rename = "own")]
     pub has_dedicated_table: bool,
-    /// By traffic class; none where it is on its default table.
+    /// By traffic class; none where the proxy uses its default table.
     pub tables: Vec<Option<StoredTable>>,
     /// By traffic class.
     #[serde(rename = "tries")]
     pub retry_policies: Vec<StoredRetryPolicy>,
-    /// By traffic class, in steps of a tenth.
+    /// By traffic class, rounded to powers of 1.1.
     #[serde(rename = "flows")]
     pub requests_per_second: Vec<f64>,
-    /// How long it has not been connected, over however many restarts.
+    /// How long it has not been connected, summed over restarts.
     #[serde(rename = "away")]
     pub absent_seconds: f64,
 }
 
-/// A table as a proxy held it.
+/// A table that a proxy held.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(expecting = "struct Held")]
 pub struct StoredTable {
@@ -169,13 +169,13 @@
 pub struct StoredTableEntry {
     /// The replica's name.
     pub replica: Arc<str>,
-    /// Where it was.
+    /// Its address.
     pub address: Arc<str>,
     /// Its zone.
     pub zone: usize,
     /// Its weight.
     pub weight: f64,
-    /// Whether it could be sent to.
+    /// Whether the replica could get requests.
     pub routable: bool,
 }
 
@@ -228,15 +228,15 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(expecting = "struct Replica")]
 pub struct StoredReplica {
-    /// The module had ejected it.
+    /// Whether the module had ejected it.
     #[serde(rename = "withdrawn")]
     pub ejected: bool,
-    /// By zone: the most that was delivered a second lately, in steps of a tenth.
+    /// By zone: the recent peak throughput in requests per second, rounded to powers of 1.1.
     #[serde(rename = "seen")]
     pub throughput: Vec<(usize, f64)>,
 }
 
-/// As [`RetryPolicy`], under its stored names.
+/// [`RetryPolicy`] under its stored names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoredRetryPolicy {
     /// As [`RetryPolicy::Never`].
--- a/crates/core/src/snapshot/restore.rs
+++ b/crates/core/src/snapshot/restore.rs
@@ -1,4 +1,4 @@
-//! What of stored items counts at a start, by its age.
+//! Decides which stored items are used at a start, depending on their age.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,55 +11,56 @@
 use super::items::{StoredFrozenTable, StoredItem, StoredItems, StoredProxy, StoredReplica, StoredTable};
 use super::{ALIVE, NAMES};
 
-/// Demand and throughput count half after so long.
+/// Half-life of demand and throughput.
 pub const DEMAND: Duration = Duration::from_secs(60);
-/// Ejections count half after so long.
+/// Half-life of ejections.
 pub const WITHDRAWN: Duration = Duration::from_secs(20);
-/// An admission fraction holds for so long, unless the module decides before; an older one is forgotten.
+/// How long a stored admission fraction is used, unless the module decides before. Older ones are dropped.
 pub const LEVELS: Duration = Duration::from_secs(10);
-/// Tables that proxies held are forgotten after so long: they have been elsewhere, or on their own, since.
+/// How long the tables that proxies held are kept: after this time proxies have been with another governor or
+/// on their own.
 pub const TABLES: Duration = Duration::from_secs(600);
-/// The age of items that are of the future by the calendar: it was set back, and nobody knows how old they are.
+/// The age assumed for items with a time in the future: the clock was set back, so their age is unknown.
 pub const UNKNOWN: Duration = Duration::from_secs(60);
-/// Throughput is reported to the module as that of so long: beside a replica where everything fails, the module has
-/// to see that others succeed.
+/// Interval for which restored throughput is reported to the module: to judge a replica where everything
+/// fails, it has to see that others succeed.
 pub const LAST: Duration = Duration::from_secs(2);
-/// Failed attempts that an ejection is reported as if it is quite new.
+/// Failed attempts that a fresh ejection is reported as.
 const EJECTION_ATTEMPTS: f64 = 20.0;
-/// Fewer say nothing.
+/// Fewer failed attempts than this are not reported: they prove nothing.
 const MIN_EJECTION_ATTEMPTS: u64 = 4;
-/// No stored figure is larger.
+/// Upper limit of stored figures.
 const MAX_FIGURE: f64 = 1e12;
 
-/// An item that can't be meant, by its name: it is left out, and the rest counts.
+/// Why stored items can't be used. An invalid item is left out, and the others are used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RestoreError {
-    /// Its name or its kind is not known.
-    #[error("`{0}` is no entry that this version knows")]
+    /// The item's name or kind is unknown.
+    #[error("stored item `{0}` has an unknown name or kind")]
     Unknown(String),
-    /// It names a zone or a traffic class by a place that is not there.
-    #[error("`{0}` names a zone or a group that is not there")]
+    /// The item refers to a zone or a traffic class that does not exist.
+    #[error("stored item `{0}` refers to an unknown zone or group")]
     Place(String),
-    /// A figure out of its range.
-    #[error("`{0}` has a figure that can't be")]
+    /// A figure of the item is out of range.
+    #[error("stored item `{0}` has a figure out of range")]
     Figure(String),
-    /// [`NAMES`] or [`ALIVE`] is missing.
-    #[error("the entries do not say whose they are; nothing of them is used")]
+    /// The item [`NAMES`] or [`ALIVE`] is missing.
+    #[error("the stored items lack the governor's name or their time; none of them is used")]
     Nameless,
-    /// They are another governor's.
-    #[error("the entries are of governor `{0}`; nothing of them is used")]
+    /// The items belong to another governor.
+    #[error("the stored items belong to governor `{0}`; none of them is used")]
     Another(String),
-    /// Zones or traffic classes are others than they were.
-    #[error("zones or groups of the settings have changed; what is by zone and group is not used")]
+    /// Zones or traffic classes have changed since the items were stored.
+    #[error("zones or groups of the settings have changed; stored items that depend on them are not used")]
     Changed,
 }
 
 /// An override that is still in force.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RestoredOverride {
-    /// A factor to the replica's weights; none: it is excluded.
+    /// A factor for the replica's weights; none if it is excluded.
     pub weight: Option<f64>,
-    /// For how long it still holds.
+    /// The time until it ends.
     pub remaining: Duration,
     /// The operator's reason.
     pub reason: Arc<str>,
@@ -70,40 +71,40 @@
 pub struct RestoredFrozenTable {
     /// How long ago it was published.
     pub age: Duration,
-    /// For how long it is still frozen.
+    /// The time until the freeze ends.
     pub remaining: Duration,
     /// The table.
     pub stored: StoredFrozenTable,
 }
 
-/// What counts of what was known, at a start.
+/// The state that is used at a start.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RestoredState {
-    /// How long ago it was known, as far as the calendar can tell.
+    /// Age of the state, as far as the clock can tell.
     pub age: Duration,
-    /// Proxies and what they held, by name.
+    /// Proxies and the tables that they held, by name.
     pub proxies: BTreeMap<Arc<str>, StoredProxy>,
-    /// Replicas that were ejected, and the failed attempts that are left of that.
+    /// Ejected replicas, and the number of failed attempts that remain of each ejection at this age.
     pub ejected: BTreeMap<ReplicaId, u64>,
-    /// Delivered a second, by replica and zone, counting less with age.
+    /// Throughput in requests per second, by replica and zone, decayed with age.
     pub throughput: BTreeMap<(ReplicaId, usize), f64>,
     /// Admission fractions by traffic class.
     pub admission_fractions: BTreeMap<usize, f64>,
-    /// For how long those still hold.
+    /// The time until the admission fractions end.
     pub admission_remaining: Duration,
-    /// By replica.
+    /// Overrides by replica.
     pub overrides: BTreeMap<ReplicaId, RestoredOverride>,
-    /// By proxy and traffic class.
+    /// Frozen tables by proxy and traffic class.
     pub frozen_tables: BTreeMap<(Arc<str>, usize), RestoredFrozenTable>,
 }
 
-/// How much of knowledge counts after a time, from 1 down to 0.
+/// The weight of a value of this age, from 1 down to 0.
 pub fn counts(age: Duration, half_life: Duration) -> f64 {
     0.5f64.powf(age.as_secs_f64() / half_life.as_secs_f64())
 }
 
-/// What is left of stored items at a start, and what of them can't be meant. `calendar`: seconds of the calendar
-/// now; `names`: this governor's own [`StoredItem::Names`].
+/// Restores the state from stored items, and reports the items that can't be used. `calendar` is the current
+/// Unix time in seconds, `names` this governor's own [`StoredItem::Names`].
 pub fn recall(known: StoredItems, calendar: f64, names: &StoredItem) -> (RestoredState, Vec<RestoreError>) {
     let nothing = |why| (RestoredState::default(), vec![why]);
     let item = |name: &str| known.get(name).map(|item| (**item).clone());
@@ -113,7 +114,7 @@
     let StoredItem::Names { governor: own_name, zones: own_zones, groups: own_classes } = names else {
         return nothing(RestoreError::Nameless);
     };
-    // A folder that was copied for another governor is not this one's memory.
+    // A state folder that was copied from another governor must not be used.
     if governor != *own_name {
         return nothing(RestoreError::Another(governor));
     }
@@ -139,7 +140,8 @@
     (restore.state, errors)
 }
 
-/// A machine that slept has a calendar that went on; one whose calendar was set back can't tell.
+/// The age by the wall clock, which continues while a machine sleeps. If the clock was set back, the age is
+/// unknown.
 fn age(calendar: f64, alive: f64) -> Duration {
     if calendar >= alive {
         Duration::try_from_secs_f64(calendar - alive).unwrap_or(Duration::MAX)
@@ -152,21 +154,21 @@
     figure.is_finite() && (0.0..MAX_FIGURE).contains(&figure)
 }
 
-/// Why one item can't be used.
+/// Why a single item can't be used.
 enum Unusable {
     Unknown,
     Place,
     Figure,
 }
 
-/// A state being restored, item by item.
+/// A state that is being restored item by item.
 struct Restore {
     zones: Vec<String>,
     classes: Vec<String>,
-    /// Zones and traffic classes are what they were.
+    /// Whether the zones and traffic classes are unchanged.
     same_places: bool,
     calendar: f64,
-    /// Until when the items were known, by the calendar.
+    /// The Unix time until which the items were current.
     alive: f64,
     state: RestoredState,
 }
@@ -261,7 +263,8 @@
     }
 
     fn frozen_table(&mut self, place: &str, stored: StoredFrozenTable) -> Result<(), Unusable> {
-        // A traffic class's name may hold a `/`, and a proxy's, too: the class is one of those that are known.
+        // The names of a class and of a proxy may both contain `/`, so the class is found among the known
+        // ones.
         let named = |(class, name): (usize, &String)| {
             Some((class, place.strip_prefix(name.as_str())?.strip_prefix('/')?))
         };
@@ -280,7 +283,8 @@
         Ok(())
     }
 
-    /// How long something still holds: as long as it would have, and never longer for a calendar that was set back.
+    /// The time until an override or a frozen table ends: what was left when it was stored, and never more if
+    /// the clock was set back.
     fn remaining(&self, until: f64) -> Option<Duration> {
         let seconds = (until - self.calendar).min(until - self.alive);
         Duration::try_from_secs_f64(seconds).ok().filter(|left| !left.is_zero())
--- a/crates/core/src/snapshot/tests.rs
+++ b/crates/core/src/snapshot/tests.rs
@@ -79,7 +79,7 @@
     assert_eq!(
         (later.ejected.len(), later.admission_fractions.len()),
         (0, 0),
-        "an eighth of twenty tries says nothing"
+        "an eighth of twenty attempts is below the minimum"
     );
     assert!((later.throughput[&("a".into(), 0)] - 4.0).abs() < 1e-9);
     let (mut known, names) = (known(), names(&["entry"]));
@@ -88,7 +88,7 @@
         Arc::new(StoredItem::Proxy(StoredProxy { absent_seconds: 590.0, ..proxy() })),
     );
     assert_eq!(recall(known.clone(), 1009.0, &names).0.proxies.len(), 1);
-    assert_eq!(recall(known, 1010.0, &names).0.proxies.len(), 0, "over however many restarts");
+    assert_eq!(recall(known, 1010.0, &names).0.proxies.len(), 0, "absences add up over restarts");
     let stale = at(1000.0 + 36_000.0);
     assert_eq!((stale.proxies.len(), stale.overrides.len(), stale.frozen_tables.len()), (0, 0, 0));
     assert!(stale.throughput[&("a".into(), 0)] < 1e-9);
@@ -98,7 +98,7 @@
 fn calendar_steps_make_nothing_younger_and_nothing_last_longer() {
     let back = at(500.0);
     assert_eq!((back.age, back.admission_fractions.len(), back.ejected.len()), (UNKNOWN, 0, 0));
-    assert_eq!(back.overrides["a"].remaining, Duration::from_secs(100), "as long as was left, and no longer");
+    assert_eq!(back.overrides["a"].remaining, Duration::from_secs(100), "what was left when it was stored");
     assert_eq!(back.frozen_tables[&("p".into(), 0)].remaining, Duration::from_secs(200));
     assert_eq!(at(f64::MAX).age, Duration::MAX);
 }
@@ -112,9 +112,9 @@
         (recalled, unfit.into_iter().map(|one| one.to_string()).collect::<Vec<_>>().join("; "))
     };
     let (_, said) = with(|known| drop(known.remove(NAMES)));
-    assert!(said.contains("do not say whose"));
+    assert!(said.contains("lack the governor's name or their time"));
     let (_, said) = with(|known| drop(known.remove(ALIVE)));
-    assert!(said.contains("do not say whose"));
+    assert!(said.contains("lack the governor's name or their time"));
     let another = StoredItem::Names { governor: "h".into(), zones: vec![], groups: vec![] };
     let (recalled, unfit) = recall(known(), 1001.0, &another);
     assert_eq!((recalled, unfit), (RestoredState::default(), vec![RestoreError::Another("g".into())]));
@@ -123,7 +123,7 @@
         (recalled.proxies.len(), recalled.admission_fractions.len(), unfit),
         (0, 0, vec![RestoreError::Changed])
     );
-    assert_eq!(recalled.ejected.len(), 1, "replicas are by name");
+    assert_eq!(recalled.ejected.len(), 1, "replicas are stored by name");
     let (recalled, said) = with(|known| {
         let far = StoredProxy { zone: 4, ..proxy() };
         known.insert("proxy/far".into(), Arc::new(StoredItem::Proxy(far)));
@@ -150,10 +150,16 @@
         known.insert("proxy/q".into(), Arc::new(StoredItem::Alive { at: 0.0 }));
     });
     assert_eq!((recalled.proxies.len(), recalled.admission_fractions.len()), (1, 0));
-    assert!(said.contains("`proxy/far` names a zone") && said.contains("`level/none` names"), "{said}");
-    assert!(said.contains("`hold/none/p` names") && said.contains("`hold/entry/q` has a figure"), "{said}");
+    assert!(
+        said.contains("`proxy/far` refers to an unknown zone") && said.contains("`level/none` refers"),
+        "{said}"
+    );
+    assert!(said.contains("`hold/none/p` refers") && said.contains("`hold/entry/q` has a figure"), "{said}");
     assert_eq!(recalled.frozen_tables.len(), 1);
-    assert!(said.contains("`proxy/odd` has a figure") && said.contains("`proxy/q` is no entry"), "{said}");
+    assert!(
+        said.contains("`proxy/odd` has a figure") && said.contains("`proxy/q` has an unknown name or kind"),
+        "{said}"
+    );
 }
 
 #[test]
@@ -189,7 +195,7 @@
         }
     }
 
-    /// Also where a whole entry was changed in the midst.
+    /// Flips a byte within a valid item, which may still decode to an item with other values.
     #[test]
     fn mutated_items_do_no_harm(at in any::<prop::sample::Index>(), byte in any::<u8>()) {
         for (name, item) in known() {
--- a/crates/core/tests/stored_formats.rs
+++ b/crates/core/tests/stored_formats.rs
@@ -1,5 +1,5 @@
-//! What is stored, signed and sent keeps its bytes: the golden files were written by commit b735929, before the
-//! types and fields took their present names, and are read and written again here, byte for byte.
+//! Compatibility of stored, signed and sent formats. The golden files were written by commit b735929, before
+//! the types and fields got their present names; here they are read and written again, byte for byte.
 
 #![allow(
     clippy::unwrap_used,
@@ -18,7 +18,8 @@
 use wrenthread_core::snapshot::{self, StoredItem, StoredRetryPolicy};
 use wrenthread_core::table_versions::{PublishedEntry, PublishedState, PublishedTable, hex, unhex};
 
-/// Every field has a value of its own, every phase a replica, and every retry policy an item.
+/// The golden items have a distinct value in every field, a replica in every phase and an item with every
+/// retry policy.
 fn golden_items() -> Vec<(&'static str, Vec<u8>)> {
     include_str!("golden/snapshot_items.txt")
         .lines()
@@ -43,7 +44,7 @@
     let items = golden_items();
     assert_eq!(items.len(), 12);
     for (name, golden) in items {
-        let item = snapshot::decode(&golden).unwrap_or_else(|| panic!("`{name}` is not read"));
+        let item = snapshot::decode(&golden).unwrap_or_else(|| panic!("item `{name}` can't be decoded"));
         assert_eq!(hex(&snapshot::encode(&item)), hex(&golden), "{name}");
     }
 }
