--- a/crates/core/benches/guard.rs
+++ b/crates/core/benches/guard.rs
@@ -20,7 +20,7 @@
 const REPLICAS: usize = 48;
 const EVENTS: u32 = 40;
 
-fn list(draining: Option<usize>) -> Vec<RosterEntry> {
+fn roster_entries(draining: Option<usize>) -> Vec<RosterEntry> {
     let entry = |n: usize| RosterEntry {
         id: format!("r{n:02}").into(),
         address: format!("10.0.0.{n}:80").into(),
@@ -34,8 +34,8 @@
 }
 
 fn run(engine: &mut Engine, now: Duration) {
-    while let Some(step) = engine.next_action(now) {
-        if let Action::Flush(number) = step {
+    while let Some(action) = engine.next_action(now) {
+        if let Action::Flush(number) = action {
             engine.tables_sent(now, number, 12, 1);
             let proxy = engine.proxy(number).map(|proxy| (proxy.stream, proxy.newest()));
             if let Some((stream, newest)) = proxy {
@@ -47,22 +47,22 @@
 
 /// Microseconds per roster event and per idle tick, and the numbers of tables that passed and of refusals.
 fn measure(proxies: usize, guarded: bool) -> (f64, f64, u64, u64) {
-    let mut setup = EngineSettings::example(3);
-    (setup.governor.proxy_count, setup.max_proxies) = (proxies as u64, proxies);
-    (setup.governor.entries_per_second, setup.governor.max_queued_entries) = (1e6, 1e6);
+    let mut settings = EngineSettings::example(3);
+    (settings.governor.proxy_count, settings.max_proxies) = (proxies as u64, proxies);
+    (settings.governor.entries_per_second, settings.governor.max_queued_entries) = (1e6, 1e6);
     let mut now = Duration::from_secs(100);
-    let mut engine = Engine::new(setup, now);
+    let mut engine = Engine::new(settings, now);
     if !guarded {
         engine.switch_guard_off();
     }
-    engine.update_roster(now, list(None));
+    engine.update_roster(now, roster_entries(None));
     for n in 0..proxies {
-        let (name, standing) = (format!("relay-{n}").into(), vec![]);
+        let (name, no_default_table) = (format!("relay-{n}").into(), vec![]);
         let join = JoinRequest {
             name,
             zone: n % 3,
             requests_per_second: 5.0,
-            default_table: standing,
+            default_table: no_default_table,
             holds_governor_tables: true,
             ownership_proof: None,
             proven_version: None,
@@ -73,37 +73,37 @@
         now += Duration::from_millis(100);
         run(&mut engine, now);
     }
-    let (mut events, mut beats) = (Duration::ZERO, Duration::ZERO);
+    let (mut events, mut idle_ticks) = (Duration::ZERO, Duration::ZERO);
     for event in 0..EVENTS {
-        engine.update_roster(now, list((event % 2 == 0).then_some(event as usize % REPLICAS)));
-        let began = Instant::now();
+        engine.update_roster(now, roster_entries((event % 2 == 0).then_some(event as usize % REPLICAS)));
+        let start = Instant::now();
         run(&mut engine, now);
-        events += began.elapsed();
+        events += start.elapsed();
         for _ in 0..10 {
             now += Duration::from_millis(100);
             run(&mut engine, now);
         }
         now += Duration::from_millis(500);
-        let began = Instant::now();
+        let start = Instant::now();
         run(&mut engine, now);
-        beats += began.elapsed();
+        idle_ticks += start.elapsed();
     }
     let (refused, passed) = engine.guard().tally();
     let micros = |span: Duration| span.as_secs_f64() * 1e6 / f64::from(EVENTS);
-    (micros(events), micros(beats), passed, refused.values().sum())
+    (micros(events), micros(idle_ticks), passed, refused.values().sum())
 }
 
 fn main() {
     println!(
-        "| relays | roster event, us: guarded | without | ratio | a beat, us: guarded | without | \
+        "| proxies | roster event, us: guarded | without | ratio | idle tick, us: guarded | without | \
         tables passed | refused |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for proxies in [24, 200, 1000] {
-        let (event, beat, passed, refused) = measure(proxies, true);
-        let (event_off, beat_off, ..) = measure(proxies, false);
+        let (event, idle_tick, passed, refused) = measure(proxies, true);
+        let (event_off, idle_tick_off, ..) = measure(proxies, false);
         println!(
-            "| {proxies} | {event:.0} | {event_off:.0} | {:.2} | {beat:.0} | {beat_off:.0} | \
+            "| {proxies} | {event:.0} | {event_off:.0} | {:.2} | {idle_tick:.0} | {idle_tick_off:.0} | \
              {passed} | {refused} |",
             event / event_off
         );
--- a/crates/core/src/failover.rs
+++ b/crates/core/src/failover.rs
@@ -97,7 +97,7 @@
     /// overload, and would do so again. *Harm:* if the governors lose contact with each other, the proxy
     /// stays where it was redirected to.
     pub fn redirected(&mut self, to: Option<usize>) {
-        match to.and_then(|to| self.ranking.iter().position(|place| *place == to)) {
+        match to.and_then(|to| self.ranking.iter().position(|index| *index == to)) {
             Some(rank) => {
                 self.rank = rank;
                 self.redirected = true;
--- a/crates/core/src/fault_injection.rs
+++ b/crates/core/src/fault_injection.rs
@@ -20,7 +20,7 @@
 
 /// A decider that asks the module and applies a fault to each of its decisions.
 pub fn decider(fault: Fault) -> FaultyDecider {
-    let mut seen = ObservedDecisions::default();
+    let mut observed = ObservedDecisions::default();
     let mut pending = VecDeque::new();
     Box::new(move |now, rules| {
         if let Some(decision) = pending.pop_front() {
@@ -29,16 +29,16 @@
         let decision = rules.next_decision(now)?;
         match &decision {
             Decision::UpdateTable { table, entries } => {
-                seen.replicas.extend(entries.iter().map(|entry| entry.replica.clone()));
+                observed.replicas.extend(entries.iter().map(|entry| entry.replica.clone()));
                 let entries = entries.iter().map(|entry| (entry.replica.clone(), entry.weight));
-                seen.entries_by_table.entry(*table).or_default().extend(entries);
+                observed.entries_by_table.entry(*table).or_default().extend(entries);
             }
-            Decision::SetEjected { replica: id, ejected: true } => drop(seen.ejected.insert(id.clone())),
-            Decision::SetEjected { replica: id, ejected: false } => drop(seen.ejected.remove(id)),
-            Decision::ScheduleTick(_) => seen.ticks += 1,
+            Decision::SetEjected { replica: id, ejected: true } => drop(observed.ejected.insert(id.clone())),
+            Decision::SetEjected { replica: id, ejected: false } => drop(observed.ejected.remove(id)),
+            Decision::ScheduleTick(_) => observed.ticks += 1,
             _ => {}
         }
-        pending.extend(fault(decision, &seen));
+        pending.extend(fault(decision, &observed));
         pending.pop_front()
     })
 }
@@ -47,14 +47,15 @@
 /// replica.
 fn every_table(
     decision: Decision,
-    seen: &ObservedDecisions,
+    observed: &ObservedDecisions,
     weight: impl Fn(usize, &ReplicaId) -> f64,
 ) -> Vec<Decision> {
     let mut all = vec![decision.clone()];
     if matches!(decision, Decision::ScheduleTick(_)) {
-        for table in seen.entries_by_table.keys() {
-            let entries = seen.replicas.iter().enumerate();
-            let entries = entries.map(|(at, id)| TableEntry { replica: id.clone(), weight: weight(at, id) });
+        for table in observed.entries_by_table.keys() {
+            let entries = observed.replicas.iter().enumerate();
+            let entries =
+                entries.map(|(index, id)| TableEntry { replica: id.clone(), weight: weight(index, id) });
             all.push(Decision::UpdateTable { table: *table, entries: entries.collect() });
         }
     }
@@ -66,37 +67,39 @@
     more.into_iter().chain([decision]).collect()
 }
 
-fn one(is: bool) -> f64 {
-    f64::from(u8::from(is))
+fn indicator(condition: bool) -> f64 {
+    f64::from(u8::from(condition))
 }
 
 /// Faults by name. Rehearsed days use the same names.
 pub const FAULTS: [(&str, Fault); 13] = [
-    ("empty-tables", |decision, seen| every_table(decision, seen, |_, _| 0.0)),
-    ("all-onto-a-drain", |decision, seen| match decision {
+    ("empty-tables", |decision, observed| every_table(decision, observed, |_, _| 0.0)),
+    ("all-onto-a-drain", |decision, observed| match decision {
         Decision::SetEjected { replica: id, .. } => {
             vec![Decision::SetEjected { replica: id, ejected: false }]
         }
         other => {
-            let drain = seen.ejected.first().or(seen.replicas.first()).cloned();
-            every_table(other, seen, |_, id| one(Some(id) == drain.as_ref()))
+            let drain = observed.ejected.first().or(observed.replicas.first()).cloned();
+            every_table(other, observed, |_, id| indicator(Some(id) == drain.as_ref()))
         }
     }),
-    ("all-onto-the-last", |decision, seen| {
-        let last = seen.replicas.last().cloned();
-        every_table(decision, seen, |_, id| if Some(id) == last.as_ref() { 1e3 } else { 1.0 })
+    ("all-onto-the-last", |decision, observed| {
+        let last = observed.replicas.last().cloned();
+        every_table(decision, observed, |_, id| if Some(id) == last.as_ref() { 1e3 } else { 1.0 })
     }),
-    ("flapping", |decision, seen| match decision {
+    ("flapping", |decision, observed| match decision {
         Decision::SetEjected { replica: id, .. } => {
             vec![Decision::SetEjected { replica: id, ejected: false }]
         }
-        other => every_table(other, seen, |at, _| one((at as u64 + seen.ticks).is_multiple_of(2))),
+        other => every_table(other, observed, |index, _| {
+            indicator((index as u64 + observed.ticks).is_multiple_of(2))
+        }),
     }),
-    ("infinite-weights", |decision, seen| {
-        every_table(decision, seen, |at, _| if at == 2 { f64::INFINITY } else { 1.0 })
+    ("infinite-weights", |decision, observed| {
+        every_table(decision, observed, |index, _| if index == 2 { f64::INFINITY } else { 1.0 })
     }),
-    ("weights-apart", |decision, seen| {
-        every_table(decision, seen, |at, _| if at == 2 { 1e200 } else { 1e-200 })
+    ("weights-apart", |decision, observed| {
+        every_table(decision, observed, |index, _| if index == 2 { 1e200 } else { 1e-200 })
     }),
     ("levels-out-of-bounds", |decision, _| {
         with_each_tick(
@@ -120,8 +123,9 @@
             }],
         )
     }),
-    ("all-withdrawn", |decision, seen| {
-        let out = seen.replicas.iter().map(|id| Decision::SetEjected { replica: id.clone(), ejected: true });
+    ("all-withdrawn", |decision, observed| {
+        let out =
+            observed.replicas.iter().map(|id| Decision::SetEjected { replica: id.clone(), ejected: true });
         with_each_tick(decision, out.collect())
     }),
     ("tables-not-laid", |decision, _| {
@@ -132,19 +136,20 @@
     }),
     ("replicas-not-listed", |decision, _| match decision {
         Decision::UpdateTable { table, entries } => {
-            let made_up = |(at, entry): (usize, TableEntry)| TableEntry {
-                replica: ReplicaId::from(format!("made up {at}")),
+            let unknown_replica = |(index, entry): (usize, TableEntry)| TableEntry {
+                replica: ReplicaId::from(format!("made up {index}")),
                 weight: entry.weight,
             };
             vec![Decision::UpdateTable {
                 table,
-                entries: entries.into_iter().enumerate().map(made_up).collect(),
+                entries: entries.into_iter().enumerate().map(unknown_replica).collect(),
             }]
         }
         other => vec![other],
     }),
-    ("flood", |decision, seen| {
-        let mut all = every_table(decision, seen, |at, _| 1.0 + (at as u64 + seen.ticks) as f64 / 1e3);
+    ("flood", |decision, observed| {
+        let mut all =
+            every_table(decision, observed, |index, _| 1.0 + (index as u64 + observed.ticks) as f64 / 1e3);
         if let [_, more @ ..] = all.as_slice() {
             let more: Vec<Decision> = more.iter().cycle().take(more.len() * 30).cloned().collect();
             all.extend(more);
@@ -154,6 +159,6 @@
 ];
 
 /// The faulty decider with this name.
-pub fn of(kind: &str) -> Option<FaultyDecider> {
+pub fn faulty_decider(kind: &str) -> Option<FaultyDecider> {
     FAULTS.iter().find(|(name, _)| *name == kind).map(|(_, fault)| decider(*fault))
 }
--- a/crates/core/src/fencing.rs
+++ b/crates/core/src/fencing.rs
@@ -16,7 +16,7 @@
     NotFollowed,
     /// It has an older epoch than an update that was accepted.
     #[error("its epoch is older than that of an accepted update")]
-    OlderLife,
+    OlderEpoch,
     /// It has an older version than an update that was accepted in the same epoch.
     #[error("its version is older than that of an accepted update of the same epoch")]
     OlderVersion,
@@ -63,7 +63,7 @@
         }
         if let Some(newest) = self.newest.get(governor) {
             if epoch < newest.epoch {
-                return Err(FencingError::OlderLife);
+                return Err(FencingError::OlderEpoch);
             }
             if epoch == newest.epoch && version < newest.version {
                 return Err(FencingError::OlderVersion);
--- a/crates/core/src/fencing/tests.rs
+++ b/crates/core/src/fencing/tests.rs
@@ -14,7 +14,7 @@
     assert_eq!(fence.accept("g1", 5, 11), Err(FencingError::NotFollowed), "it resumes after a stall");
     // It returns after another governor has taken over, with old updates or with an older epoch.
     fence.follow("g1");
-    assert_eq!(fence.accept("g1", 4, 99), Err(FencingError::OlderLife));
+    assert_eq!(fence.accept("g1", 4, 99), Err(FencingError::OlderEpoch));
     assert_eq!(fence.accept("g1", 5, 9), Err(FencingError::OlderVersion));
     assert_eq!(
         fence.accept("g1", 5, 10),
--- a/crates/core/src/frozen_tables.rs
+++ b/crates/core/src/frozen_tables.rs
@@ -42,10 +42,10 @@
     Gone,
     /// The replica is ejected.
     #[error("ejected by the module")]
-    Withdrawn,
+    Ejected,
     /// The replica restarted, and the module does not send requests to it yet.
     #[error("restarted since, and not in the module's current table")]
-    Cold,
+    Restarted,
 }
 
 /// Why a frozen table was released.
@@ -95,7 +95,7 @@
             continue;
         };
         if ejected(id) {
-            omitted.insert(id.clone(), OmissionReason::Withdrawn);
+            omitted.insert(id.clone(), OmissionReason::Ejected);
             continue;
         }
         let resolved = || ResolvedEntry {
@@ -114,7 +114,7 @@
                 restarted.push(CappedEntry { entry: resolved(), cap: current.weight / current_total });
             }
             None => {
-                omitted.insert(id.clone(), OmissionReason::Cold);
+                omitted.insert(id.clone(), OmissionReason::Restarted);
             }
         }
     }
@@ -124,7 +124,7 @@
         return (None, omitted);
     }
     add_capped(&mut entries, restarted);
-    entries.sort_by(|one, other| one.replica.cmp(&other.replica));
+    entries.sort_by(|a, b| a.replica.cmp(&b.replica));
     // Admission control is not frozen: it depends on what the fleet can take now.
     (Some(Table { entries, admission_fraction: current.admission_fraction }), omitted)
 }
--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -31,7 +31,7 @@
 mod repair;
 
 pub use checks::{ProposedTable, ShiftLimit};
-pub use limits::{ALARM, AT_ONCE, COLD_MARGIN, GuardLimits, HELD_FOR, WARM_MARGIN};
+pub use limits::{ALARM_AFTER, COLD_MARGIN, GuardLimits, MAX_HOLD_BACK, MAX_SHIFTED_FRACTION, WARM_MARGIN};
 pub use refusals::{Refusal, RefusalOutcome, RefusalReason};
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -51,18 +51,18 @@
     limits: GuardLimits,
     ledger: LoadLedger,
     refusals: RefusalLog,
-    off: bool,
+    disabled: bool,
 }
 
 impl Guard {
     /// A guard without proxies and replicas.
     pub fn new(limits: GuardLimits) -> Self {
-        Guard { limits, ledger: LoadLedger::default(), refusals: RefusalLog::default(), off: false }
+        Guard { limits, ledger: LoadLedger::default(), refusals: RefusalLog::default(), disabled: false }
     }
 
     /// Publishes every change unchecked, to measure what the guard contributes.
     pub fn switch_off(&mut self) {
-        self.off = true;
+        self.disabled = true;
     }
 
     // ---- what the ledger records
@@ -131,17 +131,18 @@
         classes: ClassSet,
         policy: RetryPolicy,
     ) -> Vec<(ClassSet, RetryPolicy)> {
-        let named = (0..ClassSet::BITS as usize).filter(|class| classes >> class & 1 == 1);
-        let barred: Vec<usize> = named.filter(|class| self.limits.is_not_idempotent(*class)).collect();
-        if self.off || policy != RetryPolicy::OnAnyFailure || barred.is_empty() {
+        let selected = (0..ClassSet::BITS as usize).filter(|class| classes >> class & 1 == 1);
+        let not_idempotent: Vec<usize> =
+            selected.filter(|class| self.limits.is_not_idempotent(*class)).collect();
+        if self.disabled || policy != RetryPolicy::OnAnyFailure || not_idempotent.is_empty() {
             return vec![(classes, policy)];
         }
-        let barred_set: ClassSet = barred.iter().map(|class| 1 << class).sum();
-        for class in barred {
+        let not_idempotent_set: ClassSet = not_idempotent.iter().map(|class| 1 << class).sum();
+        for class in not_idempotent {
             // The policy asks for two attempts; one is allowed.
-            self.record_refusal(now, class, RefusalReason::Tries, 2.0, 1.0);
+            self.record_refusal(now, class, RefusalReason::UnsafeRetryPolicy, 2.0, 1.0);
         }
-        vec![(classes & !barred_set, policy), (barred_set, RetryPolicy::IfNotExecuted)]
+        vec![(classes & !not_idempotent_set, policy), (not_idempotent_set, RetryPolicy::IfNotExecuted)]
     }
 
     /// Records a refusal that does not concern a single proxy and was corrected.
@@ -169,7 +170,7 @@
         roster: &Roster,
         ejected: impl Fn(&ReplicaId) -> bool,
     ) -> BTreeSet<ReplicaId> {
-        if self.off {
+        if self.disabled {
             return BTreeSet::new();
         }
         let follows = self.follows_ejections(now, roster, &ejected);
@@ -190,7 +191,7 @@
         self.refusals.proxies()
     }
 
-    /// Refusals that have lasted for [`ALARM`].
+    /// Refusals that have lasted for [`ALARM_AFTER`].
     pub fn alarms(&self, now: Duration) -> usize {
         self.refusals.alarms(now)
     }
@@ -221,7 +222,7 @@
     }
 
     /// Requests per second that the proxies of this governor send a replica, by the ledger.
-    pub fn sent_to(&self, replica: &ReplicaId) -> f64 {
+    pub fn expected_load(&self, replica: &ReplicaId) -> f64 {
         self.ledger.load(replica).max(0.0)
     }
 }
--- a/crates/core/src/guard/capacity.rs
+++ b/crates/core/src/guard/capacity.rs
@@ -7,7 +7,7 @@
 
 use crate::roster::Roster;
 
-use super::limits::{COLD_FAILURE, MIN_CAPACITY_LEFT, NEARLY_ALL, WARM_MARGIN, allowed_cold_load};
+use super::limits::{COLD_FAILURE, MAX_TOTAL_TO_LOCAL, MIN_CAPACITY_LEFT, WARM_MARGIN, allowed_cold_load};
 use super::{Guard, RefusalReason};
 
 /// Every replica may be given at least this load, in requests per second.
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Capacity {
     /// The share of each replica if all requests of this governor's proxies are spread evenly.
-    even_part: f64,
+    even_share: f64,
     /// The load that it is known to take.
     known: f64,
     /// Demand of all governors' proxies together, as a multiple of the demand of the proxies here.
@@ -45,10 +45,10 @@
         initial + (1.0 - initial) * age / slow_start
     }
 
-    /// The total capacity of the ready replicas that `counts` selects, as a sum of the weights of warm
+    /// The total capacity of the ready replicas that `is_counted` selects, as a sum of the weights of warm
     /// replicas.
-    fn ready_capacity(&self, now: Duration, roster: &Roster, counts: impl Fn(&ReplicaId) -> bool) -> f64 {
-        let ready = roster.iter().filter(|(id, known)| known.phase == Phase::Ready && counts(id));
+    fn ready_capacity(&self, now: Duration, roster: &Roster, is_counted: impl Fn(&ReplicaId) -> bool) -> f64 {
+        let ready = roster.iter().filter(|(id, known)| known.phase == Phase::Ready && is_counted(id));
         ready.map(|(id, known)| known.weight.max(0.0) * self.warmth(now, roster, id)).sum()
     }
 
@@ -83,13 +83,13 @@
         let weight = |id: &ReplicaId| roster.get(id).map_or(1.0, |known| known.weight.max(1e-9));
         let proven = delivered.iter().map(|(id, per_second)| per_second / weight(id)).fold(0.0, f64::max);
         let ready = self.ready_capacity(now, roster, |id| !ejected(id));
-        let even_part = if ready > 0.0 { self.ledger.total_demand() / ready } else { f64::INFINITY };
+        let even_share = if ready > 0.0 { self.ledger.total_demand() / ready } else { f64::INFINITY };
         // A warm replica can take its even share of the demand of all governors. With only a few proxies
         // here, all of one zone, their tables alone add up to several times the even share of their own
         // requests.
         let local = self.ledger.assignment_count() as f64 / self.limits.class_count().max(1) as f64;
         let total_to_local = (self.limits.proxy_count as f64 / local.max(1.0)).max(1.0);
-        Capacity { even_part, known: proven.max(even_part * total_to_local), total_to_local }
+        Capacity { even_share, known: proven.max(even_share * total_to_local), total_to_local }
     }
 
     /// The overload of a replica; none if it has no overload or is not ready.
@@ -109,9 +109,9 @@
         let load = self.ledger.load(id);
         let weight = known.weight.max(0.0);
         let (reason, allowed) = if warmth < 1.0 {
-            (RefusalReason::Cold, capacity.allowed_cold(capacity.even_part * warmth * weight))
+            (RefusalReason::Cold, capacity.allowed_cold(capacity.even_share * warmth * weight))
         } else {
-            (RefusalReason::Over, capacity.known * weight * WARM_MARGIN)
+            (RefusalReason::WarmOverload, capacity.known * weight * WARM_MARGIN)
         };
         let allowed = allowed.max(MIN_ALLOWED_LOAD);
         (allowed.is_finite() && load > allowed).then_some(Overload { reason, load, allowed })
@@ -119,7 +119,11 @@
 }
 
 impl Capacity {
-    fn allowed_cold(&self, part: f64) -> f64 {
-        if self.total_to_local <= NEARLY_ALL { allowed_cold_load(part) } else { COLD_FAILURE * part }
+    fn allowed_cold(&self, share: f64) -> f64 {
+        if self.total_to_local <= MAX_TOTAL_TO_LOCAL {
+            allowed_cold_load(share)
+        } else {
+            COLD_FAILURE * share
+        }
     }
 }
--- a/crates/core/src/guard/checks.rs
+++ b/crates/core/src/guard/checks.rs
@@ -10,7 +10,7 @@
 
 use super::Guard;
 use super::capacity::Overload;
-use super::limits::{AT_ONCE, HELD_FOR, MAX_PASSES, MIN_WEIGHT};
+use super::limits::{MAX_HOLD_BACK, MAX_PASSES, MAX_SHIFTED_FRACTION, MIN_WEIGHT_FRACTION};
 use super::refusals::{Finding, RefusalOutcome, RefusalReason};
 use super::repair::{SingleTableCheck, has_route, last_good_table, last_resort_table, route_count};
 
@@ -20,7 +20,7 @@
     /// No limit: the cause requires the shift, such as a change of the roster, a proxy that connected or
     /// disconnected, an ejection, or an operation of an operator.
     Unlimited,
-    /// At most [`AT_ONCE`], because no event requires more.
+    /// At most [`MAX_SHIFTED_FRACTION`], because no event requires more.
     Limited,
 }
 
@@ -64,7 +64,7 @@
         shift_limit: ShiftLimit,
         mut changes: Vec<ProposedTable>,
     ) -> Vec<Table> {
-        if self.off {
+        if self.disabled {
             return changes.into_iter().map(|change| change.wanted).collect();
         }
         let follows = self.follows_ejections(now, roster, &ejected);
@@ -92,9 +92,9 @@
     }
 
     fn check_each_table<Open: Fn(&ReplicaId) -> bool>(&self, check: &mut Check<'_, Open>) {
-        for (place, change) in check.changes.iter().enumerate() {
+        for (index, change) in check.changes.iter().enumerate() {
             let single = SingleTableCheck {
-                place,
+                index,
                 change,
                 same_zone_only: self.limits.is_same_zone_only(change.class),
                 roster: check.roster,
@@ -115,33 +115,39 @@
             return;
         }
         let mut capacity = limit;
-        for place in 0..check.changes.len() {
-            capacity -= check.tables[place].entries.len() as f64;
+        for index in 0..check.changes.len() {
+            capacity -= check.tables[index].entries.len() as f64;
             if capacity >= 0.0 {
                 continue;
             }
-            if let Some(held) = self.last_good(check, place) {
-                check.find(place, RefusalReason::Lines, RefusalOutcome::Kept, entries as f64, limit);
-                check.tables[place] = held;
+            if let Some(held) = self.last_good(check, index) {
+                check.add_finding(
+                    index,
+                    RefusalReason::TooManyEntries,
+                    RefusalOutcome::Kept,
+                    entries as f64,
+                    limit,
+                );
+                check.tables[index] = held;
             }
         }
     }
 
-    /// Holds back a change that moves too much traffic at once, for at most [`HELD_FOR`].
+    /// Holds back a change that moves too much traffic at once, for at most [`MAX_HOLD_BACK`].
     fn hold_back_shift<Open: Fn(&ReplicaId) -> bool>(&self, check: &mut Check<'_, Open>) {
         let shifted = self.ledger.shifted_fraction(check.changes, &check.tables);
-        let too_much = shifted > AT_ONCE;
+        let too_much = shifted > MAX_SHIFTED_FRACTION;
         if !too_much {
             return;
         }
-        for (place, change) in check.changes.iter().enumerate() {
-            let since = self.refusals.refused_since(change.proxy, change.class, RefusalReason::Sweep);
-            let held_long_enough = since.is_some_and(|since| check.now >= since + HELD_FOR);
-            let held = self.last_good(check, place).filter(|_| !held_long_enough);
+        for (index, change) in check.changes.iter().enumerate() {
+            let since = self.refusals.refused_since(change.proxy, change.class, RefusalReason::ShiftTooLarge);
+            let held_long_enough = since.is_some_and(|since| check.now >= since + MAX_HOLD_BACK);
+            let held = self.last_good(check, index).filter(|_| !held_long_enough);
             let outcome = if held.is_some() { RefusalOutcome::Kept } else { RefusalOutcome::LetThrough };
-            check.find(place, RefusalReason::Sweep, outcome, shifted, AT_ONCE);
+            check.add_finding(index, RefusalReason::ShiftTooLarge, outcome, shifted, MAX_SHIFTED_FRACTION);
             if let Some(held) = held {
-                check.tables[place] = held;
+                check.tables[index] = held;
             }
         }
     }
@@ -149,9 +155,9 @@
     fn last_good<Open: Fn(&ReplicaId) -> bool>(
         &self,
         check: &Check<'_, Open>,
-        place: usize,
+        index: usize,
     ) -> Option<Table> {
-        let change = &check.changes[place];
+        let change = &check.changes[index];
         last_good_table(change, self.limits.is_same_zone_only(change.class), check.open)
     }
 
@@ -174,8 +180,8 @@
                 return;
             }
             let mut any_reduced = false;
-            for (place, min_weight) in min_weights.iter_mut().enumerate() {
-                any_reduced |= self.limit_table(check, place, &overloads, min_weight, pass == 0);
+            for (index, min_weight) in min_weights.iter_mut().enumerate() {
+                any_reduced |= self.limit_table(check, index, &overloads, min_weight, pass == 0);
             }
             if !any_reduced {
                 return;
@@ -187,12 +193,12 @@
     fn limit_table<Open: Fn(&ReplicaId) -> bool>(
         &mut self,
         check: &mut Check<'_, Open>,
-        place: usize,
+        index: usize,
         overloads: &Overloads,
         min_weight: &mut f64,
         first_pass: bool,
     ) -> bool {
-        let table = &check.tables[place];
+        let table = &check.tables[index];
         let overloaded = table.entries.iter().filter(|entry| is_overloaded(entry, overloads)).count();
         if overloaded == 0 {
             return false;
@@ -201,24 +207,24 @@
         if all_overloaded
             && first_pass
             && has_cold_overload(table, overloads)
-            && let Some(other) = self.table_with_headroom(check, place, overloads)
+            && let Some(replacement) = self.table_with_headroom(check, index, overloads)
         {
-            check.find_overloads(place, overloads, RefusalOutcome::Kept);
-            *min_weight = self::min_weight(&other);
-            let admission_fraction = check.tables[place].admission_fraction;
-            check.tables[place] = Table { admission_fraction, ..other };
+            check.add_overload_findings(index, overloads, RefusalOutcome::Kept);
+            *min_weight = self::min_weight(&replacement);
+            let admission_fraction = check.tables[index].admission_fraction;
+            check.tables[index] = Table { admission_fraction, ..replacement };
             all_overloaded = false;
         }
         if first_pass {
             // Where no other replica is available, an overloaded one is better than none.
             let outcome = if all_overloaded { RefusalOutcome::LetThrough } else { RefusalOutcome::Corrected };
-            check.find_overloads(place, overloads, outcome);
+            check.add_overload_findings(index, overloads, outcome);
         }
         if !all_overloaded {
-            reduce_weights(&mut check.tables[place], overloads, *min_weight);
+            reduce_weights(&mut check.tables[index], overloads, *min_weight);
         }
-        let change = &check.changes[place];
-        self.ledger.set_table(change.proxy, change.class, &check.tables[place]);
+        let change = &check.changes[index];
+        self.ledger.set_table(change.proxy, change.class, &check.tables[index]);
         !all_overloaded
     }
 
@@ -228,22 +234,22 @@
     fn table_with_headroom<Open: Fn(&ReplicaId) -> bool>(
         &self,
         check: &Check<'_, Open>,
-        place: usize,
+        index: usize,
         overloads: &Overloads,
     ) -> Option<Table> {
         let has_headroom = |table: &Table| {
             table.entries.iter().any(|entry| entry.routable && !overloads.contains_key(&entry.replica))
         };
         let last_resort = || {
-            let table = last_resort_table(&check.changes[place], check.roster, check.open);
+            let table = last_resort_table(&check.changes[index], check.roster, check.open);
             Some(table).filter(has_route)
         };
-        self.last_good(check, place).filter(has_headroom).or_else(last_resort).filter(has_headroom)
+        self.last_good(check, index).filter(has_headroom).or_else(last_resort).filter(has_headroom)
     }
 }
 
 impl<Open> Check<'_, Open> {
-    fn find(
+    fn add_finding(
         &mut self,
         change: usize,
         reason: RefusalReason,
@@ -255,11 +261,11 @@
     }
 
     /// Adds a finding for each routable entry whose replica is overloaded.
-    fn find_overloads(&mut self, place: usize, overloads: &Overloads, outcome: RefusalOutcome) {
-        for entry in self.tables[place].entries.iter().filter(|entry| entry.routable) {
+    fn add_overload_findings(&mut self, index: usize, overloads: &Overloads, outcome: RefusalOutcome) {
+        for entry in self.tables[index].entries.iter().filter(|entry| entry.routable) {
             let Some(overload) = overloads.get(&entry.replica) else { continue };
             self.findings.push(Finding {
-                change: place,
+                change: index,
                 reason: overload.reason,
                 outcome,
                 replica: Some(entry.replica.clone()),
@@ -288,7 +294,7 @@
 fn min_weight(table: &Table) -> f64 {
     let routable = table.entries.iter().filter(|entry| entry.routable);
     let mean = routable.clone().map(|entry| entry.weight).sum::<f64>() / routable.count().max(1) as f64;
-    MIN_WEIGHT * mean
+    MIN_WEIGHT_FRACTION * mean
 }
 
 fn reduce_weights(table: &mut Table, overloads: &Overloads, min_weight: f64) {
@@ -314,7 +320,7 @@
     open: &impl Fn(&ReplicaId) -> bool,
     findings: &mut Vec<Finding>,
 ) {
-    for (place, change) in changes.iter_mut().enumerate() {
+    for (index, change) in changes.iter_mut().enumerate() {
         let mut reopened = 0;
         for entry in &mut change.wanted.entries {
             if !entry.routable && open(&entry.replica) {
@@ -324,8 +330,8 @@
         }
         if reopened > 0 {
             findings.push(Finding {
-                change: place,
-                reason: RefusalReason::Withdrawn,
+                change: index,
+                reason: RefusalReason::TooManyEjections,
                 outcome: RefusalOutcome::Corrected,
                 replica: None,
                 asked: f64::from(reopened),
--- a/crates/core/src/guard/ledger.rs
+++ b/crates/core/src/guard/ledger.rs
@@ -19,7 +19,7 @@
 const MIN_INTERVAL_SECONDS: f64 = 0.1;
 
 /// A proxy and a traffic class.
-type Place = (ProxyId, usize);
+type AssignmentKey = (ProxyId, usize);
 
 /// The demand of one proxy for one traffic class, and how it is distributed over replicas.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -46,7 +46,7 @@
 /// Expected load by replica, and the figures that it is computed from.
 #[derive(Debug, Clone, Default)]
 pub(super) struct LoadLedger {
-    assignments: BTreeMap<Place, Assignment>,
+    assignments: BTreeMap<AssignmentKey, Assignment>,
     /// Requests per second by replica.
     load: BTreeMap<ReplicaId, f64>,
     /// By replica and zone of the proxies.
@@ -55,9 +55,15 @@
 
 /// Routable entries as fractions of the sum of their weights.
 fn fractions(table: &Table) -> Vec<(ReplicaId, f64)> {
-    let sound = |entry: &&ResolvedEntry| entry.routable && entry.weight.is_finite() && entry.weight > 0.0;
-    let total: f64 = table.entries.iter().filter(sound).map(|entry| entry.weight).sum();
-    table.entries.iter().filter(sound).map(|entry| (entry.replica.clone(), entry.weight / total)).collect()
+    let has_valid_weight =
+        |entry: &&ResolvedEntry| entry.routable && entry.weight.is_finite() && entry.weight > 0.0;
+    let total: f64 = table.entries.iter().filter(has_valid_weight).map(|entry| entry.weight).sum();
+    table
+        .entries
+        .iter()
+        .filter(has_valid_weight)
+        .map(|entry| (entry.replica.clone(), entry.weight / total))
+        .collect()
 }
 
 fn rate(count: u64, interval: Duration) -> f64 {
@@ -65,18 +71,18 @@
 }
 
 impl LoadLedger {
-    fn book(&mut self, place: Place, sign: f64) {
-        let Some(assignment) = self.assignments.get(&place) else { return };
+    fn add_load(&mut self, key: AssignmentKey, sign: f64) {
+        let Some(assignment) = self.assignments.get(&key) else { return };
         for (replica, fraction) in &assignment.fractions {
             let load = self.load.entry(replica.clone()).or_default();
             *load += sign * assignment.requests_per_second * fraction;
         }
     }
 
-    fn change(&mut self, place: Place, change: impl FnOnce(&mut Assignment)) {
-        self.book(place, -1.0);
-        change(self.assignments.entry(place).or_default());
-        self.book(place, 1.0);
+    fn update(&mut self, key: AssignmentKey, update: impl FnOnce(&mut Assignment)) {
+        self.add_load(key, -1.0);
+        update(self.assignments.entry(key).or_default());
+        self.add_load(key, 1.0);
     }
 
     pub(super) fn connect(
@@ -89,7 +95,7 @@
         let total: f64 = default_table.iter().map(|(_, weight)| weight.max(0.0)).sum();
         let fraction = |(id, weight): &(ReplicaId, f64)| (id.clone(), weight.max(0.0) / total);
         for class in 0..class_count {
-            self.change((proxy, class), |assignment| {
+            self.update((proxy, class), |assignment| {
                 let demand = requests_per_second.clamp(0.0, MAX_REQUESTS_PER_SECOND);
                 assignment.requests_per_second = demand / class_count as f64;
                 assignment.fractions = match total > 0.0 {
@@ -101,11 +107,11 @@
     }
 
     pub(super) fn disconnect(&mut self, proxy: ProxyId) {
-        let places = self.assignments.range((proxy, 0)..=(proxy, usize::MAX));
-        let places: Vec<Place> = places.map(|(place, _)| *place).collect();
-        for place in places {
-            self.book(place, -1.0);
-            self.assignments.remove(&place);
+        let keys = self.assignments.range((proxy, 0)..=(proxy, usize::MAX));
+        let keys: Vec<AssignmentKey> = keys.map(|(key, _)| *key).collect();
+        for key in keys {
+            self.add_load(key, -1.0);
+            self.assignments.remove(&key);
         }
     }
 
@@ -116,7 +122,7 @@
             return;
         }
         let reported = rate(requests, interval);
-        self.change((proxy, class), |assignment| {
+        self.update((proxy, class), |assignment| {
             // Requests that arrived while a stream was broken are reported together, as if they had all come
             // within one interval: the rise of a single report is limited.
             let known = assignment.requests_per_second;
@@ -133,8 +139,8 @@
         interval: Duration,
     ) {
         let per_second = rate(succeeded, interval);
-        let nothing = PeakThroughput { per_second: 0.0, at: now };
-        let peak = self.throughput.entry((replica.clone(), zone)).or_insert(nothing);
+        let initial = PeakThroughput { per_second: 0.0, at: now };
+        let peak = self.throughput.entry((replica.clone(), zone)).or_insert(initial);
         if per_second >= peak.decayed(now) {
             *peak = PeakThroughput { per_second, at: now };
         }
@@ -157,7 +163,7 @@
         requests_per_second: f64,
         table: Option<&Table>,
     ) {
-        self.change((proxy, class), |assignment| {
+        self.update((proxy, class), |assignment| {
             assignment.requests_per_second = requests_per_second;
             if let Some(table) = table {
                 assignment.fractions = fractions(table);
@@ -167,18 +173,18 @@
 
     /// Sets the table by which a proxy distributes its requests from now on.
     pub(super) fn set_table(&mut self, proxy: ProxyId, class: usize, table: &Table) {
-        self.change((proxy, class), |assignment| assignment.fractions = fractions(table));
+        self.update((proxy, class), |assignment| assignment.fractions = fractions(table));
     }
 
     /// Removes the throughput of replicas that are gone, and computes the load from scratch, so that rounding
     /// errors do not accumulate.
     pub(super) fn roster_changed(&mut self, roster: &Roster) {
-        let listed = |id: &ReplicaId| roster.get(id).is_some_and(|known| known.phase != Phase::Gone);
-        self.throughput.retain(|(id, _), _| listed(id));
+        let is_listed = |id: &ReplicaId| roster.get(id).is_some_and(|known| known.phase != Phase::Gone);
+        self.throughput.retain(|(id, _), _| is_listed(id));
         self.load.clear();
-        let places: Vec<Place> = self.assignments.keys().copied().collect();
-        for place in places {
-            self.book(place, 1.0);
+        let keys: Vec<AssignmentKey> = self.assignments.keys().copied().collect();
+        for key in keys {
+            self.add_load(key, 1.0);
         }
     }
 
--- a/crates/core/src/guard/limits.rs
+++ b/crates/core/src/guard/limits.rs
@@ -17,24 +17,24 @@
 /// governors together is at most this many times its own. A governor with a part of the proxies has most of
 /// them in one zone, and rightly sends the cold replicas of that zone more than their even share of its own
 /// requests: it may, up to the failure point.
-pub(super) const NEARLY_ALL: f64 = 1.2;
+pub(super) const MAX_TOTAL_TO_LOCAL: f64 = 1.2;
 /// Factor by which the load of a warm replica may exceed its known capacity, provided that the others have
 /// capacity left.
 pub const WARM_MARGIN: f64 = 3.0;
 /// The fraction of all requests that may move to other replicas at once without a cause that requires it.
-pub const AT_ONCE: f64 = 0.5;
+pub const MAX_SHIFTED_FRACTION: f64 = 0.5;
 /// A change that was held back because it moves too much at once is carried out after this time, so that a
 /// mistake of the guard can't block all changes of a fleet.
-pub const HELD_FOR: Duration = Duration::from_secs(5);
+pub const MAX_HOLD_BACK: Duration = Duration::from_secs(5);
 /// A refusal that lasts for this time raises an alarm.
-pub const ALARM: Duration = Duration::from_secs(10);
+pub const ALARM_AFTER: Duration = Duration::from_secs(10);
 /// The fraction of the ready capacity that the module's ejections must leave.
 pub(super) const MIN_CAPACITY_LEFT: f64 = 0.2;
 /// Largest ratio of two weights that the wire format can express without changing other weights
 /// ([`crate::weights`]).
 pub(super) const MAX_WEIGHT_RATIO: f64 = 4e6;
 /// The guard reduces the weight of an entry to no less than this fraction of the table's mean.
-pub(super) const MIN_WEIGHT: f64 = 0.02;
+pub(super) const MIN_WEIGHT_FRACTION: f64 = 0.02;
 /// Maximum number of passes over overloaded replicas: load that is taken off one moves to others.
 pub(super) const MAX_PASSES: usize = 8;
 
@@ -69,10 +69,10 @@
     }
 }
 
-/// Requests per second that a cold replica with the share `part` may be given, so that bursts stay below its
+/// Requests per second that a cold replica with the share `share` may be given, so that bursts stay below its
 /// failure point.
-pub(super) fn allowed_cold_load(part: f64) -> f64 {
+pub(super) fn allowed_cold_load(share: f64) -> f64 {
     let half = BURST_DEVIATIONS / 2.0;
-    let root = (BURST_DEVIATIONS * BURST_DEVIATIONS / 4.0 + COLD_FAILURE * part).sqrt() - half;
-    (root * root).clamp(MIN_COLD_MARGIN * part, COLD_MARGIN * part)
+    let root = (BURST_DEVIATIONS * BURST_DEVIATIONS / 4.0 + COLD_FAILURE * share).sqrt() - half;
+    (root * root).clamp(MIN_COLD_MARGIN * share, COLD_MARGIN * share)
 }
--- a/crates/core/src/guard/refusals.rs
+++ b/crates/core/src/guard/refusals.rs
@@ -6,7 +6,7 @@
 use wrenthread::types::{ProxyId, ReplicaId};
 
 use super::checks::ProposedTable;
-use super::limits::{ALARM, HELD_FOR};
+use super::limits::{ALARM_AFTER, MAX_HOLD_BACK};
 
 /// Maximum number of refusals that are kept for operators.
 const MAX_REFUSALS: usize = 512;
@@ -21,10 +21,10 @@
     Bare,
     /// Every routable entry names a replica that is draining or gone.
     #[error("all of its lines are to replicas that drain or are gone")]
-    Draining,
+    AllEntriesClosed,
     /// As [`RefusalReason::Bare`], for a traffic class that is confined to the proxy's zone.
     #[error("no line of it is open in the proxy's zone, which its group must not leave")]
-    ZoneBare,
+    NoRouteInZone,
     /// An entry names a replica of another zone, for a traffic class that is confined to the proxy's zone.
     #[error("a line leaves the zone that its group must not leave")]
     OutOfZone,
@@ -33,31 +33,31 @@
     Weight,
     /// The ratio of two weights is too large for the wire format.
     #[error("a weight is so small beside another that the wire can't say both")]
-    Wire,
+    WeightRatio,
     /// An admission fraction is not from 0 to 1.
     #[error("a level is not from 0 to 1")]
     Level,
     /// A retry policy that could execute a request twice that is not idempotent.
     #[error("a flow that may have run would be tried again, and must not take effect twice")]
-    Tries,
+    UnsafeRetryPolicy,
     /// The decision module produces decisions without end.
     #[error("more decisions at once than there can be")]
     Flood,
     /// Ejections leave too little capacity.
     #[error("so much is withdrawn that the rest could not take the flows")]
-    Withdrawn,
+    TooManyEjections,
     /// Too much load on a replica in its slow start.
     #[error("a replica that is not warm yet would be sent more than its present part")]
     Cold,
     /// Too much load on a warm replica.
     #[error("a replica would be sent more than it can take, while others have room")]
-    Over,
+    WarmOverload,
     /// Too large a fraction of all traffic moves at once.
     #[error("it moves more of all flows at once than its cause asks for")]
-    Sweep,
+    ShiftTooLarge,
     /// Too many table entries in one change.
     #[error("it has more lines than the channel can carry in time")]
-    Lines,
+    TooManyEntries,
 }
 
 /// What was done about it.
@@ -118,11 +118,11 @@
 /// Recent refusals, since when those that continue have lasted, and counts of all.
 #[derive(Debug, Clone, Default)]
 pub(super) struct RefusalLog {
-    kept: VecDeque<Refusal>,
+    recent: VecDeque<Refusal>,
     /// Refusals that are not logged yet.
-    new: VecDeque<Refusal>,
+    unlogged: VecDeque<Refusal>,
     /// The start of each refusal that has not ended.
-    lasting: BTreeMap<RefusalKey, Duration>,
+    active_since: BTreeMap<RefusalKey, Duration>,
     counts: BTreeMap<RefusalReason, u64>,
     passed: u64,
 }
@@ -137,20 +137,21 @@
             let ProposedTable { proxy, class, .. } = changes[finding.change];
             RefusalKey { proxy, class, reason: finding.reason }
         };
-        let still: BTreeSet<RefusalKey> = findings.iter().map(key).collect();
+        let found_again: BTreeSet<RefusalKey> = findings.iter().map(key).collect();
         for change in changes {
-            let is_of = |key: &RefusalKey| key.proxy == change.proxy && key.class == change.class;
-            self.lasting.retain(|key, _| !is_of(key) || still.contains(key));
+            let is_same_table = |key: &RefusalKey| key.proxy == change.proxy && key.class == change.class;
+            self.active_since.retain(|key, _| !is_same_table(key) || found_again.contains(key));
         }
         for finding in findings {
             let key = key(&finding);
-            let since = *self.lasting.entry(key).or_insert(now);
-            let held_long_enough = finding.reason == RefusalReason::Sweep && now >= since + HELD_FOR;
+            let since = *self.active_since.entry(key).or_insert(now);
+            let held_long_enough =
+                finding.reason == RefusalReason::ShiftTooLarge && now >= since + MAX_HOLD_BACK;
             if finding.outcome == RefusalOutcome::LetThrough && held_long_enough {
-                self.lasting.remove(&key);
+                self.active_since.remove(&key);
             }
             *self.counts.entry(finding.reason).or_default() += 1;
-            self.keep(Refusal {
+            self.push(Refusal {
                 at: now,
                 proxy: Some(key.proxy),
                 class: key.class,
@@ -174,7 +175,7 @@
         allowed: f64,
     ) {
         *self.counts.entry(reason).or_default() += 1;
-        self.keep(Refusal {
+        self.push(Refusal {
             at: now,
             proxy: None,
             class,
@@ -187,14 +188,14 @@
         });
     }
 
-    fn keep(&mut self, refusal: Refusal) {
-        if refusal.since == refusal.at && self.new.len() < MAX_REFUSALS {
-            self.new.push_back(refusal.clone());
+    fn push(&mut self, refusal: Refusal) {
+        if refusal.since == refusal.at && self.unlogged.len() < MAX_REFUSALS {
+            self.unlogged.push_back(refusal.clone());
         }
-        if self.kept.len() == MAX_REFUSALS {
-            self.kept.pop_front();
+        if self.recent.len() == MAX_REFUSALS {
+            self.recent.pop_front();
         }
-        self.kept.push_back(refusal);
+        self.recent.push_back(refusal);
     }
 
     /// Since when a change has been refused for a reason without interruption.
@@ -204,31 +205,31 @@
         class: usize,
         reason: RefusalReason,
     ) -> Option<Duration> {
-        self.lasting.get(&RefusalKey { proxy, class, reason }).copied()
+        self.active_since.get(&RefusalKey { proxy, class, reason }).copied()
     }
 
     pub(super) fn clear(&mut self, proxy: ProxyId, class: usize) {
-        self.lasting.retain(|key, _| key.proxy != proxy || key.class != class);
+        self.active_since.retain(|key, _| key.proxy != proxy || key.class != class);
     }
 
     pub(super) fn forget_proxy(&mut self, proxy: ProxyId) {
-        self.lasting.retain(|key, _| key.proxy != proxy);
+        self.active_since.retain(|key, _| key.proxy != proxy);
     }
 
     pub(super) fn next_new(&mut self) -> Option<Refusal> {
-        self.new.pop_front()
+        self.unlogged.pop_front()
     }
 
     pub(super) fn proxies(&self) -> BTreeSet<ProxyId> {
-        self.lasting.keys().map(|key| key.proxy).collect()
+        self.active_since.keys().map(|key| key.proxy).collect()
     }
 
     pub(super) fn alarms(&self, now: Duration) -> usize {
-        self.lasting.values().filter(|since| now >= **since + ALARM).count()
+        self.active_since.values().filter(|since| now >= **since + ALARM_AFTER).count()
     }
 
     pub(super) fn iter(&self) -> impl DoubleEndedIterator<Item = &Refusal> {
-        self.kept.iter()
+        self.recent.iter()
     }
 
     pub(super) fn tally(&self) -> (&BTreeMap<RefusalReason, u64>, u64) {
--- a/crates/core/src/guard/repair.rs
+++ b/crates/core/src/guard/repair.rs
@@ -21,7 +21,7 @@
 /// drain, are gone or are ejected are closed, and those that are available again are opened. If closed
 /// entries stayed closed, a table that is kept through a deployment would shrink to its last entries and
 /// overload them.
-fn reopened(held: &Table, open: &impl Fn(&ReplicaId) -> bool) -> Table {
+fn with_current_states(held: &Table, open: &impl Fn(&ReplicaId) -> bool) -> Table {
     let mut table = held.clone();
     table.entries.iter_mut().for_each(|entry| entry.routable = open(&entry.replica));
     table
@@ -33,7 +33,7 @@
     same_zone_only: bool,
     open: &impl Fn(&ReplicaId) -> bool,
 ) -> Option<Table> {
-    let mut last = change.held.map(|held| reopened(held, open))?;
+    let mut last = change.held.map(|held| with_current_states(held, open))?;
     if same_zone_only {
         last.entries.iter_mut().for_each(|entry| entry.routable &= entry.zone == change.zone);
     }
@@ -60,19 +60,19 @@
     let mut entries: Vec<ResolvedEntry> =
         change.default_table.iter().filter_map(|(id, weight)| entry(id, *weight)).collect();
     if entries.is_empty() {
-        let near = |id: &ReplicaId| roster.get(id).is_some_and(|known| known.zone == change.zone);
-        let any_near = roster.iter().any(|(id, _)| fits(id) && near(id));
-        let candidates = roster.iter().filter(|(id, _)| !any_near || near(id));
+        let is_local = |id: &ReplicaId| roster.get(id).is_some_and(|known| known.zone == change.zone);
+        let any_local = roster.iter().any(|(id, _)| fits(id) && is_local(id));
+        let candidates = roster.iter().filter(|(id, _)| !any_local || is_local(id));
         entries = candidates.filter_map(|(id, known)| entry(id, known.weight)).collect();
     }
-    entries.sort_by(|one, other| one.replica.cmp(&other.replica));
+    entries.sort_by(|a, b| a.replica.cmp(&b.replica));
     Table { entries, admission_fraction: 1.0 }
 }
 
 /// Checks a single table and corrects it.
 pub(super) struct SingleTableCheck<'a, Open> {
     /// The index of the change.
-    pub(super) place: usize,
+    pub(super) index: usize,
     pub(super) change: &'a ProposedTable<'a>,
     pub(super) same_zone_only: bool,
     pub(super) roster: &'a Roster,
@@ -95,10 +95,10 @@
         if has_route(&table) {
             return table;
         }
-        self.replace_bare_table(table, asked)
+        self.replace_unroutable_table(table, asked)
     }
 
-    fn find(
+    fn add_finding(
         &mut self,
         reason: RefusalReason,
         outcome: RefusalOutcome,
@@ -107,26 +107,42 @@
         allowed: f64,
     ) {
         let replica = replica.cloned();
-        self.findings.push(Finding { change: self.place, reason, outcome, replica, asked, allowed });
+        self.findings.push(Finding { change: self.index, reason, outcome, replica, asked, allowed });
     }
 
     fn check_admission_fraction(&mut self, table: &mut Table) {
         if (0.0..=1.0).contains(&table.admission_fraction) {
             return;
         }
-        self.find(RefusalReason::Level, RefusalOutcome::Corrected, None, table.admission_fraction, 1.0);
+        self.add_finding(
+            RefusalReason::Level,
+            RefusalOutcome::Corrected,
+            None,
+            table.admission_fraction,
+            1.0,
+        );
         table.admission_fraction = self.change.held.map_or(1.0, |held| held.admission_fraction);
     }
 
     fn check_weights(&mut self, table: &mut Table) {
-        let sound = |entry: &ResolvedEntry| entry.weight.is_finite() && entry.weight > 0.0;
-        for entry in table.entries.iter().filter(|entry| entry.routable && !sound(entry)) {
+        let has_valid_weight = |entry: &ResolvedEntry| entry.weight.is_finite() && entry.weight > 0.0;
+        for entry in table.entries.iter().filter(|entry| entry.routable && !has_valid_weight(entry)) {
             let replica = Some(&entry.replica);
-            self.find(RefusalReason::Weight, RefusalOutcome::Corrected, replica, entry.weight, f64::MAX);
+            self.add_finding(
+                RefusalReason::Weight,
+                RefusalOutcome::Corrected,
+                replica,
+                entry.weight,
+                f64::MAX,
+            );
         }
         // The weight of a closed entry is never used, so an invalid one is replaced.
-        table.entries.retain(|entry| !entry.routable || sound(entry));
-        table.entries.iter_mut().filter(|entry| !sound(entry)).for_each(|entry| entry.weight = 1.0);
+        table.entries.retain(|entry| !entry.routable || has_valid_weight(entry));
+        table
+            .entries
+            .iter_mut()
+            .filter(|entry| !has_valid_weight(entry))
+            .for_each(|entry| entry.weight = 1.0);
     }
 
     fn check_weight_range(&mut self, table: &mut Table) {
@@ -136,7 +152,13 @@
             if entry.routable && entry.weight * MAX_WEIGHT_RATIO < largest {
                 let (asked, allowed) = (entry.weight / largest, 1.0 / MAX_WEIGHT_RATIO);
                 let replica = Some(&entry.replica);
-                self.find(RefusalReason::Wire, RefusalOutcome::Corrected, replica, asked, allowed);
+                self.add_finding(
+                    RefusalReason::WeightRatio,
+                    RefusalOutcome::Corrected,
+                    replica,
+                    asked,
+                    allowed,
+                );
                 entry.weight = largest / MAX_WEIGHT_RATIO;
             }
         }
@@ -146,7 +168,7 @@
         let open = self.open;
         let closed = table.entries.iter().filter(|entry| entry.routable && !open(&entry.replica)).count();
         if closed > 0 && closed == route_count(table) {
-            self.find(RefusalReason::Draining, RefusalOutcome::Kept, None, closed as f64, 0.0);
+            self.add_finding(RefusalReason::AllEntriesClosed, RefusalOutcome::Kept, None, closed as f64, 0.0);
         }
         table.entries.iter_mut().for_each(|entry| entry.routable &= open(&entry.replica));
     }
@@ -155,7 +177,7 @@
         for entry in &mut table.entries {
             if entry.routable && entry.zone != self.change.zone {
                 let replica = Some(&entry.replica);
-                self.find(RefusalReason::OutOfZone, RefusalOutcome::Corrected, replica, 0.0, 0.0);
+                self.add_finding(RefusalReason::OutOfZone, RefusalOutcome::Corrected, replica, 0.0, 0.0);
                 entry.routable = false;
             }
         }
@@ -163,21 +185,21 @@
 
     /// A replacement for a table without a routable entry: the last good one, else a last resort, else, where
     /// no replica is ready, the requested table without its closed entries.
-    fn replace_bare_table(&mut self, table: Table, asked: usize) -> Table {
+    fn replace_unroutable_table(&mut self, table: Table, asked: usize) -> Table {
         let (roster, change, open) = (self.roster, self.change, self.open);
-        let near_enough = |id: &ReplicaId| {
+        let in_allowed_zone = |id: &ReplicaId| {
             !self.same_zone_only || roster.get(id).is_some_and(|known| known.zone == change.zone)
         };
         // If the module has ejected every replica, its ejections are ignored: a replica that may be bad is
         // better than none.
-        let any_open = roster.iter().any(|(id, _)| open(id) && near_enough(id));
+        let any_open = roster.iter().any(|(id, _)| open(id) && in_allowed_zone(id));
         let is_ready = |id: &ReplicaId| roster.get(id).is_some_and(|known| known.phase == Phase::Ready);
-        let fits = |id: &ReplicaId| near_enough(id) && if any_open { open(id) } else { is_ready(id) };
+        let fits = |id: &ReplicaId| in_allowed_zone(id) && if any_open { open(id) } else { is_ready(id) };
         if !roster.iter().any(|(id, _)| fits(id)) {
             return table;
         }
-        let reason = if self.same_zone_only { RefusalReason::ZoneBare } else { RefusalReason::Bare };
-        let held = change.held.map(|held| reopened(held, &fits)).filter(has_route);
+        let reason = if self.same_zone_only { RefusalReason::NoRouteInZone } else { RefusalReason::Bare };
+        let held = change.held.map(|held| with_current_states(held, &fits)).filter(has_route);
         let (outcome, replacement) = match held {
             Some(held) => (RefusalOutcome::Kept, held),
             None => {
@@ -186,7 +208,7 @@
                 (RefusalOutcome::LastResort, table)
             }
         };
-        self.find(reason, outcome, None, asked as f64, 1.0);
+        self.add_finding(reason, outcome, None, asked as f64, 1.0);
         replacement
     }
 }
--- a/crates/core/src/ownership.rs
+++ b/crates/core/src/ownership.rs
@@ -29,7 +29,7 @@
     };
     let mut ranked: Vec<usize> = (0..governors.len()).collect();
     // Governors with equal names keep the order of the list.
-    ranked.sort_by_key(|place| (std::cmp::Reverse(score(governors[*place])), *place));
+    ranked.sort_by_key(|index| (std::cmp::Reverse(score(governors[*index])), *index));
     ranked
 }
 
@@ -56,8 +56,8 @@
 
 impl std::fmt::Debug for SigningKey {
     /// Omits the secret, which must not appear in logs.
-    fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(to, "Key({})", self.id)
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        write!(formatter, "Key({})", self.id)
     }
 }
 
@@ -66,10 +66,10 @@
 pub enum KeyError {
     /// The key's name has characters or a length that a proof can't contain.
     #[error("the name of a key must have 1 to 32 letters, digits, `-` or `_`")]
-    Name,
+    InvalidName,
     /// The secret is so short that it could be guessed: the key's name and the length of the secret in bytes.
     #[error("the secret of key `{0}` has {1} bytes; at least 32 are required")]
-    Short(String, usize),
+    SecretTooShort(String, usize),
 }
 
 impl SigningKey {
@@ -80,10 +80,10 @@
     pub fn new(id: &str, secret: &[u8]) -> Result<SigningKey, KeyError> {
         let allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
         if id.is_empty() || id.len() > MAX_KEY_NAME || !id.chars().all(allowed) {
-            return Err(KeyError::Name);
+            return Err(KeyError::InvalidName);
         }
         if secret.len() < MIN_SECRET_BYTES {
-            return Err(KeyError::Short(id.into(), secret.len()));
+            return Err(KeyError::SecretTooShort(id.into(), secret.len()));
         }
         Ok(SigningKey { id: id.into(), key: blake3::derive_key("wrenthread 2026 claims", secret) })
     }
@@ -94,16 +94,16 @@
 pub enum ProofError {
     /// It is malformed.
     #[error("it is malformed")]
-    Unclear,
+    Malformed,
     /// It names a key that is not in use.
     #[error("it is signed with a key that is not in use")]
-    Key,
+    UnknownKey,
     /// It was signed with another secret, or modified.
     #[error("its signature is wrong")]
-    Signature,
+    InvalidSignature,
     /// It was issued to another proxy.
     #[error("it was issued to another proxy")]
-    NotItsOwn,
+    OtherProxy,
 }
 
 // ---- datagrams between governors
@@ -125,14 +125,14 @@
 /// # Errors
 /// As [`ProofError`].
 pub fn unseal<'a>(keys: &[SigningKey], sealed: &'a [u8]) -> Result<&'a [u8], ProofError> {
-    let (length, rest) = sealed.split_first().ok_or(ProofError::Unclear)?;
-    let (id, rest) = rest.split_at_checked(usize::from(*length)).ok_or(ProofError::Unclear)?;
-    let (mac, body) = rest.split_at_checked(MAC_BYTES).ok_or(ProofError::Unclear)?;
-    let key = keys.iter().find(|key| key.id.as_bytes() == id).ok_or(ProofError::Key)?;
-    let mac = blake3::Hash::from_slice(mac).map_err(|_| ProofError::Unclear)?;
+    let (length, rest) = sealed.split_first().ok_or(ProofError::Malformed)?;
+    let (id, rest) = rest.split_at_checked(usize::from(*length)).ok_or(ProofError::Malformed)?;
+    let (mac, body) = rest.split_at_checked(MAC_BYTES).ok_or(ProofError::Malformed)?;
+    let key = keys.iter().find(|key| key.id.as_bytes() == id).ok_or(ProofError::UnknownKey)?;
+    let mac = blake3::Hash::from_slice(mac).map_err(|_| ProofError::Malformed)?;
     // `blake3::Hash` compares in constant time, so the duration does not reveal how much of the code was
     // right.
-    if datagram_mac(key, body) == mac { Ok(body) } else { Err(ProofError::Signature) }
+    if datagram_mac(key, body) == mac { Ok(body) } else { Err(ProofError::InvalidSignature) }
 }
 
 /// The MAC of a datagram covers a leading zero byte. A proof is text and never contains one, so no MAC is
@@ -160,26 +160,27 @@
 /// As [`ProofError`]. A claim that is not proven must not be used.
 pub fn prove(keys: &[SigningKey], proxy: &str, signed: &str) -> Result<OwnershipClaim, ProofError> {
     if signed.len() > MAX_PROOF_BYTES {
-        return Err(ProofError::Unclear);
+        return Err(ProofError::Malformed);
     }
-    let (text, mac) = signed.rsplit_once('.').ok_or(ProofError::Unclear)?;
+    let (text, mac) = signed.rsplit_once('.').ok_or(ProofError::Malformed)?;
     let parts: Vec<&str> = text.split('.').collect();
-    let [id, governor, epoch, version, owned_proxy] = parts[..] else { return Err(ProofError::Unclear) };
-    let key = keys.iter().find(|key| key.id == id).ok_or(ProofError::Key)?;
-    let mac = blake3::Hash::from_hex(mac).map_err(|_| ProofError::Unclear)?;
+    let [id, governor, epoch, version, owned_proxy] = parts[..] else { return Err(ProofError::Malformed) };
+    let key = keys.iter().find(|key| key.id == id).ok_or(ProofError::UnknownKey)?;
+    let mac = blake3::Hash::from_hex(mac).map_err(|_| ProofError::Malformed)?;
     // Compared in constant time, so that the duration does not reveal how much of the code was right.
     if blake3::keyed_hash(&key.key, text.as_bytes()) != mac {
-        return Err(ProofError::Signature);
+        return Err(ProofError::InvalidSignature);
     }
-    let name = |text| unhex(text).and_then(|bytes| String::from_utf8(bytes).ok()).ok_or(ProofError::Unclear);
-    let number = |text| u64::from_str_radix(text, 16).map_err(|_| ProofError::Unclear);
+    let name =
+        |text| unhex(text).and_then(|bytes| String::from_utf8(bytes).ok()).ok_or(ProofError::Malformed);
+    let number = |text| u64::from_str_radix(text, 16).map_err(|_| ProofError::Malformed);
     let claim = OwnershipClaim {
         governor: name(governor)?,
         epoch: number(epoch)?,
         version: number(version)?,
         proxy: name(owned_proxy)?,
     };
-    if claim.proxy == proxy { Ok(claim) } else { Err(ProofError::NotItsOwn) }
+    if claim.proxy == proxy { Ok(claim) } else { Err(ProofError::OtherProxy) }
 }
 
 #[cfg(test)]
--- a/crates/core/src/ownership/tests.rs
+++ b/crates/core/src/ownership/tests.rs
@@ -36,10 +36,10 @@
     let (old, new) = (key("2026-a", 1), key("2026-b", 2));
     let signed = sign(&old, &claim());
     assert_eq!(prove(&[new.clone(), old], "relay é", &signed), Ok(claim()));
-    assert_eq!(prove(&[new], "relay é", &signed), Err(ProofError::Key), "the key was rotated out");
-    assert_eq!(prove(&[key("2026-a", 3)], "relay é", &signed), Err(ProofError::Signature));
-    assert_eq!(prove(&[key("2026-a", 1)], "relay-2", &signed), Err(ProofError::NotItsOwn));
-    assert_eq!(prove(&[key("2026-a", 1)], "relay é", "nothing"), Err(ProofError::Unclear));
+    assert_eq!(prove(&[new], "relay é", &signed), Err(ProofError::UnknownKey), "the key was rotated out");
+    assert_eq!(prove(&[key("2026-a", 3)], "relay é", &signed), Err(ProofError::InvalidSignature));
+    assert_eq!(prove(&[key("2026-a", 1)], "relay-2", &signed), Err(ProofError::OtherProxy));
+    assert_eq!(prove(&[key("2026-a", 1)], "relay é", "nothing"), Err(ProofError::Malformed));
     assert_eq!(format!("{:?}", key("a", 1)), "Key(a)");
     assert!(SigningKey::new("a.b", &[0; 32]).is_err() && SigningKey::new("a", &[0; 31]).is_err());
 }
@@ -49,8 +49,8 @@
     fn rejects_a_changed_proof(at in 0usize..200, byte in any::<u8>()) {
         let signed = sign(&key("a", 1), &claim());
         let mut changed = signed.clone().into_bytes();
-        let place = at % changed.len();
-        changed[place] = byte;
+        let position = at % changed.len();
+        changed[position] = byte;
         if let Ok(changed) = String::from_utf8(changed) {
             let same = changed == signed || changed.eq_ignore_ascii_case(&signed);
             prop_assert_eq!(prove(&[key("a", 1)], "relay é", &changed).is_ok(), same);
@@ -63,17 +63,17 @@
     let (old, new) = (key("a", 1), key("b", 2));
     let sealed = seal(&old, b"hello");
     assert_eq!(unseal(&[new.clone(), old.clone()], &sealed), Ok(&b"hello"[..]));
-    assert_eq!(unseal(&[new], &sealed), Err(ProofError::Key));
-    for place in 0..sealed.len() {
+    assert_eq!(unseal(&[new], &sealed), Err(ProofError::UnknownKey));
+    for position in 0..sealed.len() {
         let mut changed = sealed.clone();
-        changed[place] ^= 1;
-        assert!(unseal(std::slice::from_ref(&old), &changed).is_err(), "byte {place}");
-        assert!(unseal(std::slice::from_ref(&old), &sealed[..place]).is_err());
+        changed[position] ^= 1;
+        assert!(unseal(std::slice::from_ref(&old), &changed).is_err(), "byte {position}");
+        assert!(unseal(std::slice::from_ref(&old), &sealed[..position]).is_err());
     }
     let signed = sign(&old, &claim());
-    let (said, mac) = signed.rsplit_once('.').unwrap();
+    let (text, mac) = signed.rsplit_once('.').unwrap();
     let mut forged = vec![1, b'a'];
     forged.extend_from_slice(blake3::Hash::from_hex(mac).unwrap().as_bytes());
-    forged.extend_from_slice(said.as_bytes());
-    assert_eq!(unseal(&[old], &forged), Err(ProofError::Signature));
+    forged.extend_from_slice(text.as_bytes());
+    assert_eq!(unseal(&[old], &forged), Err(ProofError::InvalidSignature));
 }
--- a/crates/core/src/recording/dry_run.rs
+++ b/crates/core/src/recording/dry_run.rs
@@ -30,13 +30,13 @@
 pub enum CandidateError {
     /// The recording has no proxy of this name.
     #[error("no proxy `{0}` is joined there")]
-    NoProxy(Arc<str>),
+    UnknownProxy(Arc<str>),
     /// The recording has no traffic class with this index.
     #[error("group index {0} is out of range")]
     NoGroup(usize),
     /// There are two candidate tables for the same proxy and traffic class.
     #[error("proxy `{0}` has two candidate tables for the same group")]
-    Twice(Arc<str>),
+    DuplicateTable(Arc<str>),
 }
 
 /// The result of a dry run.
@@ -104,13 +104,13 @@
 
     /// Proxies with their indices in the recording, which serve as their ids.
     fn numbered_proxies(&self) -> impl Iterator<Item = (ProxyId, &RecordedProxy)> {
-        self.proxies.iter().enumerate().map(|(place, proxy)| (place as ProxyId, proxy))
+        self.proxies.iter().enumerate().map(|(index, proxy)| (index as ProxyId, proxy))
     }
 
     /// Loads the recorded state into the guard, and returns the tables that proxies held.
     fn load_guard(&self, guard: &mut Guard, roster: &Roster) -> HeldTables {
-        for seen in &self.throughput {
-            guard.restore_throughput(NOW, &seen.replica, seen.zone, seen.per_second);
+        for observed in &self.throughput {
+            guard.restore_throughput(NOW, &observed.replica, observed.zone, observed.per_second);
         }
         let mut held = HeldTables::new();
         for (id, proxy) in self.numbered_proxies() {
@@ -138,24 +138,24 @@
     ) -> Result<Vec<ProposedTable<'a>>, CandidateError> {
         let ids: BTreeMap<&str, ProxyId> =
             self.numbered_proxies().map(|(id, proxy)| (&*proxy.name, id)).collect();
-        let mut places = BTreeSet::new();
+        let mut seen = BTreeSet::new();
         let mut changes = Vec::new();
         for candidate in wanted {
             let Some(id) = ids.get(&*candidate.proxy).copied() else {
-                return Err(CandidateError::NoProxy(candidate.proxy.clone()));
+                return Err(CandidateError::UnknownProxy(candidate.proxy.clone()));
             };
             let class = candidate.group;
             if class >= self.groups.len() {
                 return Err(CandidateError::NoGroup(class));
             }
-            if !places.insert((id, class)) {
-                return Err(CandidateError::Twice(candidate.proxy.clone()));
+            if !seen.insert((id, class)) {
+                return Err(CandidateError::DuplicateTable(candidate.proxy.clone()));
             }
             let proxy = &self.proxies[usize::from(id)];
             let entry =
                 |(replica, weight): &(ReplicaId, f64)| resolved(roster, proxy.zone, replica, *weight, true);
             let mut entries: Vec<ResolvedEntry> = candidate.lines.iter().map(entry).collect();
-            entries.sort_by(|one, other| one.replica.cmp(&other.replica));
+            entries.sort_by(|a, b| a.replica.cmp(&b.replica));
             changes.push(ProposedTable {
                 proxy: id,
                 zone: proxy.zone,
--- a/crates/core/src/recording/tests.rs
+++ b/crates/core/src/recording/tests.rs
@@ -5,19 +5,19 @@
 
 /// Two proxies with ten requests per second each on three of four replicas. The fourth replica drains.
 fn recording() -> Recording {
-    let id = |at: usize| Arc::<str>::from(["a", "b", "c", "d"][at]);
-    let replica = |at| RecordedReplica {
-        id: id(at),
-        address: format!("{}:1", id(at)).into(),
+    let id = |index: usize| Arc::<str>::from(["a", "b", "c", "d"][index]);
+    let replica = |index| RecordedReplica {
+        id: id(index),
+        address: format!("{}:1", id(index)).into(),
         zone: 0,
         weight: 1.0,
-        phase: if at == 3 { RecordedPhase::Draining } else { RecordedPhase::Ready },
+        phase: if index == 3 { RecordedPhase::Draining } else { RecordedPhase::Ready },
         age_seconds: None,
         out: false,
     };
-    let lines =
-        Some((0..3).map(|at| RecordedEntry { replica: id(at), weight: 1.0, routable: true }).collect());
-    let group = RecordedTable { requests_per_second: 10.0, admission_fraction: 1.0, entries: lines };
+    let held_entries =
+        Some((0..3).map(|index| RecordedEntry { replica: id(index), weight: 1.0, routable: true }).collect());
+    let group = RecordedTable { requests_per_second: 10.0, admission_fraction: 1.0, entries: held_entries };
     let proxy = |name: &str| RecordedProxy {
         name: name.into(),
         zone: 0,
@@ -55,43 +55,56 @@
     let even = wanted("p", &[("a", 1.0), ("b", 1.0), ("c", 2.0)]);
     assert_eq!(recording.would(std::slice::from_ref(&even)).unwrap().unwrap().refusals, []);
     let drain = wanted("q", &[("d", 1.0)]);
-    let tried = recording.would(&[even.clone(), drain]).unwrap().unwrap();
-    assert_eq!(tried.tables[0].entries.len(), 3);
-    let said: Vec<_> = tried.refusals.iter().map(|one| (one.proxy.as_deref(), one.refusal.reason)).collect();
-    assert_eq!(said, [(Some("q"), RefusalReason::Draining), (Some("q"), RefusalReason::Bare)]);
-    assert_eq!(tried.tables[1].entries.len(), 3, "the last good table stays in force");
+    let dry_run = recording.would(&[even.clone(), drain]).unwrap().unwrap();
+    assert_eq!(dry_run.tables[0].entries.len(), 3);
+    let reasons: Vec<_> =
+        dry_run.refusals.iter().map(|refused| (refused.proxy.as_deref(), refused.refusal.reason)).collect();
+    assert_eq!(reasons, [(Some("q"), RefusalReason::AllEntriesClosed), (Some("q"), RefusalReason::Bare)]);
+    assert_eq!(dry_run.tables[1].entries.len(), 3, "the last good table stays in force");
     // Each table is valid by itself, but together they would put all requests on a cold replica.
     let mut cold = recording;
     cold.replicas[0].age_seconds = Some(1.0);
     let heavy = |proxy| wanted(proxy, &[("a", 1.0), ("b", 1.0)]);
-    let tried = cold.would(&[heavy("p"), heavy("q")]).unwrap().unwrap();
-    assert!(tried.refusals.iter().all(|one| one.refusal.reason == RefusalReason::Cold));
-    assert!(tried.refusals.iter().any(|one| one.refusal.outcome == RefusalOutcome::Corrected));
+    let dry_run = cold.would(&[heavy("p"), heavy("q")]).unwrap().unwrap();
+    assert!(dry_run.refusals.iter().all(|refused| refused.refusal.reason == RefusalReason::Cold));
+    assert!(dry_run.refusals.iter().any(|refused| refused.refusal.outcome == RefusalOutcome::Corrected));
     cold.replicas[0].out = true;
-    let tried = cold.would(&[heavy("p")]).unwrap().unwrap();
-    assert!(!tried.tables[0].entries[0].routable, "an ejected replica stays closed");
+    let dry_run = cold.would(&[heavy("p")]).unwrap().unwrap();
+    assert!(!dry_run.tables[0].entries[0].routable, "an ejected replica stays closed");
 }
 
 #[test]
 fn rejects_impossible_recordings_and_candidates() {
     let twice = [wanted("p", &[("a", 1.0)]), wanted("p", &[("b", 1.0)])];
-    assert_eq!(recording().would(&twice).unwrap(), Err(CandidateError::Twice("p".into())));
-    let nobody = recording().would(&[wanted("x", &[])]).unwrap();
-    assert_eq!(nobody, Err(CandidateError::NoProxy("x".into())));
-    let spoilt = |spoil: fn(&mut Recording)| {
+    assert_eq!(recording().would(&twice).unwrap(), Err(CandidateError::DuplicateTable("p".into())));
+    let unknown_proxy = recording().would(&[wanted("x", &[])]).unwrap();
+    assert_eq!(unknown_proxy, Err(CandidateError::UnknownProxy("x".into())));
+    let error_after = |change: fn(&mut Recording)| {
         let mut recording = recording();
-        spoil(&mut recording);
+        change(&mut recording);
         recording.would(&[]).unwrap_err().to_string()
     };
-    assert_eq!(spoilt(|one| one.form = 9), "the recording has format 9; this version reads format 1");
-    assert_eq!(spoilt(|one| one.proxies[1].zone = 4), "proxy `q` has zone index 4; the number of zones is 1");
+    assert_eq!(
+        error_after(|recording| recording.form = 9),
+        "the recording has format 9; this version reads format 1"
+    );
+    assert_eq!(
+        error_after(|recording| recording.proxies[1].zone = 4),
+        "proxy `q` has zone index 4; the number of zones is 1"
+    );
     assert!(
-        spoilt(|one| one.replicas[0].age_seconds = Some(f64::NAN))
+        error_after(|recording| recording.replicas[0].age_seconds = Some(f64::NAN))
             .contains("replica `a` has the figure `NaN`")
     );
-    assert!(spoilt(|one| one.replicas[1].id = "a".into()).contains("occurs twice"));
-    assert!(spoilt(|one| one.proxies[0].classes.clear()).contains("`p` has entries for 0 groups"));
-    assert!(spoilt(|one| one.limits.same_zone_only.clear()).contains("the number of groups is 1"));
+    assert!(error_after(|recording| recording.replicas[1].id = "a".into()).contains("occurs twice"));
+    assert!(
+        error_after(|recording| recording.proxies[0].classes.clear())
+            .contains("`p` has entries for 0 groups")
+    );
+    assert!(
+        error_after(|recording| recording.limits.same_zone_only.clear())
+            .contains("the number of groups is 1")
+    );
 }
 
 #[test]
--- a/crates/core/src/recording/validation.rs
+++ b/crates/core/src/recording/validation.rs
@@ -15,19 +15,19 @@
 pub enum RecordingError {
     /// It has another format version than [`FORM`].
     #[error("the recording has format {form}; this version reads format {FORM}")]
-    Form {
+    UnsupportedFormat {
         /// The format version that it has.
         form: u32,
     },
     /// It has more replicas or proxies than a governor supports.
     #[error("the recording has more {kind} than a governor supports")]
-    Size {
+    TooMany {
         /// `replicas` or `proxies`.
         kind: &'static str,
     },
     /// A replica or a proxy has a zone index that is out of range.
     #[error("{kind} `{name}` has zone index {zone}; the number of zones is {zone_count}")]
-    Zone {
+    ZoneOutOfRange {
         /// Replica or proxy.
         kind: &'static str,
         /// Its name.
@@ -39,7 +39,7 @@
     },
     /// A figure is negative or not finite.
     #[error("{kind} `{name}` has the figure `{figure}`, which is negative or not finite")]
-    Number {
+    InvalidFigure {
         /// The kind of object that has the figure.
         kind: &'static str,
         /// Its name.
@@ -49,7 +49,7 @@
     },
     /// A name occurs twice.
     #[error("{kind} `{name}` occurs twice")]
-    Twice {
+    DuplicateName {
         /// Replica or proxy.
         kind: &'static str,
         /// The name.
@@ -57,7 +57,7 @@
     },
     /// A proxy or the limits have values for another number of traffic classes than the recording.
     #[error("`{name}` has entries for {given} groups; the number of groups is {expected}")]
-    Groups {
+    ClassCountMismatch {
         /// A proxy's name, or `limits`.
         name: Arc<str>,
         /// The number of classes for which it has values.
@@ -70,19 +70,19 @@
 impl Recording {
     pub(super) fn validate(&self) -> Result<(), RecordingError> {
         if self.form != FORM {
-            return Err(RecordingError::Form { form: self.form });
+            return Err(RecordingError::UnsupportedFormat { form: self.form });
         }
         if self.replicas.len() > MAX_REPLICAS {
-            return Err(RecordingError::Size { kind: "replicas" });
+            return Err(RecordingError::TooMany { kind: "replicas" });
         }
         if self.proxies.len() > usize::from(ProxyId::MAX) {
-            return Err(RecordingError::Size { kind: "proxies" });
+            return Err(RecordingError::TooMany { kind: "proxies" });
         }
         self.limits.validate(self.groups.len())?;
         self.validate_replicas()?;
         self.validate_proxies()?;
-        for seen in &self.throughput {
-            validate_figure("replica", &seen.replica, seen.per_second)?;
+        for observed in &self.throughput {
+            validate_figure("replica", &observed.replica, observed.per_second)?;
         }
         Ok(())
     }
@@ -92,7 +92,7 @@
         for replica in &self.replicas {
             replica.validate(self.zones.len())?;
             if !names.insert(&replica.id) {
-                return Err(RecordingError::Twice { kind: "replica", name: replica.id.clone() });
+                return Err(RecordingError::DuplicateName { kind: "replica", name: replica.id.clone() });
             }
         }
         Ok(())
@@ -103,7 +103,7 @@
         for proxy in &self.proxies {
             proxy.validate(self.zones.len(), self.groups.len())?;
             if !names.insert(&proxy.name) {
-                return Err(RecordingError::Twice { kind: "proxy", name: proxy.name.clone() });
+                return Err(RecordingError::DuplicateName { kind: "proxy", name: proxy.name.clone() });
             }
         }
         Ok(())
@@ -115,7 +115,7 @@
         let name: Arc<str> = "limits".into();
         for given in [self.same_zone_only.len(), self.not_idempotent.len()] {
             if given != class_count || class_count > ClassSet::BITS as usize {
-                return Err(RecordingError::Groups { name, given, expected: class_count });
+                return Err(RecordingError::ClassCountMismatch { name, given, expected: class_count });
             }
         }
         for figure in [self.initial_capacity_fraction, self.slow_start_seconds, self.max_entries] {
@@ -137,7 +137,7 @@
     fn validate(&self, zone_count: usize, class_count: usize) -> Result<(), RecordingError> {
         validate_zone("proxy", &self.name, self.zone, zone_count)?;
         if self.classes.len() != class_count {
-            return Err(RecordingError::Groups {
+            return Err(RecordingError::ClassCountMismatch {
                 name: self.name.clone(),
                 given: self.classes.len(),
                 expected: class_count,
@@ -159,12 +159,12 @@
     if zone < zone_count {
         return Ok(());
     }
-    Err(RecordingError::Zone { kind, name: name.clone(), zone, zone_count })
+    Err(RecordingError::ZoneOutOfRange { kind, name: name.clone(), zone, zone_count })
 }
 
 fn validate_figure(kind: &'static str, name: &Arc<str>, figure: f64) -> Result<(), RecordingError> {
     if figure.is_finite() && figure >= 0.0 {
         return Ok(());
     }
-    Err(RecordingError::Number { kind, name: name.clone(), figure })
+    Err(RecordingError::InvalidFigure { kind, name: name.clone(), figure })
 }
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -21,8 +21,8 @@
     StoredRetryPolicy, StoredTable, StoredTableEntry,
 };
 pub use restore::{
-    DEMAND, LAST, LEVELS, RestoreError, RestoredFrozenTable, RestoredOverride, RestoredState, TABLES,
-    UNKNOWN, WITHDRAWN, counts, recall,
+    ADMISSION_LIFETIME, DEMAND, EJECTION_HALF_LIFE, LAST, RestoreError, RestoredFrozenTable,
+    RestoredOverride, RestoredState, TABLES, UNKNOWN_AGE, counts, recall,
 };
 
 use std::sync::Arc;
@@ -59,7 +59,7 @@
 /// The differences from the items written before: names with their new items, or none where an item was
 /// removed.
 pub fn changes<'a>(before: &StoredItems, now: &'a StoredItems) -> Vec<(String, Option<&'a StoredItem>)> {
-    let same = |one: &Arc<StoredItem>, other: &Arc<StoredItem>| Arc::ptr_eq(one, other) || one == other;
+    let same = |a: &Arc<StoredItem>, b: &Arc<StoredItem>| Arc::ptr_eq(a, b) || a == b;
     let changed = now.iter().filter(|(name, item)| before.get(*name).is_none_or(|old| !same(old, item)));
     let removed = before.keys().filter(|name| !now.contains_key(*name));
     changed
--- a/crates/core/src/snapshot/restore.rs
+++ b/crates/core/src/snapshot/restore.rs
@@ -14,14 +14,14 @@
 /// Half-life of demand and throughput.
 pub const DEMAND: Duration = Duration::from_secs(60);
 /// Half-life of ejections.
-pub const WITHDRAWN: Duration = Duration::from_secs(20);
+pub const EJECTION_HALF_LIFE: Duration = Duration::from_secs(20);
 /// How long a stored admission fraction is used, unless the module decides before. Older ones are dropped.
-pub const LEVELS: Duration = Duration::from_secs(10);
+pub const ADMISSION_LIFETIME: Duration = Duration::from_secs(10);
 /// How long the tables that proxies held are kept: after this time proxies have been with another governor or
 /// on their own.
 pub const TABLES: Duration = Duration::from_secs(600);
 /// The age assumed for items with a time in the future: the clock was set back, so their age is unknown.
-pub const UNKNOWN: Duration = Duration::from_secs(60);
+pub const UNKNOWN_AGE: Duration = Duration::from_secs(60);
 /// Interval for which restored throughput is reported to the module: to judge a replica where everything
 /// fails, it has to see that others succeed.
 pub const LAST: Duration = Duration::from_secs(2);
@@ -37,22 +37,22 @@
 pub enum RestoreError {
     /// The item's name or kind is unknown.
     #[error("stored item `{0}` has an unknown name or kind")]
-    Unknown(String),
+    UnknownItem(String),
     /// The item refers to a zone or a traffic class that does not exist.
     #[error("stored item `{0}` refers to an unknown zone or group")]
-    Place(String),
+    UnknownIndex(String),
     /// A figure of the item is out of range.
     #[error("stored item `{0}` has a figure out of range")]
-    Figure(String),
+    OutOfRange(String),
     /// The item [`NAMES`] or [`ALIVE`] is missing.
     #[error("the stored items lack the governor's name or their time; none of them is used")]
-    Nameless,
+    MissingIdentity,
     /// The items belong to another governor.
     #[error("the stored items belong to governor `{0}`; none of them is used")]
-    Another(String),
+    OtherGovernor(String),
     /// Zones or traffic classes have changed since the items were stored.
     #[error("zones or groups of the settings have changed; stored items that depend on them are not used")]
-    Changed,
+    SettingsChanged,
 }
 
 /// An override that is still in force.
@@ -105,35 +105,44 @@
 
 /// Restores the state from stored items, and reports the items that can't be used. `calendar` is the current
 /// Unix time in seconds, `names` this governor's own [`StoredItem::Names`].
-pub fn recall(known: StoredItems, calendar: f64, names: &StoredItem) -> (RestoredState, Vec<RestoreError>) {
-    let nothing = |why| (RestoredState::default(), vec![why]);
-    let item = |name: &str| known.get(name).map(|item| (**item).clone());
+pub fn recall(
+    stored_items: StoredItems,
+    calendar: f64,
+    names: &StoredItem,
+) -> (RestoredState, Vec<RestoreError>) {
+    let none_usable = |error| (RestoredState::default(), vec![error]);
+    let item = |name: &str| stored_items.get(name).map(|item| (**item).clone());
     let Some(StoredItem::Names { governor, zones, groups: classes }) = item(NAMES) else {
-        return nothing(RestoreError::Nameless);
+        return none_usable(RestoreError::MissingIdentity);
     };
     let StoredItem::Names { governor: own_name, zones: own_zones, groups: own_classes } = names else {
-        return nothing(RestoreError::Nameless);
+        return none_usable(RestoreError::MissingIdentity);
     };
     // A state folder that was copied from another governor must not be used.
     if governor != *own_name {
-        return nothing(RestoreError::Another(governor));
+        return none_usable(RestoreError::OtherGovernor(governor));
     }
-    let same_places = zones == *own_zones && classes == *own_classes;
+    let same_names = zones == *own_zones && classes == *own_classes;
     let mut errors = Vec::new();
-    if !same_places {
-        errors.push(RestoreError::Changed);
+    if !same_names {
+        errors.push(RestoreError::SettingsChanged);
     }
-    let Some(StoredItem::Alive { at: alive }) = item(ALIVE) else { return nothing(RestoreError::Nameless) };
+    let Some(StoredItem::Alive { at: alive }) = item(ALIVE) else {
+        return none_usable(RestoreError::MissingIdentity);
+    };
     let age = age(calendar, alive);
-    let state =
-        RestoredState { age, admission_remaining: LEVELS.saturating_sub(age), ..RestoredState::default() };
-    let mut restore = Restore { zones, classes, same_places, calendar, alive, state };
-    for (name, item) in known {
-        if let Err(why) = restore.apply(&name, Arc::unwrap_or_clone(item)) {
-            errors.push(match why {
-                Unusable::Unknown => RestoreError::Unknown(name),
-                Unusable::Place => RestoreError::Place(name),
-                Unusable::Figure => RestoreError::Figure(name),
+    let state = RestoredState {
+        age,
+        admission_remaining: ADMISSION_LIFETIME.saturating_sub(age),
+        ..RestoredState::default()
+    };
+    let mut restore = Restore { zones, classes, same_names, calendar, alive, state };
+    for (name, item) in stored_items {
+        if let Err(error) = restore.apply(&name, Arc::unwrap_or_clone(item)) {
+            errors.push(match error {
+                Unusable::UnknownItem => RestoreError::UnknownItem(name),
+                Unusable::UnknownIndex => RestoreError::UnknownIndex(name),
+                Unusable::OutOfRange => RestoreError::OutOfRange(name),
             });
         }
     }
@@ -146,7 +155,7 @@
     if calendar >= alive {
         Duration::try_from_secs_f64(calendar - alive).unwrap_or(Duration::MAX)
     } else {
-        UNKNOWN
+        UNKNOWN_AGE
     }
 }
 
@@ -156,9 +165,9 @@
 
 /// Why a single item can't be used.
 enum Unusable {
-    Unknown,
-    Place,
-    Figure,
+    UnknownItem,
+    UnknownIndex,
+    OutOfRange,
 }
 
 /// A state that is being restored item by item.
@@ -166,7 +175,7 @@
     zones: Vec<String>,
     classes: Vec<String>,
     /// Whether the zones and traffic classes are unchanged.
-    same_places: bool,
+    same_names: bool,
     calendar: f64,
     /// The Unix time until which the items were current.
     alive: f64,
@@ -185,50 +194,50 @@
                 self.override_of(of, weight, until, reason)
             }
             ("hold", StoredItem::FrozenTable(frozen)) => self.frozen_table(of, frozen),
-            _ => Err(Unusable::Unknown),
+            _ => Err(Unusable::UnknownItem),
         }
     }
 
     fn proxy(&mut self, name: &str, proxy: StoredProxy) -> Result<(), Unusable> {
         let class_count = self.classes.len();
-        let is_placed = proxy.zone < self.zones.len()
+        let has_known_zones = proxy.zone < self.zones.len()
             && proxy.tables.len() == class_count
             && proxy.requests_per_second.len() == class_count
             && proxy.retry_policies.len() == class_count
-            && proxy.tables.iter().flatten().all(|table| self.is_placed(table));
-        if !is_placed {
-            return Err(Unusable::Place);
+            && proxy.tables.iter().flatten().all(|table| self.has_known_zones(table));
+        if !has_known_zones {
+            return Err(Unusable::UnknownIndex);
         }
         let has_sound_figures = is_sound(proxy.absent_seconds)
             && proxy.tables.iter().flatten().all(has_sound_figures)
             && proxy.requests_per_second.iter().all(|demand| is_sound(*demand));
         if !has_sound_figures {
-            return Err(Unusable::Figure);
+            return Err(Unusable::OutOfRange);
         }
         let absent_seconds = self.state.age.as_secs_f64() + proxy.absent_seconds;
-        if self.same_places && absent_seconds < TABLES.as_secs_f64() {
+        if self.same_names && absent_seconds < TABLES.as_secs_f64() {
             self.state.proxies.insert(name.into(), proxy);
         }
         Ok(())
     }
 
-    fn is_placed(&self, table: &StoredTable) -> bool {
+    fn has_known_zones(&self, table: &StoredTable) -> bool {
         table.entries.iter().all(|entry| entry.zone < self.zones.len())
     }
 
     fn replica(&mut self, name: &str, replica: StoredReplica) -> Result<(), Unusable> {
         if !replica.throughput.iter().all(|(_, per_second)| is_sound(*per_second)) {
-            return Err(Unusable::Figure);
+            return Err(Unusable::OutOfRange);
         }
         let id: ReplicaId = name.into();
         let age = self.state.age;
-        let attempts = (EJECTION_ATTEMPTS * counts(age, WITHDRAWN)).round() as u64;
+        let attempts = (EJECTION_ATTEMPTS * counts(age, EJECTION_HALF_LIFE)).round() as u64;
         if replica.ejected && attempts >= MIN_EJECTION_ATTEMPTS {
             self.state.ejected.insert(id.clone(), attempts);
         }
         let weight = counts(age, DEMAND);
         for (zone, per_second) in replica.throughput {
-            if self.same_places && zone < self.zones.len() {
+            if self.same_names && zone < self.zones.len() {
                 self.state.throughput.insert((id.clone(), zone), per_second * weight);
             }
         }
@@ -236,12 +245,12 @@
     }
 
     fn admission(&mut self, class: &str, fraction: f64) -> Result<(), Unusable> {
-        let place = self.classes.iter().position(|known| known == class).ok_or(Unusable::Place)?;
+        let class_index = self.classes.iter().position(|name| name == class).ok_or(Unusable::UnknownIndex)?;
         if !(0.0..=1.0).contains(&fraction) {
-            return Err(Unusable::Figure);
+            return Err(Unusable::OutOfRange);
         }
-        if self.same_places && self.state.age < LEVELS {
-            self.state.admission_fractions.insert(place, fraction);
+        if self.same_names && self.state.age < ADMISSION_LIFETIME {
+            self.state.admission_fractions.insert(class_index, fraction);
         }
         Ok(())
     }
@@ -254,7 +263,7 @@
         reason: Arc<str>,
     ) -> Result<(), Unusable> {
         if !until.is_finite() || weight.is_some_and(|weight| !is_sound(weight)) {
-            return Err(Unusable::Figure);
+            return Err(Unusable::OutOfRange);
         }
         if let Some(remaining) = self.remaining(until) {
             self.state.overrides.insert(replica.into(), RestoredOverride { weight, remaining, reason });
@@ -262,21 +271,21 @@
         Ok(())
     }
 
-    fn frozen_table(&mut self, place: &str, stored: StoredFrozenTable) -> Result<(), Unusable> {
+    fn frozen_table(&mut self, key: &str, stored: StoredFrozenTable) -> Result<(), Unusable> {
         // The names of a class and of a proxy may both contain `/`, so the class is found among the known
         // ones.
         let named = |(class, name): (usize, &String)| {
-            Some((class, place.strip_prefix(name.as_str())?.strip_prefix('/')?))
+            Some((class, key.strip_prefix(name.as_str())?.strip_prefix('/')?))
         };
-        let (class, proxy) = self.classes.iter().enumerate().find_map(named).ok_or(Unusable::Place)?;
+        let (class, proxy) = self.classes.iter().enumerate().find_map(named).ok_or(Unusable::UnknownIndex)?;
         if !stored.entries.iter().all(|entry| entry.zone < self.zones.len() && entry.weight > 0) {
-            return Err(Unusable::Place);
+            return Err(Unusable::UnknownIndex);
         }
         if stored.admission_millionths > MILLION || !stored.until.is_finite() {
-            return Err(Unusable::Figure);
+            return Err(Unusable::OutOfRange);
         }
         let age = Duration::try_from_secs_f64((self.calendar - stored.published_at).max(0.0));
-        if let (Ok(age), Some(remaining), true) = (age, self.remaining(stored.until), self.same_places) {
+        if let (Ok(age), Some(remaining), true) = (age, self.remaining(stored.until), self.same_names) {
             let frozen = RestoredFrozenTable { age, remaining, stored };
             self.state.frozen_tables.insert((proxy.into(), class), frozen);
         }
--- a/crates/core/src/snapshot/tests.rs
+++ b/crates/core/src/snapshot/tests.rs
@@ -26,7 +26,7 @@
     }
 }
 
-fn hold() -> StoredFrozenTable {
+fn frozen_table() -> StoredFrozenTable {
     let entries = vec![StoredFrozenEntry { replica: "a".into(), address: "a:1".into(), zone: 0, weight: 7 }];
     StoredFrozenTable {
         version: 3,
@@ -39,7 +39,7 @@
     }
 }
 
-fn known() -> StoredItems {
+fn stored_items() -> StoredItems {
     let all = [
         (NAMES.to_string(), names(&["entry"])),
         (ALIVE.to_string(), StoredItem::Alive { at: 1000.0 }),
@@ -52,16 +52,16 @@
             "level/entry".to_string(),
             StoredItem::Admission { fraction: 0.5, retry_policy: StoredRetryPolicy::Never },
         ),
-        ("hold/entry/p".to_string(), StoredItem::FrozenTable(hold())),
+        ("hold/entry/p".to_string(), StoredItem::FrozenTable(frozen_table())),
         ("override/a".to_string(), StoredItem::Override { weight: None, until: 1100.0, reason: "x".into() }),
     ];
     all.map(|(name, item)| (name, Arc::new(item))).into()
 }
 
 fn at(calendar: f64) -> RestoredState {
-    let (recalled, unfit) = recall(known(), calendar, &names(&["entry"]));
-    assert_eq!(unfit, []);
-    recalled
+    let (restored, errors) = recall(stored_items(), calendar, &names(&["entry"]));
+    assert_eq!(errors, []);
+    restored
 }
 
 #[test]
@@ -72,9 +72,9 @@
     assert_eq!((soon.admission_fractions[&0], soon.admission_remaining), (0.5, Duration::from_secs(9)));
     assert_eq!(soon.overrides["a"].remaining, Duration::from_secs(99));
     assert_eq!(soon.proxies["p"], proxy());
-    let held = &soon.frozen_tables[&("p".into(), 0)];
-    assert_eq!((held.age, held.remaining), (Duration::from_secs(101), Duration::from_secs(199)));
-    assert_eq!(held.stored.published().entries["a"].weight, 7);
+    let frozen = &soon.frozen_tables[&("p".into(), 0)];
+    assert_eq!((frozen.age, frozen.remaining), (Duration::from_secs(101), Duration::from_secs(199)));
+    assert_eq!(frozen.stored.published().entries["a"].weight, 7);
     let later = at(1060.0);
     assert_eq!(
         (later.ejected.len(), later.admission_fractions.len()),
@@ -82,13 +82,13 @@
         "an eighth of twenty attempts is below the minimum"
     );
     assert!((later.throughput[&("a".into(), 0)] - 4.0).abs() < 1e-9);
-    let (mut known, names) = (known(), names(&["entry"]));
-    known.insert(
+    let (mut stored_items, names) = (stored_items(), names(&["entry"]));
+    stored_items.insert(
         "proxy/p".into(),
         Arc::new(StoredItem::Proxy(StoredProxy { absent_seconds: 590.0, ..proxy() })),
     );
-    assert_eq!(recall(known.clone(), 1009.0, &names).0.proxies.len(), 1);
-    assert_eq!(recall(known, 1010.0, &names).0.proxies.len(), 0, "absences add up over restarts");
+    assert_eq!(recall(stored_items.clone(), 1009.0, &names).0.proxies.len(), 1);
+    assert_eq!(recall(stored_items, 1010.0, &names).0.proxies.len(), 0, "absences add up over restarts");
     let stale = at(1000.0 + 36_000.0);
     assert_eq!((stale.proxies.len(), stale.overrides.len(), stale.frozen_tables.len()), (0, 0, 0));
     assert!(stale.throughput[&("a".into(), 0)] < 1e-9);
@@ -97,7 +97,7 @@
 #[test]
 fn calendar_steps_make_nothing_younger_and_nothing_last_longer() {
     let back = at(500.0);
-    assert_eq!((back.age, back.admission_fractions.len(), back.ejected.len()), (UNKNOWN, 0, 0));
+    assert_eq!((back.age, back.admission_fractions.len(), back.ejected.len()), (UNKNOWN_AGE, 0, 0));
     assert_eq!(back.overrides["a"].remaining, Duration::from_secs(100), "what was left when it was stored");
     assert_eq!(back.frozen_tables[&("p".into(), 0)].remaining, Duration::from_secs(200));
     assert_eq!(at(f64::MAX).age, Duration::MAX);
@@ -106,81 +106,86 @@
 #[test]
 fn reports_and_omits_items_that_can_not_be_used() {
     let with = |change: fn(&mut StoredItems)| {
-        let mut known = known();
-        change(&mut known);
-        let (recalled, unfit) = recall(known, 1001.0, &names(&["entry"]));
-        (recalled, unfit.into_iter().map(|one| one.to_string()).collect::<Vec<_>>().join("; "))
+        let mut stored_items = stored_items();
+        change(&mut stored_items);
+        let (restored, errors) = recall(stored_items, 1001.0, &names(&["entry"]));
+        (restored, errors.into_iter().map(|error| error.to_string()).collect::<Vec<_>>().join("; "))
     };
-    let (_, said) = with(|known| drop(known.remove(NAMES)));
-    assert!(said.contains("lack the governor's name or their time"));
-    let (_, said) = with(|known| drop(known.remove(ALIVE)));
-    assert!(said.contains("lack the governor's name or their time"));
-    let another = StoredItem::Names { governor: "h".into(), zones: vec![], groups: vec![] };
-    let (recalled, unfit) = recall(known(), 1001.0, &another);
-    assert_eq!((recalled, unfit), (RestoredState::default(), vec![RestoreError::Another("g".into())]));
-    let (recalled, unfit) = recall(known(), 1001.0, &names(&["entry", "exit"]));
+    let (_, messages) = with(|stored_items| drop(stored_items.remove(NAMES)));
+    assert!(messages.contains("lack the governor's name or their time"));
+    let (_, messages) = with(|stored_items| drop(stored_items.remove(ALIVE)));
+    assert!(messages.contains("lack the governor's name or their time"));
+    let other_governor = StoredItem::Names { governor: "h".into(), zones: vec![], groups: vec![] };
+    let (restored, errors) = recall(stored_items(), 1001.0, &other_governor);
+    assert_eq!((restored, errors), (RestoredState::default(), vec![RestoreError::OtherGovernor("g".into())]));
+    let (restored, errors) = recall(stored_items(), 1001.0, &names(&["entry", "exit"]));
     assert_eq!(
-        (recalled.proxies.len(), recalled.admission_fractions.len(), unfit),
-        (0, 0, vec![RestoreError::Changed])
+        (restored.proxies.len(), restored.admission_fractions.len(), errors),
+        (0, 0, vec![RestoreError::SettingsChanged])
     );
-    assert_eq!(recalled.ejected.len(), 1, "replicas are stored by name");
-    let (recalled, said) = with(|known| {
-        let far = StoredProxy { zone: 4, ..proxy() };
-        known.insert("proxy/far".into(), Arc::new(StoredItem::Proxy(far)));
-        known.insert(
+    assert_eq!(restored.ejected.len(), 1, "replicas are stored by name");
+    let (restored, messages) = with(|stored_items| {
+        let unknown_zone = StoredProxy { zone: 4, ..proxy() };
+        stored_items.insert("proxy/far".into(), Arc::new(StoredItem::Proxy(unknown_zone)));
+        stored_items.insert(
             "proxy/odd".into(),
             Arc::new(StoredItem::Proxy(StoredProxy { requests_per_second: vec![f64::NAN], ..proxy() })),
         );
-        known.insert("hold/none/p".into(), Arc::new(StoredItem::FrozenTable(hold())));
-        known.insert(
+        stored_items.insert("hold/none/p".into(), Arc::new(StoredItem::FrozenTable(frozen_table())));
+        stored_items.insert(
             "hold/entry/q".into(),
             Arc::new(StoredItem::FrozenTable(StoredFrozenTable {
                 admission_millionths: MILLION + 1,
-                ..hold()
+                ..frozen_table()
             })),
         );
-        known.insert(
+        stored_items.insert(
             "level/none".into(),
             Arc::new(StoredItem::Admission { fraction: 1.0, retry_policy: StoredRetryPolicy::OnAnyFailure }),
         );
-        known.insert(
+        stored_items.insert(
             "level/entry".into(),
             Arc::new(StoredItem::Admission { fraction: 7.0, retry_policy: StoredRetryPolicy::OnAnyFailure }),
         );
-        known.insert("proxy/q".into(), Arc::new(StoredItem::Alive { at: 0.0 }));
+        stored_items.insert("proxy/q".into(), Arc::new(StoredItem::Alive { at: 0.0 }));
     });
-    assert_eq!((recalled.proxies.len(), recalled.admission_fractions.len()), (1, 0));
+    assert_eq!((restored.proxies.len(), restored.admission_fractions.len()), (1, 0));
     assert!(
-        said.contains("`proxy/far` refers to an unknown zone") && said.contains("`level/none` refers"),
-        "{said}"
+        messages.contains("`proxy/far` refers to an unknown zone")
+            && messages.contains("`level/none` refers"),
+        "{messages}"
     );
-    assert!(said.contains("`hold/none/p` refers") && said.contains("`hold/entry/q` has a figure"), "{said}");
-    assert_eq!(recalled.frozen_tables.len(), 1);
     assert!(
-        said.contains("`proxy/odd` has a figure") && said.contains("`proxy/q` has an unknown name or kind"),
-        "{said}"
+        messages.contains("`hold/none/p` refers") && messages.contains("`hold/entry/q` has a figure"),
+        "{messages}"
+    );
+    assert_eq!(restored.frozen_tables.len(), 1);
+    assert!(
+        messages.contains("`proxy/odd` has a figure")
+            && messages.contains("`proxy/q` has an unknown name or kind"),
+        "{messages}"
     );
 }
 
 #[test]
 fn writes_only_what_differs() {
-    let (before, mut now) = (known(), known());
+    let (before, mut now) = (stored_items(), stored_items());
     assert_eq!(changes(&before, &now), []);
     now.remove("level/entry");
     now.insert(ALIVE.into(), Arc::new(StoredItem::Alive { at: 1005.0 }));
-    let said: Vec<_> =
+    let changed: Vec<_> =
         changes(&before, &now).into_iter().map(|(name, item)| (name, item.is_some())).collect();
-    assert_eq!(said, [(ALIVE.to_string(), true), ("level/entry".to_string(), false)]);
+    assert_eq!(changed, [(ALIVE.to_string(), true), ("level/entry".to_string(), false)]);
     assert_eq!((stepped(0.0), stepped(f64::NAN), stepped(100.0) == stepped(101.0)), (0.0, 0.0, true));
     assert!((stepped(100.0) / 100.0 - 1.0).abs() < 0.05);
 }
 
 proptest! {
     #[test]
-    fn reads_back_items_as_they_were_written(weight in 1e-300f64..1e300, open in any::<bool>(), id in ".{0,9}") {
+    fn reads_back_items_as_they_were_written(weight in 1e-300f64..1e300, is_routable in any::<bool>(), id in ".{0,9}") {
         let mut proxy = proxy();
         let entries = vec![StoredTableEntry {
-            replica: id.as_str().into(), address: "x".into(), zone: 3, weight, routable: open,
+            replica: id.as_str().into(), address: "x".into(), zone: 3, weight, routable: is_routable,
         }];
         proxy.tables = vec![None, Some(StoredTable { admission_fraction: 0.1, entries })];
         let item = StoredItem::Proxy(proxy);
@@ -190,22 +195,22 @@
     #[test]
     fn no_bytes_make_restoring_panic(bytes in prop::collection::vec(any::<u8>(), 0..80)) {
         if let Some(item) = decode(&bytes) {
-            let known = [(NAMES, names(&[])), (ALIVE, item.clone()), ("proxy/x", item)];
-            recall(known.map(|(name, item)| (name.to_string(), Arc::new(item))).into(), 5.0, &names(&[]));
+            let stored_items = [(NAMES, names(&[])), (ALIVE, item.clone()), ("proxy/x", item)];
+            recall(stored_items.map(|(name, item)| (name.to_string(), Arc::new(item))).into(), 5.0, &names(&[]));
         }
     }
 
     /// Flips a byte within a valid item, which may still decode to an item with other values.
     #[test]
     fn mutated_items_do_no_harm(at in any::<prop::sample::Index>(), byte in any::<u8>()) {
-        for (name, item) in known() {
+        for (name, item) in stored_items() {
             let mut bytes = encode(&item);
             let at = at.index(bytes.len());
             bytes[at] = byte;
             if let Some(item) = decode(&bytes) {
-                let mut known = known();
-                known.insert(name, Arc::new(item));
-                recall(known, 1001.0, &names(&["entry"]));
+                let mut stored_items = stored_items();
+                stored_items.insert(name, Arc::new(item));
+                recall(stored_items, 1001.0, &names(&["entry"]));
             }
         }
     }
--- a/crates/daemon/src/host/inspection.rs
+++ b/crates/daemon/src/host/inspection.rs
@@ -185,7 +185,7 @@
         Some(Refusals {
             name: name.to_string(),
             ejection_reason: replica.and_then(|replica| self.engine.ejection_reason(replica)),
-            requests_per_second: replica.map(|replica| guard.sent_to(replica)),
+            requests_per_second: replica.map(|replica| guard.expected_load(replica)),
             refusals: concerning
                 .take(MAX_REFUSALS_LISTED)
                 .map(|refusal| self.refusal_summary(now, refusal))
--- a/crates/daemon/src/labels.rs
+++ b/crates/daemon/src/labels.rs
@@ -12,19 +12,19 @@
 pub fn refusal_reason(reason: RefusalReason) -> &'static str {
     match reason {
         RefusalReason::Bare => "Bare",
-        RefusalReason::Draining => "Draining",
-        RefusalReason::ZoneBare => "ZoneBare",
+        RefusalReason::AllEntriesClosed => "Draining",
+        RefusalReason::NoRouteInZone => "ZoneBare",
         RefusalReason::OutOfZone => "OutOfZone",
         RefusalReason::Weight => "Weight",
-        RefusalReason::Wire => "Wire",
+        RefusalReason::WeightRatio => "Wire",
         RefusalReason::Level => "Level",
-        RefusalReason::Tries => "Tries",
+        RefusalReason::UnsafeRetryPolicy => "Tries",
         RefusalReason::Flood => "Flood",
-        RefusalReason::Withdrawn => "Withdrawn",
+        RefusalReason::TooManyEjections => "Withdrawn",
         RefusalReason::Cold => "Cold",
-        RefusalReason::Over => "Over",
-        RefusalReason::Sweep => "Sweep",
-        RefusalReason::Lines => "Lines",
+        RefusalReason::WarmOverload => "Over",
+        RefusalReason::ShiftTooLarge => "Sweep",
+        RefusalReason::TooManyEntries => "Lines",
     }
 }
 
--- a/crates/daemon/src/labels/tests.rs
+++ b/crates/daemon/src/labels/tests.rs
@@ -8,19 +8,19 @@
 fn labels_of_refusal_reasons_stay_as_they_are() {
     let labels = [
         (RefusalReason::Bare, "Bare"),
-        (RefusalReason::Draining, "Draining"),
-        (RefusalReason::ZoneBare, "ZoneBare"),
+        (RefusalReason::AllEntriesClosed, "Draining"),
+        (RefusalReason::NoRouteInZone, "ZoneBare"),
         (RefusalReason::OutOfZone, "OutOfZone"),
         (RefusalReason::Weight, "Weight"),
-        (RefusalReason::Wire, "Wire"),
+        (RefusalReason::WeightRatio, "Wire"),
         (RefusalReason::Level, "Level"),
-        (RefusalReason::Tries, "Tries"),
+        (RefusalReason::UnsafeRetryPolicy, "Tries"),
         (RefusalReason::Flood, "Flood"),
-        (RefusalReason::Withdrawn, "Withdrawn"),
+        (RefusalReason::TooManyEjections, "Withdrawn"),
         (RefusalReason::Cold, "Cold"),
-        (RefusalReason::Over, "Over"),
-        (RefusalReason::Sweep, "Sweep"),
-        (RefusalReason::Lines, "Lines"),
+        (RefusalReason::WarmOverload, "Over"),
+        (RefusalReason::ShiftTooLarge, "Sweep"),
+        (RefusalReason::TooManyEntries, "Lines"),
     ];
     for (reason, label) in labels {
         assert_eq!(refusal_reason(reason), label);
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -124,7 +124,7 @@
 fn inject_faults(host: &mut Host, faults: &[String]) -> Result<()> {
     for kind in faults {
         #[cfg(feature = "suspect")]
-        match wrenthread_core::fault_injection::of(kind) {
+        match wrenthread_core::fault_injection::faulty_decider(kind) {
             Some(decider) => host.engine.replace_decider(decider),
             None if kind == "none" => host.engine.switch_guard_off(),
             None => {
