--- a/crates/core/src/failover/tests.rs
+++ b/crates/core/src/failover/tests.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn goes_round_its_governors_and_home_once_home_is_steady() {
+fn tries_governors_in_turn_and_returns_home_once_home_is_steady() {
     let names = ["g0", "g1", "g2"];
     let mut selector = GovernorSelector::new("relay-1", &names, s(2), Duration::ZERO);
     let ranked = ranking("relay-1", &names);
--- a/crates/core/src/ownership.rs
+++ b/crates/core/src/ownership.rs
@@ -158,7 +158,7 @@
 ///
 /// # Errors
 /// As [`ProofError`]. A claim that is not proven must not be used.
-pub fn prove(keys: &[SigningKey], proxy: &str, signed: &str) -> Result<OwnershipClaim, ProofError> {
+pub fn verify(keys: &[SigningKey], proxy: &str, signed: &str) -> Result<OwnershipClaim, ProofError> {
     if signed.len() > MAX_PROOF_BYTES {
         return Err(ProofError::Malformed);
     }
--- a/crates/core/src/ownership/tests.rs
+++ b/crates/core/src/ownership/tests.rs
@@ -32,14 +32,14 @@
 }
 
 #[test]
-fn proves_claims_with_any_live_key_and_nothing_else() {
+fn verifies_claims_with_any_live_key_and_nothing_else() {
     let (old, new) = (key("2026-a", 1), key("2026-b", 2));
     let signed = sign(&old, &claim());
-    assert_eq!(prove(&[new.clone(), old], "relay é", &signed), Ok(claim()));
-    assert_eq!(prove(&[new], "relay é", &signed), Err(ProofError::UnknownKey), "the key was rotated out");
-    assert_eq!(prove(&[key("2026-a", 3)], "relay é", &signed), Err(ProofError::InvalidSignature));
-    assert_eq!(prove(&[key("2026-a", 1)], "relay-2", &signed), Err(ProofError::OtherProxy));
-    assert_eq!(prove(&[key("2026-a", 1)], "relay é", "nothing"), Err(ProofError::Malformed));
+    assert_eq!(verify(&[new.clone(), old], "relay é", &signed), Ok(claim()));
+    assert_eq!(verify(&[new], "relay é", &signed), Err(ProofError::UnknownKey), "the key was rotated out");
+    assert_eq!(verify(&[key("2026-a", 3)], "relay é", &signed), Err(ProofError::InvalidSignature));
+    assert_eq!(verify(&[key("2026-a", 1)], "relay-2", &signed), Err(ProofError::OtherProxy));
+    assert_eq!(verify(&[key("2026-a", 1)], "relay é", "nothing"), Err(ProofError::Malformed));
     assert_eq!(format!("{:?}", key("a", 1)), "Key(a)");
     assert!(SigningKey::new("a.b", &[0; 32]).is_err() && SigningKey::new("a", &[0; 31]).is_err());
 }
@@ -53,13 +53,13 @@
         changed[position] = byte;
         if let Ok(changed) = String::from_utf8(changed) {
             let same = changed == signed || changed.eq_ignore_ascii_case(&signed);
-            prop_assert_eq!(prove(&[key("a", 1)], "relay é", &changed).is_ok(), same);
+            prop_assert_eq!(verify(&[key("a", 1)], "relay é", &changed).is_ok(), same);
         }
     }
 }
 
 #[test]
-fn unseals_with_a_live_key_and_takes_no_proof_for_a_datagram() {
+fn unseals_with_a_live_key_and_rejects_a_proof_as_a_datagram() {
     let (old, new) = (key("a", 1), key("b", 2));
     let sealed = seal(&old, b"hello");
     assert_eq!(unseal(&[new.clone(), old.clone()], &sealed), Ok(&b"hello"[..]));
--- a/crates/core/src/snapshot/restore.rs
+++ b/crates/core/src/snapshot/restore.rs
@@ -103,11 +103,11 @@
     0.5f64.powf(age.as_secs_f64() / half_life.as_secs_f64())
 }
 
-/// Restores the state from stored items, and reports the items that can't be used. `calendar` is the current
-/// Unix time in seconds, `names` this governor's own [`StoredItem::Names`].
+/// Restores the state from stored items, and reports the items that can't be used. `unix_seconds` is the
+/// current time, `names` this governor's own [`StoredItem::Names`].
 pub fn recall(
     stored_items: StoredItems,
-    calendar: f64,
+    unix_seconds: f64,
     names: &StoredItem,
 ) -> (RestoredState, Vec<RestoreError>) {
     let none_usable = |error| (RestoredState::default(), vec![error]);
@@ -127,16 +127,16 @@
     if !same_names {
         errors.push(RestoreError::SettingsChanged);
     }
-    let Some(StoredItem::Alive { at: alive }) = item(ALIVE) else {
+    let Some(StoredItem::Alive { at: alive_at }) = item(ALIVE) else {
         return none_usable(RestoreError::MissingIdentity);
     };
-    let age = age(calendar, alive);
+    let age = age(unix_seconds, alive_at);
     let state = RestoredState {
         age,
         admission_remaining: ADMISSION_LIFETIME.saturating_sub(age),
         ..RestoredState::default()
     };
-    let mut restore = Restore { zones, classes, same_names, calendar, alive, state };
+    let mut restore = Restore { zones, classes, same_names, unix_seconds, alive_at, state };
     for (name, item) in stored_items {
         if let Err(error) = restore.apply(&name, Arc::unwrap_or_clone(item)) {
             errors.push(match error {
@@ -151,9 +151,9 @@
 
 /// The age by the wall clock, which continues while a machine sleeps. If the clock was set back, the age is
 /// unknown.
-fn age(calendar: f64, alive: f64) -> Duration {
-    if calendar >= alive {
-        Duration::try_from_secs_f64(calendar - alive).unwrap_or(Duration::MAX)
+fn age(unix_seconds: f64, alive_at: f64) -> Duration {
+    if unix_seconds >= alive_at {
+        Duration::try_from_secs_f64(unix_seconds - alive_at).unwrap_or(Duration::MAX)
     } else {
         UNKNOWN_AGE
     }
@@ -176,9 +176,9 @@
     classes: Vec<String>,
     /// Whether the zones and traffic classes are unchanged.
     same_names: bool,
-    calendar: f64,
+    unix_seconds: f64,
     /// The Unix time until which the items were current.
-    alive: f64,
+    alive_at: f64,
     state: RestoredState,
 }
 
@@ -284,7 +284,7 @@
         if stored.admission_millionths > MILLION || !stored.until.is_finite() {
             return Err(Unusable::OutOfRange);
         }
-        let age = Duration::try_from_secs_f64((self.calendar - stored.published_at).max(0.0));
+        let age = Duration::try_from_secs_f64((self.unix_seconds - stored.published_at).max(0.0));
         if let (Ok(age), Some(remaining), true) = (age, self.remaining(stored.until), self.same_names) {
             let frozen = RestoredFrozenTable { age, remaining, stored };
             self.state.frozen_tables.insert((proxy.into(), class), frozen);
@@ -295,7 +295,7 @@
     /// The time until an override or a frozen table ends: what was left when it was stored, and never more if
     /// the clock was set back.
     fn remaining(&self, until: f64) -> Option<Duration> {
-        let seconds = (until - self.calendar).min(until - self.alive);
+        let seconds = (until - self.unix_seconds).min(until - self.alive_at);
         Duration::try_from_secs_f64(seconds).ok().filter(|left| !left.is_zero())
     }
 }
--- a/crates/core/src/snapshot/tests.rs
+++ b/crates/core/src/snapshot/tests.rs
@@ -58,8 +58,8 @@
     all.map(|(name, item)| (name, Arc::new(item))).into()
 }
 
-fn at(calendar: f64) -> RestoredState {
-    let (restored, errors) = recall(stored_items(), calendar, &names(&["entry"]));
+fn at(unix_seconds: f64) -> RestoredState {
+    let (restored, errors) = recall(stored_items(), unix_seconds, &names(&["entry"]));
     assert_eq!(errors, []);
     restored
 }
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn calendar_steps_make_nothing_younger_and_nothing_last_longer() {
+fn clock_steps_make_nothing_younger_and_nothing_last_longer() {
     let back = at(500.0);
     assert_eq!((back.age, back.admission_fractions.len(), back.ejected.len()), (UNKNOWN_AGE, 0, 0));
     assert_eq!(back.overrides["a"].remaining, Duration::from_secs(100), "what was left when it was stored");
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Flips a byte within a valid item, which may still decode to an item with other values.
+    /// Replaces a byte within a valid item, which may still decode to an item with other values.
     #[test]
     fn mutated_items_do_no_harm(at in any::<prop::sample::Index>(), byte in any::<u8>()) {
         for (name, item) in stored_items() {
--- a/crates/core/tests/stored_formats.rs
+++ b/crates/core/tests/stored_formats.rs
@@ -74,11 +74,11 @@
 }
 
 #[test]
-fn signs_and_proves_an_ownership_claim_byte_for_byte() {
+fn signs_and_verifies_an_ownership_claim_byte_for_byte() {
     let golden = include_str!("golden/ownership_proof.txt").trim_end();
     let claim =
         OwnershipClaim { governor: "governor-a".into(), epoch: 7, version: 90_000, proxy: "proxy é".into() };
-    assert_eq!(ownership::prove(&[signing_key()], "proxy é", golden), Ok(claim.clone()));
+    assert_eq!(ownership::verify(&[signing_key()], "proxy é", golden), Ok(claim.clone()));
     assert_eq!(ownership::sign(&signing_key(), &claim), golden);
 }
 
--- a/crates/daemon/src/host/joining.rs
+++ b/crates/daemon/src/host/joining.rs
@@ -17,7 +17,7 @@
 impl Host {
     /// The epoch and version that an ownership proof names, if it proves tables of this governor, of any epoch.
     pub(super) fn proven_version(&self, proxy: &str, proof: Option<&str>) -> Option<(u64, u64)> {
-        let claim = ownership::prove(&self.signing_keys, proxy, proof?).ok()?;
+        let claim = ownership::verify(&self.signing_keys, proxy, proof?).ok()?;
         (claim.governor == self.wire.governor).then_some((claim.epoch, claim.version))
     }
 
@@ -30,7 +30,7 @@
     /// The governor whose tables a proxy holds, if that is proven. No table depends on it: the module gives complete
     /// tables to whoever comes with some, so neither a stale proof nor a forged one brings old tables back.
     fn check_ownership(&mut self, now: Duration, proxy: &str, proof: Option<&str>) -> Option<String> {
-        let claim = match ownership::prove(&self.signing_keys, proxy, proof?) {
+        let claim = match ownership::verify(&self.signing_keys, proxy, proof?) {
             Ok(claim) => claim,
             Err(error) => {
                 ::metrics::counter!(metrics::PROOFS_INVALID).increment(1);
