--- a/crates/durable-store/src/changes.rs
+++ b/crates/durable-store/src/changes.rs
@@ -1,8 +1,8 @@
-//! Changes to entries, and their encoding as a record.
+//! Changes to entries, and their encoding as a journal or snapshot record.
 
 use crate::Entries;
 
-/// In the place of a content's length: the entry is removed. No content is as long.
+/// Stored instead of a content length to mark a removal. No content can have this length.
 const REMOVED: u32 = u32::MAX;
 
 /// A change to one entry.
@@ -10,7 +10,7 @@
 pub struct Change {
     /// The entry's name.
     pub name: String,
-    /// Its new content; none if it is removed.
+    /// The new content, or `None` to remove the entry.
     pub content: Option<Vec<u8>>,
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// Encodes changes as one record: each with the lengths of its name and its content.
+/// Encodes changes as one record. Each name and each content is prefixed with its length.
 pub(crate) fn encode(changes: &[Change]) -> Vec<u8> {
     let mut record = Vec::new();
     for Change { name, content } in changes {
@@ -39,7 +39,7 @@
     record
 }
 
-/// Decodes what [`encode`] made; none if the record is malformed.
+/// Decodes a record made by [`encode`]. Returns `None` if it is malformed.
 pub(crate) fn decode(mut record: &[u8]) -> Option<Vec<Change>> {
     let mut changes = Vec::new();
     while !record.is_empty() {
--- a/crates/durable-store/src/disk.rs
+++ b/crates/durable-store/src/disk.rs
@@ -1,4 +1,5 @@
-//! The disk as the store sees it: [`Folder`] on this machine, or [`MemoryDisk`] that fails as disks do.
+//! The [`Disk`] interface of the store, with two implementations: [`Folder`] in the file system, and [`MemoryDisk`] with
+//! injected faults for tests.
 
 mod folder;
 mod memory;
@@ -6,37 +7,37 @@
 pub use folder::Folder;
 pub use memory::{Fault, MemoryDisk, Unsynced};
 
-/// Why a disk, or the store on it, did not do what was asked.
+/// An error of the disk, or a size limit that was exceeded.
 #[derive(Debug, thiserror::Error)]
 pub enum DiskError {
-    /// The operating system's error. It is part of the text, and therefore no `source`.
+    /// An I/O error of the operating system. Its text is part of the message, so it is not also the `source`.
     #[error("{file}: {error}")]
     Io {
-        /// The file's or folder's name.
+        /// The name of the file or folder.
         file: String,
-        /// What went wrong.
+        /// The operating system's error.
         error: std::io::Error,
     },
-    /// Another process has the folder.
-    #[error("another process has the folder: {folder}")]
+    /// Another process holds the lock of the folder.
+    #[error("another process has the folder locked: {folder}")]
     Locked {
         /// The folder's path.
         folder: String,
     },
     /// An entry exceeds [`MAX_ENTRY_BYTES`](crate::MAX_ENTRY_BYTES).
-    #[error("an entry is larger than any may be")]
+    #[error("entry of {bytes} bytes exceeds the size limit of one entry")]
     EntryTooLarge {
-        /// The size of its content.
+        /// The size of its content, in bytes.
         bytes: usize,
     },
     /// All entries together would exceed [`MAX_TOTAL_BYTES`](crate::MAX_TOTAL_BYTES).
-    #[error("the entries are larger than all may be")]
+    #[error("entries of {bytes} bytes in total exceed the size limit of the store")]
     StoreTooLarge {
-        /// The size that they would have.
+        /// The total size that the write would have led to, in bytes.
         bytes: usize,
     },
-    /// A file exceeds what its reader takes.
-    #[error("a file is larger than any may be")]
+    /// A file exceeds the size limit of its reader.
+    #[error("{file} exceeds the limit of {limit} bytes")]
     FileTooLarge {
         /// The file's name.
         file: String,
@@ -50,7 +51,7 @@
         DiskError::Io { file: file.to_string(), error }
     }
 
-    /// Whether a size limit was exceeded; repeating the call does not help then.
+    /// Whether a size limit was exceeded. Such a call fails again if it is retried.
     pub fn is_size_limit(&self) -> bool {
         match self {
             DiskError::EntryTooLarge { .. }
@@ -61,22 +62,22 @@
     }
 }
 
-/// Files of one folder, by name.
+/// The files of one folder, by name.
 ///
-/// What is not synced may be lost in a crash, in whole or in part and in any order; so may a rename, until the folder is
-/// synced. All calls fail with [`DiskError::Io`].
+/// A crash may lose unsynced content, in whole or in part and in any order. It may also lose a rename until the folder is
+/// synced. Failed calls return [`DiskError::Io`].
 pub trait Disk {
-    /// The names of all files.
+    /// Returns the names of all files.
     ///
     /// # Errors
     /// The folder can't be listed.
     fn list(&mut self) -> Result<Vec<String>, DiskError>;
-    /// A file's content.
+    /// Returns a file's content.
     ///
     /// # Errors
     /// The file can't be read, or is larger than `max_bytes`.
     fn read(&mut self, name: &str, max_bytes: usize) -> Result<Vec<u8>, DiskError>;
-    /// Creates an empty file, in the place of one of that name.
+    /// Creates an empty file, replacing any file of that name.
     ///
     /// # Errors
     /// The file can't be created.
@@ -84,14 +85,14 @@
     /// Appends to a file.
     ///
     /// # Errors
-    /// Not all was written; a part may be.
+    /// The write failed; a part of the bytes may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<(), DiskError>;
     /// Makes a file's content durable.
     ///
     /// # Errors
-    /// It is not known what is durable.
+    /// Any part of the unsynced content may be durable.
     fn sync(&mut self, name: &str) -> Result<(), DiskError>;
-    /// Renames a file, in the place of one of that name.
+    /// Renames a file, replacing any file of the new name.
     ///
     /// # Errors
     /// The file can't be renamed.
@@ -104,6 +105,6 @@
     /// Makes creations, renames and removals durable.
     ///
     /// # Errors
-    /// It is not known which are durable.
+    /// Any of the unsynced creations, renames and removals may be durable.
     fn sync_folder(&mut self) -> Result<(), DiskError>;
 }
--- a/crates/durable-store/src/disk/folder.rs
+++ b/crates/durable-store/src/disk/folder.rs
@@ -1,4 +1,4 @@
-//! A folder of this machine.
+//! [`Disk`] on a folder of the file system.
 
 use std::fs::{DirBuilder, File, OpenOptions, TryLockError};
 use std::io::{Read, Write};
@@ -7,25 +7,26 @@
 
 use super::{Disk, DiskError};
 
-/// Permissions of the folder: its owner's alone.
+/// Permissions of the folder: only its owner has access.
 const FOLDER_MODE: u32 = 0o700;
-/// Permissions of files: their owner's alone.
+/// Permissions of the files: only their owner has access.
 const FILE_MODE: u32 = 0o600;
-/// The file that is locked for as long as a process has the folder.
+/// A process that writes to the folder holds a lock on this file.
 const LOCK_FILE: &str = "lock";
-/// How errors name the folder itself.
+/// The name of the folder in error messages.
 const THE_FOLDER: &str = "the folder";
 
-/// A folder of this machine, locked for this process. Files are its owner's alone.
+/// A folder of the file system, locked by this process unless it is opened read-only. Only the owner can access its
+/// files.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
     appending: Option<OpenFile>,
-    /// Held for as long as this is.
+    /// Holds the lock until this value is dropped; `None` if the folder is read-only.
     _lock: Option<File>,
 }
 
-/// The file that is being appended to.
+/// The file that was appended to last, kept open for the next append.
 #[derive(Debug)]
 struct OpenFile {
     name: String,
@@ -33,10 +34,10 @@
 }
 
 impl Folder {
-    /// Makes the folder if it is not there, and locks it for this process.
+    /// Creates the folder if it does not exist, and locks it for this process.
     ///
     /// # Errors
-    /// It can't be made or read, or another process has it.
+    /// The folder can't be created or locked, or another process holds the lock.
     pub fn lock(path: &Path) -> Result<Self, DiskError> {
         let folder_name = path.display().to_string();
         let folder_error = |error| DiskError::io(&folder_name, error);
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Opens the folder for reading only: the process that has it goes on writing.
+    /// Opens the folder for reading, without a lock. Another process may write to it meanwhile.
     pub fn read_only(path: &Path) -> Self {
         Folder { path: path.to_path_buf(), appending: None, _lock: None }
     }
--- a/crates/durable-store/src/disk/memory.rs
+++ b/crates/durable-store/src/disk/memory.rs
@@ -1,4 +1,4 @@
-//! A disk in memory for tests: it fails on request, and loses in a crash what was not synced.
+//! An in-memory disk for tests: it injects faults, and drops unsynced data in a simulated crash.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,26 +10,27 @@
 /// How a call fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The power goes: this and every later call fails.
+    /// Power loss: this and every later call fails.
     Crash,
-    /// The call fails and does nothing; later ones succeed.
+    /// The call fails without effect; later calls succeed.
     Error,
-    /// An append writes half of its bytes, and fails.
+    /// An append writes half of its bytes and then fails.
     PartialAppend,
 }
 
-/// What a crash leaves of what was not synced.
+/// How much of the unsynced data is left after a crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unsynced {
-    /// Nothing.
+    /// None of it.
     Lost,
-    /// Everything, as if it had been synced.
+    /// All of it, as if it had been synced.
     Kept,
-    /// The first half of what was appended, and renames.
+    /// The first half of the unsynced appends, and all creations, renames and removals.
     FirstHalfKept,
-    /// The last half of it, with zeros in the place of the first: it was written in another order.
+    /// The second half of the unsynced appends, after zeros instead of the first half: the disk reordered the writes.
+    /// Creations, renames and removals are kept.
     LastHalfKept,
-    /// What was appended, but no renames, creations and removals.
+    /// All appends, but no creations, renames and removals.
     NamesLost,
 }
 
@@ -40,7 +41,7 @@
 }
 
 impl MemoryFile {
-    /// The content that a crash leaves.
+    /// The content after a crash.
     fn after_crash(&self, unsynced: Unsynced) -> Vec<u8> {
         let pairs = self.current.iter().zip(&self.synced);
         let common = pairs.take_while(|(current, synced)| current == synced).count();
@@ -57,12 +58,12 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// All files that ever were; names refer to them by index.
+    /// All files ever created, including removed ones; names refer to them by index.
     files: Vec<MemoryFile>,
     names: BTreeMap<String, usize>,
     /// The names as of the last sync of the folder.
     synced_names: BTreeMap<String, usize>,
-    /// Number of calls that change something, so far.
+    /// Number of modifying calls so far.
     calls: usize,
     faults: BTreeMap<usize, Fault>,
     crashed: bool,
@@ -81,9 +82,10 @@
         self.names.get(name).copied().ok_or_else(missing)
     }
 
-    /// Counts a call. Returns whether it is an append to be cut short.
+    /// Counts a modifying call and applies the fault that is injected into it. [`Fault::PartialAppend`] is returned, as the
+    /// append itself has to apply it.
     fn call(&mut self, name: &str) -> Result<Option<Fault>, DiskError> {
-        let requested_fault = || DiskError::io(name, Error::other("a fault that was asked for"));
+        let requested_fault = || DiskError::io(name, Error::other("injected fault"));
         if self.crashed {
             return Err(requested_fault());
         }
@@ -100,24 +102,24 @@
     }
 }
 
-/// A disk in memory. Clones are the same disk.
+/// An in-memory disk. Clones share the same files.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryDisk {
     state: Rc<RefCell<State>>,
 }
 
 impl MemoryDisk {
-    /// Makes the call of this number, from 0, fail.
+    /// Injects a fault into the modifying call with this number, counted from 0.
     pub fn fault(&self, call: usize, fault: Fault) {
         self.state.borrow_mut().faults.insert(call, fault);
     }
 
-    /// Number of calls that change something, so far.
+    /// Number of modifying calls so far.
     pub fn calls(&self) -> usize {
         self.state.borrow().calls
     }
 
-    /// The disk as it is found after a crash.
+    /// Returns a copy of the disk in its state after a crash.
     pub fn after_crash(&self, unsynced: Unsynced) -> MemoryDisk {
         let state = self.state.borrow();
         let names = match unsynced {
@@ -131,7 +133,7 @@
         left
     }
 
-    /// Flips a bit of a file.
+    /// Flips one bit of a file's content.
     pub fn flip(&self, name: &str, bit: usize) {
         let mut state = self.state.borrow_mut();
         let Ok(index) = state.index(name) else { return };
@@ -142,7 +144,7 @@
         file.synced = file.current.clone();
     }
 
-    /// Puts a file there, synced.
+    /// Adds a file whose content and name are already synced.
     pub fn put(&self, name: &str, bytes: &[u8]) {
         let mut state = self.state.borrow_mut();
         let index = state.add_file(name, MemoryFile { current: bytes.to_vec(), synced: bytes.to_vec() });
--- a/crates/durable-store/src/epoch.rs
+++ b/crates/durable-store/src/epoch.rs
@@ -1,31 +1,32 @@
-//! Epochs: a number for each run of a governor, reserved on the disk before it is used.
+//! Epochs: each run of a governor has a number that is reserved on disk before it is used.
 
 use crate::disk::{Disk, DiskError};
 use crate::frame::{self, RecordChain};
 use crate::store::UNFINISHED;
 
-/// The file with the newest reserved epoch.
+/// The file with the latest reserved epoch.
 const EPOCH_FILE: &str = "epoch";
-/// The file with the one before.
+/// The file with the epoch that was reserved before the latest.
 const PREVIOUS_EPOCH_FILE: &str = "epoch.before";
-/// Size limit of these files, in bytes.
+/// Maximum size of an epoch file, in bytes.
 const MAX_EPOCH_FILE_BYTES: usize = 1 << 16;
-/// The low bits of an epoch are random.
+/// Mask of the low bits of an epoch, which are random.
 const RANDOM_BITS: u64 = 0xffff;
 
 /// The epoch of a run.
 #[derive(Debug)]
 pub struct ReservedEpoch {
-    /// Higher than all that were reserved in this folder.
+    /// Higher than all epochs reserved in this folder before.
     pub epoch: u64,
-    /// Why the reservation is not durable, if it is not.
+    /// The disk error if the reservation could not be made durable.
     pub failure: Option<DiskError>,
 }
 
-/// Reserves an epoch that no other run has: above all that were reserved here, and not below `clock_micros`, the time of
-/// the calendar. `random`: tells two runs apart of which neither could reserve.
+/// Reserves an epoch that no other run has. It is above all epochs reserved in this folder before, and, apart from the
+/// random bits, not below `clock_micros`, the wall-clock time. The random bits make two runs differ even if neither could
+/// write its reservation.
 pub fn reserve_epoch(disk: &mut impl Disk, clock_micros: u64, random: u16) -> ReservedEpoch {
-    // Above the last one also where the calendar was set back.
+    // Stays above the last epoch even if the wall clock was set back.
     let next = last_reserved(disk).saturating_add(RANDOM_BITS + 1);
     let base = clock_micros.max(next) & !RANDOM_BITS;
     let epoch = base | u64::from(random);
@@ -33,7 +34,7 @@
     ReservedEpoch { epoch, failure }
 }
 
-/// The highest epoch that can be read; 0 if there is none.
+/// Returns the highest epoch that can be read from the epoch files, or 0 if there is none.
 fn last_reserved(disk: &mut impl Disk) -> u64 {
     let mut last = 0;
     for file in [EPOCH_FILE, PREVIOUS_EPOCH_FILE] {
@@ -56,7 +57,7 @@
     disk.create(&unfinished)?;
     disk.append(&unfinished, &bytes)?;
     disk.sync(&unfinished)?;
-    // The one before stays: damage to the newest must not bring back old epochs.
+    // Keep the previous epoch, so that damage to the latest file does not lead to the reuse of old epochs.
     if disk.list()?.iter().any(|name| name == EPOCH_FILE) {
         disk.rename(EPOCH_FILE, PREVIOUS_EPOCH_FILE)?;
     }
--- a/crates/durable-store/src/frame.rs
+++ b/crates/durable-store/src/frame.rs
@@ -1,41 +1,43 @@
-//! The format of all files: a header, then records, each with its length and a checksum over it and all records before
-//! it.
+//! The file format: a header followed by records. Each record has its length and a checksum that covers the record and
+//! all records before it.
 
-/// What every file begins with: the program and the version of the format.
+/// The header of every file: the name of the program and the version of the format.
 const HEADER: &[u8; 20] = b"wrenthread state 01\n";
 /// The part of the header that all versions of the format share.
 const HEADER_PREFIX: &[u8] = b"wrenthread state ";
 /// The version of the format in [`HEADER`].
 const VERSION: &[u8] = b"01";
-/// Size of a record's length, in bytes.
+/// Size of the length field of a record, in bytes.
 const LENGTH_BYTES: usize = 4;
-/// Size of a record's checksum, in bytes.
+/// Size of the checksum field of a record, in bytes.
 const CHECKSUM_BYTES: usize = 16;
 
 type Checksum = [u8; CHECKSUM_BYTES];
 
-/// What is wrong with a file.
+/// Why a file, or the rest of one, is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// Its header names another version of the format.
-    #[error("it is of form `{version}`, and this version reads form `01`")]
+    /// The header has another version of the format.
+    #[error("unsupported format version `{version}`; this release reads version `01`")]
     UnsupportedVersion {
-        /// The version.
+        /// The version in the header.
         version: String,
     },
-    /// It has no header of ours.
-    #[error("it is no file of this kind")]
+    /// The file has no valid header.
+    #[error("not a wrenthread state file: invalid header")]
     NotAStateFile,
-    /// It ends within a record.
-    #[error("it ends within a record at byte {offset}; {lost_bytes} bytes are left out")]
+    /// The file ends within a record.
+    #[error("it ends within a record at byte {offset}; the last {lost_bytes} bytes are ignored")]
     Truncated {
         /// Where that record begins.
         offset: usize,
         /// Bytes from there to the end.
         lost_bytes: usize,
     },
-    /// A record, or one before it, is not what was written.
-    #[error("a record at byte {offset} is not what was written; {lost_bytes} bytes are left out")]
+    /// The checksum of a record does not match: it, or a record before it, was changed after it was written.
+    #[error(
+        "the record at byte {offset} is not what was written (wrong checksum); the last {lost_bytes} bytes are ignored"
+    )]
     ChecksumMismatch {
         /// Where that record begins.
         offset: usize,
@@ -44,24 +46,24 @@
     },
 }
 
-/// The header that every file begins with.
+/// Returns the header that every file begins with.
 pub fn header() -> Vec<u8> {
     HEADER.to_vec()
 }
 
-/// Frames the records of a file, one after the other.
+/// Frames the records of one file in their order. Each checksum depends on the one before it.
 #[derive(Debug, Clone, Default)]
 pub struct RecordChain {
     last_checksum: Checksum,
 }
 
 impl RecordChain {
-    /// A chain at the beginning of a file.
+    /// Starts the chain of a new file.
     pub fn new() -> Self {
         RecordChain::default()
     }
 
-    /// The checksum of a record that follows in this chain.
+    /// Computes the checksum of the next record in this chain.
     fn checksum(&self, record: &[u8]) -> Checksum {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&self.last_checksum);
@@ -72,7 +74,7 @@
         checksum
     }
 
-    /// A record as it is appended to the file.
+    /// Returns the bytes to append to the file for the next record.
     pub fn frame(&mut self, record: &[u8]) -> Vec<u8> {
         self.last_checksum = self.checksum(record);
         let mut framed = Vec::with_capacity(LENGTH_BYTES + CHECKSUM_BYTES + record.len());
@@ -86,7 +88,7 @@
 /// The records of a file.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Records {
-    /// Those before the first damage.
+    /// All records before the first damage.
     pub intact: Vec<Vec<u8>>,
     /// The first damage, if there is any.
     pub damage: Option<FrameError>,
@@ -123,7 +125,7 @@
     rest: &'a [u8],
 }
 
-/// The first record; none if the bytes end within it.
+/// Splits off the first record; `None` if the bytes end within it.
 fn split_record(bytes: &[u8]) -> Option<FramedRecord<'_>> {
     let (length, rest) = bytes.split_first_chunk::<LENGTH_BYTES>()?;
     let (checksum, rest) = rest.split_first_chunk::<CHECKSUM_BYTES>()?;
--- a/crates/durable-store/src/lib.rs
+++ b/crates/durable-store/src/lib.rs
@@ -1,8 +1,9 @@
-//! Entries by name that survive crashes: a snapshot and a journal of the changes since, in one folder.
+//! Crash-safe storage of named entries in one folder: a snapshot, and a journal of the changes since that snapshot.
 //!
-//! Every record is framed by its length and a checksum over it and all records before it, so that truncation, corruption,
-//! loss and reordering are detected, and what is intact before them is kept. A snapshot is written under another name,
-//! synced and renamed, and its folder synced; a journal is only appended to. See `docs/design/state.md`.
+//! Each record has a length and a checksum that covers the record and all records before it. Truncation, corruption,
+//! lost records and reordering are therefore detected, and the records before the damage are kept. A snapshot is written
+//! to a temporary file, synced and renamed, and then the folder is synced; a journal is only appended to. See
+//! `docs/design/state.md`.
 //!
 //! ```
 //! use wrenthread_durable_store::{Change, Store, disk::MemoryDisk};
@@ -31,15 +32,15 @@
 pub use recovery::{Loss, LossReason, Recovered, read};
 pub use store::{Store, StoreSizes};
 
-/// Size limit of all entries together, names included, in bytes.
+/// Maximum total size of all entries, including their names, in bytes.
 pub const MAX_TOTAL_BYTES: usize = 256 << 20;
-/// Size limit of one entry's content, in bytes.
+/// Maximum size of one entry's content, in bytes.
 pub const MAX_ENTRY_BYTES: usize = 16 << 20;
 
-/// Contents by name.
+/// The content of each entry, by entry name.
 pub type Entries = BTreeMap<String, Vec<u8>>;
 
-/// The files of a generation. A compaction begins a new one.
+/// The kinds of files in a generation. Each compaction starts a new generation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum FileKind {
     Snapshot,
@@ -58,7 +59,7 @@
         format!("{}.{generation}", self.prefix())
     }
 
-    /// The generation of a file of this kind, by its name.
+    /// Parses the generation from the name of a file of this kind; `None` for any other file.
     fn generation(self, file_name: &str) -> Option<u64> {
         file_name.strip_prefix(self.prefix())?.strip_prefix('.')?.parse().ok()
     }
--- a/crates/durable-store/src/recovery.rs
+++ b/crates/durable-store/src/recovery.rs
@@ -1,33 +1,33 @@
-//! Recovery: the entries of a folder, and what of it can't be used.
+//! Recovery: reads the entries from the files of a folder, and reports the files that can't be used.
 
 use crate::changes::{self, Change};
 use crate::disk::{Disk, DiskError};
 use crate::frame::{self, FrameError, Records};
 use crate::{Entries, FileKind, MAX_TOTAL_BYTES};
 
-/// The last record of a snapshot: one without it is incomplete.
+/// The last record of a snapshot. A snapshot without it is incomplete.
 pub(crate) const END_OF_SNAPSHOT: &[u8] = b"end of snapshot";
-/// Size limit of a file, in bytes: all entries with their framing, or a journal before it is compacted.
+/// Maximum size of a file, in bytes: a snapshot of all entries with their framing, or a journal before it is compacted.
 const MAX_FILE_BYTES: usize = 2 * MAX_TOTAL_BYTES;
 
-/// What a folder held.
+/// The content of a folder.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Recovered {
     /// All entries.
     pub entries: Entries,
-    /// What could not be used.
+    /// The files, or parts of files, that could not be used.
     pub losses: Vec<Loss>,
-    /// The newest generation of which there is a file.
+    /// The newest generation that has a file, even if the file is damaged.
     pub generation: u64,
-    /// Bytes of the newest journal that was read.
+    /// Size of the newest journal that was read, in bytes.
     pub journal_bytes: usize,
 }
 
-/// A file, or the rest of one, that could not be used.
+/// A file, or the part of a file from the first damage on, that could not be used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Loss {
     /// A whole snapshot.
-    #[error("{file}: {reason}; an older one is used, if there is any")]
+    #[error("{file}: {reason}; falling back to an older snapshot, if there is one")]
     Snapshot {
         /// The file's name.
         file: String,
@@ -44,27 +44,27 @@
     },
 }
 
-/// Why a file, or the rest of one, could not be used.
+/// Why a file, or a part of it, could not be used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum LossReason {
-    /// The disk's error.
+    /// The file could not be read.
     #[error("{0}")]
     Unreadable(String),
-    /// Damage, or another format.
+    /// The file is damaged or has another format.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// A snapshot without its last record, or with a malformed one.
-    #[error("it is not all there")]
+    /// A snapshot lacks its last record, or contains a malformed one.
+    #[error("incomplete snapshot: its end record is missing or a record is malformed")]
     Incomplete,
-    /// A journal's record that does not decode.
-    #[error("a record that is none of ours")]
+    /// A record of a journal can't be decoded.
+    #[error("malformed record")]
     MalformedRecord,
 }
 
-/// Reads what a folder holds, and changes nothing there.
+/// Reads the entries of a folder without changing any file.
 ///
 /// # Errors
-/// The folder can't be listed. Damage is no error but reported in [`Recovered::losses`].
+/// The folder can't be listed. Damage to files is not an error; it is reported in [`Recovered::losses`].
 pub fn read(disk: &mut impl Disk) -> Result<Recovered, DiskError> {
     let names = disk.list()?;
     let mut snapshots = generations(&names, FileKind::Snapshot);
@@ -90,7 +90,7 @@
     names.iter().filter_map(|name| kind.generation(name)).collect()
 }
 
-/// A journal's or a snapshot's records, and its size.
+/// The records of a journal or snapshot, and the size of its file.
 struct ReadFile {
     records: Records,
     bytes: usize,
@@ -101,7 +101,7 @@
     Ok(ReadFile { records: frame::read(&bytes)?, bytes: bytes.len() })
 }
 
-/// A snapshot is used only if it is intact to its last record.
+/// Reads a snapshot. It is used only if it is intact up to its end record.
 fn read_snapshot(disk: &mut impl Disk, file: &str) -> Result<Entries, LossReason> {
     let Records { intact, damage } = read_file(disk, file)?.records;
     if let Some(damage) = damage {
@@ -118,8 +118,8 @@
     Ok(entries)
 }
 
-/// Applies the journals since a snapshot in their order: if the newest snapshot is damaged, the one before it and both
-/// journals give the same entries. Stops at the first damage.
+/// Applies the journals since a snapshot, in order, up to the first damage. If the newest snapshot is damaged, the
+/// snapshot before it and the journals of both generations give the same entries.
 fn replay_journals(disk: &mut impl Disk, journals: &[u64], first: u64, recovered: &mut Recovered) {
     for generation in first..=recovered.generation {
         if !journals.contains(&generation) {
@@ -146,12 +146,12 @@
     damage.map_or(Ok(()), Err)
 }
 
-/// The size of entries, names included, in bytes.
+/// Returns the total size of entries, including their names, in bytes.
 pub(crate) fn total_bytes(entries: &Entries) -> usize {
     entries.iter().map(|(name, content)| name.len() + content.len()).sum()
 }
 
-/// The changes that make `entries` from nothing, one each.
+/// Returns one change per entry; together they create `entries` from an empty store.
 pub(crate) fn as_changes(entries: &Entries) -> impl Iterator<Item = Change> {
     entries.iter().map(|(name, content)| Change::put(name.as_str(), content.as_slice()))
 }
--- a/crates/durable-store/src/store.rs
+++ b/crates/durable-store/src/store.rs
@@ -1,4 +1,4 @@
-//! The store: an open folder, its entries, and how changes get into its files.
+//! The store: keeps the entries of an open folder in memory, and writes changes to its journal and snapshots.
 
 use crate::changes::{self, Change};
 use crate::disk::{Disk, DiskError};
@@ -6,48 +6,48 @@
 use crate::recovery::{self, END_OF_SNAPSHOT, Recovered};
 use crate::{Entries, FileKind, MAX_ENTRY_BYTES, MAX_TOTAL_BYTES};
 
-/// A journal of at least so many bytes is compacted into a new snapshot,
+/// A journal is compacted only from this size on, in bytes.
 pub(crate) const MIN_COMPACTION_BYTES: usize = 256 << 10;
-/// if it is also so many times as large as the entries.
+/// A journal is compacted only if it is also at least this many times as large as the entries.
 const COMPACTION_FACTOR: usize = 3;
-/// Generations of snapshot and journal that stay beside the newest.
+/// Number of generations kept in addition to the newest.
 const RETAINED_GENERATIONS: u64 = 1;
-/// A snapshot is written in pieces of about so many bytes.
+/// A snapshot is appended to its file in pieces of about this size, in bytes.
 const SNAPSHOT_PIECE_BYTES: usize = 1 << 20;
-/// The ending of a file's name while it is written.
+/// Suffix of the name of a file until it is complete.
 pub(crate) const UNFINISHED: &str = ".new";
 
 /// Sizes of a store, in bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreSizes {
-    /// All entries, names included.
+    /// All entries, including their names.
     pub entry_bytes: usize,
-    /// The journal's file.
+    /// The journal file.
     pub journal_bytes: usize,
 }
 
-/// The journal that may be appended to.
+/// The journal that changes are appended to.
 struct OpenJournal {
     chain: RecordChain,
 }
 
-/// Entries that last, in an open folder.
+/// Durable entries in an open folder.
 pub struct Store<D: Disk> {
     disk: D,
     entries: Entries,
     entry_bytes: usize,
     generation: u64,
-    /// None if the next write has to make a new snapshot first.
+    /// `None` if the next write has to write a new snapshot.
     journal: Option<OpenJournal>,
     journal_bytes: usize,
 }
 
 impl<D: Disk> Store<D> {
-    /// Opens a folder for writing. What it held is compacted into a new snapshot at the first write, so that nothing is
-    /// ever appended behind damage.
+    /// Opens a folder for writing. The first write compacts all entries into a new snapshot, so that nothing is appended
+    /// to a journal that may be damaged.
     ///
     /// # Errors
-    /// The folder can't be listed. That it can't be written is found at the first write.
+    /// The folder can't be listed. Whether it is writable is not checked until the first write.
     pub fn open(mut disk: D) -> Result<(Self, Recovered), DiskError> {
         let recovered = recovery::read(&mut disk)?;
         let store = Store {
@@ -61,22 +61,22 @@
         Ok((store, recovered))
     }
 
-    /// All entries, by name.
+    /// Returns all entries, by name.
     pub fn entries(&self) -> &Entries {
         &self.entries
     }
 
-    /// Sizes of the entries and of the journal.
+    /// Returns the sizes of the entries and of the journal.
     pub fn sizes(&self) -> StoreSizes {
         StoreSizes { entry_bytes: self.entry_bytes, journal_bytes: self.journal_bytes }
     }
 
-    /// Writes changes as one: all of them hold, or none, in memory and after a crash. They are durable once this has
-    /// returned.
+    /// Writes changes atomically: either all of them take effect or none, in memory and after a crash. They are durable
+    /// when this returns `Ok`.
     ///
     /// # Errors
-    /// The disk's, or a size limit's; nothing has changed in memory then, and the caller may write the changes again.
-    /// After a disk's error the next write makes a new snapshot, as it is not known what the disk has of the old journal.
+    /// A disk error or an exceeded size limit. Nothing has changed in memory then, and the caller may retry the write.
+    /// After a disk error the next write makes a new snapshot, because the end of the journal on disk is unknown.
     pub fn write(&mut self, changes: &[Change]) -> Result<(), DiskError> {
         check_entry_sizes(changes)?;
         let undo = self.apply(changes);
@@ -87,7 +87,7 @@
         written
     }
 
-    /// Applies changes in memory. Gives those that undo them.
+    /// Applies changes in memory. Returns the changes that undo them.
     fn apply(&mut self, changes: &[Change]) -> Vec<Change> {
         let mut undo = Vec::with_capacity(changes.len());
         for Change { name, content } in changes {
@@ -128,19 +128,19 @@
         Ok(())
     }
 
-    /// Writes all entries as a new snapshot with an empty journal beside it, and removes what is older than the
-    /// generation before.
+    /// Writes all entries to a new snapshot with an empty journal, and removes the files of all generations older than
+    /// the previous one.
     ///
     /// # Errors
-    /// The disk's; what was there before stays valid.
+    /// A disk error. The existing files stay valid.
     pub fn compact(&mut self) -> Result<(), DiskError> {
         self.journal = None;
-        // Counted on even where this fails: a name that may be half there is not used again.
+        // The generation is used up even if this fails: its files may exist in part, and their names are not reused.
         self.generation += 1;
         let snapshot = FileKind::Snapshot.file_name(self.generation);
         let unfinished = format!("{snapshot}{UNFINISHED}");
         self.write_snapshot(&unfinished)?;
-        // The journal first: there is never a snapshot without one that may be appended to.
+        // Create the journal before the snapshot gets its final name, so that each snapshot has a journal to append to.
         let journal = FileKind::Journal.file_name(self.generation);
         self.disk.create(&journal)?;
         self.disk.append(&journal, &frame::header())?;
@@ -169,7 +169,7 @@
         self.disk.sync(file)
     }
 
-    /// What can't be listed or removed does no harm: the new generation is durable.
+    /// Removes unneeded files. Errors are ignored, because the new generation is durable already.
     fn remove_old_files(&mut self) {
         for name in self.disk.list().unwrap_or_default() {
             let generation =
@@ -190,7 +190,7 @@
     }
 }
 
-/// What an entry counts for in the total; nothing if it is not there.
+/// Returns an entry's share of the total size; 0 if it does not exist.
 fn entry_bytes(name: &str, content: Option<&[u8]>) -> usize {
     content.map_or(0, |content| name.len() + content.len())
 }
--- a/crates/durable-store/src/tests.rs
+++ b/crates/durable-store/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the store on disks that fail, and on files that are damaged.
+//! Tests of the store with injected disk faults and with damaged files.
 
 use super::*;
 use crate::changes;
@@ -12,15 +12,15 @@
     Change::put(name, content)
 }
 
-/// A state that a write asked for.
+/// The entries that a write should lead to.
 #[derive(Debug)]
 struct Written {
     entries: Entries,
-    /// The write returned without error: the state is durable.
+    /// The write returned without error, so the entries are durable.
     durable: bool,
 }
 
-/// Makes some writes, one with a compaction, and returns the state after each.
+/// Makes nine writes, one of them followed by a compaction, and returns the expected entries after each.
 fn run(disk: &MemoryDisk) -> Vec<Written> {
     let mut states = vec![Written { entries: Entries::new(), durable: true }];
     let Ok((mut store, _)) = Store::open(disk.clone()) else { return states };
@@ -43,7 +43,7 @@
     states
 }
 
-/// Whether what was recovered is a written state, and not older than the last durable one.
+/// Whether the recovered entries are those of a write, and not older than the last durable write.
 fn is_current(recovered: &Recovered, states: &[Written]) -> bool {
     let last_durable = states.iter().rposition(|written| written.durable);
     let state = states.iter().rposition(|written| written.entries == recovered.entries);
@@ -66,7 +66,7 @@
                 is_current(&recovered, &states),
                 "call {call}, {unsynced:?}: {recovered:?}, of {states:?}"
             );
-            // It goes on, and that lasts too.
+            // Writes after the recovery are durable too.
             store.write(&[put("again", "x")]).unwrap();
             let (_, again) = Store::open(left.after_crash(Unsynced::Lost)).unwrap();
             assert_eq!(again.entries, *store.entries(), "call {call}, {unsynced:?}");
@@ -85,19 +85,19 @@
             let disk = MemoryDisk::default();
             disk.fault(call, fault);
             let states = run(&disk);
-            // The last write of the run went well, or was the one that failed.
+            // At most one write failed, so all others must be recovered.
             let (_, recovered) = Store::open(disk.after_crash(Unsynced::Lost)).unwrap();
             assert!(is_current(&recovered, &states), "call {call}, {fault:?}: {recovered:?}, of {states:?}");
             assert!(
                 states.iter().filter(|written| !written.durable).count() <= 1,
-                "call {call}: one fault, one error"
+                "call {call}: one fault must fail at most one write"
             );
         }
     }
 }
 
-/// Three writes: two changes at once, a replacement beside a removal, and both again. A write that fails is asserted to
-/// have changed nothing in memory, and after a crash all of it or nothing.
+/// Makes three writes: two insertions, a replacement with a removal and an insertion, and again two changes. Asserts that
+/// a failed write changes nothing in memory, and that after a crash either all of it is recovered or nothing.
 fn write_with_faults(disk: &MemoryDisk, fault: Option<Fault>, what: &str) {
     let Ok((mut store, _)) = Store::open(disk.clone()) else { return };
     let writes = [
@@ -112,21 +112,21 @@
         changes::apply(&mut after, changes.clone());
         let written = store.write(changes);
         let expected = if written.is_ok() { &after } else { &before };
-        assert_eq!(store.entries(), expected, "{what}: in memory, {written:?}");
+        assert_eq!(store.entries(), expected, "{what}: entries in memory, {written:?}");
         let total: usize = expected.iter().map(|(name, content)| name.len() + content.len()).sum();
-        assert_eq!(store.sizes().entry_bytes, total, "{what}: sizes, {sizes_before} before");
+        assert_eq!(store.sizes().entry_bytes, total, "{what}: total size, {sizes_before} before the write");
         for unsynced in ALL_UNSYNCED {
             let recovered = Store::open(disk.after_crash(unsynced)).unwrap().1.entries;
             let is_durable = recovered == after || (written.is_err() && recovered == before);
             assert!(is_durable, "{what}, {unsynced:?}, {written:?}: {recovered:?}");
         }
         if written.is_err() && fault == Some(Fault::Crash) {
-            return; // nothing is written any more
+            return; // all later calls fail
         }
     }
 }
 
-/// Guards against changes that a failed write left in memory without a record of theirs.
+/// Guards against a failed write that leaves changes in memory which are not in the journal.
 #[test]
 fn a_write_is_all_or_nothing_in_memory_and_after_a_crash_where_any_call_fails() {
     let quiet = MemoryDisk::default();
@@ -150,10 +150,10 @@
     let mut changes = vec![put("small", "y"), Change::remove("other")];
     changes.extend((0..=MAX_TOTAL_BYTES / MAX_ENTRY_BYTES).map(large));
     assert!(matches!(store.write(&changes), Err(DiskError::StoreTooLarge { .. })));
-    assert!(*store.entries() == before, "a part of the write is in memory");
+    assert!(*store.entries() == before, "the rejected write changed entries in memory");
     store.write(&[put("third", "z")]).unwrap();
     let (_, recovered) = Store::open(disk.after_crash(Unsynced::Lost)).unwrap();
-    assert!(recovered.entries == *store.entries(), "memory and disk differ");
+    assert!(recovered.entries == *store.entries(), "entries in memory and on disk differ");
 }
 
 #[test]
@@ -167,7 +167,7 @@
             states.iter().any(|written| written.entries == recovered.entries),
             "{name}, {what}: {recovered:?}"
         );
-        // The snapshot before, and the journals of both, say all that the damaged one did.
+        // The previous snapshot and the journals of both generations replace a damaged snapshot.
         assert!(!name.starts_with("snapshot") || recovered.entries == *last, "{name}, {what}: {recovered:?}");
     };
     for name in disk.clone().list().unwrap() {
@@ -193,14 +193,16 @@
     let (mut store, recovered) = Store::open(disk.clone()).unwrap();
     assert_eq!((recovered.entries.len(), recovered.generation), (0, 7));
     assert!(
-        recovered.losses[0].to_string().contains("it is of form `02`, and this version reads form `01`"),
+        recovered.losses[0]
+            .to_string()
+            .contains("unsupported format version `02`; this release reads version `01`"),
         "{:?}",
         recovered.losses
     );
-    assert!(recovered.losses[1].to_string().contains("no file of this kind"));
+    assert!(recovered.losses[1].to_string().contains("not a wrenthread state file"));
     store.write(&[put("a", "b")]).unwrap();
     assert!(disk.clone().list().unwrap().contains(&"snapshot.8".to_string()));
-    // A file that this version wrote, kept as it was: later versions have to read it.
+    // A stored file that was written by this version: later versions must be able to read it.
     let kept = MemoryDisk::default();
     kept.put("snapshot.1", include_bytes!("../tests/form-01.snapshot"));
     let (_, recovered) = Store::open(kept).unwrap();
@@ -238,11 +240,11 @@
     let first = reserve_epoch(&mut disk, 5_000_000, 7);
     assert_eq!(first.epoch & 0xffff, 7);
     assert!(first.failure.is_none());
-    // The calendar stands still, or was set back.
+    // The wall clock did not advance, or was set back.
     let second = reserve_epoch(&mut disk, 5_000_000, 9);
     let third = reserve_epoch(&mut disk, 1, 9);
     assert!(first.epoch < second.epoch && second.epoch < third.epoch);
-    // A disk that loses all of its last write, at whichever call.
+    // A crash at each call of the second reservation.
     for call in 0..6 {
         for unsynced in ALL_UNSYNCED {
             let disk = MemoryDisk::default();
@@ -253,7 +255,7 @@
             assert!(three > one && three != two, "call {call}, {unsynced:?}: {one} {two} {three}");
         }
     }
-    // Damage does not bring old epochs back.
+    // Damage to the latest epoch file does not lead to the reuse of old epochs.
     let disk = MemoryDisk::default();
     reserve_epoch(&mut disk.clone(), 100, 1);
     let two = reserve_epoch(&mut disk.clone(), 100, 1).epoch;
@@ -262,7 +264,7 @@
     assert!(three >= two & !0xffff && three != two);
     disk.fault(disk.calls(), Fault::Error);
     let failure = reserve_epoch(&mut disk.clone(), 100, 4).failure;
-    assert!(failure.unwrap().to_string().contains("a fault"));
+    assert!(failure.unwrap().to_string().contains("injected fault"));
 }
 
 #[test]
@@ -313,9 +315,9 @@
     }
 }
 
-/// Writes the kept snapshot anew: only for a new version of the format, and under its number.
+/// Writes the stored snapshot for a new version of the format. Run it only then, with the new version in the file name.
 #[test]
-#[ignore = "writes a file that later versions have to read"]
+#[ignore = "writes a test file that later versions must be able to read"]
 fn write_the_kept_snapshot() {
     let disk = MemoryDisk::default();
     let (mut store, _) = Store::open(disk.clone()).unwrap();
--- a/crates/durable-store/tests/golden.rs
+++ b/crates/durable-store/tests/golden.rs
@@ -1,4 +1,5 @@
-//! A folder as the release at commit b735929 wrote it, byte for byte: a newer release has to start from it.
+//! Compatibility with a stored folder that the release at commit b735929 wrote: later releases must read it, and write
+//! the same bytes.
 
 #![allow(
     clippy::unwrap_used,
@@ -34,7 +35,7 @@
     Change::put(name, content)
 }
 
-/// The writes that made the folder.
+/// Repeats the writes that created the stored folder.
 fn write_again(mut disk: MemoryDisk) {
     reserve_epoch(&mut disk, 1_700_000_000_000_000, 7);
     reserve_epoch(&mut disk, 1_700_000_100_000_000, 9);
@@ -63,7 +64,7 @@
 
 #[test]
 fn reserves_an_epoch_above_that_of_the_earlier_release() {
-    // Reserved there: 1_700_000_100_000_000 with its last 16 bits replaced by 9.
+    // The earlier release reserved 1_700_000_100_000_000 with its last 16 bits replaced by 9.
     let last = (1_700_000_100_000_000 & !0xffff) | 9;
     let next = reserve_epoch(&mut stored_folder(), 1, 3).epoch;
     assert_eq!(next, ((last + (1 << 16)) & !0xffff) | 3);
--- a/crates/durable-store/tests/restarts.rs
+++ b/crates/durable-store/tests/restarts.rs
@@ -1,5 +1,5 @@
-//! A governor's engine with a store on a disk that crashes at each of its calls in turn: the next run starts from
-//! whatever is left, and keeps the rules.
+//! Crash recovery of a governor's engine: its disk crashes at each call in turn, and the next run starts from the remaining
+//! files. The restarted engine must not break the rules for routing tables.
 
 #![allow(
     clippy::unwrap_used,
@@ -49,7 +49,7 @@
     }
 }
 
-/// What each proxy holds: the run and the version that told it.
+/// The tables that each proxy has: the epoch of the run that sent them, and their version.
 type MemoryFile = [Option<(u64, u64)>; PROXIES];
 
 struct Run {
@@ -62,7 +62,7 @@
 impl Run {
     fn start(disk: &MemoryDisk, calendar: f64, chance: u16) -> Run {
         let epoch = reserve_epoch(&mut disk.clone(), (calendar * 1e6) as u64, chance).epoch;
-        let (store, found) = Store::open(disk.clone()).expect("a folder can be listed");
+        let (store, found) = Store::open(disk.clone()).expect("the folder can be listed");
         let known: StoredItems = found
             .entries
             .iter()
@@ -90,7 +90,7 @@
 
     fn join(&mut self, now: u64, held: &MemoryFile) {
         for (place, held) in held.iter().enumerate() {
-            // A standing table that names a drain is no draw, and is answered by another at once.
+            // The draining replica `b` is left out: a default table with it would be replaced at once.
             let drawn = REPLICAS.into_iter().filter(|id| place < 2 && *id != "b");
             let standing = drawn.map(|id| (id.into(), 1.0)).collect();
             let join = JoinRequest {
@@ -102,15 +102,17 @@
                 ownership_proof: held.map(|_| "a word".into()),
                 proven_version: *held,
             };
-            self.engine.proxy_connected(ms(now), place as u64, &join).expect("there is room");
+            self.engine
+                .proxy_connected(ms(now), place as u64, &join)
+                .expect("the fleet has room for the proxy");
         }
     }
 
-    /// Proxies that take all at once. No rule is broken at any time.
+    /// Delivers all pending tables to proxies that acknowledge at once, and asserts the rules on all current tables.
     fn pump(&mut self, now: u64, held: &mut MemoryFile, draining: Option<&str>) {
         while let Some(step) = self.engine.next_action(ms(now)) {
             let Action::Flush(number) = step else { continue };
-            let proxy = self.engine.proxy(number).expect("it is joined");
+            let proxy = self.engine.proxy(number).expect("the proxy is connected");
             let (stream, newest) = (proxy.stream, proxy.newest());
             held[stream as usize] = Some((self.epoch, newest));
             self.engine.tables_sent(ms(now), number, 6, 1);
@@ -120,10 +122,10 @@
         for (_, proxy) in self.engine.fleet().iter() {
             for kept in proxy.tables.iter().flatten() {
                 let open: Vec<_> = kept.table.entries.iter().filter(|line| line.routable).collect();
-                assert!(!open.is_empty(), "{now}: `{}` is bare", proxy.name);
+                assert!(!open.is_empty(), "{now}: the table of `{}` has no routable replica", proxy.name);
                 assert!(
                     open.iter().all(|line| Some(&*line.replica) != draining),
-                    "{now}: a drain is not kept"
+                    "{now}: a table routes to the draining replica"
                 );
                 assert!((0.0..=1.0).contains(&kept.table.admission_fraction));
                 let all: f64 = open.iter().map(|line| line.weight).sum();
@@ -131,15 +133,18 @@
                 on_cold += 5.0 * cold.map(|line| line.weight).sum::<f64>() / all;
             }
         }
-        // Of forty flows a second a replica that starts anew may have twice its part, and nobody looks at
-        // warm ones.
+        // The proxies send 40 requests per second in all. A replica that was restarted may get at most about twice
+        // its share of them; warm replicas are not checked.
         if self.engine.known_roster().get(&"f".into()).is_some_and(|f| f.started_at == Some(ms(900))) {
-            assert!(on_cold < 2.5 * 40.0 * 0.3 / 4.3, "{now}: {on_cold} on a cold one");
+            assert!(
+                on_cold < 2.5 * 40.0 * 0.3 / 4.3,
+                "{now}: {on_cold} requests per second on the restarted replica"
+            );
         }
     }
 }
 
-/// A run that comes to know all kinds of things, until its disk crashes.
+/// Runs a governor that connects proxies, gets an override and a drain, and stores its state until its disk crashes.
 fn first_run(disk: &MemoryDisk) -> (MemoryFile, u64) {
     let mut run = Run::start(disk, 1000.0, 1);
     let mut held: MemoryFile = [None; PROXIES];
@@ -148,7 +153,9 @@
     for now in (50..1500).step_by(50) {
         if now == 300 {
             let (what, why) = (OverrideKind::Exclude, "its disk is full");
-            run.engine.override_replica(ms(now), &"a".into(), what, ms(60_000), why).expect("it is listed");
+            run.engine
+                .override_replica(ms(now), &"a".into(), what, ms(60_000), why)
+                .expect("the replica is in the roster");
         }
         if now == 600 {
             run.engine.update_roster(ms(now), list(Some("b"), None));
@@ -178,17 +185,17 @@
             disk.fault(call, Fault::Crash);
             let (mut held, epoch) = first_run(&disk);
             let mut run = Run::start(&disk.after_crash(unsynced), 1002.0, 2);
-            assert_ne!(run.epoch, epoch, "call {call}, {unsynced:?}: two runs of one epoch");
-            // While nobody looked `b` has drained, and `f` was replaced under its name.
+            assert_ne!(run.epoch, epoch, "call {call}, {unsynced:?}: two runs have the same epoch");
+            // By now `b` is draining, and `f` was restarted under the same name while the governor was down.
             run.engine.update_roster(ms(0), list(Some("b"), Some(ms(900))));
             run.join(1, &held);
             resumed += run.engine.fleet().iter().filter(|(_, proxy)| proxy.holds_default_table).count();
             for now in (10..3000).step_by(60) {
                 run.pump(now, &mut held, Some("b"));
             }
-            assert!(run.store(3000, 1005.0), "call {call}, {unsynced:?}: it keeps what it knows");
+            assert!(run.store(3000, 1005.0), "call {call}, {unsynced:?}: the state could not be stored");
             starts += 1;
         }
     }
-    assert!(starts > 150 && resumed > starts / 2, "{starts} starts, {resumed} proxies that were known");
+    assert!(starts > 150 && resumed > starts / 2, "{starts} restarts, {resumed} proxies resumed");
 }
