--- a/crates/durable-store/src/changes.rs
+++ b/crates/durable-store/src/changes.rs
@@ -3,7 +3,7 @@
 use crate::Entries;
 
 /// Stored instead of a content length to mark a removal. No content can have this length.
-const REMOVED: u32 = u32::MAX;
+const REMOVAL_MARKER: u32 = u32::MAX;
 
 /// A change to one entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     for Change { name, content } in changes {
         record.extend((name.len() as u32).to_le_bytes());
         record.extend(name.as_bytes());
-        let length = content.as_ref().map_or(REMOVED, |content| content.len() as u32);
+        let length = content.as_ref().map_or(REMOVAL_MARKER, |content| content.len() as u32);
         record.extend(length.to_le_bytes());
         record.extend(content.iter().flatten());
     }
@@ -46,7 +46,7 @@
         let name_length = take_u32(&mut record)? as usize;
         let name = String::from_utf8(take(&mut record, name_length)?.to_vec()).ok()?;
         let content = match take_u32(&mut record)? {
-            REMOVED => None,
+            REMOVAL_MARKER => None,
             length => Some(take(&mut record, length as usize)?.to_vec()),
         };
         changes.push(Change { name, content });
--- a/crates/durable-store/src/disk/folder.rs
+++ b/crates/durable-store/src/disk/folder.rs
@@ -14,14 +14,14 @@
 /// A process that writes to the folder holds a lock on this file.
 const LOCK_FILE: &str = "lock";
 /// The name of the folder in error messages.
-const THE_FOLDER: &str = "the folder";
+const FOLDER_LABEL: &str = "the folder";
 
 /// A folder of the file system, locked by this process unless it is opened read-only. Only the owner can access its
 /// files.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
-    appending: Option<OpenFile>,
+    append_file: Option<OpenFile>,
     /// Holds the lock until this value is dropped; `None` if the folder is read-only.
     _lock: Option<File>,
 }
@@ -50,7 +50,7 @@
             .open(path.join(LOCK_FILE))
             .map_err(|error| DiskError::io(LOCK_FILE, error))?;
         match lock.try_lock() {
-            Ok(()) => Ok(Folder { path: path.to_path_buf(), appending: None, _lock: Some(lock) }),
+            Ok(()) => Ok(Folder { path: path.to_path_buf(), append_file: None, _lock: Some(lock) }),
             Err(TryLockError::WouldBlock) => Err(DiskError::Locked { folder: folder_name }),
             Err(TryLockError::Error(error)) => Err(folder_error(error)),
         }
@@ -58,13 +58,13 @@
 
     /// Opens the folder for reading, without a lock. Another process may write to it meanwhile.
     pub fn read_only(path: &Path) -> Self {
-        Folder { path: path.to_path_buf(), appending: None, _lock: None }
+        Folder { path: path.to_path_buf(), append_file: None, _lock: None }
     }
 }
 
 impl Disk for Folder {
     fn list(&mut self) -> Result<Vec<String>, DiskError> {
-        let folder_error = |error| DiskError::io(THE_FOLDER, error);
+        let folder_error = |error| DiskError::io(FOLDER_LABEL, error);
         let mut names = Vec::new();
         for entry in std::fs::read_dir(&self.path).map_err(folder_error)? {
             let entry = entry.map_err(folder_error)?;
@@ -92,13 +92,13 @@
             .mode(FILE_MODE)
             .open(self.path.join(name))
             .map_err(|error| DiskError::io(name, error))?;
-        self.appending = Some(OpenFile { name: name.to_string(), file });
+        self.append_file = Some(OpenFile { name: name.to_string(), file });
         Ok(())
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<(), DiskError> {
         let io_error = |error| DiskError::io(name, error);
-        let mut open = match self.appending.take().filter(|open| open.name == name) {
+        let mut open = match self.append_file.take().filter(|open| open.name == name) {
             Some(open) => open,
             None => {
                 let file = OpenOptions::new().append(true).open(self.path.join(name)).map_err(io_error)?;
@@ -106,12 +106,12 @@
             }
         };
         let written = open.file.write_all(bytes).map_err(io_error);
-        self.appending = Some(open);
+        self.append_file = Some(open);
         written
     }
 
     fn sync(&mut self, name: &str) -> Result<(), DiskError> {
-        let synced = match &self.appending {
+        let synced = match &self.append_file {
             Some(open) if open.name == name => open.file.sync_data(),
             _ => File::open(self.path.join(name)).and_then(|file| file.sync_data()),
         };
@@ -119,7 +119,7 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> Result<(), DiskError> {
-        self.appending = None;
+        self.append_file = None;
         std::fs::rename(self.path.join(from), self.path.join(to)).map_err(|error| DiskError::io(from, error))
     }
 
@@ -129,6 +129,6 @@
 
     fn sync_folder(&mut self) -> Result<(), DiskError> {
         let synced = File::open(&self.path).and_then(|folder| folder.sync_all());
-        synced.map_err(|error| DiskError::io(THE_FOLDER, error))
+        synced.map_err(|error| DiskError::io(FOLDER_LABEL, error))
     }
 }
--- a/crates/durable-store/src/disk/memory.rs
+++ b/crates/durable-store/src/disk/memory.rs
@@ -64,7 +64,7 @@
     /// The names as of the last sync of the folder.
     synced_names: BTreeMap<String, usize>,
     /// Number of modifying calls so far.
-    calls: usize,
+    modifying_calls: usize,
     faults: BTreeMap<usize, Fault>,
     crashed: bool,
 }
@@ -84,19 +84,19 @@
 
     /// Counts a modifying call and applies the fault that is injected into it. [`Fault::PartialAppend`] is returned, as the
     /// append itself has to apply it.
-    fn call(&mut self, name: &str) -> Result<Option<Fault>, DiskError> {
-        let requested_fault = || DiskError::io(name, Error::other("injected fault"));
+    fn record_call(&mut self, name: &str) -> Result<Option<Fault>, DiskError> {
+        let injected_fault = || DiskError::io(name, Error::other("injected fault"));
         if self.crashed {
-            return Err(requested_fault());
+            return Err(injected_fault());
         }
-        let fault = self.faults.get(&self.calls).copied();
-        self.calls += 1;
+        let fault = self.faults.get(&self.modifying_calls).copied();
+        self.modifying_calls += 1;
         match fault {
             Some(Fault::Crash) => {
                 self.crashed = true;
-                Err(requested_fault())
+                Err(injected_fault())
             }
-            Some(Fault::Error) => Err(requested_fault()),
+            Some(Fault::Error) => Err(injected_fault()),
             Some(Fault::PartialAppend) | None => Ok(fault),
         }
     }
@@ -110,13 +110,13 @@
 
 impl MemoryDisk {
     /// Injects a fault into the modifying call with this number, counted from 0.
-    pub fn fault(&self, call: usize, fault: Fault) {
+    pub fn inject_fault(&self, call: usize, fault: Fault) {
         self.state.borrow_mut().faults.insert(call, fault);
     }
 
     /// Number of modifying calls so far.
-    pub fn calls(&self) -> usize {
-        self.state.borrow().calls
+    pub fn modifying_calls(&self) -> usize {
+        self.state.borrow().modifying_calls
     }
 
     /// Returns a copy of the disk in its state after a crash.
@@ -126,15 +126,15 @@
             Unsynced::Lost | Unsynced::NamesLost => &state.synced_names,
             Unsynced::Kept | Unsynced::FirstHalfKept | Unsynced::LastHalfKept => &state.names,
         };
-        let left = MemoryDisk::default();
+        let crashed_disk = MemoryDisk::default();
         for (name, index) in names {
-            left.put(name, &state.files[*index].after_crash(unsynced));
+            crashed_disk.add_synced_file(name, &state.files[*index].after_crash(unsynced));
         }
-        left
+        crashed_disk
     }
 
     /// Flips one bit of a file's content.
-    pub fn flip(&self, name: &str, bit: usize) {
+    pub fn flip_bit(&self, name: &str, bit: usize) {
         let mut state = self.state.borrow_mut();
         let Ok(index) = state.index(name) else { return };
         let file = &mut state.files[index];
@@ -145,7 +145,7 @@
     }
 
     /// Adds a file whose content and name are already synced.
-    pub fn put(&self, name: &str, bytes: &[u8]) {
+    pub fn add_synced_file(&self, name: &str, bytes: &[u8]) {
         let mut state = self.state.borrow_mut();
         let index = state.add_file(name, MemoryFile { current: bytes.to_vec(), synced: bytes.to_vec() });
         state.synced_names.insert(name.to_string(), index);
@@ -165,14 +165,14 @@
 
     fn create(&mut self, name: &str) -> Result<(), DiskError> {
         let mut state = self.state.borrow_mut();
-        state.call(name)?;
+        state.record_call(name)?;
         state.add_file(name, MemoryFile::default());
         Ok(())
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<(), DiskError> {
         let mut state = self.state.borrow_mut();
-        let fault = state.call(name)?;
+        let fault = state.record_call(name)?;
         let index = state.index(name)?;
         let written = if fault.is_some() { &bytes[..bytes.len() / 2] } else { bytes };
         state.files[index].current.extend(written);
@@ -184,7 +184,7 @@
 
     fn sync(&mut self, name: &str) -> Result<(), DiskError> {
         let mut state = self.state.borrow_mut();
-        state.call(name)?;
+        state.record_call(name)?;
         let index = state.index(name)?;
         let file = &mut state.files[index];
         file.synced = file.current.clone();
@@ -193,7 +193,7 @@
 
     fn rename(&mut self, from: &str, to: &str) -> Result<(), DiskError> {
         let mut state = self.state.borrow_mut();
-        state.call(from)?;
+        state.record_call(from)?;
         let index = state.index(from)?;
         state.names.remove(from);
         state.names.insert(to.to_string(), index);
@@ -202,7 +202,7 @@
 
     fn remove(&mut self, name: &str) -> Result<(), DiskError> {
         let mut state = self.state.borrow_mut();
-        state.call(name)?;
+        state.record_call(name)?;
         state.index(name)?;
         state.names.remove(name);
         Ok(())
@@ -210,7 +210,7 @@
 
     fn sync_folder(&mut self) -> Result<(), DiskError> {
         let mut state = self.state.borrow_mut();
-        state.call("the folder")?;
+        state.record_call("the folder")?;
         state.synced_names = state.names.clone();
         Ok(())
     }
--- a/crates/durable-store/src/epoch.rs
+++ b/crates/durable-store/src/epoch.rs
@@ -2,7 +2,7 @@
 
 use crate::disk::{Disk, DiskError};
 use crate::frame::{self, RecordChain};
-use crate::store::UNFINISHED;
+use crate::store::TEMPORARY_SUFFIX;
 
 /// The file with the latest reserved epoch.
 const EPOCH_FILE: &str = "epoch";
@@ -30,7 +30,7 @@
     let next = last_reserved(disk).saturating_add(RANDOM_BITS + 1);
     let base = clock_micros.max(next) & !RANDOM_BITS;
     let epoch = base | u64::from(random);
-    let failure = write(disk, epoch).err();
+    let failure = write_epoch_file(disk, epoch).err();
     ReservedEpoch { epoch, failure }
 }
 
@@ -50,17 +50,17 @@
     Some(u64::from_le_bytes(record.try_into().ok()?))
 }
 
-fn write(disk: &mut impl Disk, epoch: u64) -> Result<(), DiskError> {
-    let unfinished = format!("{EPOCH_FILE}{UNFINISHED}");
+fn write_epoch_file(disk: &mut impl Disk, epoch: u64) -> Result<(), DiskError> {
+    let temporary_file = format!("{EPOCH_FILE}{TEMPORARY_SUFFIX}");
     let mut bytes = frame::header();
     bytes.extend(RecordChain::new().frame(&epoch.to_le_bytes()));
-    disk.create(&unfinished)?;
-    disk.append(&unfinished, &bytes)?;
-    disk.sync(&unfinished)?;
+    disk.create(&temporary_file)?;
+    disk.append(&temporary_file, &bytes)?;
+    disk.sync(&temporary_file)?;
     // Keep the previous epoch, so that damage to the latest file does not lead to the reuse of old epochs.
     if disk.list()?.iter().any(|name| name == EPOCH_FILE) {
         disk.rename(EPOCH_FILE, PREVIOUS_EPOCH_FILE)?;
     }
-    disk.rename(&unfinished, EPOCH_FILE)?;
+    disk.rename(&temporary_file, EPOCH_FILE)?;
     disk.sync_folder()
 }
--- a/crates/durable-store/src/store.rs
+++ b/crates/durable-store/src/store.rs
@@ -13,9 +13,9 @@
 /// Number of generations kept in addition to the newest.
 const RETAINED_GENERATIONS: u64 = 1;
 /// A snapshot is appended to its file in pieces of about this size, in bytes.
-const SNAPSHOT_PIECE_BYTES: usize = 1 << 20;
+const SNAPSHOT_CHUNK_BYTES: usize = 1 << 20;
 /// Suffix of the name of a file until it is complete.
-pub(crate) const UNFINISHED: &str = ".new";
+pub(crate) const TEMPORARY_SUFFIX: &str = ".new";
 
 /// Sizes of a store, in bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -138,14 +138,14 @@
         // The generation is used up even if this fails: its files may exist in part, and their names are not reused.
         self.generation += 1;
         let snapshot = FileKind::Snapshot.file_name(self.generation);
-        let unfinished = format!("{snapshot}{UNFINISHED}");
-        self.write_snapshot(&unfinished)?;
+        let temporary_file = format!("{snapshot}{TEMPORARY_SUFFIX}");
+        self.write_snapshot(&temporary_file)?;
         // Create the journal before the snapshot gets its final name, so that each snapshot has a journal to append to.
         let journal = FileKind::Journal.file_name(self.generation);
         self.disk.create(&journal)?;
         self.disk.append(&journal, &frame::header())?;
         self.disk.sync(&journal)?;
-        self.disk.rename(&unfinished, &snapshot)?;
+        self.disk.rename(&temporary_file, &snapshot)?;
         self.disk.sync_folder()?;
         self.journal = Some(OpenJournal { chain: RecordChain::new() });
         self.journal_bytes = frame::header().len();
@@ -159,7 +159,7 @@
         let mut bytes = frame::header();
         for change in recovery::as_changes(&self.entries) {
             bytes.extend(chain.frame(&changes::encode(&[change])));
-            if bytes.len() > SNAPSHOT_PIECE_BYTES {
+            if bytes.len() > SNAPSHOT_CHUNK_BYTES {
                 self.disk.append(file, &bytes)?;
                 bytes.clear();
             }
@@ -175,7 +175,7 @@
             let generation =
                 FileKind::Snapshot.generation(&name).or_else(|| FileKind::Journal.generation(&name));
             let is_old = generation.is_some_and(|of| of + RETAINED_GENERATIONS < self.generation);
-            if is_old || name.ends_with(UNFINISHED) {
+            if is_old || name.ends_with(TEMPORARY_SUFFIX) {
                 let _ = self.disk.remove(&name);
             }
         }
--- a/crates/durable-store/src/tests.rs
+++ b/crates/durable-store/src/tests.rs
@@ -21,7 +21,7 @@
 }
 
 /// Makes nine writes, one of them followed by a compaction, and returns the expected entries after each.
-fn run(disk: &MemoryDisk) -> Vec<Written> {
+fn run_writes(disk: &MemoryDisk) -> Vec<Written> {
     let mut states = vec![Written { entries: Entries::new(), durable: true }];
     let Ok((mut store, _)) = Store::open(disk.clone()) else { return states };
     for step in 0..9 {
@@ -52,39 +52,39 @@
 
 #[test]
 fn recovers_a_written_state_after_a_crash_at_any_call() {
-    let quiet = MemoryDisk::default();
-    run(&quiet);
-    let mut points = 0;
-    for call in 0..quiet.calls() {
+    let fault_free = MemoryDisk::default();
+    run_writes(&fault_free);
+    let mut crash_points = 0;
+    for call in 0..fault_free.modifying_calls() {
         for unsynced in ALL_UNSYNCED {
             let disk = MemoryDisk::default();
-            disk.fault(call, Fault::Crash);
-            let states = run(&disk);
-            let left = disk.after_crash(unsynced);
-            let (mut store, recovered) = Store::open(left.clone()).unwrap();
+            disk.inject_fault(call, Fault::Crash);
+            let states = run_writes(&disk);
+            let crashed_disk = disk.after_crash(unsynced);
+            let (mut store, recovered) = Store::open(crashed_disk.clone()).unwrap();
             assert!(
                 is_current(&recovered, &states),
                 "call {call}, {unsynced:?}: {recovered:?}, of {states:?}"
             );
             // Writes after the recovery are durable too.
             store.write(&[put("again", "x")]).unwrap();
-            let (_, again) = Store::open(left.after_crash(Unsynced::Lost)).unwrap();
-            assert_eq!(again.entries, *store.entries(), "call {call}, {unsynced:?}");
-            points += 1;
+            let (_, recovered_again) = Store::open(crashed_disk.after_crash(Unsynced::Lost)).unwrap();
+            assert_eq!(recovered_again.entries, *store.entries(), "call {call}, {unsynced:?}");
+            crash_points += 1;
         }
     }
-    assert!(points > 150, "{points}");
+    assert!(crash_points > 150, "{crash_points}");
 }
 
 #[test]
 fn a_failed_call_loses_nothing_durable_and_fails_one_write() {
-    let quiet = MemoryDisk::default();
-    run(&quiet);
-    for call in 0..quiet.calls() {
+    let fault_free = MemoryDisk::default();
+    run_writes(&fault_free);
+    for call in 0..fault_free.modifying_calls() {
         for fault in [Fault::Error, Fault::PartialAppend] {
             let disk = MemoryDisk::default();
-            disk.fault(call, fault);
-            let states = run(&disk);
+            disk.inject_fault(call, fault);
+            let states = run_writes(&disk);
             // At most one write failed, so all others must be recovered.
             let (_, recovered) = Store::open(disk.after_crash(Unsynced::Lost)).unwrap();
             assert!(is_current(&recovered, &states), "call {call}, {fault:?}: {recovered:?}, of {states:?}");
@@ -98,7 +98,7 @@
 
 /// Makes three writes: two insertions, a replacement with a removal and an insertion, and again two changes. Asserts that
 /// a failed write changes nothing in memory, and that after a crash either all of it is recovered or nothing.
-fn write_with_faults(disk: &MemoryDisk, fault: Option<Fault>, what: &str) {
+fn write_with_faults(disk: &MemoryDisk, fault: Option<Fault>, context: &str) {
     let Ok((mut store, _)) = Store::open(disk.clone()) else { return };
     let writes = [
         vec![put("a", "1"), put("b", "1")],
@@ -112,13 +112,17 @@
         changes::apply(&mut after, changes.clone());
         let written = store.write(changes);
         let expected = if written.is_ok() { &after } else { &before };
-        assert_eq!(store.entries(), expected, "{what}: entries in memory, {written:?}");
+        assert_eq!(store.entries(), expected, "{context}: entries in memory, {written:?}");
         let total: usize = expected.iter().map(|(name, content)| name.len() + content.len()).sum();
-        assert_eq!(store.sizes().entry_bytes, total, "{what}: total size, {sizes_before} before the write");
+        assert_eq!(
+            store.sizes().entry_bytes,
+            total,
+            "{context}: total size, {sizes_before} before the write"
+        );
         for unsynced in ALL_UNSYNCED {
             let recovered = Store::open(disk.after_crash(unsynced)).unwrap().1.entries;
             let is_durable = recovered == after || (written.is_err() && recovered == before);
-            assert!(is_durable, "{what}, {unsynced:?}, {written:?}: {recovered:?}");
+            assert!(is_durable, "{context}, {unsynced:?}, {written:?}: {recovered:?}");
         }
         if written.is_err() && fault == Some(Fault::Crash) {
             return; // all later calls fail
@@ -128,20 +132,20 @@
 
 /// Guards against a failed write that leaves changes in memory which are not in the journal.
 #[test]
-fn a_write_is_all_or_nothing_in_memory_and_after_a_crash_where_any_call_fails() {
-    let quiet = MemoryDisk::default();
-    write_with_faults(&quiet, None, "no fault");
-    for call in 0..quiet.calls() {
+fn writes_are_atomic_in_memory_and_after_a_crash_when_any_call_fails() {
+    let fault_free = MemoryDisk::default();
+    write_with_faults(&fault_free, None, "no fault");
+    for call in 0..fault_free.modifying_calls() {
         for fault in [Fault::Error, Fault::PartialAppend, Fault::Crash] {
             let disk = MemoryDisk::default();
-            disk.fault(call, fault);
+            disk.inject_fault(call, fault);
             write_with_faults(&disk, Some(fault), &format!("call {call}, {fault:?}"));
         }
     }
 }
 
 #[test]
-fn a_write_past_the_total_limit_changes_nothing_and_the_journal_goes_on() {
+fn a_write_beyond_the_total_limit_changes_nothing_and_later_writes_succeed() {
     let disk = MemoryDisk::default();
     let (mut store, _) = Store::open(disk.clone()).unwrap();
     store.write(&[put("small", "x"), put("other", "x")]).unwrap();
@@ -159,37 +163,40 @@
 #[test]
 fn recovers_a_written_state_from_a_flipped_bit_or_a_truncation_anywhere() {
     let disk = MemoryDisk::default();
-    let states = run(&disk);
+    let states = run_writes(&disk);
     let last = &states.last().unwrap().entries;
-    let whole = |left: MemoryDisk, name: &str, what: String| {
-        let (_, recovered) = Store::open(left).unwrap();
+    let check_recovery = |damaged: MemoryDisk, name: &str, context: String| {
+        let (_, recovered) = Store::open(damaged).unwrap();
         assert!(
             states.iter().any(|written| written.entries == recovered.entries),
-            "{name}, {what}: {recovered:?}"
+            "{name}, {context}: {recovered:?}"
         );
         // The previous snapshot and the journals of both generations replace a damaged snapshot.
-        assert!(!name.starts_with("snapshot") || recovered.entries == *last, "{name}, {what}: {recovered:?}");
+        assert!(
+            !name.starts_with("snapshot") || recovered.entries == *last,
+            "{name}, {context}: {recovered:?}"
+        );
     };
     for name in disk.clone().list().unwrap() {
         let bytes = disk.clone().read(&name, MAX_TOTAL_BYTES).unwrap();
         for bit in 0..bytes.len() * 8 {
-            let left = disk.after_crash(Unsynced::Kept);
-            left.flip(&name, bit);
-            whole(left, &name, format!("bit {bit}"));
+            let damaged = disk.after_crash(Unsynced::Kept);
+            damaged.flip_bit(&name, bit);
+            check_recovery(damaged, &name, format!("bit {bit}"));
         }
         for cut in 0..bytes.len() {
-            let left = disk.after_crash(Unsynced::Kept);
-            left.put(&name, &bytes[..cut]);
-            whole(left, &name, format!("cut at {cut}"));
+            let damaged = disk.after_crash(Unsynced::Kept);
+            damaged.add_synced_file(&name, &bytes[..cut]);
+            check_recovery(damaged, &name, format!("cut at {cut}"));
         }
     }
 }
 
 #[test]
-fn reports_and_keeps_files_of_other_formats_and_reads_the_kept_snapshot() {
+fn reports_and_keeps_files_of_other_formats_and_reads_the_stored_snapshot() {
     let disk = MemoryDisk::default();
-    disk.put("snapshot.7", b"wrenthread state 02\nwhat a later version writes");
-    disk.put("snapshot.6", b"something else");
+    disk.add_synced_file("snapshot.7", b"wrenthread state 02\nwhat a later version writes");
+    disk.add_synced_file("snapshot.6", b"something else");
     let (mut store, recovered) = Store::open(disk.clone()).unwrap();
     assert_eq!((recovered.entries.len(), recovered.generation), (0, 7));
     assert!(
@@ -203,9 +210,9 @@
     store.write(&[put("a", "b")]).unwrap();
     assert!(disk.clone().list().unwrap().contains(&"snapshot.8".to_string()));
     // A stored file that was written by this version: later versions must be able to read it.
-    let kept = MemoryDisk::default();
-    kept.put("snapshot.1", include_bytes!("../tests/form-01.snapshot"));
-    let (_, recovered) = Store::open(kept).unwrap();
+    let stored = MemoryDisk::default();
+    stored.add_synced_file("snapshot.1", include_bytes!("../tests/form-01.snapshot"));
+    let (_, recovered) = Store::open(stored).unwrap();
     assert_eq!(recovered.entries["level/entry"], b"0.5");
     assert_eq!((recovered.entries.len(), recovered.losses.len()), (2, 0));
 }
@@ -248,21 +255,24 @@
     for call in 0..6 {
         for unsynced in ALL_UNSYNCED {
             let disk = MemoryDisk::default();
-            let one = reserve_epoch(&mut disk.clone(), 100, 1).epoch;
-            disk.fault(disk.calls() + call, Fault::Crash);
-            let two = reserve_epoch(&mut disk.clone(), 100, 2).epoch;
-            let three = reserve_epoch(&mut disk.after_crash(unsynced), 100, 3).epoch;
-            assert!(three > one && three != two, "call {call}, {unsynced:?}: {one} {two} {three}");
+            let first_epoch = reserve_epoch(&mut disk.clone(), 100, 1).epoch;
+            disk.inject_fault(disk.modifying_calls() + call, Fault::Crash);
+            let second_epoch = reserve_epoch(&mut disk.clone(), 100, 2).epoch;
+            let third_epoch = reserve_epoch(&mut disk.after_crash(unsynced), 100, 3).epoch;
+            assert!(
+                third_epoch > first_epoch && third_epoch != second_epoch,
+                "call {call}, {unsynced:?}: {first_epoch} {second_epoch} {third_epoch}"
+            );
         }
     }
     // Damage to the latest epoch file does not lead to the reuse of old epochs.
     let disk = MemoryDisk::default();
     reserve_epoch(&mut disk.clone(), 100, 1);
-    let two = reserve_epoch(&mut disk.clone(), 100, 1).epoch;
-    disk.flip("epoch", 300);
-    let three = reserve_epoch(&mut disk.clone(), 100, 2).epoch;
-    assert!(three >= two & !0xffff && three != two);
-    disk.fault(disk.calls(), Fault::Error);
+    let second_epoch = reserve_epoch(&mut disk.clone(), 100, 1).epoch;
+    disk.flip_bit("epoch", 300);
+    let third_epoch = reserve_epoch(&mut disk.clone(), 100, 2).epoch;
+    assert!(third_epoch >= second_epoch & !0xffff && third_epoch != second_epoch);
+    disk.inject_fault(disk.modifying_calls(), Fault::Error);
     let failure = reserve_epoch(&mut disk.clone(), 100, 4).failure;
     assert!(failure.unwrap().to_string().contains("injected fault"));
 }
@@ -288,7 +298,7 @@
 
 proptest! {
     #[test]
-    fn decodes_changes_as_they_were_encoded(
+    fn decoding_returns_the_encoded_changes(
         changes in prop::collection::vec(
             (".{0,9}", prop::option::of(prop::collection::vec(any::<u8>(), 0..20))), 0..9,
         ),
@@ -307,9 +317,9 @@
         }
         let _ = (frame::read(&bytes), changes::decode(&bytes));
         let disk = MemoryDisk::default();
-        disk.put("snapshot.3", &bytes);
-        disk.put("journal.3", &bytes);
-        disk.put("epoch", &bytes);
+        disk.add_synced_file("snapshot.3", &bytes);
+        disk.add_synced_file("journal.3", &bytes);
+        disk.add_synced_file("epoch", &bytes);
         prop_assert!(Store::open(disk.clone()).is_ok());
         reserve_epoch(&mut disk.clone(), 1, 1);
     }
@@ -318,7 +328,7 @@
 /// Writes the stored snapshot for a new version of the format. Run it only then, with the new version in the file name.
 #[test]
 #[ignore = "writes a test file that later versions must be able to read"]
-fn write_the_kept_snapshot() {
+fn write_the_stored_snapshot() {
     let disk = MemoryDisk::default();
     let (mut store, _) = Store::open(disk.clone()).unwrap();
     store.write(&[put("level/entry", "0.5"), put("proxy/relay-1", "{}")]).unwrap();
--- a/crates/durable-store/tests/golden.rs
+++ b/crates/durable-store/tests/golden.rs
@@ -26,7 +26,7 @@
 fn stored_folder() -> MemoryDisk {
     let disk = MemoryDisk::default();
     for (name, bytes) in FILES {
-        disk.put(name, bytes);
+        disk.add_synced_file(name, bytes);
     }
     disk
 }
@@ -36,7 +36,7 @@
 }
 
 /// Repeats the writes that created the stored folder.
-fn write_again(mut disk: MemoryDisk) {
+fn repeat_writes(mut disk: MemoryDisk) {
     reserve_epoch(&mut disk, 1_700_000_000_000_000, 7);
     reserve_epoch(&mut disk, 1_700_000_100_000_000, 9);
     let (mut store, _) = Store::open(disk).unwrap();
@@ -49,8 +49,8 @@
 }
 
 #[test]
-fn reads_the_folder_of_the_earlier_release_entry_for_entry() {
-    let (_, found) = Store::open(stored_folder()).unwrap();
+fn reads_all_entries_of_the_earlier_release() {
+    let (_, recovered) = Store::open(stored_folder()).unwrap();
     let expected = BTreeMap::from([
         ("empty".to_string(), Vec::new()),
         ("level/entry".to_string(), b"1".to_vec()),
@@ -58,22 +58,22 @@
         ("proxy/relay-2".to_string(), vec![0, 255, 10]),
         ("proxy/relay-3".to_string(), (0..=255).collect()),
     ]);
-    assert_eq!(found.entries, expected);
-    assert_eq!((found.losses.len(), found.generation, found.journal_bytes), (0, 2, 395));
+    assert_eq!(recovered.entries, expected);
+    assert_eq!((recovered.losses.len(), recovered.generation, recovered.journal_bytes), (0, 2, 395));
 }
 
 #[test]
 fn reserves_an_epoch_above_that_of_the_earlier_release() {
     // The earlier release reserved 1_700_000_100_000_000 with its last 16 bits replaced by 9.
-    let last = (1_700_000_100_000_000 & !0xffff) | 9;
-    let next = reserve_epoch(&mut stored_folder(), 1, 3).epoch;
-    assert_eq!(next, ((last + (1 << 16)) & !0xffff) | 3);
+    let last_epoch = (1_700_000_100_000_000 & !0xffff) | 9;
+    let next_epoch = reserve_epoch(&mut stored_folder(), 1, 3).epoch;
+    assert_eq!(next_epoch, ((last_epoch + (1 << 16)) & !0xffff) | 3);
 }
 
 #[test]
 fn writes_the_folder_of_the_earlier_release_byte_for_byte() {
     let disk = MemoryDisk::default();
-    write_again(disk.clone());
+    repeat_writes(disk.clone());
     let mut disk = disk;
     let names: Vec<&str> = FILES.iter().map(|(name, _)| *name).collect();
     assert_eq!(disk.list().unwrap(), names);
