--- a/crates/durable-store/src/disk.rs
+++ b/crates/durable-store/src/disk.rs
@@ -1,5 +1,5 @@
-//! The [`Disk`] interface of the store, with two implementations: [`Folder`] in the file system, and [`MemoryDisk`] with
-//! injected faults for tests.
+//! The [`Disk`] interface of the store, with two implementations: [`Folder`] in the file system, and [`MemoryDisk`]
+//! with injected faults for tests.
 
 mod folder;
 mod memory;
@@ -64,8 +64,8 @@
 
 /// The files of one folder, by name.
 ///
-/// A crash may lose unsynced content, in whole or in part and in any order. It may also lose a rename until the folder is
-/// synced. Failed calls return [`DiskError::Io`].
+/// A crash may lose unsynced content, in whole or in part and in any order. It may also lose a rename until the folder
+/// is synced. Failed calls return [`DiskError::Io`].
 pub trait Disk {
     /// Returns the names of all files.
     ///
--- a/crates/durable-store/src/disk/memory.rs
+++ b/crates/durable-store/src/disk/memory.rs
@@ -82,8 +82,8 @@
         self.names.get(name).copied().ok_or_else(missing)
     }
 
-    /// Counts a modifying call and applies the fault that is injected into it. [`Fault::PartialAppend`] is returned, as the
-    /// append itself has to apply it.
+    /// Counts a modifying call and applies the fault that is injected into it. [`Fault::PartialAppend`] is returned, as
+    /// the append itself has to apply it.
     fn record_call(&mut self, name: &str) -> Result<Option<Fault>, DiskError> {
         let injected_fault = || DiskError::io(name, Error::other("injected fault"));
         if self.crashed {
--- a/crates/durable-store/src/epoch.rs
+++ b/crates/durable-store/src/epoch.rs
@@ -23,8 +23,8 @@
 }
 
 /// Reserves an epoch that no other run has. It is above all epochs reserved in this folder before, and, apart from the
-/// random bits, not below `clock_micros`, the wall-clock time. The random bits make two runs differ even if neither could
-/// write its reservation.
+/// random bits, not below `clock_micros`, the wall-clock time. The random bits make two runs differ even if neither
+/// could write its reservation.
 pub fn reserve_epoch(disk: &mut impl Disk, clock_micros: u64, random: u16) -> ReservedEpoch {
     // Stays above the last epoch even if the wall clock was set back.
     let next = last_reserved(disk).saturating_add(RANDOM_BITS + 1);
--- a/crates/durable-store/src/lib.rs
+++ b/crates/durable-store/src/lib.rs
@@ -1,8 +1,8 @@
 //! Crash-safe storage of named entries in one folder: a snapshot, and a journal of the changes since that snapshot.
 //!
 //! Each record has a length and a checksum that covers the record and all records before it. Truncation, corruption,
-//! lost records and reordering are therefore detected, and the records before the damage are kept. A snapshot is written
-//! to a temporary file, synced and renamed, and then the folder is synced; a journal is only appended to. See
+//! lost records and reordering are therefore detected, and the records before the damage are kept. A snapshot is
+//! written to a temporary file, synced and renamed, and then the folder is synced; a journal is only appended to. See
 //! `docs/design/state.md`.
 //!
 //! ```
--- a/crates/durable-store/src/store.rs
+++ b/crates/durable-store/src/store.rs
@@ -43,8 +43,8 @@
 }
 
 impl<D: Disk> Store<D> {
-    /// Opens a folder for writing. The first write compacts all entries into a new snapshot, so that nothing is appended
-    /// to a journal that may be damaged.
+    /// Opens a folder for writing. The first write compacts all entries into a new snapshot, so that nothing is
+    /// appended to a journal that may be damaged.
     ///
     /// # Errors
     /// The folder can't be listed. Whether it is writable is not checked until the first write.
--- a/crates/durable-store/src/tests.rs
+++ b/crates/durable-store/src/tests.rs
@@ -96,8 +96,8 @@
     }
 }
 
-/// Makes three writes: two insertions, a replacement with a removal and an insertion, and again two changes. Asserts that
-/// a failed write changes nothing in memory, and that after a crash either all of it is recovered or nothing.
+/// Makes three writes: two insertions, a replacement with a removal and an insertion, and again two changes. Asserts
+/// that a failed write changes nothing in memory, and that after a crash either all of it is recovered or nothing.
 fn write_with_faults(disk: &MemoryDisk, fault: Option<Fault>, context: &str) {
     let Ok((mut store, _)) = Store::open(disk.clone()) else { return };
     let writes = [
--- a/crates/durable-store/tests/restarts.rs
+++ b/crates/durable-store/tests/restarts.rs
@@ -1,5 +1,5 @@
-//! Crash recovery of a governor's engine: its disk crashes at each call in turn, and the next run starts from the remaining
-//! files. The restarted engine must not break the rules for routing tables.
+//! Crash recovery of a governor's engine: its disk crashes at each call in turn, and the next run starts from the
+//! remaining files. The restarted engine must not break the rules for routing tables.
 
 #![allow(
     clippy::unwrap_used,
--- a/crates/membership/benches/gossip.rs
+++ b/crates/membership/benches/gossip.rs
@@ -1,5 +1,5 @@
-//! What gossip costs a governor as their number grows, and how soon a dead one is known to all: on the simulated network of
-//! the tests, in simulated time, with the default settings.
+//! Network traffic of gossip per governor and the time to detect a dead governor, for different numbers of governors.
+//! Runs on the simulated network of the tests, in simulated time, with the default settings.
 
 #![allow(
     clippy::unwrap_used,
@@ -18,7 +18,7 @@
 use wrenthread_membership::assignment::assign;
 use wrenthread_membership::messages::MemberState;
 
-/// Whom each proxy is with, by a seeded chance.
+/// Assigns each proxy to a pseudo-random governor, determined by `seed`.
 fn by_chance(proxies: usize, among: &[usize], seed: u64) -> Vec<usize> {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let draw = |proxy: usize| {
@@ -29,12 +29,12 @@
     (0..proxies).map(draw).collect()
 }
 
-/// How evenly 60 and 1,000 proxies are spread before and after one of some governors dies, and how many
-/// change hands at its death and at its return, by each way of saying who belongs where.
+/// For each method of assignment, prints how evenly 60 and 1,000 proxies are distributed before and after one governor
+/// dies, and how many proxies move at its death and at its return.
 fn spreads() {
     println!(
-        "| proxies | governors | way | fullest before, of its even part | after | moves at a death | \
-        at the return | the returned one has |"
+        "| proxies | governors | method | fullest before, relative to an even share | after | moves at death | \
+        moves at return | proxies of the returned governor |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for (many, count) in [(60, 3), (60, 5), (60, 8), (1000, 3), (1000, 5), (1000, 8)] {
@@ -69,12 +69,12 @@
         };
         say("rendezvous", ranked(&everyone), ranked(&others), ranked(&everyone));
         say("rendezvous, bounded", bounded(&everyone), bounded(&others), bounded(&everyone));
-        // By chance the dead one's redial anywhere, and nobody comes home.
+        // Random assignment: proxies of the dead governor connect to any other, and none returns.
         let before = by_chance(many, &everyone, 1);
         let again = by_chance(many, &others, 2);
         let after: Vec<usize> =
             before.iter().zip(&again).map(|(at, again)| if *at == 0 { *again } else { *at }).collect();
-        say("redial by chance", before, after.clone(), after);
+        say("random reconnect", before, after.clone(), after);
     }
 }
 
@@ -82,8 +82,8 @@
     spreads();
     println!();
     println!(
-        "| governors | lost, % | bytes a governor and second | datagrams | longest, bytes | \
-         first to know of a death, s | last, s | wrongly dead |"
+        "| governors | loss, % | bytes per governor and second | datagrams | longest, bytes | \
+         first detection of the death, s | last, s | false deaths |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for governors in [3, 5, 10, 20, 50] {
@@ -112,7 +112,11 @@
                 .collect();
             let first = known.iter().copied().fold(f64::INFINITY, f64::min);
             let last = known.iter().copied().fold(0.0, f64::max);
-            assert!(known.len() >= governors - 1, "{} of {governors} know", known.len());
+            assert!(
+                known.len() >= governors - 1,
+                "only {} of {governors} governors detected the death",
+                known.len()
+            );
             println!(
                 "| {governors} | {} | {bytes:.0} | {datagrams:.1} | {} | \
                  {first:.1} | {last:.1} | {wrongly} |",
--- a/crates/membership/src/assignment.rs
+++ b/crates/membership/src/assignment.rs
@@ -1,12 +1,14 @@
-//! Which governor a proxy is assigned to: rendezvous hashing with bounded load.
+//! Assignment of proxies to governors: rendezvous hashing with bounded load.
 //!
-//! A proxy is assigned to the first governor in its ranking that is live and below capacity. Capacity is the even share
-//! plus [`CAPACITY_MARGIN_FRACTION`]. Proxies that choose a governor by themselves use the same ranking
-//! ([`wrenthread_core::ownership::ranking`]), so assignments with and without gossip differ only by the bound.
+//! A proxy is assigned to the first governor in its ranking that is live and below capacity. The capacity is an even
+//! share of the proxies plus [`CAPACITY_MARGIN_FRACTION`]. Proxies that choose a governor by themselves use the same
+//! ranking ([`wrenthread_core::ownership::ranking`]), so the assignments with and without gossip differ only by this
+//! bound.
 //!
-//! No governor needs to know all proxies: each decides for those connected to it, by the number of proxies that the
-//! others report. A governor above capacity moves the proxies that rank it lowest; a proxy that ranks another governor
-//! with free capacity higher is moved there. [`assign`] gives the result where all proxies are known.
+//! No governor needs to know all proxies. Each governor decides for the proxies connected to it, from the proxy counts
+//! that the other governors report. A governor above capacity moves away the proxies that rank it lowest, and a proxy
+//! that ranks another governor with free capacity higher is moved there. [`assign`] computes the result from a list of
+//! all proxies.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,19 +17,19 @@
 
 use crate::ServiceMode;
 
-/// How far above its even share a governor may go. Less means more moves whenever a governor comes or goes; more means
-/// a higher load on the fullest.
+/// How far a governor may exceed an even share of the proxies, as a fraction of that share. A lower value causes more
+/// moves when a governor joins or leaves; a higher value allows more load on the fullest governor.
 pub const CAPACITY_MARGIN_FRACTION: f64 = 0.25;
-/// How long a proxy stays where it connected before it may be moved.
+/// How long a proxy must have been connected to a governor before it may be moved.
 pub const MIN_RESIDENCE: Duration = Duration::from_secs(2);
 
-/// The most proxies that one of `governors` may have of `proxies` in all.
+/// Returns the capacity of a governor: how many of `proxies` each of `governors` may have.
 pub fn max_proxies_per_governor(proxies: usize, governors: usize) -> usize {
     let even_share = proxies as f64 * (1.0 + CAPACITY_MARGIN_FRACTION) / governors.max(1) as f64;
     even_share.ceil().max(1.0) as usize
 }
 
-/// A proxy that a governor holds in [`assign`]; ordered by how the proxy ranks that governor.
+/// A proxy that is assigned to a governor in [`assign`], ordered by the rank that the proxy gives that governor.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Assigned<'a> {
     rank: usize,
@@ -35,10 +37,10 @@
     index: usize,
 }
 
-/// The governor of each proxy, by index into `governors`, where all proxies are known.
+/// Assigns all proxies. Returns the governor of each proxy, as an index into `governors`.
 ///
-/// Proxies apply in the order of their ranking, and a full governor keeps those that rank it highest. The result does
-/// not depend on the order in which proxies apply.
+/// Each proxy applies to governors in the order of its ranking, and a full governor keeps the proxies that rank it
+/// highest. The result does not depend on the order of `proxies`.
 pub fn assign(proxies: &[&str], governors: &[&str]) -> Vec<usize> {
     if governors.is_empty() {
         return Vec::new();
@@ -55,7 +57,7 @@
         if assigned[governor].len() > limit
             && let Some(rejected) = assigned[governor].pop_last()
         {
-            // All limits together exceed the number of proxies, so each finds a place.
+            // The total capacity exceeds the number of proxies, so each proxy is assigned in the end.
             rank_of[rejected.index] = (rejected.rank + 1) % governors.len();
             applying.push(rejected.index);
         }
@@ -63,7 +65,7 @@
     (0..proxies.len()).map(|index| rankings[index][rank_of[index]]).collect()
 }
 
-/// Another governor as a destination for proxies.
+/// Another governor as a possible destination for proxies.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GovernorCapacity<'a> {
     /// The governor's name.
@@ -72,12 +74,12 @@
     pub connected_proxies: usize,
 }
 
-/// This governor's part in a decision.
+/// The load and mode of this governor.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LocalGovernor {
-    /// Proxies connected here, without those being moved away and including those expected.
+    /// Proxies connected here, less those being moved away, plus those accepted but not connected yet.
     pub connected_proxies: usize,
-    /// Whether it hands all its proxies over.
+    /// Whether it drains.
     pub mode: ServiceMode,
 }
 
@@ -86,9 +88,10 @@
 pub struct LocalProxy<'a> {
     /// The proxy's name.
     pub name: &'a str,
-    /// Indices into the list of other governors, best first; the list's length stands for this governor.
+    /// Indices into the list of other governors, best first. An index equal to the list's length stands for this
+    /// governor.
     pub ranking: &'a [usize],
-    /// It has been connected for [`MIN_RESIDENCE`], and no recent offer of it failed.
+    /// Whether it has been connected for [`MIN_RESIDENCE`], with no open or recent offer.
     pub movable: bool,
 }
 
@@ -101,7 +104,7 @@
     pub to: &'a str,
 }
 
-/// The other governors, and how many proxies each may have.
+/// The other governors and the capacity of each.
 struct Destinations<'a, 'b> {
     others: &'b [GovernorCapacity<'a>],
     limit: usize,
@@ -125,15 +128,15 @@
     }
 }
 
-/// A move that would relieve this governor, and how low the proxy ranks it.
+/// A move that would reduce the load of this governor, and the rank that the proxy gives this governor.
 struct Relief<'a> {
     own_rank: usize,
     proxy_move: ProxyMove<'a>,
 }
 
-/// The next proxy to move, and its destination; none if all are where they should be.
+/// Returns the next proxy to move and its destination, or `None` if no proxy has to move.
 ///
-/// `others`: the live governors that don't drain; `proxies`: those connected here that are not being moved away.
+/// `others` are the live governors that don't drain. `proxies` are the proxies connected here that are not being moved.
 pub fn next_move<'a>(
     others: &[GovernorCapacity<'a>],
     local: LocalGovernor,
@@ -162,7 +165,8 @@
 ) -> Option<ProxyMove<'a>> {
     let local_index = destinations.others.len();
     let mut relief: Option<Relief> = None;
-    // Proxies that will move once they may: they are no reason to move others meanwhile, who would only come back.
+    // Proxies that will move away once they are movable. Other proxies are not moved to make room for them, since those
+    // would move back afterwards.
     let mut about_to_leave = 0;
     for proxy in proxies {
         let own_rank =
@@ -178,7 +182,7 @@
         if connected_proxies <= destinations.limit {
             continue;
         }
-        // Above the limit the proxy that ranks this governor lowest goes first.
+        // Above the limit, the proxy that ranks this governor lowest is moved first.
         let worse = proxy.ranking.get(own_rank + 1..).unwrap_or_default();
         if let Some(to) = destinations.first_below_limit(worse)
             && relief.as_ref().is_none_or(|lowest| own_rank > lowest.own_rank)
@@ -198,8 +202,8 @@
     local.connected_proxies + elsewhere
 }
 
-/// Whether this governor admits a proxy that another offers: not while it drains, and not above its capacity unless the
-/// other governor drains.
+/// Whether this governor accepts a proxy offered by another governor. It declines while it drains, and also at full
+/// capacity unless the other governor drains.
 pub fn admits(local: LocalGovernor, others: &[GovernorCapacity], offered_by: ServiceMode) -> bool {
     let limit = max_proxies_per_governor(all_proxies(local, others), others.len() + 1);
     let has_capacity = local.connected_proxies < limit;
--- a/crates/membership/src/assignment/tests.rs
+++ b/crates/membership/src/assignment/tests.rs
@@ -45,7 +45,8 @@
         let (then, now) = (assign(&proxies, &before), assign(&proxies, &after));
         let moved = then.iter().zip(&now).filter(|(then, now)| before[**then] != after[**now]).count();
         let had = counts(&then, before.len())[gone];
-        // Besides its own those move that a full governor had rejected, and that can go back now.
+        // Besides the proxies of the removed governor, those move that a full governor had rejected and that fit there
+        // now.
         prop_assert!(moved >= had && moved <= had + proxies.len() / 5 + 3, "{moved} moved of {had}");
     }
 }
@@ -56,7 +57,7 @@
     moves: usize,
 }
 
-/// Lets each governor decide for its own proxies until none moves.
+/// Lets each governor move its own proxies until no governor has a move left.
 fn converge(mut assigned: Vec<usize>, governors: &[String], modes: &[ServiceMode]) -> Converged {
     let proxies = names("relay", assigned.len());
     for moves in 0..10_000 {
@@ -65,7 +66,7 @@
         let Some((proxy, to)) = deciding else { return Converged { assigned, moves } };
         assigned[proxy] = to;
     }
-    panic!("it never converges");
+    panic!("no convergence within 10,000 moves");
 }
 
 /// The next move of one governor: the proxy and its destination, by index.
@@ -96,17 +97,17 @@
 #[test]
 fn local_decisions_converge_to_the_capacity_limit() {
     let governors = names("g", 4);
-    // All at one, as after the others were dead.
+    // All proxies are at one governor, as after the others were dead.
     let Converged { assigned, moves } = converge(vec![0; 90], &governors, &[Serving; 4]);
     let connected = counts(&assigned, 4);
     let limit = max_proxies_per_governor(90, 4);
     assert!(connected.iter().all(|count| *count <= limit), "{connected:?}");
-    assert!(moves <= 90, "{moves}: nobody moves twice");
+    assert!(moves <= 90, "{moves} moves: a proxy moved twice");
     let proxies = names("relay", 90);
     let with_full_knowledge = assign(&as_strs(&proxies), &as_strs(&governors));
     let alike = with_full_knowledge.iter().zip(&assigned).filter(|(one, other)| one == other).count();
-    assert!(alike >= 80, "{alike} of 90 are where they would be if all were known");
-    // Once converged it stays so.
+    assert!(alike >= 80, "{alike} of 90 proxies are assigned as by `assign`");
+    // The converged assignment is stable.
     assert_eq!(converge(assigned.clone(), &governors, &[Serving; 4]).moves, 0);
     let drained = converge(assigned, &governors, &[Serving, Draining, Serving, Serving]).assigned;
     let connected = counts(&drained, 4);
@@ -127,7 +128,7 @@
             false => LocalProxy { name: "own", ranking: &[2, 0, 1], movable: true },
         })
     };
-    // At most 24 of 56 belong here.
+    // The capacity is 24 of the 56 proxies.
     assert_eq!(next_move(&others, local, proxies(7)), None);
     assert_eq!(next_move(&others, local, proxies(6)), Some(ProxyMove { proxy: "own", to: "back" }));
 }
@@ -143,7 +144,7 @@
     let to_the_free_one = Some(ProxyMove { proxy: "p", to: "b" });
     assert_eq!(next_move(&others, draining, [proxy()].into_iter()), to_the_free_one);
     assert_eq!(next_move(&others, draining, [fixed].into_iter()), None);
-    assert_eq!(next_move(&[], draining, [proxy()].into_iter()), None, "there is no other");
+    assert_eq!(next_move(&[], draining, [proxy()].into_iter()), None, "there is no other governor");
     assert!(admits(local(50, Serving), &others, Draining));
     assert!(!admits(local(1, Draining), &others, Draining));
     assert!(!admits(local(438, Draining), &others, Serving));
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,12 +1,12 @@
-//! How governors share a fleet's proxies: which governors are live, which one has which proxy, and how a proxy moves
-//! from one to another. No I/O, no clock.
+//! Membership of governors and distribution of proxies among them: which governors are live, which governor each proxy
+//! is assigned to, and how a proxy migrates from one governor to another. Performs no I/O and reads no clock.
 //!
-//! [`Membership`] is one governor's part. Its owner passes in each datagram and each proxy that connects or disconnects,
-//! pulls [`Membership::next_action`] until `None`, carries out each action, and comes back at
-//! [`Membership::next_deadline`] at the latest.
+//! [`Membership`] is the state machine of one governor. Its owner passes in each datagram and each proxy that connects
+//! or disconnects, calls [`Membership::next_action`] until it returns `None`, carries out each action, and calls again
+//! at [`Membership::next_deadline`] at the latest.
 //!
-//! Nothing here decides a table, and governors reach no agreement: see `docs/design/takeover.md` for the conflicts that
-//! this allows, and why they do no harm.
+//! This crate does not compute routing tables, and governors do not run a consensus protocol. The conflicts that this
+//! allows, and why they are harmless, are described in `docs/design/takeover.md`.
 //!
 //! ```
 //! use std::net::SocketAddr;
@@ -50,34 +50,34 @@
 pub use membership::Membership;
 use messages::MemberState;
 
-/// A governor by its name and address.
+/// The name and address of a governor.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
     /// The governor's name.
     pub name: String,
-    /// Where it receives datagrams.
+    /// The address at which it receives datagrams.
     pub address: SocketAddr,
 }
 
-/// Settings of one governor.
+/// Membership settings of one governor.
 #[derive(Debug, Clone)]
 pub struct MembershipSettings {
     /// This governor.
     pub local: Peer,
-    /// The governors to contact first; all others are learnt from gossip.
+    /// The governors to contact at start; others are discovered through gossip.
     pub peers: Vec<Peer>,
-    /// The first seals datagrams; all are accepted. Without any, nothing is sent.
+    /// The first key seals outgoing datagrams; incoming ones may use any of the keys. Without keys nothing is sent.
     pub keys: Vec<SigningKey>,
-    /// Limit of the proxies moved per second.
+    /// Maximum number of proxies moved per second.
     pub moves_per_second: f64,
 }
 
-/// Whether a governor serves proxies or hands them over.
+/// Whether a governor serves proxies or drains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServiceMode {
-    /// It keeps its proxies and admits others.
+    /// It keeps its proxies and admits new ones.
     Serving,
-    /// It hands all its proxies over and admits none.
+    /// It moves all its proxies to other governors and admits none.
     Draining,
 }
 
@@ -91,18 +91,18 @@
         /// The sealed datagram.
         datagram: Vec<u8>,
     },
-    /// Collect what is known of the proxy, for [`Membership::offer_proxy`].
+    /// Collect the state of the proxy and pass it to [`Membership::offer_proxy`].
     CollectState {
         /// The proxy's name.
         proxy: Arc<str>,
-        /// The governor that it will be offered to.
+        /// The governor to offer the proxy to.
         to: String,
     },
-    /// End the proxy's stream and redirect it.
+    /// End the proxy's stream and redirect the proxy.
     MoveProxy {
         /// The proxy's name.
         proxy: Arc<str>,
-        /// The destination's name; none if this governor drains and knows of no other.
+        /// The name of the destination; `None` if this governor drains and knows no other governor.
         to: Option<String>,
     },
     /// Log an event.
@@ -119,30 +119,30 @@
         /// Its new state.
         state: MemberState,
     },
-    /// This governor did nothing for a while.
+    /// This governor was not running for a while.
     Stalled {
-        /// How late its timer was.
+        /// Delay of its timer.
         late: Duration,
     },
-    /// An offer was never answered.
+    /// The other governor did not answer an offer, despite retries.
     OfferUnanswered {
         /// The proxy's name.
         proxy: String,
-        /// The governor that it was offered to.
+        /// The governor that the proxy was offered to.
         to: String,
     },
-    /// All proxies are handed over.
+    /// The drain is complete: no proxy is connected any more.
     Drained,
 }
 
-/// Counts for status pages and metrics.
+/// Counters for status pages and metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MembershipStatistics {
-    /// Proxies that were redirected to other governors.
+    /// Proxies redirected to other governors.
     pub proxies_moved: u64,
-    /// Proxies that came with state from another governor.
+    /// Proxies whose state was received from another governor before they connected.
     pub proxies_received: u64,
-    /// Datagrams that were rejected.
+    /// Datagrams rejected as invalid.
     pub datagrams_rejected: u64,
     /// Proxies with an open offer to another governor.
     pub proxies_migrating: usize,
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,11 +1,12 @@
-//! Which governors are live: SWIM, as published (Das, Gupta and Motivala, 2002). Each governor probes one other in each
-//! interval, in a shuffled round; one that does not answer is probed indirectly through others; one that still does not
-//! answer is suspected, may refute that with a higher incarnation, and is declared dead after the suspicion timeout.
-//! Updates are piggybacked on these messages, each as often as it takes to reach all.
+//! Failure detection between governors with the SWIM protocol (Das, Gupta and Motivala, 2002). In each interval a
+//! governor probes one other governor, in shuffled round-robin order. If it does not answer, it is probed indirectly
+//! through others. If it still does not answer it is suspected; it may refute the suspicion with a higher incarnation,
+//! and is declared dead after the suspicion timeout. Updates are piggybacked on these messages, each often enough to
+//! reach all governors.
 //!
-//! Added to the published protocol: an update that says its receiver is not alive is always sent to it, so that it can
-//! refute it at once; dead members are probed now and then, so that a partition heals by itself; and a governor that
-//! finds that it stalled suspects nobody for it.
+//! Additions to the published protocol: an update that says its receiver is not alive is always sent to that receiver,
+//! so that it can refute it at once; dead members are probed occasionally, so that a partition heals without
+//! intervention; and a governor that detects that it stalled does not suspect others because of it.
 
 mod gossip;
 mod probing;
@@ -19,25 +20,25 @@
 use crate::{Peer, ServiceMode};
 use probing::{Probe, RelayedProbe};
 
-/// Timing and extent of probes and gossip.
+/// Settings of probes and gossip.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ProbeSettings {
-    /// One other governor is probed in each interval.
+    /// Interval between probes; each interval probes one other governor.
     pub probe_interval: Duration,
-    /// How long a probe waits for its answer before indirect probes are sent.
+    /// How long to wait for the answer to a probe before indirect probes are sent.
     pub ack_timeout: Duration,
-    /// Number of governors that are asked for an indirect probe.
+    /// Number of governors that are asked to probe the target indirectly.
     pub indirect_probes: usize,
-    /// The suspicion timeout in intervals, as a multiple of the logarithm of the number of governors.
+    /// Suspicion timeout in probe intervals, as a multiple of the binary logarithm of the number of governors.
     pub suspicion_multiplier: f64,
-    /// How often an update is sent, as a multiple of the logarithm of the number of governors.
+    /// How often each update is sent, as a multiple of the binary logarithm of the number of governors.
     pub transmission_multiplier: f64,
-    /// Size limit of the updates in one message, in bytes.
+    /// Maximum size of the updates in one message, in bytes.
     pub max_update_bytes: usize,
 }
 
 impl Default for ProbeSettings {
-    /// A dead governor is found within a second or two, and a few lost datagrams do no harm.
+    /// Detects a dead governor within one or two seconds, and tolerates a few lost datagrams.
     fn default() -> Self {
         ProbeSettings {
             probe_interval: Duration::from_millis(400),
@@ -50,21 +51,21 @@
     }
 }
 
-/// Limit of the members known at once: made-up ones (by a holder of the key) must not fill the memory.
+/// Maximum number of known members, so that a holder of the key can't exhaust memory with invented members.
 const MAX_MEMBERS: usize = 1000;
-/// How long a dead member that is not configured is remembered.
+/// How long a dead member that is not in the settings is kept.
 const DEAD_MEMBER_TTL: Duration = Duration::from_secs(600);
 
-/// What is known of another governor.
+/// The state of another governor, as seen by this one.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Member {
-    /// The newest update about it.
+    /// The latest update about it.
     pub update: MemberUpdate,
-    /// When its state changed last, as seen here.
+    /// When its state last changed at this governor.
     pub state_since: Duration,
-    /// When a message came from it directly.
+    /// When the last message was received directly from it.
     pub last_heard: Option<Duration>,
-    /// The settings name it: its address is theirs to say, and it is never forgotten.
+    /// Whether it is listed in the settings. Its address is then taken from the settings, and it is never removed.
     configured: bool,
 }
 
@@ -74,7 +75,7 @@
         self.is_live() && !self.update.load.draining
     }
 
-    /// Whether it is alive or only suspected.
+    /// Whether it is alive or suspected, but not dead or left.
     pub fn is_live(&self) -> bool {
         self.update.state <= MemberState::Suspect
     }
@@ -90,47 +91,47 @@
         /// The message.
         message: Box<Message>,
     },
-    /// Take note that a governor's state changed.
+    /// Handle the changed state of a governor.
     StateChanged {
         /// The governor's name.
         governor: String,
         /// Its new state.
         state: MemberState,
     },
-    /// Log that this governor did nothing for a while; nobody is suspected for silence meanwhile.
+    /// Log that this governor was not running for a while. Missing answers during that time raise no suspicion.
     Stalled {
-        /// How late its timer was.
+        /// Delay of its timer.
         late: Duration,
     },
 }
 
-/// The members of the fleet as one governor knows them.
+/// The governors of the fleet, as seen by one governor.
 #[derive(Debug)]
 pub struct Members {
     local: MemberUpdate,
     others: BTreeMap<String, Member>,
     settings: ProbeSettings,
-    /// The open probe.
+    /// The probe that is waiting for an answer.
     probe: Option<Probe>,
     /// When the next probe is sent.
     next_probe: Duration,
-    /// Who is still to be probed in this round; the last comes first.
+    /// Members still to be probed in this round; the last is probed first.
     probe_order: Vec<String>,
-    /// By name: how often the update about it was sent since it changed.
+    /// How often the latest update about each member was sent, by name.
     transmissions: BTreeMap<String, u32>,
-    /// Probes on behalf of others, by their sequence number here.
+    /// Probes on behalf of other governors, by the sequence number that this governor sent.
     relayed_probes: BTreeMap<u64, RelayedProbe>,
     last_sequence: u64,
-    /// Intervals since the start.
+    /// Number of probe intervals since the start.
     intervals: u64,
-    /// Seeds the choices of this governor.
+    /// Seed of this governor's pseudo-random choices.
     seed: u64,
     actions: VecDeque<MemberAction>,
 }
 
 impl Members {
-    /// Starts as `local`, and probes all `peers` at once. `incarnation`: one that is higher than in any earlier run, as
-    /// far as is known.
+    /// Starts membership of the governor `local`, and pings all `peers` at once. `incarnation` has to be higher than in
+    /// any earlier run; an update that shows a later one makes this governor raise it further.
     pub fn new(
         local: Peer,
         incarnation: u64,
@@ -163,22 +164,22 @@
         members
     }
 
-    /// This governor's own update.
+    /// Returns the update about this governor.
     pub fn local(&self) -> &MemberUpdate {
         &self.local
     }
 
-    /// All other governors, by name.
+    /// Returns all other governors, in the order of their names.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.others.values()
     }
 
-    /// Another governor by its name.
+    /// Returns another governor by its name.
     pub fn get(&self, name: &str) -> Option<&Member> {
         self.others.get(name)
     }
 
-    /// Number of live governors, this one included.
+    /// Returns the number of live governors, including this one.
     pub fn live_governors(&self) -> usize {
         1 + self.live().count()
     }
@@ -189,7 +190,7 @@
 
     // ---- inputs
 
-    /// Sets the load that this governor reports.
+    /// Sets the load that this governor reports to others.
     pub fn set_load(&mut self, connected_proxies: usize, mode: ServiceMode) {
         let load = GovernorLoad {
             version: self.local.load.version,
@@ -201,7 +202,8 @@
         }
     }
 
-    /// Handles a message. False if it is not meant for this governor, or from itself, and was ignored.
+    /// Handles a message. Returns `false` if it was ignored because it is addressed to another governor, or because
+    /// this governor sent it.
     pub fn handle_message(&mut self, now: Duration, message: &Message) -> bool {
         let from = &message.from.name;
         if message.to != self.local.name || *from == self.local.name {
@@ -228,7 +230,7 @@
         true
     }
 
-    /// This governor stops: all live members are told, once.
+    /// Announces to all live members, once, that this governor stops.
     pub fn leave(&mut self) {
         self.local.state = MemberState::Left;
         let live: Vec<String> = self.live().map(|member| member.update.name.clone()).collect();
@@ -237,7 +239,7 @@
         }
     }
 
-    /// Sends a message to another governor, with as many updates as fit. One to an unknown governor is dropped.
+    /// Sends a message to another governor, with as many updates as fit. Messages to unknown governors are dropped.
     pub fn send(&mut self, to: &str, body: MessageBody) {
         let Some(address) = self.others.get(to).map(|member| member.update.address) else { return };
         let update_bytes = match &body {
@@ -251,13 +253,13 @@
 
     // ---- actions
 
-    /// The next action, until there is none.
+    /// Returns the next action, or `None` if there is nothing to do now.
     pub fn next_action(&mut self, now: Duration) -> Option<MemberAction> {
         self.advance(now);
         self.actions.pop_front()
     }
 
-    /// When [`Members::next_action`] has to be called at the latest.
+    /// Returns the time at which [`Members::next_action`] has to be called at the latest.
     pub fn next_deadline(&self) -> Duration {
         let direct_probe = self.probe.as_ref().filter(|probe| !probe.indirect);
         let ack_deadline = direct_probe.map(|probe| probe.sent_at + self.settings.ack_timeout);
@@ -266,7 +268,7 @@
         deaths.chain(ack_deadline).fold(self.next_probe, Duration::min)
     }
 
-    /// How long a suspect has to refute.
+    /// Returns how long a suspected governor has to refute the suspicion.
     pub fn suspicion_timeout(&self) -> Duration {
         let intervals = self.settings.suspicion_multiplier * self.log_of_members();
         self.settings.probe_interval.mul_f64(intervals)
@@ -287,7 +289,7 @@
     }
 }
 
-/// A peer of which nothing is known yet: the first update that comes takes precedence.
+/// The initial state of a configured peer. Any update takes precedence over it.
 fn configured_member(peer: &Peer, now: Duration) -> Member {
     Member {
         update: first_update(peer, 0, MemberState::Dead),
--- a/crates/membership/src/members/gossip.rs
+++ b/crates/membership/src/members/gossip.rs
@@ -1,4 +1,4 @@
-//! Updates: which take precedence, and which are sent on.
+//! Gossip: which updates take precedence, and which are sent with each message.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use crate::messages::{MemberState, MemberUpdate, encoded_length};
 
 impl Members {
-    /// Applies an update if it is newer than what is known.
+    /// Applies an update if it takes precedence over the stored one.
     pub(super) fn apply_update(&mut self, now: Duration, update: &MemberUpdate) {
         if update.name == self.local.name {
             return self.refute(update);
@@ -17,7 +17,7 @@
         };
         let load_is_newer = update.load.version > known.update.load.version;
         if precedence(update) <= precedence(&known.update) {
-            // Its load may be newer though its state is not.
+            // The load may be newer even though the state is not.
             if update.incarnation == known.update.incarnation && load_is_newer {
                 known.update.load = update.load;
                 self.transmissions.insert(update.name.clone(), 0);
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Answers an update about this governor that says it is not alive, or that belongs to a later run, with a higher
-    /// incarnation.
+    /// Refutes an update about this governor that says it is not alive, or that has a higher incarnation, by raising
+    /// its own incarnation above it.
     fn refute(&mut self, update: &MemberUpdate) {
         let denies_life = update.state != MemberState::Alive && update.incarnation >= self.local.incarnation;
         let is_ahead = update.incarnation > self.local.incarnation;
@@ -62,8 +62,9 @@
         self.actions.push_back(MemberAction::StateChanged { governor: name.to_string(), state });
     }
 
-    /// The updates that travel with a message to `receiver`, of at most `max_bytes`: first one that says the receiver is
-    /// not alive, then those that were sent least often. This governor's own is at the head of every message anyway.
+    /// Selects the updates to send with a message to `receiver`, of at most `max_bytes`: first an update that says the
+    /// receiver is not alive, then those that were sent least often. The update about this governor is not among them,
+    /// since every message has it in [`Message::from`](crate::messages::Message::from).
     pub(super) fn updates_for(&mut self, receiver: &str, max_bytes: usize) -> Vec<MemberUpdate> {
         let max_transmissions = self.settings.transmission_multiplier * self.log_of_members();
         let max_transmissions = max_transmissions.ceil() as u32;
@@ -92,7 +93,8 @@
         updates
     }
 
-    /// The update about a governor, if it says that it is not alive and the governor was ever heard of.
+    /// Returns the update about a governor if it says that the governor is not alive. A configured peer without any
+    /// update yet (incarnation 0) has none.
     fn refutable_update(&self, name: &str) -> Option<MemberUpdate> {
         let update = &self.others.get(name)?.update;
         let is_refutable = update.state != MemberState::Alive && update.incarnation > 0;
@@ -100,7 +102,7 @@
     }
 }
 
-/// Of two updates the one with the greater precedence holds: incarnation, then state, then the load's version.
+/// The precedence of an update: compares the incarnation, then the state, then the version of the load.
 fn precedence(update: &MemberUpdate) -> (u64, MemberState, u64) {
     (update.incarnation, update.state, update.load.version)
 }
--- a/crates/membership/src/members/probing.rs
+++ b/crates/membership/src/members/probing.rs
@@ -1,4 +1,4 @@
-//! Probes, direct and indirect, and what follows from their timeouts.
+//! Direct and indirect probes, and the handling of their timeouts.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
@@ -6,22 +6,22 @@
 use super::{DEAD_MEMBER_TTL, Member, MemberAction, Members};
 use crate::messages::{MemberState, MemberUpdate, MessageBody};
 
-/// One dead member is probed in each so many intervals.
+/// One dead member is probed each time this number of intervals has passed.
 const INTERVALS_PER_DEAD_PROBE: u64 = 4;
-/// Limit of the open probes on behalf of others.
+/// Maximum number of open probes on behalf of other governors.
 const MAX_RELAYED_PROBES: usize = 64;
 
-/// The probe that waits for its answer.
+/// A probe that is waiting for its answer.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Probe {
     pub(super) target: String,
     pub(super) sequence: u64,
-    /// Others were asked to probe the target too.
+    /// Whether other governors were asked to probe the target too.
     pub(super) indirect: bool,
     pub(super) sent_at: Duration,
 }
 
-/// A probe on behalf of another governor.
+/// An open probe on behalf of another governor.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct RelayedProbe {
     requester: String,
@@ -36,7 +36,7 @@
         self.send(target, MessageBody::Ping { sequence: self.last_sequence });
     }
 
-    /// Probes `target` for the governor `requester`.
+    /// Probes `target` on behalf of the governor `requester`.
     pub(super) fn relay_probe(&mut self, now: Duration, requester: &str, sequence: u64, target: &str) {
         if !self.others.contains_key(target) {
             return;
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Does all that is due.
+    /// Carries out everything that is due at `now`.
     pub(super) fn advance(&mut self, now: Duration) {
         let late = now.saturating_sub(self.next_probe);
         if late > self.settings.probe_interval {
@@ -82,8 +82,8 @@
         }
     }
 
-    /// What was not heard while this governor stood still is nobody's fault: all suspects get more time. A governor that
-    /// is always late therefore finds no dead one.
+    /// Discards the open probe and gives all suspected members more time, because this governor could not receive
+    /// answers while it stalled. A governor that is always late therefore never declares another one dead.
     fn recover_from_stall(&mut self, now: Duration, late: Duration) {
         self.probe = None;
         self.next_probe = now;
@@ -179,7 +179,8 @@
         chosen
     }
 
-    /// A number below `limit`, determined by this governor's name, the interval and `choice`.
+    /// Returns a number below `limit` that depends only on this governor's name, the number of the interval and
+    /// `choice`.
     fn pseudo_random(&self, choice: u64, limit: usize) -> usize {
         let mut hasher = DefaultHasher::new();
         (self.seed, self.intervals, choice).hash(&mut hasher);
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! One governor's part in sharing the proxies: its inputs and actions.
+//! [`Membership`]: the inputs and actions of one governor's membership state machine.
 
 mod planning;
 
@@ -14,34 +14,34 @@
 use crate::migration::{MigrationAction, Migrations, OfferAnswer, TransferredState};
 use crate::{Action, MembershipEvent, MembershipSettings, MembershipStatistics, ServiceMode};
 
-/// The lowest rate of moves that is used, per second.
+/// Lower bound of the configured rate of moves, per second.
 const MIN_MOVES_PER_SECOND: f64 = 0.01;
-/// The highest.
+/// Upper bound of the configured rate of moves, per second.
 const MAX_MOVES_PER_SECOND: f64 = 10_000.0;
 
-/// A proxy that is connected here.
+/// A proxy that is connected to this governor.
 #[derive(Debug)]
 struct ConnectedProxy {
     connected_at: Duration,
-    /// Indices into `candidates`, best first; the list's length stands for this governor.
+    /// Indices into `candidates`, best first. An index equal to the list's length stands for this governor.
     ranking: Vec<usize>,
 }
 
-/// The state machine of one governor; see the crate's documentation.
+/// The membership state machine of one governor; see the crate documentation.
 #[derive(Debug)]
 pub struct Membership {
     members: Members,
     migrations: Migrations,
     keys: Vec<SigningKey>,
     connected: BTreeMap<Arc<str>, ConnectedProxy>,
-    /// The other governors that proxies can be moved to, as the rankings have them.
+    /// The other governors that proxies can be moved to. The rankings of connected proxies index into this list.
     candidates: Vec<String>,
     mode: ServiceMode,
-    /// The end of this drain was reported.
+    /// Whether the end of the current drain was reported.
     drain_reported: bool,
     move_interval: Duration,
     next_move: Duration,
-    /// When moves are planned next.
+    /// When the next move is planned.
     plan_at: Duration,
     proxies_moved: u64,
     proxies_received: u64,
@@ -50,7 +50,7 @@
 }
 
 impl Membership {
-    /// `epoch`: this run's, higher than that of any earlier run of this governor.
+    /// Creates the state machine. `epoch` identifies this run and is higher than in any earlier run of this governor.
     pub fn new(settings: MembershipSettings, epoch: u64, now: Duration) -> Self {
         let MembershipSettings { local, peers, keys, moves_per_second } = settings;
         let moves_per_second = moves_per_second.clamp(MIN_MOVES_PER_SECOND, MAX_MOVES_PER_SECOND);
@@ -74,10 +74,10 @@
 
     // ---- inputs
 
-    /// Handles a datagram of another governor.
+    /// Handles a datagram from another governor.
     ///
     /// # Errors
-    /// It is not a message of this fleet. It is counted and otherwise ignored.
+    /// The datagram is not a valid message of this fleet. It is counted and otherwise ignored.
     pub fn handle_datagram(&mut self, now: Duration, datagram: &[u8]) -> Result<(), DatagramError> {
         let message = messages::decode(&self.keys, datagram).inspect_err(|_| self.datagrams_rejected += 1)?;
         if !self.members.handle_message(now, &message) {
@@ -106,7 +106,8 @@
         Ok(())
     }
 
-    /// A proxy connected here. Returns what another governor transferred ahead of it, if anything.
+    /// Registers a proxy that connected to this governor. Returns the state that another governor transferred ahead of
+    /// it, if any.
     pub fn proxy_connected(&mut self, now: Duration, proxy: &Arc<str>) -> Option<TransferredState> {
         let ranking = self.rank_governors(proxy);
         self.migrations.proxy_disconnected(proxy);
@@ -120,7 +121,7 @@
         transferred
     }
 
-    /// A proxy's stream here ended.
+    /// Unregisters a proxy whose stream to this governor ended.
     pub fn proxy_disconnected(&mut self, now: Duration, proxy: &str) {
         self.connected.remove(proxy);
         self.migrations.proxy_disconnected(proxy);
@@ -128,7 +129,7 @@
         self.publish_load();
     }
 
-    /// Begins or ends a drain.
+    /// Starts or ends a drain.
     pub fn set_mode(&mut self, now: Duration, mode: ServiceMode) {
         self.mode = mode;
         self.drain_reported = false;
@@ -136,14 +137,14 @@
         self.publish_load();
     }
 
-    /// Offers a proxy with its encoded state, as [`Action::CollectState`] asked.
+    /// Offers a proxy, with its encoded state, to another governor. Called in response to [`Action::CollectState`].
     pub fn offer_proxy(&mut self, now: Duration, proxy: &str, to: &str, state: Vec<u8>) {
         if self.connected.contains_key(proxy) {
             self.migrations.offer(now, proxy, to, state);
         }
     }
 
-    /// This governor stops; the remaining actions tell the others.
+    /// Announces that this governor stops. The remaining actions send the announcement to the others.
     pub fn leave(&mut self) {
         self.members.leave();
     }
@@ -158,7 +159,7 @@
 
     // ---- actions
 
-    /// The next action, until there is none.
+    /// Returns the next action, or `None` if there is nothing to do now.
     pub fn next_action(&mut self, now: Duration) -> Option<Action> {
         loop {
             if let Some(action) = self.actions.pop_front() {
@@ -190,7 +191,7 @@
     fn handle_member_action(&mut self, now: Duration, action: MemberAction) {
         match action {
             MemberAction::Send { address, message } => {
-                // Without a key nobody would accept it.
+                // Without a key the datagram could not be sealed, and no receiver would accept it.
                 if let Some(key) = self.keys.first() {
                     let datagram = messages::encode(key, &message);
                     self.actions.push_back(Action::Send { address, datagram });
@@ -208,32 +209,32 @@
         self.actions.push_back(Action::Event(event));
     }
 
-    /// When [`Membership::next_action`] has to be called at the latest.
+    /// Returns the time at which [`Membership::next_action`] has to be called at the latest.
     pub fn next_deadline(&self) -> Duration {
         let migrations = self.migrations.next_deadline().unwrap_or(Duration::MAX);
         self.members.next_deadline().min(self.plan_at).min(migrations)
     }
 
-    // ---- state, for operators
+    // ---- status
 
-    /// The members of the fleet as this governor knows them.
+    /// Returns the governors of the fleet, as seen by this one.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// Whether this governor hands its proxies over.
+    /// Whether this governor drains.
     pub fn is_draining(&self) -> bool {
         self.mode == ServiceMode::Draining
     }
 
-    /// How many proxies this governor may have at present.
+    /// Returns the current capacity of this governor, in proxies.
     pub fn max_proxies(&self) -> usize {
         let others = capacities(&self.candidates, &self.members, &self.migrations);
         let elsewhere: usize = others.iter().map(|other| other.connected_proxies).sum();
         assignment::max_proxies_per_governor(self.connected.len() + elsewhere, others.len() + 1)
     }
 
-    /// Counts for status pages and metrics.
+    /// Returns counters for status pages and metrics.
     pub fn statistics(&self) -> MembershipStatistics {
         MembershipStatistics {
             proxies_moved: self.proxies_moved,
@@ -244,7 +245,7 @@
     }
 }
 
-/// The candidates as destinations: the proxies that they report, and those on their way there from here.
+/// Returns the load of each candidate: the proxies that it reports, plus those with an open offer to it from here.
 fn capacities<'a>(
     candidates: &'a [String],
     members: &Members,
--- a/crates/membership/src/membership/planning.rs
+++ b/crates/membership/src/membership/planning.rs
@@ -1,4 +1,4 @@
-//! Planning of moves: which proxy goes where next, and when that is looked at again.
+//! Planning of moves: which proxy is moved next, its destination, and when to plan again.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::{Action, MembershipEvent};
 
 impl Membership {
-    /// Looks for a proxy that should be elsewhere. True if that led to an action.
+    /// Plans the next move, or reports the end of a drain. Returns whether this added an action.
     pub(super) fn plan_move(&mut self, now: Duration) -> bool {
         self.plan_at = Duration::MAX;
         self.refresh_candidates();
@@ -40,15 +40,16 @@
         true
     }
 
-    /// When a proxy that can't be moved now can be. Where no other governor sends anything any more, this alone has moves
-    /// planned again.
+    /// Returns when a proxy that can't be moved now becomes movable. If no other governor sends messages any more,
+    /// moves are planned again only because of this time.
     fn next_change_of_movable_proxies(&self, now: Duration) -> Duration {
         let settled = self.connected.values().map(|proxy| proxy.connected_at + MIN_RESIDENCE);
         let deadlines = settled.chain(self.migrations.next_deadline());
         deadlines.filter(|at| *at > now).min().unwrap_or(Duration::MAX)
     }
 
-    /// No other governor is known: proxies are sent away one after the other, and find another by themselves.
+    /// Redirects the next movable proxy without a destination, because no other governor is known. The proxy then
+    /// chooses a governor by itself.
     fn redirect_without_destination(&mut self, now: Duration) -> Option<Action> {
         let mut connected = self.connected.iter();
         let (proxy, _) = connected.find(|(name, proxy)| self.is_movable(now, name, proxy))?;
@@ -82,7 +83,7 @@
         self.plan_by(self.next_move);
     }
 
-    /// Brings the candidates and all rankings up to date with the members.
+    /// Updates the candidates, and the rankings of all connected proxies, to the current members.
     fn refresh_candidates(&mut self) {
         let accepting = self.members.others().filter(|member| member.accepts_proxies());
         let candidates: Vec<String> = accepting.map(|member| member.update.name.clone()).collect();
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Ranks the candidates and this governor, which comes last in the list of names.
+    /// Ranks the candidates and this governor for a proxy. This governor has the index after the last candidate.
     pub(super) fn rank_governors(&self, proxy: &str) -> Vec<usize> {
         let mut names: Vec<&str> = self.candidates.iter().map(String::as_str).collect();
         names.push(self.members.local().name.as_str());
--- a/crates/membership/src/messages.rs
+++ b/crates/membership/src/messages.rs
@@ -1,7 +1,8 @@
-//! The messages between governors and their encoding: one datagram each, sealed with the fleet's key, of at most
-//! [`MAX_DATAGRAM_BYTES`].
+//! Messages between governors and their encoding. Each message is one datagram of at most [`MAX_DATAGRAM_BYTES`],
+//! sealed with the fleet's key.
 //!
-//! The encoding is postcard's, which is positional: the order of fields and of variants is part of the protocol.
+//! Messages are encoded with postcard, which is positional: the order of fields and of variants is part of the
+//! protocol.
 
 use std::net::SocketAddr;
 
@@ -10,27 +11,27 @@
 
 use crate::ServiceMode;
 
-/// Size limit of a datagram, in bytes: it crosses common networks without fragmentation.
+/// Maximum size of a datagram, in bytes, so that it is not fragmented on common networks.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// Size limit of a governor's name, in bytes.
+/// Maximum length of a governor's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// A governor's state as others see it. Of two updates of the same incarnation the one that is later in this order
-/// takes precedence.
+/// A governor's state as seen by others. Of two updates of the same incarnation, the one whose state is later in this
+/// order takes precedence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers.
+    /// It answers probes.
     Alive,
-    /// It did not answer; it is declared dead unless it refutes that before the suspicion timeout.
+    /// It did not answer a probe. It is declared dead unless it refutes the suspicion before the suspicion timeout.
     Suspect,
     /// It did not refute the suspicion in time.
     Dead,
-    /// It announced that it stops.
+    /// It announced that it is stopping.
     Left,
 }
 
 impl MemberState {
-    /// The name that status pages and logs show.
+    /// Returns the name shown in status pages and logs.
     pub fn name(self) -> &'static str {
         match self {
             MemberState::Alive => "alive",
@@ -41,14 +42,14 @@
     }
 }
 
-/// What a governor reports of its own load.
+/// The load that a governor reports about itself.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GovernorLoad {
-    /// Grows with each change, within an incarnation.
+    /// Incremented on each change within an incarnation.
     pub version: u64,
-    /// Proxies connected there.
+    /// Proxies connected to it.
     pub connected_proxies: u32,
-    /// It hands its proxies over and admits none.
+    /// Whether it drains: moves its proxies to other governors and admits none.
     pub draining: bool,
 }
 
@@ -59,29 +60,29 @@
     }
 }
 
-/// What is known of one governor, as gossip carries it.
+/// The gossiped information about one governor.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberUpdate {
     /// The governor's name.
     pub name: String,
-    /// Where it receives datagrams.
+    /// The address at which it receives datagrams.
     pub address: SocketAddr,
-    /// Raised by the governor itself, to refute what is said of it.
+    /// Raised by the governor itself to refute updates that say it is not alive.
     pub incarnation: u64,
     /// Its state.
     pub state: MemberState,
-    /// Its load, by its own account.
+    /// Its load, as it last reported.
     pub load: GovernorLoad,
 }
 
-/// A part of an offer to hand a proxy over, with a part of what is known of the proxy.
+/// One part of an offer to move a proxy to the receiver, with a part of the proxy's state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct OfferPart {
-    /// Identifies the offer among all of the same sender.
+    /// Identifies the offer among those of the same sender.
     pub offer_id: u64,
     /// The proxy's name.
     pub proxy: String,
-    /// Place of this part, from 0.
+    /// Index of this part, from 0.
     pub part_index: u16,
     /// Number of parts in the offer.
     pub part_count: u16,
@@ -89,40 +90,40 @@
     pub bytes: Vec<u8>,
 }
 
-/// What a message asks for or answers.
+/// The request or answer in a message.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MessageBody {
     /// A probe; answered by [`MessageBody::Ack`].
     Ping {
-        /// Returned in the answer.
+        /// The sequence number, repeated in the answer.
         sequence: u64,
     },
     /// Asks the receiver to probe another governor (SWIM's ping-req).
     PingRequest {
-        /// Returned in the answer.
+        /// The sequence number, repeated in the answer.
         sequence: u64,
         /// The governor to probe.
         target: String,
     },
     /// The answer to a probe.
     Ack {
-        /// That of the probe.
+        /// The sequence number of the probe.
         sequence: u64,
         /// The governor that answered: the sender, or the target of an indirect probe.
         governor: String,
     },
-    /// A part of an offer to hand a proxy over.
+    /// One part of an offer to move a proxy to the receiver.
     Offer(OfferPart),
-    /// The offered proxy may come.
+    /// Accepts the offered proxy.
     Accept {
-        /// The offer's.
+        /// The id of the offer.
         offer_id: u64,
         /// The proxy's name.
         proxy: String,
     },
-    /// The offered proxy may not come now.
+    /// Declines the offered proxy for now.
     Decline {
-        /// The offer's.
+        /// The id of the offer.
         offer_id: u64,
         /// The proxy's name.
         proxy: String,
@@ -134,9 +135,9 @@
 pub struct Message {
     /// The sender's update about itself.
     pub from: MemberUpdate,
-    /// The receiver's name: an address may belong to another governor by now.
+    /// The receiver's name, since the address may have been reassigned to another governor.
     pub to: String,
-    /// What is asked or answered.
+    /// The request or answer.
     pub body: MessageBody,
     /// Updates about other governors, as many as fit.
     pub updates: Vec<MemberUpdate>,
@@ -145,20 +146,20 @@
 /// Why a datagram was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DatagramError {
-    /// It is not sealed with a live key.
-    #[error("it is not proven: {0}")]
+    /// The datagram is not sealed with one of the accepted keys.
+    #[error("datagram failed authentication: {0}")]
     Unauthenticated(#[from] ProofError),
-    /// It exceeds [`MAX_DATAGRAM_BYTES`].
-    #[error("it is longer than any that is sent")]
+    /// The datagram exceeds [`MAX_DATAGRAM_BYTES`].
+    #[error("datagram exceeds the maximum size")]
     TooLong,
-    /// It does not decode to a message with valid names.
-    #[error("it is no message")]
+    /// The datagram can't be decoded, or a governor's name in it is invalid.
+    #[error("malformed message")]
     Malformed,
 }
 
 /// Encodes and seals a message.
 pub fn encode(key: &SigningKey, message: &Message) -> Vec<u8> {
-    // Postcard fails only on types that it can't represent; none of these is one.
+    // Postcard fails only on types that it can't represent, and this message has none.
     let body = postcard::to_allocvec(message).unwrap_or_default();
     seal(key, &body)
 }
@@ -166,7 +167,7 @@
 /// Verifies and decodes a datagram.
 ///
 /// # Errors
-/// It is too long, not sealed with one of `keys`, or not a valid message.
+/// The datagram is too long, is not sealed with one of `keys`, or is not a valid message.
 pub fn decode(keys: &[SigningKey], datagram: &[u8]) -> Result<Message, DatagramError> {
     if datagram.len() > MAX_DATAGRAM_BYTES {
         return Err(DatagramError::TooLong);
@@ -185,7 +186,7 @@
     !name.is_empty() && name.len() <= MAX_NAME_BYTES
 }
 
-/// The bytes that an update takes in a message.
+/// Returns the encoded size of an update, in bytes.
 pub fn encoded_length(update: &MemberUpdate) -> usize {
     postcard::to_allocvec(update).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len())
 }
--- a/crates/membership/src/messages/tests.rs
+++ b/crates/membership/src/messages/tests.rs
@@ -49,7 +49,7 @@
     fn decoding_arbitrary_bytes_does_no_harm(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let key = key();
         prop_assert!(decode(std::slice::from_ref(&key), &bytes).is_err());
-        // Even a sealed one may be malformed.
+        // A correctly sealed datagram may be malformed too.
         let _ = decode(std::slice::from_ref(&key), &seal(&key, &bytes));
     }
 }
--- a/crates/membership/src/migration.rs
+++ b/crates/membership/src/migration.rs
@@ -1,32 +1,33 @@
-//! Moving a proxy from one governor to another: what is known of it is transferred first, and its stream ends once the
-//! other governor has accepted.
+//! Migration of a proxy from one governor to another. The proxy's state is transferred with the offer, and its stream
+//! is ended once the other governor has accepted.
 //!
-//! The steps are offer, accept (or decline) and move. Nothing else is agreed on: the governor that has a proxy's stream
-//! is responsible for it, and a proxy whose destination does not answer goes to the next in its own ranking. So a lost
-//! message costs time, a duplicate is answered like the original, and a late one finds its offer closed and is ignored.
+//! The steps are offer, accept (or decline) and move. Governors agree on nothing else: the governor that has a proxy's
+//! stream is responsible for the proxy, and a proxy whose destination does not answer connects to the next governor in
+//! its own ranking. Therefore a lost message only causes a delay, a duplicate is answered like the original, and an
+//! answer to a closed offer is ignored.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
 use crate::messages::{MessageBody, OfferPart};
 
-/// Limit of open offers to others.
+/// Maximum number of open offers to other governors.
 const MAX_OPEN_OFFERS: usize = 16;
-/// How long an offer waits for an answer before it is sent again.
+/// How long to wait for the answer to an offer before it is sent again.
 const OFFER_RETRY_INTERVAL: Duration = Duration::from_millis(400);
-/// How often an offer is sent in all.
+/// How often an offer is sent, including the first time.
 const MAX_OFFER_ATTEMPTS: u32 = 4;
-/// How long a proxy is not offered again after an offer ended.
+/// How long after the end of an offer the proxy is not offered again.
 const OFFER_BACKOFF: Duration = Duration::from_secs(3);
-/// Size limit of a part, in bytes: with its header and seal it fits a datagram.
+/// Maximum size of a part, in bytes. With its header and seal it fits into one datagram.
 const MAX_PART_BYTES: usize = 900;
-/// Limit of the parts of one proxy's state. Larger state is not transferred.
+/// Maximum number of parts of one proxy's state. Larger state is not transferred.
 pub const MAX_PARTS: usize = 64;
 /// How long transferred state is kept for a proxy that does not connect.
 const TRANSFERRED_STATE_TTL: Duration = Duration::from_secs(15);
-/// Limit of the proxies for which transferred state is kept.
+/// Maximum number of proxies for which transferred state is kept.
 const MAX_INCOMING_OFFERS: usize = 512;
-/// Limit of all transferred state that is kept, in bytes.
+/// Maximum total size of the transferred state that is kept, in bytes.
 const MAX_INCOMING_BYTES: usize = 8 << 20;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -61,9 +62,9 @@
 /// The answer to an offer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OfferAnswer {
-    /// The proxy may come.
+    /// The other governor accepts the proxy.
     Accepted,
-    /// The proxy may not come now.
+    /// The other governor declines the proxy for now.
     Declined,
 }
 
@@ -77,18 +78,18 @@
         /// The message.
         body: MessageBody,
     },
-    /// End the proxy's stream and redirect it.
+    /// End the proxy's stream and redirect the proxy.
     MoveProxy {
         /// The proxy's name.
         proxy: String,
         /// The destination's name.
         to: String,
     },
-    /// Log that an offer was never answered.
+    /// Log that an offer was not answered, despite retries.
     OfferUnanswered {
         /// The proxy's name.
         proxy: String,
-        /// The governor that it was offered to.
+        /// The governor that the proxy was offered to.
         to: String,
     },
 }
@@ -96,51 +97,53 @@
 /// All migrations of one governor, outgoing and incoming.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Migrations {
-    /// Open offers to others, by offer id.
+    /// Open offers to other governors, by offer id.
     outgoing: BTreeMap<u64, OutgoingOffer>,
-    /// Until when each proxy is not offered again.
+    /// When each proxy may be offered again.
     backoff_until: BTreeMap<String, Duration>,
-    /// Offers of others, by proxy.
+    /// Offers from other governors, by proxy.
     incoming: BTreeMap<String, IncomingOffer>,
     last_offer_id: u64,
     actions: VecDeque<MigrationAction>,
 }
 
-/// What another governor transferred ahead of a proxy.
+/// The state of a proxy that another governor transferred before the proxy connected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TransferredState {
-    /// The governor that had the proxy.
+    /// The governor that offered the proxy.
     pub from: String,
     /// The encoded state.
     pub bytes: Vec<u8>,
-    /// How long ago it arrived.
+    /// Time since the first part of the state was received.
     pub held_for: Duration,
 }
 
 impl Migrations {
-    /// Offer ids begin above `last_offer_id`, so that those of a restarted governor differ from its earlier ones.
+    /// Creates the state without any migration. Offer ids start above `last_offer_id`, so that a restarted governor
+    /// does not reuse its earlier ids.
     pub fn new(last_offer_id: u64) -> Self {
         Migrations { last_offer_id, ..Migrations::default() }
     }
 
     // ---- outgoing
 
-    /// Whether one more offer may be made now.
+    /// Whether another offer may be made now.
     pub fn can_offer(&self) -> bool {
         self.outgoing.len() < MAX_OPEN_OFFERS
     }
 
-    /// Whether a proxy can't be offered now: an offer is open, or one ended recently.
+    /// Whether a proxy can't be offered now, because an offer is open or ended recently.
     pub fn is_unavailable(&self, now: Duration, proxy: &str) -> bool {
         self.is_offered(proxy) || self.backoff_until.get(proxy).is_some_and(|until| now < *until)
     }
 
-    /// Whether an offer of the proxy is open.
+    /// Whether there is an open offer of the proxy.
     pub fn is_offered(&self, proxy: &str) -> bool {
         self.outgoing.values().any(|offer| offer.proxy == proxy)
     }
 
-    /// Offers a proxy to another governor, with its encoded state. State above [`MAX_PARTS`] is left out.
+    /// Offers a proxy to another governor, with its encoded state. State that needs more than [`MAX_PARTS`] parts is
+    /// left out.
     pub fn offer(&mut self, now: Duration, proxy: &str, to: &str, mut state: Vec<u8>) {
         if state.len() > MAX_PART_BYTES * MAX_PARTS {
             state.clear();
@@ -175,7 +178,8 @@
         }
     }
 
-    /// Handles the answer to an offer. The answer to a closed offer, or another governor's, is ignored.
+    /// Handles the answer to an offer. An answer to a closed offer, or from a governor that the offer was not sent to,
+    /// is ignored.
     pub fn handle_answer(
         &mut self,
         now: Duration,
@@ -189,33 +193,33 @@
             return;
         }
         let Some(offer) = self.outgoing.remove(&offer_id) else { return };
-        // A proxy that was redirected and stays did not notice, and is offered again after the backoff.
+        // If an accepted proxy stays connected, it missed the redirect; it is offered again after the backoff.
         self.backoff_until.insert(offer.proxy.clone(), now + OFFER_BACKOFF);
         if answer == OfferAnswer::Accepted {
             self.actions.push_back(MigrationAction::MoveProxy { proxy: offer.proxy, to: offer.to });
         }
     }
 
-    /// A proxy's stream ended here: there is nothing left to move.
+    /// Closes the offer of a proxy whose stream to this governor ended.
     pub fn proxy_disconnected(&mut self, proxy: &str) {
         self.outgoing.retain(|_, offer| offer.proxy != proxy);
         self.backoff_until.remove(proxy);
     }
 
-    /// Number of proxies with an open offer to one governor.
+    /// Returns the number of proxies with an open offer to the governor `to`.
     pub fn outgoing_to(&self, to: &str) -> usize {
         self.outgoing.values().filter(|offer| offer.to == to).count()
     }
 
-    /// Number of proxies with an open offer.
+    /// Returns the number of proxies with an open offer.
     pub fn outgoing_count(&self) -> usize {
         self.outgoing.len()
     }
 
     // ---- incoming
 
-    /// Handles a part of an offer. Once the offer is complete, `admits` decides by the number of expected proxies; until
-    /// then nothing is answered.
+    /// Handles a part of an offer. The offer is answered once it is complete: `admits` is called with the number of
+    /// expected proxies and returns whether to accept.
     pub fn handle_offer(
         &mut self,
         now: Duration,
@@ -231,7 +235,7 @@
         let known = self.incoming.get(proxy).filter(|offer| offer.from == from);
         let known_id = known.map(|offer| offer.offer_id);
         if known_id.is_some_and(|known_id| known_id > *offer_id) {
-            // A delayed part of an earlier offer.
+            // This is a delayed part of an earlier offer.
             return;
         }
         if known_id.is_none_or(|known_id| known_id < *offer_id) {
@@ -280,12 +284,13 @@
         self.actions.push_back(MigrationAction::Send { to: to.to_string(), body });
     }
 
-    /// Number of accepted proxies that have not connected yet.
+    /// Returns the number of accepted proxies that have not connected yet.
     pub fn expected_proxies(&self) -> usize {
         self.incoming.values().filter(|offer| offer.accepted).count()
     }
 
-    /// A proxy connected here: the state that was transferred, if it is complete and not empty.
+    /// Closes the incoming offer of a proxy that connected. Returns its transferred state if that is complete and not
+    /// empty.
     pub fn proxy_connected(&mut self, now: Duration, proxy: &str) -> Option<TransferredState> {
         self.expire(now);
         let offer = self.incoming.remove(proxy).filter(IncomingOffer::is_complete)?;
@@ -303,7 +308,7 @@
 
     // ---- actions
 
-    /// The next action, until there is none.
+    /// Returns the next action, or `None` if there is nothing to do now.
     pub fn next_action(&mut self, now: Duration) -> Option<MigrationAction> {
         if self.actions.is_empty() {
             self.backoff_until.retain(|_, until| now < *until);
@@ -331,7 +336,8 @@
         }
     }
 
-    /// When [`Migrations::next_action`] has something to do by itself at the earliest, if ever.
+    /// Returns the earliest time at which [`Migrations::next_action`] may have something to do without new input, if
+    /// any.
     pub fn next_deadline(&self) -> Option<Duration> {
         let resends = self.outgoing.values().map(|offer| offer.resend_at);
         resends.chain(self.backoff_until.values().copied()).min()
--- a/crates/membership/src/migration/tests.rs
+++ b/crates/membership/src/migration/tests.rs
@@ -8,7 +8,7 @@
     std::iter::from_fn(|| of.next_action(now)).collect()
 }
 
-/// Delivers those messages of one side to the other whose place `delivers` picks.
+/// Delivers the messages of one side to the other, if `delivers` returns true for the index of the message.
 fn deliver(
     sent: Vec<MigrationAction>,
     to: &mut Migrations,
@@ -52,17 +52,17 @@
     let first = actions(&mut sender, ms(0));
     assert_eq!(first.len(), 6);
     deliver(first, &mut receiver, ms(1), ACCEPTED, |place| place != 2);
-    assert_eq!(actions(&mut receiver, ms(1)), [], "a part is missing");
+    assert_eq!(actions(&mut receiver, ms(1)), [], "an incomplete offer was answered");
     assert_eq!(sender.next_deadline(), Some(ms(400)));
     let again = actions(&mut sender, ms(400));
     deliver(again.clone(), &mut receiver, ms(401), ACCEPTED, |place| place >= 2);
     deliver(again, &mut receiver, ms(402), DECLINED, |_| true);
     let answers = actions(&mut receiver, ms(402));
     let answered_again = answers.len() > 1 && receiver.expected_proxies() == 1;
-    assert!(answered_again, "duplicates are answered like the original");
+    assert!(answered_again, "duplicates must be answered like the original");
     deliver(answers, &mut sender, ms(403), ACCEPTED, |_| true);
     let moved = MigrationAction::MoveProxy { proxy: "p".into(), to: "g1".into() };
-    assert_eq!(actions(&mut sender, ms(403)), [moved], "once");
+    assert_eq!(actions(&mut sender, ms(403)), [moved], "the proxy must be moved once");
     assert!(sender.is_unavailable(ms(404), "p") && !sender.is_unavailable(ms(4000), "p"));
     let state = receiver.proxy_connected(ms(500), "p").unwrap();
     assert_eq!((state.bytes, state.held_for, state.from.as_str()), (bytes, ms(499), "g0"));
@@ -96,7 +96,7 @@
     assert!(!actions(&mut sender, ms(2)).iter().any(is_move));
     sender.offer(ms(10), "p", "g1", vec![1]);
     let sent: usize = (1..10).map(|turn| actions(&mut sender, ms(10 + 400 * turn)).len()).sum();
-    // Sent once, three retries, and the report that nobody answered.
+    // The first attempt, three retries, and the report that the offer was not answered.
     assert_eq!((sent, sender.outgoing_count()), (1 + 3 + 1, 0));
     sender.handle_answer(ms(9000), "g1", 2, "p", ACCEPTED);
     assert_eq!(actions(&mut sender, ms(9000)), []);
@@ -115,8 +115,12 @@
     let first = receiver.next_action(ms(0));
     assert!(matches!(first, Some(MigrationAction::Send { body: MessageBody::Decline { .. }, .. })));
     receiver.handle_offer(ms(20_000), "g0", &part(1, "p", 0, 1, &[1]), |expected| expected == 0);
-    assert_eq!((receiver.incoming.len(), receiver.expected_proxies()), (1, 1), "the old ones expired");
-    // A delayed older offer of the same proxy is not answered; a newer one takes its place.
+    assert_eq!(
+        (receiver.incoming.len(), receiver.expected_proxies()),
+        (1, 1),
+        "the old offers must have expired"
+    );
+    // A delayed older offer of the same proxy is ignored; a newer one replaces the offer.
     receiver.handle_offer(ms(20_000), "g0", &part(0, "p", 0, 1, &[2]), |_| true);
     receiver.handle_offer(ms(20_000), "g0", &part(2, "p", 0, 1, &[3]), |_| true);
     assert_eq!(receiver.proxy_connected(ms(20_001), "p").unwrap().bytes, [3]);
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Datagrams as the release at commit b735929 wrote them, byte for byte: governors of different versions talk to each other.
+//! Compatibility with stored datagrams of the release at commit b735929. Governors of different versions exchange
+//! datagrams, so the encoding must stay the same byte for byte.
 
 #![allow(
     clippy::unwrap_used,
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership through faults of the network and of governors, on a simulated network.
+//! Membership on a simulated network, with faults of the network and of governors.
 
 #![allow(
     clippy::unwrap_used,
@@ -24,7 +24,7 @@
     MembershipEvent::MemberStateChanged { governor: governor.into(), state }
 }
 
-/// Who saw a governor change to a state.
+/// The governors that reported the change of a governor to a state.
 fn observers(network: &SimulatedNetwork, of: &str, state: MemberState) -> Vec<usize> {
     let events = network.events.iter().filter(|reported| reported.event == changed_to(of, state));
     events.map(|reported| reported.governor).collect()
@@ -59,7 +59,7 @@
             matches!(reported.event, MembershipEvent::MemberStateChanged { state: MemberState::Dead, .. })
         });
         assert_eq!(dead.count(), 0, "seed {seed}");
-        // Some were doubted, and said otherwise: the loss was met.
+        // Some governors were suspected and refuted it, so the loss had an effect.
         assert!(network.events.iter().any(|reported| matches!(
             reported.event,
             MembershipEvent::MemberStateChanged { state: MemberState::Suspect, .. }
@@ -76,13 +76,17 @@
     network.run(30_000);
     assert_eq!(observers(&network, "g1", MemberState::Dead), Vec::<usize>::new());
     assert!(network.sees(0, 1) && network.sees(1, 0));
-    // Who can say nothing to anybody is dead to all; and has nobody to hand a proxy to, though it hears them.
+    // A governor that can't send to any other is declared dead by all. It receives their datagrams, but considers
+    // nobody live either, so it has no destination for its proxies.
     network.cut.extend([(1, 2), (1, 3)]);
     network.run(15_000);
     assert!([0, 2, 3].iter().all(|one| !network.sees(*one, 1) && !network.sees(1, *one)));
     network.cut.clear();
     network.run(4000);
-    assert!([0, 2, 3].iter().all(|one| network.sees(*one, 1)), "it said otherwise as soon as it could");
+    assert!(
+        [0, 2, 3].iter().all(|one| network.sees(*one, 1)),
+        "governor 1 did not refute its death after the links were restored"
+    );
 }
 
 #[test]
@@ -144,19 +148,22 @@
         assert!(network.moves <= 75, "seed {seed}: {} moves", network.moves);
         let rest = network.moves;
         network.run(20_000);
-        assert!(network.moves <= rest + usize::from(lost > 0) * 5, "it comes to rest");
+        assert!(
+            network.moves <= rest + usize::from(lost > 0) * 5,
+            "proxies still move after the assignment converged"
+        );
         let now = network.now;
         network.governor(1).set_mode(now, ServiceMode::Draining);
         network.run(25_000);
         assert_eq!(network.counts()[1], 0, "seed {seed}");
-        assert_eq!(network.counts().iter().sum::<usize>(), 60, "all are somewhere");
+        assert_eq!(network.counts().iter().sum::<usize>(), 60, "a proxy is not connected to any governor");
         assert!(
             network
                 .events
                 .iter()
                 .any(|reported| reported.governor == 1 && reported.event == MembershipEvent::Drained)
         );
-        // Each came with all that was known of it.
+        // The state of nearly all moved proxies was transferred, complete.
         assert!(
             network.transferred.len() >= network.moves * 9 / 10,
             "{} of {}",
@@ -166,7 +173,7 @@
         for (proxy, ahead) in &network.transferred {
             assert_eq!(ahead.bytes, format!("all about {proxy}, ").repeat(100).into_bytes());
         }
-        // It comes back to service: its own come home.
+        // After the drain it serves again, and proxies that rank it highest move back.
         let now = network.now;
         network.governor(1).set_mode(now, ServiceMode::Serving);
         network.run(30_000);
@@ -185,8 +192,12 @@
     network.run(10_000);
     let (before, counts) = (network.moves, network.counts());
     network.run(20_000);
-    assert_eq!((network.moves, network.counts()), (before, counts), "nobody is moved where nobody answers");
-    // Drained while cut off: nobody to hand them to is known of, so they find others by themselves.
+    assert_eq!(
+        (network.moves, network.counts()),
+        (before, counts),
+        "proxies were moved across the partition"
+    );
+    // A governor that drains while cut off knows no destination, so its proxies choose another governor by themselves.
     let now = network.now;
     network.governor(0).set_mode(now, ServiceMode::Draining);
     network.run(1000);
@@ -198,7 +209,7 @@
     let mut network = SimulatedNetwork::new(2, 9);
     let all = proxies(10);
     all.iter().for_each(|proxy| network.connect(proxy, 0));
-    // Said before anybody may be moved, so that all are offered at once.
+    // The drain starts before the minimum residence ends, so that all proxies are offered at once.
     network.run(1900);
     network.cut.extend([(0, 1), (1, 0)]);
     let now = network.now;
@@ -206,5 +217,5 @@
     network.run(600);
     network.kill(1);
     network.run(12_000);
-    assert!(network.moves >= all.len(), "{} were sent on", network.moves);
+    assert!(network.moves >= all.len(), "only {} proxies were redirected", network.moves);
 }
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,9 +1,9 @@
-//! Exhaustive search over a small system: two governors, one or two proxies, crashes, broken streams, and messages that
-//! are lost, duplicated and reordered. The decisions are those of the real code: [`FencingState`] and
+//! Model checking by exhaustive search of a small system: two governors, one or two proxies, crashes, broken streams,
+//! and messages that are lost, duplicated and reordered. The model runs the production code: [`FencingState`] and
 //! [`GovernorSelector`] at the proxy, [`Migrations`] at the governor.
 //!
-//! A message stays in flight once it is sent: that it may be delivered at any time, again, or never, covers loss,
-//! duplication and reordering at once.
+//! A sent message stays in flight, and may be delivered at any time, repeatedly or never. This covers loss, duplication
+//! and reordering.
 
 #![allow(
     clippy::unwrap_used,
@@ -32,7 +32,7 @@
     migrations: Migrations,
 }
 
-/// Tables that a governor published to a proxy. Ordered as fields are: epoch before version.
+/// Tables that a governor published to a proxy. The derived order compares the epoch before the version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Order {
     governor: usize,
@@ -55,9 +55,9 @@
     fencing: FencingState,
     stream: Option<usize>,
     current: Option<Order>,
-    /// All that it ever applied.
+    /// All tables that it applied so far.
     applied: BTreeSet<Order>,
-    /// Dials in a row that found nobody while somebody was there.
+    /// Consecutive failed dials while at least one governor was up.
     failed_dials: usize,
 }
 
@@ -70,12 +70,12 @@
     left: Budget,
 }
 
-/// How many faults and decisions a run may have.
+/// How many faults and decisions are left in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Budget {
     proxies: usize,
     crashes: usize,
-    /// Streams that a proxy gives up.
+    /// Streams that a proxy abandons.
     breaks: usize,
     /// Proxies that return to their preferred governor.
     failbacks: usize,
@@ -104,7 +104,7 @@
 }
 
 impl World {
-    /// A governor publishes tables to a proxy, under a version of its own.
+    /// A governor publishes tables to a proxy, under its next version.
     fn publish(&mut self, governor: usize, proxy: usize) {
         let one = &mut self.governors[governor];
         one.version += 1;
@@ -127,7 +127,7 @@
         }
     }
 
-    /// A proxy receives an order. Returns the violation if it applied one that it should not have.
+    /// A proxy receives tables. Returns a violation if it applies tables that it should have rejected.
     fn deliver_order(&mut self, proxy: usize, order: Order) -> Option<String> {
         let one = &mut self.proxies[proxy];
         let Order { governor, epoch, version } = order;
@@ -136,9 +136,9 @@
         }
         let newer = |applied: &&Order| applied.governor == governor && **applied > order;
         let violation = match one.applied.iter().find(newer) {
-            _ if one.stream.is_some_and(|stream| stream != governor) => Some("another's than it follows"),
-            Some(_) => Some("an older one after a newer one"),
-            None if one.applied.contains(&order) => Some("one twice"),
+            _ if one.stream.is_some_and(|stream| stream != governor) => Some("from another governor"),
+            Some(_) => Some("older than tables that it applied before"),
+            None if one.applied.contains(&order) => Some("applied twice"),
             None => None,
         };
         one.applied.insert(order);
@@ -187,7 +187,7 @@
                 MigrationAction::MoveProxy { proxy, to } => {
                     let to = NAMES.iter().position(|name| *name == to);
                     let of = self.proxies.iter().position(|one| one.name == proxy).unwrap();
-                    // Ends the stream, if it is still this governor's to end.
+                    // Ends the stream if it is still connected to this governor.
                     if self.proxies[of].stream == Some(governor) {
                         self.lose_stream(of);
                         self.proxies[of].selector.redirected(to);
@@ -198,7 +198,7 @@
         }
     }
 
-    /// All states that can follow, each with the violation that the step to it is, if it is one.
+    /// Returns all successor states, each with the violation that the step to it causes, if any.
     fn next(&self) -> Vec<(World, Option<String>)> {
         let mut next = Vec::new();
         let mut step = |change: &dyn Fn(&mut World) -> Option<String>| {
@@ -214,10 +214,10 @@
                     world.dial(proxy);
                     let failed_dials = world.proxies[proxy].failed_dials;
                     (failed_dials >= NAMES.len())
-                        .then(|| format!("proxy {proxy} found nobody in {failed_dials} dials"))
+                        .then(|| format!("proxy {proxy} reached no governor in {failed_dials} dials"))
                 });
             } else if self.left.breaks > 0 {
-                // It gives up a governor that stalls, whose orders may still arrive.
+                // The proxy abandons the stream of a stalled governor, whose tables may still arrive later.
                 step(&|world| {
                     world.left.breaks -= 1;
                     world.lose_stream(proxy);
@@ -294,7 +294,7 @@
     }
 }
 
-/// Visits every reachable state. Returns their number, or the first violation.
+/// Visits every reachable state. Returns the number of states, or the first violation.
 fn explore(budget: Budget, most: usize) -> Result<usize, String> {
     let (mut seen, mut ahead) = (HashSet::new(), VecDeque::new());
     let digest = |world: &World| {
@@ -313,7 +313,7 @@
                 return Err(format!("{violation}\nin {next:#?}"));
             }
             if seen.insert(digest(&next)) {
-                assert!(seen.len() <= most, "the world is larger than it should be");
+                assert!(seen.len() <= most, "more states are reachable than expected");
                 ahead.push_back(next);
             }
         }
@@ -323,7 +323,7 @@
 
 #[test]
 fn no_order_is_applied_twice_or_out_of_order_and_no_proxy_is_stranded() {
-    // One proxy and many faults, then two proxies with less.
+    // One proxy with many faults, then two proxies with fewer.
     let few = Budget { proxies: 1, crashes: 1, breaks: 1, failbacks: 1, decisions: 0, offers: 1 };
     let mut worlds = 0;
     for budget in [
@@ -335,8 +335,8 @@
         Budget { proxies: 2, crashes: 0, failbacks: 0, decisions: 1, ..few },
     ] {
         let more = explore(budget, 100_000).unwrap_or_else(|violation| panic!("{budget:?}: {violation}"));
-        println!("{more} worlds with {budget:?}");
+        println!("{more} states with {budget:?}");
         worlds += more;
     }
-    assert!(worlds > 20_000, "{worlds}: little was looked at");
+    assert!(worlds > 20_000, "only {worlds} states were explored");
 }
--- a/crates/membership/tests/simulated_network/mod.rs
+++ b/crates/membership/tests/simulated_network/mod.rs
@@ -1,6 +1,6 @@
-//! Governors on a simulated network in simulated time: datagrams are delayed, lost and duplicated, and links are cut.
-//! The same seed gives the same run.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Simulates governors on a network in simulated time: datagrams are delayed, lost and duplicated, and links are cut.
+//! Runs with the same seed are identical.
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use wrenthread_membership::migration::TransferredState;
 use wrenthread_membership::{Action, Membership, MembershipEvent, MembershipSettings, Peer};
 
-/// Port of the governor 0; the others follow.
+/// Port of governor 0; the other governors use the ports after it.
 const FIRST_PORT: usize = 10_000;
 /// How long a redirected proxy takes to connect elsewhere.
 const RECONNECT_DELAY: Duration = ms(50);
@@ -38,28 +38,28 @@
     to: usize,
 }
 
-/// When something arrives, and its place among what arrives at that time.
+/// The time of an arrival, and a sequence number that orders arrivals at the same time.
 type Arrival = (Duration, u64);
 
 pub struct SimulatedNetwork {
     pub now: Duration,
     pub governors: Vec<Option<Membership>>,
-    /// Links that deliver nothing: from, to.
+    /// Links (from, to) that deliver no datagrams.
     pub cut: BTreeSet<(usize, usize)>,
     /// How many of a thousand datagrams are lost.
     pub lost_per_mille: u64,
     /// How many of a thousand datagrams are delivered twice.
     pub duplicated_per_mille: u64,
-    /// Governors that do nothing.
+    /// Governors that are not running at present.
     pub stalled: BTreeSet<usize>,
     pub bytes: u64,
     pub datagrams: u64,
     pub longest: usize,
     pub events: Vec<ReportedEvent>,
-    /// Where each proxy is connected.
+    /// The governor that each proxy is connected to, if any.
     pub connected_to: BTreeMap<Arc<str>, Option<usize>>,
     pub moves: usize,
-    /// What was transferred ahead of each proxy that connected.
+    /// The state transferred ahead of each proxy that connected.
     pub transferred: Vec<(Arc<str>, TransferredState)>,
     in_flight: BTreeMap<Arrival, DatagramInFlight>,
     redirected: BTreeMap<Arrival, RedirectedProxy>,
@@ -104,7 +104,7 @@
         network
     }
 
-    /// Starts a governor, or starts it anew.
+    /// Starts or restarts a governor, with a new epoch.
     pub fn start(&mut self, governor: usize) {
         self.epochs += 1;
         let others = (0..self.governors.len()).filter(|other| *other != governor);
@@ -117,7 +117,7 @@
         self.governors[governor] = Some(Membership::new(settings, self.epochs, self.now));
     }
 
-    /// Ends a governor; its proxies are connected to none.
+    /// Stops a governor without notice and disconnects its proxies.
     pub fn kill(&mut self, governor: usize) {
         self.governors[governor] = None;
         for connected_to in self.connected_to.values_mut() {
@@ -128,19 +128,19 @@
     }
 
     pub fn governor(&mut self, governor: usize) -> &mut Membership {
-        self.governors[governor].as_mut().expect("it is up")
+        self.governors[governor].as_mut().expect("the governor is up")
     }
 
-    /// Whether one governor believes another to be live.
+    /// Whether a governor considers another one live.
     pub fn sees(&self, governor: usize, other: usize) -> bool {
-        let governor = self.governors[governor].as_ref().expect("it is up");
+        let governor = self.governors[governor].as_ref().expect("the governor is up");
         governor
             .members()
             .get(&format!("g{other}"))
             .is_some_and(wrenthread_membership::members::Member::is_live)
     }
 
-    /// Whether all governors believe each other to be live.
+    /// Whether all governors consider each other live.
     pub fn all_see_each_other(&self) -> bool {
         let all = 0..self.governors.len();
         all.clone().all(|one| all.clone().all(|other| one == other || self.sees(one, other)))
@@ -156,13 +156,13 @@
         }
     }
 
-    /// Number of proxies at each governor.
+    /// Returns the number of proxies connected to each governor.
     pub fn counts(&self) -> Vec<usize> {
         let count = |governor| self.connected_to.values().filter(|at| **at == Some(governor)).count();
         (0..self.governors.len()).map(count).collect()
     }
 
-    /// The next number of splitmix64: the same in each run of a seed.
+    /// Returns the next pseudo-random number (splitmix64).
     fn random(&mut self) -> u64 {
         self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.random_state;
@@ -176,7 +176,7 @@
         (at, self.arrivals)
     }
 
-    /// Runs for a time.
+    /// Runs the simulation for `millis` milliseconds of simulated time.
     pub fn run(&mut self, millis: u64) {
         let until = self.now + ms(millis);
         while self.now < until {
@@ -195,13 +195,13 @@
         while let Some(entry) = self.in_flight.first_entry().filter(|entry| entry.key().0 <= self.now) {
             let (arrival, sent) = entry.remove_entry();
             if self.stalled.contains(&sent.to) {
-                // It waits in the socket.
+                // The datagram stays in the socket buffer.
                 self.in_flight.insert((self.now + TICK, arrival.1), sent);
                 continue;
             }
             let now = self.now;
             if let Some(membership) = self.governors[sent.to].as_mut() {
-                membership.handle_datagram(now, &sent.datagram).expect("it was sealed with the key");
+                membership.handle_datagram(now, &sent.datagram).expect("the datagram is sealed with the key");
             }
         }
     }
@@ -209,7 +209,7 @@
     fn reconnect_proxies(&mut self) {
         while let Some(entry) = self.redirected.first_entry().filter(|entry| entry.key().0 <= self.now) {
             let RedirectedProxy { proxy, to } = entry.remove();
-            // Its destination may be dead by now: it goes to the next that is up.
+            // The destination may be down by now; the proxy then connects to the next governor that is up.
             let mut in_order = (0..self.governors.len()).map(|step| (to + step) % self.governors.len());
             if let Some(governor) = in_order.find(|governor| self.governors[*governor].is_some()) {
                 self.connect(&proxy, governor);
