--- a/crates/membership/benches/gossip.rs
+++ b/crates/membership/benches/gossip.rs
@@ -19,67 +19,73 @@
 use wrenthread_membership::messages::MemberState;
 
 /// Assigns each proxy to a pseudo-random governor, determined by `seed`.
-fn by_chance(proxies: usize, among: &[usize], seed: u64) -> Vec<usize> {
+fn random_assignment(proxies: usize, among: &[usize], seed: u64) -> Vec<usize> {
     use std::hash::{DefaultHasher, Hash, Hasher};
-    let draw = |proxy: usize| {
+    let choose = |proxy: usize| {
         let mut hasher = DefaultHasher::new();
         (seed, proxy).hash(&mut hasher);
         among[(hasher.finish() % among.len() as u64) as usize]
     };
-    (0..proxies).map(draw).collect()
+    (0..proxies).map(choose).collect()
 }
 
 /// For each method of assignment, prints how evenly 60 and 1,000 proxies are distributed before and after one governor
 /// dies, and how many proxies move at its death and at its return.
-fn spreads() {
+fn print_distributions() {
     println!(
         "| proxies | governors | method | fullest before, relative to an even share | after | moves at death | \
         moves at return | proxies of the returned governor |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
-    for (many, count) in [(60, 3), (60, 5), (60, 8), (1000, 3), (1000, 5), (1000, 8)] {
-        let proxies: Vec<String> = (0..many).map(|n| format!("relay-{n}")).collect();
+    for (proxy_count, governor_count) in [(60, 3), (60, 5), (60, 8), (1000, 3), (1000, 5), (1000, 8)] {
+        let proxies: Vec<String> = (0..proxy_count).map(|n| format!("relay-{n}")).collect();
         let proxies: Vec<&str> = proxies.iter().map(String::as_str).collect();
-        let names: Vec<String> = (0..count).map(|n| format!("g{n}")).collect();
-        let all: Vec<&str> = names.iter().map(String::as_str).collect();
+        let names: Vec<String> = (0..governor_count).map(|n| format!("g{n}")).collect();
+        let all_names: Vec<&str> = names.iter().map(String::as_str).collect();
         let ranked = |among: &[usize]| -> Vec<usize> {
-            let some: Vec<&str> = among.iter().map(|one| all[*one]).collect();
-            proxies.iter().map(|proxy| among[ranking(proxy, &some)[0]]).collect()
+            let live_names: Vec<&str> = among.iter().map(|governor| all_names[*governor]).collect();
+            proxies.iter().map(|proxy| among[ranking(proxy, &live_names)[0]]).collect()
         };
         let bounded = |among: &[usize]| -> Vec<usize> {
-            let some: Vec<&str> = among.iter().map(|one| all[*one]).collect();
-            assign(&proxies, &some).into_iter().map(|place| among[place]).collect()
+            let live_names: Vec<&str> = among.iter().map(|governor| all_names[*governor]).collect();
+            assign(&proxies, &live_names).into_iter().map(|index| among[index]).collect()
         };
-        let everyone: Vec<usize> = (0..count).collect();
-        let others: Vec<usize> = (1..count).collect();
-        let full = |at: &[usize], among: usize| {
-            let most = (0..count).map(|one| at.iter().filter(|to| **to == one).count()).max().unwrap_or(0);
-            most as f64 * among as f64 / proxies.len() as f64
+        let all_governors: Vec<usize> = (0..governor_count).collect();
+        let others: Vec<usize> = (1..governor_count).collect();
+        let relative_max_load = |at: &[usize], among: usize| {
+            let max_load = (0..governor_count)
+                .map(|governor| at.iter().filter(|to| **to == governor).count())
+                .max()
+                .unwrap_or(0);
+            max_load as f64 * among as f64 / proxies.len() as f64
         };
-        let moved = |one: &[usize], other: &[usize]| one.iter().zip(other).filter(|(a, b)| a != b).count();
-        let say = |way: &str, before: Vec<usize>, after: Vec<usize>, then: Vec<usize>| {
+        let moved = |old: &[usize], new: &[usize]| old.iter().zip(new).filter(|(a, b)| a != b).count();
+        let print_row = |method: &str, before: Vec<usize>, after: Vec<usize>, returned: Vec<usize>| {
             println!(
-                "| {many} | {count} | {way} | {:.2} | {:.2} | {} | {} | {} |",
-                full(&before, count),
-                full(&after, count - 1),
+                "| {proxy_count} | {governor_count} | {method} | {:.2} | {:.2} | {} | {} | {} |",
+                relative_max_load(&before, governor_count),
+                relative_max_load(&after, governor_count - 1),
                 moved(&before, &after),
-                moved(&after, &then),
-                then.iter().filter(|at| **at == 0).count()
+                moved(&after, &returned),
+                returned.iter().filter(|at| **at == 0).count()
             );
         };
-        say("rendezvous", ranked(&everyone), ranked(&others), ranked(&everyone));
-        say("rendezvous, bounded", bounded(&everyone), bounded(&others), bounded(&everyone));
+        print_row("rendezvous", ranked(&all_governors), ranked(&others), ranked(&all_governors));
+        print_row("rendezvous, bounded", bounded(&all_governors), bounded(&others), bounded(&all_governors));
         // Random assignment: proxies of the dead governor connect to any other, and none returns.
-        let before = by_chance(many, &everyone, 1);
-        let again = by_chance(many, &others, 2);
-        let after: Vec<usize> =
-            before.iter().zip(&again).map(|(at, again)| if *at == 0 { *again } else { *at }).collect();
-        say("random reconnect", before, after.clone(), after);
+        let before = random_assignment(proxy_count, &all_governors, 1);
+        let reconnected = random_assignment(proxy_count, &others, 2);
+        let after: Vec<usize> = before
+            .iter()
+            .zip(&reconnected)
+            .map(|(at, reconnected)| if *at == 0 { *reconnected } else { *at })
+            .collect();
+        print_row("random reconnect", before, after.clone(), after);
     }
 }
 
 fn main() {
-    spreads();
+    print_distributions();
     println!();
     println!(
         "| governors | loss, % | bytes per governor and second | datagrams | longest, bytes | \
@@ -91,37 +97,40 @@
             let mut network = SimulatedNetwork::new(governors, 11);
             network.lost_per_mille = lost;
             network.run(10_000);
-            (network.bytes, network.datagrams) = (0, 0);
+            (network.bytes_sent, network.datagrams_sent) = (0, 0);
             network.run(60_000);
-            let a_second = 60.0 * governors as f64;
-            let (bytes, datagrams) = (network.bytes as f64 / a_second, network.datagrams as f64 / a_second);
-            let wrongly = network.events.iter().filter(|reported| {
+            let governor_seconds = 60.0 * governors as f64;
+            let (bytes, datagrams) = (
+                network.bytes_sent as f64 / governor_seconds,
+                network.datagrams_sent as f64 / governor_seconds,
+            );
+            let false_deaths = network.events.iter().filter(|reported| {
                 matches!(reported.event, MembershipEvent::MemberStateChanged { state: MemberState::Dead, .. })
             });
-            let (wrongly, died) = (wrongly.count(), network.now);
+            let (false_deaths, killed_at) = (false_deaths.count(), network.now);
             network.kill(0);
             network.run(40_000);
             let death =
                 MembershipEvent::MemberStateChanged { governor: "g0".into(), state: MemberState::Dead };
-            let found_death = |reported: &&ReportedEvent| reported.at > died && reported.event == death;
-            let known: Vec<f64> = network
+            let found_death = |reported: &&ReportedEvent| reported.at > killed_at && reported.event == death;
+            let detection_times: Vec<f64> = network
                 .events
                 .iter()
                 .filter(found_death)
-                .map(|reported| (reported.at - died).as_secs_f64())
+                .map(|reported| (reported.at - killed_at).as_secs_f64())
                 .collect();
-            let first = known.iter().copied().fold(f64::INFINITY, f64::min);
-            let last = known.iter().copied().fold(0.0, f64::max);
+            let first = detection_times.iter().copied().fold(f64::INFINITY, f64::min);
+            let last = detection_times.iter().copied().fold(0.0, f64::max);
             assert!(
-                known.len() >= governors - 1,
+                detection_times.len() >= governors - 1,
                 "only {} of {governors} governors detected the death",
-                known.len()
+                detection_times.len()
             );
             println!(
                 "| {governors} | {} | {bytes:.0} | {datagrams:.1} | {} | \
-                 {first:.1} | {last:.1} | {wrongly} |",
+                 {first:.1} | {last:.1} | {false_deaths} |",
                 lost / 10,
-                network.longest,
+                network.longest_datagram,
             );
         }
     }
--- a/crates/membership/src/assignment.rs
+++ b/crates/membership/src/assignment.rs
@@ -49,8 +49,8 @@
     let rankings: Vec<Vec<usize>> = proxies.iter().map(|proxy| ranking(proxy, governors)).collect();
     let mut rank_of = vec![0; proxies.len()];
     let mut assigned: Vec<BTreeSet<Assigned>> = vec![BTreeSet::new(); governors.len()];
-    let mut applying: Vec<usize> = (0..proxies.len()).collect();
-    while let Some(index) = applying.pop() {
+    let mut unassigned: Vec<usize> = (0..proxies.len()).collect();
+    while let Some(index) = unassigned.pop() {
         let rank = rank_of[index];
         let governor = rankings[index][rank];
         assigned[governor].insert(Assigned { rank, name: proxies[index], index });
@@ -59,7 +59,7 @@
         {
             // The total capacity exceeds the number of proxies, so each proxy is assigned in the end.
             rank_of[rejected.index] = (rejected.rank + 1) % governors.len();
-            applying.push(rejected.index);
+            unassigned.push(rejected.index);
         }
     }
     (0..proxies.len()).map(|index| rankings[index][rank_of[index]]).collect()
@@ -146,7 +146,7 @@
         return None;
     }
     let serving = others.len() + usize::from(local.mode == ServiceMode::Serving);
-    let limit = max_proxies_per_governor(all_proxies(local, others), serving);
+    let limit = max_proxies_per_governor(total_proxies(local, others), serving);
     let destinations = Destinations { others, limit };
     match local.mode {
         ServiceMode::Draining => {
@@ -167,13 +167,13 @@
     let mut relief: Option<Relief> = None;
     // Proxies that will move away once they are movable. Other proxies are not moved to make room for them, since those
     // would move back afterwards.
-    let mut about_to_leave = 0;
+    let mut pending_moves = 0;
     for proxy in proxies {
         let own_rank =
             proxy.ranking.iter().position(|index| *index == local_index).unwrap_or(proxy.ranking.len());
         let better = destinations.first_below_limit(&proxy.ranking[..own_rank]);
         if !proxy.movable {
-            about_to_leave += usize::from(better.is_some());
+            pending_moves += usize::from(better.is_some());
             continue;
         }
         if let Some(to) = better {
@@ -190,22 +190,22 @@
             relief = Some(Relief { own_rank, proxy_move: destinations.move_to(proxy.name, to) });
         }
     }
-    if connected_proxies.saturating_sub(about_to_leave) > destinations.limit {
+    if connected_proxies.saturating_sub(pending_moves) > destinations.limit {
         relief.map(|relief| relief.proxy_move)
     } else {
         None
     }
 }
 
-fn all_proxies(local: LocalGovernor, others: &[GovernorCapacity]) -> usize {
-    let elsewhere: usize = others.iter().map(|other| other.connected_proxies).sum();
-    local.connected_proxies + elsewhere
+fn total_proxies(local: LocalGovernor, others: &[GovernorCapacity]) -> usize {
+    let other_proxies: usize = others.iter().map(|other| other.connected_proxies).sum();
+    local.connected_proxies + other_proxies
 }
 
 /// Whether this governor accepts a proxy offered by another governor. It declines while it drains, and also at full
 /// capacity unless the other governor drains.
 pub fn admits(local: LocalGovernor, others: &[GovernorCapacity], offered_by: ServiceMode) -> bool {
-    let limit = max_proxies_per_governor(all_proxies(local, others), others.len() + 1);
+    let limit = max_proxies_per_governor(total_proxies(local, others), others.len() + 1);
     let has_capacity = local.connected_proxies < limit;
     local.mode == ServiceMode::Serving && (offered_by == ServiceMode::Draining || has_capacity)
 }
--- a/crates/membership/src/assignment/tests.rs
+++ b/crates/membership/src/assignment/tests.rs
@@ -18,7 +18,7 @@
 proptest! {
     #[test]
     fn assignment_respects_the_capacity_limit_whatever_the_order_of_proxies(
-        proxies in 1usize..400, governors in 1usize..9, turn in 0usize..400,
+        proxies in 1usize..400, governors in 1usize..9, rotation in 0usize..400,
     ) {
         let (proxies, governors) = (names("relay", proxies), names("g", governors));
         let (mut proxies, governors) = (as_strs(&proxies), as_strs(&governors));
@@ -26,28 +26,28 @@
         let limit = max_proxies_per_governor(proxies.len(), governors.len());
         prop_assert!(counts(&assigned, governors.len()).iter().all(|count| *count <= limit));
         let by_name: BTreeMap<&str, usize> = proxies.iter().copied().zip(assigned).collect();
-        let turn = turn % proxies.len();
-        proxies.rotate_left(turn);
+        let rotation = rotation % proxies.len();
+        proxies.rotate_left(rotation);
         proxies.reverse();
-        let again: BTreeMap<&str, usize> =
+        let reordered: BTreeMap<&str, usize> =
             proxies.iter().copied().zip(assign(&proxies, &governors)).collect();
-        prop_assert_eq!(by_name, again);
+        prop_assert_eq!(by_name, reordered);
     }
 
     #[test]
     fn removing_a_governor_moves_few_proxies_of_the_others(
-        proxies in 50usize..400, governors in 3usize..9, gone in 0usize..9,
+        proxies in 50usize..400, governors in 3usize..9, removed in 0usize..9,
     ) {
         let (proxies, governors) = (names("relay", proxies), names("g", governors));
         let (proxies, before) = (as_strs(&proxies), as_strs(&governors));
-        let gone = gone % before.len();
-        let after: Vec<&str> = before.iter().copied().filter(|name| *name != before[gone]).collect();
-        let (then, now) = (assign(&proxies, &before), assign(&proxies, &after));
-        let moved = then.iter().zip(&now).filter(|(then, now)| before[**then] != after[**now]).count();
-        let had = counts(&then, before.len())[gone];
+        let removed = removed % before.len();
+        let after: Vec<&str> = before.iter().copied().filter(|name| *name != before[removed]).collect();
+        let (old, new) = (assign(&proxies, &before), assign(&proxies, &after));
+        let moved = old.iter().zip(&new).filter(|(from, to)| before[**from] != after[**to]).count();
+        let owned = counts(&old, before.len())[removed];
         // Besides the proxies of the removed governor, those move that a full governor had rejected and that fit there
         // now.
-        prop_assert!(moved >= had && moved <= had + proxies.len() / 5 + 3, "{moved} moved of {had}");
+        prop_assert!(moved >= owned && moved <= owned + proxies.len() / 5 + 3, "{moved} moved of {owned}");
     }
 }
 
@@ -61,9 +61,9 @@
 fn converge(mut assigned: Vec<usize>, governors: &[String], modes: &[ServiceMode]) -> Converged {
     let proxies = names("relay", assigned.len());
     for moves in 0..10_000 {
-        let deciding =
+        let next =
             (0..governors.len()).find_map(|local| decide(&proxies, &assigned, governors, modes, local));
-        let Some((proxy, to)) = deciding else { return Converged { assigned, moves } };
+        let Some((proxy, to)) = next else { return Converged { assigned, moves } };
         assigned[proxy] = to;
     }
     panic!("no convergence within 10,000 moves");
@@ -82,9 +82,9 @@
         .filter(|other| *other != local && modes[*other] == Serving)
         .map(|other| GovernorCapacity { name: &governors[other], connected_proxies: connected[other] })
         .collect();
-    let mut listed: Vec<&str> = others.iter().map(|other| other.name).collect();
-    listed.push(&governors[local]);
-    let rankings: Vec<Vec<usize>> = proxies.iter().map(|proxy| ranking(proxy, &listed)).collect();
+    let mut ranked_names: Vec<&str> = others.iter().map(|other| other.name).collect();
+    ranked_names.push(&governors[local]);
+    let rankings: Vec<Vec<usize>> = proxies.iter().map(|proxy| ranking(proxy, &ranked_names)).collect();
     let own = (0..assigned.len()).filter(|proxy| assigned[*proxy] == local);
     let own = own.map(|proxy| LocalProxy { name: &proxies[proxy], ranking: &rankings[proxy], movable: true });
     let governor = LocalGovernor { connected_proxies: connected[local], mode: modes[local] };
@@ -105,8 +105,9 @@
     assert!(moves <= 90, "{moves} moves: a proxy moved twice");
     let proxies = names("relay", 90);
     let with_full_knowledge = assign(&as_strs(&proxies), &as_strs(&governors));
-    let alike = with_full_knowledge.iter().zip(&assigned).filter(|(one, other)| one == other).count();
-    assert!(alike >= 80, "{alike} of 90 proxies are assigned as by `assign`");
+    let equal =
+        with_full_knowledge.iter().zip(&assigned).filter(|(expected, actual)| expected == actual).count();
+    assert!(equal >= 80, "{equal} of 90 proxies are assigned as by `assign`");
     // The converged assignment is stable.
     assert_eq!(converge(assigned.clone(), &governors, &[Serving; 4]).moves, 0);
     let drained = converge(assigned, &governors, &[Serving, Draining, Serving, Serving]).assigned;
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn new_proxies_that_will_move_away_do_not_push_others_out() {
+fn proxies_that_will_move_away_do_not_displace_others() {
     let others = [
         GovernorCapacity { name: "back", connected_proxies: 0 },
         GovernorCapacity { name: "other", connected_proxies: 25 },
@@ -134,16 +135,16 @@
 }
 
 #[test]
-fn a_draining_governor_moves_its_proxies_even_to_full_ones_and_admits_none() {
+fn a_draining_governor_moves_proxies_even_to_full_governors_and_admits_none() {
     let capacity = |name, connected_proxies| GovernorCapacity { name, connected_proxies };
     let local = |connected_proxies, mode| LocalGovernor { connected_proxies, mode };
     let proxy = || LocalProxy { name: "p", ranking: &[0, 2, 1], movable: true };
-    let fixed = LocalProxy { movable: false, ..proxy() };
+    let unmovable = LocalProxy { movable: false, ..proxy() };
     let others = [capacity("a", 900), capacity("b", 100)];
     let draining = local(1, Draining);
-    let to_the_free_one = Some(ProxyMove { proxy: "p", to: "b" });
-    assert_eq!(next_move(&others, draining, [proxy()].into_iter()), to_the_free_one);
-    assert_eq!(next_move(&others, draining, [fixed].into_iter()), None);
+    let move_to_b = Some(ProxyMove { proxy: "p", to: "b" });
+    assert_eq!(next_move(&others, draining, [proxy()].into_iter()), move_to_b);
+    assert_eq!(next_move(&others, draining, [unmovable].into_iter()), None);
     assert_eq!(next_move(&[], draining, [proxy()].into_iter()), None, "there is no other governor");
     assert!(admits(local(50, Serving), &others, Draining));
     assert!(!admits(local(1, Draining), &others, Draining));
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -144,7 +144,7 @@
         let mut hasher = DefaultHasher::new();
         local.name.hash(&mut hasher);
         let mut members = Members {
-            local: first_update(&local, incarnation, MemberState::Alive),
+            local: initial_update(&local, incarnation, MemberState::Alive),
             others,
             settings,
             probe: None,
@@ -279,7 +279,7 @@
     }
 }
 
-fn first_update(governor: &Peer, incarnation: u64, state: MemberState) -> MemberUpdate {
+fn initial_update(governor: &Peer, incarnation: u64, state: MemberState) -> MemberUpdate {
     MemberUpdate {
         name: governor.name.clone(),
         address: governor.address,
@@ -292,7 +292,7 @@
 /// The initial state of a configured peer. Any update takes precedence over it.
 fn configured_member(peer: &Peer, now: Duration) -> Member {
     Member {
-        update: first_update(peer, 0, MemberState::Dead),
+        update: initial_update(peer, 0, MemberState::Dead),
         state_since: now,
         last_heard: None,
         configured: true,
--- a/crates/membership/src/members/gossip.rs
+++ b/crates/membership/src/members/gossip.rs
@@ -12,26 +12,26 @@
         if update.name == self.local.name {
             return self.refute(update);
         }
-        let Some(known) = self.others.get_mut(&update.name) else {
+        let Some(member) = self.others.get_mut(&update.name) else {
             return self.add_member(now, update);
         };
-        let load_is_newer = update.load.version > known.update.load.version;
-        if precedence(update) <= precedence(&known.update) {
+        let load_is_newer = update.load.version > member.update.load.version;
+        if precedence(update) <= precedence(&member.update) {
             // The load may be newer even though the state is not.
-            if update.incarnation == known.update.incarnation && load_is_newer {
-                known.update.load = update.load;
+            if update.incarnation == member.update.incarnation && load_is_newer {
+                member.update.load = update.load;
                 self.transmissions.insert(update.name.clone(), 0);
             }
             return;
         }
-        let state_changed = known.update.state != update.state;
-        let address = if known.configured { known.update.address } else { update.address };
-        let is_new_incarnation = update.incarnation > known.update.incarnation;
-        let load_is_current = update.load.version >= known.update.load.version;
-        let load = if is_new_incarnation || load_is_current { update.load } else { known.update.load };
-        known.update = MemberUpdate { address, load, ..update.clone() };
+        let state_changed = member.update.state != update.state;
+        let address = if member.configured { member.update.address } else { update.address };
+        let is_new_incarnation = update.incarnation > member.update.incarnation;
+        let load_is_current = update.load.version >= member.update.load.version;
+        let load = if is_new_incarnation || load_is_current { update.load } else { member.update.load };
+        member.update = MemberUpdate { address, load, ..update.clone() };
         if state_changed {
-            known.state_since = now;
+            member.state_since = now;
             self.announce(&update.name, update.state);
         } else {
             self.transmissions.insert(update.name.clone(), 0);
@@ -41,9 +41,10 @@
     /// Refutes an update about this governor that says it is not alive, or that has a higher incarnation, by raising
     /// its own incarnation above it.
     fn refute(&mut self, update: &MemberUpdate) {
-        let denies_life = update.state != MemberState::Alive && update.incarnation >= self.local.incarnation;
-        let is_ahead = update.incarnation > self.local.incarnation;
-        if (denies_life || is_ahead) && self.local.state == MemberState::Alive {
+        let says_not_alive =
+            update.state != MemberState::Alive && update.incarnation >= self.local.incarnation;
+        let has_higher_incarnation = update.incarnation > self.local.incarnation;
+        if (says_not_alive || has_higher_incarnation) && self.local.state == MemberState::Alive {
             self.local.incarnation = update.incarnation.saturating_add(1);
         }
     }
@@ -68,7 +69,7 @@
     pub(super) fn updates_for(&mut self, receiver: &str, max_bytes: usize) -> Vec<MemberUpdate> {
         let max_transmissions = self.settings.transmission_multiplier * self.log_of_members();
         let max_transmissions = max_transmissions.ceil() as u32;
-        self.transmissions.retain(|_, times| *times < max_transmissions);
+        self.transmissions.retain(|_, count| *count < max_transmissions);
         let mut bytes_left = max_bytes;
         let mut updates = Vec::new();
         if bytes_left > 0
@@ -78,7 +79,7 @@
             updates.push(update);
         }
         let least_sent_first: BTreeSet<(u32, String)> =
-            self.transmissions.iter().map(|(name, times)| (*times, name.clone())).collect();
+            self.transmissions.iter().map(|(name, count)| (*count, name.clone())).collect();
         for (_, name) in least_sent_first {
             let update = self.others.get(&name).map(|member| member.update.clone());
             let Some(update) = update.filter(|update| update.name != receiver) else { continue };
--- a/crates/membership/src/members/probing.rs
+++ b/crates/membership/src/members/probing.rs
@@ -168,22 +168,22 @@
     }
 
     fn choose_helpers(&self, probe: &Probe) -> Vec<String> {
-        let able = self.live().filter(|member| member.update.name != probe.target);
-        let mut able: Vec<String> = able.map(|member| member.update.name.clone()).collect();
+        let candidates = self.live().filter(|member| member.update.name != probe.target);
+        let mut candidates: Vec<String> = candidates.map(|member| member.update.name.clone()).collect();
         let mut chosen = Vec::new();
-        while chosen.len() < self.settings.indirect_probes && !able.is_empty() {
-            let choice = probe.sequence << 8 | able.len() as u64;
-            let index = self.pseudo_random(choice, able.len());
-            chosen.push(able.swap_remove(index));
+        while chosen.len() < self.settings.indirect_probes && !candidates.is_empty() {
+            let choice_key = probe.sequence << 8 | candidates.len() as u64;
+            let index = self.pseudo_random(choice_key, candidates.len());
+            chosen.push(candidates.swap_remove(index));
         }
         chosen
     }
 
     /// Returns a number below `limit` that depends only on this governor's name, the number of the interval and
-    /// `choice`.
-    fn pseudo_random(&self, choice: u64, limit: usize) -> usize {
+    /// `choice_key`.
+    fn pseudo_random(&self, choice_key: u64, limit: usize) -> usize {
         let mut hasher = DefaultHasher::new();
-        (self.seed, self.intervals, choice).hash(&mut hasher);
+        (self.seed, self.intervals, choice_key).hash(&mut hasher);
         (hasher.finish() % limit.max(1) as u64) as usize
     }
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -42,7 +42,7 @@
     move_interval: Duration,
     next_move: Duration,
     /// When the next move is planned.
-    plan_at: Duration,
+    next_plan: Duration,
     proxies_moved: u64,
     proxies_received: u64,
     datagrams_rejected: u64,
@@ -64,7 +64,7 @@
             drain_reported: false,
             move_interval: Duration::from_secs_f64(1.0 / moves_per_second),
             next_move: now,
-            plan_at: now,
+            next_plan: now,
             proxies_moved: 0,
             proxies_received: 0,
             datagrams_rejected: 0,
@@ -102,7 +102,7 @@
             }
             MessageBody::Ping { .. } | MessageBody::PingRequest { .. } | MessageBody::Ack { .. } => {}
         }
-        self.plan_by(now);
+        self.schedule_plan(now);
         Ok(())
     }
 
@@ -112,7 +112,7 @@
         let ranking = self.rank_governors(proxy);
         self.migrations.proxy_disconnected(proxy);
         self.connected.insert(proxy.clone(), ConnectedProxy { connected_at: now, ranking });
-        self.plan_by(now + MIN_RESIDENCE);
+        self.schedule_plan(now + MIN_RESIDENCE);
         self.publish_load();
         let transferred = self.migrations.proxy_connected(now, proxy);
         if transferred.is_some() {
@@ -125,7 +125,7 @@
     pub fn proxy_disconnected(&mut self, now: Duration, proxy: &str) {
         self.connected.remove(proxy);
         self.migrations.proxy_disconnected(proxy);
-        self.plan_by(now);
+        self.schedule_plan(now);
         self.publish_load();
     }
 
@@ -133,7 +133,7 @@
     pub fn set_mode(&mut self, now: Duration, mode: ServiceMode) {
         self.mode = mode;
         self.drain_reported = false;
-        self.plan_by(now);
+        self.schedule_plan(now);
         self.publish_load();
     }
 
@@ -153,8 +153,8 @@
         self.members.set_load(self.connected.len(), self.mode);
     }
 
-    fn plan_by(&mut self, at: Duration) {
-        self.plan_at = self.plan_at.min(at);
+    fn schedule_plan(&mut self, at: Duration) {
+        self.next_plan = self.next_plan.min(at);
     }
 
     // ---- actions
@@ -169,7 +169,7 @@
                 self.handle_migration_action(action);
             } else if let Some(action) = self.members.next_action(now) {
                 self.handle_member_action(now, action);
-            } else if now < self.plan_at || !self.plan_move(now) {
+            } else if now < self.next_plan || !self.plan_move(now) {
                 return None;
             }
         }
@@ -198,7 +198,7 @@
                 }
             }
             MemberAction::StateChanged { governor, state } => {
-                self.plan_by(now);
+                self.schedule_plan(now);
                 self.report(MembershipEvent::MemberStateChanged { governor, state });
             }
             MemberAction::Stalled { late } => self.report(MembershipEvent::Stalled { late }),
@@ -212,7 +212,7 @@
     /// Returns the time at which [`Membership::next_action`] has to be called at the latest.
     pub fn next_deadline(&self) -> Duration {
         let migrations = self.migrations.next_deadline().unwrap_or(Duration::MAX);
-        self.members.next_deadline().min(self.plan_at).min(migrations)
+        self.members.next_deadline().min(self.next_plan).min(migrations)
     }
 
     // ---- status
@@ -230,8 +230,8 @@
     /// Returns the current capacity of this governor, in proxies.
     pub fn max_proxies(&self) -> usize {
         let others = capacities(&self.candidates, &self.members, &self.migrations);
-        let elsewhere: usize = others.iter().map(|other| other.connected_proxies).sum();
-        assignment::max_proxies_per_governor(self.connected.len() + elsewhere, others.len() + 1)
+        let other_proxies: usize = others.iter().map(|other| other.connected_proxies).sum();
+        assignment::max_proxies_per_governor(self.connected.len() + other_proxies, others.len() + 1)
     }
 
     /// Returns counters for status pages and metrics.
--- a/crates/membership/src/membership/planning.rs
+++ b/crates/membership/src/membership/planning.rs
@@ -12,7 +12,7 @@
 impl Membership {
     /// Plans the next move, or reports the end of a drain. Returns whether this added an action.
     pub(super) fn plan_move(&mut self, now: Duration) -> bool {
-        self.plan_at = Duration::MAX;
+        self.next_plan = Duration::MAX;
         self.refresh_candidates();
         if self.is_draining() && self.connected.is_empty() && !self.drain_reported {
             self.drain_reported = true;
@@ -20,15 +20,15 @@
             return true;
         }
         if now < self.next_move {
-            self.plan_at = self.next_move;
+            self.next_plan = self.next_move;
             return false;
         }
         if !self.migrations.can_offer() {
             let next_answer = self.migrations.next_deadline().filter(|at| *at > now);
-            self.plan_at = next_answer.unwrap_or(Duration::MAX);
+            self.next_plan = next_answer.unwrap_or(Duration::MAX);
             return false;
         }
-        self.plan_at = self.next_change_of_movable_proxies(now);
+        self.next_plan = self.next_change_of_movable_proxies(now);
         let action = if self.is_draining() && self.candidates.is_empty() {
             self.redirect_without_destination(now)
         } else {
@@ -80,7 +80,7 @@
     fn schedule_next_move(&mut self, now: Duration) {
         let earliest = now.saturating_sub(self.move_interval);
         self.next_move = self.next_move.max(earliest) + self.move_interval;
-        self.plan_by(self.next_move);
+        self.schedule_plan(self.next_move);
     }
 
     /// Updates the candidates, and the rankings of all connected proxies, to the current members.
--- a/crates/membership/src/migration.rs
+++ b/crates/membership/src/migration.rs
@@ -232,13 +232,13 @@
             return;
         }
         let OfferPart { offer_id, proxy, part_count, .. } = part;
-        let known = self.incoming.get(proxy).filter(|offer| offer.from == from);
-        let known_id = known.map(|offer| offer.offer_id);
-        if known_id.is_some_and(|known_id| known_id > *offer_id) {
+        let existing = self.incoming.get(proxy).filter(|offer| offer.from == from);
+        let existing_id = existing.map(|offer| offer.offer_id);
+        if existing_id.is_some_and(|existing_id| existing_id > *offer_id) {
             // This is a delayed part of an earlier offer.
             return;
         }
-        if known_id.is_none_or(|known_id| known_id < *offer_id) {
+        if existing_id.is_none_or(|existing_id| existing_id < *offer_id) {
             if !self.has_room_for_incoming() {
                 return self.decline(from, part);
             }
--- a/crates/membership/src/migration/tests.rs
+++ b/crates/membership/src/migration/tests.rs
@@ -16,9 +16,9 @@
     answer: OfferAnswer,
     delivers: impl Fn(usize) -> bool,
 ) {
-    for (place, action) in sent.into_iter().enumerate() {
+    for (index, action) in sent.into_iter().enumerate() {
         let MigrationAction::Send { body, .. } = action else { continue };
-        if !delivers(place) {
+        if !delivers(index) {
             continue;
         }
         match body {
@@ -51,12 +51,12 @@
     assert!(sender.is_unavailable(ms(0), "p") && sender.outgoing_to("g1") == 1);
     let first = actions(&mut sender, ms(0));
     assert_eq!(first.len(), 6);
-    deliver(first, &mut receiver, ms(1), ACCEPTED, |place| place != 2);
+    deliver(first, &mut receiver, ms(1), ACCEPTED, |index| index != 2);
     assert_eq!(actions(&mut receiver, ms(1)), [], "an incomplete offer was answered");
     assert_eq!(sender.next_deadline(), Some(ms(400)));
-    let again = actions(&mut sender, ms(400));
-    deliver(again.clone(), &mut receiver, ms(401), ACCEPTED, |place| place >= 2);
-    deliver(again, &mut receiver, ms(402), DECLINED, |_| true);
+    let resent = actions(&mut sender, ms(400));
+    deliver(resent.clone(), &mut receiver, ms(401), ACCEPTED, |index| index >= 2);
+    deliver(resent, &mut receiver, ms(402), DECLINED, |_| true);
     let answers = actions(&mut receiver, ms(402));
     let answered_again = answers.len() > 1 && receiver.expected_proxies() == 1;
     assert!(answered_again, "duplicates must be answered like the original");
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -34,7 +34,7 @@
 
 /// Tables that a governor published to a proxy. The derived order compares the epoch before the version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Order {
+struct PublishedTables {
     governor: usize,
     epoch: u64,
     version: u64,
@@ -54,20 +54,20 @@
     selector: GovernorSelector,
     fencing: FencingState,
     stream: Option<usize>,
-    current: Option<Order>,
+    current: Option<PublishedTables>,
     /// All tables that it applied so far.
-    applied: BTreeSet<Order>,
+    applied: BTreeSet<PublishedTables>,
     /// Consecutive failed dials while at least one governor was up.
     failed_dials: usize,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct SystemState {
     governors: Vec<Governor>,
     proxies: Vec<Proxy>,
-    orders: BTreeSet<(usize, Order)>,
+    published: BTreeSet<(usize, PublishedTables)>,
     messages: Vec<SentMessage>,
-    left: Budget,
+    remaining: Budget,
 }
 
 /// How many faults and decisions are left in a run.
@@ -83,7 +83,7 @@
     offers: usize,
 }
 
-fn world(budget: Budget) -> World {
+fn initial_state(budget: Budget) -> SystemState {
     let proxy = |name| Proxy {
         name,
         selector: GovernorSelector::new(name, &NAMES, Duration::ZERO, Duration::ZERO),
@@ -94,56 +94,58 @@
         failed_dials: 0,
     };
     let governor = Governor { up: true, epoch: 1, version: 0, migrations: Migrations::new(0) };
-    World {
+    SystemState {
         governors: vec![governor.clone(), governor],
         proxies: ["relay-1", "relay-3"].into_iter().take(budget.proxies).map(proxy).collect(),
-        orders: BTreeSet::new(),
+        published: BTreeSet::new(),
         messages: Vec::new(),
-        left: budget,
+        remaining: budget,
     }
 }
 
-impl World {
+impl SystemState {
     /// A governor publishes tables to a proxy, under its next version.
     fn publish(&mut self, governor: usize, proxy: usize) {
-        let one = &mut self.governors[governor];
-        one.version += 1;
-        let order = Order { governor, epoch: one.epoch, version: one.version };
-        self.orders.insert((proxy, order));
+        let publisher = &mut self.governors[governor];
+        publisher.version += 1;
+        let tables = PublishedTables { governor, epoch: publisher.epoch, version: publisher.version };
+        self.published.insert((proxy, tables));
     }
 
     fn dial(&mut self, proxy: usize) {
         let to = self.proxies[proxy].selector.current();
         if self.governors[to].up {
-            let one = &mut self.proxies[proxy];
-            (one.stream, one.failed_dials) = (Some(to), 0);
-            one.fencing.follow(NAMES[to]);
+            let dialing = &mut self.proxies[proxy];
+            (dialing.stream, dialing.failed_dials) = (Some(to), 0);
+            dialing.fencing.follow(NAMES[to]);
             self.publish(to, proxy);
         } else {
-            let somebody = self.governors.iter().any(|one| one.up);
-            let one = &mut self.proxies[proxy];
-            one.selector.connection_lost();
-            one.failed_dials = if somebody { one.failed_dials + 1 } else { 0 };
+            let any_governor_up = self.governors.iter().any(|governor| governor.up);
+            let dialing = &mut self.proxies[proxy];
+            dialing.selector.connection_lost();
+            dialing.failed_dials = if any_governor_up { dialing.failed_dials + 1 } else { 0 };
         }
     }
 
     /// A proxy receives tables. Returns a violation if it applies tables that it should have rejected.
-    fn deliver_order(&mut self, proxy: usize, order: Order) -> Option<String> {
-        let one = &mut self.proxies[proxy];
-        let Order { governor, epoch, version } = order;
-        if one.fencing.accept(NAMES[governor], epoch, version).is_err() || one.current == Some(order) {
+    fn deliver_tables(&mut self, proxy: usize, tables: PublishedTables) -> Option<String> {
+        let receiver = &mut self.proxies[proxy];
+        let PublishedTables { governor, epoch, version } = tables;
+        if receiver.fencing.accept(NAMES[governor], epoch, version).is_err()
+            || receiver.current == Some(tables)
+        {
             return None;
         }
-        let newer = |applied: &&Order| applied.governor == governor && **applied > order;
-        let violation = match one.applied.iter().find(newer) {
-            _ if one.stream.is_some_and(|stream| stream != governor) => Some("from another governor"),
+        let newer = |applied: &&PublishedTables| applied.governor == governor && **applied > tables;
+        let violation = match receiver.applied.iter().find(newer) {
+            _ if receiver.stream.is_some_and(|stream| stream != governor) => Some("from another governor"),
             Some(_) => Some("older than tables that it applied before"),
-            None if one.applied.contains(&order) => Some("applied twice"),
+            None if receiver.applied.contains(&tables) => Some("applied twice"),
             None => None,
         };
-        one.applied.insert(order);
-        one.current = Some(order);
-        violation.map(|violation| format!("proxy {proxy} applies {order:?}: {violation}"))
+        receiver.applied.insert(tables);
+        receiver.current = Some(tables);
+        violation.map(|violation| format!("proxy {proxy} applies {tables:?}: {violation}"))
     }
 
     fn lose_stream(&mut self, proxy: usize) {
@@ -155,19 +157,19 @@
 
     fn deliver_message(&mut self, message: &SentMessage) {
         let SentMessage { to, from, body } = message;
-        let one = &mut self.governors[*to];
-        if !one.up {
+        let receiver = &mut self.governors[*to];
+        if !receiver.up {
             return;
         }
         match body {
             MessageBody::Offer(part) => {
-                one.migrations.handle_offer(NOW, NAMES[*from], part, |_| true);
+                receiver.migrations.handle_offer(NOW, NAMES[*from], part, |_| true);
             }
             MessageBody::Accept { offer_id, proxy } => {
-                one.migrations.handle_answer(NOW, NAMES[*from], *offer_id, proxy, OfferAnswer::Accepted);
+                receiver.migrations.handle_answer(NOW, NAMES[*from], *offer_id, proxy, OfferAnswer::Accepted);
             }
             MessageBody::Decline { offer_id, proxy } => {
-                one.migrations.handle_answer(NOW, NAMES[*from], *offer_id, proxy, OfferAnswer::Declined);
+                receiver.migrations.handle_answer(NOW, NAMES[*from], *offer_id, proxy, OfferAnswer::Declined);
             }
             _ => {}
         }
@@ -175,8 +177,8 @@
     }
 
     fn carry_out_actions(&mut self, governor: usize) {
-        while let Some(out) = self.governors[governor].migrations.next_action(NOW) {
-            match out {
+        while let Some(action) = self.governors[governor].migrations.next_action(NOW) {
+            match action {
                 MigrationAction::Send { to, body } => {
                     let to = NAMES.iter().position(|name| *name == to).unwrap();
                     let sent = SentMessage { to, from: governor, body };
@@ -186,11 +188,11 @@
                 }
                 MigrationAction::MoveProxy { proxy, to } => {
                     let to = NAMES.iter().position(|name| *name == to);
-                    let of = self.proxies.iter().position(|one| one.name == proxy).unwrap();
+                    let index = self.proxies.iter().position(|candidate| candidate.name == proxy).unwrap();
                     // Ends the stream if it is still connected to this governor.
-                    if self.proxies[of].stream == Some(governor) {
-                        self.lose_stream(of);
-                        self.proxies[of].selector.redirected(to);
+                    if self.proxies[index].stream == Some(governor) {
+                        self.lose_stream(index);
+                        self.proxies[index].selector.redirected(to);
                     }
                 }
                 MigrationAction::OfferUnanswered { .. } => {}
@@ -199,66 +201,67 @@
     }
 
     /// Returns all successor states, each with the violation that the step to it causes, if any.
-    fn next(&self) -> Vec<(World, Option<String>)> {
-        let mut next = Vec::new();
-        let mut step = |change: &dyn Fn(&mut World) -> Option<String>| {
-            let mut world = self.clone();
-            let violation = change(&mut world);
-            if world != *self || violation.is_some() {
-                next.push((world, violation));
+    fn successors(&self) -> Vec<(SystemState, Option<String>)> {
+        let mut successors = Vec::new();
+        let mut step = |change: &dyn Fn(&mut SystemState) -> Option<String>| {
+            let mut state = self.clone();
+            let violation = change(&mut state);
+            if state != *self || violation.is_some() {
+                successors.push((state, violation));
             }
         };
         for proxy in 0..self.proxies.len() {
             if self.proxies[proxy].stream.is_none() {
-                step(&|world| {
-                    world.dial(proxy);
-                    let failed_dials = world.proxies[proxy].failed_dials;
+                step(&|state| {
+                    state.dial(proxy);
+                    let failed_dials = state.proxies[proxy].failed_dials;
                     (failed_dials >= NAMES.len())
                         .then(|| format!("proxy {proxy} reached no governor in {failed_dials} dials"))
                 });
-            } else if self.left.breaks > 0 {
+            } else if self.remaining.breaks > 0 {
                 // The proxy abandons the stream of a stalled governor, whose tables may still arrive later.
-                step(&|world| {
-                    world.left.breaks -= 1;
-                    world.lose_stream(proxy);
-                    world.proxies[proxy].selector.connection_lost();
+                step(&|state| {
+                    state.remaining.breaks -= 1;
+                    state.lose_stream(proxy);
+                    state.proxies[proxy].selector.connection_lost();
                     None
                 });
             }
             let home = self.proxies[proxy].selector.home();
-            if self.proxies[proxy].stream.is_some() && self.governors[home].up && self.left.failbacks > 0 {
-                step(&|world| {
-                    world.left.failbacks -= 1;
-                    if world.proxies[proxy].selector.home_checked(NOW, true) {
-                        world.lose_stream(proxy);
+            if self.proxies[proxy].stream.is_some() && self.governors[home].up && self.remaining.failbacks > 0
+            {
+                step(&|state| {
+                    state.remaining.failbacks -= 1;
+                    if state.proxies[proxy].selector.home_checked(NOW, true) {
+                        state.lose_stream(proxy);
                     }
                     None
                 });
             }
-            for (to, order) in self.orders.iter().filter(|(to, _)| *to == proxy) {
-                step(&|world| world.deliver_order(*to, *order));
+            for (to, tables) in self.published.iter().filter(|(to, _)| *to == proxy) {
+                step(&|state| state.deliver_tables(*to, *tables));
             }
         }
         for governor in 0..NAMES.len() {
-            if self.governors[governor].up && self.left.crashes > 0 {
-                step(&|world| {
-                    world.left.crashes -= 1;
-                    world.governors[governor].up = false;
-                    for proxy in 0..world.proxies.len() {
-                        if world.proxies[proxy].stream == Some(governor) {
-                            world.proxies[proxy].stream = None;
+            if self.governors[governor].up && self.remaining.crashes > 0 {
+                step(&|state| {
+                    state.remaining.crashes -= 1;
+                    state.governors[governor].up = false;
+                    for proxy in 0..state.proxies.len() {
+                        if state.proxies[proxy].stream == Some(governor) {
+                            state.proxies[proxy].stream = None;
                         }
-                        world.proxies[proxy].failed_dials = 0;
+                        state.proxies[proxy].failed_dials = 0;
                     }
                     None
                 });
             }
             if !self.governors[governor].up {
-                step(&|world| {
-                    let epoch = world.governors[governor].epoch + 1;
+                step(&|state| {
+                    let epoch = state.governors[governor].epoch + 1;
                     let migrations = Migrations::new(epoch << 8);
-                    world.governors[governor] = Governor { up: true, epoch, version: 0, migrations };
-                    world.proxies.iter_mut().for_each(|proxy| proxy.failed_dials = 0);
+                    state.governors[governor] = Governor { up: true, epoch, version: 0, migrations };
+                    state.proxies.iter_mut().for_each(|proxy| proxy.failed_dials = 0);
                     None
                 });
             }
@@ -266,77 +269,77 @@
                 if self.proxies[proxy].stream != Some(governor) {
                     continue;
                 }
-                if self.left.decisions > 0 {
-                    step(&|world| {
-                        world.left.decisions -= 1;
-                        world.publish(governor, proxy);
+                if self.remaining.decisions > 0 {
+                    step(&|state| {
+                        state.remaining.decisions -= 1;
+                        state.publish(governor, proxy);
                         None
                     });
                 }
-                if self.left.offers > 0 {
-                    step(&|world| {
-                        world.left.offers -= 1;
-                        let name = world.proxies[proxy].name;
-                        world.governors[governor].migrations.offer(NOW, name, NAMES[1 - governor], vec![1]);
-                        world.carry_out_actions(governor);
+                if self.remaining.offers > 0 {
+                    step(&|state| {
+                        state.remaining.offers -= 1;
+                        let name = state.proxies[proxy].name;
+                        state.governors[governor].migrations.offer(NOW, name, NAMES[1 - governor], vec![1]);
+                        state.carry_out_actions(governor);
                         None
                     });
                 }
             }
         }
         for message in &self.messages {
-            step(&|world| {
-                world.deliver_message(message);
+            step(&|state| {
+                state.deliver_message(message);
                 None
             });
         }
-        next
+        successors
     }
 }
 
 /// Visits every reachable state. Returns the number of states, or the first violation.
-fn explore(budget: Budget, most: usize) -> Result<usize, String> {
-    let (mut seen, mut ahead) = (HashSet::new(), VecDeque::new());
-    let digest = |world: &World| {
+fn explore(budget: Budget, max_states: usize) -> Result<usize, String> {
+    let (mut visited, mut frontier) = (HashSet::new(), VecDeque::new());
+    let digest = |state: &SystemState| {
         use std::hash::{DefaultHasher, Hash, Hasher};
-        let (mut one, mut other) = (DefaultHasher::new(), DefaultHasher::new());
-        world.hash(&mut one);
-        (1, world).hash(&mut other);
-        (one.finish(), other.finish())
+        let (mut first_hasher, mut second_hasher) = (DefaultHasher::new(), DefaultHasher::new());
+        state.hash(&mut first_hasher);
+        (1, state).hash(&mut second_hasher);
+        (first_hasher.finish(), second_hasher.finish())
     };
-    let first = world(budget);
-    seen.insert(digest(&first));
-    ahead.push_back(first);
-    while let Some(world) = ahead.pop_front() {
-        for (next, violation) in world.next() {
+    let initial = initial_state(budget);
+    visited.insert(digest(&initial));
+    frontier.push_back(initial);
+    while let Some(state) = frontier.pop_front() {
+        for (next, violation) in state.successors() {
             if let Some(violation) = violation {
                 return Err(format!("{violation}\nin {next:#?}"));
             }
-            if seen.insert(digest(&next)) {
-                assert!(seen.len() <= most, "more states are reachable than expected");
-                ahead.push_back(next);
+            if visited.insert(digest(&next)) {
+                assert!(visited.len() <= max_states, "more states are reachable than expected");
+                frontier.push_back(next);
             }
         }
     }
-    Ok(seen.len())
+    Ok(visited.len())
 }
 
 #[test]
-fn no_order_is_applied_twice_or_out_of_order_and_no_proxy_is_stranded() {
+fn no_table_is_applied_twice_or_out_of_order_and_no_proxy_is_stranded() {
     // One proxy with many faults, then two proxies with fewer.
-    let few = Budget { proxies: 1, crashes: 1, breaks: 1, failbacks: 1, decisions: 0, offers: 1 };
-    let mut worlds = 0;
+    let one_proxy = Budget { proxies: 1, crashes: 1, breaks: 1, failbacks: 1, decisions: 0, offers: 1 };
+    let mut states = 0;
     for budget in [
-        few,
-        Budget { crashes: 2, failbacks: 0, ..few },
-        Budget { crashes: 0, breaks: 2, decisions: 2, offers: 0, ..few },
-        Budget { breaks: 0, failbacks: 0, offers: 2, ..few },
-        Budget { proxies: 2, breaks: 0, failbacks: 0, ..few },
-        Budget { proxies: 2, crashes: 0, failbacks: 0, decisions: 1, ..few },
+        one_proxy,
+        Budget { crashes: 2, failbacks: 0, ..one_proxy },
+        Budget { crashes: 0, breaks: 2, decisions: 2, offers: 0, ..one_proxy },
+        Budget { breaks: 0, failbacks: 0, offers: 2, ..one_proxy },
+        Budget { proxies: 2, breaks: 0, failbacks: 0, ..one_proxy },
+        Budget { proxies: 2, crashes: 0, failbacks: 0, decisions: 1, ..one_proxy },
     ] {
-        let more = explore(budget, 100_000).unwrap_or_else(|violation| panic!("{budget:?}: {violation}"));
-        println!("{more} states with {budget:?}");
-        worlds += more;
+        let count = explore(budget, 100_000).unwrap_or_else(|violation| panic!("{budget:?}: {violation}"));
+        println!("{count} states with {budget:?}");
+        states += count;
     }
-    assert!(worlds > 20_000, "only {worlds} states were explored");
+    assert!(states > 20_000, "only {states} states were explored");
 }
--- a/crates/membership/tests/simulated_network/mod.rs
+++ b/crates/membership/tests/simulated_network/mod.rs
@@ -45,16 +45,16 @@
     pub now: Duration,
     pub governors: Vec<Option<Membership>>,
     /// Links (from, to) that deliver no datagrams.
-    pub cut: BTreeSet<(usize, usize)>,
+    pub cut_links: BTreeSet<(usize, usize)>,
     /// How many of a thousand datagrams are lost.
     pub lost_per_mille: u64,
     /// How many of a thousand datagrams are delivered twice.
     pub duplicated_per_mille: u64,
     /// Governors that are not running at present.
     pub stalled: BTreeSet<usize>,
-    pub bytes: u64,
-    pub datagrams: u64,
-    pub longest: usize,
+    pub bytes_sent: u64,
+    pub datagrams_sent: u64,
+    pub longest_datagram: usize,
     pub events: Vec<ReportedEvent>,
     /// The governor that each proxy is connected to, if any.
     pub connected_to: BTreeMap<Arc<str>, Option<usize>>,
@@ -82,13 +82,13 @@
         let mut network = SimulatedNetwork {
             now: ms(100_000),
             governors: Vec::new(),
-            cut: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             lost_per_mille: 0,
             duplicated_per_mille: 0,
             stalled: BTreeSet::new(),
-            bytes: 0,
-            datagrams: 0,
-            longest: 0,
+            bytes_sent: 0,
+            datagrams_sent: 0,
+            longest_datagram: 0,
             events: Vec::new(),
             connected_to: BTreeMap::new(),
             moves: 0,
@@ -132,7 +132,7 @@
     }
 
     /// Whether a governor considers another one live.
-    pub fn sees(&self, governor: usize, other: usize) -> bool {
+    pub fn considers_live(&self, governor: usize, other: usize) -> bool {
         let governor = self.governors[governor].as_ref().expect("the governor is up");
         governor
             .members()
@@ -141,9 +141,9 @@
     }
 
     /// Whether all governors consider each other live.
-    pub fn all_see_each_other(&self) -> bool {
+    pub fn all_live(&self) -> bool {
         let all = 0..self.governors.len();
-        all.clone().all(|one| all.clone().all(|other| one == other || self.sees(one, other)))
+        all.clone().all(|from| all.clone().all(|to| from == to || self.considers_live(from, to)))
     }
 
     /// Connects a proxy to a governor.
@@ -157,13 +157,13 @@
     }
 
     /// Returns the number of proxies connected to each governor.
-    pub fn counts(&self) -> Vec<usize> {
+    pub fn proxy_counts(&self) -> Vec<usize> {
         let count = |governor| self.connected_to.values().filter(|at| **at == Some(governor)).count();
         (0..self.governors.len()).map(count).collect()
     }
 
     /// Returns the next pseudo-random number (splitmix64).
-    fn random(&mut self) -> u64 {
+    fn next_random(&mut self) -> u64 {
         self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.random_state;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -210,8 +210,8 @@
         while let Some(entry) = self.redirected.first_entry().filter(|entry| entry.key().0 <= self.now) {
             let RedirectedProxy { proxy, to } = entry.remove();
             // The destination may be down by now; the proxy then connects to the next governor that is up.
-            let mut in_order = (0..self.governors.len()).map(|step| (to + step) % self.governors.len());
-            if let Some(governor) = in_order.find(|governor| self.governors[*governor].is_some()) {
+            let mut candidates = (0..self.governors.len()).map(|step| (to + step) % self.governors.len());
+            if let Some(governor) = candidates.find(|governor| self.governors[*governor].is_some()) {
                 self.connect(&proxy, governor);
             }
         }
@@ -219,7 +219,9 @@
 
     fn carry_out_actions(&mut self, governor: usize) {
         let now = self.now;
-        while let Some(action) = self.governors[governor].as_mut().and_then(|one| one.next_action(now)) {
+        while let Some(action) =
+            self.governors[governor].as_mut().and_then(|membership| membership.next_action(now))
+        {
             match action {
                 Action::Send { address, datagram } => {
                     self.send(governor, usize::from(address.port()) - FIRST_PORT, &datagram);
@@ -242,16 +244,16 @@
     }
 
     fn send(&mut self, from: usize, to: usize, datagram: &[u8]) {
-        self.datagrams += 1;
-        self.bytes += datagram.len() as u64;
-        self.longest = self.longest.max(datagram.len());
-        let lost = self.random() % 1000 < self.lost_per_mille;
-        let duplicated = self.random() % 1000 < self.duplicated_per_mille;
-        if lost || self.cut.contains(&(from, to)) {
+        self.datagrams_sent += 1;
+        self.bytes_sent += datagram.len() as u64;
+        self.longest_datagram = self.longest_datagram.max(datagram.len());
+        let lost = self.next_random() % 1000 < self.lost_per_mille;
+        let duplicated = self.next_random() % 1000 < self.duplicated_per_mille;
+        if lost || self.cut_links.contains(&(from, to)) {
             return;
         }
         for _ in 0..if duplicated { 2 } else { 1 } {
-            let delay = ms(1 + self.random() % 30);
+            let delay = ms(1 + self.next_random() % 30);
             let arrival = self.arrival(self.now + delay);
             self.in_flight.insert(arrival, DatagramInFlight { to, datagram: datagram.to_vec() });
         }
