--- a/crates/daemon/src/migration.rs
+++ b/crates/daemon/src/migration.rs
@@ -65,12 +65,12 @@
 ) -> Result<MigratedProxy, MigrationError> {
     let state: ProxyState = ciborium::from_reader(transferred.bytes.as_slice())?;
     let report = match &state.report {
-        Some((age, report)) if Duration::from_millis(*age) + transferred.held_for < MAX_REPORT_AGE => {
+        Some((age, report)) if Duration::from_millis(*age) + transferred.age < MAX_REPORT_AGE => {
             Some(parameters.decode_report(report)?)
         }
         _ => None,
     };
-    let age = Duration::from_millis(state.age_millis).saturating_add(transferred.held_for);
+    let age = Duration::from_millis(state.age_millis).saturating_add(transferred.age);
     Ok(MigratedProxy {
         from: transferred.from.into(),
         state: complete_state(parameters, &state.tables)?,
--- a/crates/membership/src/migration.rs
+++ b/crates/membership/src/migration.rs
@@ -115,7 +115,7 @@
     /// The encoded state.
     pub bytes: Vec<u8>,
     /// Time since the first part of the state was received.
-    pub held_for: Duration,
+    pub age: Duration,
 }
 
 impl Migrations {
@@ -298,8 +298,8 @@
         if bytes.is_empty() {
             return None;
         }
-        let held_for = now.saturating_sub(offer.received_at);
-        Some(TransferredState { from: offer.from, bytes, held_for })
+        let age = now.saturating_sub(offer.received_at);
+        Some(TransferredState { from: offer.from, bytes, age })
     }
 
     fn expire(&mut self, now: Duration) {
--- a/crates/membership/src/migration/tests.rs
+++ b/crates/membership/src/migration/tests.rs
@@ -65,7 +65,7 @@
     assert_eq!(actions(&mut sender, ms(403)), [moved], "the proxy must be moved once");
     assert!(sender.is_unavailable(ms(404), "p") && !sender.is_unavailable(ms(4000), "p"));
     let state = receiver.proxy_connected(ms(500), "p").unwrap();
-    assert_eq!((state.bytes, state.held_for, state.from.as_str()), (bytes, ms(499), "g0"));
+    assert_eq!((state.bytes, state.age, state.from.as_str()), (bytes, ms(499), "g0"));
     assert_eq!(receiver.proxy_connected(ms(500), "p"), None);
 }
 
