--- a/crates/durable-store/src/frame.rs
+++ b/crates/durable-store/src/frame.rs
@@ -34,7 +34,7 @@
         /// Bytes from there to the end.
         lost_bytes: usize,
     },
-    /// The checksum of a record does not match: it, or a record before it, was changed after it was written.
+    /// The checksum of a record does not match, because the record or one before it changed after it was written.
     #[error(
         "the record at byte {offset} is not what was written (wrong checksum); the last {lost_bytes} bytes are ignored"
     )]
--- a/crates/durable-store/src/tests.rs
+++ b/crates/durable-store/src/tests.rs
@@ -85,7 +85,7 @@
             let disk = MemoryDisk::default();
             disk.inject_fault(call, fault);
             let states = run_writes(&disk);
-            // At most one write failed, so all others must be recovered.
+            // One fault fails at most one write. Unless that was the last write, its entries must be recovered.
             let (_, recovered) = Store::open(disk.after_crash(Unsynced::Lost)).unwrap();
             assert!(is_current(&recovered, &states), "call {call}, {fault:?}: {recovered:?}, of {states:?}");
             assert!(
--- a/crates/membership/src/members/gossip.rs
+++ b/crates/membership/src/members/gossip.rs
@@ -65,7 +65,7 @@
 
     /// Selects the updates to send with a message to `receiver`, of at most `max_bytes`: first an update that says the
     /// receiver is not alive, then those that were sent least often. The update about this governor is not among them,
-    /// since every message has it in [`Message::from`](crate::messages::Message::from).
+    /// since every message has it in its field `from`.
     pub(super) fn updates_for(&mut self, receiver: &str, max_bytes: usize) -> Vec<MemberUpdate> {
         let max_transmissions = self.settings.transmission_multiplier * self.log_of_members();
         let max_transmissions = max_transmissions.ceil() as u32;
