--- a/crates/deployment-config/src/lib.rs
+++ b/crates/deployment-config/src/lib.rs
@@ -1,5 +1,5 @@
-//! The object that describes a deployment to its governors: the simulator's first message and the platform's
-//! configuration file hold the same one, which is read here for both.
+//! Reads the settings object that describes a deployment to its governors. The simulator's first message and the
+//! platform's configuration file contain the same object.
 //!
 //! ```
 //! use wrenthread_deployment_config::{Fields, read};
@@ -27,15 +27,15 @@
 pub use fields::{FieldError, Fields};
 pub use read::read;
 
-/// What the object says: the decision module's settings, and the names that messages use.
+/// The contents of the settings object: the decision module's settings, and the names that messages use.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DeploymentConfig {
     /// The decision module's settings.
     pub settings: Settings,
-    /// The zones, in the order of their numbers.
+    /// Zone names, indexed by zone number.
     pub zone_names: Vec<String>,
-    /// The traffic classes, in the order of [`Settings::classes`].
+    /// Names of the traffic classes, in the order of [`Settings::classes`].
     pub class_names: Vec<String>,
-    /// The values of a load report, in the order of [`Settings::load_fields`].
+    /// Names of the values in a load report, in the order of [`Settings::load_fields`].
     pub load_field_names: Vec<String>,
 }
--- a/crates/deployment-config/src/read.rs
+++ b/crates/deployment-config/src/read.rs
@@ -16,12 +16,12 @@
 /// The platform's number for [`RetryPolicy::OnAnyFailure`], which is also the default.
 const RETRY_ON_ANY_FAILURE: u64 = 2;
 
-/// Reads the object that a governor is first given. Unknown fields are ignored, and absent ones have the value that
-/// stands for a deployment without them.
+/// Reads a deployment's settings object. Unknown fields are ignored. An absent field gets the value for a deployment
+/// without the feature that it configures.
 ///
 /// # Errors
 ///
-/// A class without its latency objective or request deadline, or that is no object; a section or a number of another
+/// A class is not an object, or has no latency objective or request deadline; or a section or a number is of another
 /// type.
 pub fn read(config: &Fields) -> Result<DeploymentConfig, FieldError> {
     let sections = Sections::read(config)?;
@@ -145,7 +145,7 @@
     meanings.collect()
 }
 
-/// None unless both the number of messages and their interval are stated.
+/// Reads the message limit: `None` unless both the number of messages and the interval are configured.
 fn message_limit(extra: &Fields) -> Result<Option<MessageLimit>, FieldError> {
     let messages = extra.optional(wire::MESSAGE_LIMIT, 0, Fields::count)? as usize;
     let interval = extra
@@ -170,12 +170,12 @@
     })
 }
 
-/// The texts of an array; anything else in it counts as the empty text.
+/// Returns the strings of an array, with the empty string in place of any other value.
 fn texts(values: &[Value]) -> Vec<String> {
     values.iter().map(|value| value.as_str().unwrap_or_default().to_string()).collect()
 }
 
-/// The names of an array of objects; the empty text where there is none.
+/// Returns the names of an array of objects, with the empty string for an object without a name.
 fn names(values: &[Value]) -> Vec<String> {
     values.iter().map(|value| value[wire::NAME].as_str().unwrap_or_default().to_string()).collect()
 }
--- a/crates/deployment-config/src/tests.rs
+++ b/crates/deployment-config/src/tests.rs
@@ -18,7 +18,7 @@
 
 #[test]
 fn names_are_in_the_order_of_what_they_name() {
-    let info = read_text(INFO).expect("it is complete");
+    let info = read_text(INFO).expect("valid settings");
     assert_eq!((info.zone_names, info.class_names), (vec!["a".into(), "b".into()], vec!["find".to_string()]));
     assert_eq!(info.load_field_names, ["queue", "latency_ms"]);
     assert_eq!(info.settings.load_fields, [LoadField::Queued, LoadField::ServiceMillis]);
@@ -56,10 +56,10 @@
     serde_json::from_str(COMPLETE).expect("JSON")
 }
 
-/// What is read of the complete object with the value at `pointer` replaced.
+/// Reads the complete object with the value at `pointer` replaced.
 fn replaced(pointer: &str, value: Value) -> Result<DeploymentConfig, FieldError> {
     let mut object = complete();
-    *object.pointer_mut(pointer).expect("it is there") = value;
+    *object.pointer_mut(pointer).expect("an existing field") = value;
     read_text(&object.to_string())
 }
 
@@ -129,12 +129,12 @@
 
 #[test]
 fn reads_every_field() {
-    assert_eq!(read_text(COMPLETE).expect("it is complete").settings, complete_settings());
+    assert_eq!(read_text(COMPLETE).expect("valid settings").settings, complete_settings());
 }
 
 #[test]
 fn absent_and_null_fields_take_their_defaults() {
-    assert_eq!(read_text("{}").expect("nothing is required").settings, default_settings());
+    assert_eq!(read_text("{}").expect("no field is required").settings, default_settings());
     let mut object = complete();
     for (name, value) in object.as_object_mut().expect("an object") {
         match value {
@@ -144,10 +144,10 @@
             value => *value = Value::Null,
         }
     }
-    assert_eq!(read_text(&object.to_string()).expect("nothing is required").settings, default_settings());
+    assert_eq!(read_text(&object.to_string()).expect("no field is required").settings, default_settings());
     let spare = r#"{"categories":[{"objective_us":1,"deadline_us":2,"worth":null,"key_ttl_us":null}]}"#;
     let class = class(Idempotency::NotIdempotent, 1, 2);
-    assert_eq!(read_text(spare).expect("it is complete").settings.classes, [class]);
+    assert_eq!(read_text(spare).expect("valid settings").settings.classes, [class]);
 }
 
 #[test]
@@ -187,15 +187,15 @@
         let name = pointer.rsplit('/').next().unwrap_or_default();
         for wrong in [Value::from("3"), Value::from(-1), Value::from(true)] {
             let error = replaced(pointer, wrong.clone()).expect_err(pointer).to_string();
-            assert_eq!(error, format!("`{name}` is not a number from 0 on"), "{wrong}");
+            assert_eq!(error, format!("`{name}` is not a non-negative number"), "{wrong}");
         }
     }
     for name in ["extra", "rules", "limits", "penalties", "report"] {
         let error = replaced(&format!("/{name}"), Value::from(3)).expect_err(name).to_string();
-        assert_eq!(error, format!("`{name}`, or an entry of it, is no object"));
+        assert_eq!(error, format!("`{name}` or one of its entries is not an object"));
     }
-    let error = replaced("/categories/1", Value::from("pay")).expect_err("no object").to_string();
-    assert_eq!(error, "`categories`, or an entry of it, is no object");
+    let error = replaced("/categories/1", Value::from("pay")).expect_err("not an object").to_string();
+    assert_eq!(error, "`categories` or one of its entries is not an object");
 }
 
 #[test]
@@ -250,11 +250,11 @@
     assert!(settings("/categories", Value::from(3)).classes.is_empty());
     assert!(settings("/report/fields", Value::from(3)).load_fields.is_empty());
     assert_eq!(
-        replaced("/categories/1/name", Value::from(3)).expect("it is read").class_names,
+        replaced("/categories/1/name", Value::from(3)).expect("valid settings").class_names,
         ["find", "", "log"]
     );
-    assert_eq!(replaced("/zones/0", Value::from(3)).expect("it is read").zone_names, ["", "b"]);
-    assert!(replaced("/zones", Value::from(3)).expect("it is read").zone_names.is_empty());
-    let load = replaced("/report/fields/3", Value::from(3)).expect("it is read").load_field_names;
+    assert_eq!(replaced("/zones/0", Value::from(3)).expect("valid settings").zone_names, ["", "b"]);
+    assert!(replaced("/zones", Value::from(3)).expect("valid settings").zone_names.is_empty());
+    let load = replaced("/report/fields/3", Value::from(3)).expect("valid settings").load_field_names;
     assert_eq!(load, ["inflight", "queue", "latency_ms", ""]);
 }
--- a/crates/deployment-config/src/wire.rs
+++ b/crates/deployment-config/src/wire.rs
@@ -1,4 +1,4 @@
-//! The names of the settings object's fields and values, as the simulator and the platform write them.
+//! Field names and values of the settings object, as the simulator and the platform write them.
 
 pub const GOVERNOR_COUNT: &str = "siblings";
 pub const ZONES: &str = "zones";
--- a/crates/discovery/src/http.rs
+++ b/crates/discovery/src/http.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 request on a connection of its own.
+//! Sends an HTTP/1.1 request on a new connection.
 
 use std::time::Duration;
 
@@ -13,9 +13,9 @@
 
 use crate::watch::WatchError;
 
-/// Discovery's agent is on the same machine: a connection that takes longer does not come up.
+/// The discovery agent runs on the same machine: a connection that takes longer is not going to be established.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// An empty line comes every two seconds, and a change must be known some seconds after discovery has it.
+/// The agent sends an empty line every two seconds, and changes must be received within a few seconds.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2800);
 
 /// The body of a response, with the task that drives its connection.
@@ -25,7 +25,7 @@
 }
 
 impl ResponseBody {
-    /// The next bytes; none at the end.
+    /// Returns the next bytes of the body, or `None` at its end.
     pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, WatchError> {
         let frame = timeout(SILENCE_TIMEOUT, self.body.frame()).await.map_err(|_| WatchError::Silent)?;
         match frame {
@@ -35,7 +35,7 @@
     }
 }
 
-/// Ends a connection's task with the response that uses it.
+/// Aborts a connection's task when the response that uses it is dropped.
 struct ConnectionTask {
     task: JoinHandle<()>,
 }
@@ -46,14 +46,14 @@
     }
 }
 
-/// Sends a GET request, and waits for the head of its response.
+/// Sends a GET request, and waits for the headers of the response.
 pub async fn get(address: &str, path: &str) -> Result<ResponseBody, WatchError> {
     let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = connected.map_err(|_| WatchError::ConnectTimeout)??;
     stream.set_nodelay(true)?;
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
     let task = tokio::task::spawn_local(async move {
-        // The body gives whatever ends the connection, too.
+        // The response body reports connection errors as well.
         let _ = connection.await;
     });
     let connection = ConnectionTask { task };
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,7 +1,7 @@
 //! Watches the platform's list of replicas over HTTP/1.1.
 //!
-//! [`watch_endpoints`] fetches a snapshot where one is needed, and watches for changes from its version on. What is in
-//! the events is the receiver's to read: it answers each with the version that it has then.
+//! [`watch_endpoints`] fetches a snapshot if the receiver needs one, then watches for changes after its version. Events
+//! are not parsed here: the receiver reads each one and answers with the version that it has afterwards.
 
 #![warn(missing_docs)]
 
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -1,4 +1,4 @@
-//! Keeps a watch up: one that breaks, is refused, never comes up or falls silent is started again.
+//! Watches the endpoint list, and reconnects when a watch fails, is refused, cannot connect or receives no data.
 
 use std::ops::ControlFlow;
 use std::time::Duration;
@@ -9,71 +9,71 @@
 
 use crate::http::{self, CONNECT_TIMEOUT, SILENCE_TIMEOUT};
 
-/// The first pause between connections; it doubles up to [`MAX_BACKOFF`].
+/// The first delay before reconnecting; it doubles up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// A list of some ten thousand entries. A longer one is not taken into memory, where it would be several times as
-/// large.
+/// The size of a list of about ten thousand entries. A longer one is not read, as its parsed form would take several
+/// times as much memory.
 const MAX_EVENT_BYTES: usize = 2 << 20;
-/// Where discovery serves the list.
+/// The path of the endpoint list on the agent's HTTP server.
 const ENDPOINTS_PATH: &str = "/registry/instances";
 
 /// Why a watch ended.
 #[derive(Debug, Error)]
 pub enum WatchError {
-    /// No connection came up in time.
+    /// The connection was not established in time.
     #[error("no connection within {CONNECT_TIMEOUT:?}")]
     ConnectTimeout,
-    /// Nothing came in time.
-    #[error("silent for {SILENCE_TIMEOUT:?}")]
+    /// No data was received in time.
+    #[error("no data received for {SILENCE_TIMEOUT:?}")]
     Silent,
     /// The connection was closed.
     #[error("closed")]
     Closed,
-    /// The receiver could not use all of an event.
+    /// All or part of an event was invalid.
     #[error("invalid event, fetching a snapshot")]
     InvalidEvent,
-    /// The receiver of events is gone.
-    #[error("no receiver")]
+    /// The receiver of events was dropped.
+    #[error("event receiver dropped")]
     ReceiverClosed,
     /// Discovery refused the request.
-    #[error("status {0}")]
+    #[error("HTTP status {0}")]
     Status(hyper::StatusCode),
-    /// An event is too long.
+    /// An event exceeds the maximum size.
     #[error("{0}")]
     EventTooLong(#[from] FrameTooLongError),
     /// The connection failed.
-    #[error("connection: {0}")]
+    #[error("connection failed: {0}")]
     Connection(#[from] std::io::Error),
-    /// HTTP failed.
+    /// The HTTP exchange failed.
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    /// The request could not be made.
-    #[error("request: {0}")]
+    /// The request could not be built.
+    #[error("invalid request: {0}")]
     Request(#[from] hyper::http::Error),
 }
 
-/// One event as it came.
+/// One event as received; it has not been parsed.
 pub struct WatchEvent {
     /// The number of the watcher that received it.
     pub watcher: u64,
-    /// A JSON object.
+    /// The event, which should be a JSON object.
     pub bytes: Vec<u8>,
-    /// Where the receiver sends the version that it has then; none if it needs a snapshot.
+    /// For the answer: the version that the receiver has after the event, or `None` if it needs a snapshot.
     pub known_version: oneshot::Sender<Option<u64>>,
 }
 
 /// Where a watcher sends its events.
 #[derive(Clone)]
 pub struct EventSender {
-    /// The watcher's number, which tells its events from other watchers'.
+    /// The watcher's number, which distinguishes its events from those of other watchers.
     pub watcher: u64,
     /// The receiver's queue.
     pub events: mpsc::Sender<WatchEvent>,
 }
 
 impl EventSender {
-    /// Sends an event. Gives the version that the receiver has after it.
+    /// Sends an event, and returns the version that the receiver has after it.
     async fn deliver(&self, bytes: Vec<u8>) -> Result<u64, WatchError> {
         let (known_version, version) = oneshot::channel();
         let event = WatchEvent { watcher: self.watcher, bytes, known_version };
@@ -83,8 +83,8 @@
     }
 }
 
-/// Watches discovery at `address` until it is dropped or nobody receives its events. `known_version` is the version
-/// that the receiver has, if any.
+/// Watches discovery at `address` until the future or the receiver of its events is dropped. `known_version` is the
+/// version that the receiver has, if any.
 pub async fn watch_endpoints(address: String, mut known_version: Option<u64>, sender: EventSender) {
     let mut backoff = MIN_BACKOFF;
     loop {
@@ -101,7 +101,7 @@
         if version_before.is_some() && known_version != version_before {
             backoff = MIN_BACKOFF;
         }
-        // A watch that goes on failing is not logged for ever.
+        // A watch that keeps failing is logged at debug level only, so as not to flood the log.
         if backoff < MAX_BACKOFF {
             tracing::info!(%address, %error, "discovery watch reconnecting");
         } else {
@@ -112,7 +112,7 @@
     }
 }
 
-/// Fetches the complete list, from whose version a watch may go on.
+/// Fetches the complete list, after whose version a watch can continue.
 async fn fetch_snapshot(
     address: &str,
     known_version: &mut Option<u64>,
@@ -130,7 +130,7 @@
     Ok(())
 }
 
-/// Watches for changes from a version on, for as long as the connection lasts.
+/// Watches for changes after a version, until the connection ends.
 async fn watch_changes(
     address: &str,
     from_version: u64,
@@ -147,7 +147,7 @@
             ControlFlow::Continue(())
         })?;
         for event in events {
-            // Unless the receiver can use the event, a snapshot is needed.
+            // A snapshot is needed unless the receiver accepts the event.
             *known_version = None;
             *known_version = Some(sender.deliver(event).await?);
         }
--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -1,4 +1,4 @@
-//! Watches against a stand-in agent on loopback that closes connections, falls silent, and sends invalid events.
+//! Tests watches against a fake agent on loopback that closes connections, stops sending, and sends invalid events.
 
 #![allow(
     clippy::unwrap_used,
@@ -18,7 +18,7 @@
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Accepts a connection, and reads its request's path.
+/// Accepts a connection, and returns it with the path of its request.
 async fn accept_request(listener: &TcpListener) -> (TcpStream, String) {
     let (mut stream, _) = listener.accept().await.unwrap();
     let mut request = Vec::new();
@@ -40,7 +40,7 @@
 /// Receives the next event, and answers it with this version.
 async fn next_event(events: &mut mpsc::Receiver<WatchEvent>, version: Option<u64>) -> String {
     let next = tokio::time::timeout(Duration::from_secs(10), events.recv()).await;
-    let event = next.expect("in time").expect("the watch goes on");
+    let event = next.expect("an event in time").expect("a running watch");
     event.known_version.send(version).unwrap();
     String::from_utf8(event.bytes).unwrap()
 }
@@ -57,14 +57,14 @@
             Some(41),
             EventSender { watcher: 1, events: sender },
         ));
-        // Events come in pieces, empty lines between them.
+        // Events arrive in several chunks, with empty lines between them.
         let (mut stream, path) = accept_request(&listener).await;
         assert_eq!(path, "/registry/instances?watch=1&from=41");
         stream.write_all(HEAD.as_bytes()).await.unwrap();
         send(&mut stream, "\n{\"index\":42}\n\n{\"index\":43}\n").await;
         assert_eq!(next_event(&mut events, Some(42)).await, "{\"index\":42}");
         assert_eq!(next_event(&mut events, Some(43)).await, "{\"index\":43}");
-        // The connection is closed; then the watch is refused; then it is silent, though open.
+        // The connection is closed; the next watch is refused; the one after it stays open but receives nothing.
         drop(stream);
         let (mut stream, path) = accept_request(&listener).await;
         assert_eq!(path, "/registry/instances?watch=1&from=43");
@@ -73,9 +73,13 @@
         silent.write_all(HEAD.as_bytes()).await.unwrap();
         let began = Instant::now();
         let (mut stream, path) = accept_request(&listener).await;
-        assert!(began.elapsed() < Duration::from_secs(4), "a silent watch is closed: {:?}", began.elapsed());
+        assert!(
+            began.elapsed() < Duration::from_secs(4),
+            "the watch without data was closed too late: {:?}",
+            began.elapsed()
+        );
         assert_eq!(path, "/registry/instances?watch=1&from=43");
-        // After an invalid event a snapshot is fetched, and watched from.
+        // After an invalid event, a snapshot is fetched and the watch continues from its version.
         stream.write_all(HEAD.as_bytes()).await.unwrap();
         send(&mut stream, "{\"ind\n").await;
         assert_eq!(next_event(&mut events, None).await, "{\"ind");
