--- a/crates/platform-protocol/src/decode.rs
+++ b/crates/platform-protocol/src/decode.rs
@@ -1,6 +1,6 @@
 //! Decodes the messages of proxies and collectors.
 //!
-//! Each field is checked. An invalid message gives nothing; those before and after it count.
+//! Every field is validated. An invalid message is discarded as a whole; those before and after it are used.
 
 mod fields;
 #[cfg(test)]
@@ -17,26 +17,27 @@
 
 use fields::{MAX_INTERVAL_MILLIS, MAX_REQUESTS_PER_SECOND, MessageFields, max_count};
 
-/// A mean latency may be this many times the longest request deadline: noise comes on top of what a client waits for.
+/// The largest valid mean latency, in multiples of the longest request deadline: a client waits no longer than the
+/// deadline, but measurement noise is added.
 const MAX_LATENCY_DEADLINES: f64 = 2.0;
-/// Values of a load report beyond it are invalid.
+/// The largest valid value in a load report.
 const MAX_LOAD: f64 = 1e9;
 
-/// What one message says.
+/// A decoded message.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
-    /// Asks for an answer.
+    /// A request for a reply.
     Ping,
-    /// The connection is a collector's.
+    /// Identifies the connection as a collector's.
     Collector {
-        /// The zone that it collects for.
+        /// The zone for which it collects reports.
         zone: usize,
     },
-    /// The connection is a proxy's stream.
+    /// Identifies the connection as a proxy's stream.
     ProxyConnected(ProxyConnection),
-    /// What the proxies of a zone observed at a replica.
+    /// Statistics of a zone's proxies about a replica.
     ReplicaStatistics(ReplicaStatistics),
-    /// Requests of a class that a proxy received.
+    /// Statistics of a proxy's requests of one class.
     DemandStatistics(DemandStatistics),
     /// A proxy has applied all messages up to a nonce.
     Acknowledged {
@@ -44,26 +45,26 @@
         proxy: ProxyId,
         /// The nonce of the acknowledgement request.
         nonce: u16,
-        /// The time that it took.
+        /// The latency that the proxy reports.
         latency: Duration,
     },
 }
 
-/// Why a message can't be used.
+/// Why a message is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// It is no JSON object, for the reason given. Nothing that follows on the connection can be relied on.
+    /// The message is not a JSON object, for the given reason. Later bytes on the connection can't be relied on either.
     #[error("not a message: {0}")]
     Unreadable(String),
     /// The field by this name is invalid.
     #[error("`{0}` is missing, of another type or out of range")]
     InvalidField(&'static str),
-    /// The field by this name refers to something unknown.
-    #[error("`{0}` names nothing that is known")]
+    /// The field by this name has a value that is not known.
+    #[error("`{0}` has an unknown value")]
     UnknownName(&'static str),
 }
 
-/// Decodes messages by the names that the deployment's configuration gives.
+/// Decodes messages, using the names in the deployment's configuration.
 pub struct Decoder {
     zones: BTreeMap<String, usize>,
     classes: BTreeMap<String, usize>,
@@ -73,7 +74,7 @@
 }
 
 impl Decoder {
-    /// A decoder for one deployment.
+    /// Creates a decoder for one deployment.
     pub fn new(config: &DeploymentConfig) -> Self {
         let deadlines = config.settings.classes.iter().map(|class| class.request_deadline);
         let longest_deadline = deadlines.max().unwrap_or(Duration::MAX);
@@ -86,11 +87,11 @@
         }
     }
 
-    /// Decodes one frame. `find_replica` gives the identifier of a replica that is known by this name.
+    /// Decodes one frame. `find_replica` returns the ID of the replica with this name, if it is known.
     ///
     /// # Errors
     ///
-    /// The frame is no message, or a field of it is invalid.
+    /// The frame is not a message, or one of its fields is invalid.
     pub fn decode(
         &self,
         frame: &[u8],
@@ -98,7 +99,7 @@
     ) -> Result<Message, DecodeError> {
         let message = match serde_json::from_slice(frame) {
             Ok(Value::Object(message)) => message,
-            Ok(_) => return Err(DecodeError::Unreadable("no object".into())),
+            Ok(_) => return Err(DecodeError::Unreadable("not an object".into())),
             Err(error) => return Err(DecodeError::Unreadable(error.to_string())),
         };
         let fields = MessageFields::new(&message);
@@ -146,7 +147,7 @@
         Ok(ReplicaStatistics { zone, replica, attempts, failed, mean_latency, interval, load })
     }
 
-    /// The mean latency of the attempts that succeeded, which must be stated if there were any.
+    /// The mean latency of the successful attempts, which is required if there were any.
     fn mean_latency(
         &self,
         fields: &MessageFields,
@@ -162,7 +163,7 @@
     fn demand_statistics(&self, fields: &MessageFields) -> Result<DemandStatistics, DecodeError> {
         let interval = fields.interval()?;
         let requests = fields.count(wire::TOTAL, max_count(interval))?;
-        // Requests that came in an earlier interval may fail in this one: more may fail than were received.
+        // Requests received in an earlier interval may fail in this one, so `failed` may exceed `requests`.
         let failed = fields.count(wire::FAILED, max_count(interval))?;
         let class = self.classes.get(fields.text(wire::CLASS)?).copied();
         let class = class.ok_or(DecodeError::UnknownName(wire::CLASS))?;
@@ -184,8 +185,8 @@
         }
     }
 
-    /// The load report's values in the settings' order, up to the first that is absent: absent is not 0, and what
-    /// follows would stand in its place.
+    /// The load report's values in the settings' order, up to the first absent one: it must not be read as 0, and later
+    /// values would be taken for it if it were skipped.
     fn load(&self, fields: &MessageFields) -> Result<Vec<f64>, DecodeError> {
         const INVALID: DecodeError = DecodeError::InvalidField(wire::LOAD_REPORT);
         let Some(report) = fields.get(wire::LOAD_REPORT) else { return Ok(Vec::new()) };
--- a/crates/platform-protocol/src/decode/tests.rs
+++ b/crates/platform-protocol/src/decode/tests.rs
@@ -9,7 +9,7 @@
     let config = config.as_object().expect("an object").clone();
     Decoder::new(
         &wrenthread_deployment_config::read(&wrenthread_deployment_config::Fields::new(&config))
-            .expect("it is complete"),
+            .expect("valid settings"),
     )
 }
 
@@ -36,7 +36,7 @@
     let Ok(Message::ReplicaStatistics(statistics)) = decode(&LOAD.replace("\"queue\":2", "\"qps\":2")) else {
         panic!("not decoded")
     };
-    assert!(statistics.load.is_empty(), "an absent value is not 0, nor another's");
+    assert!(statistics.load.is_empty(), "an absent value is neither read as 0 nor replaced by the next one");
 }
 
 #[test]
--- a/crates/platform-protocol/src/decode/wire.rs
+++ b/crates/platform-protocol/src/decode/wire.rs
@@ -1,4 +1,4 @@
-//! The platform's names of messages and their fields.
+//! The platform's names of messages and of their fields.
 
 pub const TYPE: &str = "@type";
 
--- a/crates/platform-protocol/src/frames.rs
+++ b/crates/platform-protocol/src/frames.rs
@@ -1,4 +1,4 @@
-//! Cuts bytes into frames, which end with LF.
+//! Splits bytes into frames, which end with LF.
 
 #[cfg(test)]
 mod tests;
@@ -7,27 +7,27 @@
 
 use thiserror::Error;
 
-/// A frame is longer than the limit.
+/// A frame exceeds the maximum length.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("a frame of over {limit} bytes")]
+#[error("frame longer than {limit} bytes")]
 pub struct FrameTooLongError {
-    /// The limit, in bytes.
+    /// The maximum length in bytes.
     pub limit: usize,
 }
 
-/// Holds the bytes of a frame whose end has not come yet.
+/// Buffers the bytes of an incomplete frame.
 #[derive(Debug, Default)]
 pub struct FrameBuffer {
     incomplete: Vec<u8>,
 }
 
 impl FrameBuffer {
-    /// Gives each frame that `bytes` completes to `handle_frame`, without its end; empty ones are left out. The rest is
-    /// dropped once `handle_frame` breaks.
+    /// Calls `handle_frame` with each frame that `bytes` completes, without its LF. Empty frames are skipped. Once
+    /// `handle_frame` breaks, the remaining bytes are dropped.
     ///
     /// # Errors
     ///
-    /// A frame of more than `limit` bytes, complete or not. The frames before it have been handled.
+    /// A frame, complete or not, is longer than `limit` bytes. The frames before it have been handled.
     pub fn push(
         &mut self,
         bytes: &[u8],
@@ -55,7 +55,7 @@
         Ok(())
     }
 
-    /// The bytes that wait for the end of their frame.
+    /// The bytes received so far of an incomplete frame.
     pub fn incomplete(&self) -> &[u8] {
         &self.incomplete
     }
--- a/crates/platform-protocol/src/lib.rs
+++ b/crates/platform-protocol/src/lib.rs
@@ -1,8 +1,8 @@
-//! The platform's protocol at a governor's address, without I/O or clock.
+//! The platform's protocol between a governor and its peers, without I/O or clock.
 //!
-//! Bytes are cut into frames ([`frames`]), frames become checked messages ([`decode`]), and what the decision module
-//! decides becomes the message that each stream is sent ([`outbox`]). The platform's own names of fields and messages
-//! stand in the modules `decode::wire` and `outbox::wire`, and nowhere else.
+//! Received bytes are split into frames ([`frames`]), frames are decoded into validated messages ([`decode`]), and the
+//! decision module's decisions are encoded as one message per stream ([`outbox`]). Only the modules `decode::wire` and
+//! `outbox::wire` contain the platform's names of messages and fields.
 
 #![warn(missing_docs)]
 
--- a/crates/platform-protocol/src/outbox.rs
+++ b/crates/platform-protocol/src/outbox.rs
@@ -1,8 +1,9 @@
-//! What each stream was sent and is to be sent: the decisions of one pull become at most one message to each proxy.
+//! Tracks what was sent on each stream, and encodes the decisions of one pull as at most one message to each proxy. A
+//! pull takes all decisions that the decision module has made so far.
 //!
-//! A proxy keeps over streams, and from other governors, which replicas are ejected; one that uses this governor's
-//! tables ignores the ejections of others. So a stream is sent the state of each replica in its tables, once,
-//! whether it is ejected or restored, and what changes from then on.
+//! A proxy remembers which replicas are ejected when its stream ends, also those ejected by other governors; while it
+//! uses this governor's tables, it ignores ejections by others. A stream is therefore sent the state of each replica in
+//! its tables once, whether the replica is ejected or restored, and only changes after that.
 
 mod builder;
 mod stream;
@@ -19,24 +20,24 @@
 use stream::{Admission, Stream};
 use wire::encode;
 
-/// Classes that a [`ClassSet`] has a bit for.
+/// The number of classes that a [`ClassSet`] has bits for.
 const MAX_CLASSES: usize = ClassSet::BITS as usize;
 
 type TableEntries = BTreeMap<ReplicaId, f64>;
 
-/// All of one governor's streams, and what is decided for them.
+/// The streams of one governor, and the decisions in force for them.
 pub struct Outbox {
     class_names: Vec<String>,
     default_admission: Admission,
     tables: BTreeMap<TableId, TableEntries>,
     ejected: BTreeSet<ReplicaId>,
-    /// By class; none where nothing was decided.
+    /// By class; `None` if no admission was decided.
     admissions: Vec<Option<Admission>>,
     streams: BTreeMap<ProxyId, Stream>,
     pending: PendingChanges,
 }
 
-/// What one pull changes.
+/// The changes of the current pull.
 #[derive(Default)]
 struct PendingChanges {
     entries: BTreeMap<TableId, TableEntries>,
@@ -44,13 +45,13 @@
     ejections: BTreeSet<ReplicaId>,
     admission_changed: bool,
     nonce: Option<u16>,
-    /// Something was decided, whether a stream is concerned or not.
+    /// Whether there was any decision, even one that affects no stream.
     any_decision: bool,
 }
 
 impl Outbox {
-    /// An outbox without streams. Proxies admit everything and retry by `default_retry_policy` until they are sent
-    /// something else.
+    /// Creates an outbox without streams. Proxies admit all requests and retry by `default_retry_policy` until they are
+    /// sent another admission.
     pub fn new(class_names: Vec<String>, default_retry_policy: RetryPolicy) -> Self {
         Outbox {
             admissions: vec![None; class_names.len()],
@@ -63,27 +64,28 @@
         }
     }
 
-    /// A stream of the proxy begins; what was known of an earlier one is forgotten.
+    /// Starts a stream for the proxy, and discards the state of an earlier one.
     pub fn proxy_connected(&mut self, proxy: ProxyId) {
         self.streams.insert(proxy, Stream::new(self.class_names.len()));
     }
 
-    /// The proxy's stream has ended.
+    /// Removes the proxy's stream, which has ended.
     pub fn proxy_disconnected(&mut self, proxy: ProxyId) {
         self.streams.remove(&proxy);
     }
 
-    /// Whether the proxy's acknowledgement is outstanding and claims no more time than has passed. It counts once.
+    /// Handles an acknowledgement. Returns whether the nonce was outstanding and the claimed latency is no longer than
+    /// the time since it was sent. Each acknowledgement counts only once.
     pub fn acknowledge(&mut self, now: Duration, proxy: ProxyId, nonce: u16, latency: Duration) -> bool {
         self.streams.get_mut(&proxy).is_some_and(|stream| stream.acknowledge(now, nonce, latency))
     }
 
-    /// When the oldest nonce was sent that the proxy has not acknowledged, of those sent after `last_received`.
+    /// When the oldest nonce was sent that the proxy has not acknowledged, among those sent after `last_received`.
     pub fn outstanding_since(&self, proxy: ProxyId, last_received: Duration) -> Option<Duration> {
         self.streams.get(&proxy)?.outstanding_since(last_received)
     }
 
-    /// Forgets replicas that are not `known` any more.
+    /// Discards the state of replicas that are no longer `known`.
     pub fn retain_replicas(&mut self, known: impl Fn(&ReplicaId) -> bool) {
         self.ejected.retain(&known);
         for stream in self.streams.values_mut() {
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Records one decision of a pull; those that concern no proxy's message are given back.
+    /// Records one decision of a pull. Decisions that are not sent to proxies are returned.
     pub fn record(&mut self, decision: Decision) -> Option<Decision> {
         self.pending.any_decision = true;
         match decision {
@@ -142,13 +144,13 @@
         self.pending.admission_changed = true;
     }
 
-    /// The classes of the set that exist; the empty set stands for all of them.
+    /// The classes of the set that exist; the empty set means all classes.
     fn existing_classes(&self, classes: ClassSet) -> ClassSet {
         let all = all_classes(self.class_names.len());
         if classes == 0 { all } else { classes & all }
     }
 
-    /// Ends a pull: gives the bytes of one message for each proxy concerned.
+    /// Ends a pull: calls `send` with the encoded message for each proxy that has changes.
     pub fn flush(&mut self, now: Duration, mut send: impl FnMut(ProxyId, Vec<u8>)) {
         let pending = std::mem::take(&mut self.pending);
         if !pending.any_decision {
@@ -175,12 +177,12 @@
     }
 }
 
-/// Whether the set holds a class, by its place. Classes that there are no bits for go with the last that has one.
+/// Whether the set contains the class with this index. Classes beyond the last bit share it.
 fn contains_class(classes: ClassSet, class: usize) -> bool {
     classes >> class.min(MAX_CLASSES - 1) & 1 == 1
 }
 
-/// The set of all classes; beyond 64 there are no bits for them.
+/// The set of all classes. Only the first 64 have bits of their own.
 fn all_classes(class_count: usize) -> ClassSet {
     if class_count >= MAX_CLASSES { ClassSet::MAX } else { (1 << class_count) - 1 }
 }
--- a/crates/platform-protocol/src/outbox/builder.rs
+++ b/crates/platform-protocol/src/outbox/builder.rs
@@ -1,4 +1,4 @@
-//! Builds the message that a stream is sent at the end of a pull.
+//! Builds the message to a stream at the end of a pull.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,10 +8,10 @@
 use super::wire::{ConfigPart, retry_policy_number};
 use super::{MAX_CLASSES, PendingChanges, TableEntries, all_classes, contains_class};
 
-/// Entries in a part at most, so that none comes near the size that a message may have.
+/// The maximum number of entries in a part, which keeps each part well below the maximum message size.
 const MAX_ENTRIES_PER_PART: usize = 2000;
 
-/// What is decided as a pull ends.
+/// The decisions in force and the changes of the pull that ends.
 pub(super) struct MessageBuilder<'a> {
     pub class_names: &'a [String],
     pub default_admission: Admission,
@@ -21,7 +21,7 @@
     pub pending: &'a PendingChanges,
 }
 
-/// Replicas whose ejection a stream is to be sent.
+/// Replicas whose ejection or restoration has to be sent on a stream.
 #[derive(Default)]
 struct EjectionChanges<'a> {
     ejected: Vec<&'a str>,
@@ -29,7 +29,7 @@
 }
 
 impl<'a> MessageBuilder<'a> {
-    /// The parts of the message that this stream is sent, and takes for sent.
+    /// Builds the parts of the stream's message, and records them in `stream` as sent.
     pub fn build(&self, stream: &mut Stream) -> Vec<ConfigPart<'a>> {
         let mut parts = Vec::new();
         let newly_assigned = std::mem::take(&mut stream.newly_assigned);
@@ -52,7 +52,7 @@
         parts
     }
 
-    /// A complete table has the proxy forget its admission fractions.
+    /// Resets admissions to the default, as the proxy does when it receives a complete table.
     fn reset_admissions(&self, admissions: &mut [Option<Admission>], classes: ClassSet) {
         for (class, admission) in admissions.iter_mut().enumerate() {
             if contains_class(classes, class) {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Admissions travel with each message: those in force that the proxy does not hold.
+    /// Adds the admissions in force that the proxy does not have yet. Every message includes them.
     fn push_admissions(&self, parts: &mut Vec<ConfigPart<'a>>, held: &mut [Option<Admission>]) {
         let mut changes: Vec<(Admission, ClassSet)> = Vec::new();
         for (class, (held, wanted)) in held.iter_mut().zip(self.admissions).enumerate().take(MAX_CLASSES) {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Replicas of the stream's tables whose ejection it was not sent as it stands now.
+    /// The replicas in the stream's tables whose current ejection state was not sent on it.
     fn ejection_changes(
         &self,
         stream: &mut Stream,
@@ -133,7 +133,7 @@
                 }
             }
         }
-        // Nobody knows which replicas are in tables that are not this governor's.
+        // Some classes use tables that are not this governor's. The replicas in those are unknown: all changes are sent.
         if stream.assigned_classes() != all_classes(self.class_names.len()) {
             for replica in &self.pending.ejections {
                 self.note_ejection(&mut changes, &mut stream.ejections, replica);
@@ -159,7 +159,7 @@
         }
     }
 
-    /// The names of these classes; none for all of them.
+    /// The names of these classes; `None` for all classes.
     fn class_names(&self, classes: ClassSet) -> Option<Vec<&'a str>> {
         if classes == all_classes(self.class_names.len()) {
             return None;
@@ -174,7 +174,7 @@
     }
 }
 
-/// Restored replicas go behind the tables, in the last part if it has none yet.
+/// Adds restored replicas after the tables: to the last part unless it already has some, or else as new parts.
 fn push_restored<'a>(parts: &mut Vec<ConfigPart<'a>>, restored: &[&'a str]) {
     for names in restored.chunks(MAX_ENTRIES_PER_PART) {
         if let Some(part) = parts.last_mut()
--- a/crates/platform-protocol/src/outbox/tests.rs
+++ b/crates/platform-protocol/src/outbox/tests.rs
@@ -1,4 +1,4 @@
-//! The bookkeeping against a small model of a proxy that applies messages as the protocol says.
+//! Tests the outbox against a small model of a proxy that applies messages as the protocol specifies.
 
 use proptest::prelude::*;
 use serde_json::Value;
@@ -11,7 +11,7 @@
 const CLASS_NAMES: [&str; 2] = ["find", "pay"];
 const DEFAULT_ADMISSION: (f64, u64) = (1.0, 0);
 
-/// What a proxy holds. Its tables are by group; none for the default table.
+/// The state of a proxy. Tables and admissions are by class; a table of `None` is the default table.
 #[derive(Default)]
 struct Proxy {
     tables: [Option<BTreeMap<String, f64>>; 2],
@@ -23,11 +23,11 @@
 
 impl Proxy {
     fn apply(&mut self, message: &[u8]) {
-        assert_eq!(message.last(), Some(&b'\n'), "a message ends with its last part");
+        assert_eq!(message.last(), Some(&b'\n'), "the last part ends with LF");
         let parts = message[..message.len() - 1].split(|byte| *byte == b'\n');
         let parts = parts.map(|part| serde_json::from_slice(part).expect("a part is JSON"));
         let parts: Vec<Value> = parts.collect();
-        assert!(parts.len() <= MAX_PARTS_PER_MESSAGE, "no part is over the bound in so small a fleet");
+        assert!(parts.len() <= MAX_PARTS_PER_MESSAGE, "a fleet of this size needs no second message");
         for (at, part) in parts.iter().enumerate() {
             assert_eq!(part["@type"], "CONFIG");
             assert_eq!(part["more"].as_bool().unwrap_or(false), at + 1 < parts.len());
@@ -71,7 +71,7 @@
     AssignTable(ProxyId, TableId, ClassSet),
     SetEjected(usize, bool),
     SetAdmission(ClassSet, u8),
-    /// The proxy has been elsewhere, where a replica was ejected and admission was reduced.
+    /// The proxy was connected to another governor, which ejected a replica and reduced admission.
     Reconnect(ProxyId, Option<usize>),
     Flush,
 }
@@ -97,7 +97,7 @@
     format!("r{at}")
 }
 
-/// Checks what proxies hold against what was decided.
+/// Checks the state of the proxies against the decisions in force.
 fn check(outbox: &Outbox, proxies: &[Proxy]) -> Result<(), TestCaseError> {
     for (number, stream) in &outbox.streams {
         let proxy = &proxies[usize::from(*number)];
@@ -152,7 +152,7 @@
                     let before: Vec<usize> = proxies.iter().map(|proxy| proxy.nonces.len()).collect();
                     outbox.flush(Duration::ZERO, |proxy, bytes| proxies[usize::from(proxy)].apply(&bytes));
                     let news = proxies.iter().zip(before).map(|(proxy, before)| proxy.nonces.len() - before);
-                    prop_assert!(news.max() <= Some(1), "a message has one nonce");
+                    prop_assert!(news.max() <= Some(1), "a message has at most one nonce");
                     check(&outbox, &proxies)?;
                 }
             }
@@ -183,13 +183,13 @@
     outbox.record(Decision::AssignTable { proxy: 0, table: 1, classes: 0 });
     outbox.record(Decision::RequestAcknowledgement(9));
     outbox.flush(sent, |_, _| {});
-    assert!(!outbox.acknowledge(later, 0, 8, Duration::from_secs(1)), "no such nonce");
-    assert!(!outbox.acknowledge(later, 0, 9, Duration::from_secs(3)), "it took longer than it has been");
+    assert!(!outbox.acknowledge(later, 0, 8, Duration::from_secs(1)), "unknown nonce");
+    assert!(!outbox.acknowledge(later, 0, 9, Duration::from_secs(3)), "claims more time than has passed");
     assert!(outbox.acknowledge(later, 0, 9, Duration::from_secs(1)));
-    assert!(!outbox.acknowledge(later, 0, 9, Duration::from_secs(1)), "answered already");
+    assert!(!outbox.acknowledge(later, 0, 9, Duration::from_secs(1)), "acknowledged already");
 }
 
-/// Guards against a shift out of range: classes beyond the 64 that a set has bits for go with the last of these.
+/// Guards against a shift out of range: a set has 64 bits, and classes beyond them share the last one.
 #[test]
 fn classes_beyond_the_bits_of_a_set_have_table_and_admission_of_the_last_that_has_one() {
     let names: Vec<String> = (0..70).map(|class| format!("c{class}")).collect();
@@ -205,7 +205,7 @@
     let parts = sent[0].split(|byte| *byte == b'\n').filter(|part| !part.is_empty());
     let parts: Vec<Value> = parts.map(|part| serde_json::from_slice(part).expect("JSON")).collect();
     let whole = parts.iter().find(|part| part["whole"] == true).expect("a complete table");
-    assert!(whole.get("classes").is_none(), "it is for all classes");
+    assert!(whole.get("classes").is_none(), "the table is for all classes");
     let reduced = parts.iter().find(|part| part["level"] == 0.5).expect("an admission");
     let expected: Vec<String> = (63..70).map(|class| format!("c{class}")).collect();
     assert_eq!(reduced["classes"], serde_json::json!(expected));
--- a/crates/platform-protocol/tests/golden.rs
+++ b/crates/platform-protocol/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The exact bytes that streams are sent, held against a file that the program wrote before its code was renamed.
+//! Compares the exact bytes sent on streams with a golden file.
 //!
 //! The platform reads these bytes: the file changes only if the protocol does.
 
@@ -28,7 +28,7 @@
     TableEntry { replica: replica.into(), weight }
 }
 
-/// Ends a pull, and appends its title and what each proxy is sent to the transcript.
+/// Ends a pull, and appends the title and each proxy's message to the transcript.
 fn record(transcript: &mut String, outbox: &mut Outbox, title: &str) {
     writeln!(transcript, "# {title}").unwrap();
     outbox.flush(Duration::ZERO, |proxy, bytes| {
@@ -36,7 +36,7 @@
     });
 }
 
-/// A message with every kind of part, and a later one that changes some of it.
+/// Appends a message with every kind of part, and a later one that changes some of them.
 fn record_every_part(transcript: &mut String) {
     let mut outbox = Outbox::new(class_names(), RetryPolicy::OnAnyFailure);
     outbox.proxy_connected(17);
@@ -73,7 +73,7 @@
     record(transcript, &mut outbox, "changes");
 }
 
-/// A linear congruential generator, so that the same decisions are drawn everywhere.
+/// A linear congruential generator, which generates the same decisions on every machine.
 struct Generator {
     state: u64,
 }
@@ -95,7 +95,7 @@
         entries
     }
 
-    /// Does one thing to the outbox, as often decisions as streams that come and go.
+    /// Connects or disconnects a proxy, or records a decision.
     fn act(&mut self, outbox: &mut Outbox, pull: u64) {
         match self.below(12) {
             0 => outbox.proxy_connected(self.below(6) as u16),
@@ -129,7 +129,7 @@
     }
 }
 
-/// The FNV-1a digest and the length of what 3,000 generated pulls send.
+/// Appends the FNV-1a digest and the length of the bytes that 3,000 generated pulls send.
 fn record_generated_pulls(transcript: &mut String) {
     let mut outbox = Outbox::new(class_names(), RetryPolicy::IfNotExecuted);
     let mut generator = Generator { state: 1 };
