--- a/crates/platform-governor/src/disconnect.rs
+++ b/crates/platform-governor/src/disconnect.rs
@@ -6,18 +6,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum DisconnectReason {
     /// The connection has ended; there is nothing left to close.
-    #[error("its connection ended")]
+    #[error("connection ended")]
     Ended,
-    /// Acknowledgements or reports are missing for too long.
+    /// Acknowledgements or reports have been missing for too long.
     #[error("silent")]
     Silent,
-    /// The proxy reads nothing.
+    /// The proxy does not read from the connection.
     #[error("send buffer full")]
     SendBufferFull,
     /// The proxy connected on a newer stream.
     #[error("replaced by a newer stream")]
     Replaced,
-    /// The proxy has a stream that was accepted after this one.
-    #[error("older than the stream it has")]
+    /// The proxy's current stream was accepted after this one.
+    #[error("older than the current stream")]
     StaleConnection,
 }
--- a/crates/platform-governor/src/endpoint_list.rs
+++ b/crates/platform-governor/src/endpoint_list.rs
@@ -1,6 +1,6 @@
-//! The endpoint list as discovery last gave it, with its version.
+//! The endpoint list last received from discovery, with its version.
 //!
-//! An invalid entry leaves the others in force, and what was known of its own replica.
+//! If an entry is invalid, the other entries are used, and the last valid entry of its replica stays in force.
 
 mod entry;
 #[cfg(test)]
@@ -21,25 +21,25 @@
 const SNAPSHOT: &str = "snapshot";
 const ENDPOINTS: &str = "endpoints";
 
-/// Why nothing of an event can be used.
+/// Why an event is invalid as a whole.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum EndpointListError {
-    /// The parser's reason.
+    /// The event is not valid JSON, for the parser's reason.
     #[error("not JSON: {0}")]
     Unreadable(String),
-    /// The name of the field.
+    /// The field by this name is missing or of another type.
     #[error("`{0}` is missing or of another type")]
     InvalidField(&'static str),
 }
 
-/// What an event changes.
+/// The changes made by an event.
 #[derive(Debug, PartialEq)]
 pub struct EndpointUpdate {
-    /// Valid entries, and for invalid ones what was known of them.
+    /// The valid entries, and the last valid ones in place of those that are invalid.
     pub entries: Vec<ReplicaEntry>,
     /// Whether replicas that are not among the entries are gone.
     pub scope: RosterScope,
-    /// Why entries were left out.
+    /// Why entries were rejected.
     pub invalid_entries: Vec<EntryError>,
 }
 
@@ -49,40 +49,40 @@
     zones: BTreeMap<String, usize>,
     version: Option<u64>,
     entries: BTreeMap<ReplicaId, ReplicaEntry>,
-    /// Something was left out that only a snapshot gives again.
+    /// Some data was rejected that only a snapshot contains again.
     needs_snapshot: bool,
     last_event_was_stale: bool,
 }
 
 impl EndpointList {
-    /// An empty list; zones are numbered in the order of their names.
+    /// Creates an empty list. Zones are numbered in the order of `zone_names`.
     pub fn new(zone_names: &[String]) -> Self {
         let zones = zone_names.iter().cloned().enumerate().map(|(index, name)| (name, index)).collect();
         EndpointList { zones, ..EndpointList::default() }
     }
 
-    /// The version that a watch may go on from; none while a snapshot is needed.
+    /// The version from which a watch can continue; `None` while a snapshot is needed.
     pub fn version(&self) -> Option<u64> {
         if self.needs_snapshot { None } else { self.version }
     }
 
-    /// Whether the last event was older than what is known.
+    /// Whether the last event was older than the list.
     pub fn last_event_was_stale(&self) -> bool {
         self.last_event_was_stale
     }
 
-    /// Discovery's numbering has started over: the next snapshot is taken whatever its version.
+    /// Accepts the next snapshot whatever its version, because discovery has restarted its numbering.
     pub fn restart_numbering(&mut self) {
         self.version = None;
         self.needs_snapshot = true;
     }
 
-    /// Applies one event as it came; see [`EndpointList::apply`].
+    /// Parses and applies one event; see [`EndpointList::apply`].
     ///
     /// # Errors
     ///
-    /// The event can't be used. The entries stay as they are, and a snapshot is needed, as whatever the event was to
-    /// give will not be given again.
+    /// The event is invalid. The entries stay as they are, and a snapshot is needed, as discovery does not send the
+    /// contents of the event again.
     pub fn apply_bytes(
         &mut self,
         event: &[u8],
@@ -96,14 +96,14 @@
         update
     }
 
-    /// Applies one event; `to_host_time` turns Unix time in seconds into the host's time.
+    /// Applies one event; `to_host_time` converts Unix time in seconds to the host's time.
     ///
-    /// Gives none for an event that is older than what is known: an agent may be behind the one before it, and
-    /// replicas that drain would come back.
+    /// Ignores an event that is older than the list, and returns `None`: an agent may lag behind the one used before,
+    /// and its old entries would make draining replicas ready again.
     ///
     /// # Errors
     ///
-    /// The event can't be used; nothing changed.
+    /// The event is invalid; nothing changed.
     pub fn apply(
         &mut self,
         event: &Value,
@@ -119,8 +119,8 @@
         }
         let scope = if is_snapshot { RosterScope::Complete } else { RosterScope::Changes };
         let update = self.read_entries(rows, scope, to_host_time);
-        // What an invalid entry of a change left out is in the next snapshot; fetching a snapshot again would bring the
-        // same invalid entry.
+        // If an entry of a change is invalid, a snapshot replaces it. If an entry of a snapshot is invalid, another
+        // snapshot would contain the same invalid entry.
         self.needs_snapshot = !is_snapshot && (self.needs_snapshot || !update.invalid_entries.is_empty());
         self.version = Some(version);
         self.store(&update);
@@ -142,7 +142,7 @@
                 Err(error) => {
                     entries.extend(reader.known_entry(row).cloned());
                     if !has_name(row) {
-                        // It may be any of those that are missing.
+                        // The entry may be that of any replica missing from the list.
                         scope = RosterScope::Changes;
                     }
                     invalid_entries.push(error);
--- a/crates/platform-governor/src/endpoint_list/entry.rs
+++ b/crates/platform-governor/src/endpoint_list/entry.rs
@@ -1,4 +1,4 @@
-//! One entry of the platform's list, read field by field.
+//! Reads the entries of the platform's endpoint list.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,13 +7,13 @@
 use thiserror::Error;
 use wrenthread::types::{Phase, ReplicaEntry, ReplicaId};
 
-/// A name that is longer is no name: it would be carried in every table.
+/// The longest valid name: names are sent in every table.
 const MAX_NAME_BYTES: usize = 256;
-/// Weights beyond it are invalid.
+/// The largest valid weight.
 const MAX_WEIGHT: f64 = 1e6;
-/// The weight of a removed entry that states none; nothing is sent to it.
+/// The weight of a removed entry that has none; no requests are sent to it.
 const REMOVED_WEIGHT: f64 = 1.0;
-/// The zone of a removed entry that states none.
+/// The zone of a removed entry that has none.
 const REMOVED_ZONE: usize = 0;
 
 /// The platform's field names.
@@ -23,24 +23,24 @@
 const WEIGHT: &str = "weight";
 const SINCE_MILLIS: &str = "since_ms";
 
-/// Why an entry was left out.
+/// Why an entry was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("`{field}` of {name}")]
+#[error("`{field}` of {name} is missing or invalid")]
 pub struct EntryError {
     /// The field that is missing, of another type or out of range.
     pub field: &'static str,
-    /// The entry's name as it came, valid or not.
+    /// The entry's name as received, valid or not.
     pub name: Value,
 }
 
-/// Reads entries against the zones and entries that are known.
+/// Reads entries, using the known zones and entries.
 pub(super) struct EntryReader<'a> {
     pub zones: &'a BTreeMap<String, usize>,
     pub known: &'a BTreeMap<ReplicaId, ReplicaEntry>,
 }
 
 impl<'a> EntryReader<'a> {
-    /// Reads one entry. An endpoint that goes away need not state again what is known of it.
+    /// Reads one entry. A draining or removed entry may omit the zone and the weight that are known already.
     pub fn read(
         &self,
         row: &Value,
@@ -59,7 +59,7 @@
         Ok(ReplicaEntry { id, phase, zone, weight, started_at })
     }
 
-    /// The known entry that an invalid one stands for.
+    /// The last valid entry of the same replica as an invalid one.
     pub fn known_entry(&self, row: &Value) -> Option<&'a ReplicaEntry> {
         self.known.get(row[NAME].as_str()?)
     }
@@ -71,7 +71,7 @@
     }
 }
 
-/// Whether a row states a name at all, be it a valid one or not.
+/// Whether a row has a name, valid or not.
 pub(super) fn has_name(row: &Value) -> bool {
     row[NAME].is_string()
 }
@@ -98,7 +98,7 @@
     stated.or(fallback.map(|entry| entry.weight))
 }
 
-/// Unix time in milliseconds; 0 for long ago.
+/// Unix time in milliseconds; 0 means long ago.
 fn since_millis(row: &Value) -> Option<f64> {
     match row.get(SINCE_MILLIS) {
         None => Some(0.0),
--- a/crates/platform-governor/src/endpoint_list/tests.rs
+++ b/crates/platform-governor/src/endpoint_list/tests.rs
@@ -7,7 +7,7 @@
 
 fn apply(list: &mut EndpointList, version: u64, snapshot: bool, rows: &[Value]) -> Option<EndpointUpdate> {
     let object = json!({"index": version, "snapshot": snapshot, "endpoints": rows});
-    list.apply(&object, |at| Some(Duration::from_secs_f64(at))).expect("it can be used")
+    list.apply(&object, |at| Some(Duration::from_secs_f64(at))).expect("a valid event")
 }
 
 fn names(change: &EndpointUpdate) -> Vec<(&str, Phase)> {
@@ -23,11 +23,11 @@
     let change = apply(&mut list, 2, true, &[invalid, row("r3", "up")]).expect("newer");
     assert_eq!(names(&change), [("r1", Phase::Ready), ("r3", Phase::Ready)]);
     assert!(change.scope == RosterScope::Complete && change.invalid_entries.len() == 1);
-    // An entry whose name can't be read may be any that is missing: nothing is taken for gone.
+    // An entry with an invalid name may be that of any missing replica: none is treated as gone.
     let change = apply(&mut list, 3, true, &[json!({"name": 3}), row("r3", "up")]).expect("newer");
     assert!(
         change.scope == RosterScope::Changes && list.version() == Some(3),
-        "another snapshot would be the same"
+        "another snapshot would contain the same invalid entry"
     );
 }
 
@@ -37,7 +37,7 @@
     apply(&mut list, 1, true, &[row("r1", "up")]);
     let invalid = apply(&mut list, 2, false, &[row("r1", "drained")]).expect("newer");
     assert_eq!((invalid.invalid_entries.len(), list.version()), (1, None));
-    let whole = apply(&mut list, 2, true, &[row("r1", "draining")]).expect("no older than what is known");
+    let whole = apply(&mut list, 2, true, &[row("r1", "draining")]).expect("not older than the list");
     assert_eq!((names(&whole), list.version()), (vec![("r1", Phase::Draining)], Some(2)));
 }
 
@@ -61,7 +61,7 @@
         list.apply_bytes(b"{\"index\":6,\"snapshot\":false}", |_| None),
         Err(EndpointListError::InvalidField("endpoints"))
     );
-    // What it was to give is not given again: no watch goes on before a snapshot came that is no older.
+    // The event's contents are not sent again: a snapshot that is not older is needed before a watch can continue.
     assert_eq!((list.version(), list.entries.len()), (None, 1));
     assert_eq!(apply(&mut list, 4, true, &[]), None);
     assert_eq!(apply(&mut list, 6, false, &[]).map(|change| change.scope), Some(RosterScope::Changes));
--- a/crates/platform-governor/src/governor.rs
+++ b/crates/platform-governor/src/governor.rs
@@ -15,39 +15,39 @@
 use crate::silence::{StreamActivity, silent_proxies};
 use crate::watch::{Watcher, WatcherId};
 
-/// How often streams are checked for silence, and replicas that are gone forgotten.
+/// How often streams are checked for silence, and replicas that are gone are discarded.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
-/// The decision module asks for its next tick itself, each time.
+/// The time to the next tick while the decision module has not scheduled one, which it does at each tick.
 const NO_TICK: Duration = Duration::from_secs(3600);
 
-/// The number of a connection, given by the host in the order of accepting.
+/// The number of a connection, assigned by the host in the order of accepting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// What the host is to do.
+/// An action that the host has to perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Send bytes on a stream, after those of earlier actions.
+    /// Send bytes on a stream, after the bytes of earlier actions.
     Send {
         /// The stream's connection.
         connection: ConnectionId,
-        /// One message, with its line ends.
+        /// One message, including its line ends.
         bytes: Vec<u8>,
     },
-    /// Close a connection: it is not a proxy's stream any more.
+    /// Close a connection that is no longer a proxy's stream.
     Close {
         /// The connection.
         connection: ConnectionId,
-        /// Whose stream it was.
+        /// The proxy whose stream it was.
         proxy: ProxyId,
         /// Why it is closed.
         reason: DisconnectReason,
     },
-    /// Start a watcher of discovery. The earlier one may go on for a while.
+    /// Start a watcher of discovery. The previous one may continue to run for a while.
     Watch {
         /// The watcher.
         watcher: WatcherId,
-        /// The version to watch from; none to fetch a snapshot first.
+        /// The version to watch from; `None` to fetch a snapshot first.
         from_version: Option<u64>,
     },
     /// [`PlatformGovernor::replica_names`] has changed.
@@ -61,7 +61,7 @@
     requests_per_second: f64,
 }
 
-/// One governor on the platform's protocol.
+/// A governor on the platform's protocol.
 pub struct PlatformGovernor {
     pub(crate) governor: Governor,
     outbox: Outbox,
@@ -77,7 +77,7 @@
 }
 
 impl PlatformGovernor {
-    /// A governor that knows no endpoints yet, and watches nothing.
+    /// Creates a governor without endpoints and without a watcher.
     pub fn new(config: &DeploymentConfig, now: Duration) -> Self {
         PlatformGovernor {
             governor: Governor::new(config.settings.clone(), now),
@@ -94,11 +94,11 @@
         }
     }
 
-    /// A connection identified itself as a proxy's stream.
+    /// Handles a connection that identified itself as a proxy's stream.
     pub fn proxy_connected(&mut self, now: Duration, connection: ConnectionId, proxy: ProxyConnection) {
         if let Some(newest) = self.connection_of(proxy.proxy) {
             if newest > connection {
-                // Its first message was held up while the proxy connected anew.
+                // The first message on this connection was delayed, and the proxy has reconnected since.
                 self.discard(DiscardReason::StaleConnection);
                 self.close(connection, proxy.proxy, DisconnectReason::StaleConnection);
                 return;
@@ -111,14 +111,14 @@
         self.governor.proxy_connected(now, proxy);
     }
 
-    /// A connection that identified itself as this proxy's stream has ended.
+    /// Handles the end of a connection that had identified itself as this proxy's stream.
     pub fn connection_ended(&mut self, connection: ConnectionId, proxy: ProxyId) {
         if self.is_newest(connection, proxy) {
             self.disconnect(proxy, DisconnectReason::Ended);
         }
     }
 
-    /// The proxy reads nothing: the connection's send buffer is full.
+    /// Handles a full send buffer: the proxy does not read from the connection.
     pub fn send_buffer_full(&mut self, connection: ConnectionId) {
         let mut streams = self.streams.iter();
         if let Some((&proxy, _)) = streams.find(|(_, stream)| stream.connection == connection) {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// A message came on a proxy's stream.
+    /// Handles a message on a proxy's stream.
     pub fn proxy_message(
         &mut self,
         now: Duration,
@@ -151,7 +151,7 @@
         }
     }
 
-    /// A collector forwarded a report, of whichever proxies.
+    /// Handles a report that a collector forwarded, from any proxies.
     pub fn collector_message(&mut self, now: Duration, message: Message) {
         match message {
             Message::ReplicaStatistics(statistics) => {
@@ -162,8 +162,8 @@
         }
     }
 
-    /// Does what has become due, and turns the module's decisions into actions. `last_received` gives the time at which
-    /// bytes last came on a connection, valid or not.
+    /// Runs the timers that are due, and converts the decision module's decisions to actions. `last_received` returns
+    /// the time at which bytes, valid or not, were last received on a connection.
     pub fn advance(&mut self, now: Duration, last_received: impl Fn(ConnectionId) -> Duration) {
         if now >= self.tick_at {
             self.tick_at = now + NO_TICK;
@@ -172,7 +172,7 @@
         if now >= self.housekeeping_at {
             let is_late = now > self.housekeeping_at + HOUSEKEEPING_INTERVAL;
             self.housekeeping_at = now + HOUSEKEEPING_INTERVAL;
-            // A governor that stood still has received nothing: what waits is read before the next check.
+            // After a stall, data may be waiting on connections: it is read before streams are checked for silence.
             if !is_late {
                 self.disconnect_silent_proxies(now, last_received);
             }
@@ -197,32 +197,32 @@
         });
     }
 
-    /// What the host is to do next.
+    /// Returns the next action that the host has to perform.
     pub fn next_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
-    /// When it wants to be advanced again, at the latest.
+    /// The latest time at which [`PlatformGovernor::advance`] must be called again.
     pub fn next_deadline(&self) -> Duration {
         self.tick_at.min(self.housekeeping_at)
     }
 
-    /// Replicas that the list has, or that the decision module still tracks.
+    /// Replicas that are in the endpoint list, or that the decision module still tracks.
     pub fn replica_names(&self) -> &BTreeSet<ReplicaId> {
         &self.replica_names
     }
 
-    /// The connection that is the proxy's stream.
+    /// The connection of the proxy's current stream.
     pub fn connection_of(&self, proxy: ProxyId) -> Option<ConnectionId> {
         self.streams.get(&proxy).map(|stream| stream.connection)
     }
 
-    /// What the decision module takes for true.
+    /// The decision module's estimate of the state.
     pub fn state_estimate(&self) -> StateEstimate {
         self.governor.state_estimate()
     }
 
-    /// How many inputs were discarded, by reason, since the last call.
+    /// The number of inputs discarded since the last call, by reason.
     pub fn take_discard_counts(&mut self) -> BTreeMap<DiscardReason, u64> {
         std::mem::take(&mut self.discarded)
     }
@@ -251,7 +251,7 @@
         let mut activities = Vec::with_capacity(self.streams.len());
         for (proxy, stream) in &self.streams {
             let received_at = last_received(stream.connection);
-            // Whether what it is to acknowledge has left or is stuck on its way: nothing is received either way.
+            // Messages that are still queued count as well: whether they were sent or are stuck, nothing is received.
             let outstanding_since = self.outbox.outstanding_since(*proxy, received_at);
             activities.push(StreamActivity {
                 proxy: *proxy,
@@ -265,7 +265,7 @@
         }
     }
 
-    /// Forgets replicas that the decision module no longer tracks.
+    /// Discards replicas that the decision module no longer tracks.
     fn forget_replicas(&mut self) {
         let governor = &self.governor;
         self.outbox.retain_replicas(|replica| governor.tracks(replica));
--- a/crates/platform-governor/src/lib.rs
+++ b/crates/platform-governor/src/lib.rs
@@ -1,15 +1,15 @@
 //! One governor on the platform's protocol, as a state machine without I/O or clock.
 //!
-//! What connections and discovery bring goes in with its time, the decision module is pulled, and what the host is to
-//! do comes out as [`Action`]s. Nothing is decided here.
+//! Inputs are events of connections and of discovery, each with its time. They are passed to the decision module, and
+//! its decisions are returned as [`Action`]s for the host. This crate makes no decisions of its own.
 //!
-//! A host calls the inputs as things happen, then [`PlatformGovernor::advance`], then
-//! [`PlatformGovernor::next_action`] until it gives `None`, and advances again no later than
-//! [`PlatformGovernor::next_deadline`]. Connections carry the number that the host gave them in the order of accepting,
-//! watchers of discovery the number that the governor gave them in the order of starting: input of a replaced one is
-//! recognised by its number, never by the order of arrival.
+//! The host calls an input method for each event, then [`PlatformGovernor::advance`], then
+//! [`PlatformGovernor::next_action`] until it returns `None`. It calls `advance` again no later than
+//! [`PlatformGovernor::next_deadline`]. The host numbers connections in the order of accepting, and the governor
+//! numbers watchers of discovery in the order of starting. Input from a replaced connection or watcher is recognised by
+//! its number, never by the order of arrival.
 //!
-//! All times are durations since the zero of the host's clock.
+//! All times are durations since the origin of the host's clock.
 
 #![warn(missing_docs)]
 
--- a/crates/platform-governor/src/silence.rs
+++ b/crates/platform-governor/src/silence.rs
@@ -1,4 +1,4 @@
-//! Which streams have fallen silent: those of machines that vanished keep their connections open.
+//! Detects silent streams: the connection of a machine that disappeared stays open.
 
 #[cfg(test)]
 mod tests;
@@ -7,26 +7,27 @@
 
 use wrenthread::types::ProxyId;
 
-/// An acknowledgement takes as long as entries wait in a channel that may run slower than it ought to.
+/// Acknowledgements are delayed while entries are queued in a channel, which may be slower than configured.
 pub(crate) const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(12);
-/// Requests that a silent proxy would have reported: chance alone misses none of so many once in a hundred thousand
-/// checks. A live proxy whose clients all went away at once loses its stream, and connects anew.
+/// The number of requests that the proxy should have reported while it was silent. In less than one of a hundred
+/// thousand checks, a live proxy receives none of this many by chance. A live proxy that loses all its clients at once
+/// loses its stream, and reconnects.
 const MIN_MISSED_REQUESTS: f64 = 12.0;
 
-/// What is known of one stream at a check.
+/// The activity on one stream at the time of a check.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct StreamActivity {
     pub proxy: ProxyId,
-    /// Time since bytes last came on the stream.
+    /// Time since bytes were last received on the stream.
     pub silent_for: Duration,
-    /// Time since the oldest acknowledgement request that nothing was received after.
+    /// Time since the oldest acknowledgement request after which nothing was received.
     pub unacknowledged_for: Option<Duration>,
-    /// The request rate that the proxy ordinarily receives.
+    /// The usual request rate of the proxy.
     pub requests_per_second: f64,
 }
 
 impl StreamActivity {
-    /// Whether the proxy would have had to send something by now.
+    /// Whether the proxy should have sent something by now.
     fn has_fallen_silent(&self, report_interval: Duration) -> bool {
         let timeout = ACKNOWLEDGEMENT_TIMEOUT + 2 * report_interval;
         if self.unacknowledged_for.is_some_and(|unacknowledged| unacknowledged > timeout) {
@@ -38,8 +39,8 @@
     }
 }
 
-/// The proxies that have fallen silent; none while fewer than half of all streams are active, as the cause then does not
-/// lie with each of them.
+/// The proxies that have fallen silent; none while fewer than half of all streams are active, as the cause is then
+/// unlikely to be the individual proxies.
 pub(crate) fn silent_proxies(streams: &[StreamActivity], report_interval: Duration) -> Vec<ProxyId> {
     let active = streams.iter().filter(|stream| stream.silent_for < ACKNOWLEDGEMENT_TIMEOUT).count();
     if 2 * active < streams.len() {
--- a/crates/platform-governor/src/silence/tests.rs
+++ b/crates/platform-governor/src/silence/tests.rs
@@ -12,8 +12,8 @@
         };
         stream.has_fallen_silent(Duration::from_millis(500))
     };
-    assert!(!has_fallen_silent(12, Some(12), 50.0), "acknowledgements may wait in a slow channel");
+    assert!(!has_fallen_silent(12, Some(12), 50.0), "acknowledgements may be delayed by a slow channel");
     assert!(has_fallen_silent(14, Some(14), 0.1), "an acknowledgement is outstanding");
-    assert!(has_fallen_silent(16, None, 6.0), "eighteen requests would have come");
-    assert!(!has_fallen_silent(60, None, 0.2), "nine would, and chance may miss them");
+    assert!(has_fallen_silent(16, None, 6.0), "eighteen requests are missing");
+    assert!(!has_fallen_silent(60, None, 0.2), "nine requests are missing, which may be chance");
 }
--- a/crates/platform-governor/src/watch.rs
+++ b/crates/platform-governor/src/watch.rs
@@ -1,4 +1,4 @@
-//! What the governor does with discovery: the endpoint list, and which watcher of it counts.
+//! Handles events of discovery: applies them to the endpoint list, and replaces watchers.
 
 use std::time::Duration;
 
@@ -7,11 +7,11 @@
 use crate::endpoint_list::{EndpointListError, EndpointUpdate};
 use crate::governor::{Action, PlatformGovernor};
 
-/// Discovery reaches each address within some seconds. An agent that gives older versions for longer is not behind:
-/// its numbering has started over.
+/// Changes reach every address within a few seconds. An agent that sends older versions for longer than this is not
+/// lagging: its numbering has restarted.
 const MAX_STALE: Duration = Duration::from_secs(20);
 
-/// The number of a watcher of discovery, in the order of starting.
+/// The number of a watcher of discovery, assigned in the order of starting.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WatcherId(pub u64);
 
@@ -19,27 +19,27 @@
 #[derive(Debug, Default)]
 pub(crate) struct Watcher {
     id: WatcherId,
-    /// It is to fetch a snapshot, and none has come.
+    /// It was told to fetch a snapshot, and none has arrived.
     requests_snapshot: bool,
-    /// Since when it has given nothing but older versions.
+    /// The time since which it has sent only older versions.
     stale_since: Option<Duration>,
 }
 
 impl Watcher {
-    /// Whether it has given nothing but older versions for too long.
+    /// Whether it has sent only older versions for too long.
     fn is_stale(&self, now: Duration) -> bool {
         self.stale_since.is_some_and(|since| now.saturating_sub(since) > MAX_STALE)
     }
 }
 
 impl PlatformGovernor {
-    /// Loads the list as this governor last had it, before any watch is started.
+    /// Loads the last endpoint list that this governor had, before a watch is started.
     ///
-    /// `to_host_time` turns Unix time in seconds into the host's time.
+    /// `to_host_time` converts Unix time in seconds to the host's time.
     ///
     /// # Errors
     ///
-    /// The list can't be used; nothing is known then.
+    /// The list is invalid, and nothing is loaded.
     pub fn load_known_endpoints(
         &mut self,
         now: Duration,
@@ -52,7 +52,7 @@
         Ok(())
     }
 
-    /// Starts a watcher from the version that is known: at the start, and where discovery's address has moved.
+    /// Starts a watcher from the known version. Called at the start, and when discovery's address has changed.
     pub fn start_watch(&mut self) {
         let from_version = self.endpoints.version();
         let id = WatcherId(self.watcher.id.0 + 1);
@@ -60,8 +60,8 @@
         self.actions.push_back(Action::Watch { watcher: id, from_version });
     }
 
-    /// Takes in one event of a watcher. Gives the version from which the watch may go on; none if a snapshot is to be
-    /// fetched.
+    /// Handles one event from a watcher. Returns the version from which the watch can continue, or `None` if a snapshot
+    /// has to be fetched.
     pub fn watch_event(
         &mut self,
         now: Duration,
@@ -72,7 +72,7 @@
         match self.endpoints.apply_bytes(bytes, to_host_time) {
             Ok(Some(update)) => self.update_replicas(now, update),
             Ok(None) => {}
-            Err(error) => tracing::warn!(%error, "invalid watch event, fetching a snapshot"),
+            Err(error) => tracing::warn!(%error, "invalid watch event; fetching a snapshot"),
         }
         let version = self.endpoints.version();
         if watcher == self.watcher.id {
@@ -83,16 +83,16 @@
                 None
             };
         } else if version.is_none() && !self.watcher.requests_snapshot {
-            // The present watcher started from a version that lies behind the invalid event.
+            // A previous watcher received the invalid event, and the current one is not fetching the snapshot needed.
             self.start_watch();
         }
         version
     }
 
-    /// Accepts whatever version comes next, once discovery has given older ones for too long.
+    /// Restarts the watch, and accepts any version, once discovery has sent only older ones for too long.
     pub(crate) fn check_watcher(&mut self, now: Duration) {
         if self.watcher.is_stale(now) {
-            tracing::warn!("discovery gives older versions only, accepting its numbering");
+            tracing::warn!("discovery sends only older versions; accepting its restarted numbering");
             self.endpoints.restart_numbering();
             self.start_watch();
         }
@@ -100,7 +100,7 @@
 
     fn update_replicas(&mut self, now: Duration, update: EndpointUpdate) {
         for error in &update.invalid_entries {
-            tracing::warn!(%error, "invalid discovery entry, keeping what was known");
+            tracing::warn!(%error, "invalid discovery entry; keeping the last valid one, if any");
         }
         let count = self.replica_names.len();
         self.replica_names.extend(update.entries.iter().map(|entry| entry.id.clone()));
--- a/crates/platform-governor/tests/driven/mod.rs
+++ b/crates/platform-governor/tests/driven/mod.rs
@@ -1,5 +1,5 @@
-//! A governor that is driven in its own time, with everything that it sends.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Runs a governor on simulated time, and records everything that it sends.
+#![allow(dead_code, reason = "each test file uses a part of this module")]
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,14 +10,14 @@
 use wrenthread_platform_governor::{Action, ConnectionId, PlatformGovernor, WatcherId};
 use wrenthread_platform_protocol::decode::Message;
 
-/// Later than any age that is subtracted from it.
+/// The initial time, later than any age that is subtracted from it.
 pub const START: Duration = Duration::from_secs(86_400);
-/// How far the governor's time moves at once.
+/// The step by which time advances.
 pub const STEP: Duration = Duration::from_millis(25);
 /// The zone that all proxies and replicas are in.
 pub const ZONE: &str = "a";
 
-/// A message to a proxy, its parts decoded.
+/// A message to a proxy, with its parts decoded.
 pub struct SentMessage {
     pub at: Duration,
     pub proxy: ProxyId,
@@ -25,7 +25,7 @@
 }
 
 impl SentMessage {
-    /// Whether it takes a replica out of the proxy's tables, or out of its choice.
+    /// Whether the message removes a replica from the proxy's tables, or ejects it.
     pub fn removes(&self, replica: &str) -> bool {
         let is_removed = |part: &Value| {
             let lines = part["lines"].as_array().into_iter().flatten();
@@ -36,7 +36,7 @@
         self.parts.iter().any(is_removed)
     }
 
-    /// The replicas that it gives weight.
+    /// The replicas to which the message assigns a weight above 0.
     pub fn weighted_replicas(&self) -> BTreeSet<String> {
         let lines = self.parts.iter().flat_map(|part| part["lines"].as_array().into_iter().flatten());
         let weighted = lines.filter(|line| line[1].as_f64().is_some_and(|weight| weight > 0.0));
@@ -74,7 +74,7 @@
         }
     }
 
-    /// A complete list, or changes of it.
+    /// Sends a complete list, or changes to it, from discovery.
     pub fn list(&mut self, is_snapshot: bool, rows: &[Value]) {
         self.list_version += 1;
         let event = json!({"index": self.list_version, "snapshot": is_snapshot, "endpoints": rows});
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Lets time pass; all that is sent is acknowledged at once.
+    /// Advances time by `span`; everything sent is acknowledged at once.
     pub fn run(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
--- a/crates/platform-governor/tests/message_limit.rs
+++ b/crates/platform-governor/tests/message_limit.rs
@@ -1,4 +1,4 @@
-//! The platform's limit on messages to a proxy within an interval, at its lowest values.
+//! Tests the lowest values of the platform's limit on messages to a proxy within an interval.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
 
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 
 const INTERVAL: Duration = Duration::from_secs(1);
-/// A tick and a step of the test's own.
+/// One tick of the governor and one step of the test.
 const SLACK: Duration = Duration::from_millis(300);
 const PROXIES: u16 = 6;
 
@@ -24,7 +24,7 @@
     })
 }
 
-/// Proxies join one after the other as replicas drain one after the other.
+/// Connects proxies one after another while replicas start draining one after another.
 fn run_joins_and_drains(messages: u64) -> (DrivenGovernor, Vec<(String, Duration)>) {
     let mut driven = DrivenGovernor::new(&read_config(&settings(messages)).unwrap());
     let names: Vec<String> = (1..=8).map(|number| format!("r{number}")).collect();
@@ -44,7 +44,7 @@
     (driven, drains)
 }
 
-/// Guards against a panic (0 divided by 0) at a limit of one or two messages.
+/// Guards against a panic (0 divided by 0) with a limit of one or two messages.
 #[test]
 fn keeps_the_limit_and_sends_tables_and_drains_at_one_two_and_three_messages() {
     for messages in 1..=3 {
@@ -56,10 +56,10 @@
                 assert!(span >= INTERVAL, "proxy {proxy}: {} messages in {span:?}", messages + 1);
             }
             let has_table = sent.iter().any(|message| !message.weighted_replicas().is_empty());
-            assert!(has_table || proxy % 2 == 0, "{messages}: proxy {proxy} was sent no table");
+            assert!(has_table || proxy % 2 == 0, "limit {messages}: proxy {proxy} was sent no table");
         }
         for (name, drained_at) in drains {
-            // A proxy whose first table came after the drain was never sent the replica.
+            // A proxy that was sent its first table after the drain never had the replica in it.
             let was_weighted = |proxy| {
                 let mut earlier = driven.sent.iter().filter(|message| message.at <= drained_at);
                 earlier.any(|message| message.proxy == proxy && message.weighted_replicas().contains(&name))
@@ -71,7 +71,7 @@
                 let delay = removed.map(|message| message.at - drained_at);
                 assert!(
                     delay.is_some_and(|delay| delay <= INTERVAL + SLACK),
-                    "{messages}: {name} left proxy {proxy}'s choice after {delay:?}"
+                    "limit {messages}: {name} was removed from proxy {proxy} after {delay:?}"
                 );
             }
         }
--- a/crates/platform-governor/tests/settings_edges.rs
+++ b/crates/platform-governor/tests/settings_edges.rs
@@ -1,4 +1,4 @@
-//! Any settings that are accepted drive a governor for some seconds without a panic, and every figure sent is a number.
+//! With any settings that are accepted, a governor runs for some seconds without a panic and sends only valid numbers.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
 
@@ -9,16 +9,16 @@
 use serde_json::{Map, Value, json};
 use wrenthread_platform_protocol::decode::{Decoder, Message};
 
-/// The largest count that is read.
+/// The largest count that is accepted.
 const LARGEST_COUNT: u64 = 8_999_999_999_999_999;
 
-/// A count at an edge, an ordinary one, or none.
+/// A count at an edge of the range, an ordinary one, or none.
 fn count() -> impl Strategy<Value = Option<Value>> {
     let edges = prop::sample::select(vec![0, 1, 2, 3, 4, 63, 64, 65, 1000, 1_000_000, LARGEST_COUNT]);
     prop::option::weighted(0.85, edges.prop_map(Value::from))
 }
 
-/// A number at an edge, an ordinary one, or none.
+/// A number at an edge of the range, an ordinary one, or none.
 fn number() -> impl Strategy<Value = Option<Value>> {
     let edges = prop::sample::select(vec![0.0, f64::MIN_POSITIVE, 1e-9, 0.3, 1.0, 2.5, 1e4, 1e18, f64::MAX]);
     prop::option::weighted(0.85, edges.prop_map(Value::from))
@@ -86,8 +86,8 @@
     )
 }
 
-/// What comes to the governor: how many replicas and proxies there are, and figures at an edge, of which the decoder lets
-/// pass what is in range.
+/// The governor's input: the number of replicas and of proxies, and figures at the edges of their ranges. The decoder
+/// rejects those that are out of range.
 #[derive(Debug, Clone)]
 struct Traffic {
     replicas: usize,
@@ -118,7 +118,7 @@
     )
 }
 
-/// Hands a governor what its decoder accepts.
+/// Sends a governor the messages that its decoder accepts.
 struct Peers {
     decoder: Decoder,
     traffic: Traffic,
@@ -161,7 +161,7 @@
     }
 }
 
-/// Whether all figures of a message are numbers in range: what is not a number is written as null.
+/// Whether all figures of a message are numbers in range. A NaN or an infinity is written as null.
 fn is_applicable(part: &Value) -> bool {
     let weights = part["lines"].as_array().into_iter().flatten();
     let mut weights = weights.map(|line| line[1].as_f64());
