--- a/crates/deployment-config/src/read.rs
+++ b/crates/deployment-config/src/read.rs
@@ -30,9 +30,9 @@
     let message_limit = message_limit(&sections.extra)?;
     Ok(DeploymentConfig {
         settings: settings(config, &sections, classes, load_fields(&report), message_limit)?,
-        zone_names: texts(config.array_or_empty(wire::ZONES)),
-        class_names: names(config.array_or_empty(wire::CLASSES)),
-        load_field_names: texts(report.array_or_empty(wire::LOAD_FIELDS)),
+        zone_names: strings(config.array_or_empty(wire::ZONES)),
+        class_names: object_names(config.array_or_empty(wire::CLASSES)),
+        load_field_names: strings(report.array_or_empty(wire::LOAD_FIELDS)),
     })
 }
 
@@ -136,13 +136,13 @@
 
 fn load_fields(report: &Fields) -> Vec<LoadField> {
     let fields = report.array_or_empty(wire::LOAD_FIELDS).iter();
-    let meanings = fields.map(|field| match field.as_str() {
+    let load_fields = fields.map(|field| match field.as_str() {
         Some(wire::LOAD_IN_FLIGHT) => LoadField::InFlight,
         Some(wire::LOAD_QUEUED) => LoadField::Queued,
         Some(wire::LOAD_SERVICE_MILLIS) => LoadField::ServiceMillis,
         _ => LoadField::Other,
     });
-    meanings.collect()
+    load_fields.collect()
 }
 
 /// Reads the message limit: `None` unless both the number of messages and the interval are configured.
@@ -171,11 +171,11 @@
 }
 
 /// Returns the strings of an array, with the empty string in place of any other value.
-fn texts(values: &[Value]) -> Vec<String> {
+fn strings(values: &[Value]) -> Vec<String> {
     values.iter().map(|value| value.as_str().unwrap_or_default().to_string()).collect()
 }
 
 /// Returns the names of an array of objects, with the empty string for an object without a name.
-fn names(values: &[Value]) -> Vec<String> {
+fn object_names(values: &[Value]) -> Vec<String> {
     values.iter().map(|value| value[wire::NAME].as_str().unwrap_or_default().to_string()).collect()
 }
--- a/crates/deployment-config/src/tests.rs
+++ b/crates/deployment-config/src/tests.rs
@@ -7,7 +7,7 @@
 
 use super::*;
 
-const INFO: &str = r#"{"categories":[{"name":"find","deadline_us":5000000,"objective_us":2000000}],
+const SMALL_CONFIG: &str = r#"{"categories":[{"name":"find","deadline_us":5000000,"objective_us":2000000}],
     "extra":{"agents":7,"update_cap":30,"messages_over_us":10000000},"zones":["a","b"],
     "report":{"fields":["queue","latency_ms"]},"new":{"x":[1]}}"#;
 
@@ -17,13 +17,16 @@
 }
 
 #[test]
-fn names_are_in_the_order_of_what_they_name() {
-    let info = read_text(INFO).expect("valid settings");
-    assert_eq!((info.zone_names, info.class_names), (vec!["a".into(), "b".into()], vec!["find".to_string()]));
-    assert_eq!(info.load_field_names, ["queue", "latency_ms"]);
-    assert_eq!(info.settings.load_fields, [LoadField::Queued, LoadField::ServiceMillis]);
+fn names_are_in_the_order_of_the_settings() {
+    let config = read_text(SMALL_CONFIG).expect("valid settings");
     assert_eq!(
-        info.settings.message_limit,
+        (config.zone_names, config.class_names),
+        (vec!["a".into(), "b".into()], vec!["find".to_string()])
+    );
+    assert_eq!(config.load_field_names, ["queue", "latency_ms"]);
+    assert_eq!(config.settings.load_fields, [LoadField::Queued, LoadField::ServiceMillis]);
+    assert_eq!(
+        config.settings.message_limit,
         Some(MessageLimit { messages: 30, interval: Duration::from_secs(10) })
     );
 }
@@ -31,7 +34,7 @@
 #[test]
 fn names_an_invalid_field_of_a_class() {
     assert_eq!(
-        read_text(&INFO.replace("deadline_us\":5000000", "deadline_us\":-1")),
+        read_text(&SMALL_CONFIG.replace("deadline_us\":5000000", "deadline_us\":-1")),
         Err(FieldError::NotWholeNumber("deadline_us".into()))
     );
     assert_eq!(read_text(r#"{"categories":[3]}"#), Err(FieldError::NotObject("categories".into())));
@@ -139,19 +142,20 @@
     for (name, value) in object.as_object_mut().expect("an object") {
         match value {
             Value::Object(section) if name != "report" => {
-                section.values_mut().for_each(|it| *it = Value::Null);
+                section.values_mut().for_each(|value| *value = Value::Null);
             }
             value => *value = Value::Null,
         }
     }
     assert_eq!(read_text(&object.to_string()).expect("no field is required").settings, default_settings());
-    let spare = r#"{"categories":[{"objective_us":1,"deadline_us":2,"worth":null,"key_ttl_us":null}]}"#;
+    let required_only =
+        r#"{"categories":[{"objective_us":1,"deadline_us":2,"worth":null,"key_ttl_us":null}]}"#;
     let class = class(Idempotency::NotIdempotent, 1, 2);
-    assert_eq!(read_text(spare).expect("valid settings").settings.classes, [class]);
+    assert_eq!(read_text(required_only).expect("valid settings").settings.classes, [class]);
 }
 
 #[test]
-fn a_field_of_another_type_is_named_and_not_taken_for_absent() {
+fn a_field_of_another_type_is_an_error_that_names_it() {
     let wrong_counts =
         [Value::from("3"), Value::from(-1), Value::from(2.5), Value::from(true), Value::from(1e16)];
     for pointer in [
@@ -199,7 +203,7 @@
 }
 
 #[test]
-fn required_fields_of_a_class_are_named_if_absent() {
+fn the_error_names_an_absent_required_field_of_a_class() {
     for name in ["objective_us", "deadline_us"] {
         let error = replaced(&format!("/categories/0/{name}"), Value::Null).expect_err(name);
         assert_eq!(error.to_string(), format!("`{name}` is not a whole number"));
@@ -207,7 +211,7 @@
 }
 
 #[test]
-fn the_first_wrong_field_in_the_order_of_reading_is_named() {
+fn the_error_names_the_first_invalid_field_in_reading_order() {
     let mut object = complete();
     object["extra"]["update_cap"] = Value::from("3");
     object["siblings"] = Value::from("3");
@@ -227,7 +231,7 @@
 }
 
 #[test]
-fn words_flags_and_lists_of_another_type_count_as_absent() {
+fn strings_booleans_and_arrays_of_another_type_count_as_absent() {
     let settings = |pointer: &str, value: Value| {
         replaced(pointer, value).unwrap_or_else(|error| panic!("{pointer}: {error}")).settings
     };
--- a/crates/discovery/src/http.rs
+++ b/crates/discovery/src/http.rs
@@ -16,7 +16,7 @@
 /// The discovery agent runs on the same machine: a connection that takes longer is not going to be established.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// The agent sends an empty line every two seconds, and changes must be received within a few seconds.
-pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2800);
+pub const IDLE_TIMEOUT: Duration = Duration::from_millis(2800);
 
 /// The body of a response, with the task that drives its connection.
 pub struct ResponseBody {
@@ -27,7 +27,7 @@
 impl ResponseBody {
     /// Returns the next bytes of the body, or `None` at its end.
     pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, WatchError> {
-        let frame = timeout(SILENCE_TIMEOUT, self.body.frame()).await.map_err(|_| WatchError::Silent)?;
+        let frame = timeout(IDLE_TIMEOUT, self.body.frame()).await.map_err(|_| WatchError::IdleTimeout)?;
         match frame {
             None => Ok(None),
             Some(frame) => Ok(Some(frame?.into_data().unwrap_or_default())), // trailers are ignored
@@ -58,8 +58,8 @@
     });
     let connection = ConnectionTask { task };
     let request = Request::get(path).header(header::HOST, address).body(Empty::<Bytes>::new())?;
-    let answered = timeout(SILENCE_TIMEOUT, sender.send_request(request)).await;
-    let response = answered.map_err(|_| WatchError::Silent)??;
+    let answered = timeout(IDLE_TIMEOUT, sender.send_request(request)).await;
+    let response = answered.map_err(|_| WatchError::IdleTimeout)??;
     if !response.status().is_success() {
         return Err(WatchError::Status(response.status()));
     }
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -7,7 +7,7 @@
 use tokio::sync::{mpsc, oneshot};
 use wrenthread_platform_protocol::frames::{FrameBuffer, FrameTooLongError};
 
-use crate::http::{self, CONNECT_TIMEOUT, SILENCE_TIMEOUT};
+use crate::http::{self, CONNECT_TIMEOUT, IDLE_TIMEOUT};
 
 /// The first delay before reconnecting; it doubles up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
@@ -25,8 +25,8 @@
     #[error("no connection within {CONNECT_TIMEOUT:?}")]
     ConnectTimeout,
     /// No data was received in time.
-    #[error("no data received for {SILENCE_TIMEOUT:?}")]
-    Silent,
+    #[error("no data received for {IDLE_TIMEOUT:?}")]
+    IdleTimeout,
     /// The connection was closed.
     #[error("closed")]
     Closed,
@@ -88,17 +88,17 @@
 pub async fn watch_endpoints(address: String, mut known_version: Option<u64>, sender: EventSender) {
     let mut backoff = MIN_BACKOFF;
     loop {
-        let version_before = known_version;
-        let ended = match known_version {
+        let previous_version = known_version;
+        let result = match known_version {
             None => fetch_snapshot(&address, &mut known_version, &sender).await,
             Some(version) => watch_changes(&address, version, &mut known_version, &sender).await,
         };
-        let error = match ended {
+        let error = match result {
             Ok(()) => continue,
             Err(WatchError::ReceiverClosed) => return,
             Err(error) => error,
         };
-        if version_before.is_some() && known_version != version_before {
+        if previous_version.is_some() && known_version != previous_version {
             backoff = MIN_BACKOFF;
         }
         // A watch that keeps failing is logged at debug level only, so as not to flood the log.
--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -30,17 +30,17 @@
 }
 
 async fn send(stream: &mut TcpStream, text: &str) {
-    for piece in text.as_bytes().chunks(3) {
-        stream.write_all(format!("{:x}\r\n", piece.len()).as_bytes()).await.unwrap();
-        stream.write_all(piece).await.unwrap();
+    for chunk in text.as_bytes().chunks(3) {
+        stream.write_all(format!("{:x}\r\n", chunk.len()).as_bytes()).await.unwrap();
+        stream.write_all(chunk).await.unwrap();
         stream.write_all(b"\r\n").await.unwrap();
     }
 }
 
 /// Receives the next event, and answers it with this version.
 async fn next_event(events: &mut mpsc::Receiver<WatchEvent>, version: Option<u64>) -> String {
-    let next = tokio::time::timeout(Duration::from_secs(10), events.recv()).await;
-    let event = next.expect("an event in time").expect("a running watch");
+    let received = tokio::time::timeout(Duration::from_secs(10), events.recv()).await;
+    let event = received.expect("an event in time").expect("a running watch");
     event.known_version.send(version).unwrap();
     String::from_utf8(event.bytes).unwrap()
 }
@@ -69,14 +69,14 @@
         let (mut stream, path) = accept_request(&listener).await;
         assert_eq!(path, "/registry/instances?watch=1&from=43");
         stream.write_all(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n").await.unwrap();
-        let (mut silent, _) = accept_request(&listener).await;
-        silent.write_all(HEAD.as_bytes()).await.unwrap();
-        let began = Instant::now();
+        let (mut idle, _) = accept_request(&listener).await;
+        idle.write_all(HEAD.as_bytes()).await.unwrap();
+        let started = Instant::now();
         let (mut stream, path) = accept_request(&listener).await;
         assert!(
-            began.elapsed() < Duration::from_secs(4),
+            started.elapsed() < Duration::from_secs(4),
             "the watch without data was closed too late: {:?}",
-            began.elapsed()
+            started.elapsed()
         );
         assert_eq!(path, "/registry/instances?watch=1&from=43");
         // After an invalid event, a snapshot is fetched and the watch continues from its version.
--- a/crates/platform-governor/src/governor.rs
+++ b/crates/platform-governor/src/governor.rs
@@ -18,7 +18,7 @@
 /// How often streams are checked for silence, and replicas that are gone are discarded.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
 /// The time to the next tick while the decision module has not scheduled one, which it does at each tick.
-const NO_TICK: Duration = Duration::from_secs(3600);
+const UNSCHEDULED_TICK_DELAY: Duration = Duration::from_secs(3600);
 
 /// The number of a connection, assigned by the host in the order of accepting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -88,7 +88,7 @@
             watcher: Watcher::default(),
             replica_names: BTreeSet::new(),
             discarded: BTreeMap::new(),
-            tick_at: now + NO_TICK,
+            tick_at: now + UNSCHEDULED_TICK_DELAY,
             housekeeping_at: now + HOUSEKEEPING_INTERVAL,
             actions: VecDeque::new(),
         }
@@ -166,7 +166,7 @@
     /// the time at which bytes, valid or not, were last received on a connection.
     pub fn advance(&mut self, now: Duration, last_received: impl Fn(ConnectionId) -> Duration) {
         if now >= self.tick_at {
-            self.tick_at = now + NO_TICK;
+            self.tick_at = now + UNSCHEDULED_TICK_DELAY;
             self.governor.tick();
         }
         if now >= self.housekeeping_at {
--- a/crates/platform-governor/src/silence/tests.rs
+++ b/crates/platform-governor/src/silence/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_stream_with_little_traffic_is_not_taken_for_silent() {
+fn a_stream_with_little_traffic_is_not_silent() {
     let second = Duration::from_secs(1);
     let has_fallen_silent = |silent_for: u32, unacknowledged_for: Option<u32>, requests_per_second| {
         let stream = StreamActivity {
--- a/crates/platform-governor/tests/driven/mod.rs
+++ b/crates/platform-governor/tests/driven/mod.rs
@@ -75,7 +75,7 @@
     }
 
     /// Sends a complete list, or changes to it, from discovery.
-    pub fn list(&mut self, is_snapshot: bool, rows: &[Value]) {
+    pub fn send_list(&mut self, is_snapshot: bool, rows: &[Value]) {
         self.list_version += 1;
         let event = json!({"index": self.list_version, "snapshot": is_snapshot, "endpoints": rows});
         self.governor.watch_event(self.now, WatcherId(1), event.to_string().as_bytes(), |_| None);
@@ -85,8 +85,8 @@
         self.connections += 1;
         let connection = ConnectionId(self.connections);
         self.proxies.insert(connection, proxy);
-        let joined = ProxyConnection { proxy, zone: 0, requests_per_second, holds_default_table };
-        self.governor.proxy_connected(self.now, connection, joined);
+        let connected = ProxyConnection { proxy, zone: 0, requests_per_second, holds_default_table };
+        self.governor.proxy_connected(self.now, connection, connected);
     }
 
     pub fn disconnect(&mut self, proxy: ProxyId) {
@@ -96,9 +96,9 @@
     }
 
     /// Advances time by `span`; everything sent is acknowledged at once.
-    pub fn run(&mut self, span: Duration) {
-        let until = self.now + span;
-        while self.now < until {
+    pub fn advance_by(&mut self, span: Duration) {
+        let end = self.now + span;
+        while self.now < end {
             self.now += STEP;
             self.advance();
         }
--- a/crates/platform-governor/tests/message_limit.rs
+++ b/crates/platform-governor/tests/message_limit.rs
@@ -29,24 +29,24 @@
     let mut driven = DrivenGovernor::new(&read_config(&settings(messages)).unwrap());
     let names: Vec<String> = (1..=8).map(|number| format!("r{number}")).collect();
     let up: Vec<Value> = names.iter().map(|name| replica(name, "up")).collect();
-    driven.list(true, &up);
+    driven.send_list(true, &up);
     let mut drains = Vec::new();
     for proxy in 0..PROXIES {
         driven.connect(proxy, 2.0, proxy % 2 == 0);
-        driven.run(Duration::from_millis(700));
+        driven.advance_by(Duration::from_millis(700));
         if let Some(name) = names.get(usize::from(proxy)).filter(|_| proxy < 4) {
             drains.push((name.clone(), driven.now));
-            driven.list(false, &[replica(name, "draining")]);
+            driven.send_list(false, &[replica(name, "draining")]);
         }
-        driven.run(Duration::from_millis(450));
+        driven.advance_by(Duration::from_millis(450));
     }
-    driven.run(5 * INTERVAL);
+    driven.advance_by(5 * INTERVAL);
     (driven, drains)
 }
 
 /// Guards against a panic (0 divided by 0) with a limit of one or two messages.
 #[test]
-fn keeps_the_limit_and_sends_tables_and_drains_at_one_two_and_three_messages() {
+fn limits_of_one_two_and_three_messages_are_kept_and_tables_and_drains_are_sent() {
     for messages in 1..=3 {
         let (driven, drains) = run_joins_and_drains(messages);
         for proxy in 0..PROXIES {
--- a/crates/platform-governor/tests/settings_edges.rs
+++ b/crates/platform-governor/tests/settings_edges.rs
@@ -64,9 +64,9 @@
 
 fn classes() -> impl Strategy<Value = Value> {
     let counts = prop_oneof![4 => 0usize..4, 1 => Just(64usize), 1 => Just(65usize), 1 => Just(130usize)];
-    (prop::collection::vec(class(), 4), counts).prop_map(|(kinds, count)| {
+    (prop::collection::vec(class(), 4), counts).prop_map(|(templates, count)| {
         let named = |index: usize| {
-            let mut class = kinds[index % kinds.len()].clone();
+            let mut class = templates[index % templates.len()].clone();
             class["name"] = json!(format!("c{index}"));
             class
         };
@@ -134,8 +134,8 @@
     fn connect(&self, driven: &mut DrivenGovernor, proxy: u16, holds_default_table: bool) {
         let message = json!({"@type": "SUBSCRIBE", "node": proxy, "locality": ZONE,
             "w": self.traffic.requests_per_second, "cold": holds_default_table});
-        if let Some(Message::ProxyConnected(joined)) = self.decode(driven, &message) {
-            driven.connect(joined.proxy, joined.requests_per_second, joined.holds_default_table);
+        if let Some(Message::ProxyConnected(connection)) = self.decode(driven, &message) {
+            driven.connect(connection.proxy, connection.requests_per_second, connection.holds_default_table);
         }
     }
 
@@ -172,28 +172,28 @@
 
 proptest! {
     #[test]
-    fn accepted_settings_neither_panic_nor_give_figures_that_are_none(settings in settings(), traffic in traffic()) {
+    fn accepted_settings_neither_panic_nor_send_invalid_numbers(settings in settings(), traffic in traffic()) {
         let Ok(config) = read_config(&settings) else { return Ok(()) };
         let peers = Peers { decoder: Decoder::new(&config), classes: config.class_names.len(), traffic };
         let mut driven = DrivenGovernor::new(&config);
         let replicas = peers.traffic.replicas;
         let up: Vec<Value> = (0..replicas).map(|number| replica(&format!("r{number}"), "up")).collect();
-        driven.list(true, &up);
+        driven.send_list(true, &up);
         for proxy in 0..peers.traffic.proxies {
             peers.connect(&mut driven, proxy, proxy % 2 == 0);
         }
         for second in 0..6 {
             peers.report(&mut driven);
-            driven.run(20 * STEP);
+            driven.advance_by(20 * STEP);
             if second == 2 && replicas > 0 {
-                driven.list(false, &[replica("r0", "draining")]);
+                driven.send_list(false, &[replica("r0", "draining")]);
                 driven.disconnect(0);
             }
             if second == 4 {
-                driven.list(true, &[]);
+                driven.send_list(true, &[]);
                 peers.connect(&mut driven, 0, false);
             }
-            driven.run(20 * STEP);
+            driven.advance_by(20 * STEP);
         }
         for message in &driven.sent {
             for part in &message.parts {
--- a/crates/platform-protocol/src/frames.rs
+++ b/crates/platform-protocol/src/frames.rs
@@ -41,8 +41,8 @@
             if self.incomplete.len() + piece.len() > limit {
                 return Err(FrameTooLongError { limit });
             }
-            let begun = std::mem::take(&mut self.incomplete);
-            let frame = if begun.is_empty() { piece } else { &[begun.as_slice(), piece].concat() };
+            let buffered = std::mem::take(&mut self.incomplete);
+            let frame = if buffered.is_empty() { piece } else { &[buffered.as_slice(), piece].concat() };
             let frame = frame.trim_ascii();
             if !frame.is_empty() && handle_frame(frame).is_break() {
                 return Ok(());
--- a/crates/platform-protocol/src/frames/tests.rs
+++ b/crates/platform-protocol/src/frames/tests.rs
@@ -1,22 +1,22 @@
 use super::*;
 use proptest::prelude::*;
 
-fn cut(pieces: &[&[u8]], most: usize) -> (Vec<Vec<u8>>, bool) {
-    let (mut frames, mut got) = (FrameBuffer::default(), Vec::new());
+fn split_frames(pieces: &[&[u8]], limit: usize) -> (Vec<Vec<u8>>, bool) {
+    let (mut frames, mut received) = (FrameBuffer::default(), Vec::new());
     let fits = pieces.iter().all(|piece| {
-        let pushed = frames.push(piece, most, |frame| {
-            got.push(frame.to_vec());
+        let pushed = frames.push(piece, limit, |frame| {
+            received.push(frame.to_vec());
             ControlFlow::Continue(())
         });
-        assert!(frames.incomplete().len() <= most);
+        assert!(frames.incomplete().len() <= limit);
         pushed.is_ok()
     });
-    (got, fits)
+    (received, fits)
 }
 
 proptest! {
     #[test]
-    fn any_split_of_the_bytes_gives_the_same_frames(
+    fn frames_do_not_depend_on_how_the_bytes_are_split(
         bytes in proptest::collection::vec(prop_oneof![Just(b'\n'), Just(b'\r'), any::<u8>()], 0..200),
         at in proptest::collection::vec(0usize..200, 0..8),
     ) {
@@ -28,12 +28,12 @@
             pieces.push(&bytes[from..at]);
             from = at;
         }
-        prop_assert_eq!(cut(&pieces, 64), cut(&[&bytes], 64));
+        prop_assert_eq!(split_frames(&pieces, 64), split_frames(&[&bytes], 64));
     }
 }
 
 #[test]
 fn rejects_a_frame_over_the_limit() {
-    assert_eq!(cut(&[b"{}\nab", b"cde"], 4), (vec![b"{}".to_vec()], false));
-    assert_eq!(cut(&[b"abcd\n"], 4), (vec![b"abcd".to_vec()], true));
+    assert_eq!(split_frames(&[b"{}\nab", b"cde"], 4), (vec![b"{}".to_vec()], false));
+    assert_eq!(split_frames(&[b"abcd\n"], 4), (vec![b"abcd".to_vec()], true));
 }
--- a/crates/platform-protocol/src/outbox.rs
+++ b/crates/platform-protocol/src/outbox.rs
@@ -136,9 +136,9 @@
 
     fn set_admission(&mut self, classes: ClassSet, admission: Admission) {
         let classes = self.existing_classes(classes);
-        for (class, held) in self.admissions.iter_mut().enumerate() {
+        for (class, current) in self.admissions.iter_mut().enumerate() {
             if contains_class(classes, class) {
-                *held = Some(admission);
+                *current = Some(admission);
             }
         }
         self.pending.admission_changed = true;
--- a/crates/platform-protocol/src/outbox/builder.rs
+++ b/crates/platform-protocol/src/outbox/builder.rs
@@ -62,7 +62,7 @@
     }
 
     fn push_complete_table(&self, parts: &mut Vec<ConfigPart<'a>>, table: TableId, classes: ClassSet) {
-        let entries = rows(self.tables.get(&table));
+        let entries = wire_entries(self.tables.get(&table));
         if entries.is_empty() {
             let class_names = self.class_names(classes);
             parts.push(ConfigPart { class_names, is_complete: true, ..ConfigPart::default() });
@@ -80,7 +80,7 @@
     }
 
     fn push_changed_entries(&self, parts: &mut Vec<ConfigPart<'a>>, table: TableId, classes: ClassSet) {
-        let entries = rows(self.pending.entries.get(&table));
+        let entries = wire_entries(self.pending.entries.get(&table));
         for entries in entries.chunks(MAX_ENTRIES_PER_PART) {
             let class_names = self.class_names(classes);
             parts.push(ConfigPart { class_names, entries: entries.to_vec(), ..ConfigPart::default() });
@@ -88,17 +88,17 @@
     }
 
     /// Adds the admissions in force that the proxy does not have yet. Every message includes them.
-    fn push_admissions(&self, parts: &mut Vec<ConfigPart<'a>>, held: &mut [Option<Admission>]) {
+    fn push_admissions(&self, parts: &mut Vec<ConfigPart<'a>>, sent: &mut [Option<Admission>]) {
         let mut changes: Vec<(Admission, ClassSet)> = Vec::new();
-        for (class, (held, wanted)) in held.iter_mut().zip(self.admissions).enumerate().take(MAX_CLASSES) {
-            let Some(wanted) = *wanted else { continue };
-            if *held == Some(wanted) {
+        for (class, (sent, decided)) in sent.iter_mut().zip(self.admissions).enumerate().take(MAX_CLASSES) {
+            let Some(decided) = *decided else { continue };
+            if *sent == Some(decided) {
                 continue;
             }
-            *held = Some(wanted);
-            match changes.iter_mut().find(|(admission, _)| *admission == wanted) {
+            *sent = Some(decided);
+            match changes.iter_mut().find(|(admission, _)| *admission == decided) {
                 Some((_, classes)) => *classes |= 1 << class,
-                None => changes.push((wanted, 1 << class)),
+                None => changes.push((decided, 1 << class)),
             }
         }
         for (admission, classes) in changes {
@@ -122,27 +122,27 @@
             let Some(entries) = self.tables.get(table) else { continue };
             if newly_assigned.contains(table) {
                 for replica in entries.keys() {
-                    self.note_ejection(&mut changes, &mut stream.ejections, replica);
+                    self.record_ejection(&mut changes, &mut stream.ejections, replica);
                 }
                 continue;
             }
             let changed = self.pending.entries.get(table).into_iter().flat_map(BTreeMap::keys);
             for replica in changed.chain(&self.pending.ejections) {
                 if entries.contains_key(replica) {
-                    self.note_ejection(&mut changes, &mut stream.ejections, replica);
+                    self.record_ejection(&mut changes, &mut stream.ejections, replica);
                 }
             }
         }
         // Some classes use tables that are not this governor's. The replicas in those are unknown: all changes are sent.
         if stream.assigned_classes() != all_classes(self.class_names.len()) {
             for replica in &self.pending.ejections {
-                self.note_ejection(&mut changes, &mut stream.ejections, replica);
+                self.record_ejection(&mut changes, &mut stream.ejections, replica);
             }
         }
         changes
     }
 
-    fn note_ejection(
+    fn record_ejection(
         &self,
         changes: &mut EjectionChanges<'a>,
         sent: &mut BTreeMap<ReplicaId, Ejection>,
@@ -187,6 +187,6 @@
     }
 }
 
-fn rows(entries: Option<&TableEntries>) -> Vec<(&str, f64)> {
+fn wire_entries(entries: Option<&TableEntries>) -> Vec<(&str, f64)> {
     entries.into_iter().flatten().map(|(replica, weight)| (&**replica, *weight)).collect()
 }
--- a/crates/platform-protocol/tests/golden.rs
+++ b/crates/platform-protocol/tests/golden.rs
@@ -96,7 +96,7 @@
     }
 
     /// Connects or disconnects a proxy, or records a decision.
-    fn act(&mut self, outbox: &mut Outbox, pull: u64) {
+    fn apply_random_step(&mut self, outbox: &mut Outbox, pull: u64) {
         match self.below(12) {
             0 => outbox.proxy_connected(self.below(6) as u16),
             1 => outbox.proxy_disconnected(self.below(6) as u16),
@@ -137,11 +137,11 @@
     let mut length = 0;
     for pull in 0..3000 {
         for _ in 0..1 + generator.below(6) {
-            generator.act(&mut outbox, pull);
+            generator.apply_random_step(&mut outbox, pull);
         }
         if pull % 50 == 49 {
-            let gone = format!("s-{}", generator.below(9));
-            outbox.retain_replicas(|replica| **replica != *gone);
+            let removed = format!("s-{}", generator.below(9));
+            outbox.retain_replicas(|replica| **replica != *removed);
         }
         outbox.flush(Duration::from_secs(pull), |proxy, bytes| {
             length += bytes.len();
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn orders_keep_their_bytes() {
+fn messages_equal_the_golden_file() {
     let mut transcript = String::new();
     record_every_part(&mut transcript);
     record_generated_pulls(&mut transcript);
