--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -59,7 +59,7 @@
     pub watcher: u64,
     /// The event, which should be a JSON object.
     pub bytes: Vec<u8>,
-    /// For the answer: the version that the receiver has after the event, or `None` if it needs a snapshot.
+    /// Takes the receiver's answer: the version that it has after the event, or `None` if it needs a snapshot.
     pub known_version: oneshot::Sender<Option<u64>>,
 }
 
@@ -112,7 +112,7 @@
     }
 }
 
-/// Fetches the complete list, after whose version a watch can continue.
+/// Fetches the complete list and delivers it. A watch can then continue from the receiver's version.
 async fn fetch_snapshot(
     address: &str,
     known_version: &mut Option<u64>,
@@ -130,7 +130,7 @@
     Ok(())
 }
 
-/// Watches for changes after a version, until the connection ends.
+/// Delivers the changes after a version, until the connection ends.
 async fn watch_changes(
     address: &str,
     from_version: u64,
--- a/crates/platform-governor/src/endpoint_list.rs
+++ b/crates/platform-governor/src/endpoint_list.rs
@@ -49,7 +49,7 @@
     zones: BTreeMap<String, usize>,
     version: Option<u64>,
     entries: BTreeMap<ReplicaId, ReplicaEntry>,
-    /// Some data was rejected that only a snapshot contains again.
+    /// Data was rejected that discovery sends again only in a snapshot.
     needs_snapshot: bool,
     last_event_was_stale: bool,
 }
--- a/crates/platform-governor/src/endpoint_list/entry.rs
+++ b/crates/platform-governor/src/endpoint_list/entry.rs
@@ -59,7 +59,7 @@
         Ok(ReplicaEntry { id, phase, zone, weight, started_at })
     }
 
-    /// The last valid entry of the same replica as an invalid one.
+    /// The last valid entry of the replica that an invalid row names.
     pub fn known_entry(&self, row: &Value) -> Option<&'a ReplicaEntry> {
         self.known.get(row[NAME].as_str()?)
     }
--- a/crates/platform-governor/src/governor.rs
+++ b/crates/platform-governor/src/governor.rs
@@ -15,9 +15,9 @@
 use crate::silence::{StreamActivity, silent_proxies};
 use crate::watch::{Watcher, WatcherId};
 
-/// How often streams are checked for silence, and replicas that are gone are discarded.
+/// How often streams are checked for silence and replicas that are gone are discarded.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
-/// The time to the next tick while the decision module has not scheduled one, which it does at each tick.
+/// The delay to the next tick until the decision module schedules one, as it does at each tick.
 const UNSCHEDULED_TICK_DELAY: Duration = Duration::from_secs(3600);
 
 /// The number of a connection, assigned by the host in the order of accepting.
--- a/crates/platform-governor/src/silence.rs
+++ b/crates/platform-governor/src/silence.rs
@@ -1,4 +1,4 @@
-//! Detects silent streams: the connection of a machine that disappeared stays open.
+//! Detects silent streams. The connection to a machine that disappears stays open.
 
 #[cfg(test)]
 mod tests;
@@ -7,11 +7,12 @@
 
 use wrenthread::types::ProxyId;
 
-/// Acknowledgements are delayed while entries are queued in a channel, which may be slower than configured.
+/// How long an acknowledgement may take. It waits for entries queued in the channel, which may be slower than
+/// configured.
 pub(crate) const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(12);
 /// The number of requests that the proxy should have reported while it was silent. In less than one of a hundred
-/// thousand checks, a live proxy receives none of this many by chance. A live proxy that loses all its clients at once
-/// loses its stream, and reconnects.
+/// thousand checks, a live proxy receives none where this many are expected. A live proxy that loses all its clients at
+/// once loses its stream, and reconnects.
 const MIN_MISSED_REQUESTS: f64 = 12.0;
 
 /// The activity on one stream at the time of a check.
--- a/crates/platform-governor/src/watch.rs
+++ b/crates/platform-governor/src/watch.rs
@@ -7,8 +7,8 @@
 use crate::endpoint_list::{EndpointListError, EndpointUpdate};
 use crate::governor::{Action, PlatformGovernor};
 
-/// Changes reach every address within a few seconds. An agent that sends older versions for longer than this is not
-/// lagging: its numbering has restarted.
+/// How long an agent may send only older versions. Changes reach every agent within a few seconds: one that sends older
+/// versions for longer is not lagging, but its numbering has restarted.
 const MAX_STALE: Duration = Duration::from_secs(20);
 
 /// The number of a watcher of discovery, assigned in the order of starting.
@@ -19,9 +19,9 @@
 #[derive(Debug, Default)]
 pub(crate) struct Watcher {
     id: WatcherId,
-    /// It was told to fetch a snapshot, and none has arrived.
+    /// It has to fetch a snapshot, and none has arrived.
     requests_snapshot: bool,
-    /// The time since which it has sent only older versions.
+    /// When it began to send only older versions; `None` if its last event was not older.
     stale_since: Option<Duration>,
 }
 
--- a/crates/platform-protocol/src/decode.rs
+++ b/crates/platform-protocol/src/decode.rs
@@ -35,9 +35,9 @@
     },
     /// Identifies the connection as a proxy's stream.
     ProxyConnected(ProxyConnection),
-    /// Statistics of a zone's proxies about a replica.
+    /// Statistics about a replica from the proxies of a zone.
     ReplicaStatistics(ReplicaStatistics),
-    /// Statistics of a proxy's requests of one class.
+    /// Statistics about the requests of a class that a proxy received.
     DemandStatistics(DemandStatistics),
     /// A proxy has applied all messages up to a nonce.
     Acknowledged {
@@ -185,8 +185,8 @@
         }
     }
 
-    /// The load report's values in the settings' order, up to the first absent one: it must not be read as 0, and later
-    /// values would be taken for it if it were skipped.
+    /// The load report's values in the settings' order, up to the first absent one. An absent value must not be read as
+    /// 0, and skipping it would shift the later values to wrong positions.
     fn load(&self, fields: &MessageFields) -> Result<Vec<f64>, DecodeError> {
         const INVALID: DecodeError = DecodeError::InvalidField(wire::LOAD_REPORT);
         let Some(report) = fields.get(wire::LOAD_REPORT) else { return Ok(Vec::new()) };
--- a/crates/platform-protocol/src/outbox.rs
+++ b/crates/platform-protocol/src/outbox.rs
@@ -1,7 +1,7 @@
 //! Tracks what was sent on each stream, and encodes the decisions of one pull as at most one message to each proxy. A
 //! pull takes all decisions that the decision module has made so far.
 //!
-//! A proxy remembers which replicas are ejected when its stream ends, also those ejected by other governors; while it
+//! A proxy keeps its set of ejected replicas when a stream ends, including those that other governors ejected. While it
 //! uses this governor's tables, it ignores ejections by others. A stream is therefore sent the state of each replica in
 //! its tables once, whether the replica is ejected or restored, and only changes after that.
 
