--- a/crates/core/src/guard/checks.rs
+++ b/crates/core/src/guard/checks.rs
@@ -1,4 +1,4 @@
-//! A change of tables, checked step by step as the state that all proxies would be in after it.
+//! Checks a change of tables step by step, as the state that all proxies would be in after it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,41 +10,42 @@
 
 use super::Guard;
 use super::capacity::Overload;
-use super::limits::{AT_ONCE, HELD_FOR, MAX_PASSES, MIN_WEIGHT};
+use super::limits::{MAX_HOLD_BACK, MAX_PASSES, MAX_SHIFTED_FRACTION, MIN_WEIGHT_FRACTION};
 use super::refusals::{Finding, RefusalOutcome, RefusalReason};
 use super::repair::{SingleTableCheck, has_route, last_good_table, last_resort_table, route_count};
 
 /// How much of all traffic one change may move to other replicas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShiftLimit {
-    /// As much as it takes: the roster changed, a proxy came or went, a replica was ejected, an operator spoke.
+    /// No limit: the cause requires the shift, such as a change of the roster, a proxy that connected or
+    /// disconnected, an ejection, or an operation of an operator.
     Unlimited,
-    /// At most [`AT_ONCE`], as nothing asks for more.
+    /// At most [`MAX_SHIFTED_FRACTION`], because no event requires more.
     Limited,
 }
 
-/// A table on its way to a proxy.
+/// A table that is to be published to a proxy.
 #[derive(Debug, Clone)]
 pub struct ProposedTable<'a> {
-    /// The proxy that it is for.
+    /// The proxy that the table is for.
     pub proxy: ProxyId,
     /// That proxy's zone.
     pub zone: usize,
-    /// The traffic class that it is for.
+    /// The traffic class that the table is for.
     pub class: usize,
-    /// What the proxy holds, if it was sent anything.
+    /// The table that the proxy holds; none if it was sent none.
     pub held: Option<&'a Table>,
     /// The proxy's own default table.
     pub default_table: &'a [(ReplicaId, f64)],
-    /// The table that it should hold.
+    /// The table to be published.
     pub wanted: Table,
 }
 
-/// Changes under check, and what becomes of them.
+/// A check in progress: the changes, and the tables and findings so far.
 struct Check<'a, Open> {
     now: Duration,
     roster: &'a Roster,
-    /// Whether a replica may be sent to.
+    /// Whether a replica may get requests.
     open: &'a Open,
     changes: &'a [ProposedTable<'a>],
     /// In the order of the changes.
@@ -53,7 +54,8 @@
 }
 
 impl Guard {
-    /// Checks a change as the state that all proxies are in after it: the tables that may be published, in order.
+    /// Checks changes as the state that all proxies would be in after them, and returns the tables that may
+    /// be published, in the order of the changes.
     pub fn check(
         &mut self,
         now: Duration,
@@ -62,7 +64,7 @@
         shift_limit: ShiftLimit,
         mut changes: Vec<ProposedTable>,
     ) -> Vec<Table> {
-        if self.off {
+        if self.disabled {
             return changes.into_iter().map(|change| change.wanted).collect();
         }
         let follows = self.follows_ejections(now, roster, &ejected);
@@ -90,9 +92,9 @@
     }
 
     fn check_each_table<Open: Fn(&ReplicaId) -> bool>(&self, check: &mut Check<'_, Open>) {
-        for (place, change) in check.changes.iter().enumerate() {
+        for (index, change) in check.changes.iter().enumerate() {
             let single = SingleTableCheck {
-                place,
+                index,
                 change,
                 same_zone_only: self.limits.is_same_zone_only(change.class),
                 roster: check.roster,
@@ -104,7 +106,8 @@
         }
     }
 
-    /// What does not fit the channel waits: the first changes are carried out, the rest keep what they hold.
+    /// Limits the number of entries to what the channel can carry: the first changes are carried out, and the
+    /// other proxies keep their current tables for now.
     fn defer_excess_entries<Open: Fn(&ReplicaId) -> bool>(&self, check: &mut Check<'_, Open>) {
         let limit = self.limits.max_entries;
         let entries: usize = check.tables.iter().map(|table| table.entries.len()).sum();
@@ -112,33 +115,39 @@
             return;
         }
         let mut capacity = limit;
-        for place in 0..check.changes.len() {
-            capacity -= check.tables[place].entries.len() as f64;
+        for index in 0..check.changes.len() {
+            capacity -= check.tables[index].entries.len() as f64;
             if capacity >= 0.0 {
                 continue;
             }
-            if let Some(held) = self.last_good(check, place) {
-                check.find(place, RefusalReason::Lines, RefusalOutcome::Kept, entries as f64, limit);
-                check.tables[place] = held;
+            if let Some(held) = self.last_good(check, index) {
+                check.add_finding(
+                    index,
+                    RefusalReason::TooManyEntries,
+                    RefusalOutcome::Kept,
+                    entries as f64,
+                    limit,
+                );
+                check.tables[index] = held;
             }
         }
     }
 
-    /// Holds back a change that moves too much at once, until it has been held back for long enough.
+    /// Holds back a change that moves too much traffic at once, for at most [`MAX_HOLD_BACK`].
     fn hold_back_shift<Open: Fn(&ReplicaId) -> bool>(&self, check: &mut Check<'_, Open>) {
         let shifted = self.ledger.shifted_fraction(check.changes, &check.tables);
-        let too_much = shifted > AT_ONCE;
+        let too_much = shifted > MAX_SHIFTED_FRACTION;
         if !too_much {
             return;
         }
-        for (place, change) in check.changes.iter().enumerate() {
-            let since = self.refusals.refused_since(change.proxy, change.class, RefusalReason::Sweep);
-            let held_long_enough = since.is_some_and(|since| check.now >= since + HELD_FOR);
-            let held = self.last_good(check, place).filter(|_| !held_long_enough);
+        for (index, change) in check.changes.iter().enumerate() {
+            let since = self.refusals.refused_since(change.proxy, change.class, RefusalReason::ShiftTooLarge);
+            let held_long_enough = since.is_some_and(|since| check.now >= since + MAX_HOLD_BACK);
+            let held = self.last_good(check, index).filter(|_| !held_long_enough);
             let outcome = if held.is_some() { RefusalOutcome::Kept } else { RefusalOutcome::LetThrough };
-            check.find(place, RefusalReason::Sweep, outcome, shifted, AT_ONCE);
+            check.add_finding(index, RefusalReason::ShiftTooLarge, outcome, shifted, MAX_SHIFTED_FRACTION);
             if let Some(held) = held {
-                check.tables[place] = held;
+                check.tables[index] = held;
             }
         }
     }
@@ -146,18 +155,19 @@
     fn last_good<Open: Fn(&ReplicaId) -> bool>(
         &self,
         check: &Check<'_, Open>,
-        place: usize,
+        index: usize,
     ) -> Option<Table> {
-        let change = &check.changes[place];
+        let change = &check.changes[index];
         last_good_table(change, self.limits.is_same_zone_only(change.class), check.open)
     }
 
-    /// Makes the weights of replicas smaller that would be sent too much, in the tables that change. What one gives
-    /// up goes to others, which may then be sent too much: hence the passes.
+    /// Reduces the weights of overloaded replicas in the tables that change. Load that is taken off one
+    /// replica moves to others, which may then be overloaded, so this takes several passes.
     fn limit_loads<Open: Fn(&ReplicaId) -> bool>(&mut self, check: &mut Check<'_, Open>) {
         let open = check.open;
         let capacity = self.capacity(check.now, check.roster, &|id: &ReplicaId| !open(id));
-        // A table that is kept was made smaller before: what is left of an entry is by the others, not by itself.
+        // Weights in a table that is kept have been reduced before: the minimum is a fraction of the table's
+        // mean weight, so that repeated checks do not reduce an entry further and further.
         let mut min_weights: Vec<f64> = check.tables.iter().map(min_weight).collect();
         for pass in 0..MAX_PASSES {
             let routable =
@@ -170,8 +180,8 @@
                 return;
             }
             let mut any_reduced = false;
-            for (place, min_weight) in min_weights.iter_mut().enumerate() {
-                any_reduced |= self.limit_table(check, place, &overloads, min_weight, pass == 0);
+            for (index, min_weight) in min_weights.iter_mut().enumerate() {
+                any_reduced |= self.limit_table(check, index, &overloads, min_weight, pass == 0);
             }
             if !any_reduced {
                 return;
@@ -179,16 +189,16 @@
         }
     }
 
-    /// One pass over one table; whether it has entries that could give way.
+    /// One pass over one table. Returns whether it has an entry that requests can move to.
     fn limit_table<Open: Fn(&ReplicaId) -> bool>(
         &mut self,
         check: &mut Check<'_, Open>,
-        place: usize,
+        index: usize,
         overloads: &Overloads,
         min_weight: &mut f64,
         first_pass: bool,
     ) -> bool {
-        let table = &check.tables[place];
+        let table = &check.tables[index];
         let overloaded = table.entries.iter().filter(|entry| is_overloaded(entry, overloads)).count();
         if overloaded == 0 {
             return false;
@@ -197,48 +207,49 @@
         if all_overloaded
             && first_pass
             && has_cold_overload(table, overloads)
-            && let Some(other) = self.table_with_headroom(check, place, overloads)
+            && let Some(replacement) = self.table_with_headroom(check, index, overloads)
         {
-            check.find_overloads(place, overloads, RefusalOutcome::Kept);
-            *min_weight = self::min_weight(&other);
-            let admission_fraction = check.tables[place].admission_fraction;
-            check.tables[place] = Table { admission_fraction, ..other };
+            check.add_overload_findings(index, overloads, RefusalOutcome::Kept);
+            *min_weight = self::min_weight(&replacement);
+            let admission_fraction = check.tables[index].admission_fraction;
+            check.tables[index] = Table { admission_fraction, ..replacement };
             all_overloaded = false;
         }
         if first_pass {
-            // With nothing else to send to, over is better than bare.
+            // Where no other replica is available, an overloaded one is better than none.
             let outcome = if all_overloaded { RefusalOutcome::LetThrough } else { RefusalOutcome::Corrected };
-            check.find_overloads(place, overloads, outcome);
+            check.add_overload_findings(index, overloads, outcome);
         }
         if !all_overloaded {
-            reduce_weights(&mut check.tables[place], overloads, *min_weight);
+            reduce_weights(&mut check.tables[index], overloads, *min_weight);
         }
-        let change = &check.changes[place];
-        self.ledger.set_table(change.proxy, change.class, &check.tables[place]);
+        let change = &check.changes[index];
+        self.ledger.set_table(change.proxy, change.class, &check.tables[index]);
         !all_overloaded
     }
 
-    /// Where all of a table is too much, and for a cold replica: what is good of the last table, or of the proxy's
-    /// default table, if that has others, too. What is too much for warm ones only is published as it was asked.
+    /// A replacement for a table whose replicas are all overloaded, at least one of them cold: the last good
+    /// table, else a last-resort table, if it has a replica that is not overloaded. A table that only
+    /// overloads warm replicas is published as requested.
     fn table_with_headroom<Open: Fn(&ReplicaId) -> bool>(
         &self,
         check: &Check<'_, Open>,
-        place: usize,
+        index: usize,
         overloads: &Overloads,
     ) -> Option<Table> {
         let has_headroom = |table: &Table| {
             table.entries.iter().any(|entry| entry.routable && !overloads.contains_key(&entry.replica))
         };
         let last_resort = || {
-            let table = last_resort_table(&check.changes[place], check.roster, check.open);
+            let table = last_resort_table(&check.changes[index], check.roster, check.open);
             Some(table).filter(has_route)
         };
-        self.last_good(check, place).filter(has_headroom).or_else(last_resort).filter(has_headroom)
+        self.last_good(check, index).filter(has_headroom).or_else(last_resort).filter(has_headroom)
     }
 }
 
 impl<Open> Check<'_, Open> {
-    fn find(
+    fn add_finding(
         &mut self,
         change: usize,
         reason: RefusalReason,
@@ -249,12 +260,12 @@
         self.findings.push(Finding { change, reason, outcome, replica: None, asked, allowed });
     }
 
-    /// A finding for each routable entry of a table whose replica is overloaded.
-    fn find_overloads(&mut self, place: usize, overloads: &Overloads, outcome: RefusalOutcome) {
-        for entry in self.tables[place].entries.iter().filter(|entry| entry.routable) {
+    /// Adds a finding for each routable entry whose replica is overloaded.
+    fn add_overload_findings(&mut self, index: usize, overloads: &Overloads, outcome: RefusalOutcome) {
+        for entry in self.tables[index].entries.iter().filter(|entry| entry.routable) {
             let Some(overload) = overloads.get(&entry.replica) else { continue };
             self.findings.push(Finding {
-                change: place,
+                change: index,
                 reason: overload.reason,
                 outcome,
                 replica: Some(entry.replica.clone()),
@@ -265,7 +276,7 @@
     }
 }
 
-/// Replicas that are sent too much.
+/// Overloaded replicas.
 type Overloads = BTreeMap<ReplicaId, Overload>;
 
 fn is_overloaded(entry: &ResolvedEntry, overloads: &Overloads) -> bool {
@@ -279,17 +290,17 @@
     table.entries.iter().any(|entry| entry.routable && is_cold(entry))
 }
 
-/// The smallest weight that an entry of a table is brought down to.
+/// The weight below which no entry of the table is reduced.
 fn min_weight(table: &Table) -> f64 {
     let routable = table.entries.iter().filter(|entry| entry.routable);
     let mean = routable.clone().map(|entry| entry.weight).sum::<f64>() / routable.count().max(1) as f64;
-    MIN_WEIGHT * mean
+    MIN_WEIGHT_FRACTION * mean
 }
 
 fn reduce_weights(table: &mut Table, overloads: &Overloads, min_weight: f64) {
     for entry in table.entries.iter_mut().filter(|entry| entry.routable) {
         let Some(overload) = overloads.get(&entry.replica) else { continue };
-        // Where others send it too much, to give up everything here would not mend that.
+        // If the overload comes from other tables, removing all weight here would not end it.
         let weight = (entry.weight * rounded_down(overload.allowed / overload.load)).max(min_weight);
         if weight < entry.weight {
             entry.weight = weight;
@@ -297,19 +308,19 @@
     }
 }
 
-/// Rounded down to steps of a tenth or so: a limit that moves a little with each report must not make a new table
+/// Rounds down to a power of 1.1: a limit that moves slightly with each report must not cause a new table
 /// each time.
 fn rounded_down(factor: f64) -> f64 {
     1.1f64.powf((factor.clamp(1e-3, 1.0).ln() / 1.1f64.ln()).floor())
 }
 
-/// Opens entries of ejected replicas again, where the module's ejections are not followed.
+/// Opens the entries of ejected replicas again, where the decision module's ejections are not followed.
 fn reopen_ejected(
     changes: &mut [ProposedTable],
     open: &impl Fn(&ReplicaId) -> bool,
     findings: &mut Vec<Finding>,
 ) {
-    for (place, change) in changes.iter_mut().enumerate() {
+    for (index, change) in changes.iter_mut().enumerate() {
         let mut reopened = 0;
         for entry in &mut change.wanted.entries {
             if !entry.routable && open(&entry.replica) {
@@ -319,8 +330,8 @@
         }
         if reopened > 0 {
             findings.push(Finding {
-                change: place,
-                reason: RefusalReason::Withdrawn,
+                change: index,
+                reason: RefusalReason::TooManyEjections,
                 outcome: RefusalOutcome::Corrected,
                 replica: None,
                 asked: f64::from(reopened),
--- a/crates/core/src/guard/ledger.rs
+++ b/crates/core/src/guard/ledger.rs
@@ -1,4 +1,5 @@
-//! Demand, tables and throughput as far as this governor knows them: the expected load of each replica.
+//! The load ledger: the demand and tables of this governor's proxies, and the expected load and observed
+//! throughput of each replica.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,25 +11,25 @@
 
 use super::checks::ProposedTable;
 
-/// Observed throughput counts half after so many seconds.
+/// Half-life of observed throughput, in seconds.
 const THROUGHPUT_HALF_LIFE_SECONDS: f64 = 60.0;
-/// No proxy says truly that it has more.
+/// Upper limit of the demand that a proxy can declare; a larger figure can't be true.
 const MAX_REQUESTS_PER_SECOND: f64 = 1e9;
-/// Shorter intervals are taken for this long.
+/// Intervals are taken to be at least this long.
 const MIN_INTERVAL_SECONDS: f64 = 0.1;
 
 /// A proxy and a traffic class.
-type Place = (ProxyId, usize);
+type AssignmentKey = (ProxyId, usize);
 
-/// What one proxy has of one traffic class, and where it sends that.
+/// The demand of one proxy for one traffic class, and how it is distributed over replicas.
 #[derive(Debug, Clone, Default, PartialEq)]
 struct Assignment {
     requests_per_second: f64,
-    /// By replica; together 1.
+    /// By replica; their sum is 1.
     fractions: Vec<(ReplicaId, f64)>,
 }
 
-/// The most that was delivered a second lately, and when.
+/// Recent peak throughput of a replica, and when it was observed.
 #[derive(Debug, Clone, Copy)]
 struct PeakThroughput {
     per_second: f64,
@@ -42,21 +43,27 @@
     }
 }
 
-/// Expected load by replica, and what it is made of.
+/// Expected load by replica, and the figures that it is computed from.
 #[derive(Debug, Clone, Default)]
 pub(super) struct LoadLedger {
-    assignments: BTreeMap<Place, Assignment>,
-    /// Requests a second by replica.
+    assignments: BTreeMap<AssignmentKey, Assignment>,
+    /// Requests per second by replica.
     load: BTreeMap<ReplicaId, f64>,
     /// By replica and zone of the proxies.
     throughput: BTreeMap<(ReplicaId, usize), PeakThroughput>,
 }
 
-/// Routable entries as fractions of the whole.
+/// Routable entries as fractions of the sum of their weights.
 fn fractions(table: &Table) -> Vec<(ReplicaId, f64)> {
-    let sound = |entry: &&ResolvedEntry| entry.routable && entry.weight.is_finite() && entry.weight > 0.0;
-    let total: f64 = table.entries.iter().filter(sound).map(|entry| entry.weight).sum();
-    table.entries.iter().filter(sound).map(|entry| (entry.replica.clone(), entry.weight / total)).collect()
+    let has_valid_weight =
+        |entry: &&ResolvedEntry| entry.routable && entry.weight.is_finite() && entry.weight > 0.0;
+    let total: f64 = table.entries.iter().filter(has_valid_weight).map(|entry| entry.weight).sum();
+    table
+        .entries
+        .iter()
+        .filter(has_valid_weight)
+        .map(|entry| (entry.replica.clone(), entry.weight / total))
+        .collect()
 }
 
 fn rate(count: u64, interval: Duration) -> f64 {
@@ -64,18 +71,18 @@
 }
 
 impl LoadLedger {
-    fn book(&mut self, place: Place, sign: f64) {
-        let Some(assignment) = self.assignments.get(&place) else { return };
+    fn add_load(&mut self, key: AssignmentKey, sign: f64) {
+        let Some(assignment) = self.assignments.get(&key) else { return };
         for (replica, fraction) in &assignment.fractions {
             let load = self.load.entry(replica.clone()).or_default();
             *load += sign * assignment.requests_per_second * fraction;
         }
     }
 
-    fn change(&mut self, place: Place, change: impl FnOnce(&mut Assignment)) {
-        self.book(place, -1.0);
-        change(self.assignments.entry(place).or_default());
-        self.book(place, 1.0);
+    fn update(&mut self, key: AssignmentKey, update: impl FnOnce(&mut Assignment)) {
+        self.add_load(key, -1.0);
+        update(self.assignments.entry(key).or_default());
+        self.add_load(key, 1.0);
     }
 
     pub(super) fn connect(
@@ -88,7 +95,7 @@
         let total: f64 = default_table.iter().map(|(_, weight)| weight.max(0.0)).sum();
         let fraction = |(id, weight): &(ReplicaId, f64)| (id.clone(), weight.max(0.0) / total);
         for class in 0..class_count {
-            self.change((proxy, class), |assignment| {
+            self.update((proxy, class), |assignment| {
                 let demand = requests_per_second.clamp(0.0, MAX_REQUESTS_PER_SECOND);
                 assignment.requests_per_second = demand / class_count as f64;
                 assignment.fractions = match total > 0.0 {
@@ -100,22 +107,24 @@
     }
 
     pub(super) fn disconnect(&mut self, proxy: ProxyId) {
-        let places = self.assignments.range((proxy, 0)..=(proxy, usize::MAX));
-        let places: Vec<Place> = places.map(|(place, _)| *place).collect();
-        for place in places {
-            self.book(place, -1.0);
-            self.assignments.remove(&place);
+        let keys = self.assignments.range((proxy, 0)..=(proxy, usize::MAX));
+        let keys: Vec<AssignmentKey> = keys.map(|(key, _)| *key).collect();
+        for key in keys {
+            self.add_load(key, -1.0);
+            self.assignments.remove(&key);
         }
     }
 
-    /// Half of a new report counts at once, so that one odd report does not turn the ledger over.
+    /// Averages the reported demand with the previous one, so that a single odd report does not distort the
+    /// ledger.
     pub(super) fn record_demand(&mut self, proxy: ProxyId, class: usize, requests: u64, interval: Duration) {
         if !self.assignments.contains_key(&(proxy, class)) {
             return;
         }
         let reported = rate(requests, interval);
-        self.change((proxy, class), |assignment| {
-            // What came while a stream was broken is reported at once, as if it had come within one interval.
+        self.update((proxy, class), |assignment| {
+            // Requests that arrived while a stream was broken are reported together, as if they had all come
+            // within one interval: the rise of a single report is limited.
             let known = assignment.requests_per_second;
             assignment.requests_per_second = 0.5 * (known + reported.min(2.0 * known + 1.0));
         });
@@ -130,8 +139,8 @@
         interval: Duration,
     ) {
         let per_second = rate(succeeded, interval);
-        let nothing = PeakThroughput { per_second: 0.0, at: now };
-        let peak = self.throughput.entry((replica.clone(), zone)).or_insert(nothing);
+        let initial = PeakThroughput { per_second: 0.0, at: now };
+        let peak = self.throughput.entry((replica.clone(), zone)).or_insert(initial);
         if per_second >= peak.decayed(now) {
             *peak = PeakThroughput { per_second, at: now };
         }
@@ -154,7 +163,7 @@
         requests_per_second: f64,
         table: Option<&Table>,
     ) {
-        self.change((proxy, class), |assignment| {
+        self.update((proxy, class), |assignment| {
             assignment.requests_per_second = requests_per_second;
             if let Some(table) = table {
                 assignment.fractions = fractions(table);
@@ -162,19 +171,20 @@
         });
     }
 
-    /// A proxy sends by this table from now on.
+    /// Sets the table by which a proxy distributes its requests from now on.
     pub(super) fn set_table(&mut self, proxy: ProxyId, class: usize, table: &Table) {
-        self.change((proxy, class), |assignment| assignment.fractions = fractions(table));
+        self.update((proxy, class), |assignment| assignment.fractions = fractions(table));
     }
 
-    /// Forgets replicas that are gone, and makes the load anew, so that rounding does not add up.
+    /// Removes the throughput of replicas that are gone, and computes the load from scratch, so that rounding
+    /// errors do not accumulate.
     pub(super) fn roster_changed(&mut self, roster: &Roster) {
-        let listed = |id: &ReplicaId| roster.get(id).is_some_and(|known| known.phase != Phase::Gone);
-        self.throughput.retain(|(id, _), _| listed(id));
+        let is_listed = |id: &ReplicaId| roster.get(id).is_some_and(|known| known.phase != Phase::Gone);
+        self.throughput.retain(|(id, _), _| is_listed(id));
         self.load.clear();
-        let places: Vec<Place> = self.assignments.keys().copied().collect();
-        for place in places {
-            self.book(place, 1.0);
+        let keys: Vec<AssignmentKey> = self.assignments.keys().copied().collect();
+        for key in keys {
+            self.add_load(key, 1.0);
         }
     }
 
@@ -185,7 +195,7 @@
             let Some(assignment) = self.assignments.get(&(change.proxy, change.class)) else { continue };
             let before: BTreeMap<&ReplicaId, f64> =
                 assignment.fractions.iter().map(|(id, fraction)| (id, *fraction)).collect();
-            // A first table moves nothing that was put there by a table.
+            // A proxy's first table does not move requests that an earlier table had placed.
             if before.is_empty() || change.held.is_none() {
                 continue;
             }
@@ -199,12 +209,12 @@
         if total > 0.0 { shifted / total } else { 0.0 }
     }
 
-    /// Requests a second of all proxies here.
+    /// Total demand of the proxies here, in requests per second.
     pub(super) fn total_demand(&self) -> f64 {
         self.assignments.values().map(|assignment| assignment.requests_per_second).sum()
     }
 
-    /// Proxies here times traffic classes.
+    /// Number of proxies here times the number of traffic classes.
     pub(super) fn assignment_count(&self) -> usize {
         self.assignments.len()
     }
@@ -213,7 +223,7 @@
         self.assignments.get(&(proxy, class)).map_or(0.0, |assignment| assignment.requests_per_second)
     }
 
-    /// Requests a second that a replica is sent by proxies here; rounding may leave it a little below 0.
+    /// Requests per second that proxies here send a replica. Rounding may leave it slightly below 0.
     pub(super) fn load(&self, replica: &ReplicaId) -> f64 {
         self.load.get(replica).copied().unwrap_or(0.0)
     }
--- a/crates/core/src/snapshot/restore.rs
+++ b/crates/core/src/snapshot/restore.rs
@@ -1,4 +1,4 @@
-//! What of stored items counts at a start, by its age.
+//! Decides which stored items are used at a start, depending on their age.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,55 +11,56 @@
 use super::items::{StoredFrozenTable, StoredItem, StoredItems, StoredProxy, StoredReplica, StoredTable};
 use super::{ALIVE, NAMES};
 
-/// Demand and throughput count half after so long.
+/// Half-life of demand and throughput.
 pub const DEMAND: Duration = Duration::from_secs(60);
-/// Ejections count half after so long.
-pub const WITHDRAWN: Duration = Duration::from_secs(20);
-/// An admission fraction holds for so long, unless the module decides before; an older one is forgotten.
-pub const LEVELS: Duration = Duration::from_secs(10);
-/// Tables that proxies held are forgotten after so long: they have been elsewhere, or on their own, since.
+/// Half-life of ejections.
+pub const EJECTION_HALF_LIFE: Duration = Duration::from_secs(20);
+/// How long a stored admission fraction is used, unless the module decides before. Older ones are dropped.
+pub const ADMISSION_LIFETIME: Duration = Duration::from_secs(10);
+/// How long the tables that proxies held are kept: after this time proxies have been with another governor or
+/// on their own.
 pub const TABLES: Duration = Duration::from_secs(600);
-/// The age of items that are of the future by the calendar: it was set back, and nobody knows how old they are.
-pub const UNKNOWN: Duration = Duration::from_secs(60);
-/// Throughput is reported to the module as that of so long: beside a replica where everything fails, the module has
-/// to see that others succeed.
+/// The age assumed for items with a time in the future: the clock was set back, so their age is unknown.
+pub const UNKNOWN_AGE: Duration = Duration::from_secs(60);
+/// Interval for which restored throughput is reported to the module: to judge a replica where everything
+/// fails, it has to see that others succeed.
 pub const LAST: Duration = Duration::from_secs(2);
-/// Failed attempts that an ejection is reported as if it is quite new.
+/// Failed attempts that a fresh ejection is reported as.
 const EJECTION_ATTEMPTS: f64 = 20.0;
-/// Fewer say nothing.
+/// Fewer failed attempts than this are not reported: they prove nothing.
 const MIN_EJECTION_ATTEMPTS: u64 = 4;
-/// No stored figure is larger.
+/// Upper limit of stored figures.
 const MAX_FIGURE: f64 = 1e12;
 
-/// An item that can't be meant, by its name: it is left out, and the rest counts.
+/// Why stored items can't be used. An invalid item is left out, and the others are used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RestoreError {
-    /// Its name or its kind is not known.
-    #[error("`{0}` is no entry that this version knows")]
-    Unknown(String),
-    /// It names a zone or a traffic class by a place that is not there.
-    #[error("`{0}` names a zone or a group that is not there")]
-    Place(String),
-    /// A figure out of its range.
-    #[error("`{0}` has a figure that can't be")]
-    Figure(String),
-    /// [`NAMES`] or [`ALIVE`] is missing.
-    #[error("the entries do not say whose they are; nothing of them is used")]
-    Nameless,
-    /// They are another governor's.
-    #[error("the entries are of governor `{0}`; nothing of them is used")]
-    Another(String),
-    /// Zones or traffic classes are others than they were.
-    #[error("zones or groups of the settings have changed; what is by zone and group is not used")]
-    Changed,
+    /// The item's name or kind is unknown.
+    #[error("stored item `{0}` has an unknown name or kind")]
+    UnknownItem(String),
+    /// The item refers to a zone or a traffic class that does not exist.
+    #[error("stored item `{0}` refers to an unknown zone or group")]
+    UnknownIndex(String),
+    /// A figure of the item is out of range.
+    #[error("stored item `{0}` has a figure out of range")]
+    OutOfRange(String),
+    /// The item [`NAMES`] or [`ALIVE`] is missing.
+    #[error("the stored items lack the governor's name or their time; none of them is used")]
+    MissingIdentity,
+    /// The items belong to another governor.
+    #[error("the stored items belong to governor `{0}`; none of them is used")]
+    OtherGovernor(String),
+    /// Zones or traffic classes have changed since the items were stored.
+    #[error("zones or groups of the settings have changed; stored items that depend on them are not used")]
+    SettingsChanged,
 }
 
 /// An override that is still in force.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RestoredOverride {
-    /// A factor to the replica's weights; none: it is excluded.
+    /// A factor for the replica's weights; none if it is excluded.
     pub weight: Option<f64>,
-    /// For how long it still holds.
+    /// The time until it ends.
     pub remaining: Duration,
     /// The operator's reason.
     pub reason: Arc<str>,
@@ -70,81 +71,91 @@
 pub struct RestoredFrozenTable {
     /// How long ago it was published.
     pub age: Duration,
-    /// For how long it is still frozen.
+    /// The time until the freeze ends.
     pub remaining: Duration,
     /// The table.
     pub stored: StoredFrozenTable,
 }
 
-/// What counts of what was known, at a start.
+/// The state that is used at a start.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RestoredState {
-    /// How long ago it was known, as far as the calendar can tell.
+    /// Age of the state, as far as the clock can tell.
     pub age: Duration,
-    /// Proxies and what they held, by name.
+    /// Proxies and the tables that they held, by name.
     pub proxies: BTreeMap<Arc<str>, StoredProxy>,
-    /// Replicas that were ejected, and the failed attempts that are left of that.
+    /// Ejected replicas, and the number of failed attempts that remain of each ejection at this age.
     pub ejected: BTreeMap<ReplicaId, u64>,
-    /// Delivered a second, by replica and zone, counting less with age.
+    /// Throughput in requests per second, by replica and zone, decayed with age.
     pub throughput: BTreeMap<(ReplicaId, usize), f64>,
     /// Admission fractions by traffic class.
     pub admission_fractions: BTreeMap<usize, f64>,
-    /// For how long those still hold.
+    /// The time until the admission fractions end.
     pub admission_remaining: Duration,
-    /// By replica.
+    /// Overrides by replica.
     pub overrides: BTreeMap<ReplicaId, RestoredOverride>,
-    /// By proxy and traffic class.
+    /// Frozen tables by proxy and traffic class.
     pub frozen_tables: BTreeMap<(Arc<str>, usize), RestoredFrozenTable>,
 }
 
-/// How much of knowledge counts after a time, from 1 down to 0.
+/// The weight of a value of this age, from 1 down to 0.
 pub fn counts(age: Duration, half_life: Duration) -> f64 {
     0.5f64.powf(age.as_secs_f64() / half_life.as_secs_f64())
 }
 
-/// What is left of stored items at a start, and what of them can't be meant. `calendar`: seconds of the calendar
-/// now; `names`: this governor's own [`StoredItem::Names`].
-pub fn recall(known: StoredItems, calendar: f64, names: &StoredItem) -> (RestoredState, Vec<RestoreError>) {
-    let nothing = |why| (RestoredState::default(), vec![why]);
-    let item = |name: &str| known.get(name).map(|item| (**item).clone());
+/// Restores the state from stored items, and reports the items that can't be used. `unix_seconds` is the
+/// current time, `names` this governor's own [`StoredItem::Names`].
+pub fn recall(
+    stored_items: StoredItems,
+    unix_seconds: f64,
+    names: &StoredItem,
+) -> (RestoredState, Vec<RestoreError>) {
+    let none_usable = |error| (RestoredState::default(), vec![error]);
+    let item = |name: &str| stored_items.get(name).map(|item| (**item).clone());
     let Some(StoredItem::Names { governor, zones, groups: classes }) = item(NAMES) else {
-        return nothing(RestoreError::Nameless);
+        return none_usable(RestoreError::MissingIdentity);
     };
     let StoredItem::Names { governor: own_name, zones: own_zones, groups: own_classes } = names else {
-        return nothing(RestoreError::Nameless);
+        return none_usable(RestoreError::MissingIdentity);
     };
-    // A folder that was copied for another governor is not this one's memory.
+    // A state folder that was copied from another governor must not be used.
     if governor != *own_name {
-        return nothing(RestoreError::Another(governor));
+        return none_usable(RestoreError::OtherGovernor(governor));
     }
-    let same_places = zones == *own_zones && classes == *own_classes;
+    let same_names = zones == *own_zones && classes == *own_classes;
     let mut errors = Vec::new();
-    if !same_places {
-        errors.push(RestoreError::Changed);
+    if !same_names {
+        errors.push(RestoreError::SettingsChanged);
     }
-    let Some(StoredItem::Alive { at: alive }) = item(ALIVE) else { return nothing(RestoreError::Nameless) };
-    let age = age(calendar, alive);
-    let state =
-        RestoredState { age, admission_remaining: LEVELS.saturating_sub(age), ..RestoredState::default() };
-    let mut restore = Restore { zones, classes, same_places, calendar, alive, state };
-    for (name, item) in known {
-        if let Err(why) = restore.apply(&name, Arc::unwrap_or_clone(item)) {
-            errors.push(match why {
-                Unusable::Unknown => RestoreError::Unknown(name),
-                Unusable::Place => RestoreError::Place(name),
-                Unusable::Figure => RestoreError::Figure(name),
+    let Some(StoredItem::Alive { at: alive_at }) = item(ALIVE) else {
+        return none_usable(RestoreError::MissingIdentity);
+    };
+    let age = age(unix_seconds, alive_at);
+    let state = RestoredState {
+        age,
+        admission_remaining: ADMISSION_LIFETIME.saturating_sub(age),
+        ..RestoredState::default()
+    };
+    let mut restore = Restore { zones, classes, same_names, unix_seconds, alive_at, state };
+    for (name, item) in stored_items {
+        if let Err(error) = restore.apply(&name, Arc::unwrap_or_clone(item)) {
+            errors.push(match error {
+                Unusable::UnknownItem => RestoreError::UnknownItem(name),
+                Unusable::UnknownIndex => RestoreError::UnknownIndex(name),
+                Unusable::OutOfRange => RestoreError::OutOfRange(name),
             });
         }
     }
     (restore.state, errors)
 }
 
-/// A machine that slept has a calendar that went on; one whose calendar was set back can't tell.
-fn age(calendar: f64, alive: f64) -> Duration {
-    if calendar >= alive {
-        Duration::try_from_secs_f64(calendar - alive).unwrap_or(Duration::MAX)
+/// The age by the wall clock, which continues while a machine sleeps. If the clock was set back, the age is
+/// unknown.
+fn age(unix_seconds: f64, alive_at: f64) -> Duration {
+    if unix_seconds >= alive_at {
+        Duration::try_from_secs_f64(unix_seconds - alive_at).unwrap_or(Duration::MAX)
     } else {
-        UNKNOWN
+        UNKNOWN_AGE
     }
 }
 
@@ -152,22 +163,22 @@
     figure.is_finite() && (0.0..MAX_FIGURE).contains(&figure)
 }
 
-/// Why one item can't be used.
+/// Why a single item can't be used.
 enum Unusable {
-    Unknown,
-    Place,
-    Figure,
+    UnknownItem,
+    UnknownIndex,
+    OutOfRange,
 }
 
-/// A state being restored, item by item.
+/// A state that is being restored item by item.
 struct Restore {
     zones: Vec<String>,
     classes: Vec<String>,
-    /// Zones and traffic classes are what they were.
-    same_places: bool,
-    calendar: f64,
-    /// Until when the items were known, by the calendar.
-    alive: f64,
+    /// Whether the zones and traffic classes are unchanged.
+    same_names: bool,
+    unix_seconds: f64,
+    /// The Unix time until which the items were current.
+    alive_at: f64,
     state: RestoredState,
 }
 
@@ -183,50 +194,50 @@
                 self.override_of(of, weight, until, reason)
             }
             ("hold", StoredItem::FrozenTable(frozen)) => self.frozen_table(of, frozen),
-            _ => Err(Unusable::Unknown),
+            _ => Err(Unusable::UnknownItem),
         }
     }
 
     fn proxy(&mut self, name: &str, proxy: StoredProxy) -> Result<(), Unusable> {
         let class_count = self.classes.len();
-        let is_placed = proxy.zone < self.zones.len()
+        let has_known_zones = proxy.zone < self.zones.len()
             && proxy.tables.len() == class_count
             && proxy.requests_per_second.len() == class_count
             && proxy.retry_policies.len() == class_count
-            && proxy.tables.iter().flatten().all(|table| self.is_placed(table));
-        if !is_placed {
-            return Err(Unusable::Place);
+            && proxy.tables.iter().flatten().all(|table| self.has_known_zones(table));
+        if !has_known_zones {
+            return Err(Unusable::UnknownIndex);
         }
         let has_sound_figures = is_sound(proxy.absent_seconds)
             && proxy.tables.iter().flatten().all(has_sound_figures)
             && proxy.requests_per_second.iter().all(|demand| is_sound(*demand));
         if !has_sound_figures {
-            return Err(Unusable::Figure);
+            return Err(Unusable::OutOfRange);
         }
         let absent_seconds = self.state.age.as_secs_f64() + proxy.absent_seconds;
-        if self.same_places && absent_seconds < TABLES.as_secs_f64() {
+        if self.same_names && absent_seconds < TABLES.as_secs_f64() {
             self.state.proxies.insert(name.into(), proxy);
         }
         Ok(())
     }
 
-    fn is_placed(&self, table: &StoredTable) -> bool {
+    fn has_known_zones(&self, table: &StoredTable) -> bool {
         table.entries.iter().all(|entry| entry.zone < self.zones.len())
     }
 
     fn replica(&mut self, name: &str, replica: StoredReplica) -> Result<(), Unusable> {
         if !replica.throughput.iter().all(|(_, per_second)| is_sound(*per_second)) {
-            return Err(Unusable::Figure);
+            return Err(Unusable::OutOfRange);
         }
         let id: ReplicaId = name.into();
         let age = self.state.age;
-        let attempts = (EJECTION_ATTEMPTS * counts(age, WITHDRAWN)).round() as u64;
+        let attempts = (EJECTION_ATTEMPTS * counts(age, EJECTION_HALF_LIFE)).round() as u64;
         if replica.ejected && attempts >= MIN_EJECTION_ATTEMPTS {
             self.state.ejected.insert(id.clone(), attempts);
         }
         let weight = counts(age, DEMAND);
         for (zone, per_second) in replica.throughput {
-            if self.same_places && zone < self.zones.len() {
+            if self.same_names && zone < self.zones.len() {
                 self.state.throughput.insert((id.clone(), zone), per_second * weight);
             }
         }
@@ -234,12 +245,12 @@
     }
 
     fn admission(&mut self, class: &str, fraction: f64) -> Result<(), Unusable> {
-        let place = self.classes.iter().position(|known| known == class).ok_or(Unusable::Place)?;
+        let class_index = self.classes.iter().position(|name| name == class).ok_or(Unusable::UnknownIndex)?;
         if !(0.0..=1.0).contains(&fraction) {
-            return Err(Unusable::Figure);
+            return Err(Unusable::OutOfRange);
         }
-        if self.same_places && self.state.age < LEVELS {
-            self.state.admission_fractions.insert(place, fraction);
+        if self.same_names && self.state.age < ADMISSION_LIFETIME {
+            self.state.admission_fractions.insert(class_index, fraction);
         }
         Ok(())
     }
@@ -252,7 +263,7 @@
         reason: Arc<str>,
     ) -> Result<(), Unusable> {
         if !until.is_finite() || weight.is_some_and(|weight| !is_sound(weight)) {
-            return Err(Unusable::Figure);
+            return Err(Unusable::OutOfRange);
         }
         if let Some(remaining) = self.remaining(until) {
             self.state.overrides.insert(replica.into(), RestoredOverride { weight, remaining, reason });
@@ -260,29 +271,31 @@
         Ok(())
     }
 
-    fn frozen_table(&mut self, place: &str, stored: StoredFrozenTable) -> Result<(), Unusable> {
-        // A traffic class's name may hold a `/`, and a proxy's, too: the class is one of those that are known.
+    fn frozen_table(&mut self, key: &str, stored: StoredFrozenTable) -> Result<(), Unusable> {
+        // The names of a class and of a proxy may both contain `/`, so the class is found among the known
+        // ones.
         let named = |(class, name): (usize, &String)| {
-            Some((class, place.strip_prefix(name.as_str())?.strip_prefix('/')?))
+            Some((class, key.strip_prefix(name.as_str())?.strip_prefix('/')?))
         };
-        let (class, proxy) = self.classes.iter().enumerate().find_map(named).ok_or(Unusable::Place)?;
+        let (class, proxy) = self.classes.iter().enumerate().find_map(named).ok_or(Unusable::UnknownIndex)?;
         if !stored.entries.iter().all(|entry| entry.zone < self.zones.len() && entry.weight > 0) {
-            return Err(Unusable::Place);
+            return Err(Unusable::UnknownIndex);
         }
         if stored.admission_millionths > MILLION || !stored.until.is_finite() {
-            return Err(Unusable::Figure);
+            return Err(Unusable::OutOfRange);
         }
-        let age = Duration::try_from_secs_f64((self.calendar - stored.published_at).max(0.0));
-        if let (Ok(age), Some(remaining), true) = (age, self.remaining(stored.until), self.same_places) {
+        let age = Duration::try_from_secs_f64((self.unix_seconds - stored.published_at).max(0.0));
+        if let (Ok(age), Some(remaining), true) = (age, self.remaining(stored.until), self.same_names) {
             let frozen = RestoredFrozenTable { age, remaining, stored };
             self.state.frozen_tables.insert((proxy.into(), class), frozen);
         }
         Ok(())
     }
 
-    /// How long something still holds: as long as it would have, and never longer for a calendar that was set back.
+    /// The time until an override or a frozen table ends: what was left when it was stored, and never more if
+    /// the clock was set back.
     fn remaining(&self, until: f64) -> Option<Duration> {
-        let seconds = (until - self.calendar).min(until - self.alive);
+        let seconds = (until - self.unix_seconds).min(until - self.alive_at);
         Duration::try_from_secs_f64(seconds).ok().filter(|left| !left.is_zero())
     }
 }
--- a/crates/deployment-config/src/read.rs
+++ b/crates/deployment-config/src/read.rs
@@ -16,12 +16,12 @@
 /// The platform's number for [`RetryPolicy::OnAnyFailure`], which is also the default.
 const RETRY_ON_ANY_FAILURE: u64 = 2;
 
-/// Reads the object that a governor is first given. Unknown fields are ignored, and absent ones have the value that
-/// stands for a deployment without them.
+/// Reads a deployment's settings object. Unknown fields are ignored. An absent field gets the value for a deployment
+/// without the feature that it configures.
 ///
 /// # Errors
 ///
-/// A class without its latency objective or request deadline, or that is no object; a section or a number of another
+/// A class is not an object, or has no latency objective or request deadline; or a section or a number is of another
 /// type.
 pub fn read(config: &Fields) -> Result<DeploymentConfig, FieldError> {
     let sections = Sections::read(config)?;
@@ -30,9 +30,9 @@
     let message_limit = message_limit(&sections.extra)?;
     Ok(DeploymentConfig {
         settings: settings(config, &sections, classes, load_fields(&report), message_limit)?,
-        zone_names: texts(config.array_or_empty(wire::ZONES)),
-        class_names: names(config.array_or_empty(wire::CLASSES)),
-        load_field_names: texts(report.array_or_empty(wire::LOAD_FIELDS)),
+        zone_names: strings(config.array_or_empty(wire::ZONES)),
+        class_names: object_names(config.array_or_empty(wire::CLASSES)),
+        load_field_names: strings(report.array_or_empty(wire::LOAD_FIELDS)),
     })
 }
 
@@ -136,16 +136,16 @@
 
 fn load_fields(report: &Fields) -> Vec<LoadField> {
     let fields = report.array_or_empty(wire::LOAD_FIELDS).iter();
-    let meanings = fields.map(|field| match field.as_str() {
+    let load_fields = fields.map(|field| match field.as_str() {
         Some(wire::LOAD_IN_FLIGHT) => LoadField::InFlight,
         Some(wire::LOAD_QUEUED) => LoadField::Queued,
         Some(wire::LOAD_SERVICE_MILLIS) => LoadField::ServiceMillis,
         _ => LoadField::Other,
     });
-    meanings.collect()
+    load_fields.collect()
 }
 
-/// None unless both the number of messages and their interval are stated.
+/// Reads the message limit: `None` unless both the number of messages and the interval are configured.
 fn message_limit(extra: &Fields) -> Result<Option<MessageLimit>, FieldError> {
     let messages = extra.optional(wire::MESSAGE_LIMIT, 0, Fields::count)? as usize;
     let interval = extra
@@ -170,12 +170,12 @@
     })
 }
 
-/// The texts of an array; anything else in it counts as the empty text.
-fn texts(values: &[Value]) -> Vec<String> {
+/// Returns the strings of an array, with the empty string in place of any other value.
+fn strings(values: &[Value]) -> Vec<String> {
     values.iter().map(|value| value.as_str().unwrap_or_default().to_string()).collect()
 }
 
-/// The names of an array of objects; the empty text where there is none.
-fn names(values: &[Value]) -> Vec<String> {
+/// Returns the names of an array of objects, with the empty string for an object without a name.
+fn object_names(values: &[Value]) -> Vec<String> {
     values.iter().map(|value| value[wire::NAME].as_str().unwrap_or_default().to_string()).collect()
 }
--- a/crates/durable-store/src/changes.rs
+++ b/crates/durable-store/src/changes.rs
@@ -1,16 +1,16 @@
-//! Changes to entries, and their encoding as a record.
+//! Changes to entries, and their encoding as a journal or snapshot record.
 
 use crate::Entries;
 
-/// In the place of a content's length: the entry is removed. No content is as long.
-const REMOVED: u32 = u32::MAX;
+/// Stored instead of a content length to mark a removal. No content can have this length.
+const REMOVAL_MARKER: u32 = u32::MAX;
 
 /// A change to one entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
     /// The entry's name.
     pub name: String,
-    /// Its new content; none if it is removed.
+    /// The new content, or `None` to remove the entry.
     pub content: Option<Vec<u8>>,
 }
 
@@ -26,27 +26,27 @@
     }
 }
 
-/// Encodes changes as one record: each with the lengths of its name and its content.
+/// Encodes changes as one record. Each name and each content is prefixed with its length.
 pub(crate) fn encode(changes: &[Change]) -> Vec<u8> {
     let mut record = Vec::new();
     for Change { name, content } in changes {
         record.extend((name.len() as u32).to_le_bytes());
         record.extend(name.as_bytes());
-        let length = content.as_ref().map_or(REMOVED, |content| content.len() as u32);
+        let length = content.as_ref().map_or(REMOVAL_MARKER, |content| content.len() as u32);
         record.extend(length.to_le_bytes());
         record.extend(content.iter().flatten());
     }
     record
 }
 
-/// Decodes what [`encode`] made; none if the record is malformed.
+/// Decodes a record made by [`encode`]. Returns `None` if it is malformed.
 pub(crate) fn decode(mut record: &[u8]) -> Option<Vec<Change>> {
     let mut changes = Vec::new();
     while !record.is_empty() {
         let name_length = take_u32(&mut record)? as usize;
         let name = String::from_utf8(take(&mut record, name_length)?.to_vec()).ok()?;
         let content = match take_u32(&mut record)? {
-            REMOVED => None,
+            REMOVAL_MARKER => None,
             length => Some(take(&mut record, length as usize)?.to_vec()),
         };
         changes.push(Change { name, content });
--- a/crates/durable-store/src/disk/folder.rs
+++ b/crates/durable-store/src/disk/folder.rs
@@ -1,4 +1,4 @@
-//! A folder of this machine.
+//! [`Disk`] on a folder of the file system.
 
 use std::fs::{DirBuilder, File, OpenOptions, TryLockError};
 use std::io::{Read, Write};
@@ -7,25 +7,26 @@
 
 use super::{Disk, DiskError};
 
-/// Permissions of the folder: its owner's alone.
+/// Permissions of the folder: only its owner has access.
 const FOLDER_MODE: u32 = 0o700;
-/// Permissions of files: their owner's alone.
+/// Permissions of the files: only their owner has access.
 const FILE_MODE: u32 = 0o600;
-/// The file that is locked for as long as a process has the folder.
+/// A process that writes to the folder holds a lock on this file.
 const LOCK_FILE: &str = "lock";
-/// How errors name the folder itself.
-const THE_FOLDER: &str = "the folder";
+/// The name of the folder in error messages.
+const FOLDER_LABEL: &str = "the folder";
 
-/// A folder of this machine, locked for this process. Files are its owner's alone.
+/// A folder of the file system, locked by this process unless it is opened read-only. Only the owner can access its
+/// files.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
-    appending: Option<OpenFile>,
-    /// Held for as long as this is.
+    append_file: Option<OpenFile>,
+    /// Holds the lock until this value is dropped; `None` if the folder is read-only.
     _lock: Option<File>,
 }
 
-/// The file that is being appended to.
+/// The file that was appended to last, kept open for the next append.
 #[derive(Debug)]
 struct OpenFile {
     name: String,
@@ -33,10 +34,10 @@
 }
 
 impl Folder {
-    /// Makes the folder if it is not there, and locks it for this process.
+    /// Creates the folder if it does not exist, and locks it for this process.
     ///
     /// # Errors
-    /// It can't be made or read, or another process has it.
+    /// The folder can't be created or locked, or another process holds the lock.
     pub fn lock(path: &Path) -> Result<Self, DiskError> {
         let folder_name = path.display().to_string();
         let folder_error = |error| DiskError::io(&folder_name, error);
@@ -49,21 +50,21 @@
             .open(path.join(LOCK_FILE))
             .map_err(|error| DiskError::io(LOCK_FILE, error))?;
         match lock.try_lock() {
-            Ok(()) => Ok(Folder { path: path.to_path_buf(), appending: None, _lock: Some(lock) }),
+            Ok(()) => Ok(Folder { path: path.to_path_buf(), append_file: None, _lock: Some(lock) }),
             Err(TryLockError::WouldBlock) => Err(DiskError::Locked { folder: folder_name }),
             Err(TryLockError::Error(error)) => Err(folder_error(error)),
         }
     }
 
-    /// Opens the folder for reading only: the process that has it goes on writing.
+    /// Opens the folder for reading, without a lock. Another process may write to it meanwhile.
     pub fn read_only(path: &Path) -> Self {
-        Folder { path: path.to_path_buf(), appending: None, _lock: None }
+        Folder { path: path.to_path_buf(), append_file: None, _lock: None }
     }
 }
 
 impl Disk for Folder {
     fn list(&mut self) -> Result<Vec<String>, DiskError> {
-        let folder_error = |error| DiskError::io(THE_FOLDER, error);
+        let folder_error = |error| DiskError::io(FOLDER_LABEL, error);
         let mut names = Vec::new();
         for entry in std::fs::read_dir(&self.path).map_err(folder_error)? {
             let entry = entry.map_err(folder_error)?;
@@ -91,13 +92,13 @@
             .mode(FILE_MODE)
             .open(self.path.join(name))
             .map_err(|error| DiskError::io(name, error))?;
-        self.appending = Some(OpenFile { name: name.to_string(), file });
+        self.append_file = Some(OpenFile { name: name.to_string(), file });
         Ok(())
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<(), DiskError> {
         let io_error = |error| DiskError::io(name, error);
-        let mut open = match self.appending.take().filter(|open| open.name == name) {
+        let mut open = match self.append_file.take().filter(|open| open.name == name) {
             Some(open) => open,
             None => {
                 let file = OpenOptions::new().append(true).open(self.path.join(name)).map_err(io_error)?;
@@ -105,12 +106,12 @@
             }
         };
         let written = open.file.write_all(bytes).map_err(io_error);
-        self.appending = Some(open);
+        self.append_file = Some(open);
         written
     }
 
     fn sync(&mut self, name: &str) -> Result<(), DiskError> {
-        let synced = match &self.appending {
+        let synced = match &self.append_file {
             Some(open) if open.name == name => open.file.sync_data(),
             _ => File::open(self.path.join(name)).and_then(|file| file.sync_data()),
         };
@@ -118,7 +119,7 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> Result<(), DiskError> {
-        self.appending = None;
+        self.append_file = None;
         std::fs::rename(self.path.join(from), self.path.join(to)).map_err(|error| DiskError::io(from, error))
     }
 
@@ -128,6 +129,6 @@
 
     fn sync_folder(&mut self) -> Result<(), DiskError> {
         let synced = File::open(&self.path).and_then(|folder| folder.sync_all());
-        synced.map_err(|error| DiskError::io(THE_FOLDER, error))
+        synced.map_err(|error| DiskError::io(FOLDER_LABEL, error))
     }
 }
--- a/crates/durable-store/src/disk/memory.rs
+++ b/crates/durable-store/src/disk/memory.rs
@@ -1,4 +1,4 @@
-//! A disk in memory for tests: it fails on request, and loses in a crash what was not synced.
+//! An in-memory disk for tests: it injects faults, and drops unsynced data in a simulated crash.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,26 +10,27 @@
 /// How a call fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The power goes: this and every later call fails.
+    /// Power loss: this and every later call fails.
     Crash,
-    /// The call fails and does nothing; later ones succeed.
+    /// The call fails without effect; later calls succeed.
     Error,
-    /// An append writes half of its bytes, and fails.
+    /// An append writes half of its bytes and then fails.
     PartialAppend,
 }
 
-/// What a crash leaves of what was not synced.
+/// How much of the unsynced data is left after a crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unsynced {
-    /// Nothing.
+    /// None of it.
     Lost,
-    /// Everything, as if it had been synced.
+    /// All of it, as if it had been synced.
     Kept,
-    /// The first half of what was appended, and renames.
+    /// The first half of the unsynced appends, and all creations, renames and removals.
     FirstHalfKept,
-    /// The last half of it, with zeros in the place of the first: it was written in another order.
+    /// The second half of the unsynced appends, after zeros instead of the first half: the disk reordered the writes.
+    /// Creations, renames and removals are kept.
     LastHalfKept,
-    /// What was appended, but no renames, creations and removals.
+    /// All appends, but no creations, renames and removals.
     NamesLost,
 }
 
@@ -40,7 +41,7 @@
 }
 
 impl MemoryFile {
-    /// The content that a crash leaves.
+    /// The content after a crash.
     fn after_crash(&self, unsynced: Unsynced) -> Vec<u8> {
         let pairs = self.current.iter().zip(&self.synced);
         let common = pairs.take_while(|(current, synced)| current == synced).count();
@@ -57,13 +58,13 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// All files that ever were; names refer to them by index.
+    /// All files ever created, including removed ones; names refer to them by index.
     files: Vec<MemoryFile>,
     names: BTreeMap<String, usize>,
     /// The names as of the last sync of the folder.
     synced_names: BTreeMap<String, usize>,
-    /// Number of calls that change something, so far.
-    calls: usize,
+    /// Number of modifying calls so far.
+    modifying_calls: usize,
     faults: BTreeMap<usize, Fault>,
     crashed: bool,
 }
@@ -81,58 +82,59 @@
         self.names.get(name).copied().ok_or_else(missing)
     }
 
-    /// Counts a call. Returns whether it is an append to be cut short.
-    fn call(&mut self, name: &str) -> Result<Option<Fault>, DiskError> {
-        let requested_fault = || DiskError::io(name, Error::other("a fault that was asked for"));
+    /// Counts a modifying call and applies the fault that is injected into it. [`Fault::PartialAppend`] is returned, as
+    /// the append itself has to apply it.
+    fn record_call(&mut self, name: &str) -> Result<Option<Fault>, DiskError> {
+        let injected_fault = || DiskError::io(name, Error::other("injected fault"));
         if self.crashed {
-            return Err(requested_fault());
+            return Err(injected_fault());
         }
-        let fault = self.faults.get(&self.calls).copied();
-        self.calls += 1;
+        let fault = self.faults.get(&self.modifying_calls).copied();
+        self.modifying_calls += 1;
         match fault {
             Some(Fault::Crash) => {
                 self.crashed = true;
-                Err(requested_fault())
+                Err(injected_fault())
             }
-            Some(Fault::Error) => Err(requested_fault()),
+            Some(Fault::Error) => Err(injected_fault()),
             Some(Fault::PartialAppend) | None => Ok(fault),
         }
     }
 }
 
-/// A disk in memory. Clones are the same disk.
+/// An in-memory disk. Clones share the same files.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryDisk {
     state: Rc<RefCell<State>>,
 }
 
 impl MemoryDisk {
-    /// Makes the call of this number, from 0, fail.
-    pub fn fault(&self, call: usize, fault: Fault) {
+    /// Injects a fault into the modifying call with this number, counted from 0.
+    pub fn inject_fault(&self, call: usize, fault: Fault) {
         self.state.borrow_mut().faults.insert(call, fault);
     }
 
-    /// Number of calls that change something, so far.
-    pub fn calls(&self) -> usize {
-        self.state.borrow().calls
+    /// Number of modifying calls so far.
+    pub fn modifying_calls(&self) -> usize {
+        self.state.borrow().modifying_calls
     }
 
-    /// The disk as it is found after a crash.
+    /// Returns a copy of the disk in its state after a crash.
     pub fn after_crash(&self, unsynced: Unsynced) -> MemoryDisk {
         let state = self.state.borrow();
         let names = match unsynced {
             Unsynced::Lost | Unsynced::NamesLost => &state.synced_names,
             Unsynced::Kept | Unsynced::FirstHalfKept | Unsynced::LastHalfKept => &state.names,
         };
-        let left = MemoryDisk::default();
+        let crashed_disk = MemoryDisk::default();
         for (name, index) in names {
-            left.put(name, &state.files[*index].after_crash(unsynced));
+            crashed_disk.add_synced_file(name, &state.files[*index].after_crash(unsynced));
         }
-        left
+        crashed_disk
     }
 
-    /// Flips a bit of a file.
-    pub fn flip(&self, name: &str, bit: usize) {
+    /// Flips one bit of a file's content.
+    pub fn flip_bit(&self, name: &str, bit: usize) {
         let mut state = self.state.borrow_mut();
         let Ok(index) = state.index(name) else { return };
         let file = &mut state.files[index];
@@ -142,8 +144,8 @@
         file.synced = file.current.clone();
     }
 
-    /// Puts a file there, synced.
-    pub fn put(&self, name: &str, bytes: &[u8]) {
+    /// Adds a file whose content and name are already synced.
+    pub fn add_synced_file(&self, name: &str, bytes: &[u8]) {
         let mut state = self.state.borrow_mut();
         let index = state.add_file(name, MemoryFile { current: bytes.to_vec(), synced: bytes.to_vec() });
         state.synced_names.insert(name.to_string(), index);
@@ -163,14 +165,14 @@
 
     fn create(&mut self, name: &str) -> Result<(), DiskError> {
         let mut state = self.state.borrow_mut();
-        state.call(name)?;
+        state.record_call(name)?;
         state.add_file(name, MemoryFile::default());
         Ok(())
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<(), DiskError> {
         let mut state = self.state.borrow_mut();
-        let fault = state.call(name)?;
+        let fault = state.record_call(name)?;
         let index = state.index(name)?;
         let written = if fault.is_some() { &bytes[..bytes.len() / 2] } else { bytes };
         state.files[index].current.extend(written);
@@ -182,7 +184,7 @@
 
     fn sync(&mut self, name: &str) -> Result<(), DiskError> {
         let mut state = self.state.borrow_mut();
-        state.call(name)?;
+        state.record_call(name)?;
         let index = state.index(name)?;
         let file = &mut state.files[index];
         file.synced = file.current.clone();
@@ -191,7 +193,7 @@
 
     fn rename(&mut self, from: &str, to: &str) -> Result<(), DiskError> {
         let mut state = self.state.borrow_mut();
-        state.call(from)?;
+        state.record_call(from)?;
         let index = state.index(from)?;
         state.names.remove(from);
         state.names.insert(to.to_string(), index);
@@ -200,7 +202,7 @@
 
     fn remove(&mut self, name: &str) -> Result<(), DiskError> {
         let mut state = self.state.borrow_mut();
-        state.call(name)?;
+        state.record_call(name)?;
         state.index(name)?;
         state.names.remove(name);
         Ok(())
@@ -208,7 +210,7 @@
 
     fn sync_folder(&mut self) -> Result<(), DiskError> {
         let mut state = self.state.borrow_mut();
-        state.call("the folder")?;
+        state.record_call("the folder")?;
         state.synced_names = state.names.clone();
         Ok(())
     }
--- a/crates/platform-governor/tests/settings_edges.rs
+++ b/crates/platform-governor/tests/settings_edges.rs
@@ -1,4 +1,4 @@
-//! Any settings that are accepted drive a governor for some seconds without a panic, and every figure sent is a number.
+//! With any settings that are accepted, a governor runs for some seconds without a panic and sends only valid numbers.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
 
@@ -9,16 +9,16 @@
 use serde_json::{Map, Value, json};
 use wrenthread_platform_protocol::decode::{Decoder, Message};
 
-/// The largest count that is read.
+/// The largest count that is accepted.
 const LARGEST_COUNT: u64 = 8_999_999_999_999_999;
 
-/// A count at an edge, an ordinary one, or none.
+/// A count at an edge of the range, an ordinary one, or none.
 fn count() -> impl Strategy<Value = Option<Value>> {
     let edges = prop::sample::select(vec![0, 1, 2, 3, 4, 63, 64, 65, 1000, 1_000_000, LARGEST_COUNT]);
     prop::option::weighted(0.85, edges.prop_map(Value::from))
 }
 
-/// A number at an edge, an ordinary one, or none.
+/// A number at an edge of the range, an ordinary one, or none.
 fn number() -> impl Strategy<Value = Option<Value>> {
     let edges = prop::sample::select(vec![0.0, f64::MIN_POSITIVE, 1e-9, 0.3, 1.0, 2.5, 1e4, 1e18, f64::MAX]);
     prop::option::weighted(0.85, edges.prop_map(Value::from))
@@ -64,9 +64,9 @@
 
 fn classes() -> impl Strategy<Value = Value> {
     let counts = prop_oneof![4 => 0usize..4, 1 => Just(64usize), 1 => Just(65usize), 1 => Just(130usize)];
-    (prop::collection::vec(class(), 4), counts).prop_map(|(kinds, count)| {
+    (prop::collection::vec(class(), 4), counts).prop_map(|(templates, count)| {
         let named = |index: usize| {
-            let mut class = kinds[index % kinds.len()].clone();
+            let mut class = templates[index % templates.len()].clone();
             class["name"] = json!(format!("c{index}"));
             class
         };
@@ -86,8 +86,8 @@
     )
 }
 
-/// What comes to the governor: how many replicas and proxies there are, and figures at an edge, of which the decoder lets
-/// pass what is in range.
+/// The governor's input: the number of replicas and of proxies, and figures at the edges of their ranges. The decoder
+/// rejects those that are out of range.
 #[derive(Debug, Clone)]
 struct Traffic {
     replicas: usize,
@@ -118,7 +118,7 @@
     )
 }
 
-/// Hands a governor what its decoder accepts.
+/// Sends a governor the messages that its decoder accepts.
 struct Peers {
     decoder: Decoder,
     traffic: Traffic,
@@ -134,8 +134,8 @@
     fn connect(&self, driven: &mut DrivenGovernor, proxy: u16, holds_default_table: bool) {
         let message = json!({"@type": "SUBSCRIBE", "node": proxy, "locality": ZONE,
             "w": self.traffic.requests_per_second, "cold": holds_default_table});
-        if let Some(Message::ProxyConnected(joined)) = self.decode(driven, &message) {
-            driven.connect(joined.proxy, joined.requests_per_second, joined.holds_default_table);
+        if let Some(Message::ProxyConnected(connection)) = self.decode(driven, &message) {
+            driven.connect(connection.proxy, connection.requests_per_second, connection.holds_default_table);
         }
     }
 
@@ -161,7 +161,7 @@
     }
 }
 
-/// Whether all figures of a message are numbers in range: what is not a number is written as null.
+/// Whether all figures of a message are numbers in range. A NaN or an infinity is written as null.
 fn is_applicable(part: &Value) -> bool {
     let weights = part["lines"].as_array().into_iter().flatten();
     let mut weights = weights.map(|line| line[1].as_f64());
@@ -172,28 +172,28 @@
 
 proptest! {
     #[test]
-    fn accepted_settings_neither_panic_nor_give_figures_that_are_none(settings in settings(), traffic in traffic()) {
+    fn accepted_settings_neither_panic_nor_send_invalid_numbers(settings in settings(), traffic in traffic()) {
         let Ok(config) = read_config(&settings) else { return Ok(()) };
         let peers = Peers { decoder: Decoder::new(&config), classes: config.class_names.len(), traffic };
         let mut driven = DrivenGovernor::new(&config);
         let replicas = peers.traffic.replicas;
         let up: Vec<Value> = (0..replicas).map(|number| replica(&format!("r{number}"), "up")).collect();
-        driven.list(true, &up);
+        driven.send_list(true, &up);
         for proxy in 0..peers.traffic.proxies {
             peers.connect(&mut driven, proxy, proxy % 2 == 0);
         }
         for second in 0..6 {
             peers.report(&mut driven);
-            driven.run(20 * STEP);
+            driven.advance_by(20 * STEP);
             if second == 2 && replicas > 0 {
-                driven.list(false, &[replica("r0", "draining")]);
+                driven.send_list(false, &[replica("r0", "draining")]);
                 driven.disconnect(0);
             }
             if second == 4 {
-                driven.list(true, &[]);
+                driven.send_list(true, &[]);
                 peers.connect(&mut driven, 0, false);
             }
-            driven.run(20 * STEP);
+            driven.advance_by(20 * STEP);
         }
         for message in &driven.sent {
             for part in &message.parts {
--- a/crates/platform-protocol/src/outbox/builder.rs
+++ b/crates/platform-protocol/src/outbox/builder.rs
@@ -1,4 +1,4 @@
-//! Builds the message that a stream is sent at the end of a pull.
+//! Builds the message to a stream at the end of a pull.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,10 +8,10 @@
 use super::wire::{ConfigPart, retry_policy_number};
 use super::{MAX_CLASSES, PendingChanges, TableEntries, all_classes, contains_class};
 
-/// Entries in a part at most, so that none comes near the size that a message may have.
+/// The maximum number of entries in a part, which keeps each part well below the maximum message size.
 const MAX_ENTRIES_PER_PART: usize = 2000;
 
-/// What is decided as a pull ends.
+/// The decisions in force and the changes of the pull that ends.
 pub(super) struct MessageBuilder<'a> {
     pub class_names: &'a [String],
     pub default_admission: Admission,
@@ -21,7 +21,7 @@
     pub pending: &'a PendingChanges,
 }
 
-/// Replicas whose ejection a stream is to be sent.
+/// Replicas whose ejection or restoration has to be sent on a stream.
 #[derive(Default)]
 struct EjectionChanges<'a> {
     ejected: Vec<&'a str>,
@@ -29,7 +29,7 @@
 }
 
 impl<'a> MessageBuilder<'a> {
-    /// The parts of the message that this stream is sent, and takes for sent.
+    /// Builds the parts of the stream's message, and records them in `stream` as sent.
     pub fn build(&self, stream: &mut Stream) -> Vec<ConfigPart<'a>> {
         let mut parts = Vec::new();
         let newly_assigned = std::mem::take(&mut stream.newly_assigned);
@@ -52,7 +52,7 @@
         parts
     }
 
-    /// A complete table has the proxy forget its admission fractions.
+    /// Resets admissions to the default, as the proxy does when it receives a complete table.
     fn reset_admissions(&self, admissions: &mut [Option<Admission>], classes: ClassSet) {
         for (class, admission) in admissions.iter_mut().enumerate() {
             if contains_class(classes, class) {
@@ -62,7 +62,7 @@
     }
 
     fn push_complete_table(&self, parts: &mut Vec<ConfigPart<'a>>, table: TableId, classes: ClassSet) {
-        let entries = rows(self.tables.get(&table));
+        let entries = wire_entries(self.tables.get(&table));
         if entries.is_empty() {
             let class_names = self.class_names(classes);
             parts.push(ConfigPart { class_names, is_complete: true, ..ConfigPart::default() });
@@ -80,25 +80,25 @@
     }
 
     fn push_changed_entries(&self, parts: &mut Vec<ConfigPart<'a>>, table: TableId, classes: ClassSet) {
-        let entries = rows(self.pending.entries.get(&table));
+        let entries = wire_entries(self.pending.entries.get(&table));
         for entries in entries.chunks(MAX_ENTRIES_PER_PART) {
             let class_names = self.class_names(classes);
             parts.push(ConfigPart { class_names, entries: entries.to_vec(), ..ConfigPart::default() });
         }
     }
 
-    /// Admissions travel with each message: those in force that the proxy does not hold.
-    fn push_admissions(&self, parts: &mut Vec<ConfigPart<'a>>, held: &mut [Option<Admission>]) {
+    /// Adds the admissions in force that the proxy does not have yet. Every message includes them.
+    fn push_admissions(&self, parts: &mut Vec<ConfigPart<'a>>, sent: &mut [Option<Admission>]) {
         let mut changes: Vec<(Admission, ClassSet)> = Vec::new();
-        for (class, (held, wanted)) in held.iter_mut().zip(self.admissions).enumerate().take(MAX_CLASSES) {
-            let Some(wanted) = *wanted else { continue };
-            if *held == Some(wanted) {
+        for (class, (sent, decided)) in sent.iter_mut().zip(self.admissions).enumerate().take(MAX_CLASSES) {
+            let Some(decided) = *decided else { continue };
+            if *sent == Some(decided) {
                 continue;
             }
-            *held = Some(wanted);
-            match changes.iter_mut().find(|(admission, _)| *admission == wanted) {
+            *sent = Some(decided);
+            match changes.iter_mut().find(|(admission, _)| *admission == decided) {
                 Some((_, classes)) => *classes |= 1 << class,
-                None => changes.push((wanted, 1 << class)),
+                None => changes.push((decided, 1 << class)),
             }
         }
         for (admission, classes) in changes {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Replicas of the stream's tables whose ejection it was not sent as it stands now.
+    /// The replicas in the stream's tables whose current ejection state was not sent on it.
     fn ejection_changes(
         &self,
         stream: &mut Stream,
@@ -122,27 +122,27 @@
             let Some(entries) = self.tables.get(table) else { continue };
             if newly_assigned.contains(table) {
                 for replica in entries.keys() {
-                    self.note_ejection(&mut changes, &mut stream.ejections, replica);
+                    self.record_ejection(&mut changes, &mut stream.ejections, replica);
                 }
                 continue;
             }
             let changed = self.pending.entries.get(table).into_iter().flat_map(BTreeMap::keys);
             for replica in changed.chain(&self.pending.ejections) {
                 if entries.contains_key(replica) {
-                    self.note_ejection(&mut changes, &mut stream.ejections, replica);
+                    self.record_ejection(&mut changes, &mut stream.ejections, replica);
                 }
             }
         }
-        // Nobody knows which replicas are in tables that are not this governor's.
+        // Some classes use tables that are not this governor's. The replicas in those are unknown: all changes are sent.
         if stream.assigned_classes() != all_classes(self.class_names.len()) {
             for replica in &self.pending.ejections {
-                self.note_ejection(&mut changes, &mut stream.ejections, replica);
+                self.record_ejection(&mut changes, &mut stream.ejections, replica);
             }
         }
         changes
     }
 
-    fn note_ejection(
+    fn record_ejection(
         &self,
         changes: &mut EjectionChanges<'a>,
         sent: &mut BTreeMap<ReplicaId, Ejection>,
@@ -159,7 +159,7 @@
         }
     }
 
-    /// The names of these classes; none for all of them.
+    /// The names of these classes; `None` for all classes.
     fn class_names(&self, classes: ClassSet) -> Option<Vec<&'a str>> {
         if classes == all_classes(self.class_names.len()) {
             return None;
@@ -174,7 +174,7 @@
     }
 }
 
-/// Restored replicas go behind the tables, in the last part if it has none yet.
+/// Adds restored replicas after the tables: to the last part unless it already has some, or else as new parts.
 fn push_restored<'a>(parts: &mut Vec<ConfigPart<'a>>, restored: &[&'a str]) {
     for names in restored.chunks(MAX_ENTRIES_PER_PART) {
         if let Some(part) = parts.last_mut()
@@ -187,6 +187,6 @@
     }
 }
 
-fn rows(entries: Option<&TableEntries>) -> Vec<(&str, f64)> {
+fn wire_entries(entries: Option<&TableEntries>) -> Vec<(&str, f64)> {
     entries.into_iter().flatten().map(|(replica, weight)| (&**replica, *weight)).collect()
 }
