--- a/crates/core/benches/restart.rs
+++ b/crates/core/benches/restart.rs
@@ -1,6 +1,7 @@
-//! A governor's restart with and without what it knew, in one run: how long until it first decides and until
-//! its fleet is settled, what it sends, and what keeping it costs. `cargo bench -p wrenthread-core --bench
-//! restart`
+//! Measures a governor's restart with and without stored state, in one run: the time until its first update
+//! and until the fleet is settled, the amount of data sent, and the cost of storing the state.
+//!
+//! Run: `cargo bench -p wrenthread-core --bench restart`
 
 #![allow(
     clippy::unwrap_used,
@@ -42,7 +43,7 @@
     (0..REPLICAS).map(entry).collect()
 }
 
-/// What a proxy holds: the version by which it was told that, and the digest.
+/// By proxy: the version that it holds and its digest.
 type Held = BTreeMap<usize, (u64, Digest)>;
 
 struct Run {
@@ -51,7 +52,7 @@
     numbers: BTreeMap<u16, usize>,
     lines: usize,
     messages: usize,
-    /// Lines in the first three seconds.
+    /// Entries sent in the first three seconds.
     soon: usize,
     began: u64,
     first: Option<u64>,
@@ -88,14 +89,16 @@
             requests_per_second: 5.0,
             default_table: standing.map(|n| (format!("r{n:02}").into(), 1.0)).collect(),
             holds_governor_tables: proven.is_some(),
-            ownership_proof: proven.map(|_| "a word".into()),
+            ownership_proof: proven.map(|_| "a proof".into()),
             proven_version: proven,
         };
-        let joined = self.engine.proxy_connected(ms(now), relay as u64, &join).expect("there is room");
+        let joined =
+            self.engine.proxy_connected(ms(now), relay as u64, &join).expect("capacity for all proxies");
         self.numbers.insert(joined.proxy, relay);
     }
 
-    /// Proxies that take all at once, and are told only what differs from what they hold.
+    /// Acts as a host whose proxies accept everything at once and are sent only the differences from what
+    /// they hold.
     fn pump(&mut self, now: u64) {
         while let Some(step) = self.engine.next_action(ms(now)) {
             let Action::Flush(number) = step else { continue };
@@ -123,7 +126,7 @@
         }
     }
 
-    /// All that proxies met in a second, with one replica that drops everything.
+    /// The observations of all proxies in one second, with one replica that fails all requests.
     fn report(&mut self, now: u64, relays: usize) {
         for relay in 0..relays {
             let met = (0..REPLICAS).filter(|n| n % 3 == relay % 3).skip(relay % 5).take(8).map(|n| {
@@ -134,7 +137,7 @@
                     in_flight: 0,
                     succeeded: if n == 4 { 0 } else { 4 },
                     failed: if n == 4 { 4 } else { 0 },
-                    // Never quite the same: a report that is comes twice.
+                    // Differs each time, as an identical report is discarded as a copy.
                     answers: if n == 4 {
                         (Duration::ZERO, 0)
                     } else {
@@ -163,11 +166,11 @@
                 before.report(now, relays);
             }
             if now == 15_000 {
-                let (what, why) = (OverrideKind::Weight(0.5), "half its cores are gone");
+                let (what, why) = (OverrideKind::Weight(0.5), "half of its cores failed");
                 before
                     .engine
                     .override_replica(ms(now), &"r07".into(), what, ms(900_000), why)
-                    .expect("listed");
+                    .expect("a listed replica");
             }
             before.pump(now);
         }
@@ -200,7 +203,7 @@
             }
             after.held = before.held.clone();
             after.engine.update_roster(ms(20_500), list());
-            // They come back within half a second, spread.
+            // The proxies reconnect spread over half a second.
             let mut left: BTreeSet<usize> = (0..relays).collect();
             let mut out = None;
             for now in (20_500..50_500).step_by(20) {
@@ -218,11 +221,10 @@
                     out = Some(now - 20_500);
                 }
             }
-            let known = age.map_or("nothing".to_string(), |age| format!("{age} s old"));
+            let known = age.map_or("no stored state".to_string(), |age| format!("state {age} s old"));
             println!(
-                "{relays}, {known}: first {:?} ms, last {} ms, {} lines in 3 s, {} in 30 s, {} messages; \
-                 the bad \
-                 replica is out again after {out:?} ms",
+                "{relays} proxies, {known}: first update {:?} ms, last {} ms, {} entries in 3 s, {} in 30 s, \
+                 {} messages; faulty replica ejected again after {out:?} ms",
                 after.first.map(|first| first - 20_500),
                 after.last - 20_500,
                 after.soon,
@@ -231,10 +233,8 @@
             );
         }
         println!(
-            "{relays}: all of it anew {whole_ms:.1} ms and {whole_bytes} bytes; nothing new \
-             {again_ms:.2} ms, \
-             {again_bytes} \
-             bytes; the bad replica was out before: {withdrawn}"
+            "{relays} proxies: complete state {whole_ms:.1} ms and {whole_bytes} bytes; no changes {again_ms:.2} ms \
+             and {again_bytes} bytes; faulty replica ejected before the restart: {withdrawn}"
         );
     }
 }
--- a/crates/core/src/backup_replicas.rs
+++ b/crates/core/src/backup_replicas.rs
@@ -1,8 +1,8 @@
 //! Backup replicas: active only while no primary replica is ready.
 //!
-//! They stay active until a primary has been ready for as long as a slow start takes, without a break. That guards
-//! against a cold replica that comes back to all requests at once, and against a roster that flaps; it does harm where
-//! backups are slow or far, for so long.
+//! They stay active until a primary has been ready without interruption for the duration of a slow start.
+//! This protects a cold replica from receiving all requests at once, and against a flapping roster. *Harm:*
+//! requests go to backups for that time, even if these are slow or distant.
 
 use std::time::Duration;
 
@@ -10,31 +10,31 @@
 
 use crate::roster::RosterEntry;
 
-/// Which entries of a roster are active.
+/// Selects the active entries of a roster.
 #[derive(Debug)]
 pub struct BackupReplicas {
     release_delay: Duration,
-    /// The last complete roster; kept only while it has backups.
+    /// The last complete roster; stored only if it contains backups.
     last: Vec<RosterEntry>,
-    /// Backups are active, as no primary was ready.
+    /// Whether backups are active because no primary was ready.
     active: bool,
-    /// Since when some primary is ready without a break.
+    /// Since when at least one primary has been ready without interruption.
     primary_ready_since: Option<Duration>,
 }
 
 impl BackupReplicas {
-    /// `release_delay`: for how long a primary must be ready before backups are released.
+    /// `release_delay`: how long a primary must be ready before backups are deactivated.
     pub fn new(release_delay: Duration) -> Self {
         BackupReplicas { release_delay, last: Vec::new(), active: false, primary_ready_since: None }
     }
 
-    /// A complete roster, as its source has it: its active entries.
+    /// Processes a complete roster from its source. Returns its active entries.
     pub fn update(&mut self, now: Duration, entries: Vec<RosterEntry>) -> Vec<RosterEntry> {
         let any = entries.iter().any(|entry| entry.backup);
         let ready = entries.iter().any(|entry| !entry.backup && entry.phase == Phase::Ready);
         match ready {
             true => drop(self.primary_ready_since.get_or_insert(now)),
-            // An empty roster is doubted by whoever takes it; it activates nobody.
+            // An empty roster activates no backups; [`crate::roster::Roster`] delays its acceptance.
             false if any => (self.active, self.primary_ready_since) = (true, None),
             false => self.primary_ready_since = None,
         }
@@ -42,13 +42,13 @@
         self.active_entries(now, entries)
     }
 
-    /// The active entries anew, when backups are released.
+    /// Deactivates backups if due. Returns the new active entries.
     pub fn release_due(&mut self, now: Duration) -> Option<Vec<RosterEntry>> {
         self.next_deadline().filter(|due| now >= *due)?;
         Some(self.active_entries(now, self.last.clone()))
     }
 
-    /// When [`BackupReplicas::release_due`] is next to be called.
+    /// When to call [`BackupReplicas::release_due`] next.
     pub fn next_deadline(&self) -> Option<Duration> {
         self.primary_ready_since
             .filter(|_| self.active && !self.last.is_empty())
--- a/crates/core/src/backup_replicas/tests.rs
+++ b/crates/core/src/backup_replicas/tests.rs
@@ -26,12 +26,12 @@
     assert_eq!(ids(&standby.update(s(1), list(Phase::Ready))), "a");
     assert_eq!((standby.next_deadline(), standby.release_due(s(100))), (None, None));
     assert_eq!(ids(&standby.update(s(2), list(Phase::Draining))), "a z");
-    assert_eq!(ids(&standby.update(s(3), list(Phase::Ready))), "a z", "not at once");
-    assert_eq!(ids(&standby.update(s(10), list(Phase::Draining))), "a z", "it flaps");
+    assert_eq!(ids(&standby.update(s(3), list(Phase::Ready))), "a z", "backups are not released at once");
+    assert_eq!(ids(&standby.update(s(10), list(Phase::Draining))), "a z", "the primary flaps");
     standby.update(s(12), list(Phase::Ready));
     assert_eq!((standby.next_deadline(), standby.release_due(s(31))), (Some(s(32)), None));
     assert_eq!(ids(&standby.release_due(s(32)).unwrap()), "a");
     assert_eq!((standby.next_deadline(), standby.release_due(s(33))), (None, None));
-    assert_eq!(ids(&standby.update(s(40), vec![])), "", "an empty list is no list without the others");
+    assert_eq!(ids(&standby.update(s(40), vec![])), "", "an empty roster does not activate backups");
     assert_eq!(ids(&standby.update(s(41), list(Phase::Ready))), "a");
 }
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -1,23 +1,24 @@
-//! The engine: one instance of the decision module with everything it needs to act on proxies. Inputs go in,
-//! actions come out; it opens no socket and reads no clock.
+//! The engine: one instance of the decision module and the state needed to apply its decisions to proxies.
+//! Inputs go in, actions come out; it does no I/O and reads no clock.
 //!
-//! A host calls the inputs as things happen, then pulls [`Engine::next_action`] until `None`, carries out each
-//! action, and comes back at [`Engine::next_deadline`] at the latest. All that the module decides in one go is one
-//! flush: it shares a version and reaches each proxy concerned in one piece.
+//! A host calls an input method for each event, then calls [`Engine::next_action`] until it returns `None`,
+//! carries out each action, and calls again at [`Engine::next_deadline`] at the latest. All decisions that
+//! the module makes in one call belong to one flush: they share a version, and each affected proxy receives
+//! them together.
 //!
-//! | file | what is in it |
+//! | file | content |
 //! | --- | --- |
-//! | `settings` | what an engine is given at its start |
-//! | `actions` | what it asks the host to do, and what it reports for the log |
-//! | `inputs` | what a host tells it: the roster, reports, acknowledgements, streams, health checks, overrides |
-//! | `joining` | proxies that connect, and the queue of those that wait for the channel |
-//! | `recovery` | what is stored beyond a restart, and what of it is used after one |
-//! | `migration` | proxies that are handed over by other governors |
-//! | `rollback` | tables that operators freeze at an earlier version, and their release |
-//! | `scheduling` | the order of work: deadlines, ticks, the next action |
-//! | `decisions` | one flush: everything that the module decides at one time |
-//! | `publishing` | what each proxy should hold, checked by the guard, under a version |
-//! | `inspection` | what fronts and operators read |
+//! | `settings` | the settings of an engine |
+//! | `actions` | actions for the host and events for the log |
+//! | `inputs` | inputs from the host: roster, reports, acknowledgements, streams, health checks, overrides |
+//! | `joining` | connecting proxies, and the queue of those waiting for channel capacity |
+//! | `recovery` | state stored across restarts, and its use after one |
+//! | `migration` | proxies handed over by other governors |
+//! | `rollback` | tables frozen by operators at an earlier version, and their release |
+//! | `scheduling` | deadlines, ticks and the next action |
+//! | `decisions` | a flush: the decisions that the module makes in one call |
+//! | `publishing` | the tables of each proxy, checked by the guard and versioned |
+//! | `inspection` | read access for front ends and operators |
 //!
 //! ```
 //! use std::time::Duration;
@@ -42,12 +43,12 @@
 //!     proven_version: None,
 //! };
 //! let proxy = engine.proxy_connected(now, 1, &request).unwrap().proxy;
-//! // What the proxy holds is not known: the module gives it tables.
+//! // The tables that the proxy holds are unknown, so the module assigns it new ones.
 //! let later = now + Duration::from_millis(250);
 //! let actions: Vec<Action> = std::iter::from_fn(|| {
 //!     let action = engine.next_action(later)?;
 //!     if let Action::Flush(proxy) = action {
-//!         engine.tables_sent(later, proxy, 1, 1); // here a front writes what `Engine::proxy` says
+//!         engine.tables_sent(later, proxy, 1, 1); // a front end would send the tables of `Engine::proxy` here
 //!     }
 //!     Some(action)
 //! }).collect();
@@ -98,12 +99,13 @@
 use joining::QueuedJoin;
 use recovery::AwaitedFrozenTable;
 
-/// Traffic classes that a [`ClassSet`](wrenthread::types::ClassSet) can name; further ones are ignored.
+/// The number of traffic classes that a [`ClassSet`](wrenthread::types::ClassSet) can represent; further
+/// classes are ignored.
 const MAX_CLASSES: usize = 64;
-/// Characters that are kept of an operator's reason.
+/// The maximum length of an operator's reason in characters; the rest is cut off.
 const MAX_REASON_LENGTH: usize = 500;
 
-/// One instance of the decision module with all that it needs to act on proxies.
+/// One instance of the decision module and the state needed to apply its decisions to proxies.
 pub struct Engine {
     governor: Governor,
     backups: BackupReplicas,
@@ -117,43 +119,45 @@
     frozen_tables: BTreeMap<(ProxyId, usize), FrozenTable>,
     overrides: Overrides,
     guard: Guard,
-    /// The roster has changed: tables that stand are checked again after the next flush.
+    /// Set when the roster has changed: all current tables are checked again after the next flush.
     recheck_all: bool,
-    /// What was known before a restart, as far as it has not been used yet.
+    /// State from before a restart that has not been used yet.
     restored: RestoredState,
     restored_at: Duration,
-    /// Until when admission fractions from before a restart hold.
+    /// When the admission fractions from before a restart expire.
     restored_admission_until: Duration,
     /// Frozen tables of proxies that have not reconnected since a restart, by proxy and traffic class.
     awaited_frozen_tables: BTreeMap<(Arc<str>, usize), AwaitedFrozenTable>,
     class_count: usize,
-    /// Table entries that the channel must carry for a proxy that is given all of its tables.
+    /// The estimated number of entries sent to a proxy that receives a table for every class.
     join_cost_entries: f64,
-    /// Connected, but not yet reported to the module, as what it gives them would not fit the channel.
+    /// Connected proxies not yet passed to the module, because their tables would exceed the channel's
+    /// capacity.
     join_queue: VecDeque<QueuedJoin>,
-    /// Entries set aside for the proxies that left the join queue since the last tick.
+    /// Entries reserved for the proxies that left the join queue since the last tick.
     reserved_entries: f64,
     version: u64,
     next_tick: Duration,
-    /// The process stood still, and first hears what has come in meanwhile.
+    /// Set after a process pause, while inputs from the meantime are processed before the module decides.
     catching_up: bool,
     report_interval: Duration,
-    /// Inputs that the module has not answered yet.
+    /// Kinds of input since the module was last asked for decisions.
     causes: BTreeSet<Cause>,
     pending_actions: VecDeque<Action>,
-    /// The flush that the host was given last and has not confirmed.
+    /// The flush offered to the host last and not yet confirmed.
     offered_flush: Option<ProxyId>,
     flush_count: u64,
     #[cfg(any(test, feature = "suspect"))]
     replace_decider: Option<FaultyDecider>,
 }
 
-/// Decides in the module's stead, with the module at hand.
+/// Replaces the module's decisions; it is given the module to consult.
 #[cfg(any(test, feature = "suspect"))]
 pub type FaultyDecider = Box<dyn FnMut(Duration, &mut Governor) -> Option<Decision>>;
 
 impl Engine {
-    /// An engine with an empty roster and no proxies. `now` is the host's clock, as in all calls that follow.
+    /// Creates an engine with an empty roster and no proxies. `now` is the host's clock, as in all other
+    /// methods.
     pub fn new(settings: EngineSettings, now: Duration) -> Self {
         let EngineSettings {
             governor: module,
@@ -197,14 +201,14 @@
         }
     }
 
-    /// Puts something between the module and what becomes of its decisions: for tests and rehearsals of a
-    /// module that has gone wrong. It is asked as the module would be.
+    /// Replaces the source of decisions, for tests and rehearsals of a faulty module. It is called in place
+    /// of [`Governor::next_decision`].
     #[cfg(any(test, feature = "suspect"))]
     pub fn replace_decider(&mut self, decider: FaultyDecider) {
         self.replace_decider = Some(decider);
     }
 
-    /// Lets all tables through unchecked, for measurements of what the guard costs and prevents.
+    /// Disables all checks of the guard, to measure what the guard costs and prevents.
     #[cfg(any(test, feature = "suspect"))]
     pub fn switch_guard_off(&mut self) {
         self.guard.switch_off();
--- a/crates/core/src/engine/actions.rs
+++ b/crates/core/src/engine/actions.rs
@@ -1,4 +1,4 @@
-//! What the engine asks its host to do, and what it reports for the log.
+//! Actions that the engine asks its host to carry out, and events for the log.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,24 +12,24 @@
 #[cfg(doc)]
 use super::Engine;
 
-/// One thing for the host to do.
+/// An action for the host to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Have the proxy's front write what it should hold and was not sent; then call [`Engine::tables_sent`], or
+    /// The proxy's front end must send the pending changes; then call [`Engine::tables_sent`], or
     /// [`Engine::stream_full`] if its stream has no capacity.
     Flush(ProxyId),
-    /// A stream is over, as a later one of the same proxy has replaced it.
+    /// Close a stream that a newer stream of the same proxy has replaced.
     CloseStream(StreamId),
-    /// Send one health check to a replica, and call [`Engine::health_checked`] with its result.
+    /// Send one health check to a replica and pass the result to [`Engine::health_checked`].
     CheckHealth(ReplicaId),
-    /// Something to write to the log.
+    /// Write an event to the log.
     Report(EngineEvent),
 }
 
-/// A kind of input that came since the module was last asked for decisions.
+/// A kind of input since the module was last asked for decisions.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// The module's timer is due.
+    /// The module's tick was due.
     Beat,
     /// The roster changed.
     Roster,
@@ -39,40 +39,40 @@
     Joined,
     /// A proxy disconnected.
     Left,
-    /// A proxy acknowledged what the module wanted acknowledged.
+    /// A proxy sent an acknowledgement that the module had requested.
     Acked,
-    /// A health check has a result.
+    /// A health check finished.
     Probed,
 }
 
-/// One event for the log.
+/// An event for the log.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EngineEvent {
-    /// What the module decided, the version that it goes out under, and the inputs that it answers.
+    /// The module made a decision.
     Decided {
         /// The decision.
         what: DecisionSummary,
-        /// The version that it goes out under.
+        /// The version under which it is published.
         version: u64,
-        /// The inputs since the last flush.
+        /// The kinds of input since the last flush.
         answers: Arc<[Cause]>,
     },
-    /// An empty roster is not believed before this time.
+    /// The roster source reported an empty roster; it is not accepted before this time.
     EmptyRosterDoubted(Duration),
-    /// A proxy rejected a version, in its own words; its last good tables stand.
+    /// A proxy rejected a version and keeps its last accepted tables.
     VersionRejected {
         /// The proxy's name.
         proxy: Arc<str>,
-        /// The version that it rejected.
+        /// The rejected version.
         version: u64,
-        /// Its reason, in its own words.
+        /// The reason reported by the proxy.
         words: String,
     },
-    /// So many proxies wait in the join queue, as the channel is full.
+    /// The number of proxies in the join queue, which wait for channel capacity.
     JoinsQueued(usize),
     /// An operator's override of a replica has expired.
     OverrideExpired(ReplicaId),
-    /// Something is not sent as it was decided. A refusal that lasts is reported once.
+    /// The guard refused a table or a part of it. A lasting refusal is reported once.
     TableRefused(Refusal),
     /// A frozen table was released.
     FrozenTableReleased {
@@ -85,15 +85,15 @@
     },
 }
 
-/// A decision of the module, in short.
+/// The summary of a decision of the module.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DecisionSummary {
-    /// A replica, and whether it is ejected (`true`) or restored.
+    /// A replica was ejected (`true`) or restored (`false`).
     Withdraw(ReplicaId, bool),
-    /// The proxy that a table is for, and how many entries of it changed.
+    /// A table changed: the name of its proxy, and the number of changed entries.
     Lines(Arc<str>, usize),
-    /// A proxy is assigned a table for these traffic classes.
+    /// A proxy was assigned a table for these traffic classes.
     Follow(Arc<str>, ClassSet),
-    /// Admission fraction and retry policy of these traffic classes.
+    /// The admission fraction and retry policy of these traffic classes were set.
     Level(ClassSet, f64, RetryPolicy),
 }
--- a/crates/core/src/engine/decisions.rs
+++ b/crates/core/src/engine/decisions.rs
@@ -1,4 +1,4 @@
-//! One flush: everything that the module decides at one time, applied under one version.
+//! A flush: the decisions that the module makes in one call, applied under one version.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,18 +12,18 @@
 use super::publishing::RefreshOptions;
 use super::{Action, Cause, DecisionSummary, Engine, EngineEvent};
 
-/// The module is asked again this long after it was, at the soonest and at the latest, whatever it says.
+/// Bounds on the delay between two ticks, whatever delay the module requests.
 const MIN_TICK: Duration = Duration::from_millis(1);
 pub(super) const MAX_TICK: Duration = Duration::from_secs(60);
-/// Decisions in one flush. A fleet of the largest size has fewer changes at once.
+/// The maximum number of decisions in one flush. A fleet of the maximum size needs fewer at once.
 const MAX_DECISIONS: usize = 100_000;
-/// When the module is asked again after a flush that was cut off at [`MAX_DECISIONS`].
+/// The delay until the module is called again after a flush was cut off at [`MAX_DECISIONS`].
 const FLOOD_RETRY: Duration = Duration::from_millis(250);
 
-/// Inputs that ask for as many moves as it takes.
+/// Inputs after which the amount of shifted traffic is not limited.
 const SHIFTING_CAUSES: [Cause; 4] = [Cause::Roster, Cause::Joined, Cause::Left, Cause::Probed];
 
-/// Whom a flush concerns.
+/// The effects of a flush.
 #[derive(Debug, Default)]
 struct Flush {
     proxies: BTreeSet<ProxyId>,
@@ -34,7 +34,7 @@
     updated_tables: Vec<UpdatedTable>,
 }
 
-/// A table that was updated, and the place of its summary.
+/// An updated table and the index of its summary.
 #[derive(Debug, Clone, Copy)]
 struct UpdatedTable {
     summary: usize,
@@ -42,7 +42,7 @@
 }
 
 impl Engine {
-    /// Pulls and applies all that the module decides now, and publishes what changes.
+    /// Applies all decisions that the module makes now and publishes the changes.
     pub(super) fn flush_decisions(&mut self, now: Duration) {
         let answers: Arc<[Cause]> = std::mem::take(&mut self.causes).into_iter().collect();
         let version = self.version + 1;
@@ -53,7 +53,8 @@
             flush.summaries.push(summary);
             let decided = flush.summaries.len();
             if decided >= MAX_DECISIONS {
-                // A module that goes on for ever must not hold up drains: the rest is asked for next time.
+                // A module that never stops deciding must not delay drains: the remaining decisions are
+                // requested in the next flush.
                 let (asked, allowed) = (decided as f64, MAX_DECISIONS as f64);
                 self.guard.record_refusal(now, 0, RefusalReason::Flood, asked, allowed);
                 self.next_tick = now + FLOOD_RETRY;
@@ -88,7 +89,7 @@
         self.governor.next_decision(now)
     }
 
-    /// Carries out a decision; its summary, if it is one for the log.
+    /// Applies a decision. Returns its summary if it is to be logged.
     fn apply_decision(
         &mut self,
         now: Duration,
@@ -97,7 +98,7 @@
     ) -> Option<DecisionSummary> {
         match decision {
             Decision::ScheduleTick(after) => {
-                // Neither at once, for ever, nor never again.
+                // Bounded, so that the module is neither called in a busy loop nor never again.
                 self.next_tick = now + after.clamp(MIN_TICK, MAX_TICK);
                 None
             }
@@ -116,7 +117,7 @@
                 Some(DecisionSummary::Withdraw(replica, ejected))
             }
             Decision::UpdateTable { table, entries } => {
-                // Which proxy it is assigned to may be decided only later in the same flush.
+                // The table may be assigned to a proxy only later in the same flush.
                 flush.updated_tables.push(UpdatedTable { summary: flush.summaries.len(), table });
                 let count = entries.len();
                 self.tables.update_entries(table, entries);
@@ -141,7 +142,7 @@
                 continue;
             }
             *assigned = Some(table);
-            // The module has decided for it: what another governor published gives way.
+            // The module's decision replaces a table published by another governor.
             if self.frozen_tables.get(&(id, class)).is_some_and(|frozen| frozen.migrated) {
                 self.frozen_tables.remove(&(id, class));
             }
@@ -150,8 +151,8 @@
     }
 
     fn set_admission(&mut self, now: Duration, classes: ClassSet, fraction: f64, policy: RetryPolicy) {
-        // The module has seen for itself: what was known before a restart gives way. That everything is admitted
-        // it says at its start, having seen nothing.
+        // A fraction below 1 is based on new observations and replaces the fractions from before a restart.
+        // At its start the module sets 1 without having observed anything, which must not replace them.
         if fraction < 1.0 {
             self.restored.admission_fractions.retain(|class, _| classes >> *class & 1 == 0);
         }
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Adds the proxies that updated tables are assigned to, and their names to the summaries.
+    /// Adds the proxies that the updated tables are assigned to, and sets their names in the summaries.
     fn find_assigned_proxies(&self, flush: &mut Flush) {
         if flush.updated_tables.is_empty() {
             return;
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Which proxy each table is assigned to: each is one proxy's.
+    /// The proxy that each table is assigned to; a table belongs to one proxy only.
     fn proxies_by_table(&self) -> BTreeMap<TableId, ProxyId> {
         let assigned = |(id, proxy): (ProxyId, &Proxy)| {
             proxy.assigned_tables.clone().into_iter().flatten().map(move |table| (table, id))
@@ -183,7 +184,7 @@
         self.fleet.iter().flat_map(assigned).collect()
     }
 
-    /// A proxy's name, empty if it is not connected.
+    /// The name of a proxy; empty if it is not connected.
     pub(super) fn name_of(&self, id: ProxyId) -> Arc<str> {
         self.fleet.get(id).map_or_else(|| "".into(), |proxy| proxy.name.clone())
     }
--- a/crates/core/src/engine/inputs.rs
+++ b/crates/core/src/engine/inputs.rs
@@ -1,5 +1,5 @@
-//! What a host tells the engine: the roster, streams and their acknowledgements, load reports, health checks and
-//! operators' overrides. Proxies that connect are in `joining`.
+//! Inputs from the host: the roster, streams and their acknowledgements, load reports, health checks and
+//! operators' overrides. Connecting proxies are handled in `joining`.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use super::{Action, Cause, Engine, EngineEvent, MAX_REASON_LENGTH};
 
 impl Engine {
-    /// The complete roster, as its source now has it.
+    /// Processes a complete roster from its source.
     pub fn update_roster(&mut self, now: Duration, entries: Vec<RosterEntry>) {
         let active = self.backups.update(now, entries);
         self.apply_roster(now, active);
@@ -38,16 +38,17 @@
         let in_default_tables: BTreeSet<&ReplicaId> =
             self.fleet.iter().flat_map(|(_, proxy)| &proxy.default_table).map(|(id, _)| id).collect();
         self.roster.forget_gone(|id| tables.names_replica(id) || in_default_tables.contains(id));
-        // Addresses may have changed under the same names.
+        // Replicas may have new addresses under unchanged names.
         let everyone = self.fleet.proxy_ids();
         self.guard.roster_changed(&self.roster);
         self.refresh(now, &everyone);
-        // Tables that stand may be harmful by the new roster, once the module has decided on it.
+        // Current tables may break rules under the new roster. They are checked again after the module's next
+        // decisions.
         self.recheck_all = true;
         self.causes.insert(Cause::Roster);
     }
 
-    /// A stream is over; the proxy may be dead, or still serving with what it holds.
+    /// A stream was closed. The proxy may be dead, or may go on serving with the tables that it holds.
     pub fn stream_closed(&mut self, now: Duration, stream: StreamId) {
         let Some(proxy) = self.fleet.disconnect(now, stream) else { return };
         self.send_limiter.forget(proxy);
@@ -58,10 +59,10 @@
         self.causes.insert(Cause::Left);
     }
 
-    /// A load report, by the name of the proxy. Streams are numbered in the order of their opening.
+    /// Processes a load report of the proxy with this name. Stream ids increase in the order of opening.
     ///
     /// # Errors
-    /// Why the report was discarded; it is counted as such.
+    /// The reason why the report was discarded; it is added to the count of discarded reports.
     pub fn record_report(
         &mut self,
         now: Duration,
@@ -78,7 +79,7 @@
         self.reports.record(now, id, zone, stream, report, listed)
     }
 
-    /// The proxy on a stream accepted all that it was sent up to a version.
+    /// The proxy on a stream acknowledged all versions up to this one.
     pub fn version_acknowledged(&mut self, now: Duration, stream: StreamId, version: u64) {
         let Some(id) = self.fleet.number_of(stream) else { return };
         for requested_at in self.fleet.acknowledge(stream, version) {
@@ -90,8 +91,8 @@
         }
     }
 
-    /// The proxy on a stream rejected a version, and says why. Its last good tables stand; it is sent nothing
-    /// again before something has changed.
+    /// The proxy on a stream rejected a version with this reason. It keeps its last accepted tables and is
+    /// sent nothing until they change.
     pub fn version_rejected(&mut self, stream: StreamId, version: u64, words: &str) {
         let Some(id) = self.fleet.number_of(stream) else { return };
         self.fleet.reject(stream, version, words);
@@ -106,21 +107,23 @@
         }
     }
 
-    /// The proxy on a stream has answered all that it was sent, whatever that was.
+    /// The proxy on a stream responded to everything that it was sent, with an acknowledgement or a
+    /// rejection.
     pub fn settled(&mut self, stream: StreamId) {
         if let Some(id) = self.fleet.number_of(stream) {
             self.send_limiter.acknowledged(id);
         }
     }
 
-    /// The proxy on a stream asks for something that it was not sent yet, of so many table entries.
+    /// The proxy on a stream requests resources that it was not sent yet, with this number of table entries.
     pub fn resend_requested(&mut self, now: Duration, stream: StreamId, entries: usize) {
         if let Some(id) = self.fleet.number_of(stream) {
             self.send_limiter.request(now, id, entries, true);
         }
     }
 
-    /// A flush was written, as so many entries in so many messages; none if there was nothing to say.
+    /// A flush was written, as `entries` table entries in `messages` messages; both are 0 if there was
+    /// nothing to send.
     pub fn tables_sent(&mut self, now: Duration, id: ProxyId, entries: usize, messages: usize) {
         self.offered_flush = None;
         if let Some(proxy) = self.fleet.get_mut(id).filter(|_| entries > 0) {
@@ -142,7 +145,8 @@
         }
     }
 
-    /// What a health check found: its latency if it was answered, and the replica's load fields.
+    /// The result of a health check: its latency if the replica responded, and the load fields of the
+    /// replica.
     pub fn health_checked(
         &mut self,
         now: Duration,
@@ -154,15 +158,15 @@
         self.causes.insert(Cause::Probed);
     }
 
-    /// A changed limit on the entries of aggregated reports that the module is given a second.
+    /// Changes the limit on aggregated report entries passed to the module per second.
     pub fn limit_reports(&mut self, entries_per_second: f64) {
         self.reports.set_limit(entries_per_second);
     }
 
-    /// An operator excludes a replica or scales its weight, until a time.
+    /// Excludes a replica or scales its weight until a given time, on behalf of an operator.
     ///
     /// # Errors
-    /// As [`OverrideError`]; nothing is changed then.
+    /// See [`OverrideError`]; on error nothing changes.
     pub fn override_replica(
         &mut self,
         now: Duration,
@@ -180,20 +184,20 @@
         Ok(())
     }
 
-    /// Ends an operator's override of a replica; whether there was one.
+    /// Ends an operator's override of a replica. Returns whether there was one.
     pub fn end_override(&mut self, now: Duration, replica: &str) -> bool {
         let ended = self.overrides.end(replica);
         self.refresh(now, &self.fleet.proxy_ids());
         ended
     }
 
-    /// Overrides in force.
+    /// The overrides in force.
     pub fn overrides(&self) -> &Overrides {
         &self.overrides
     }
 }
 
-/// An operator's reason, within the length that is kept.
+/// Truncates an operator's reason to the maximum length.
 pub(super) fn shortened(reason: &str) -> Arc<str> {
     reason.chars().take(MAX_REASON_LENGTH).collect::<String>().into()
 }
--- a/crates/core/src/engine/inspection.rs
+++ b/crates/core/src/engine/inspection.rs
@@ -1,4 +1,4 @@
-//! What fronts and operators read of an engine.
+//! Read access to the engine for front ends and operators.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,33 +24,33 @@
 pub struct EngineStatus {
     /// The newest version.
     pub version: u64,
-    /// How often the module was asked for decisions.
+    /// The number of flushes.
     pub flushes: u64,
     /// Proxies connected now.
     pub connected_proxies: usize,
-    /// Proxies that wait in the join queue.
+    /// Proxies in the join queue.
     pub queued_joins: usize,
-    /// Table entries that wait to be written or acknowledged.
+    /// Table entries that wait to be sent or acknowledged.
     pub queued_entries: usize,
-    /// The most of them that ever waited.
+    /// The maximum number of pending entries so far.
     pub max_queued_entries: usize,
-    /// Aggregated statistics that wait to be passed to the module.
+    /// Aggregated statistics waiting to be passed to the module.
     pub queued_reports: usize,
     /// Table entries retained in history.
     pub history_entries: usize,
-    /// Tables frozen now.
+    /// Frozen tables in force.
     pub frozen_tables: usize,
-    /// The source says that the roster is empty, and is not believed yet.
+    /// The source reports an empty roster that is not accepted yet.
     pub roster_doubted: bool,
 }
 
 impl Engine {
-    /// A connected proxy and what it should hold.
+    /// A connected proxy and its tables.
     pub fn proxy(&self, id: ProxyId) -> Option<&Proxy> {
         self.fleet.get(id)
     }
 
-    /// The number of the proxy on a stream.
+    /// The id of the proxy on a stream.
     pub fn number_of(&self, stream: StreamId) -> Option<ProxyId> {
         self.fleet.number_of(stream)
     }
@@ -60,12 +60,12 @@
         &self.fleet
     }
 
-    /// Replicas that are listed, or gone and still named by some table.
+    /// The replicas that are listed, or are gone and still named by a table.
     pub fn replicas(&self) -> impl Iterator<Item = (&ReplicaId, &KnownReplica)> {
         self.roster.iter()
     }
 
-    /// The roster as it was last believed.
+    /// The last accepted roster.
     pub fn known_roster(&self) -> &Roster {
         &self.roster
     }
@@ -75,28 +75,28 @@
         self.tables.is_ejected(replica)
     }
 
-    /// Why the module has ejected a ready replica, in its own words.
+    /// The module's reason for ejecting a ready replica.
     pub fn ejection_reason(&self, replica: &ReplicaId) -> Option<&'static str> {
         self.governor.ejection_reason(replica)
     }
 
-    /// Whether a proxy is one of the few on solved tables.
+    /// Whether a proxy is one of the few for which the module computes optimized tables.
     pub fn is_critical(&self, id: ProxyId) -> bool {
         self.governor.is_critical(id)
     }
 
-    /// Admission fraction and retry policy, by traffic class.
+    /// The admission fraction and retry policy by traffic class.
     pub fn admission(&self) -> &[(f64, RetryPolicy)] {
         self.tables.admission()
     }
 
-    /// Reports that were discarded, by reason; and how many counted.
+    /// The number of discarded reports by reason, and the number of counted reports.
     pub fn reports(&self) -> (&BTreeMap<DiscardReason, u64>, u64) {
         self.reports.tally()
     }
 
-    /// What is known now, as far as the guard judges by it, for tables to be tried against. Names of zones and
-    /// traffic classes are the caller's to fill in.
+    /// Records the state that the guard judges tables by, for dry runs. The caller fills in the names of
+    /// zones and traffic classes.
     pub fn record(&self, now: Duration) -> Recording {
         let throughput = |(id, zone, per_second): (&ReplicaId, usize, f64)| RecordedThroughput {
             replica: id.clone(),
@@ -150,17 +150,17 @@
         }
     }
 
-    /// What was refused, and the load that it is judged by.
+    /// The guard, with its refusals and the load that it judges tables by.
     pub fn guard(&self) -> &Guard {
         &self.guard
     }
 
-    /// Versions of what each proxy was sent.
+    /// The history of published versions by proxy.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// Frozen tables in force: the proxy's name, the traffic class and the table.
+    /// The frozen tables in force: the proxy's name, the traffic class and the table.
     pub fn frozen_tables(&self) -> impl Iterator<Item = (&Arc<str>, usize, &FrozenTable)> {
         self.frozen_tables
             .iter()
--- a/crates/core/src/engine/joining.rs
+++ b/crates/core/src/engine/joining.rs
@@ -1,5 +1,5 @@
-//! Proxies that connect, and the queue of those that wait for capacity on the channel before the module hears of
-//! them.
+//! Connecting proxies, and the queue of those that wait for channel capacity before they are passed to the
+//! module.
 
 use std::time::Duration;
 
@@ -10,27 +10,29 @@
 
 use super::{Action, Cause, Engine, EngineEvent};
 
-/// Below so many ready replicas in its zone, a default table may name replicas of other zones.
+/// If a zone has fewer ready replicas than this, the default tables of its proxies may name replicas of other
+/// zones.
 const MIN_REPLICAS_IN_ZONE: usize = 3;
 
-/// A proxy that waits to be reported to the module.
+/// A proxy in the join queue.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct QueuedJoin {
     pub(super) proxy: ProxyId,
-    /// What it ordinarily receives.
+    /// Its usual request rate.
     pub(super) requests_per_second: f64,
 }
 
 impl Engine {
-    /// A proxy's stream is up.
+    /// A proxy opened a stream.
     ///
-    /// It counts as holding only its default table if it says so, came without tables of a governor, and each
-    /// entry of that table could be sampled from the roster as it is now: ready, and of its zone where three are
-    /// there. The module takes a default table for such a sample; one that names replicas that drain or are gone
-    /// is unknown, and is answered by tables of its own at once.
+    /// The proxy counts as holding only its default table if it says so, has no tables of a governor, and
+    /// every entry of the table could be sampled from the current roster: ready, and in the proxy's zone
+    /// unless that has fewer than three ready replicas. The module takes a default table for such a sample. A
+    /// table that names draining or gone replicas counts as unknown, and the module assigns new tables at
+    /// once.
     ///
     /// # Errors
-    /// As [`JoinError`]; nothing is changed by a join that is rejected.
+    /// See [`JoinError`]; a rejected join changes nothing.
     pub fn proxy_connected(
         &mut self,
         now: Duration,
@@ -38,7 +40,7 @@
         join: &JoinRequest,
     ) -> Result<JoinOutcome, JoinError> {
         let without_governor_tables = !join.holds_governor_tables && join.ownership_proof.is_none();
-        // It holds what it was sent before a restart, by its own proven version: then it is known what that is.
+        // The proxy proved the version that it was sent before the restart, so its tables are known.
         let restored = self.restored.proxies.remove(&join.name).filter(|known| {
             join.proven_version == Some((known.epoch, known.version)) && known.zone == join.zone
         });
@@ -46,7 +48,7 @@
         let holds_default_table = (without_governor_tables || was_on_default_table)
             && !join.default_table.is_empty()
             && join.default_table.iter().all(|entry| self.could_be_sampled(join.zone, entry));
-        // A join has a version of its own: what the number's tables were before is another state.
+        // A join gets a new version, because the id's earlier tables belong to another state.
         let retry_policies = (self.version + 1, self.tables.retry_policies());
         let joined =
             self.fleet.connect(now, stream, join, holds_default_table, self.class_count, retry_policies)?;
@@ -59,7 +61,7 @@
             self.resume_proxy(now, joined.proxy, known);
         }
         self.refreeze(now, joined.proxy, join);
-        // Ejections and admission fractions hold for it from now on, whichever table it is on.
+        // From now on ejections and admission fractions apply to the proxy, on any kind of table.
         self.refresh(now, &[joined.proxy]);
         self.remember(now, joined.proxy);
         self.join_queue.push_back(QueuedJoin { proxy: joined.proxy, requests_per_second });
@@ -74,7 +76,7 @@
         near_enough && *weight > 0.0
     }
 
-    /// Drops what was kept of the stream that a new one replaces, or of the proxy whose number was reused.
+    /// Drops the state of the replaced stream, or of the proxy that had the reused id.
     fn forget_previous(&mut self, joined: &JoinOutcome, join: &JoinRequest) {
         let id = joined.proxy;
         if joined.id_reused {
@@ -97,7 +99,7 @@
         self.guard.proxy_disconnected(id);
     }
 
-    /// Freezes the tables that operators froze before a restart.
+    /// Restores the tables that operators froze before a restart.
     fn refreeze(&mut self, now: Duration, proxy: ProxyId, join: &JoinRequest) {
         for class in 0..self.class_count {
             let Some(restored) = self.awaited_frozen_tables.remove(&(join.name.clone(), class)) else {
@@ -116,11 +118,12 @@
         }
     }
 
-    /// Reports queued proxies to the module, as far as the tables that it gives them fit the channel.
+    /// Passes queued proxies to the module while the channel has capacity for their tables.
     pub(super) fn drain_join_queue(&mut self, now: Duration) {
         let queued_before = self.join_queue.len();
         while let Some(join) = self.join_queue.front().copied() {
-            // One at a time goes in even where the channel never has capacity, or nobody ever would.
+            // Admits one proxy at a time even if the channel never has capacity; otherwise none would ever be
+            // admitted.
             let fits = self.send_limiter.has_capacity(self.reserved_entries + self.join_cost_entries);
             if !fits && (self.reserved_entries > 0.0 || self.send_limiter.queued_entries(now) > 0) {
                 break;
--- a/crates/core/src/engine/migration.rs
+++ b/crates/core/src/engine/migration.rs
@@ -1,5 +1,5 @@
-//! Proxies that are handed over by other governors, and what goes with a proxy to another. See
-//! `docs/design/takeover.md`.
+//! Handover of proxies between governors: tables taken over from another governor, and the state passed on to
+//! one. See `docs/design/takeover.md`.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,25 +15,26 @@
 use super::Engine;
 use super::recovery::MIGRATED_TABLE_TIMEOUT;
 
-/// What another governor knew of a proxy that it handed over.
+/// The state of a proxy at the governor that handed it over.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MigratedProxy {
-    /// The name of that governor.
+    /// The name of the other governor.
     pub from: Arc<str>,
-    /// What the proxy was sent there.
+    /// The state published to the proxy by that governor.
     pub state: PublishedState,
-    /// When that was, by the clock here.
+    /// When it was published, on the local clock.
     pub published_at: Duration,
-    /// Its last load report, if that is not long ago.
+    /// The proxy's last load report, if recent.
     pub report: Option<LoadReport>,
 }
 
 impl Engine {
-    /// A proxy that has just connected was handed over by another governor: until the module decides for it, it
-    /// holds what it was sent there, less what the rules forbid here now; and its last report is counted.
+    /// Takes over the tables of a newly connected proxy that another governor handed over. They apply, less
+    /// what the rules forbid here, until the module decides for the proxy. Its last load report is counted as
+    /// well.
     ///
-    /// Returns how many of its tables that keeps: none where the module has already decided for the proxy, or
-    /// where it is on its default table.
+    /// Returns the number of tables taken over: 0 if the module has already decided for the proxy, or if the
+    /// proxy is on its default table.
     pub fn adopt_migrated_tables(&mut self, now: Duration, id: ProxyId, migrated: MigratedProxy) -> usize {
         let Some(proxy) = self.fleet.get(id) else { return 0 };
         if proxy.holds_default_table || proxy.kind() == TableKind::Own {
@@ -56,7 +57,7 @@
             };
             let current = self.current_table(id, class);
             let ejected = |id: &ReplicaId| self.tables.is_ejected(id);
-            // A table that an operator froze here goes before.
+            // A table frozen by an operator of this governor takes precedence.
             if !self.frozen_tables.contains_key(&(id, class))
                 && frozen_tables::resolve(&frozen, &current, &self.roster, ejected).0.is_some()
             {
@@ -68,13 +69,13 @@
         if let Some(report) = migrated.report {
             let roster = &self.roster;
             let listed = |id: &ReplicaId| roster.get(id).is_some_and(|known| known.phase != Phase::Gone);
-            // A report that is discarded is counted as such; the next comes soon.
+            // A discarded report is counted as such; the next report follows soon.
             let _ = self.reports.record(now, id, zone, stream, &report, listed);
         }
         adopted
     }
 
-    /// What to hand over with a proxy: its newest version, and its last report with the report's age.
+    /// The state to hand over with a proxy: its newest version, and its last report with the report's age.
     pub fn migration_state(
         &self,
         now: Duration,
--- a/crates/core/src/engine/publishing.rs
+++ b/crates/core/src/engine/publishing.rs
@@ -1,5 +1,5 @@
-//! What each proxy should hold: the module's tables with operators' words applied, checked by the guard, and kept
-//! under a version.
+//! Publishing: the module's tables with operators' overrides applied, checked by the guard, and stored under
+//! a version.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -16,10 +16,10 @@
 
 use super::{Action, Engine, EngineEvent};
 
-/// How a refresh is carried out.
+/// Options of a refresh.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RefreshOptions {
-    /// The module wants the acknowledgement of what is published, and since when.
+    /// When the module requested an acknowledgement of what is published, if it did.
     pub(super) acknowledgement_requested_at: Option<Duration>,
     pub(super) shift_limit: ShiftLimit,
     pub(super) recheck: Recheck,
@@ -38,36 +38,37 @@
 /// Which tables a refresh has the guard check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Recheck {
-    /// Those that changed.
+    /// Changed tables only.
     ChangedTables,
-    /// Also those that did not, where what they are judged by has changed.
+    /// Changed tables, and unchanged ones that may break rules since the state that they are judged by has
+    /// changed.
     SuspectTables,
 }
 
-/// A table that a proxy should hold.
+/// The table that a proxy should hold.
 struct DesiredTable {
     table: Table,
-    /// Nothing is left of the frozen table that stood in its place.
+    /// The proxy has a frozen table of which no usable entry is left.
     frozen_table_empty: bool,
 }
 
-/// A table that a proxy should hold and does not.
+/// A table that a proxy should hold and does not hold yet, or that must be checked again.
 struct ChangedTable {
     proxy: ProxyId,
     class: usize,
     table: Table,
 }
 
-/// Tables that the guard let through or corrected, by proxy and traffic class.
+/// Tables that the guard passed or corrected, by proxy and traffic class.
 type CheckedTables = BTreeMap<(ProxyId, usize), Table>;
 
 impl Engine {
-    /// Brings what these proxies should hold up to date; what changed is queued for them.
+    /// Updates the tables of these proxies and queues the changes for sending.
     pub(super) fn refresh(&mut self, now: Duration, proxies: &[ProxyId]) {
         self.refresh_with(now, proxies, RefreshOptions::default());
     }
 
-    /// As [`Engine::refresh`], with options.
+    /// Like [`Engine::refresh`], with options.
     pub(super) fn refresh_with(&mut self, now: Duration, proxies: &[ProxyId], options: RefreshOptions) {
         let changed = self.changed_tables(now, proxies, options.recheck);
         let mut checked = self.check_tables(now, changed, options.shift_limit);
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Tables of these proxies that differ from what they hold, or are to be checked again.
+    /// The tables of these proxies that differ from the ones they hold, or must be checked again.
     fn changed_tables(&mut self, now: Duration, proxies: &[ProxyId], recheck: Recheck) -> Vec<ChangedTable> {
         let (suspects, refused) = match recheck {
             Recheck::ChangedTables => (BTreeSet::new(), BTreeSet::new()),
@@ -142,7 +143,7 @@
         self.pending_actions.push_back(Action::Report(event));
     }
 
-    /// Has the guard check changed tables as one change; its refusals are reported.
+    /// Lets the guard check the changed tables as one change, and reports its refusals.
     fn check_tables(
         &mut self,
         now: Duration,
@@ -173,7 +174,7 @@
         places.into_iter().zip(checked).collect()
     }
 
-    /// What a proxy should hold for a traffic class; none where nothing is to be published to it.
+    /// The table that a proxy should hold for a traffic class; `None` if nothing is to be published to it.
     fn desired_table(&self, id: ProxyId, class: usize) -> Option<DesiredTable> {
         let proxy = self.fleet.get(id)?;
         let module_table = self.module_table(proxy, class);
@@ -195,22 +196,23 @@
         Some(desired)
     }
 
-    /// The module's table, with the admission fraction from before a restart as far as that holds.
+    /// The module's table. An admission fraction from before a restart caps its own while it is valid.
     fn module_table(&self, proxy: &Proxy, class: usize) -> Option<Table> {
         let overridden = proxy.default_table.iter().any(|(id, _)| self.overrides.contains(id));
         let published = proxy.tables[class].is_some() || overridden;
         let assigned = proxy.assigned_tables[class];
         let mut table =
             self.tables.resolve(&self.roster, class, assigned, &proxy.default_table, published)?;
-        // It holds until the module decides another, and for some seconds at the most: the module begins by
-        // admitting everything, and an overload that goes on would be let in until it is seen again.
+        // The restored fraction applies until the module sets another one, and for some seconds at most. The
+        // module starts by admitting everything, so without it a continuing overload would be admitted until
+        // it is detected again.
         if let Some(fraction) = self.restored.admission_fractions.get(&class) {
             table.admission_fraction = table.admission_fraction.min(*fraction);
         }
         Some(table)
     }
 
-    /// The module's current table for a proxy's traffic class, frozen or not.
+    /// The module's current table for a proxy's traffic class, whether frozen or not.
     pub(super) fn current_table(&self, id: ProxyId, class: usize) -> Table {
         let current = self.fleet.get(id).and_then(|proxy| {
             let assigned = proxy.assigned_tables[class];
@@ -219,12 +221,13 @@
         current.unwrap_or(Table { entries: Vec::new(), admission_fraction: 1.0 })
     }
 
-    /// Whether nothing is to be sent to a replica: it is ejected by the module, or excluded by an operator.
+    /// Whether a replica must receive no requests: the module has ejected it, or an operator has excluded it.
     pub(super) fn is_out(&self, replica: &ReplicaId) -> bool {
         self.tables.is_ejected(replica) || self.overrides.excludes(replica)
     }
 
-    /// Replicas for whose sake a table that stands is checked again: they are closed by now, or overloaded.
+    /// Replicas that are not ready, are out, or are overloaded; tables that route to them must be checked
+    /// again.
     fn suspect_replicas(&self, now: Duration) -> BTreeSet<ReplicaId> {
         let mut suspects = self.guard.overloaded_replicas(now, &self.roster, |id| self.is_out(id));
         for (id, known) in self.roster.iter() {
@@ -235,13 +238,13 @@
         suspects
     }
 
-    /// Checks all tables again, as after a new roster.
+    /// Checks all tables again after a new roster.
     pub(super) fn recheck_everything(&mut self, now: Duration) {
         let options = RefreshOptions { recheck: Recheck::SuspectTables, ..RefreshOptions::default() };
         self.refresh_with(now, &self.fleet.proxy_ids(), options);
     }
 
-    /// Checks again what was refused, and, if the tables that stand overload a replica, those.
+    /// Checks the refused tables again, and the current tables that route to an overloaded replica.
     pub(super) fn recheck_overloaded(&mut self, now: Duration) {
         let overloaded = self.guard.overloaded_replicas(now, &self.roster, |id| self.is_out(id));
         let refused = self.guard.proxies_with_refusals();
@@ -264,7 +267,7 @@
         self.refresh_with(now, &concerned, options);
     }
 
-    /// Retains what a proxy should hold by now as a version of it.
+    /// Stores the current tables of a proxy as a version in the history.
     pub(super) fn remember(&mut self, now: Duration, id: ProxyId) {
         let Some(proxy) = self.fleet.get(id) else { return };
         let published = |(versioned, policy): (&Option<VersionedTable>, &RetryPolicy)| {
@@ -283,7 +286,7 @@
     }
 }
 
-/// Puts checked tables in the place of those that a proxy holds.
+/// Replaces the tables that a proxy holds by checked ones.
 struct Update<'a, Excluded> {
     version: u64,
     tables: &'a Tables,
@@ -291,12 +294,12 @@
     excluded: Excluded,
 }
 
-/// What an update of a proxy comes to.
+/// The result of an update of a proxy.
 #[derive(Debug, Default)]
 struct ProxyChange {
-    /// Entries that differ.
+    /// The number of changed entries.
     entries: usize,
-    /// It must not wait for ordinary updates of others.
+    /// The change must not wait behind ordinary updates of other proxies.
     urgent: bool,
 }
 
@@ -318,7 +321,7 @@
                 Some(held) => self.routes_to_closed(&held.table),
                 None => self.holds_unknown_or_ejected(proxy),
             };
-            // Traffic classes with equal tables share one copy.
+            // Traffic classes with equal tables share one allocation.
             let equal = proxy.tables[..class].iter().flatten().find(|other| *other.table == table);
             let table = equal.map_or_else(|| Arc::new(table), |other| other.table.clone());
             proxy.tables[class] = Some(VersionedTable { version: self.version, table });
@@ -331,7 +334,8 @@
         self.tables.routes_to_ejected(held) || held.entries.iter().any(excluded)
     }
 
-    /// A proxy whose tables are unknown, or may send to a drain, can't wait.
+    /// An update is urgent for a proxy whose tables are unknown, or whose default table names an ejected
+    /// replica: it may send requests to a draining replica.
     fn holds_unknown_or_ejected(&self, proxy: &Proxy) -> bool {
         !proxy.holds_default_table || proxy.default_table.iter().any(|(id, _)| self.tables.is_ejected(id))
     }
--- a/crates/core/src/engine/recovery.rs
+++ b/crates/core/src/engine/recovery.rs
@@ -1,5 +1,5 @@
-//! What is stored beyond a restart, and what of it is used after one. How much of it still counts is decided in
-//! [`crate::snapshot`]; see `docs/design/state.md`.
+//! State stored across restarts, and its use after a restart. [`crate::snapshot`] decides how much of it
+//! still counts; see `docs/design/state.md`.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,11 +19,11 @@
 
 use super::{Cause, Engine};
 
-/// Tables that were migrated, or were held before a restart, stand for so long if the module does not decide
-/// before.
+/// Tables that were migrated, or were held before a restart, are used for this long at most unless the module
+/// decides earlier.
 pub(super) const MIGRATED_TABLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A table that operators froze before a restart, of a proxy that has not reconnected yet.
+/// A table that an operator froze before a restart, of a proxy that has not reconnected yet.
 #[derive(Debug, Clone)]
 pub(super) struct AwaitedFrozenTable {
     pub(super) published_at: Duration,
@@ -34,8 +34,9 @@
 // ---- before a restart
 
 impl Engine {
-    /// What is to be stored beyond this run, by name. `before`: what it was the last time; `calendar`: seconds of
-    /// the calendar; `epoch`: the number of this run; `classes`: names of the traffic classes.
+    /// The items to store for the next run, by name. `before`: the items stored last time; `calendar`: the
+    /// current time in calendar seconds; `epoch`: the number of this run; `classes`: the names of the traffic
+    /// classes.
     pub fn stored_items(
         &self,
         now: Duration,
@@ -62,7 +63,7 @@
             let demand: Vec<f64> = (0..self.class_count)
                 .map(|class| snapshot::stepped(self.guard.requests_per_second(id, class)))
                 .collect();
-            // Tables are of their version: they are not copied and compared again each time.
+            // Equal versions have equal tables, so these are not copied and compared again each time.
             let unchanged = before.get(&name).filter(|item| {
                 matches!(&***item, StoredItem::Proxy(old)
                     if old.epoch == epoch && old.version == version && old.requests_per_second == demand)
@@ -75,9 +76,9 @@
         }
     }
 
-    /// A proxy that has not reconnected yet is not forgotten by a second restart.
+    /// Keeps the state of proxies that have not reconnected yet, so that a second restart does not lose it.
     fn store_absent_proxies(&self, items: &mut StoredItems, now: Duration) {
-        // In whole minutes: what grows all the time is not written all the time.
+        // In whole minutes, so that the growing duration is not written each time.
         let elapsed = self.restored.age + now.saturating_sub(self.restored_at);
         let elapsed_seconds = elapsed.as_secs() / 60 * 60;
         for (name, proxy) in &self.restored.proxies {
@@ -99,7 +100,7 @@
                 replicas.entry(id).or_default().ejected = true;
             }
         }
-        // Until there is a roster, what was known of replicas is not in use yet, and not forgotten either.
+        // Until the first roster, the restored ejections are not in use yet but must not be lost.
         for id in self.restored.ejected.keys() {
             replicas.entry(id).or_default().ejected = true;
         }
@@ -142,7 +143,8 @@
         }
     }
 
-    /// A rollback of a proxy that has not reconnected yet is not forgotten by a second restart.
+    /// Keeps the frozen tables of proxies that have not reconnected yet, so that a second restart does not
+    /// lose them.
     fn store_awaited_frozen_tables(
         &self,
         items: &mut StoredItems,
@@ -168,7 +170,7 @@
             let item = StoredItem::Override { weight, until, reason: one.why.clone() };
             items.insert(format!("override/{id}"), Arc::new(item));
         }
-        // Those that wait for the first roster.
+        // Restored overrides that wait for the first roster.
         for (id, restored) in &self.restored.overrides {
             let until = stored_until(self.restored_at + restored.remaining, now, calendar);
             let item =
@@ -178,7 +180,7 @@
     }
 }
 
-/// A time of this run as seconds of the calendar.
+/// Converts a time of this run to calendar seconds.
 fn stored_until(until: Duration, now: Duration, calendar: f64) -> f64 {
     (calendar + until.saturating_sub(now).as_secs_f64()).round()
 }
@@ -201,7 +203,7 @@
 // ---- after a restart
 
 impl Engine {
-    /// What was known before a restart. To be called before the first roster and the first proxy.
+    /// Loads the state from before a restart. Must be called before the first roster and the first proxy.
     pub fn restore(&mut self, now: Duration, restored: RestoredState) {
         self.restored_at = now;
         self.restored_admission_until = now + restored.admission_remaining;
@@ -223,7 +225,7 @@
         self.restored = restored;
     }
 
-    /// Requests a second that a proxy ordinarily receives: as it says, mixed with what was measured before a
+    /// The usual request rate of a proxy: the rate that it reports, mixed with the rate measured before a
     /// restart.
     pub(super) fn ordinary_demand(&self, join: &JoinRequest, restored: Option<&StoredProxy>) -> f64 {
         let Some(known) = restored else { return join.requests_per_second };
@@ -232,12 +234,12 @@
             + (known.requests_per_second.iter().sum::<f64>() - join.requests_per_second) * weight
     }
 
-    /// A proxy that has just connected holds what it was sent before a restart: it is sent only what differs.
-    /// Dedicated tables stand until the module has decided, less what the rules forbid.
+    /// Restores the tables that a newly connected proxy was sent before a restart, so that it is sent only
+    /// the differences. Dedicated tables apply, less what the rules forbid, until the module has decided.
     pub(super) fn resume_proxy(&mut self, now: Duration, id: ProxyId, known: StoredProxy) {
         let version = self.version;
         let policies: Vec<RetryPolicy> = known.retry_policies.iter().map(|policy| (*policy).into()).collect();
-        let why: Arc<str> = "known from before a restart".into();
+        let why: Arc<str> = "restored after a restart".into();
         for (class, stored) in known.tables.into_iter().enumerate().take(self.class_count) {
             let Some(stored) = stored else { continue };
             let table = Table::from(stored);
@@ -267,7 +269,7 @@
         }
     }
 
-    /// Uses what was known of replicas before a restart, now that there is a roster.
+    /// Applies the restored state of replicas, once there is a roster.
     pub(super) fn apply_restored_replicas(&mut self, now: Duration) {
         let throughput = std::mem::take(&mut self.restored.throughput);
         if !self.restored.ejected.is_empty() {
@@ -277,7 +279,7 @@
             let Some(known) = self.roster.get(&id).filter(|known| known.phase == Phase::Ready) else {
                 continue;
             };
-            // Replaced under its name since: what was known is of another process.
+            // The replica was replaced under the same name since; the stored state is of another process.
             if known.started_at.is_some_and(|started| now.saturating_sub(started) < self.restored.age) {
                 continue;
             }
@@ -286,12 +288,12 @@
         for (id, restored) in std::mem::take(&mut self.restored.overrides) {
             let kind = restored.weight.map_or(OverrideKind::Exclude, OverrideKind::Weight);
             let until = self.restored_at + restored.remaining;
-            // A replica that is not listed any more needs no override.
+            // Fails for a replica that is no longer listed, which needs no override.
             let _ = self.override_replica(now, &id, kind, until, &restored.reason);
         }
     }
 
-    /// Beside a replica where everything fails the module must see that others succeed.
+    /// The module ejects a replica where everything fails only if it observes successes at others.
     fn report_restored_successes(&mut self, now: Duration, throughput: BTreeMap<(ReplicaId, usize), f64>) {
         for ((id, zone), per_second) in throughput {
             let succeeded = (per_second * snapshot::LAST.as_secs_f64()).round().min(1e6) as u64;
@@ -323,14 +325,14 @@
         self.causes.insert(Cause::Reports);
     }
 
-    /// Drops what was restored and whose time is over.
+    /// Drops restored state that has expired.
     pub(super) fn expire_restored(&mut self, now: Duration) {
         if !self.restored.admission_fractions.is_empty() && now >= self.restored_admission_until {
             self.restored.admission_fractions.clear();
             self.refresh(now, &self.fleet.proxy_ids());
         }
         if now >= self.restored_at + snapshot::TABLES {
-            // A proxy that has not come back by now was elsewhere, or is no more.
+            // A proxy that has not reconnected by now has moved to another governor or no longer exists.
             self.restored.proxies.clear();
         }
         self.awaited_frozen_tables.retain(|_, frozen| now < frozen.until);
--- a/crates/core/src/engine/rollback.rs
+++ b/crates/core/src/engine/rollback.rs
@@ -12,51 +12,51 @@
 use super::inputs::shortened;
 use super::{Action, Engine, EngineEvent};
 
-/// Whose tables an operator means.
+/// The tables that a rollback or a release applies to.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TableScope {
     /// All tables of one proxy, by its name.
     Proxy(Arc<str>),
-    /// Tables of one traffic class, of all proxies.
+    /// The tables of one traffic class, of all proxies.
     Group(usize),
     /// All tables of all proxies.
     All,
 }
 
-/// What a rollback came to.
+/// The result of a rollback.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RollbackReport {
-    /// Tables that are frozen now.
+    /// The number of tables that were frozen.
     pub frozen: usize,
-    /// Proxies of which so old a version is not retained, or which were on their default tables then.
+    /// Proxies for which the version is no longer retained, or that were on their default tables then.
     pub without: Vec<Arc<str>>,
-    /// What is not published of the frozen tables, by proxy and traffic class.
+    /// Entries of the frozen tables that are not published, by proxy and traffic class.
     pub left_out: Vec<(Arc<str>, usize, ReplicaId, OmissionReason)>,
-    /// Tables that can't be frozen, as nothing of them is left.
+    /// The number of tables that were not frozen because no usable entry is left of them.
     pub unfreezable: usize,
 }
 
 /// Why a rollback or a release was rejected.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum RollbackError {
-    /// No such proxy is connected.
-    #[error("no proxy `{0}` is joined")]
+    /// No proxy of this name is connected.
+    #[error("no proxy named `{0}` is connected")]
     NoProxy(Arc<str>),
-    /// The version asked for, and the newest.
-    #[error("version {0} is not given out yet; the newest is {1}")]
+    /// The requested version is newer than the newest one.
+    #[error("version {0} does not exist yet; the newest version is {1}")]
     NotYet(u64, u64),
-    /// History does not go back to this version.
-    #[error("of version {0} nothing is kept for anyone concerned")]
+    /// The history retains this version for none of the proxies.
+    #[error("version {0} is not retained for any of the selected proxies")]
     NotKept(u64),
 }
 
 impl Engine {
-    /// Freezes tables at an earlier version: these proxies hold, from now on and until `until`, what they were
-    /// sent as of that version, less what the rules forbid now. The module goes on deciding; what it decides for
-    /// them waits.
+    /// Freezes tables at an earlier version: until `until` these proxies hold the tables published to them as
+    /// of that version, less what the rules forbid now. The module continues to decide, but its decisions for
+    /// these tables are not published meanwhile.
     ///
     /// # Errors
-    /// As [`RollbackError`]; nothing is changed by a rollback that comes to nothing.
+    /// See [`RollbackError`]; on error nothing changes.
     pub fn rollback(
         &mut self,
         now: Duration,
@@ -134,10 +134,11 @@
         }
     }
 
-    /// Releases frozen tables: the module's current tables are published again. Returns how many there were.
+    /// Releases frozen tables, so that the module's current tables are published again. Returns the number of
+    /// released tables.
     ///
     /// # Errors
-    /// No such proxy.
+    /// [`RollbackError::NoProxy`].
     pub fn release(&mut self, now: Duration, scope: &TableScope) -> Result<usize, RollbackError> {
         let (proxies, classes) = self.resolve_scope(scope)?;
         let proxies: BTreeSet<ProxyId> = proxies.into_iter().collect();
@@ -146,7 +147,7 @@
         }))
     }
 
-    /// Releases frozen tables whose time is over.
+    /// Releases expired frozen tables.
     pub(super) fn release_expired(&mut self, now: Duration) {
         if self.frozen_tables.values().any(|frozen| frozen.until <= now) {
             self.release_where(now, &ReleaseReason::Time, |_, frozen| frozen.until <= now);
@@ -177,7 +178,7 @@
         released.len()
     }
 
-    /// Proxies and traffic classes of a scope.
+    /// The proxies and traffic classes of a scope.
     fn resolve_scope(&self, scope: &TableScope) -> Result<(Vec<ProxyId>, Range<usize>), RollbackError> {
         Ok(match scope {
             TableScope::All => (self.fleet.proxy_ids(), 0..self.class_count),
--- a/crates/core/src/engine/scheduling.rs
+++ b/crates/core/src/engine/scheduling.rs
@@ -1,4 +1,4 @@
-//! The order of work: what is due, when the module is asked again, and the next action for the host.
+//! Scheduling: due work, the next call of the module, and the next action for the host.
 
 use std::time::Duration;
 
@@ -6,17 +6,19 @@
 
 use super::{Action, Cause, Engine, EngineEvent};
 
-/// So far behind its tick a process has stood still: stopped, swapped out, or on a machine that slept.
+/// A tick late by more than this means that the process was paused: stopped, swapped out, or on a machine
+/// that was suspended.
 const STOOD_STILL: Duration = Duration::from_secs(3);
-/// It then takes inputs for so long before the module decides. To the module the gap would be a silence of
-/// replicas, and its proxies, who have long gone elsewhere, would still be connected. *Harm:* a replica that went
-/// bad in the gap is ejected so much later; drains are not, as they go with the roster.
+/// After a pause, inputs are processed for this long before the module decides. Otherwise the module would
+/// take the gap for silence of the replicas, and would count proxies as connected that have long moved to
+/// other governors. *Harm:* a replica that failed during the gap is ejected later by this time; drains are
+/// not delayed, as they follow from the roster.
 pub(super) const CATCH_UP: Duration = Duration::from_secs(1);
 
 impl Engine {
-    /// The next thing to do, until there is none.
+    /// The next action for the host; `None` if there is nothing to do.
     pub fn next_action(&mut self, now: Duration) -> Option<Action> {
-        // A host that left a flush undone would be offered it for ever.
+        // A flush that the host did not carry out must not be offered again and again.
         if let Some(id) = self.offered_flush.take() {
             self.send_limiter.stream_full(id);
         }
@@ -29,7 +31,7 @@
         Some(Action::Flush(id))
     }
 
-    /// When to pull [`Engine::next_action`] again, if nothing else happens.
+    /// When to call [`Engine::next_action`] again if no other event occurs.
     pub fn next_deadline(&self, now: Duration) -> Duration {
         let deadlines = [
             self.roster.next_deadline(),
@@ -57,7 +59,8 @@
         }
     }
 
-    /// Once for each gap: on a machine that is always so late the module must decide all the same.
+    /// Postpones the tick once per pause, so that the module still decides on a machine that is always this
+    /// late.
     fn detect_standstill(&mut self, now: Duration) {
         if now > self.next_tick + STOOD_STILL && !self.catching_up {
             self.next_tick = now + CATCH_UP;
--- a/crates/core/src/engine/settings.rs
+++ b/crates/core/src/engine/settings.rs
@@ -1,4 +1,4 @@
-//! What an engine is given at its start.
+//! The settings of an engine.
 
 use std::time::Duration;
 
@@ -9,18 +9,18 @@
 pub struct EngineSettings {
     /// Settings of the decision module.
     pub governor: Settings,
-    /// Proxies that may be connected at once.
+    /// The maximum number of connected proxies.
     pub max_proxies: usize,
-    /// Entries of aggregated reports that the module is given a second, at most.
+    /// The maximum number of aggregated report entries passed to the module per second.
     pub max_report_entries_per_second: f64,
-    /// How long an empty roster must stand before it is believed.
+    /// How long an empty roster must last before it is accepted.
     pub empty_roster_timeout: Duration,
-    /// Versions of a proxy's tables that are retained, and table entries in all of them together.
+    /// The maximum number of retained versions per proxy, and of retained table entries in total.
     pub history: (usize, usize),
 }
 
 impl EngineSettings {
-    /// Plain settings with so many equal traffic classes, for examples and tests.
+    /// Simple settings with `class_count` equal traffic classes, for examples and tests.
     pub fn example(class_count: usize) -> EngineSettings {
         let class = TrafficClass {
             idempotency: Idempotency::NotIdempotent,
--- a/crates/core/src/engine/tests.rs
+++ b/crates/core/src/engine/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the engine, by concern; builders that they share.
+//! Tests of the engine, by topic, and their shared helpers.
 
 mod connecting;
 mod faulty_module;
@@ -66,7 +66,8 @@
     engine
 }
 
-/// A host whose proxies take all at once: what was flushed, by proxy, and the notes.
+/// Acts as a host whose proxies accept everything at once. Returns the proxies that were flushed, and the
+/// events.
 fn run(engine: &mut Engine, now: Duration) -> (Vec<ProxyId>, Vec<EngineEvent>) {
     let (mut flushed, mut notes) = (Vec::new(), Vec::new());
     while let Some(step) = engine.next_action(now) {
--- a/crates/core/src/engine/tests/connecting.rs
+++ b/crates/core/src/engine/tests/connecting.rs
@@ -1,4 +1,4 @@
-//! Tests of proxies that connect: default tables, tables of other governors, the join queue.
+//! Tests of connecting proxies: default tables, tables of other governors, the join queue.
 
 #![allow(
     clippy::unwrap_used,
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn queues_a_thousand_joins_as_the_channel_has_capacity() {
+fn admits_a_thousand_queued_joins_as_the_channel_has_capacity() {
     let names: Vec<String> = (0..24).map(|n| format!("r{n:02}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut setup = EngineSettings::example(2);
--- a/crates/core/src/engine/tests/faulty_module.rs
+++ b/crates/core/src/engine/tests/faulty_module.rs
@@ -1,5 +1,5 @@
-//! The real engine under a module that has gone wrong, in every way that we could think of. With the guard no
-//! table that breaks a rule stands; without it each of these breaks one, so that none of them is idle.
+//! Tests of the engine with faulty decision modules. With the guard, no table in force breaks a rule; without
+//! it each fault breaks one, which shows that each of them is effective.
 
 #![allow(
     clippy::unwrap_used,
@@ -18,7 +18,7 @@
 use crate::roster::RosterEntry;
 
 const REPLICAS: [&str; 8] = ["a", "b", "c", "d", "e", "f", "g", "h"];
-/// It starts anew, cold, in the midst.
+/// This replica restarts during the test and is cold then.
 const COLD: &str = "h";
 
 fn at(ms: u64) -> Duration {
@@ -38,7 +38,8 @@
     REPLICAS.iter().map(entry).collect()
 }
 
-/// Runs four proxies through a drain and a cold start; the rules that were broken, and how often.
+/// Runs four proxies through a drain and a cold start. Returns the broken rules and how often each was
+/// broken.
 fn broken(wrong: Fault, guarded: bool) -> BTreeMap<&'static str, usize> {
     let mut setup = EngineSettings::example(2);
     setup.governor.proxy_count = 4;
@@ -96,7 +97,8 @@
             }
             fault("an effect twice", proxy.retry_policies.1.contains(&RetryPolicy::OnAnyFailure));
         }
-        // 80 flows over six that are warm and one that has a quarter of its capacity, and all 20 s later.
+        // 80 requests per second over six warm replicas and one that starts with a quarter of its capacity
+        // and reaches all of it after 20 s.
         let warmth = 0.25 + 0.75 * now.saturating_sub(cold_from) as f64 / 20_000.0;
         let part = 80.0 / (6.0 + warmth) * warmth;
         fault("a cold one", now > cold_from + 500 && on_cold > COLD_MARGIN * part * 1.1);
@@ -105,7 +107,7 @@
     broken
 }
 
-/// The rule that each kind breaks where nothing guards it; a flood only costs.
+/// The rule that each fault breaks without the guard. A flood breaks none; it only costs time.
 const BREAKS: [(&str, &str); 12] = [
     ("empty-tables", "bare"),
     ("all-onto-a-drain", "a drain"),
@@ -131,7 +133,7 @@
 #[test]
 fn each_fault_breaks_its_rule_without_the_guard() {
     for (kind, rule) in BREAKS {
-        let (_, wrong) = FAULTS.iter().find(|(name, _)| *name == kind).expect("a kind of that name");
+        let (_, wrong) = FAULTS.iter().find(|(name, _)| *name == kind).expect("a fault of that name");
         let broken = broken(*wrong, false);
         assert!(broken.contains_key(rule), "{kind}: {broken:?}");
     }
@@ -167,8 +169,8 @@
             }
         }
     }
-    // Of what the module says nothing is refused. Tables that stand are judged again when a replica starts
-    // anew: there the guard is earlier than the module, by a beat.
+    // The guard refuses none of the module's decisions. Current tables are checked again when a replica
+    // restarts; there the guard reacts one tick earlier than the module.
     let early = |one: &crate::guard::Refusal| {
         one.reason == RefusalReason::Cold && one.replica.as_deref() == Some(COLD) && one.at < at(9500)
     };
--- a/crates/core/src/engine/tests/inspection.rs
+++ b/crates/core/src/engine/tests/inspection.rs
@@ -30,9 +30,13 @@
     let (table, reasons) = would(&engine, 0, 2.0, &[("a", 1.0), ("b", -1.0)]).unwrap();
     assert_eq!((table.entries.len(), reasons), (1, vec![RefusalReason::Level, RefusalReason::Weight]));
     let (table, reasons) = would(&engine, 0, 1.0, &[("never", 1.0)]).unwrap();
-    assert_eq!((table.entries.len(), reasons.last()), (3, Some(&RefusalReason::Bare)), "the last good one");
+    assert_eq!(
+        (table.entries.len(), reasons.last()),
+        (3, Some(&RefusalReason::Bare)),
+        "the last accepted table"
+    );
     assert_eq!(would(&engine, 1, 1.0, &[("a", 1.0), ("c", 1.0)]).unwrap().1, []);
-    // What an operator excludes is out here, too.
+    // An excluded replica is not routable in a dry run, either.
     engine.override_replica(ms(700), &"a".into(), OverrideKind::Exclude, ms(701), "x").unwrap();
     let (table, _) = would(&engine, 0, 1.0, &[("a", 1.0), ("c", 1.0)]).unwrap();
     assert_eq!(table.entries.iter().filter(|line| line.routable).count(), 1);
--- a/crates/core/src/engine/tests/migration.rs
+++ b/crates/core/src/engine/tests/migration.rs
@@ -1,4 +1,4 @@
-//! Tests of proxies that go from one governor to another.
+//! Tests of proxies that migrate between governors.
 
 #![allow(
     clippy::unwrap_used,
@@ -38,23 +38,25 @@
     run(&mut engine, ms(600));
     let mut list = ready(&["a", "b", "c", "d", "e"]);
     list[1].phase = Phase::Draining;
-    // It started anew after the other governor told it.
+    // The replica restarted after the other governor had published the table.
     list[2].started_at = Some(ms(500));
     engine.update_roster(ms(700), list);
     run(&mut engine, ms(1000));
     let with_orders = JoinRequest { holds_governor_tables: true, ..join("p", &["a"]) };
     let number = engine.proxy_connected(ms(1001), 1, &with_orders).unwrap().proxy;
     assert_eq!(engine.adopt_migrated_tables(ms(1001), number, handed(&["a", "b", "c", "never"], ms(400))), 1);
-    assert_eq!(open(&engine, number), ["a"], "at once, without what drains, is cold or nobody knows");
+    assert_eq!(open(&engine, number), ["a"], "at once, without draining, cold and unknown replicas");
     assert_eq!(engine.frozen_tables().count(), 1);
     run(&mut engine, ms(1600));
-    assert!(open(&engine, number).len() >= 3, "the module has spoken: {:?}", open(&engine, number));
+    assert!(open(&engine, number).len() >= 3, "the module has decided: {:?}", open(&engine, number));
     assert_eq!(engine.frozen_tables().count(), 0);
-    // For whom it has spoken, and who is on a standing table, nothing that comes later counts.
+    // Migrated tables are ignored for a proxy that the module has decided for, or that is on its default
+    // table.
     assert_eq!(engine.adopt_migrated_tables(ms(1700), number, handed(&["a"], ms(400))), 0);
     let fresh = engine.proxy_connected(ms(1700), 2, &join("q", &["a", "d", "e"])).unwrap().proxy;
     assert_eq!(engine.adopt_migrated_tables(ms(1700), fresh, handed(&["a"], ms(400))), 0);
-    // Nothing of it is left here: it would be bare, so it keeps what it has until the module speaks.
+    // No entry of the migrated table is usable here: it would be empty, so the proxy keeps what it has until
+    // the module decides.
     let number = engine
         .proxy_connected(ms(1700), 3, &JoinRequest { holds_governor_tables: true, ..join("r", &[]) })
         .unwrap()
@@ -88,14 +90,14 @@
     assert_eq!(other.adopt_migrated_tables(ms(901), there, handed), 2);
     assert_eq!(open(&other, there), open(&one, number));
     assert_eq!(other.reports().1, 1);
-    // The proxy sends it again, as it heard no answer.
+    // The proxy repeats the report, as it received no response.
     assert_eq!(other.record_report(ms(1000), "p", 1, &report), Err(DiscardReason::Copy));
     other.stream_closed(ms(1100), 1);
-    assert_eq!(other.frozen_tables().count(), 0, "what was handed over goes with the stream");
+    assert_eq!(other.frozen_tables().count(), 0, "migrated tables are dropped when the stream closes");
 }
 
 proptest::proptest! {
-    /// The roster tells two governors different things, and a proxy goes from one to the other and back.
+    /// Two governors have different rosters, and a proxy moves back and forth between them.
     #[test]
     fn proxy_between_governors_with_different_rosters_always_has_a_route(
         lists in proptest::collection::vec(
@@ -114,10 +116,11 @@
                 now += wait / 4 + 1;
                 engines.iter_mut().for_each(|engine| drop(run(engine, ms(now))));
                 let proxy = engines[at].proxy(number).unwrap();
-                // What it is told always has an open line, as far as any listed replica is ready there.
+                // Its published tables always have a routable entry, as long as any listed replica is ready
+                // at that governor.
                 let told = proxy.tables.iter().flatten();
                 let bare = told.filter(|kept| kept.table.entries.iter().all(|line| !line.routable)).count();
-                proptest::prop_assert!(bare == 0 || listed[at].iter().all(|ready| !ready), "bare at {now}");
+                proptest::prop_assert!(bare == 0 || listed[at].iter().all(|ready| !ready), "a table without a routable entry at {now}");
             }
             if let Some((of, changes)) = lists.next() {
                 let mut list = ready(&names);
@@ -134,7 +137,7 @@
                 listed[of] = std::array::from_fn(|place| is_ready(&list[place]));
                 engines[of].update_roster(ms(now), list);
             }
-            // It changes hands: what is known goes ahead of it.
+            // The proxy moves to the other governor, after its state was handed over.
             let known = engines[at].migration_state(ms(now), number);
             let known = known.map(|(newest, _)| (newest.state.clone(), newest.published_at));
             engines[at].stream_closed(ms(now), stream);
--- a/crates/core/src/engine/tests/overrides.rs
+++ b/crates/core/src/engine/tests/overrides.rs
@@ -17,19 +17,25 @@
     let own = engine.proxy_connected(ms(1), 2, &join("q", &[])).unwrap().proxy;
     run(&mut engine, ms(600));
     let exclude = |engine: &mut Engine, at: u64, id: &str| {
-        engine.override_replica(ms(at), &id.into(), OverrideKind::Exclude, ms(5000), "it smells")
+        engine.override_replica(
+            ms(at),
+            &id.into(),
+            OverrideKind::Exclude,
+            ms(5000),
+            "suspected hardware fault",
+        )
     };
     exclude(&mut engine, 700, "a").unwrap();
     let (mut flushed, _) = run(&mut engine, ms(800));
     flushed.sort_unstable();
-    assert_eq!(flushed, [fresh, own], "also who is on its standing table hears of it");
+    assert_eq!(flushed, [fresh, own], "a proxy on its default table is updated as well");
     assert!([fresh, own].iter().all(|one| open(&engine, *one) == ["b", "c"]));
     let half = OverrideKind::Weight(0.5);
-    engine.override_replica(ms(900), &"b".into(), half, ms(5000), "half of it").unwrap();
+    engine.override_replica(ms(900), &"b".into(), half, ms(5000), "half its capacity").unwrap();
     let table = engine.proxy(own).unwrap().tables[0].as_ref().unwrap().table.clone();
     let weight = |id: &str| table.entries.iter().find(|line| &*line.replica == id).unwrap().weight;
     assert!((weight("b") / weight("c") - 0.5).abs() < 1e-9);
-    // All excluded: that would leave nobody with a line, and is not followed.
+    // Excluding all replicas would leave the tables without a routable entry, so the guard refuses it.
     exclude(&mut engine, 1000, "b").unwrap();
     exclude(&mut engine, 1000, "c").unwrap();
     assert!([fresh, own].iter().all(|one| !open(&engine, *one).is_empty()));
--- a/crates/core/src/engine/tests/publishing.rs
+++ b/crates/core/src/engine/tests/publishing.rs
@@ -26,7 +26,10 @@
         EngineEvent::Decided { what: DecisionSummary::Withdraw(id, true), answers, .. } if &**id == "a"
             && answers.contains(&Cause::Roster) | answers.contains(&Cause::Beat))));
     assert!((0..2).all(|number| !open(&engine, number).contains(&"a".to_string())));
-    assert!(!open(&engine, 0).is_empty(), "a standing table is told of whole, but for the drain");
+    assert!(
+        !open(&engine, 0).is_empty(),
+        "the default table is published completely, except for the draining replica"
+    );
 }
 
 #[test]
@@ -85,7 +88,10 @@
     run(&mut engine, ms(1600));
     let version = engine.proxy(0).unwrap().newest();
     engine.version_acknowledged(ms(1700), 1, version - 1);
-    assert!(!engine.causes.contains(&Cause::Acked), "an older version's answers nothing marked later");
+    assert!(
+        !engine.causes.contains(&Cause::Acked),
+        "an acknowledgement of an older version answers no later request"
+    );
     engine.version_acknowledged(ms(1800), 1, version);
     assert!(engine.causes.remove(&Cause::Acked));
     engine.version_acknowledged(ms(1900), 1, version);
--- a/crates/core/src/engine/tests/recovery.rs
+++ b/crates/core/src/engine/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Tests of what is known after a restart.
+//! Tests of state restored after a restart.
 
 #![allow(
     clippy::unwrap_used,
@@ -10,14 +10,14 @@
 
 use super::*;
 
-/// A life that ends, and the next one with what is known of it, so many seconds later.
+/// Restarts an engine with its stored state, `later` seconds after it stopped, with a roster.
 fn next_life(before: &Engine, later: f64, names: &[&str]) -> Engine {
     let mut engine = next_life_without_roster(before, ms(5000), later);
     engine.update_roster(ms(0), ready(names));
     engine
 }
 
-/// The life after one that ends at `now`, before it has a roster.
+/// Restarts an engine that stops at `now`, without a roster yet.
 fn next_life_without_roster(before: &Engine, now: Duration, later: f64) -> Engine {
     let groups = ["one".to_string(), "other".to_string()];
     let names_of =
@@ -51,7 +51,7 @@
     let number = before.proxy_connected(ms(1), 1, &join("p", &["a", "b", "c"])).unwrap().proxy;
     let bound = before.proxy_connected(ms(1), 2, &join("q", &[])).unwrap().proxy;
     run(&mut before, ms(600));
-    // Something is said of the standing one, too: it is told a table from then on.
+    // The override also concerns the proxy on its default table, which is sent a table from then on.
     before.override_replica(ms(700), &"c".into(), OverrideKind::Exclude, ms(60_000), "its disk").unwrap();
     run(&mut before, ms(800));
     let held = [number, bound].map(|number| (before.proxy(number).unwrap().newest(), open(&before, number)));
@@ -63,7 +63,7 @@
     let stranger = after.proxy_connected(ms(1), 3, &proven("r", &["a", "b", "c"], 9)).unwrap().proxy;
     assert!(
         after.proxy(number).unwrap().holds_default_table,
-        "the module is told that it stands on its own table"
+        "the module is told that it holds its default table"
     );
     assert!(
         !after.proxy(bound).unwrap().holds_default_table
@@ -73,15 +73,15 @@
     let now = [number, bound].map(|number| whole(&after, number));
     assert_eq!(now, [whole(&before, 0), whole(&before, 1)]);
     run(&mut after, ms(900));
-    assert_eq!(whole(&after, number), now[0], "nothing is told to who stands");
-    assert_eq!(open(&after, number), held[0].1, "what operators exclude stays out");
+    assert_eq!(whole(&after, number), now[0], "a proxy on its default table is sent nothing");
+    assert_eq!(open(&after, number), held[0].1, "excluded replicas stay excluded");
     assert_eq!(after.overrides().iter().count(), 1);
-    // Killed again before anybody was back: what is known of them is not forgotten with that.
+    // A second restart before any proxy has reconnected does not lose their state.
     let between = next_life(&before, 1.0, &all);
     let mut third = next_life(&between, 1.0, &all);
     let joined = third.proxy_connected(ms(1), 1, &proven("p", &["a", "b", "c"], held[0].0)).unwrap();
     assert!(third.proxy(joined.proxy).unwrap().holds_default_table);
-    // Who does not come back is not carried along for ever.
+    // The state of a proxy that does not reconnect is dropped eventually.
     let mut alone = next_life(&before, 1.0, &all);
     let is_known = |engine: &Engine, now| {
         engine.stored_items(now, &StoredItems::new(), 0.0, 8, &[]).contains_key("proxy/p")
@@ -90,7 +90,7 @@
     assert!(is_known(&alone, ms(500_000)));
     run(&mut alone, ms(600_000));
     assert!(!is_known(&alone, ms(600_000)));
-    // Without the word, or with that of another version or life, nothing is known of it.
+    // A proxy without a proof, or with one of another version or epoch, is not resumed.
     let mut after = next_life(&before, 1.0, &all);
     let mut odd = proven("p", &["a", "b", "c"], held[0].0 - 1);
     assert!(
@@ -102,7 +102,7 @@
     let mut after = next_life(&before, 1.0, &all);
     let number = after.proxy_connected(ms(1), 1, &odd).unwrap().proxy;
     assert!(!after.proxy(number).unwrap().holds_default_table);
-    // Nor after so long that it has been elsewhere.
+    // Nor is one whose state is so old that it has been connected elsewhere.
     let mut after = next_life(&before, 700.0, &all);
     let joined = after.proxy_connected(ms(1), 1, &proven("p", &["a", "b", "c"], held[0].0)).unwrap();
     assert!(!after.proxy(joined.proxy).unwrap().holds_default_table);
@@ -116,7 +116,7 @@
     let version = before.proxy(number).unwrap().newest();
     let mut after = next_life(&before, 2.0, &["a", "c"]);
     let number = after.proxy_connected(ms(1), 1, &proven("q", &[], version)).unwrap().proxy;
-    assert_eq!(open(&after, number), ["a", "c"], "before the module has spoken");
+    assert_eq!(open(&after, number), ["a", "c"], "before the module has decided");
     let (flushed, _) = run(&mut after, ms(10));
     assert!(flushed.contains(&number), "at once");
 }
@@ -141,8 +141,8 @@
     }
     assert!(out_at.is_some_and(|at| at < 2000), "{out_at:?}");
     assert!(!after.is_ejected(&"a".into()));
-    assert!(!after.is_ejected(&"b".into()), "and let back once its time is over, with nothing against it");
-    // The level held for what was left of its time, and no longer.
+    assert!(!after.is_ejected(&"b".into()), "restored after its time, as no failures were observed");
+    // The admission fraction applies for its remaining time only.
     let mut levels = next_life(&before, 4.0, &all);
     let number = levels.proxy_connected(ms(1), 1, &join("p", &all)).unwrap().proxy;
     run(&mut levels, ms(300));
@@ -154,7 +154,7 @@
         run(&mut levels, ms(now));
     }
     assert_eq!(level(&levels), Some(1.0));
-    // Replaced under its name while nobody looked: it is judged by nothing that the old one did.
+    // A replica replaced by a new process during the restart is not judged by what the old one did.
     let mut anew = next_life(&before, 5.0, &[]);
     let mut list = ready(&all);
     list[1].started_at = Some(ms(0).saturating_sub(Duration::from_secs(2)));
@@ -175,7 +175,7 @@
     let version = before.status(ms(600)).version;
     before.update_roster(ms(700), ready(&["a", "b"]));
     run(&mut before, ms(1500));
-    // `c` is back, and the operator has the table of before it went.
+    // `c` is back, and the operator rolls back to the table of before it left.
     before.update_roster(ms(1600), ready(&all));
     before.rollback(ms(1700), &TableScope::All, version, "a mistake", ms(15_000)).unwrap();
     run(&mut before, ms(1800));
@@ -189,7 +189,7 @@
         .collect();
     assert_eq!(held, [("q".into(), 0, "a mistake".into()), ("q".into(), 1, "a mistake".into())]);
     assert!(!open(&after, number).is_empty());
-    // Ten seconds were left at the last look.
+    // Ten seconds were left when the state was stored.
     for now in (1000..10_500).step_by(100) {
         run(&mut after, ms(now));
     }
@@ -197,8 +197,8 @@
     assert_eq!(next_life(&before, 11.0, &all).awaited_frozen_tables.len(), 0);
 }
 
-/// Guards against knowledge that is removed from the store by the first write of a life that has no roster yet, or whose
-/// proxies have not come back.
+/// Guards against restored state that is lost because the first write of a run that has no roster yet, or
+/// whose proxies have not reconnected, removes it from the store.
 #[test]
 fn what_is_not_in_use_yet_survives_a_second_restart() {
     let all = ["a", "b", "c"];
@@ -218,12 +218,12 @@
     assert_eq!(
         second.restored.overrides["c"].remaining,
         Duration::from_millis(51_000),
-        "no longer than was left"
+        "no longer than the remaining time"
     );
     assert!(second.restored.ejected.contains_key("b"), "{:?}", second.restored.ejected);
     assert_eq!(second.restored.admission_fractions.get(&1), Some(&0.5));
     assert_eq!(second.awaited_frozen_tables.len(), 2);
-    // A roster that comes late leaves an override no longer than it was to stand.
+    // A late roster does not extend an override.
     let mut late = next_life_without_roster(&second, ms(1000), 1.0);
     late.update_roster(ms(60_000), ready(&all));
     run(&mut late, ms(60_300));
--- a/crates/core/src/engine/tests/rollback.rs
+++ b/crates/core/src/engine/tests/rollback.rs
@@ -10,7 +10,7 @@
 
 use super::*;
 
-/// An engine with one proxy on its own tables, and the version at which it held them all.
+/// An engine with one proxy on dedicated tables, and the version at which it held all of them.
 fn settled(names: &[&str]) -> (Engine, u64) {
     let mut engine = engine(names);
     engine.proxy_connected(ms(1), 1, &join("p", &[])).unwrap();
@@ -32,7 +32,7 @@
     engine.update_roster(ms(1000), ready(&["a", "b", "c", "d", "e"]));
     pass(&mut engine, ms(2000));
     assert_eq!(open(&engine, 0).len(), 5);
-    // One replica of the old table drains, and is done with it, before the step back.
+    // One replica of the old table drains and leaves before the rollback.
     engine.update_roster(ms(3000), ready(&["b", "c", "d", "e"]));
     pass(&mut engine, ms(4000));
     let rolled = engine.rollback(ms(5000), &TableScope::All, before, "too wide", ms(60_000)).unwrap();
@@ -40,7 +40,7 @@
     assert_eq!(rolled.left_out[0].3, OmissionReason::Gone);
     pass(&mut engine, ms(5100));
     assert_eq!(open(&engine, 0), ["b", "c"]);
-    // While it is held the module's news waits, and drains go through.
+    // While the table is frozen, the module's updates are not published, but drains are.
     let mut list = ready(&["b", "c", "d", "e", "f"]);
     list[0].phase = Phase::Draining;
     engine.update_roster(ms(6000), list);
@@ -130,7 +130,7 @@
         .filter(|line| &*line.replica == "c")
         .map(|line| line.weight / all)
         .sum::<f64>();
-    assert!(cap < 0.2, "the module spares it: {cap}");
+    assert!(cap < 0.2, "the module limits its weight: {cap}");
     engine.rollback(ms(2000), &TableScope::All, before, "", ms(60_000)).unwrap();
     assert!(share(&engine) <= cap + 1e-9, "{} {cap}", share(&engine));
 }
--- a/crates/core/src/engine/tests/scheduling.rs
+++ b/crates/core/src/engine/tests/scheduling.rs
@@ -1,4 +1,4 @@
-//! Tests of the order of work: determinism, standstill of the process.
+//! Tests of scheduling: determinism, pauses of the process.
 
 #![allow(
     clippy::unwrap_used,
@@ -71,8 +71,8 @@
         }
         run(&mut engine, ms(now));
     }
-    // It falls asleep over a report of one replica, and wakes to one of another; that its proxies have left comes
-    // a moment later.
+    // The process pauses after a report on one replica and resumes with a report on another one; it learns
+    // only a moment later that its proxies have left.
     run(&mut engine, ms(5100));
     met(&mut engine, 5200, "p", 1, &["a"]);
     met(&mut engine, 19_000, "q", 2, &["b"]);
@@ -94,7 +94,7 @@
 fn a_process_that_is_always_late_still_decides() {
     let mut engine = engine(&["a", "b"]);
     run(&mut engine, ms(0));
-    // Never sooner than six seconds after it should: every other time the module has its beat.
+    // It is always called six seconds apart, so the module gets every second tick.
     let waits = (1..5).map(|step| {
         run(&mut engine, ms(6000 * step));
         engine.next_tick - ms(6000 * step)
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -1,9 +1,10 @@
-//! Which proxies are connected: names and numbers, streams, what each proxy holds, what it was sent and has not
-//! acknowledged.
+//! The connected proxies: their names, ids and streams, the tables that each should hold, the versions that
+//! were sent, and outstanding acknowledgements.
 //!
-//! Proxies come with names, the module knows numbers. A number stays with its name for as long as it can: the module
-//! retains what it last put into a number's tables, so a proxy that reconnects is sent only changes. It goes to another
-//! name only once its holder has been away for [`REUSE_AFTER`], the longest away first.
+//! Proxies identify themselves by name; the module uses numeric ids. An id stays with its name as long as
+//! possible: the module retains the last content of an id's tables, so a proxy that reconnects is sent only
+//! changes. An id is reassigned to another name only when its proxy has been away for [`REUSE_AFTER`], the
+//! longest absent first.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -13,131 +14,134 @@
 
 use crate::tables::VersionedTable;
 
-/// Numbers are 16 bits wide, and the module gives two tables to each proxy out of as many table numbers,
-/// three of which are reserved: a proxy numbered from here on would never get a dedicated table.
+/// The maximum number of proxies. Ids have 16 bits. The module assigns two tables to each proxy, and table
+/// ids have 16 bits as well, three of which are reserved; so a proxy with a higher id could never get a
+/// dedicated table.
 pub const MOST_PROXIES: usize = (u16::MAX as usize - 2) / 2;
-/// Reports and acknowledgements of the former holder are long over by then.
+/// How long a proxy must be away before its id may be reused. By then none of its reports and
+/// acknowledgements can arrive any more.
 pub const REUSE_AFTER: Duration = Duration::from_secs(600);
-/// So many replaced streams of one name within [`CONTEST_PERIOD`] mean two proxies of one name, not a reconnect.
+/// More replaced streams of one name than this within [`CONTEST_PERIOD`] mean that two proxies use the name,
+/// not that one reconnects.
 const MAX_REPLACED_STREAMS: usize = 4;
-/// How long replaced streams are counted.
+/// The time within which replaced streams are counted.
 const CONTEST_PERIOD: Duration = Duration::from_secs(10);
-/// Acknowledgement requests beyond this many are with a proxy that acknowledges nothing: the oldest are dropped.
+/// The maximum number of outstanding acknowledgements of a proxy. If there are more, the proxy acknowledges
+/// nothing and the oldest requests are dropped.
 const MAX_OUTSTANDING_ACKNOWLEDGEMENTS: usize = 16;
-/// Characters that are kept of a proxy's reason for rejecting a version: it might be of any length.
+/// The maximum length of a proxy's reason for a rejection in characters; proxies can send texts of any
+/// length.
 const MAX_REJECTION_LENGTH: usize = 500;
 
-/// A front's stream. Numbers are given by the host and never used twice in a governor's run.
+/// A stream of a front end. The host assigns the ids and never reuses one within a run of the governor.
 pub type StreamId = u64;
 
-/// What a proxy says of itself when its stream opens.
+/// The information that a proxy gives when it opens its stream.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JoinRequest {
-    /// Its name (node id).
+    /// The name of the proxy (node id).
     pub name: Arc<str>,
-    /// Its place in the zones of the settings.
+    /// The index of its zone in the settings.
     pub zone: usize,
-    /// Requests a second that it ordinarily receives.
+    /// Its usual number of requests per second.
     pub requests_per_second: f64,
-    /// Replicas and weights of the default table that it holds, if it names any.
+    /// The replicas and weights of its default table; empty if it reports none.
     pub default_table: Vec<(ReplicaId, f64)>,
-    /// It says that it holds tables of this or another governor besides.
+    /// Whether it reports that it holds tables of this or another governor besides.
     pub holds_governor_tables: bool,
-    /// Its signed proof of whose they are, if it has one.
+    /// Its signed proof of which governor issued those tables, if it has one.
     pub ownership_proof: Option<String>,
-    /// The epoch and the version of this governor's that the proof names, if it is valid.
+    /// The epoch and version of this governor in the proof, if the proof is valid.
     pub proven_version: Option<(u64, u64)>,
 }
 
-/// Why a proxy may not connect.
+/// Why a join was rejected.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum JoinError {
-    /// All numbers are taken.
-    #[error(
-        "{joined} proxies are joined, and no more numbers are free (at most {most}); join another governor"
-    )]
+    /// No id is free.
+    #[error("{joined} proxies are connected and no id is free (maximum {most}); connect to another governor")]
     Full {
-        /// Proxies that are connected.
+        /// The number of connected proxies.
         joined: usize,
-        /// Proxies that may be.
+        /// The maximum number of proxies.
         most: usize,
     },
-    /// Two proxies seem to have the same name.
+    /// Two proxies seem to use the same name.
     #[error(
-        "streams under the name `{name}` replaced each other {times} times in {over:?}: two proxies have it; \
+        "streams of the proxy name `{name}` replaced each other {times} times in {over:?}: two proxies use it; \
              give each its own node id"
     )]
     Contested {
         /// The name.
         name: Arc<str>,
-        /// How often its stream was replaced lately.
+        /// How often its stream was replaced recently.
         times: usize,
-        /// Within how long.
+        /// The time within which the replacements were counted.
         over: Duration,
     },
-    /// It gave no name.
-    #[error("a proxy must come with a name (node id)")]
+    /// The name is empty.
+    #[error("the proxy name (node id) is empty")]
     Nameless,
 }
 
-/// Which kind of table a proxy is on, for operators.
+/// The kind of table that a proxy uses, for operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TableKind {
-    /// Its own default table.
+    /// The proxy's own default table.
     Standing,
-    /// A dedicated table of the module's.
+    /// A table that the module has assigned to the proxy.
     Own,
 }
 
 /// One connected proxy.
 #[derive(Debug, Clone)]
 pub struct Proxy {
-    /// Its name (node id).
+    /// The name of the proxy (node id).
     pub name: Arc<str>,
-    /// Its newest stream.
+    /// The id of its newest stream.
     pub stream: StreamId,
-    /// Its place in the zones of the settings.
+    /// The index of its zone in the settings.
     pub zone: usize,
-    /// When that stream opened.
+    /// When its newest stream was opened.
     pub joined_at: Duration,
     /// Replicas and weights of its default table.
     pub default_table: Vec<(ReplicaId, f64)>,
-    /// Whether it held nothing but that when it connected.
+    /// Whether it held only its default table when it connected.
     pub holds_default_table: bool,
-    /// By traffic class: the table that the module assigned to it.
+    /// By traffic class: the table that the module has assigned to it.
     pub assigned_tables: Vec<Option<TableId>>,
-    /// By traffic class: what it should hold, if the governor publishes anything for it.
+    /// By traffic class: the table that it should hold, if the governor publishes one.
     pub tables: Vec<Option<VersionedTable>>,
-    /// The version of the last change, and the policies by traffic class.
+    /// The retry policies by traffic class, with the version of their last change.
     pub retry_policies: (u64, Vec<RetryPolicy>),
     /// The newest version that was sent.
     pub sent_version: u64,
     /// The newest version that was acknowledged.
     pub acknowledged_version: u64,
-    /// The version that the proxy rejected last and its reason, until it accepts that or a later one.
+    /// The last version that the proxy rejected and its reason, until it accepts that version or a later one.
     pub rejected: Option<(u64, String)>,
     outstanding_acknowledgements: VecDeque<(u64, Duration)>,
 }
 
 impl Proxy {
-    /// The version of the newest change to what this proxy should hold.
+    /// The version of the newest change to this proxy's tables or retry policies.
     pub fn newest(&self) -> u64 {
         self.tables.iter().flatten().map(|table| table.version).fold(self.retry_policies.0, u64::max)
     }
 
-    /// Which kind of table it is on.
+    /// The kind of table that it uses.
     pub fn kind(&self) -> TableKind {
         if self.assigned_tables.iter().any(Option::is_some) { TableKind::Own } else { TableKind::Standing }
     }
 
-    /// Whether it is known what it should hold: tables, or its default table. For a proxy that came with tables of
-    /// its own, or with none that are known, nothing can be published before the module has decided: "no table"
-    /// would take away what it holds.
+    /// Whether the tables that it should hold are known: published ones, or its default table. Nothing can be
+    /// published to a proxy with unknown tables, or with tables of another governor, before the module has
+    /// decided: an empty state would remove the tables that it holds.
     pub fn has_known_tables(&self) -> bool {
         self.holds_default_table || self.tables.iter().any(Option::is_some)
     }
 
-    /// The module wants the acknowledgement of this version, which was published now.
+    /// Records that the module requested an acknowledgement of this version, published at `now`.
     pub fn request_acknowledgement(&mut self, version: u64, now: Duration) {
         if self.outstanding_acknowledgements.len() == MAX_OUTSTANDING_ACKNOWLEDGEMENTS {
             self.outstanding_acknowledgements.pop_front();
@@ -145,13 +149,13 @@
         self.outstanding_acknowledgements.push_back((version, now));
     }
 
-    /// How long the oldest acknowledgement that the module wants has been outstanding.
+    /// How long the oldest requested acknowledgement has been outstanding.
     pub fn acknowledgement_delay(&self, now: Duration) -> Duration {
         self.outstanding_acknowledgements.front().map_or(Duration::ZERO, |(_, at)| now.saturating_sub(*at))
     }
 
-    /// When the acknowledgement requests were made that an acknowledgement of a version answers. An older
-    /// acknowledgement than one before answers nothing.
+    /// Records an acknowledgement. Returns the times of the requests that it answers; an acknowledgement
+    /// older than an earlier one answers none.
     fn acknowledge(&mut self, version: u64) -> Vec<Duration> {
         self.acknowledged_version = self.acknowledged_version.max(version);
         let mut answered = Vec::new();
@@ -164,18 +168,18 @@
     }
 }
 
-/// Assigns proxies their numbers.
+/// Allocates ids for proxies.
 #[derive(Debug)]
 pub struct ProxyIdAllocator {
     by_name: BTreeMap<Arc<str>, ProxyId>,
-    /// Names that are away, by since when.
+    /// Names of disconnected proxies, ordered by the time of disconnection.
     release: BTreeSet<(Duration, Arc<str>)>,
     next: usize,
     capacity: usize,
 }
 
 impl ProxyIdAllocator {
-    /// At most `capacity` numbers; never more than [`MOST_PROXIES`].
+    /// Allocates at most `capacity` ids, and never more than [`MOST_PROXIES`].
     pub fn new(capacity: usize) -> Self {
         ProxyIdAllocator {
             by_name: BTreeMap::new(),
@@ -185,8 +189,8 @@
         }
     }
 
-    /// A name's own number, or a free one, or one whose holder has been away for long: then the second value is the
-    /// name that loses it.
+    /// Returns the id that belongs to the name, else an unused one, else the id of the proxy that has been
+    /// away longest; in the last case the second value is the name that loses the id.
     pub fn assign(&mut self, now: Duration, name: &Arc<str>) -> Option<(ProxyId, Option<Arc<str>>)> {
         if let Some(number) = self.by_name.get(name) {
             self.release.retain(|(_, away)| away != name);
@@ -208,43 +212,43 @@
         Some((number, Some(former)))
     }
 
-    /// The holder of a number has disconnected. The number stays with its name as long as others are free.
+    /// The proxy of this name has disconnected. It keeps its id while unused ids are left.
     pub fn release(&mut self, now: Duration, name: &Arc<str>) {
         if self.by_name.contains_key(name) {
             self.release.insert((now, name.clone()));
         }
     }
 
-    /// Numbers in all.
+    /// The maximum number of ids.
     pub fn capacity(&self) -> usize {
         self.capacity
     }
 }
 
-/// Connected proxies, by number, stream and name.
+/// The connected proxies, by id, stream and name.
 #[derive(Debug)]
 pub struct Fleet {
     proxies: BTreeMap<ProxyId, Proxy>,
     by_stream: BTreeMap<StreamId, ProxyId>,
     by_name: BTreeMap<Arc<str>, ProxyId>,
     ids: ProxyIdAllocator,
-    /// By name: when its streams were replaced while they were still up.
+    /// By name: the times when a stream was replaced while still open.
     replaced_streams: BTreeMap<Arc<str>, VecDeque<Duration>>,
 }
 
-/// A proxy that was let in.
+/// The result of an accepted join.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JoinOutcome {
-    /// Its number.
+    /// The id of the proxy.
     pub proxy: ProxyId,
-    /// An older stream under the same name, which is over with this.
+    /// The older stream of the same name that this one replaces.
     pub replaced_stream: Option<StreamId>,
-    /// Its number was another proxy's.
+    /// Whether the id belonged to another proxy before.
     pub id_reused: bool,
 }
 
 impl Fleet {
-    /// `max_proxies` at once; never more than [`MOST_PROXIES`].
+    /// Allows `max_proxies` connected proxies, and never more than [`MOST_PROXIES`].
     pub fn new(max_proxies: usize) -> Self {
         Fleet {
             proxies: BTreeMap::new(),
@@ -255,12 +259,12 @@
         }
     }
 
-    /// Lets a proxy in. The newest stream of a name is the true one: a proxy whose stream broke unnoticed reconnects
-    /// before its old one is known to be gone. A newcomer under a name whose streams are replaced again and again is
-    /// rejected for a while, or two proxies of one name would throw each other out for ever.
+    /// Connects a proxy. The newest stream of a name counts, since a proxy whose stream broke reconnects
+    /// before the old stream is detected as closed. If the streams of a name are replaced repeatedly, new
+    /// ones are rejected for a while; otherwise two proxies of one name would disconnect each other forever.
     ///
     /// # Errors
-    /// As [`JoinError`]; nothing but the count of replaced streams is changed then.
+    /// See [`JoinError`]; on error only the count of replaced streams changes.
     pub fn connect(
         &mut self,
         now: Duration,
@@ -316,7 +320,7 @@
         Ok(JoinOutcome { proxy: number, replaced_stream, id_reused: former.is_some() })
     }
 
-    /// A stream is over. None if a later one under the same name has taken its place.
+    /// Removes a closed stream. Returns `None` if a newer stream of the same proxy has replaced it.
     pub fn disconnect(&mut self, now: Duration, stream: StreamId) -> Option<ProxyId> {
         let number = self.by_stream.remove(&stream)?;
         let proxy = self.proxies.remove(&number)?;
@@ -325,7 +329,8 @@
         Some(number)
     }
 
-    /// A proxy accepted everything up to a version: when the acknowledgement requests were made that this answers.
+    /// A proxy acknowledged all versions up to this one. Returns the times of the acknowledgement requests
+    /// that this answers.
     pub fn acknowledge(&mut self, stream: StreamId, version: u64) -> Vec<Duration> {
         let Some(proxy) = self.proxy_on_stream_mut(stream) else { return Vec::new() };
         if proxy.rejected.as_ref().is_some_and(|(rejected, _)| *rejected <= version) {
@@ -334,7 +339,7 @@
         proxy.acknowledge(version)
     }
 
-    /// A proxy rejected a version. What it held before stands.
+    /// A proxy rejected a version and keeps its earlier tables.
     pub fn reject(&mut self, stream: StreamId, version: u64, words: &str) {
         if let Some(proxy) = self.proxy_on_stream_mut(stream) {
             proxy.rejected = Some((version, words.chars().take(MAX_REJECTION_LENGTH).collect()));
@@ -346,38 +351,38 @@
         self.proxies.get(&number)
     }
 
-    /// A connected proxy, to change.
+    /// A connected proxy, mutable.
     pub fn get_mut(&mut self, number: ProxyId) -> Option<&mut Proxy> {
         self.proxies.get_mut(&number)
     }
 
-    /// The number of the proxy on a stream.
+    /// The id of the proxy on a stream.
     pub fn number_of(&self, stream: StreamId) -> Option<ProxyId> {
         self.by_stream.get(&stream).copied()
     }
 
-    /// The connected proxy of a name.
+    /// The connected proxy of this name.
     pub fn named(&self, name: &str) -> Option<(ProxyId, &Proxy)> {
         let number = self.by_name.get(name)?;
         Some((*number, self.proxies.get(number)?))
     }
 
-    /// All connected proxies, by number.
+    /// All connected proxies, ordered by id.
     pub fn iter(&self) -> impl Iterator<Item = (ProxyId, &Proxy)> {
         self.proxies.iter().map(|(number, proxy)| (*number, proxy))
     }
 
-    /// Numbers of all connected proxies.
+    /// The ids of all connected proxies.
     pub fn proxy_ids(&self) -> Vec<ProxyId> {
         self.proxies.keys().copied().collect()
     }
 
-    /// Proxies that are connected.
+    /// The number of connected proxies.
     pub fn len(&self) -> usize {
         self.proxies.len()
     }
 
-    /// Whether none is.
+    /// Whether no proxy is connected.
     pub fn is_empty(&self) -> bool {
         self.proxies.is_empty()
     }
--- a/crates/core/src/fleet/tests.rs
+++ b/crates/core/src/fleet/tests.rs
@@ -25,10 +25,10 @@
     assert_eq!(put(&mut fleet, 1, 2, "b").unwrap().proxy, 1);
     fleet.disconnect(Duration::from_secs(2), 1);
     assert!(matches!(put(&mut fleet, 3, 3, "c"), Err(JoinError::Full { joined: 1, most: 2 })));
-    assert_eq!(put(&mut fleet, 4, 4, "a").unwrap().proxy, 0, "its own again");
+    assert_eq!(put(&mut fleet, 4, 4, "a").unwrap().proxy, 0, "gets its former id back");
     fleet.disconnect(Duration::from_secs(5), 4);
     assert_eq!(put(&mut fleet, 700, 5, "c").unwrap().proxy, 0);
-    assert!(put(&mut fleet, 701, 6, "a").is_err(), "its number is another's now");
+    assert!(put(&mut fleet, 701, 6, "a").is_err(), "its id was reassigned");
 }
 
 #[test]
@@ -55,7 +55,7 @@
         put(&mut fleet, 1, stream, "a").unwrap();
     }
     assert!(matches!(put(&mut fleet, 2, 9, "a"), Err(JoinError::Contested { times: 4, .. })));
-    assert_eq!(fleet.number_of(4), Some(0), "who is in stays in");
+    assert_eq!(fleet.number_of(4), Some(0), "the connected proxy stays connected");
     assert!(put(&mut fleet, 12, 10, "a").is_ok());
 }
 
--- a/crates/core/src/history.rs
+++ b/crates/core/src/history.rs
@@ -1,8 +1,10 @@
-//! The last versions of what each proxy was sent, within a bound on memory, to roll back to and to make deltas from.
+//! The last published versions of each proxy, within a memory bound. They serve for rollbacks and as bases of
+//! deltas.
 //!
-//! What is bounded is table entries: each costs about as much as its names. Where the bound is met the oldest version
-//! of all proxies goes first, so that a proxy that changes all the time does not push out the one version of others
-//! before its own older ones; the newest of each connected proxy is never dropped, as it is what the proxy holds.
+//! The bound is on table entries, whose size is mainly that of their names. When it is exceeded, the oldest
+//! version of all proxies is dropped first, so that a proxy that changes often loses its own old versions
+//! before the only versions of others. The newest version of each connected proxy is never dropped, as it is
+//! the state that the proxy holds.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -12,31 +14,31 @@
 
 use crate::table_versions::{Digest, PublishedState};
 
-/// One version of one proxy.
+/// A published version of a proxy.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HistoryEntry {
-    /// The version.
+    /// The version number.
     pub version: u64,
     /// When it was published.
     pub published_at: Duration,
     /// The digest of its state.
     pub digest: Digest,
-    /// What the proxy should hold as of it.
+    /// The state that the proxy should hold as of this version.
     pub state: Arc<PublishedState>,
 }
 
-/// Retained versions by proxy.
+/// The retained versions by proxy.
 #[derive(Debug)]
 pub struct History {
     by_proxy: BTreeMap<ProxyId, VecDeque<HistoryEntry>>,
-    /// All but the newest of each proxy, oldest first.
+    /// All versions but the newest of each proxy, oldest first.
     order: BTreeSet<(u64, ProxyId)>,
     max_versions: usize,
     max_entries: usize,
     entry_count: usize,
 }
 
-/// What a version costs besides its entries, in entries.
+/// The cost of a version besides its entries, in entries.
 const VERSION_OVERHEAD: usize = 2;
 
 fn cost(version: &HistoryEntry) -> usize {
@@ -44,7 +46,7 @@
 }
 
 impl History {
-    /// At most `max_versions` of a proxy, and `max_entries` in all.
+    /// Retains at most `max_versions` versions per proxy, and `max_entries` table entries in total.
     pub fn new(max_versions: usize, max_entries: usize) -> Self {
         History {
             by_proxy: BTreeMap::new(),
@@ -55,7 +57,7 @@
         }
     }
 
-    /// A proxy is sent something new. Versions grow; one that does not is ignored.
+    /// Adds a version of a proxy. Versions increase; one that does not is ignored.
     pub fn push(&mut self, proxy: ProxyId, version: HistoryEntry) {
         let versions = self.by_proxy.entry(proxy).or_default();
         if let Some(last) = versions.back() {
@@ -86,18 +88,18 @@
         self.by_proxy.get(&proxy)?.back()
     }
 
-    /// A version that a proxy says it holds, if it is retained and has the digest that the proxy says.
+    /// The version that a proxy reports to hold, if it is retained and has the reported digest.
     pub fn held(&self, proxy: ProxyId, version: u64, digest: &Digest) -> Option<&HistoryEntry> {
         let versions = self.by_proxy.get(&proxy)?;
         versions.iter().rev().find(|one| one.version == version && one.digest == *digest)
     }
 
-    /// What a proxy was sent as of a version: the newest one up to it.
+    /// The state of a proxy as of a version: the newest one up to it.
     pub fn as_of(&self, proxy: ProxyId, version: u64) -> Option<&HistoryEntry> {
         self.by_proxy.get(&proxy)?.iter().rev().find(|one| one.version <= version)
     }
 
-    /// Retained versions of a proxy, oldest first.
+    /// The retained versions of a proxy, oldest first.
     pub fn of(&self, proxy: ProxyId) -> impl Iterator<Item = &HistoryEntry> {
         self.by_proxy.get(&proxy).into_iter().flatten()
     }
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Table entries retained in all.
+    /// The number of retained table entries.
     pub fn entry_count(&self) -> usize {
         self.entry_count
     }
--- a/crates/core/src/history/tests.rs
+++ b/crates/core/src/history/tests.rs
@@ -50,7 +50,7 @@
     assert_eq!(history.as_of(0, 29).map(|one| one.version), Some(20));
     assert_eq!(history.as_of(0, 9), None);
     history.push(0, version(30, 2));
-    assert_eq!(versions(&history, 0), [10, 20, 30], "no version is given twice");
+    assert_eq!(versions(&history, 0), [10, 20, 30], "a version that does not increase is ignored");
 }
 
 #[test]
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,29 +1,29 @@
-//! State machines between the decision module and its fronts. They open no socket and read no clock: times and names come
-//! in as arguments, and the same inputs give the same outputs.
+//! The state machines of a governor, between the decision module and the protocol front ends. They do no I/O
+//! and read no clock: time and names are passed as arguments, and the same inputs produce the same outputs.
 //!
-//! [`engine::Engine`] holds one instance of the decision module. A host tells it what has happened, then pulls
-//! [`engine::Engine::next_action`] until it gives `None`, and carries out each action. Fronts read what a proxy should
-//! hold from [`engine::Engine::proxy`] and only translate it.
+//! [`engine::Engine`] wraps one instance of the decision module. A host passes events to it, then calls
+//! [`engine::Engine::next_action`] until it returns `None` and carries out each action. Front ends read the
+//! state that a proxy should hold from [`engine::Engine::proxy`] and only encode it.
 //!
-//! | module | what it is for |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`engine`] | the face: inputs, actions, versions |
-//! | [`roster`] | the replicas, their starts and drains, and whether an empty roster is believed |
-//! | [`backup_replicas`] | replicas that are active only while no other is ready |
-//! | [`fleet`] | which proxies are connected, what each holds, what was sent and not yet acknowledged |
-//! | [`tables`] | what the module's decisions make of each proxy's tables |
-//! | [`guard`] | what may not reach a proxy, whoever made it |
-//! | [`send_limiter`] | which proxy may be written to next, and what waits |
-//! | [`reports`] | load reports, aggregated to what the module is given |
-//! | [`table_versions`], [`history`] | what was published, in versions, and the deltas between them |
+//! | [`engine`] | the main interface: inputs, actions, versions |
+//! | [`roster`] | the replicas, their start times and drains; delays the acceptance of an empty roster |
+//! | [`backup_replicas`] | replicas that are active only while no primary is ready |
+//! | [`fleet`] | connected proxies: their tables, sent versions and outstanding acknowledgements |
+//! | [`tables`] | the table of each proxy that results from the module's decisions |
+//! | [`guard`] | safety rules that every table must pass, whatever its source |
+//! | [`send_limiter`] | rate limit and priority of updates to proxies |
+//! | [`reports`] | load reports, aggregated for the module |
+//! | [`table_versions`], [`history`] | published versions and the deltas between them |
 //! | [`frozen_tables`] | tables that operators rolled back to, or that another governor handed over |
 //! | [`overrides`] | operators' overrides of replicas |
-//! | [`snapshot`] | what is known beyond a restart, and how much of it counts |
-//! | [`recording`] | what was known at one moment, and tables tried against it |
-//! | [`ownership`] | the order of governors for a proxy, keys, and signed proofs of whose tables it holds |
+//! | [`snapshot`] | state stored across restarts, and how it ages |
+//! | [`recording`] | a recording of the current state, and dry runs of tables against it |
+//! | [`ownership`] | the order of governors for a proxy, keys, and signed proofs of which governor issued its tables |
 //! | [`fencing`] | which governor's updates a proxy accepts |
-//! | [`failover`] | which governor a proxy connects to next, and when it goes back home |
-//! | [`weights`] | weights as integers, without losing an entry |
+//! | [`failover`] | which governor a proxy connects to next, and when it returns to its preferred one |
+//! | [`weights`] | conversion of weights to integers without losing an entry |
 //! | `fault_injection` | faulty decision modules, for tests and rehearsals |
 
 #![warn(missing_docs)]
--- a/crates/core/src/overrides.rs
+++ b/crates/core/src/overrides.rs
@@ -1,5 +1,6 @@
-//! Operators' overrides of replicas, for a while: that nothing is to be sent to one, or a fraction or a multiple of what
-//! the module gives it. They are applied to whatever table is wanted, and pass the guard like all else.
+//! Temporary overrides of replicas by operators: a replica is excluded, or its weight in the module's tables
+//! is multiplied by a factor. Overrides are applied to every proposed table, which the guard then checks like
+//! any other.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,24 +10,24 @@
 
 use crate::tables::Table;
 
-/// Factors beyond these are slips of the keyboard.
+/// The range of weight factors; a value outside it is taken for a typing error.
 pub const FACTORS: (f64, f64) = (0.01, 100.0);
-/// Overrides at a time: a fleet that needs more needs another roster.
+/// The maximum number of overrides; a fleet that needs more needs another roster.
 pub const MOST: usize = 1000;
 
-/// What an override does.
+/// The effect of an override.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum OverrideKind {
-    /// Nothing is sent to the replica.
+    /// No requests are sent to the replica.
     Exclude,
-    /// Its weights, times this.
+    /// The replica's weights are multiplied by this factor.
     Weight(f64),
 }
 
 /// An override of one replica.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Override {
-    /// What it does.
+    /// The effect.
     pub what: OverrideKind,
     /// When it was set.
     pub since: Duration,
@@ -40,17 +41,17 @@
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum OverrideError {
     /// The replica is not listed.
-    #[error("no replica `{0}` is listed")]
+    #[error("replica `{0}` is not in the roster")]
     NoReplica(ReplicaId),
     /// The factor is not within [`FACTORS`].
-    #[error("a factor is from 0.01 to 100, and not {0}")]
+    #[error("weight factor {0} is not between 0.01 and 100")]
     Factor(f64),
     /// There are [`MOST`] overrides already.
-    #[error("{MOST} replicas are overridden already")]
+    #[error("there are already {MOST} overrides, the maximum")]
     Full,
 }
 
-/// Overrides in force.
+/// The overrides in force.
 #[derive(Debug, Default)]
 pub struct Overrides {
     by_replica: BTreeMap<ReplicaId, Override>,
@@ -60,7 +61,7 @@
     /// Sets an override; a later one of the same replica replaces an earlier one.
     ///
     /// # Errors
-    /// A factor that can't be meant, or too many overrides; nothing is changed then.
+    /// The factor is out of range, or there are too many overrides; on error nothing changes.
     pub fn set(&mut self, replica: ReplicaId, new: Override) -> Result<(), OverrideError> {
         if let OverrideKind::Weight(factor) = new.what
             && !(FACTORS.0..=FACTORS.1).contains(&factor)
@@ -74,17 +75,17 @@
         Ok(())
     }
 
-    /// Ends the override of a replica; whether there was one.
+    /// Ends the override of a replica. Returns whether there was one.
     pub fn end(&mut self, replica: &str) -> bool {
         self.by_replica.remove(replica).is_some()
     }
 
-    /// Removes overrides that have expired: the replicas that they were of.
+    /// Removes expired overrides and returns their replicas.
     pub fn take_expired(&mut self, now: Duration) -> BTreeSet<ReplicaId> {
         self.by_replica.extract_if(.., |_, one| one.until <= now).map(|(id, _)| id).collect()
     }
 
-    /// When the next one expires.
+    /// When the next override expires.
     pub fn next_deadline(&self) -> Option<Duration> {
         self.by_replica.values().map(|one| one.until).min()
     }
@@ -104,7 +105,7 @@
         self.by_replica.is_empty()
     }
 
-    /// Applies the overrides to a table that is wanted.
+    /// Applies the overrides to a proposed table.
     pub fn apply(&self, table: &mut Table) {
         if self.by_replica.is_empty() {
             return;
@@ -118,7 +119,7 @@
         }
     }
 
-    /// All of them, by replica.
+    /// All overrides, by replica.
     pub fn iter(&self) -> impl Iterator<Item = (&ReplicaId, &Override)> {
         self.by_replica.iter()
     }
--- a/crates/core/src/reports.rs
+++ b/crates/core/src/reports.rs
@@ -1,17 +1,19 @@
-//! Load reports, aggregated to what the module is given: statistics by zone and replica, and demand by proxy and traffic
+//! Load reports, aggregated for the module: statistics by zone and replica, and demand by proxy and traffic
 //! class.
 //!
-//! Public load reports carry no sequence number. A report counts once, or not at all, by three marks:
+//! Public load report protocols have no sequence numbers. Three properties ensure that a report is counted at
+//! most once:
 //!
-//! - its stream: only the newest of a proxy counts, what an older one still brings is over;
-//! - its content: one that says the very same, to the nanosecond of its interval, as one of the last few of the same
-//!   proxy is a copy, on whichever stream it comes. An idle proxy's empty reports may be equal; they say nothing, so
-//!   nothing is lost;
-//! - its interval: all intervals of a proxy together can't be longer than the time since it began to report. What goes
-//!   beyond that was counted before, out of order. Late reports fit, as their time has passed.
+//! - its stream: only reports on the newest stream of a proxy count; late ones on an older stream are discarded;
+//! - its content: a report equal to one of the last few of the same proxy, including its interval to the
+//!   nanosecond, is a copy, on whichever stream it arrives. Empty reports of an idle proxy may be equal by
+//!   chance; they contain nothing, so nothing is lost;
+//! - its interval: the sum of a proxy's intervals can't exceed the time since it began to report. A report
+//!   beyond that repeats time that was counted before, out of order. Late reports fit, as their time has
+//!   passed.
 //!
-//! What was counted is aggregated over a period and passed on as so many entries a second at most, those that have
-//! waited longest first; the rest goes on being aggregated.
+//! Counted reports are aggregated over a period and passed on at a limited rate of entries per second, those
+//! that have waited longest first; the others continue to be aggregated.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -21,18 +23,20 @@
 
 use crate::fleet::StreamId;
 
-/// Copies come soon after: so many reports are remembered of each proxy.
+/// The number of reports of each proxy that are remembered to detect copies, which arrive soon after the
+/// original.
 const REMEMBERED_REPORTS: usize = 8;
-/// Intervals and their way here are not exact: so much may be counted ahead of time.
+/// Intervals and transmission delays vary: this much time may be counted in advance.
 const CLOCK_TOLERANCE: Duration = Duration::from_millis(1500);
-/// An interval beyond this says nothing of the present.
+/// A report with a longer interval says nothing about the current state.
 const MAX_INTERVAL: Duration = Duration::from_secs(300);
-/// No proxy sends more than this between two reports; beyond it a counter went backwards and wrapped.
+/// No proxy sends more attempts than this between two reports; a larger value means that a counter went
+/// backwards and wrapped.
 const MAX_ATTEMPTS: u64 = 1 << 40;
-/// No period passes on more entries.
+/// The maximum number of entries passed on per period.
 const MAX_ALLOWANCE: f64 = 1e9;
 
-/// What a proxy observed at one replica within the interval.
+/// A proxy's observations of one replica within the interval.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReplicaObservation {
     /// The traffic class.
@@ -45,26 +49,26 @@
     pub failed: u64,
     /// Attempts that were sent.
     pub issued: u64,
-    /// Attempts that have no outcome yet.
+    /// Attempts without an outcome yet.
     pub in_flight: u64,
-    /// Sum of the latencies of the successful ones that say it, and their number.
+    /// The sum of the latencies of successful attempts that report one, and the number of those attempts.
     pub answers: (Duration, u64),
-    /// The replica's latest report of its load, in the order of the settings' load fields.
+    /// The replica's latest load fields, in the order of the settings.
     pub load: Vec<f64>,
 }
 
-/// One report of one proxy.
+/// A load report of a proxy.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadReport {
-    /// The time that it is of.
+    /// The time that it covers.
     pub interval: Duration,
-    /// By traffic class and replica.
+    /// Observations by traffic class and replica.
     pub observations: Vec<ReplicaObservation>,
-    /// By traffic class: requests that were rejected before any attempt.
+    /// By traffic class: the number of requests rejected before any attempt.
     pub rejected: Vec<(usize, u64)>,
 }
 
-/// Why a report, or an observation of one, was discarded.
+/// Why a report, or one of its observations, was discarded. The texts are keys in the status JSON.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum DiscardReason {
     /// The proxy is not connected.
@@ -73,34 +77,34 @@
     /// A newer stream of the proxy has reported.
     #[error("from an older stream of the proxy")]
     OldStream,
-    /// It was counted before.
+    /// The report was counted before.
     #[error("a copy of one counted before")]
     Copy,
-    /// Its time was counted before.
+    /// Its interval was counted before.
     #[error("more time reported than has passed")]
     OutOfOrder,
-    /// Its interval can not be.
+    /// The interval is not valid.
     #[error("an interval of nothing, or longer than five minutes")]
     Interval,
-    /// Its counters can not be.
+    /// The counters are not valid.
     #[error("counters that can't be: more answered than tried, or beyond all bounds")]
     Counters,
-    /// An observation of a replica that is not listed.
+    /// The observation is of a replica that is not listed.
     #[error("on a replica that is not listed")]
     Unlisted,
 }
 
 #[derive(Debug, Default)]
 struct Source {
-    /// Its newest stream.
+    /// The id of its newest stream.
     stream: StreamId,
     /// When it began to report.
     since: Duration,
     /// The sum of its intervals.
     covered: Duration,
-    /// Digests of its last reports.
+    /// The digests of its last reports.
     seen: VecDeque<u64>,
-    /// The last report that counted, and when: to be handed over with the proxy.
+    /// The last counted report and its time, to hand over with the proxy.
     last: Option<(Duration, LoadReport)>,
 }
 
@@ -110,14 +114,14 @@
     DemandStatistics(ProxyId, usize),
 }
 
-/// Requests of one report by traffic class.
+/// The requests of one report for a traffic class.
 #[derive(Debug, Default)]
 struct Demand {
     requests: u64,
     failed: u64,
 }
 
-/// What was counted since the last statistics of its kind.
+/// The counts since the last statistics of the same kind.
 #[derive(Debug, Default, Clone)]
 struct Aggregate {
     attempts: u64,
@@ -127,12 +131,12 @@
     load: Vec<f64>,
 }
 
-/// Aggregated statistics for the module.
+/// Aggregated statistics to pass to the module.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AggregatedStatistics {
-    /// Of a replica, by the proxies of a zone.
+    /// The statistics of a replica, observed by the proxies of one zone.
     Replica(ReplicaStatistics),
-    /// Of a proxy's traffic class.
+    /// The demand of a traffic class of a proxy.
     Demand(DemandStatistics),
 }
 
@@ -143,7 +147,7 @@
     entries_per_second: f64,
     sources: BTreeMap<ProxyId, Source>,
     aggregates: BTreeMap<Key, Aggregate>,
-    /// What waits, by since when.
+    /// The waiting aggregates, ordered by the time of their first count.
     order: BTreeSet<(Duration, Key)>,
     last: BTreeMap<Key, Duration>,
     next: Option<Duration>,
@@ -153,7 +157,8 @@
 }
 
 impl ReportAggregator {
-    /// `period`: how often aggregates are passed on; `entries_per_second`: how many a second at most.
+    /// `period`: the interval at which aggregates are passed on; `entries_per_second`: the maximum rate of
+    /// entries.
     pub fn new(period: Duration, entries_per_second: f64) -> Self {
         ReportAggregator {
             period: period.max(Duration::from_millis(10)),
@@ -169,23 +174,23 @@
         }
     }
 
-    /// Changes how many entries a second are passed on.
+    /// Sets the maximum number of entries passed on per second.
     pub fn set_limit(&mut self, entries_per_second: f64) {
         self.entries_per_second = entries_per_second;
     }
 
-    /// Counts a report or an observation as discarded.
+    /// Counts a report or an observation as discarded, and returns the reason.
     pub fn discard(&mut self, why: DiscardReason) -> DiscardReason {
         *self.discarded.entry(why).or_default() += 1;
         why
     }
 
-    /// Reports and observations that were discarded, by reason; and reports that counted.
+    /// The number of discarded reports and observations by reason, and the number of counted reports.
     pub fn tally(&self) -> (&BTreeMap<DiscardReason, u64>, u64) {
         (&self.discarded, self.counted)
     }
 
-    /// A number goes to another proxy: what its former holder reported is over.
+    /// Drops the reports of a proxy whose id is assigned to another one.
     pub fn forget(&mut self, proxy: ProxyId) {
         self.sources.remove(&proxy);
         let gone = |key: &Key| matches!(key, Key::DemandStatistics(of, _) if *of == proxy);
@@ -194,16 +199,16 @@
         self.last.retain(|key, _| !gone(key));
     }
 
-    /// The last report of a proxy that counted, and when.
+    /// The last counted report of a proxy and its time.
     pub fn last(&self, proxy: ProxyId) -> Option<&(Duration, LoadReport)> {
         self.sources.get(&proxy)?.last.as_ref()
     }
 
-    /// Counts a report, but for its observations of replicas that `listed` does not know. Streams are numbered in the
-    /// order in which they were opened.
+    /// Counts a report, except for its observations of replicas that are not `listed`. Stream ids increase in
+    /// the order of opening.
     ///
     /// # Errors
-    /// Why it was discarded.
+    /// The reason why the report was discarded.
     pub fn record(
         &mut self,
         now: Duration,
@@ -227,7 +232,7 @@
         for observation in &report.observations {
             let attempts = observation.succeeded + observation.failed;
             let demand = demand_by_class.entry(observation.class).or_default();
-            // An attempt without an outcome yet is a request that came.
+            // An attempt without an outcome yet also stands for a received request.
             demand.requests += observation.issued.max(attempts);
             demand.failed += observation.failed;
             if listed(&observation.replica) {
@@ -261,7 +266,7 @@
         }
     }
 
-    /// Whether a report is to be counted.
+    /// Checks whether a report may be counted.
     fn check(
         &mut self,
         now: Duration,
@@ -277,7 +282,8 @@
         if stream < source.stream {
             return Err(DiscardReason::OldStream);
         }
-        // What it observed while its stream was broken comes on the next one: coverage goes on.
+        // Observations from while the stream was broken arrive on the next one, so the covered time
+        // continues.
         source.stream = stream;
         if report.observations.iter().any(has_impossible_counters)
             || report.rejected.iter().any(|(_, rejected)| *rejected > MAX_ATTEMPTS)
@@ -298,7 +304,8 @@
         if source.seen.len() > REMEMBERED_REPORTS {
             source.seen.pop_front();
         }
-        // Coverage that lags far behind would let copies of long ago in: what was never reported is given up.
+        // If the covered time lagged far behind, old copies could be counted: time that was never reported is
+        // written off.
         let passed = now.saturating_sub(source.since);
         source.covered = source.covered.max(passed.saturating_sub(MAX_INTERVAL));
         Ok(())
@@ -311,18 +318,18 @@
         self.aggregates.entry(key).or_default()
     }
 
-    /// When [`ReportAggregator::take_due`] is next to be called.
+    /// When to call [`ReportAggregator::take_due`] next.
     pub fn next_deadline(&self) -> Option<Duration> {
         self.next
     }
 
-    /// Statistics for the module, if a period is over.
+    /// Returns statistics for the module if a period has ended.
     pub fn take_due(&mut self, now: Duration) -> Vec<AggregatedStatistics> {
         if self.next.is_none_or(|next| now < next) {
             return Vec::new();
         }
         let allowance = self.entries_per_second * self.period.as_secs_f64();
-        // An allowance below one entry adds up; what was not used is not saved for later.
+        // Allowances below one entry add up; unused larger ones are not saved.
         self.spare = self.spare.min(1.0) + allowance.min(MAX_ALLOWANCE);
         let mut due = Vec::new();
         while self.spare >= 1.0 {
@@ -337,17 +344,17 @@
         due
     }
 
-    /// The time that an aggregate is of, which ends now.
+    /// The interval that an aggregate covers, ending now.
     ///
-    /// Since the last of its kind, but no more than a period before its first count: a time without any count would
-    /// make the rate of what is observed now look like nothing.
+    /// It begins at the last statistics of the same key, but no more than one period before the first count:
+    /// a time without any counts would make the current rate look like zero.
     fn interval(&mut self, now: Duration, since: Duration, key: &Key) -> Duration {
         let previous = self.last.insert(key.clone(), now).unwrap_or_default();
         let from = previous.max(since.saturating_sub(self.period));
         now.saturating_sub(from).max(self.period)
     }
 
-    /// Statistics that wait for their turn.
+    /// The number of statistics that wait to be passed on.
     pub fn queued_entries(&self) -> usize {
         self.order.len()
     }
@@ -385,7 +392,7 @@
     }
 }
 
-/// Equal for copies of a report; of use within one process only.
+/// A hash that is equal for copies of a report. It is valid within one process only.
 fn digest(report: &LoadReport) -> u64 {
     let mut hasher = DefaultHasher::new();
     report.interval.hash(&mut hasher);
--- a/crates/core/src/reports/tests.rs
+++ b/crates/core/src/reports/tests.rs
@@ -113,5 +113,5 @@
     let more = LoadReport { interval: ms(1000), observations: vec![], rejected: vec![(0, 50)] };
     reports.record(ms(11_600), 5, 0, 1, &more, |_| true).unwrap();
     assert_eq!(told(reports.take_due(ms(12_000))), [(2, 3), (3, 4)]);
-    assert_eq!(told(reports.take_due(ms(12_500))), [(4, 5), (5, 56)], "and what waits is summed");
+    assert_eq!(told(reports.take_due(ms(12_500))), [(4, 5), (5, 56)], "waiting statistics are summed");
 }
--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -1,9 +1,9 @@
-//! The roster of replicas: what it says, and whether it is believed.
+//! The roster of replicas, and when an empty one is accepted.
 //!
-//! Rosters come complete. An empty one after one that was not is most often a source that lost its own list: it is
-//! doubted until it has stood for a stated time, and the last one stays in force meanwhile. That guards against a fleet
-//! blocked by a broken source; it does harm where all replicas really left at once, as their proxies keep entries for
-//! them for so long (and find nobody there either way).
+//! Each roster is complete. An empty one that follows a non-empty one is usually the fault of a source that
+//! lost its list. It is accepted only after it has lasted for a configured time; until then the previous
+//! roster stays in force. This prevents a faulty source from blocking the fleet. *Harm:* if all replicas
+//! really left at once, proxies keep entries for them during that time, and their requests fail either way.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,63 +11,63 @@
 
 use wrenthread::types::{Phase, ReplicaEntry, ReplicaId};
 
-/// One replica, as its source names it.
+/// A replica as listed by the roster source.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RosterEntry {
-    /// Its name.
+    /// The name of the replica.
     pub id: ReplicaId,
     /// Where proxies reach it, `host:port`.
     pub address: Arc<str>,
-    /// Its place in the zones of the settings.
+    /// The index of its zone in the settings.
     pub zone: usize,
-    /// Its capacity beside others'.
+    /// Its capacity relative to other replicas.
     pub weight: f64,
-    /// Whether it may be sent to.
+    /// Whether requests may be sent to it.
     pub phase: Phase,
-    /// When its process started, on the host's clock; none for long ago.
+    /// When its process started, on the host's clock; `None` if it started long ago.
     pub started_at: Option<Duration>,
-    /// It is active only while no other is ready: [`crate::backup_replicas`].
+    /// Whether it is a backup, active only while no primary is ready: [`crate::backup_replicas`].
     pub backup: bool,
 }
 
-/// What the engine knows of a replica beyond what the module needs.
+/// The last known state of a replica.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KnownReplica {
     /// Where proxies reach it, `host:port`.
     pub address: Arc<str>,
-    /// Its place in the zones of the settings.
+    /// The index of its zone in the settings.
     pub zone: usize,
-    /// Its capacity beside others'.
+    /// Its capacity relative to other replicas.
     pub weight: f64,
-    /// Whether it may be sent to.
+    /// Whether requests may be sent to it.
     pub phase: Phase,
-    /// When its process started, on the host's clock; none for long ago.
+    /// When its process started, on the host's clock; `None` if it started long ago.
     pub started_at: Option<Duration>,
 }
 
-/// The roster as it was last believed.
+/// The last accepted roster.
 #[derive(Debug)]
 pub struct Roster {
     known: BTreeMap<ReplicaId, KnownReplica>,
     by_address: BTreeMap<Arc<str>, ReplicaId>,
     empty_roster_timeout: Duration,
-    /// Since when the source has said that there are no replicas at all.
+    /// Since when the source has reported an empty roster.
     empty_since: Option<Duration>,
 }
 
-/// What became of a roster.
+/// The result of an update.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RosterChange {
-    /// Nothing differs from what was known.
+    /// Nothing changed.
     Same,
-    /// The complete roster for the module.
+    /// The complete changed roster for the module.
     Changed(Vec<ReplicaEntry>),
-    /// The roster is empty and the last one stays in force until the time given.
+    /// The roster is empty; the previous one stays in force until the given time.
     Doubted(Duration),
 }
 
 impl Roster {
-    /// `empty_roster_timeout`: how long an empty roster must stand before it is believed.
+    /// `empty_roster_timeout`: how long an empty roster must last before it is accepted.
     pub fn new(empty_roster_timeout: Duration) -> Self {
         Roster {
             known: BTreeMap::new(),
@@ -77,8 +77,9 @@
         }
     }
 
-    /// Takes a complete roster. What it leaves out is gone. A start later than `now` is taken for `now`: the source's
-    /// clock runs ahead, and a replica from the future would count as cold for too long.
+    /// Applies a complete roster; replicas that it does not list are gone. A start time later than `now` is
+    /// replaced by `now`: it means that the source's clock is ahead, and the replica would otherwise count as
+    /// cold for too long.
     pub fn update(&mut self, now: Duration, entries: Vec<RosterEntry>) -> RosterChange {
         let held = self.known.values().any(|one| one.phase != Phase::Gone);
         if entries.is_empty() && held {
@@ -92,7 +93,7 @@
         self.replace(now, entries)
     }
 
-    /// Believes an empty roster whose time is over: the complete roster for the module, if that is so.
+    /// Accepts an empty roster after its timeout. Returns the complete roster for the module if it changed.
     pub fn believe_empty(&mut self, now: Duration) -> Option<Vec<ReplicaEntry>> {
         let since = self.empty_since.filter(|since| now >= *since + self.empty_roster_timeout)?;
         match self.replace(since, Vec::new()) {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// When [`Roster::believe_empty`] is next to be called.
+    /// When to call [`Roster::believe_empty`] next.
     pub fn next_deadline(&self) -> Option<Duration> {
         let held = self.known.values().any(|one| one.phase != Phase::Gone);
         self.empty_since.filter(|_| held).map(|since| since + self.empty_roster_timeout)
@@ -112,7 +113,8 @@
         self.known.values_mut().for_each(|one| one.phase = Phase::Gone);
         for entry in entries {
             let RosterEntry { id, address, zone, weight, phase, started_at: started, backup: _ } = entry;
-            // Clamped once: a start that moved with each roster would make a new process of each.
+            // Keeps the first clamped value: a start time that changed with each roster would look like a new
+            // process each time.
             let known = before.get(&id).and_then(|known| known.started_at);
             let started = started.map(|at| if at > now { known.unwrap_or(now) } else { at });
             self.known.insert(id, KnownReplica { address, zone, weight, phase, started_at: started });
@@ -120,7 +122,7 @@
         if self.known == before {
             return RosterChange::Same;
         }
-        // Two replicas may have had one address, one after the other: the one that is not gone has it.
+        // If two replicas had the same address one after the other, the one that is not gone gets it.
         self.by_address.clear();
         let (gone, here): (Vec<_>, Vec<_>) = self.known.iter().partition(|(_, one)| one.phase == Phase::Gone);
         for (id, one) in gone.into_iter().chain(here) {
@@ -140,12 +142,12 @@
         )
     }
 
-    /// What was last known of a replica, also of one that is gone.
+    /// The last known state of a replica, including one that is gone.
     pub fn get(&self, id: &ReplicaId) -> Option<&KnownReplica> {
         self.known.get(id)
     }
 
-    /// The replica that has an address, or had it last.
+    /// The replica that has, or had last, this address.
     pub fn at(&self, address: &str) -> Option<&ReplicaId> {
         self.by_address.get(address)
     }
@@ -155,22 +157,23 @@
         self.known.get(id).is_some_and(|one| one.phase == Phase::Ready)
     }
 
-    /// Ready replicas of a zone.
+    /// The number of ready replicas in a zone.
     pub fn ready_count(&self, zone: usize) -> usize {
         self.known.values().filter(|one| one.zone == zone && one.phase == Phase::Ready).count()
     }
 
-    /// All replicas, also those that are gone and named by some table.
+    /// All replicas, including those that are gone and still named by a table.
     pub fn iter(&self) -> impl Iterator<Item = (&ReplicaId, &KnownReplica)> {
         self.known.iter()
     }
 
-    /// Whether an empty roster is being doubted.
+    /// Whether an empty roster is waiting for its timeout.
     pub fn empty_roster_doubted(&self) -> bool {
         self.next_deadline().is_some()
     }
 
-    /// Drops what is gone and named nowhere, so that years of deployments under new names don't pile up here.
+    /// Drops gone replicas that `named` does not report as still in use, so that replica names of past
+    /// deployments do not accumulate.
     pub fn forget_gone(&mut self, named: impl Fn(&ReplicaId) -> bool) {
         self.known.retain(|id, one| one.phase != Phase::Gone || named(id));
         self.by_address.retain(|_, id| self.known.contains_key(id));
--- a/crates/core/src/roster/tests.rs
+++ b/crates/core/src/roster/tests.rs
@@ -26,14 +26,14 @@
     assert_eq!(roster.believe_empty(s(39)), None);
     assert!(roster.is_ready(&"a".into()));
     assert_eq!(roster.update(s(20), vec![entry("a", Phase::Ready, None)]), RosterChange::Same);
-    assert_eq!(roster.next_deadline(), None, "the list is back");
+    assert_eq!(roster.next_deadline(), None, "the source lists replicas again");
     assert_eq!(roster.update(s(50), vec![]), RosterChange::Doubted(s(80)));
     assert_eq!(roster.believe_empty(s(80)), Some(vec![]));
     assert!(!roster.is_ready(&"a".into()));
 }
 
 #[test]
-fn takes_a_start_ahead_of_the_clock_for_its_first_sight() {
+fn clamps_a_start_time_ahead_of_the_clock_to_when_it_was_first_listed() {
     let mut roster = Roster::new(s(30));
     roster.update(s(10), vec![entry("a", Phase::Ready, Some(500))]);
     assert_eq!(roster.get(&"a".into()).unwrap().started_at, Some(s(10)));
@@ -45,7 +45,7 @@
     let mut roster = Roster::new(s(30));
     roster.update(s(10), vec![entry("a", Phase::Ready, Some(1))]);
     let RosterChange::Changed(listed) = roster.update(s(20), vec![entry("a", Phase::Ready, Some(15))]) else {
-        panic!("the start differs")
+        panic!("the start time differs")
     };
     assert_eq!(listed[0].started_at, Some(s(15)));
 }
--- a/crates/core/src/send_limiter.rs
+++ b/crates/core/src/send_limiter.rs
@@ -1,72 +1,75 @@
-//! The send rate limiter: which proxy may be written to next, and what waits.
+//! The send rate limiter: it decides which proxy may be sent its pending update next.
 //!
-//! Nothing is queued as messages. A proxy either holds the newest state or has a pending update; what it is sent is
-//! built when its turn comes, so that states which came in between are merged. Turns go to urgent updates (drains)
-//! first, then to who has waited longest. A proxy that does not read what it was sent costs the others nothing.
+//! No messages are queued. A proxy either has the newest state or a pending update; the messages are built
+//! when the proxy's turn comes, so that states in between are merged. Urgent updates (drains) are sent first,
+//! then the others in the order of their waiting time. A proxy that does not read its stream does not delay
+//! others.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
 use wrenthread::types::{MessageLimit, ProxyId};
 
-/// So long a share of the entry rate may be sent at once after a pause, so that a flush leaves in one go.
+/// The burst size, as time at the entry rate: after a pause this much may be sent at once, so that a flush is
+/// sent as a whole.
 const BURST: Duration = Duration::from_millis(250);
-/// What is unacknowledged for longer is with a proxy that does not read, and no longer in the channel.
+/// Entries that are unacknowledged for longer do not count as queued: the proxy does not read its stream.
 const STALLED_AFTER: Duration = Duration::from_secs(5);
 
-/// A flush may be so many messages, one of each type of resource; the message limit keeps capacity for them.
+/// The maximum number of messages in a flush, one per resource type; the message limit reserves capacity for
+/// them.
 const FLUSH_MESSAGES: usize = 4;
-/// Joins may fill this fraction of the queue; the rest is left for urgent updates.
+/// The fraction of the queue that joins may fill; the rest is reserved for urgent updates.
 const ORDINARY_FRACTION: f64 = 0.8;
-/// Turns that are looked at for the next deadline.
+/// The number of turns examined to find the next deadline.
 const LOOK_AHEAD: usize = 64;
-/// No wait for tokens is longer, in seconds.
+/// The maximum wait for tokens in seconds.
 const MAX_WAIT_SECONDS: f64 = 60.0;
 
-/// The channel to all proxies, as the settings state it.
+/// The capacity of the channel to all proxies, as configured.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChannelLimits {
-    /// Table entries that it carries a second.
+    /// The maximum number of table entries per second.
     pub entries_per_second: f64,
-    /// Entries that a message costs on top of its own.
+    /// The overhead of a message, in entries.
     pub message_overhead_entries: f64,
-    /// Entries that may wait, in all.
+    /// The maximum number of queued entries in total.
     pub max_queued_entries: f64,
-    /// Messages that one proxy may be sent within an interval.
+    /// The maximum number of messages to one proxy within an interval.
     pub message_limit: Option<MessageLimit>,
 }
 
-/// What a proxy should be sent.
+/// An update to be sent to a proxy.
 #[derive(Debug, Default, Clone)]
 struct PendingUpdate {
     since: Duration,
     entries: usize,
     urgent: bool,
-    /// The stream has no capacity for it: it is not being read.
+    /// The stream has no capacity, as the proxy does not read it.
     stalled: bool,
 }
 
-/// Entries that were written and not acknowledged.
+/// Entries that were sent and not acknowledged yet.
 #[derive(Debug, Clone, Copy)]
 struct InFlight {
     entries: usize,
-    /// When the first of them were written.
+    /// When the first of them were sent.
     since: Duration,
 }
 
-/// What is known of one proxy.
+/// The send state of one proxy.
 #[derive(Debug, Default)]
 struct ProxyQueue {
     pending: Option<PendingUpdate>,
     in_flight: Option<InFlight>,
-    /// When the messages of the last interval were written.
+    /// When the messages of the last interval were sent.
     written: VecDeque<Duration>,
 }
 
-/// A proxy's turn; they are taken in this order.
+/// The turn of a proxy. The derived order is the order of sending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Turn {
-    /// Not urgent: `false` goes first.
+    /// `false` for urgent updates, which are sent first.
     ordinary: bool,
     since: Duration,
     proxy: ProxyId,
@@ -78,22 +81,22 @@
     }
 }
 
-/// Pending updates of all proxies, and the rate at which they are sent.
+/// The pending updates of all proxies, and the rate at which they are sent.
 #[derive(Debug)]
 pub struct SendLimiter {
     limits: ChannelLimits,
-    /// Entries that may be sent now; negative after an urgent update that went into debt.
+    /// The number of entries that may be sent now; negative after an urgent update.
     tokens: f64,
     refilled_at: Duration,
     proxies: BTreeMap<ProxyId, ProxyQueue>,
     queue: BTreeSet<Turn>,
-    /// Entries of pending updates.
+    /// The number of entries in pending updates.
     pending_entries: usize,
     max_pending_entries: usize,
 }
 
 impl SendLimiter {
-    /// A limiter with a full burst.
+    /// Creates a limiter with a full burst.
     pub fn new(limits: ChannelLimits, now: Duration) -> Self {
         let tokens = limits.entries_per_second * BURST.as_secs_f64();
         SendLimiter {
@@ -107,8 +110,8 @@
         }
     }
 
-    /// A proxy's newest state differs from what it was sent by so many entries. What was pending before is merged
-    /// with this; an urgent update is never held back by the rest.
+    /// Adds an update of `entries` changed entries for a proxy. It is merged with a pending one; if either is
+    /// urgent, the merged update is.
     pub fn request(&mut self, now: Duration, proxy: ProxyId, entries: usize, urgent: bool) {
         let queue = self.proxies.entry(proxy).or_default();
         let old = queue.pending.take();
@@ -130,8 +133,8 @@
         queue.pending = Some(update);
     }
 
-    /// The next proxy that may be written to, in the order of turns. Its update stays pending until
-    /// [`SendLimiter::sent`] or [`SendLimiter::stream_full`].
+    /// The next proxy that may be sent its update. The update stays pending until [`SendLimiter::sent`] or
+    /// [`SendLimiter::stream_full`] is called.
     pub fn next_proxy(&mut self, now: Duration) -> Option<ProxyId> {
         self.refill(now);
         let is_ready = |turn: &&Turn| {
@@ -143,7 +146,7 @@
         (self.tokens >= required).then_some(turn.proxy)
     }
 
-    /// A proxy was written so many entries in so many messages: none if there turned out to be nothing to send.
+    /// A proxy was sent `entries` entries in `messages` messages; both are 0 if there was nothing to send.
     pub fn sent(&mut self, now: Duration, proxy: ProxyId, entries: usize, messages: usize) {
         self.refill(now);
         self.clear_pending(proxy);
@@ -166,8 +169,8 @@
         self.tokens -= self.limits.message_overhead_entries * messages.max(1) as f64 + entries as f64;
     }
 
-    /// A proxy's stream has no capacity: it is left out until [`SendLimiter::stream_has_capacity`], and its state goes
-    /// on being merged.
+    /// A proxy's stream has no capacity: the proxy is skipped until [`SendLimiter::stream_has_capacity`], and
+    /// its updates continue to be merged.
     pub fn stream_full(&mut self, proxy: ProxyId) {
         let Some(update) = self.pending_mut(proxy) else { return };
         update.stalled = true;
@@ -183,16 +186,17 @@
         self.queue.insert(turn);
     }
 
-    /// A proxy accepted (or rejected) everything that it was sent.
+    /// A proxy acknowledged or rejected everything that it was sent.
     pub fn acknowledged(&mut self, proxy: ProxyId) {
         if let Some(queue) = self.proxies.get_mut(&proxy) {
             queue.in_flight = None;
         }
     }
 
-    /// A proxy's stream is over, or a new one has begun. What it was sent lately counts on: who comes back is the same
-    /// proxy, and would be sent up to twice as many messages within the interval. *Harm:* one that comes back with its
-    /// messages used up waits for the rest of the interval, on the tables that it holds.
+    /// A proxy's stream was closed or replaced. Messages that were sent recently still count: otherwise a
+    /// proxy that reconnects could be sent up to twice the limit within the interval. *Harm:* a proxy that
+    /// reconnects after it used up its limit waits for the rest of the interval with the tables that it
+    /// holds.
     pub fn forget(&mut self, proxy: ProxyId) {
         self.clear_pending(proxy);
         let Some(queue) = self.proxies.remove(&proxy) else { return };
@@ -201,19 +205,19 @@
         }
     }
 
-    /// When [`SendLimiter::next_proxy`] is worth asking again, if nothing else happens.
+    /// When to call [`SendLimiter::next_proxy`] again if no other event occurs.
     pub fn next_deadline(&self, now: Duration) -> Option<Duration> {
         let ready_at = |turn: &Turn| {
             let queue = self.proxies.get(&turn.proxy)?;
             let refilled_at = self.refilled_to(self.required_tokens(queue, !turn.ordinary));
             Some(self.ready_at(queue, !turn.ordinary, now).max(refilled_at))
         };
-        // All wait for the same tokens: the first few in turn tell when it goes on.
+        // All turns wait for the same tokens, so the first few determine the deadline.
         let first = self.queue.iter().filter_map(ready_at).take(LOOK_AHEAD).min();
         first.map(|at| at.max(now))
     }
 
-    /// Entries that wait: pending, or written less than some seconds ago and not acknowledged.
+    /// The number of queued entries: pending, or sent within the last 5 s and not acknowledged.
     pub fn queued_entries(&self, now: Duration) -> usize {
         let in_flight = |queue: &ProxyQueue| match queue.in_flight {
             Some(sent) if now < sent.since + STALLED_AFTER => sent.entries,
@@ -222,12 +226,12 @@
         self.pending_entries + self.proxies.values().map(in_flight).sum::<usize>()
     }
 
-    /// The most entries that were ever pending.
+    /// The maximum number of pending entries so far.
     pub fn max_queued_entries(&self) -> usize {
         self.max_pending_entries
     }
 
-    /// Whether so many more entries may come to wait, with a reserve left for urgent updates.
+    /// Whether this many more entries may be queued while a reserve is left for urgent updates.
     pub fn has_capacity(&self, entries: f64) -> bool {
         let overhead = self.queue.len() as f64 * self.limits.message_overhead_entries;
         let debt = (-self.tokens).max(0.0);
@@ -239,8 +243,8 @@
         self.proxies.get_mut(&proxy)?.pending.as_mut()
     }
 
-    /// The tokens that a flush needs. An urgent one may go into debt with the channel, by one burst at most; the rest
-    /// then waits the longer.
+    /// The tokens that a flush requires. An urgent one may overdraw them by at most one burst, and the other
+    /// updates then wait longer.
     fn required_tokens(&self, queue: &ProxyQueue, urgent: bool) -> f64 {
         if urgent {
             return -self.burst();
@@ -259,7 +263,7 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// When there are so many tokens.
+    /// When this many tokens are available.
     fn refilled_to(&self, required: f64) -> Duration {
         let seconds = (required - self.tokens) / self.limits.entries_per_second.max(1e-9);
         let seconds = seconds.clamp(0.0, MAX_WAIT_SECONDS);
@@ -274,9 +278,9 @@
         }
     }
 
-    /// When a proxy may be written to, the channel apart. An ordinary update waits for the acknowledgement of what went
-    /// before, so that a slow proxy gets fewer and newer states; an urgent one waits for nothing but the message limit,
-    /// of which one message is kept for it.
+    /// When a proxy may be sent an update, apart from tokens. An ordinary update waits for the
+    /// acknowledgement of the previous one, so that a slow proxy is sent fewer and newer states. An urgent
+    /// one waits only for the message limit, of which one message is reserved for it.
     fn ready_at(&self, queue: &ProxyQueue, urgent: bool, now: Duration) -> Duration {
         let acknowledged_at = match queue.in_flight {
             Some(sent) if !urgent => sent.since + STALLED_AFTER,
--- a/crates/core/src/send_limiter/tests.rs
+++ b/crates/core/src/send_limiter/tests.rs
@@ -34,7 +34,7 @@
             sent += 1;
         }
     }
-    assert!((1..=6).contains(&sent), "{sent} within nine seconds");
+    assert!((1..=6).contains(&sent), "{sent} messages within nine seconds");
 }
 
 #[test]
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn stalled_proxy_delays_nobody_and_grows_nothing() {
+fn stalled_proxy_neither_delays_others_nor_grows_the_queue() {
     let mut limiter = limiter(10_000.0, None);
     limiter.request(ms(1), 1, 5, true);
     limiter.request(ms(2), 2, 5, false);
@@ -84,11 +84,15 @@
 }
 
 #[test]
-fn keeps_the_entry_rate_and_knows_the_next_deadline() {
+fn keeps_the_entry_rate_and_returns_the_next_deadline() {
     let mut limiter = limiter(100.0, None);
     limiter.request(ms(0), 1, 90, false);
     limiter.request(ms(0), 2, 1, false);
-    assert_eq!(limiter.next_proxy(ms(0)), Some(1), "a state larger than a burst goes once the burst is full");
+    assert_eq!(
+        limiter.next_proxy(ms(0)),
+        Some(1),
+        "an update larger than a burst is sent once the burst is full"
+    );
     limiter.sent(ms(0), 1, 90, 1);
     assert_eq!(limiter.next_proxy(ms(1)), None);
     let due = limiter.next_deadline(ms(1)).unwrap();
--- a/crates/core/src/table_versions.rs
+++ b/crates/core/src/table_versions.rs
@@ -1,8 +1,7 @@
-//! What is published to proxies, in versions: complete states, their digests, and deltas between them.
+//! Versions of the state published to proxies: complete states, their digests, and deltas between them.
 //!
-//! A delta names the digest of the state that it starts from and the digest that it must come to. Who applies it checks
-//! both before anything takes effect; what does not come out is answered by asking for the complete state, never by
-//! guessing.
+//! A delta contains the digest of its base state and of the resulting state. Whoever applies it checks both
+//! before it takes effect; on a mismatch the complete state is requested.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,17 +11,18 @@
 use crate::tables::Table;
 use crate::weights;
 
-/// Admission fractions are published in millionths.
+/// The unit of published admission fractions: one millionth.
 pub const MILLION: u32 = 1_000_000;
 
-/// One routable entry as it is published: weights are integers, so that everybody's digest is over the same numbers.
+/// A routable entry as it is published. Weights are integers, so that all parties compute the digest over the
+/// same numbers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PublishedEntry {
     /// Where proxies reach the replica, `host:port`.
     pub address: Arc<str>,
-    /// Its place in the zones of the settings.
+    /// The index of its zone in the settings.
     pub zone: usize,
-    /// At least 1.
+    /// The weight, at least 1.
     pub weight: u32,
 }
 
@@ -37,10 +37,10 @@
     pub retry_policy: RetryPolicy,
 }
 
-/// All that is published to a proxy.
+/// The complete state published to a proxy.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PublishedState {
-    /// By traffic class; none: it stays on its default table.
+    /// The tables by traffic class; `None`: the proxy uses its default table.
     pub classes: Vec<Option<PublishedTable>>,
 }
 
@@ -52,7 +52,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Text as bytes; none if it is not made by [`hex`].
+/// Decodes hexadecimal text; `None` if it is not valid.
 pub fn unhex(text: &str) -> Option<Vec<u8>> {
     let pair = |at: usize| u8::from_str_radix(text.get(at..at + 2)?, 16).ok();
     let pairs = text.len().is_multiple_of(2) && text.bytes().all(|byte| byte.is_ascii_hexdigit());
@@ -60,7 +60,7 @@
 }
 
 impl PublishedTable {
-    /// A table as it is published: its routable entries, with integer weights.
+    /// Converts a table to its published form: its routable entries, with integer weights.
     pub fn of(table: &Table, retry_policy: RetryPolicy) -> PublishedTable {
         let routable: Vec<_> = table.entries.iter().filter(|entry| entry.routable).collect();
         let weights = weights::whole(&routable.iter().map(|entry| entry.weight).collect::<Vec<_>>());
@@ -78,7 +78,8 @@
 }
 
 impl PublishedState {
-    /// The digest of all content, each part with its length, so that no two states are written alike.
+    /// The digest of the content. Each part is preceded by its length, so that different states have
+    /// different encodings.
     pub fn digest(&self) -> Digest {
         let mut hasher = blake3::Hasher::new();
         let text = |hasher: &mut blake3::Hasher, text: &str| {
@@ -91,7 +92,7 @@
                 hasher.update(&[0]);
                 continue;
             };
-            // By the order of the variants, which therefore must stay.
+            // The discriminant of the variant is hashed, so the order of the variants must not change.
             hasher.update(&[1 + table.retry_policy as u8]);
             hasher.update(&table.admission_millionths.to_le_bytes());
             hasher.update(&(table.entries.len() as u64).to_le_bytes());
@@ -105,33 +106,33 @@
         hasher.finalize().into()
     }
 
-    /// Entries of all traffic classes.
+    /// The number of entries in all traffic classes.
     pub fn entry_count(&self) -> usize {
         self.classes.iter().flatten().map(|table| table.entries.len()).sum()
     }
 }
 
-/// An entry that changed: what a proxy does not know of the replica yet, or what is different.
+/// A new or changed entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChangedEntry {
     /// The replica's name.
     pub replica: ReplicaId,
     /// Its weight.
     pub weight: u32,
-    /// Its address and zone; none: as in the base.
+    /// The address and zone of the replica; `None`: unchanged from the base.
     pub at: Option<(Arc<str>, usize)>,
 }
 
-/// What changes in a traffic class.
+/// The change of a traffic class.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TableChange {
-    /// The proxy stays on its default table from here on.
+    /// The proxy uses its default table from now on.
     UseDefaultTable,
     /// The table changes.
     Entries {
-        /// Entries that are new or different.
+        /// New and changed entries.
         changed: Vec<ChangedEntry>,
-        /// Entries that are no longer there.
+        /// The replicas of removed entries.
         removed: Vec<ReplicaId>,
         /// The fraction of requests to admit, in millionths.
         level: u32,
@@ -140,35 +141,35 @@
     },
 }
 
-/// From one state to another.
+/// The difference between two states.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Delta {
-    /// The digest of the state that it starts from.
+    /// The digest of the base state.
     pub base: Digest,
-    /// The digest of the state that it comes to.
+    /// The digest of the resulting state.
     pub digest: Digest,
-    /// By traffic class.
+    /// The changes by traffic class.
     pub changes: BTreeMap<usize, TableChange>,
 }
 
-/// Why a delta can't take effect. The answer to each is to ask for the complete state.
+/// Why a delta can't be applied. In each case the complete state must be requested.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Mismatch {
-    /// It starts from another state.
-    #[error("it starts from a state that is not held")]
+    /// It was made for another base state.
+    #[error("the delta's base is not the current state")]
     Base,
-    /// It names a replica of which the base knows nothing.
-    #[error("it names a replica whose address is not known")]
+    /// It omits the address of a replica that the base does not contain.
+    #[error("the delta omits the address of a replica that is not in its base")]
     Unknown,
-    /// It names a traffic class that is not there.
-    #[error("it names a group that is not known")]
+    /// It names an unknown traffic class.
+    #[error("the delta names an unknown traffic class")]
     Group,
-    /// It does not come to the digest that it names.
-    #[error("what it comes to has another digest than it says")]
+    /// The resulting state does not have the digest in the delta.
+    #[error("the digest of the resulting state differs from the one in the delta")]
     Digest,
 }
 
-/// The delta from one state to another. `base` and `digest` are theirs.
+/// The delta from one state to another. `base` and `digest` are the digests of `from` and `to`.
 pub fn delta(from: &PublishedState, base: Digest, to: &PublishedState, digest: Digest) -> Delta {
     let mut changes = BTreeMap::new();
     for (class, new) in to.classes.iter().enumerate() {
@@ -203,10 +204,10 @@
     }
 }
 
-/// What a delta comes to from a state that is held.
+/// Applies a delta to a state.
 ///
 /// # Errors
-/// As [`Mismatch`]; the state held stays as it is.
+/// See [`Mismatch`].
 pub fn apply(held: &PublishedState, held_digest: Digest, delta: &Delta) -> Result<PublishedState, Mismatch> {
     if delta.base != held_digest {
         return Err(Mismatch::Base);
--- a/crates/core/src/table_versions/tests.rs
+++ b/crates/core/src/table_versions/tests.rs
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Relays skip, repeat and reorder deltas, and restart; whoever asks for the whole whenever one does
-    /// not fit ends on the governor's version.
+    /// Deltas may be skipped, repeated and reordered, and a proxy may restart. A proxy that requests the
+    /// complete state whenever a delta does not apply ends on the governor's version.
     #[test]
     fn any_delivery_order_ends_on_the_governors_version(
         history in prop::collection::vec(states(), 2..10),
@@ -52,7 +52,7 @@
                 }
                 Err(_) => {
                     prop_assert_eq!(&held, &before);
-                    held = to.clone(); // the whole, as asked for
+                    held = to.clone(); // requests the complete state
                 }
             }
         }
@@ -77,11 +77,15 @@
 fn rejects_a_delta_that_does_not_fit_before_it_takes_effect() {
     let (one, two) = (said(1), said(2));
     let good = delta(&one, one.digest(), &two, two.digest());
-    // As a wrong hasher on one side would have it.
+    // As if one side computed digests incorrectly.
     let wrong = Delta { digest: [7; 32], ..good.clone() };
     assert_eq!(apply(&one, one.digest(), &wrong), Err(Mismatch::Digest));
     let collides = Delta { base: two.digest(), ..good.clone() };
-    assert_eq!(apply(&two, two.digest(), &collides), Ok(two.clone()), "the same weight again");
+    assert_eq!(
+        apply(&two, two.digest(), &collides),
+        Ok(two.clone()),
+        "the delta sets the weight that the state already has"
+    );
     let stranger = ChangedEntry { replica: "b".into(), weight: 1, at: None };
     let lines = TableChange::Entries {
         changed: vec![stranger],
--- a/crates/core/src/tables.rs
+++ b/crates/core/src/tables.rs
@@ -1,7 +1,8 @@
-//! What the module's decisions make of each proxy's tables.
+//! The tables of the module, and the table of each proxy that results from them.
 //!
-//! Entries are the module's, or those of a proxy's own default table: none is made up here. An ejected replica's entry
-//! stays, closed, so that fronts can tell proxies of it by the same resource as all else.
+//! All entries come from the module or from a proxy's own default table. The entry of an ejected replica
+//! stays in the table but is not routable, so that front ends publish the ejection in the same resource as
+//! other changes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,32 +11,32 @@
 
 use crate::roster::Roster;
 
-/// One entry of a proxy's table, with all that a front needs to write it.
+/// An entry of a proxy's table, with everything that a front end needs to encode it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ResolvedEntry {
     /// The replica's name.
     pub replica: ReplicaId,
     /// Where proxies reach it, `host:port`.
     pub address: Arc<str>,
-    /// Its place in the zones of the settings.
+    /// The index of its zone in the settings.
     pub zone: usize,
-    /// Its weight among the table's entries.
+    /// Its weight relative to the table's other entries.
     pub weight: f64,
-    /// Entries that are not routable are closed: the replica drains, is gone, or is ejected.
+    /// `false` if the replica is draining, gone or ejected.
     pub routable: bool,
 }
 
-/// The table of a traffic class, as one proxy should hold it. Entries are in the order of their replicas' names.
+/// The table that a proxy should hold for a traffic class. Entries are ordered by replica name.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Table {
-    /// In the order of their replicas' names.
+    /// Ordered by replica name.
     pub entries: Vec<ResolvedEntry>,
     /// The fraction of the class's requests to admit, from 0 to 1.
     pub admission_fraction: f64,
 }
 
 impl Table {
-    /// How many entries differ from another table's; a changed admission fraction counts as one.
+    /// The number of entries that differ from another table; a changed admission fraction counts as one.
     pub fn count_differences(&self, other: &Table) -> usize {
         let mut old = other.entries.iter().peekable();
         let mut differences = 0;
@@ -57,7 +58,7 @@
 pub struct VersionedTable {
     /// The version of its last change.
     pub version: u64,
-    /// Traffic classes with equal tables share one copy.
+    /// Traffic classes with equal tables share one allocation.
     pub table: Arc<Table>,
 }
 
@@ -71,12 +72,12 @@
 }
 
 impl Tables {
-    /// So many traffic classes, all requests admitted, with this retry policy.
+    /// Creates `class_count` traffic classes that admit all requests, with this retry policy.
     pub fn new(class_count: usize, default_retry_policy: RetryPolicy) -> Self {
         Tables { admission: vec![(1.0, default_retry_policy); class_count], ..Tables::default() }
     }
 
-    /// Changed entries of a table; a weight of 0 removes one.
+    /// Updates entries of a table; a weight of 0 removes an entry.
     pub fn update_entries(&mut self, table: TableId, changed: Vec<TableEntry>) {
         let entries = self.entries_by_table.entry(table).or_default();
         entries.extend(changed.into_iter().map(|entry| (entry.replica, entry.weight)));
@@ -116,11 +117,11 @@
         self.ejected.contains(replica)
     }
 
-    /// What a proxy should hold for a traffic class: the table that is assigned to it; else its own default table,
-    /// where something is to be said of that; else nothing, and it stays on what it has.
+    /// The table that a proxy should hold for a traffic class: the assigned table, else its default table if
+    /// that must be published, else `None`, and the proxy keeps what it has.
     ///
-    /// `published`: the proxy holds something from here for this class already, which must be kept up to date. An
-    /// entry for a replica that no roster ever named is left out, as nobody knows where it is.
+    /// `published`: the proxy already holds a published table for this class, which must be kept up to date.
+    /// Entries of replicas that no roster has ever listed are omitted, as their addresses are unknown.
     pub fn resolve(
         &self,
         roster: &Roster,
@@ -153,7 +154,7 @@
         (must_publish && !entries.is_empty()).then_some(Table { entries, admission_fraction })
     }
 
-    /// Whether a table that a proxy holds routes to a replica that is ejected by now.
+    /// Whether a table that a proxy holds routes to a replica that has been ejected.
     pub fn routes_to_ejected(&self, held: &Table) -> bool {
         held.entries.iter().any(|entry| entry.routable && self.ejected.contains(&entry.replica))
     }
--- a/crates/core/src/tables/tests.rs
+++ b/crates/core/src/tables/tests.rs
@@ -36,7 +36,7 @@
     tables.set_ejected("a".into(), false);
     assert!(
         tables.resolve(&roster, 0, None, &standing, true).unwrap().entries[0].routable,
-        "and kept up then"
+        "a published table is kept up to date"
     );
 }
 
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn counts_differences_and_knows_tables_that_route_to_ejected_replicas() {
+fn counts_differences_and_detects_tables_that_route_to_ejected_replicas() {
     let line = |name: &str, weight, open| ResolvedEntry {
         replica: name.into(),
         address: "x".into(),
