--- a/crates/core/src/backup_replicas.rs
+++ b/crates/core/src/backup_replicas.rs
@@ -30,15 +30,15 @@
 
     /// Processes a complete roster from its source. Returns its active entries.
     pub fn update(&mut self, now: Duration, entries: Vec<RosterEntry>) -> Vec<RosterEntry> {
-        let any = entries.iter().any(|entry| entry.backup);
+        let has_backups = entries.iter().any(|entry| entry.backup);
         let ready = entries.iter().any(|entry| !entry.backup && entry.phase == Phase::Ready);
         match ready {
             true => drop(self.primary_ready_since.get_or_insert(now)),
             // An empty roster activates no backups; [`crate::roster::Roster`] delays its acceptance.
-            false if any => (self.active, self.primary_ready_since) = (true, None),
+            false if has_backups => (self.active, self.primary_ready_since) = (true, None),
             false => self.primary_ready_since = None,
         }
-        self.last = if any { entries.clone() } else { Vec::new() };
+        self.last = if has_backups { entries.clone() } else { Vec::new() };
         self.active_entries(now, entries)
     }
 
--- a/crates/core/src/engine/decisions.rs
+++ b/crates/core/src/engine/decisions.rs
@@ -51,11 +51,11 @@
         while let Some(decision) = self.next_decision(now) {
             let Some(summary) = self.apply_decision(now, decision, &mut flush) else { continue };
             flush.summaries.push(summary);
-            let decided = flush.summaries.len();
-            if decided >= MAX_DECISIONS {
+            let decision_count = flush.summaries.len();
+            if decision_count >= MAX_DECISIONS {
                 // A module that never stops deciding must not delay drains: the remaining decisions are
                 // requested in the next flush.
-                let (asked, allowed) = (decided as f64, MAX_DECISIONS as f64);
+                let (asked, allowed) = (decision_count as f64, MAX_DECISIONS as f64);
                 self.guard.record_refusal(now, 0, RefusalReason::Flood, asked, allowed);
                 self.next_tick = now + FLOOD_RETRY;
                 break;
@@ -63,7 +63,7 @@
         }
         self.find_assigned_proxies(&mut flush);
 
-        let shifting = answers.iter().any(|cause| SHIFTING_CAUSES.contains(cause));
+        let shift_expected = answers.iter().any(|cause| SHIFTING_CAUSES.contains(cause));
         let event = |what| Action::Report(EngineEvent::Decided { what, version, answers: answers.clone() });
         self.pending_actions.extend(flush.summaries.into_iter().map(event));
         let proxies: Vec<ProxyId> = match flush.everyone {
@@ -72,7 +72,7 @@
         };
         let options = RefreshOptions {
             acknowledgement_requested_at: flush.acknowledgement_requested.then_some(now),
-            shift_limit: match shifting || flush.replica_ejected_or_restored {
+            shift_limit: match shift_expected || flush.replica_ejected_or_restored {
                 true => ShiftLimit::Unlimited,
                 false => ShiftLimit::Limited,
             },
--- a/crates/core/src/engine/inputs.rs
+++ b/crates/core/src/engine/inputs.rs
@@ -178,7 +178,7 @@
         if self.roster.get(replica).is_none_or(|known| known.phase == Phase::Gone) {
             return Err(OverrideError::NoReplica(replica.clone()));
         }
-        let why = shortened(reason);
+        let why = truncate_reason(reason);
         self.overrides.set(replica.clone(), Override { what, since: now, until, why })?;
         self.refresh(now, &self.fleet.proxy_ids());
         Ok(())
@@ -198,6 +198,6 @@
 }
 
 /// Truncates an operator's reason to the maximum length.
-pub(super) fn shortened(reason: &str) -> Arc<str> {
+pub(super) fn truncate_reason(reason: &str) -> Arc<str> {
     reason.chars().take(MAX_REASON_LENGTH).collect::<String>().into()
 }
--- a/crates/core/src/engine/joining.rs
+++ b/crates/core/src/engine/joining.rs
@@ -63,7 +63,7 @@
         self.refreeze(now, joined.proxy, join);
         // From now on ejections and admission fractions apply to the proxy, on any kind of table.
         self.refresh(now, &[joined.proxy]);
-        self.remember(now, joined.proxy);
+        self.store_version(now, joined.proxy);
         self.join_queue.push_back(QueuedJoin { proxy: joined.proxy, requests_per_second });
         self.causes.insert(Cause::Joined);
         Ok(joined)
@@ -71,9 +71,9 @@
 
     fn could_be_sampled(&self, zone: usize, (id, weight): &(ReplicaId, f64)) -> bool {
         let ready = self.roster.get(id).filter(|known| known.phase == Phase::Ready);
-        let near_enough = ready
+        let zone_allowed = ready
             .is_some_and(|known| known.zone == zone || self.roster.ready_count(zone) < MIN_REPLICAS_IN_ZONE);
-        near_enough && *weight > 0.0
+        zone_allowed && *weight > 0.0
     }
 
     /// Drops the state of the replaced stream, or of the proxy that had the reused id.
@@ -82,8 +82,8 @@
         if joined.id_reused {
             self.reports.forget(id);
             self.history.forget(id);
-            let former = self.frozen_tables.extract_if(.., |(proxy, _), _| *proxy == id);
-            let released = former.map(|((_, class), _)| EngineEvent::FrozenTableReleased {
+            let dropped = self.frozen_tables.extract_if(.., |(proxy, _), _| *proxy == id);
+            let released = dropped.map(|((_, class), _)| EngineEvent::FrozenTableReleased {
                 proxy: join.name.clone(),
                 group: class,
                 over: ReleaseReason::Reused,
--- a/crates/core/src/engine/publishing.rs
+++ b/crates/core/src/engine/publishing.rs
@@ -97,7 +97,7 @@
         }
         self.version += u64::from(!updated.is_empty());
         for id in updated {
-            self.remember(now, id);
+            self.store_version(now, id);
         }
     }
 
@@ -117,15 +117,15 @@
                 if desired.frozen_table_empty {
                     self.release_empty(id, class);
                 }
-                let held = self.fleet.get(id).and_then(|proxy| proxy.tables[class].as_ref());
-                let same = held.is_some_and(|held| *held.table == desired.table);
-                if same {
+                let current = self.fleet.get(id).and_then(|proxy| proxy.tables[class].as_ref());
+                let unchanged = current.is_some_and(|current| *current.table == desired.table);
+                if unchanged {
                     self.guard.clear_refusals(id, class);
                 }
                 let check_again = recheck == Recheck::SuspectTables
                     && (refused.contains(&id) || routes_to_suspect(&desired.table));
-                let says_something = held.is_some() || !desired.table.entries.is_empty();
-                if (!same || check_again) && says_something {
+                let has_content = current.is_some() || !desired.table.entries.is_empty();
+                if (!unchanged || check_again) && has_content {
                     changed.push(ChangedTable { proxy: id, class, table: desired.table });
                 }
             }
@@ -150,8 +150,7 @@
         changed: Vec<ChangedTable>,
         shift_limit: ShiftLimit,
     ) -> CheckedTables {
-        let places: Vec<(ProxyId, usize)> =
-            changed.iter().map(|change| (change.proxy, change.class)).collect();
+        let keys: Vec<(ProxyId, usize)> = changed.iter().map(|change| (change.proxy, change.class)).collect();
         let fleet = &self.fleet;
         let proposed = |change: ChangedTable| {
             let proxy = fleet.get(change.proxy)?;
@@ -159,7 +158,7 @@
                 proxy: change.proxy,
                 zone: proxy.zone,
                 class: change.class,
-                held: proxy.tables[change.class].as_ref().map(|held| &*held.table),
+                held: proxy.tables[change.class].as_ref().map(|current| &*current.table),
                 default_table: &proxy.default_table,
                 wanted: change.table,
             })
@@ -171,7 +170,7 @@
         while let Some(refusal) = self.guard.next_new_refusal() {
             self.pending_actions.push_back(Action::Report(EngineEvent::TableRefused(refusal)));
         }
-        places.into_iter().zip(checked).collect()
+        keys.into_iter().zip(checked).collect()
     }
 
     /// The table that a proxy should hold for a traffic class; `None` if nothing is to be published to it.
@@ -249,14 +248,14 @@
         let overloaded = self.guard.overloaded_replicas(now, &self.roster, |id| self.is_out(id));
         let refused = self.guard.proxies_with_refusals();
         let routes_to_overloaded = |proxy: &Proxy| {
-            let mut entries = proxy.tables.iter().flatten().flat_map(|held| &held.table.entries);
+            let mut entries = proxy.tables.iter().flatten().flat_map(|current| &current.table.entries);
             entries.any(|entry| entry.routable && overloaded.contains(&entry.replica))
         };
-        let concerned = |(id, proxy): (ProxyId, &Proxy)| {
+        let affected = |(id, proxy): (ProxyId, &Proxy)| {
             (refused.contains(&id) || !overloaded.is_empty() && routes_to_overloaded(proxy)).then_some(id)
         };
-        let concerned: Vec<ProxyId> = self.fleet.iter().filter_map(concerned).collect();
-        if concerned.is_empty() {
+        let affected: Vec<ProxyId> = self.fleet.iter().filter_map(affected).collect();
+        if affected.is_empty() {
             return;
         }
         let options = RefreshOptions {
@@ -264,11 +263,11 @@
             recheck: Recheck::SuspectTables,
             ..RefreshOptions::default()
         };
-        self.refresh_with(now, &concerned, options);
+        self.refresh_with(now, &affected, options);
     }
 
     /// Stores the current tables of a proxy as a version in the history.
-    pub(super) fn remember(&mut self, now: Duration, id: ProxyId) {
+    pub(super) fn store_version(&mut self, now: Duration, id: ProxyId) {
         let Some(proxy) = self.fleet.get(id) else { return };
         let published = |(versioned, policy): (&Option<VersionedTable>, &RetryPolicy)| {
             versioned.as_ref().map(|versioned| PublishedTable::of(&versioned.table, *policy))
@@ -308,17 +307,17 @@
         let mut change = ProxyChange::default();
         for class in 0..proxy.tables.len() {
             let Some(table) = checked.remove(&(id, class)) else { continue };
-            let held = proxy.tables[class].take();
-            if held.as_ref().is_some_and(|held| *held.table == table) {
-                proxy.tables[class] = held;
+            let current = proxy.tables[class].take();
+            if current.as_ref().is_some_and(|current| *current.table == table) {
+                proxy.tables[class] = current;
                 continue;
             }
-            change.entries += match &held {
-                Some(held) => table.count_differences(&held.table),
+            change.entries += match &current {
+                Some(current) => table.count_differences(&current.table),
                 None => table.entries.len() + 1,
             };
-            change.urgent |= match &held {
-                Some(held) => self.routes_to_closed(&held.table),
+            change.urgent |= match &current {
+                Some(current) => self.routes_to_unavailable(&current.table),
                 None => self.holds_unknown_or_ejected(proxy),
             };
             // Traffic classes with equal tables share one allocation.
@@ -329,9 +328,9 @@
         change
     }
 
-    fn routes_to_closed(&self, held: &Table) -> bool {
+    fn routes_to_unavailable(&self, current: &Table) -> bool {
         let excluded = |entry: &ResolvedEntry| entry.routable && (self.excluded)(&entry.replica);
-        self.tables.routes_to_ejected(held) || held.entries.iter().any(excluded)
+        self.tables.routes_to_ejected(current) || current.entries.iter().any(excluded)
     }
 
     /// An update is urgent for a proxy whose tables are unknown, or whose default table names an ejected
--- a/crates/core/src/engine/recovery.rs
+++ b/crates/core/src/engine/recovery.rs
@@ -111,12 +111,14 @@
 
     fn store_admission(&self, items: &mut StoredItems, now: Duration, classes: &[String]) {
         let restored = (now < self.restored_admission_until).then_some(&self.restored.admission_fractions);
-        for (place, ((fraction, policy), class)) in self.tables.admission().iter().zip(classes).enumerate() {
-            let restored = restored.and_then(|fractions| fractions.get(&place).copied());
+        for (class, ((fraction, policy), class_name)) in
+            self.tables.admission().iter().zip(classes).enumerate()
+        {
+            let restored = restored.and_then(|fractions| fractions.get(&class).copied());
             let fraction = fraction.min(restored.unwrap_or(1.0));
             if fraction < 1.0 {
                 let item = StoredItem::Admission { fraction, retry_policy: (*policy).into() };
-                items.insert(format!("level/{class}"), Arc::new(item));
+                items.insert(format!("level/{class_name}"), Arc::new(item));
             }
         }
     }
@@ -161,13 +163,13 @@
     }
 
     fn store_overrides(&self, items: &mut StoredItems, now: Duration, calendar: f64) {
-        for (id, one) in self.overrides.iter() {
-            let weight = match one.what {
+        for (id, replica_override) in self.overrides.iter() {
+            let weight = match replica_override.what {
                 OverrideKind::Exclude => None,
                 OverrideKind::Weight(factor) => Some(factor),
             };
-            let until = stored_until(one.until, now, calendar);
-            let item = StoredItem::Override { weight, until, reason: one.why.clone() };
+            let until = stored_until(replica_override.until, now, calendar);
+            let item = StoredItem::Override { weight, until, reason: replica_override.why.clone() };
             items.insert(format!("override/{id}"), Arc::new(item));
         }
         // Restored overrides that wait for the first roster.
@@ -210,13 +212,13 @@
         self.awaited_frozen_tables = restored
             .frozen_tables
             .iter()
-            .map(|(place, restored)| {
+            .map(|(key, restored)| {
                 let frozen = AwaitedFrozenTable {
                     published_at: now.saturating_sub(restored.age),
                     until: now + restored.remaining,
                     stored: restored.stored.clone(),
                 };
-                (place.clone(), frozen)
+                (key.clone(), frozen)
             })
             .collect();
         for ((id, zone), per_second) in &restored.throughput {
@@ -239,7 +241,7 @@
     pub(super) fn resume_proxy(&mut self, now: Duration, id: ProxyId, known: StoredProxy) {
         let version = self.version;
         let policies: Vec<RetryPolicy> = known.retry_policies.iter().map(|policy| (*policy).into()).collect();
-        let why: Arc<str> = "restored after a restart".into();
+        let reason: Arc<str> = "restored after a restart".into();
         for (class, stored) in known.tables.into_iter().enumerate().take(self.class_count) {
             let Some(stored) = stored else { continue };
             let table = Table::from(stored);
@@ -253,7 +255,7 @@
                     table: PublishedTable::of(&table, policy),
                     since: now,
                     until: now + MIGRATED_TABLE_TIMEOUT,
-                    why: why.clone(),
+                    why: reason.clone(),
                     migrated: true,
                 };
                 self.frozen_tables.entry((id, class)).or_insert(frozen);
--- a/crates/core/src/engine/rollback.rs
+++ b/crates/core/src/engine/rollback.rs
@@ -9,7 +9,7 @@
 
 use crate::frozen_tables::{self, FrozenTable, OmissionReason, ReleaseReason};
 
-use super::inputs::shortened;
+use super::inputs::truncate_reason;
 use super::{Action, Engine, EngineEvent};
 
 /// The tables that a rollback or a release applies to.
@@ -69,22 +69,22 @@
             return Err(RollbackError::NotYet(version, self.version));
         }
         let (proxies, classes) = self.resolve_scope(scope)?;
-        let why = shortened(reason);
+        let why = truncate_reason(reason);
         let mut report = RollbackReport::default();
-        let mut touched = Vec::new();
+        let mut changed = Vec::new();
         for id in proxies {
             let Some(name) = self.fleet.get(id).map(|proxy| proxy.name.clone()) else { continue };
-            let Some(then) = self.history.as_of(id, version).cloned() else {
+            let Some(past) = self.history.as_of(id, version).cloned() else {
                 report.without.push(name);
                 continue;
             };
             let mut had_tables = false;
             for class in classes.clone() {
-                let Some(table) = then.state.classes.get(class).cloned().flatten() else { continue };
+                let Some(table) = past.state.classes.get(class).cloned().flatten() else { continue };
                 had_tables = true;
                 let frozen = FrozenTable {
-                    version: then.version,
-                    published_at: then.published_at,
+                    version: past.version,
+                    published_at: past.published_at,
                     table,
                     since: now,
                     until,
@@ -94,15 +94,15 @@
                 self.freeze(id, &name, class, frozen, &mut report);
             }
             if had_tables {
-                touched.push(id);
+                changed.push(id);
             } else {
                 report.without.push(name);
             }
         }
-        if touched.is_empty() {
+        if changed.is_empty() {
             return Err(RollbackError::NotKept(version));
         }
-        self.refresh(now, &touched);
+        self.refresh(now, &changed);
         Ok(report)
     }
 
@@ -162,8 +162,8 @@
     ) -> usize {
         let released: Vec<(ProxyId, usize)> = self
             .frozen_tables
-            .extract_if(.., |place, frozen| matches(place, frozen))
-            .map(|(place, _)| place)
+            .extract_if(.., |key, frozen| matches(key, frozen))
+            .map(|(key, _)| key)
             .collect();
         for (id, class) in &released {
             let event = EngineEvent::FrozenTableReleased {
--- a/crates/core/src/engine/scheduling.rs
+++ b/crates/core/src/engine/scheduling.rs
@@ -8,7 +8,7 @@
 
 /// A tick late by more than this means that the process was paused: stopped, swapped out, or on a machine
 /// that was suspended.
-const STOOD_STILL: Duration = Duration::from_secs(3);
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(3);
 /// After a pause, inputs are processed for this long before the module decides. Otherwise the module would
 /// take the gap for silence of the replicas, and would count proxies as connected that have long moved to
 /// other governors. *Harm:* a replica that failed during the gap is ejected later by this time; drains are
@@ -46,12 +46,12 @@
     }
 
     fn process_due(&mut self, now: Duration) {
-        self.detect_standstill(now);
+        self.detect_pause(now);
         self.process_roster_deadlines(now);
         self.release_expired(now);
         self.expire_restored(now);
         self.expire_overrides(now);
-        self.pass_on_reports(now);
+        self.forward_reports(now);
         self.drain_join_queue(now);
         self.tick_if_due(now);
         if !self.causes.is_empty() {
@@ -61,8 +61,8 @@
 
     /// Postpones the tick once per pause, so that the module still decides on a machine that is always this
     /// late.
-    fn detect_standstill(&mut self, now: Duration) {
-        if now > self.next_tick + STOOD_STILL && !self.catching_up {
+    fn detect_pause(&mut self, now: Duration) {
+        if now > self.next_tick + PAUSE_THRESHOLD && !self.catching_up {
             self.next_tick = now + CATCH_UP;
             self.catching_up = true;
         }
@@ -87,18 +87,24 @@
         self.refresh(now, &self.fleet.proxy_ids());
     }
 
-    fn pass_on_reports(&mut self, now: Duration) {
+    fn forward_reports(&mut self, now: Duration) {
         for statistics in self.reports.take_due(now) {
             self.causes.insert(Cause::Reports);
             match statistics {
-                AggregatedStatistics::Replica(one) => {
-                    let succeeded = one.attempts.saturating_sub(one.failed);
-                    self.guard.record_throughput(now, &one.replica, one.zone, succeeded, one.interval);
-                    self.governor.record_replica_statistics(now, one);
+                AggregatedStatistics::Replica(statistics) => {
+                    let succeeded = statistics.attempts.saturating_sub(statistics.failed);
+                    self.guard.record_throughput(
+                        now,
+                        &statistics.replica,
+                        statistics.zone,
+                        succeeded,
+                        statistics.interval,
+                    );
+                    self.governor.record_replica_statistics(now, statistics);
                 }
-                AggregatedStatistics::Demand(one) => {
-                    self.guard.record_demand(one.proxy, one.class, one.requests, one.interval);
-                    self.governor.record_demand(now, one);
+                AggregatedStatistics::Demand(demand) => {
+                    self.guard.record_demand(demand.proxy, demand.class, demand.requests, demand.interval);
+                    self.governor.record_demand(now, demand);
                 }
             }
         }
--- a/crates/core/src/engine/tests.rs
+++ b/crates/core/src/engine/tests.rs
@@ -47,13 +47,13 @@
     names.iter().map(|name| entry(name, Phase::Ready)).collect()
 }
 
-fn join(name: &str, standing: &[&str]) -> JoinRequest {
-    let standing = standing.iter().map(|id| ((*id).into(), 1.0)).collect();
+fn join(name: &str, default_table: &[&str]) -> JoinRequest {
+    let default_entries = default_table.iter().map(|id| ((*id).into(), 1.0)).collect();
     JoinRequest {
         name: name.into(),
         zone: 0,
         requests_per_second: 5.0,
-        default_table: standing,
+        default_table: default_entries,
         holds_governor_tables: false,
         ownership_proof: None,
         proven_version: None,
@@ -69,22 +69,23 @@
 /// Acts as a host whose proxies accept everything at once. Returns the proxies that were flushed, and the
 /// events.
 fn run(engine: &mut Engine, now: Duration) -> (Vec<ProxyId>, Vec<EngineEvent>) {
-    let (mut flushed, mut notes) = (Vec::new(), Vec::new());
-    while let Some(step) = engine.next_action(now) {
-        match step {
-            Action::Flush(number) => {
-                flushed.push(number);
-                engine.tables_sent(now, number, 3, 1);
+    let (mut flushed, mut events) = (Vec::new(), Vec::new());
+    while let Some(action) = engine.next_action(now) {
+        match action {
+            Action::Flush(id) => {
+                flushed.push(id);
+                engine.tables_sent(now, id, 3, 1);
             }
-            Action::Report(note) => notes.push(note),
+            Action::Report(event) => events.push(event),
             Action::CloseStream(_) | Action::CheckHealth(_) => {}
         }
     }
-    (flushed, notes)
+    (flushed, events)
 }
 
-fn open(engine: &Engine, number: ProxyId) -> Vec<String> {
-    let table = &engine.proxy(number).unwrap().tables[0];
-    let lines = table.iter().flat_map(|kept| &kept.table.entries).filter(|line| line.routable);
-    lines.map(|line| line.replica.to_string()).collect()
+fn routable_replicas(engine: &Engine, id: ProxyId) -> Vec<String> {
+    let table = &engine.proxy(id).unwrap().tables[0];
+    let routable_entries =
+        table.iter().flat_map(|versioned| &versioned.table.entries).filter(|entry| entry.routable);
+    routable_entries.map(|entry| entry.replica.to_string()).collect()
 }
--- a/crates/core/src/engine/tests/connecting.rs
+++ b/crates/core/src/engine/tests/connecting.rs
@@ -13,12 +13,12 @@
 #[test]
 fn leaves_a_default_table_alone_and_assigns_tables_where_there_is_none() {
     let mut engine = engine(&["a", "b", "c"]);
-    let fresh = engine.proxy_connected(ms(1), 1, &join("p", &["a", "b", "c"])).unwrap().proxy;
-    let bare = engine.proxy_connected(ms(1), 2, &join("q", &[])).unwrap().proxy;
+    let with_default_table = engine.proxy_connected(ms(1), 1, &join("p", &["a", "b", "c"])).unwrap().proxy;
+    let without_table = engine.proxy_connected(ms(1), 2, &join("q", &[])).unwrap().proxy;
     let (flushed, _) = run(&mut engine, ms(300));
-    assert_eq!(flushed, [bare]);
-    assert!(engine.proxy(fresh).unwrap().tables.iter().all(Option::is_none));
-    assert_eq!(open(&engine, bare), ["a", "b", "c"]);
+    assert_eq!(flushed, [without_table]);
+    assert!(engine.proxy(with_default_table).unwrap().tables.iter().all(Option::is_none));
+    assert_eq!(routable_replicas(&engine, without_table), ["a", "b", "c"]);
 }
 
 #[test]
@@ -39,20 +39,20 @@
 #[test]
 fn sends_a_complete_state_to_a_proxy_with_tables_of_another_governor() {
     let mut engine = engine(&["a", "b", "c"]);
-    let back = JoinRequest { holds_governor_tables: true, ..join("p", &[]) };
-    engine.proxy_connected(ms(1), 1, &back).unwrap();
+    let rejoin = JoinRequest { holds_governor_tables: true, ..join("p", &[]) };
+    engine.proxy_connected(ms(1), 1, &rejoin).unwrap();
     assert_eq!(run(&mut engine, ms(300)).0, [0]);
-    assert_eq!(open(&engine, 0), ["a", "b", "c"]);
+    assert_eq!(routable_replicas(&engine, 0), ["a", "b", "c"]);
 }
 
 #[test]
 fn admits_a_thousand_queued_joins_as_the_channel_has_capacity() {
     let names: Vec<String> = (0..24).map(|n| format!("r{n:02}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let mut setup = EngineSettings::example(2);
-    (setup.governor.entries_per_second, setup.governor.max_queued_entries) = (5000.0, 4000.0);
-    let most = setup.governor.max_queued_entries;
-    let mut engine = Engine::new(setup, ms(0));
+    let mut settings = EngineSettings::example(2);
+    (settings.governor.entries_per_second, settings.governor.max_queued_entries) = (5000.0, 4000.0);
+    let max_queued_entries = settings.governor.max_queued_entries;
+    let mut engine = Engine::new(settings, ms(0));
     engine.update_roster(ms(0), ready(&names));
     for number in 0..1000 {
         engine.proxy_connected(ms(number), number, &join(&format!("p{number:04}"), &[])).unwrap();
@@ -66,8 +66,8 @@
             engine.version_acknowledged(now, u64::from(number), engine.proxy(number).unwrap().newest());
             done.insert(number);
         }
-        let figures = engine.status(now);
-        assert!((figures.queued_entries as f64) < most, "{figures:?}");
+        let status = engine.status(now);
+        assert!((status.queued_entries as f64) < max_queued_entries, "{status:?}");
         if done.len() == 1000 {
             return;
         }
--- a/crates/core/src/engine/tests/publishing.rs
+++ b/crates/core/src/engine/tests/publishing.rs
@@ -17,17 +17,17 @@
     engine.proxy_connected(ms(1), 2, &join("q", &[])).unwrap();
     run(&mut engine, ms(600));
     engine.version_acknowledged(ms(610), 2, engine.proxy(1).unwrap().newest());
-    let mut list = ready(&["a", "b", "c", "d"]);
-    list[0].phase = Phase::Draining;
-    engine.update_roster(ms(700), list);
-    let (flushed, notes) = run(&mut engine, ms(1600));
+    let mut roster = ready(&["a", "b", "c", "d"]);
+    roster[0].phase = Phase::Draining;
+    engine.update_roster(ms(700), roster);
+    let (flushed, events) = run(&mut engine, ms(1600));
     assert_eq!(flushed, [0, 1]);
-    assert!(notes.iter().any(|note| matches!(note,
+    assert!(events.iter().any(|event| matches!(event,
         EngineEvent::Decided { what: DecisionSummary::Withdraw(id, true), answers, .. } if &**id == "a"
             && answers.contains(&Cause::Roster) | answers.contains(&Cause::Beat))));
-    assert!((0..2).all(|number| !open(&engine, number).contains(&"a".to_string())));
+    assert!((0..2).all(|proxy| !routable_replicas(&engine, proxy).contains(&"a".to_string())));
     assert!(
-        !open(&engine, 0).is_empty(),
+        !routable_replicas(&engine, 0).is_empty(),
         "the default table is published completely, except for the draining replica"
     );
 }
@@ -37,12 +37,12 @@
     let mut engine = engine(&["a", "b", "c"]);
     engine.proxy_connected(ms(1), 1, &join("p", &[])).unwrap();
     run(&mut engine, ms(600));
-    let before = open(&engine, 0);
-    let mut list = ready(&["a", "b", "c"]);
-    list.push(entry("never", Phase::Draining));
-    engine.update_roster(ms(700), list);
+    let before = routable_replicas(&engine, 0);
+    let mut roster = ready(&["a", "b", "c"]);
+    roster.push(entry("never", Phase::Draining));
+    engine.update_roster(ms(700), roster);
     run(&mut engine, ms(1600));
-    assert_eq!(open(&engine, 0), before);
+    assert_eq!(routable_replicas(&engine, 0), before);
 }
 
 #[test]
@@ -51,9 +51,9 @@
     engine.proxy_connected(ms(1), 1, &join("p", &[])).unwrap();
     run(&mut engine, ms(600));
     engine.update_roster(ms(700), vec![]);
-    let (flushed, notes) = run(&mut engine, ms(5000));
-    assert!(flushed.is_empty() && matches!(notes[0], EngineEvent::EmptyRosterDoubted(_)));
-    assert_eq!(open(&engine, 0).len(), 3);
+    let (flushed, events) = run(&mut engine, ms(5000));
+    assert!(flushed.is_empty() && matches!(events[0], EngineEvent::EmptyRosterDoubted(_)));
+    assert_eq!(routable_replicas(&engine, 0).len(), 3);
     engine.update_roster(ms(6000), ready(&["a", "b", "c"]));
     assert!(!engine.status(ms(6000)).roster_doubted);
     assert!(run(&mut engine, ms(60_000)).0.is_empty());
@@ -68,9 +68,9 @@
     let version = engine.proxy(0).unwrap().newest();
     engine.version_rejected(1, version, "no such locality");
     engine.version_acknowledged(ms(700), 2, version);
-    let (flushed, notes) = run(&mut engine, ms(3000));
+    let (flushed, events) = run(&mut engine, ms(3000));
     assert!(flushed.is_empty());
-    assert!(matches!(&notes[0], EngineEvent::VersionRejected { words, .. } if words == "no such locality"));
+    assert!(matches!(&events[0], EngineEvent::VersionRejected { words, .. } if words == "no such locality"));
     assert_eq!(engine.proxy(0).unwrap().acknowledged_version, 0);
     engine.update_roster(ms(3100), ready(&["a", "b"]));
     assert_eq!(run(&mut engine, ms(4000)).0, [0, 1]);
@@ -102,17 +102,17 @@
 fn merges_updates_for_a_stream_without_capacity() {
     let mut engine = engine(&["a", "b", "c", "d"]);
     engine.proxy_connected(ms(1), 1, &join("p", &[])).unwrap();
-    while let Some(step) = engine.next_action(ms(300)) {
-        if let Action::Flush(number) = step {
-            engine.stream_full(number);
+    while let Some(action) = engine.next_action(ms(300)) {
+        if let Action::Flush(proxy) = action {
+            engine.stream_full(proxy);
         }
     }
     for round in 0..50 {
-        let list = if round % 2 == 0 { ready(&["a", "b", "c"]) } else { ready(&["a", "b", "d"]) };
-        engine.update_roster(ms(1000 * (round + 1)), list);
+        let roster = if round % 2 == 0 { ready(&["a", "b", "c"]) } else { ready(&["a", "b", "d"]) };
+        engine.update_roster(ms(1000 * (round + 1)), roster);
         assert!(run(&mut engine, ms(1000 * (round + 1) + 600)).0.is_empty());
     }
     engine.stream_has_capacity(1);
     assert_eq!(run(&mut engine, ms(60_000)).0, [0], "once, not fifty times");
-    assert!(open(&engine, 0).contains(&"d".to_string()));
+    assert!(routable_replicas(&engine, 0).contains(&"d".to_string()));
 }
--- a/crates/core/src/engine/tests/recovery.rs
+++ b/crates/core/src/engine/tests/recovery.rs
@@ -11,27 +11,27 @@
 use super::*;
 
 /// Restarts an engine with its stored state, `later` seconds after it stopped, with a roster.
-fn next_life(before: &Engine, later: f64, names: &[&str]) -> Engine {
-    let mut engine = next_life_without_roster(before, ms(5000), later);
+fn restart(before: &Engine, later: f64, names: &[&str]) -> Engine {
+    let mut engine = restart_without_roster(before, ms(5000), later);
     engine.update_roster(ms(0), ready(names));
     engine
 }
 
 /// Restarts an engine that stops at `now`, without a roster yet.
-fn next_life_without_roster(before: &Engine, now: Duration, later: f64) -> Engine {
+fn restart_without_roster(before: &Engine, now: Duration, later: f64) -> Engine {
     let groups = ["one".to_string(), "other".to_string()];
-    let names_of =
+    let stored_names =
         StoredItem::Names { governor: "g".into(), zones: vec!["z".into()], groups: groups.to_vec() };
-    let mut known = before.stored_items(now, &StoredItems::new(), 1000.0, 7, &groups);
-    known.insert(snapshot::NAMES.into(), Arc::new(names_of.clone()));
-    known.insert(snapshot::ALIVE.into(), Arc::new(StoredItem::Alive { at: 1000.0 }));
-    let known = known
+    let mut items = before.stored_items(now, &StoredItems::new(), 1000.0, 7, &groups);
+    items.insert(snapshot::NAMES.into(), Arc::new(stored_names.clone()));
+    items.insert(snapshot::ALIVE.into(), Arc::new(StoredItem::Alive { at: 1000.0 }));
+    let items = items
         .into_iter()
         .map(|(name, item)| (name, Arc::new(snapshot::decode(&snapshot::encode(&item)).unwrap())));
-    let (recalled, unfit) = snapshot::recall(known.collect(), 1000.0 + later, &names_of);
-    assert_eq!(unfit, []);
+    let (restored, rejected) = snapshot::recall(items.collect(), 1000.0 + later, &stored_names);
+    assert_eq!(rejected, []);
     let mut engine = Engine::new(EngineSettings::example(2), ms(0));
-    engine.restore(ms(0), recalled);
+    engine.restore(ms(0), restored);
     engine
 }
 
@@ -48,62 +48,64 @@
 fn resumes_a_proxy_that_proves_the_version_it_holds() {
     let all = ["a", "b", "c", "d"];
     let mut before = engine(&all);
-    let number = before.proxy_connected(ms(1), 1, &join("p", &["a", "b", "c"])).unwrap().proxy;
-    let bound = before.proxy_connected(ms(1), 2, &join("q", &[])).unwrap().proxy;
+    let on_default = before.proxy_connected(ms(1), 1, &join("p", &["a", "b", "c"])).unwrap().proxy;
+    let assigned = before.proxy_connected(ms(1), 2, &join("q", &[])).unwrap().proxy;
     run(&mut before, ms(600));
     // The override also concerns the proxy on its default table, which is sent a table from then on.
     before.override_replica(ms(700), &"c".into(), OverrideKind::Exclude, ms(60_000), "its disk").unwrap();
     run(&mut before, ms(800));
-    let held = [number, bound].map(|number| (before.proxy(number).unwrap().newest(), open(&before, number)));
+    let held =
+        [on_default, assigned].map(|id| (before.proxy(id).unwrap().newest(), routable_replicas(&before, id)));
     assert_eq!(held[0].1.len(), 2);
 
-    let mut after = next_life(&before, 1.0, &all);
-    let number = after.proxy_connected(ms(1), 1, &proven("p", &["a", "b", "c"], held[0].0)).unwrap().proxy;
-    let bound = after.proxy_connected(ms(1), 2, &proven("q", &[], held[1].0)).unwrap().proxy;
-    let stranger = after.proxy_connected(ms(1), 3, &proven("r", &["a", "b", "c"], 9)).unwrap().proxy;
+    let mut after = restart(&before, 1.0, &all);
+    let on_default =
+        after.proxy_connected(ms(1), 1, &proven("p", &["a", "b", "c"], held[0].0)).unwrap().proxy;
+    let assigned = after.proxy_connected(ms(1), 2, &proven("q", &[], held[1].0)).unwrap().proxy;
+    let unproven = after.proxy_connected(ms(1), 3, &proven("r", &["a", "b", "c"], 9)).unwrap().proxy;
     assert!(
-        after.proxy(number).unwrap().holds_default_table,
+        after.proxy(on_default).unwrap().holds_default_table,
         "the module is told that it holds its default table"
     );
     assert!(
-        !after.proxy(bound).unwrap().holds_default_table
-            && !after.proxy(stranger).unwrap().holds_default_table
+        !after.proxy(assigned).unwrap().holds_default_table
+            && !after.proxy(unproven).unwrap().holds_default_table
     );
-    let whole = |engine: &Engine, number| engine.history().newest(number).unwrap().digest;
-    let now = [number, bound].map(|number| whole(&after, number));
-    assert_eq!(now, [whole(&before, 0), whole(&before, 1)]);
+    let digest = |engine: &Engine, id| engine.history().newest(id).unwrap().digest;
+    let now = [on_default, assigned].map(|id| digest(&after, id));
+    assert_eq!(now, [digest(&before, 0), digest(&before, 1)]);
     run(&mut after, ms(900));
-    assert_eq!(whole(&after, number), now[0], "a proxy on its default table is sent nothing");
-    assert_eq!(open(&after, number), held[0].1, "excluded replicas stay excluded");
+    assert_eq!(digest(&after, on_default), now[0], "a proxy on its default table is sent nothing");
+    assert_eq!(routable_replicas(&after, on_default), held[0].1, "excluded replicas stay excluded");
     assert_eq!(after.overrides().iter().count(), 1);
     // A second restart before any proxy has reconnected does not lose their state.
-    let between = next_life(&before, 1.0, &all);
-    let mut third = next_life(&between, 1.0, &all);
+    let between = restart(&before, 1.0, &all);
+    let mut third = restart(&between, 1.0, &all);
     let joined = third.proxy_connected(ms(1), 1, &proven("p", &["a", "b", "c"], held[0].0)).unwrap();
     assert!(third.proxy(joined.proxy).unwrap().holds_default_table);
     // The state of a proxy that does not reconnect is dropped eventually.
-    let mut alone = next_life(&before, 1.0, &all);
-    let is_known = |engine: &Engine, now| {
+    let mut not_reconnected = restart(&before, 1.0, &all);
+    let is_stored = |engine: &Engine, now| {
         engine.stored_items(now, &StoredItems::new(), 0.0, 8, &[]).contains_key("proxy/p")
     };
-    run(&mut alone, ms(500_000));
-    assert!(is_known(&alone, ms(500_000)));
-    run(&mut alone, ms(600_000));
-    assert!(!is_known(&alone, ms(600_000)));
+    run(&mut not_reconnected, ms(500_000));
+    assert!(is_stored(&not_reconnected, ms(500_000)));
+    run(&mut not_reconnected, ms(600_000));
+    assert!(!is_stored(&not_reconnected, ms(600_000)));
     // A proxy without a proof, or with one of another version or epoch, is not resumed.
-    let mut after = next_life(&before, 1.0, &all);
-    let mut odd = proven("p", &["a", "b", "c"], held[0].0 - 1);
+    let mut after = restart(&before, 1.0, &all);
+    let mut join = proven("p", &["a", "b", "c"], held[0].0 - 1);
     assert!(
         !after
-            .proxy_connected(ms(1), 1, &odd)
+            .proxy_connected(ms(1), 1, &join)
             .is_ok_and(|joined| after.proxy(joined.proxy).unwrap().holds_default_table)
     );
-    odd.proven_version = None;
-    let mut after = next_life(&before, 1.0, &all);
-    let number = after.proxy_connected(ms(1), 1, &odd).unwrap().proxy;
-    assert!(!after.proxy(number).unwrap().holds_default_table);
+    join.proven_version = None;
+    let mut after = restart(&before, 1.0, &all);
+    let on_default = after.proxy_connected(ms(1), 1, &join).unwrap().proxy;
+    assert!(!after.proxy(on_default).unwrap().holds_default_table);
     // Nor is one whose state is so old that it has been connected elsewhere.
-    let mut after = next_life(&before, 700.0, &all);
+    let mut after = restart(&before, 700.0, &all);
     let joined = after.proxy_connected(ms(1), 1, &proven("p", &["a", "b", "c"], held[0].0)).unwrap();
     assert!(!after.proxy(joined.proxy).unwrap().holds_default_table);
 }
@@ -111,14 +113,14 @@
 #[test]
 fn resumed_tables_omit_replicas_lost_during_the_restart() {
     let mut before = engine(&["a", "b", "c"]);
-    let number = before.proxy_connected(ms(1), 1, &join("q", &[])).unwrap().proxy;
+    let on_default = before.proxy_connected(ms(1), 1, &join("q", &[])).unwrap().proxy;
     run(&mut before, ms(600));
-    let version = before.proxy(number).unwrap().newest();
-    let mut after = next_life(&before, 2.0, &["a", "c"]);
-    let number = after.proxy_connected(ms(1), 1, &proven("q", &[], version)).unwrap().proxy;
-    assert_eq!(open(&after, number), ["a", "c"], "before the module has decided");
+    let version = before.proxy(on_default).unwrap().newest();
+    let mut after = restart(&before, 2.0, &["a", "c"]);
+    let on_default = after.proxy_connected(ms(1), 1, &proven("q", &[], version)).unwrap().proxy;
+    assert_eq!(routable_replicas(&after, on_default), ["a", "c"], "before the module has decided");
     let (flushed, _) = run(&mut after, ms(10));
-    assert!(flushed.contains(&number), "at once");
+    assert!(flushed.contains(&on_default), "at once");
 }
 
 #[test]
@@ -130,39 +132,41 @@
     before.tables.set_ejected("b".into(), true);
     ["a", "c", "d"].into_iter().for_each(|id| before.guard.restore_throughput(ms(5000), &id.into(), 0, 20.0));
     before.tables.set_admission(1, 0.25, RetryPolicy::Never);
-    let mut after = next_life(&before, 1.0, &all);
+    let mut after = restart(&before, 1.0, &all);
     after.proxy_connected(ms(1), 1, &join("p", &all)).unwrap();
-    let mut out_at = None;
+    let mut ejected_at = None;
     for now in (10..20_000).step_by(50) {
         run(&mut after, ms(now));
-        if out_at.is_none() && after.is_ejected(&"b".into()) {
-            out_at = Some(now);
+        if ejected_at.is_none() && after.is_ejected(&"b".into()) {
+            ejected_at = Some(now);
         }
     }
-    assert!(out_at.is_some_and(|at| at < 2000), "{out_at:?}");
+    assert!(ejected_at.is_some_and(|at| at < 2000), "{ejected_at:?}");
     assert!(!after.is_ejected(&"a".into()));
     assert!(!after.is_ejected(&"b".into()), "restored after its time, as no failures were observed");
     // The admission fraction applies for its remaining time only.
-    let mut levels = next_life(&before, 4.0, &all);
-    let number = levels.proxy_connected(ms(1), 1, &join("p", &all)).unwrap().proxy;
-    run(&mut levels, ms(300));
-    let level = |engine: &Engine| {
-        engine.proxy(number).unwrap().tables[0].as_ref().map(|kept| kept.table.admission_fraction)
+    let mut admission = restart(&before, 4.0, &all);
+    let on_default = admission.proxy_connected(ms(1), 1, &join("p", &all)).unwrap().proxy;
+    run(&mut admission, ms(300));
+    let fraction = |engine: &Engine| {
+        engine.proxy(on_default).unwrap().tables[0]
+            .as_ref()
+            .map(|versioned| versioned.table.admission_fraction)
     };
-    assert_eq!(level(&levels), Some(0.25));
+    assert_eq!(fraction(&admission), Some(0.25));
     for now in (300..6100).step_by(100) {
-        run(&mut levels, ms(now));
+        run(&mut admission, ms(now));
     }
-    assert_eq!(level(&levels), Some(1.0));
+    assert_eq!(fraction(&admission), Some(1.0));
     // A replica replaced by a new process during the restart is not judged by what the old one did.
-    let mut anew = next_life(&before, 5.0, &[]);
-    let mut list = ready(&all);
-    list[1].started_at = Some(ms(0).saturating_sub(Duration::from_secs(2)));
-    anew.update_roster(ms(0), list);
-    anew.proxy_connected(ms(1), 1, &join("p", &all)).unwrap();
+    let mut replaced = restart(&before, 5.0, &[]);
+    let mut roster = ready(&all);
+    roster[1].started_at = Some(ms(0).saturating_sub(Duration::from_secs(2)));
+    replaced.update_roster(ms(0), roster);
+    replaced.proxy_connected(ms(1), 1, &join("p", &all)).unwrap();
     for now in (10..4000).step_by(50) {
-        run(&mut anew, ms(now));
-        assert!(!anew.is_ejected(&"b".into()));
+        run(&mut replaced, ms(now));
+        assert!(!replaced.is_ejected(&"b".into()));
     }
 }
 
@@ -180,21 +184,21 @@
     before.rollback(ms(1700), &TableScope::All, version, "a mistake", ms(15_000)).unwrap();
     run(&mut before, ms(1800));
     assert_eq!(before.frozen_tables().count(), 2);
-    let mut after = next_life(&before, 1.0, &all);
-    let number = after.proxy_connected(ms(1), 1, &join("q", &[])).unwrap().proxy;
+    let mut after = restart(&before, 1.0, &all);
+    let on_default = after.proxy_connected(ms(1), 1, &join("q", &[])).unwrap().proxy;
     run(&mut after, ms(900));
     let held: Vec<_> = after
         .frozen_tables()
-        .map(|(name, group, hold)| (name.to_string(), group, hold.why.clone()))
+        .map(|(name, group, frozen)| (name.to_string(), group, frozen.why.clone()))
         .collect();
     assert_eq!(held, [("q".into(), 0, "a mistake".into()), ("q".into(), 1, "a mistake".into())]);
-    assert!(!open(&after, number).is_empty());
+    assert!(!routable_replicas(&after, on_default).is_empty());
     // Ten seconds were left when the state was stored.
     for now in (1000..10_500).step_by(100) {
         run(&mut after, ms(now));
     }
     assert_eq!(after.frozen_tables().count(), 0);
-    assert_eq!(next_life(&before, 11.0, &all).awaited_frozen_tables.len(), 0);
+    assert_eq!(restart(&before, 11.0, &all).awaited_frozen_tables.len(), 0);
 }
 
 /// Guards against restored state that is lost because the first write of a run that has no roster yet, or
@@ -209,11 +213,11 @@
     before.override_replica(ms(700), &"c".into(), OverrideKind::Exclude, ms(60_000), "its disk").unwrap();
     before.rollback(ms(1700), &TableScope::All, version, "a mistake", ms(60_000)).unwrap();
     run(&mut before, ms(1800));
-    let mut first = next_life_without_roster(&before, ms(5000), 1.0);
+    let mut first = restart_without_roster(&before, ms(5000), 1.0);
     first.restored.ejected.insert("b".into(), 20);
     first.restored.admission_fractions.insert(1, 0.5);
     first.restored_admission_until = ms(9000);
-    let second = next_life_without_roster(&first, ms(2000), 1.0);
+    let second = restart_without_roster(&first, ms(2000), 1.0);
     assert_eq!(second.restored.overrides["c"].reason.as_ref(), "its disk");
     assert_eq!(
         second.restored.overrides["c"].remaining,
@@ -224,7 +228,7 @@
     assert_eq!(second.restored.admission_fractions.get(&1), Some(&0.5));
     assert_eq!(second.awaited_frozen_tables.len(), 2);
     // A late roster does not extend an override.
-    let mut late = next_life_without_roster(&second, ms(1000), 1.0);
+    let mut late = restart_without_roster(&second, ms(1000), 1.0);
     late.update_roster(ms(60_000), ready(&all));
     run(&mut late, ms(60_300));
     assert_eq!(late.overrides().iter().count(), 0);
--- a/crates/core/src/engine/tests/rollback.rs
+++ b/crates/core/src/engine/tests/rollback.rs
@@ -11,7 +11,7 @@
 use super::*;
 
 /// An engine with one proxy on dedicated tables, and the version at which it held all of them.
-fn settled(names: &[&str]) -> (Engine, u64) {
+fn engine_with_proxy(names: &[&str]) -> (Engine, u64) {
     let mut engine = engine(names);
     engine.proxy_connected(ms(1), 1, &join("p", &[])).unwrap();
     run(&mut engine, ms(600));
@@ -20,117 +20,118 @@
     (engine, newest)
 }
 
-fn pass(engine: &mut Engine, now: Duration) -> Vec<EngineEvent> {
-    let (_, notes) = run(engine, now);
+fn run_and_acknowledge(engine: &mut Engine, now: Duration) -> Vec<EngineEvent> {
+    let (_, events) = run(engine, now);
     engine.version_acknowledged(now, 1, engine.proxy(0).unwrap().newest());
-    notes
+    events
 }
 
 #[test]
 fn rollback_freezes_old_tables_less_drained_replicas_until_released() {
-    let (mut engine, before) = settled(&["a", "b", "c"]);
+    let (mut engine, before) = engine_with_proxy(&["a", "b", "c"]);
     engine.update_roster(ms(1000), ready(&["a", "b", "c", "d", "e"]));
-    pass(&mut engine, ms(2000));
-    assert_eq!(open(&engine, 0).len(), 5);
+    run_and_acknowledge(&mut engine, ms(2000));
+    assert_eq!(routable_replicas(&engine, 0).len(), 5);
     // One replica of the old table drains and leaves before the rollback.
     engine.update_roster(ms(3000), ready(&["b", "c", "d", "e"]));
-    pass(&mut engine, ms(4000));
-    let rolled = engine.rollback(ms(5000), &TableScope::All, before, "too wide", ms(60_000)).unwrap();
-    assert_eq!((rolled.frozen, rolled.unfreezable, rolled.left_out.len()), (2, 0, 2));
-    assert_eq!(rolled.left_out[0].3, OmissionReason::Gone);
-    pass(&mut engine, ms(5100));
-    assert_eq!(open(&engine, 0), ["b", "c"]);
+    run_and_acknowledge(&mut engine, ms(4000));
+    let report = engine.rollback(ms(5000), &TableScope::All, before, "too wide", ms(60_000)).unwrap();
+    assert_eq!((report.frozen, report.unfreezable, report.left_out.len()), (2, 0, 2));
+    assert_eq!(report.left_out[0].3, OmissionReason::Gone);
+    run_and_acknowledge(&mut engine, ms(5100));
+    assert_eq!(routable_replicas(&engine, 0), ["b", "c"]);
     // While the table is frozen, the module's updates are not published, but drains are.
-    let mut list = ready(&["b", "c", "d", "e", "f"]);
-    list[0].phase = Phase::Draining;
-    engine.update_roster(ms(6000), list);
-    pass(&mut engine, ms(7000));
-    assert_eq!(open(&engine, 0), ["c"]);
+    let mut roster = ready(&["b", "c", "d", "e", "f"]);
+    roster[0].phase = Phase::Draining;
+    engine.update_roster(ms(6000), roster);
+    run_and_acknowledge(&mut engine, ms(7000));
+    assert_eq!(routable_replicas(&engine, 0), ["c"]);
     assert_eq!(engine.release(ms(8000), &TableScope::Proxy("p".into())), Ok(2));
-    let notes = pass(&mut engine, ms(8100));
-    assert!(matches!(notes[0], EngineEvent::FrozenTableReleased { over: ReleaseReason::Released, .. }));
-    assert_eq!(open(&engine, 0), ["c", "d", "e", "f"]);
+    let events = run_and_acknowledge(&mut engine, ms(8100));
+    assert!(matches!(events[0], EngineEvent::FrozenTableReleased { over: ReleaseReason::Released, .. }));
+    assert_eq!(routable_replicas(&engine, 0), ["c", "d", "e", "f"]);
 }
 
 #[test]
 fn frozen_table_ends_by_its_time_or_when_nothing_is_left_of_it() {
-    let (mut engine, before) = settled(&["a", "b"]);
+    let (mut engine, before) = engine_with_proxy(&["a", "b"]);
     engine.update_roster(ms(1000), ready(&["a", "b", "c"]));
-    pass(&mut engine, ms(2000));
+    run_and_acknowledge(&mut engine, ms(2000));
     engine.rollback(ms(3000), &TableScope::Group(1), before, "", ms(9000)).unwrap();
     assert_eq!(engine.frozen_tables().count(), 1);
-    pass(&mut engine, ms(8990));
+    run_and_acknowledge(&mut engine, ms(8990));
     assert_eq!(engine.next_deadline(ms(8990)).min(ms(9000)), engine.next_deadline(ms(8990)));
-    let notes = pass(&mut engine, ms(9000));
-    assert!(notes.iter().any(|note| matches!(
-        note,
+    let events = run_and_acknowledge(&mut engine, ms(9000));
+    assert!(events.iter().any(|event| matches!(
+        event,
         EngineEvent::FrozenTableReleased { group: 1, over: ReleaseReason::Time, .. }
     )));
     engine.rollback(ms(10_000), &TableScope::All, before, "", ms(90_000)).unwrap();
-    pass(&mut engine, ms(10_100));
+    run_and_acknowledge(&mut engine, ms(10_100));
     engine.update_roster(ms(11_000), ready(&["c"]));
-    let notes = pass(&mut engine, ms(12_000));
+    let events = run_and_acknowledge(&mut engine, ms(12_000));
     assert!(
-        notes
+        events
             .iter()
-            .any(|note| matches!(note, EngineEvent::FrozenTableReleased { over: ReleaseReason::Bare, .. }))
+            .any(|event| matches!(event, EngineEvent::FrozenTableReleased { over: ReleaseReason::Bare, .. }))
     );
-    assert_eq!(open(&engine, 0), ["c"], "the module's own table");
+    assert_eq!(routable_replicas(&engine, 0), ["c"], "the module's own table");
     assert_eq!(engine.frozen_tables().count(), 0);
 }
 
 #[test]
 fn later_rollback_replaces_an_earlier_one_and_names_it() {
-    let (mut engine, before) = settled(&["a", "b", "c"]);
+    let (mut engine, before) = engine_with_proxy(&["a", "b", "c"]);
     engine.update_roster(ms(1000), ready(&["a", "b"]));
-    pass(&mut engine, ms(2000));
+    run_and_acknowledge(&mut engine, ms(2000));
     engine.rollback(ms(3000), &TableScope::All, before, "first", ms(60_000)).unwrap();
     engine.rollback(ms(3001), &TableScope::All, before, "second", ms(60_000)).unwrap();
-    let notes = pass(&mut engine, ms(3100));
-    assert!(notes.iter().any(|note| matches!(note,
+    let events = run_and_acknowledge(&mut engine, ms(3100));
+    assert!(events.iter().any(|event| matches!(event,
         EngineEvent::FrozenTableReleased { over: ReleaseReason::Replaced(why), .. } if &**why == "first")));
-    assert!(engine.frozen_tables().all(|(_, _, hold)| &*hold.why == "second"));
+    assert!(engine.frozen_tables().all(|(_, _, frozen_table)| &*frozen_table.why == "second"));
 }
 
 #[test]
 fn rejects_rollbacks_to_unknown_versions_and_proxies() {
-    let (mut engine, before) = settled(&["a", "b", "c"]);
+    let (mut engine, before) = engine_with_proxy(&["a", "b", "c"]);
     let later = engine.status(ms(0)).version + 1;
-    let back = |engine: &mut Engine, scope, version| engine.rollback(ms(1000), &scope, version, "", ms(9000));
-    assert!(matches!(back(&mut engine, TableScope::All, later), Err(RollbackError::NotYet(..))));
-    assert_eq!(back(&mut engine, TableScope::All, 0), Err(RollbackError::NotKept(0)));
-    let nobody = TableScope::Proxy("nobody".into());
-    assert_eq!(back(&mut engine, nobody.clone(), before), Err(RollbackError::NoProxy("nobody".into())));
-    assert!(engine.release(ms(1000), &nobody).is_err());
+    let roll_back =
+        |engine: &mut Engine, scope, version| engine.rollback(ms(1000), &scope, version, "", ms(9000));
+    assert!(matches!(roll_back(&mut engine, TableScope::All, later), Err(RollbackError::NotYet(..))));
+    assert_eq!(roll_back(&mut engine, TableScope::All, 0), Err(RollbackError::NotKept(0)));
+    let unknown = TableScope::Proxy("nobody".into());
+    assert_eq!(roll_back(&mut engine, unknown.clone(), before), Err(RollbackError::NoProxy("nobody".into())));
+    assert!(engine.release(ms(1000), &unknown).is_err());
     assert_eq!(engine.frozen_tables().count(), 0);
 }
 
 #[test]
 fn frozen_table_caps_a_replica_that_restarted() {
-    let (mut engine, before) = settled(&["a", "b", "c"]);
-    let mut list = ready(&["a", "b", "c"]);
-    list[2].started_at = Some(ms(1000));
-    engine.update_roster(ms(1000), list);
-    pass(&mut engine, ms(1600));
-    let share = |engine: &Engine| {
-        let lines = &engine.proxy(0).unwrap().tables[0].as_ref().unwrap().table.entries;
-        let all: f64 = lines.iter().filter(|line| line.routable).map(|line| line.weight).sum();
-        lines
+    let (mut engine, before) = engine_with_proxy(&["a", "b", "c"]);
+    let mut roster = ready(&["a", "b", "c"]);
+    roster[2].started_at = Some(ms(1000));
+    engine.update_roster(ms(1000), roster);
+    run_and_acknowledge(&mut engine, ms(1600));
+    let weight_fraction = |engine: &Engine| {
+        let table_entries = &engine.proxy(0).unwrap().tables[0].as_ref().unwrap().table.entries;
+        let total: f64 = table_entries.iter().filter(|entry| entry.routable).map(|entry| entry.weight).sum();
+        table_entries
             .iter()
-            .filter(|line| line.routable && &*line.replica == "c")
-            .map(|line| line.weight)
+            .filter(|entry| entry.routable && &*entry.replica == "c")
+            .map(|entry| entry.weight)
             .sum::<f64>()
-            / all
+            / total
     };
-    let present = engine.current_table(0, 0);
-    let all: f64 = present.entries.iter().map(|line| line.weight).sum();
-    let cap = present
+    let current = engine.current_table(0, 0);
+    let total: f64 = current.entries.iter().map(|entry| entry.weight).sum();
+    let cap = current
         .entries
         .iter()
-        .filter(|line| &*line.replica == "c")
-        .map(|line| line.weight / all)
+        .filter(|entry| &*entry.replica == "c")
+        .map(|entry| entry.weight / total)
         .sum::<f64>();
     assert!(cap < 0.2, "the module limits its weight: {cap}");
     engine.rollback(ms(2000), &TableScope::All, before, "", ms(60_000)).unwrap();
-    assert!(share(&engine) <= cap + 1e-9, "{} {cap}", share(&engine));
+    assert!(weight_fraction(&engine) <= cap + 1e-9, "{} {cap}", weight_fraction(&engine));
 }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -192,24 +192,24 @@
     /// Returns the id that belongs to the name, else an unused one, else the id of the proxy that has been
     /// away longest; in the last case the second value is the name that loses the id.
     pub fn assign(&mut self, now: Duration, name: &Arc<str>) -> Option<(ProxyId, Option<Arc<str>>)> {
-        if let Some(number) = self.by_name.get(name) {
+        if let Some(id) = self.by_name.get(name) {
             self.release.retain(|(_, away)| away != name);
-            return Some((*number, None));
+            return Some((*id, None));
         }
         if self.next < self.capacity {
-            let number = self.next as ProxyId;
+            let id = self.next as ProxyId;
             self.next += 1;
-            self.by_name.insert(name.clone(), number);
-            return Some((number, None));
+            self.by_name.insert(name.clone(), id);
+            return Some((id, None));
         }
         let (since, _) = self.release.first()?;
         if now < *since + REUSE_AFTER {
             return None;
         }
-        let (_, former) = self.release.pop_first()?;
-        let number = self.by_name.remove(&former)?;
-        self.by_name.insert(name.clone(), number);
-        Some((number, Some(former)))
+        let (_, previous_name) = self.release.pop_first()?;
+        let id = self.by_name.remove(&previous_name)?;
+        self.by_name.insert(name.clone(), id);
+        Some((id, Some(previous_name)))
     }
 
     /// The proxy of this name has disconnected. It keeps its id while unused ids are left.
@@ -293,14 +293,14 @@
         }
         self.replaced_streams
             .retain(|_, times| times.back().is_some_and(|last| *last + CONTEST_PERIOD > now));
-        let Some((number, former)) = self.ids.assign(now, &join.name) else {
+        let Some((id, previous_name)) = self.ids.assign(now, &join.name) else {
             return Err(JoinError::Full { joined: self.proxies.len(), most: self.ids.capacity() });
         };
         if let Some(old) = replaced_stream {
             self.by_stream.remove(&old);
         }
-        self.by_stream.insert(stream, number);
-        self.by_name.insert(join.name.clone(), number);
+        self.by_stream.insert(stream, id);
+        self.by_name.insert(join.name.clone(), id);
         let proxy = Proxy {
             name: join.name.clone(),
             stream,
@@ -316,17 +316,17 @@
             rejected: None,
             outstanding_acknowledgements: VecDeque::new(),
         };
-        self.proxies.insert(number, proxy);
-        Ok(JoinOutcome { proxy: number, replaced_stream, id_reused: former.is_some() })
+        self.proxies.insert(id, proxy);
+        Ok(JoinOutcome { proxy: id, replaced_stream, id_reused: previous_name.is_some() })
     }
 
     /// Removes a closed stream. Returns `None` if a newer stream of the same proxy has replaced it.
     pub fn disconnect(&mut self, now: Duration, stream: StreamId) -> Option<ProxyId> {
-        let number = self.by_stream.remove(&stream)?;
-        let proxy = self.proxies.remove(&number)?;
+        let id = self.by_stream.remove(&stream)?;
+        let proxy = self.proxies.remove(&id)?;
         self.by_name.remove(&proxy.name);
         self.ids.release(now, &proxy.name);
-        Some(number)
+        Some(id)
     }
 
     /// A proxy acknowledged all versions up to this one. Returns the times of the acknowledgement requests
@@ -347,13 +347,13 @@
     }
 
     /// A connected proxy.
-    pub fn get(&self, number: ProxyId) -> Option<&Proxy> {
-        self.proxies.get(&number)
+    pub fn get(&self, id: ProxyId) -> Option<&Proxy> {
+        self.proxies.get(&id)
     }
 
     /// A connected proxy, mutable.
-    pub fn get_mut(&mut self, number: ProxyId) -> Option<&mut Proxy> {
-        self.proxies.get_mut(&number)
+    pub fn get_mut(&mut self, id: ProxyId) -> Option<&mut Proxy> {
+        self.proxies.get_mut(&id)
     }
 
     /// The id of the proxy on a stream.
@@ -363,13 +363,13 @@
 
     /// The connected proxy of this name.
     pub fn named(&self, name: &str) -> Option<(ProxyId, &Proxy)> {
-        let number = self.by_name.get(name)?;
-        Some((*number, self.proxies.get(number)?))
+        let id = self.by_name.get(name)?;
+        Some((*id, self.proxies.get(id)?))
     }
 
     /// All connected proxies, ordered by id.
     pub fn iter(&self) -> impl Iterator<Item = (ProxyId, &Proxy)> {
-        self.proxies.iter().map(|(number, proxy)| (*number, proxy))
+        self.proxies.iter().map(|(id, proxy)| (*id, proxy))
     }
 
     /// The ids of all connected proxies.
@@ -388,7 +388,7 @@
     }
 
     fn proxy_on_stream_mut(&mut self, stream: StreamId) -> Option<&mut Proxy> {
-        self.by_stream.get(&stream).and_then(|number| self.proxies.get_mut(number))
+        self.by_stream.get(&stream).and_then(|id| self.proxies.get_mut(id))
     }
 }
 
--- a/crates/core/src/history.rs
+++ b/crates/core/src/history.rs
@@ -91,12 +91,12 @@
     /// The version that a proxy reports to hold, if it is retained and has the reported digest.
     pub fn held(&self, proxy: ProxyId, version: u64, digest: &Digest) -> Option<&HistoryEntry> {
         let versions = self.by_proxy.get(&proxy)?;
-        versions.iter().rev().find(|one| one.version == version && one.digest == *digest)
+        versions.iter().rev().find(|entry| entry.version == version && entry.digest == *digest)
     }
 
     /// The state of a proxy as of a version: the newest one up to it.
     pub fn as_of(&self, proxy: ProxyId, version: u64) -> Option<&HistoryEntry> {
-        self.by_proxy.get(&proxy)?.iter().rev().find(|one| one.version <= version)
+        self.by_proxy.get(&proxy)?.iter().rev().find(|entry| entry.version <= version)
     }
 
     /// The retained versions of a proxy, oldest first.
--- a/crates/core/src/history/tests.rs
+++ b/crates/core/src/history/tests.rs
@@ -4,24 +4,24 @@
 use crate::table_versions::{MILLION, PublishedEntry, PublishedTable};
 use wrenthread::types::RetryPolicy;
 
-fn version(version: u64, lines: usize) -> HistoryEntry {
-    let line = |n: usize| {
+fn version(version: u64, entry_count: usize) -> HistoryEntry {
+    let entry = |n: usize| {
         (
             format!("r{n}").as_str().into(),
             PublishedEntry { address: "a".into(), zone: 0, weight: version as u32 },
         )
     };
-    let said = PublishedTable {
-        entries: (0..lines).map(line).collect(),
+    let table = PublishedTable {
+        entries: (0..entry_count).map(entry).collect(),
         admission_millionths: MILLION,
         retry_policy: RetryPolicy::Never,
     };
-    let whole = PublishedState { classes: vec![Some(said)] };
-    HistoryEntry { version, published_at: Duration::ZERO, digest: whole.digest(), state: Arc::new(whole) }
+    let state = PublishedState { classes: vec![Some(table)] };
+    HistoryEntry { version, published_at: Duration::ZERO, digest: state.digest(), state: Arc::new(state) }
 }
 
 fn versions(history: &History, proxy: ProxyId) -> Vec<u64> {
-    history.of(proxy).map(|one| one.version).collect()
+    history.of(proxy).map(|entry| entry.version).collect()
 }
 
 #[test]
@@ -47,7 +47,7 @@
     let digest = version(20, 2).digest;
     assert!(history.held(0, 20, &digest).is_some());
     assert!(history.held(0, 20, &[0; 32]).is_none() && history.held(0, 21, &digest).is_none());
-    assert_eq!(history.as_of(0, 29).map(|one| one.version), Some(20));
+    assert_eq!(history.as_of(0, 29).map(|entry| entry.version), Some(20));
     assert_eq!(history.as_of(0, 9), None);
     history.push(0, version(30, 2));
     assert_eq!(versions(&history, 0), [10, 20, 30], "a version that does not increase is ignored");
--- a/crates/core/src/overrides.rs
+++ b/crates/core/src/overrides.rs
@@ -82,17 +82,17 @@
 
     /// Removes expired overrides and returns their replicas.
     pub fn take_expired(&mut self, now: Duration) -> BTreeSet<ReplicaId> {
-        self.by_replica.extract_if(.., |_, one| one.until <= now).map(|(id, _)| id).collect()
+        self.by_replica.extract_if(.., |_, entry| entry.until <= now).map(|(id, _)| id).collect()
     }
 
     /// When the next override expires.
     pub fn next_deadline(&self) -> Option<Duration> {
-        self.by_replica.values().map(|one| one.until).min()
+        self.by_replica.values().map(|entry| entry.until).min()
     }
 
     /// Whether a replica is excluded.
     pub fn excludes(&self, replica: &ReplicaId) -> bool {
-        self.by_replica.get(replica).is_some_and(|one| one.what == OverrideKind::Exclude)
+        self.by_replica.get(replica).is_some_and(|entry| entry.what == OverrideKind::Exclude)
     }
 
     /// Whether there is an override of a replica.
@@ -111,7 +111,7 @@
             return;
         }
         for entry in &mut table.entries {
-            match self.by_replica.get(&entry.replica).map(|one| one.what) {
+            match self.by_replica.get(&entry.replica).map(|entry| entry.what) {
                 Some(OverrideKind::Exclude) => entry.routable = false,
                 Some(OverrideKind::Weight(factor)) => entry.weight *= factor,
                 None => {}
--- a/crates/core/src/reports.rs
+++ b/crates/core/src/reports.rs
@@ -103,7 +103,7 @@
     /// The sum of its intervals.
     covered: Duration,
     /// The digests of its last reports.
-    seen: VecDeque<u64>,
+    recent_digests: VecDeque<u64>,
     /// The last counted report and its time, to hand over with the proxy.
     last: Option<(Duration, LoadReport)>,
 }
@@ -148,10 +148,10 @@
     sources: BTreeMap<ProxyId, Source>,
     aggregates: BTreeMap<Key, Aggregate>,
     /// The waiting aggregates, ordered by the time of their first count.
-    order: BTreeSet<(Duration, Key)>,
+    queue: BTreeSet<(Duration, Key)>,
     last: BTreeMap<Key, Duration>,
     next: Option<Duration>,
-    spare: f64,
+    budget: f64,
     discarded: BTreeMap<DiscardReason, u64>,
     counted: u64,
 }
@@ -165,10 +165,10 @@
             entries_per_second,
             sources: BTreeMap::new(),
             aggregates: BTreeMap::new(),
-            order: BTreeSet::new(),
+            queue: BTreeSet::new(),
             last: BTreeMap::new(),
             next: None,
-            spare: 0.0,
+            budget: 0.0,
             discarded: BTreeMap::new(),
             counted: 0,
         }
@@ -195,7 +195,7 @@
         self.sources.remove(&proxy);
         let gone = |key: &Key| matches!(key, Key::DemandStatistics(of, _) if *of == proxy);
         self.aggregates.retain(|key, _| !gone(key));
-        self.order.retain(|(_, key)| !gone(key));
+        self.queue.retain(|(_, key)| !gone(key));
         self.last.retain(|key, _| !gone(key));
     }
 
@@ -291,7 +291,7 @@
             return Err(DiscardReason::Counters);
         }
         let digest = digest(report);
-        if source.seen.contains(&digest) {
+        if source.recent_digests.contains(&digest) {
             return Err(DiscardReason::Copy);
         }
         if source.covered + report.interval
@@ -300,9 +300,9 @@
             return Err(DiscardReason::OutOfOrder);
         }
         source.covered += report.interval;
-        source.seen.push_back(digest);
-        if source.seen.len() > REMEMBERED_REPORTS {
-            source.seen.pop_front();
+        source.recent_digests.push_back(digest);
+        if source.recent_digests.len() > REMEMBERED_REPORTS {
+            source.recent_digests.pop_front();
         }
         // If the covered time lagged far behind, old copies could be counted: time that was never reported is
         // written off.
@@ -313,7 +313,7 @@
 
     fn aggregate(&mut self, now: Duration, key: Key) -> &mut Aggregate {
         if !self.aggregates.contains_key(&key) {
-            self.order.insert((now, key.clone()));
+            self.queue.insert((now, key.clone()));
         }
         self.aggregates.entry(key).or_default()
     }
@@ -330,17 +330,17 @@
         }
         let allowance = self.entries_per_second * self.period.as_secs_f64();
         // Allowances below one entry add up; unused larger ones are not saved.
-        self.spare = self.spare.min(1.0) + allowance.min(MAX_ALLOWANCE);
+        self.budget = self.budget.min(1.0) + allowance.min(MAX_ALLOWANCE);
         let mut due = Vec::new();
-        while self.spare >= 1.0 {
-            let Some((since, key)) = self.order.pop_first() else { break };
-            self.spare -= 1.0;
+        while self.budget >= 1.0 {
+            let Some((since, key)) = self.queue.pop_first() else { break };
+            self.budget -= 1.0;
             let aggregate = self.aggregates.remove(&key).unwrap_or_default();
             let interval = self.interval(now, since, &key);
             due.push(aggregate.into_statistics(key, interval));
         }
         self.last.retain(|_, at| *at + MAX_INTERVAL > now);
-        self.next = Some(now + self.period).filter(|_| !self.order.is_empty());
+        self.next = Some(now + self.period).filter(|_| !self.queue.is_empty());
         due
     }
 
@@ -356,7 +356,7 @@
 
     /// The number of statistics that wait to be passed on.
     pub fn queued_entries(&self) -> usize {
-        self.order.len()
+        self.queue.len()
     }
 }
 
--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -81,8 +81,8 @@
     /// replaced by `now`: it means that the source's clock is ahead, and the replica would otherwise count as
     /// cold for too long.
     pub fn update(&mut self, now: Duration, entries: Vec<RosterEntry>) -> RosterChange {
-        let held = self.known.values().any(|one| one.phase != Phase::Gone);
-        if entries.is_empty() && held {
+        let has_listed = self.known.values().any(|replica| replica.phase != Phase::Gone);
+        if entries.is_empty() && has_listed {
             let since = *self.empty_since.get_or_insert(now);
             if now < since + self.empty_roster_timeout {
                 return RosterChange::Doubted(since + self.empty_roster_timeout);
@@ -104,13 +104,13 @@
 
     /// When to call [`Roster::believe_empty`] next.
     pub fn next_deadline(&self) -> Option<Duration> {
-        let held = self.known.values().any(|one| one.phase != Phase::Gone);
-        self.empty_since.filter(|_| held).map(|since| since + self.empty_roster_timeout)
+        let has_listed = self.known.values().any(|replica| replica.phase != Phase::Gone);
+        self.empty_since.filter(|_| has_listed).map(|since| since + self.empty_roster_timeout)
     }
 
     fn replace(&mut self, now: Duration, entries: Vec<RosterEntry>) -> RosterChange {
         let before = self.known.clone();
-        self.known.values_mut().for_each(|one| one.phase = Phase::Gone);
+        self.known.values_mut().for_each(|replica| replica.phase = Phase::Gone);
         for entry in entries {
             let RosterEntry { id, address, zone, weight, phase, started_at: started, backup: _ } = entry;
             // Keeps the first clamped value: a start time that changed with each roster would look like a new
@@ -124,19 +124,20 @@
         }
         // If two replicas had the same address one after the other, the one that is not gone gets it.
         self.by_address.clear();
-        let (gone, here): (Vec<_>, Vec<_>) = self.known.iter().partition(|(_, one)| one.phase == Phase::Gone);
-        for (id, one) in gone.into_iter().chain(here) {
-            self.by_address.insert(one.address.clone(), id.clone());
+        let (gone, present): (Vec<_>, Vec<_>) =
+            self.known.iter().partition(|(_, replica)| replica.phase == Phase::Gone);
+        for (id, replica) in gone.into_iter().chain(present) {
+            self.by_address.insert(replica.address.clone(), id.clone());
         }
-        let listed = self.known.iter().filter(|(_, one)| one.phase != Phase::Gone);
+        let listed = self.known.iter().filter(|(_, replica)| replica.phase != Phase::Gone);
         RosterChange::Changed(
             listed
-                .map(|(id, one)| ReplicaEntry {
+                .map(|(id, replica)| ReplicaEntry {
                     id: id.clone(),
-                    phase: one.phase,
-                    zone: one.zone,
-                    weight: one.weight,
-                    started_at: one.started_at,
+                    phase: replica.phase,
+                    zone: replica.zone,
+                    weight: replica.weight,
+                    started_at: replica.started_at,
                 })
                 .collect(),
         )
@@ -154,12 +155,12 @@
 
     /// Whether a replica is ready.
     pub fn is_ready(&self, id: &ReplicaId) -> bool {
-        self.known.get(id).is_some_and(|one| one.phase == Phase::Ready)
+        self.known.get(id).is_some_and(|replica| replica.phase == Phase::Ready)
     }
 
     /// The number of ready replicas in a zone.
     pub fn ready_count(&self, zone: usize) -> usize {
-        self.known.values().filter(|one| one.zone == zone && one.phase == Phase::Ready).count()
+        self.known.values().filter(|replica| replica.zone == zone && replica.phase == Phase::Ready).count()
     }
 
     /// All replicas, including those that are gone and still named by a table.
@@ -175,7 +176,7 @@
     /// Drops gone replicas that `named` does not report as still in use, so that replica names of past
     /// deployments do not accumulate.
     pub fn forget_gone(&mut self, named: impl Fn(&ReplicaId) -> bool) {
-        self.known.retain(|id, one| one.phase != Phase::Gone || named(id));
+        self.known.retain(|id, replica| replica.phase != Phase::Gone || named(id));
         self.by_address.retain(|_, id| self.known.contains_key(id));
     }
 }
--- a/crates/core/src/send_limiter/tests.rs
+++ b/crates/core/src/send_limiter/tests.rs
@@ -6,14 +6,14 @@
     Duration::from_millis(ms)
 }
 
-fn limiter(lines_per_s: f64, limit: Option<(usize, Duration)>) -> SendLimiter {
-    let messages_most = limit.map(|(messages, interval)| MessageLimit { messages, interval });
+fn limiter(entry_rate: f64, limit: Option<(usize, Duration)>) -> SendLimiter {
+    let per_proxy_limit = limit.map(|(messages, interval)| MessageLimit { messages, interval });
     SendLimiter::new(
         ChannelLimits {
-            entries_per_second: lines_per_s,
+            entries_per_second: entry_rate,
             message_overhead_entries: 10.0,
             max_queued_entries: 100.0,
-            message_limit: messages_most,
+            message_limit: per_proxy_limit,
         },
         ms(0),
     )
--- a/crates/core/src/table_versions.rs
+++ b/crates/core/src/table_versions.rs
@@ -190,9 +190,9 @@
 fn table_change(old: Option<&PublishedTable>, new: &PublishedTable) -> TableChange {
     let held = |id: &ReplicaId| old.and_then(|old| old.entries.get(id));
     let changed = new.entries.iter().filter(|(id, entry)| held(id) != Some(entry)).map(|(id, entry)| {
-        let same_place =
+        let same_location =
             held(id).is_some_and(|held| held.address == entry.address && held.zone == entry.zone);
-        let at = (!same_place).then(|| (entry.address.clone(), entry.zone));
+        let at = (!same_location).then(|| (entry.address.clone(), entry.zone));
         ChangedEntry { replica: id.clone(), weight: entry.weight, at }
     });
     let removed = old.into_iter().flat_map(|old| old.entries.keys());
--- a/crates/core/src/table_versions/tests.rs
+++ b/crates/core/src/table_versions/tests.rs
@@ -4,22 +4,22 @@
 use proptest::prelude::*;
 
 fn states() -> impl Strategy<Value = PublishedState> {
-    let line = (0usize..8, 0usize..2, 1u32..5000);
-    let said = prop::option::of((prop::collection::vec(line, 0..6), 0u32..=MILLION, 0usize..3));
-    let group = said.prop_map(|said| {
-        said.map(|(lines, level, tries)| PublishedTable {
-            entries: lines
+    let entry = (0usize..8, 0usize..2, 1u32..5000);
+    let optional_table = prop::option::of((prop::collection::vec(entry, 0..6), 0u32..=MILLION, 0usize..3));
+    let class = optional_table.prop_map(|table| {
+        table.map(|(entries, admitted, policy)| PublishedTable {
+            entries: entries
                 .into_iter()
                 .map(|(id, zone, weight)| {
                     let address = format!("10.0.{zone}.{id}:80").as_str().into();
                     (format!("r{id}").as_str().into(), PublishedEntry { address, zone, weight })
                 })
                 .collect(),
-            admission_millionths: level,
-            retry_policy: [RetryPolicy::Never, RetryPolicy::IfNotExecuted, RetryPolicy::OnAnyFailure][tries],
+            admission_millionths: admitted,
+            retry_policy: [RetryPolicy::Never, RetryPolicy::IfNotExecuted, RetryPolicy::OnAnyFailure][policy],
         })
     });
-    prop::collection::vec(group, 3).prop_map(|groups| PublishedState { classes: groups })
+    prop::collection::vec(class, 3).prop_map(|tables| PublishedState { classes: tables })
 }
 
 proptest! {
@@ -40,68 +40,68 @@
         history in prop::collection::vec(states(), 2..10),
         deliveries in prop::collection::vec((0usize..10, 0usize..10), 0..40),
     ) {
-        let mut held = PublishedState::default();
+        let mut current = PublishedState::default();
         for (from, to) in deliveries {
             let (from, to) = (&history[from % history.len()], &history[to % history.len()]);
             let change = delta(from, from.digest(), to, to.digest());
-            let before = held.clone();
-            match apply(&held, held.digest(), &change) {
+            let before = current.clone();
+            match apply(&current, current.digest(), &change) {
                 Ok(after) => {
                     prop_assert_eq!(after.digest(), to.digest());
-                    held = after;
+                    current = after;
                 }
                 Err(_) => {
-                    prop_assert_eq!(&held, &before);
-                    held = to.clone(); // requests the complete state
+                    prop_assert_eq!(&current, &before);
+                    current = to.clone(); // requests the complete state
                 }
             }
         }
         let last = history.last().unwrap();
-        let change = delta(&held, held.digest(), last, last.digest());
-        let end = apply(&held, held.digest(), &change).unwrap_or_else(|_| last.clone());
+        let change = delta(&current, current.digest(), last, last.digest());
+        let end = apply(&current, current.digest(), &change).unwrap_or_else(|_| last.clone());
         prop_assert_eq!(&end, last);
     }
 }
 
-fn said(weight: u32) -> PublishedState {
-    let line = PublishedEntry { address: "a:1".into(), zone: 0, weight };
-    let said = PublishedTable {
-        entries: BTreeMap::from([("a".into(), line)]),
+fn state_with_weight(weight: u32) -> PublishedState {
+    let entry = PublishedEntry { address: "a:1".into(), zone: 0, weight };
+    let state_with_weight = PublishedTable {
+        entries: BTreeMap::from([("a".into(), entry)]),
         admission_millionths: MILLION,
         retry_policy: RetryPolicy::Never,
     };
-    PublishedState { classes: vec![Some(said)] }
+    PublishedState { classes: vec![Some(state_with_weight)] }
 }
 
 #[test]
 fn rejects_a_delta_that_does_not_fit_before_it_takes_effect() {
-    let (one, two) = (said(1), said(2));
-    let good = delta(&one, one.digest(), &two, two.digest());
+    let (one, two) = (state_with_weight(1), state_with_weight(2));
+    let valid = delta(&one, one.digest(), &two, two.digest());
     // As if one side computed digests incorrectly.
-    let wrong = Delta { digest: [7; 32], ..good.clone() };
+    let wrong = Delta { digest: [7; 32], ..valid.clone() };
     assert_eq!(apply(&one, one.digest(), &wrong), Err(Mismatch::Digest));
-    let collides = Delta { base: two.digest(), ..good.clone() };
+    let same_result = Delta { base: two.digest(), ..valid.clone() };
     assert_eq!(
-        apply(&two, two.digest(), &collides),
+        apply(&two, two.digest(), &same_result),
         Ok(two.clone()),
         "the delta sets the weight that the state already has"
     );
-    let stranger = ChangedEntry { replica: "b".into(), weight: 1, at: None };
-    let lines = TableChange::Entries {
-        changed: vec![stranger],
+    let unknown_replica = ChangedEntry { replica: "b".into(), weight: 1, at: None };
+    let entries = TableChange::Entries {
+        changed: vec![unknown_replica],
         removed: vec![],
         level: 0,
         tries: RetryPolicy::Never,
     };
-    let unknown = Delta { changes: BTreeMap::from([(0, lines.clone())]), ..good.clone() };
+    let unknown = Delta { changes: BTreeMap::from([(0, entries.clone())]), ..valid.clone() };
     assert_eq!(apply(&one, one.digest(), &unknown), Err(Mismatch::Unknown));
-    let beyond = Delta { changes: BTreeMap::from([(5, lines)]), ..good };
-    assert_eq!(apply(&one, one.digest(), &beyond), Err(Mismatch::Group));
+    let unknown_class = Delta { changes: BTreeMap::from([(5, entries)]), ..valid };
+    assert_eq!(apply(&one, one.digest(), &unknown_class), Err(Mismatch::Group));
 }
 
 #[test]
 fn sends_addresses_only_of_replicas_new_to_a_proxy() {
-    let (one, two) = (said(1), said(2));
+    let (one, two) = (state_with_weight(1), state_with_weight(2));
     let change = delta(&one, one.digest(), &two, two.digest());
     let TableChange::Entries { changed, .. } = &change.changes[&0] else { panic!() };
     assert_eq!(changed[0].at, None);
--- a/crates/core/src/tables.rs
+++ b/crates/core/src/tables.rs
@@ -148,7 +148,7 @@
         }
         let mut entries: Vec<ResolvedEntry> =
             default_table.iter().map(|(id, weight)| (id, *weight)).filter_map(resolved).collect();
-        entries.sort_by(|one, other| one.replica.cmp(&other.replica));
+        entries.sort_by(|left, right| left.replica.cmp(&right.replica));
         let is_restricted = admission_fraction < 1.0 || entries.iter().any(|entry| !entry.routable);
         let must_publish = published || is_restricted;
         (must_publish && !entries.is_empty()).then_some(Table { entries, admission_fraction })
--- a/crates/core/src/tables/tests.rs
+++ b/crates/core/src/tables/tests.rs
@@ -27,15 +27,16 @@
 #[test]
 fn publishes_a_default_table_only_once_it_is_restricted() {
     let (roster, mut tables) = (roster(&["a", "b"]), Tables::new(1, RetryPolicy::Never));
-    let standing = [("b".into(), 1.0), ("a".into(), 2.0)];
-    assert_eq!(tables.resolve(&roster, 0, None, &standing, false), None);
+    let default_table = [("b".into(), 1.0), ("a".into(), 2.0)];
+    assert_eq!(tables.resolve(&roster, 0, None, &default_table, false), None);
     tables.set_ejected("a".into(), true);
-    let table = tables.resolve(&roster, 0, None, &standing, false).unwrap();
-    let lines: Vec<_> = table.entries.iter().map(|one| (&*one.replica, one.weight, one.routable)).collect();
-    assert_eq!(lines, [("a", 2.0, false), ("b", 1.0, true)]);
+    let table = tables.resolve(&roster, 0, None, &default_table, false).unwrap();
+    let resolved_entries: Vec<_> =
+        table.entries.iter().map(|entry| (&*entry.replica, entry.weight, entry.routable)).collect();
+    assert_eq!(resolved_entries, [("a", 2.0, false), ("b", 1.0, true)]);
     tables.set_ejected("a".into(), false);
     assert!(
-        tables.resolve(&roster, 0, None, &standing, true).unwrap().entries[0].routable,
+        tables.resolve(&roster, 0, None, &default_table, true).unwrap().entries[0].routable,
         "a published table is kept up to date"
     );
 }
@@ -53,21 +54,24 @@
 
 #[test]
 fn counts_differences_and_detects_tables_that_route_to_ejected_replicas() {
-    let line = |name: &str, weight, open| ResolvedEntry {
+    let resolved = |name: &str, weight, is_routable| ResolvedEntry {
         replica: name.into(),
         address: "x".into(),
         zone: 0,
         weight,
-        routable: open,
+        routable: is_routable,
     };
-    let one = Table { entries: vec![line("a", 1.0, true), line("c", 1.0, true)], admission_fraction: 1.0 };
-    let two = Table { entries: vec![line("b", 1.0, true), line("c", 2.0, true)], admission_fraction: 0.5 };
-    assert_eq!((two.count_differences(&one), one.count_differences(&one)), (4, 0));
+    let first =
+        Table { entries: vec![resolved("a", 1.0, true), resolved("c", 1.0, true)], admission_fraction: 1.0 };
+    let second =
+        Table { entries: vec![resolved("b", 1.0, true), resolved("c", 2.0, true)], admission_fraction: 0.5 };
+    assert_eq!((second.count_differences(&first), first.count_differences(&first)), (4, 0));
     let mut tables = Tables::new(1, RetryPolicy::Never);
-    assert!(!tables.routes_to_ejected(&one));
+    assert!(!tables.routes_to_ejected(&first));
     tables.set_ejected("c".into(), true);
-    assert!(tables.routes_to_ejected(&one));
+    assert!(tables.routes_to_ejected(&first));
     assert!(
-        !tables.routes_to_ejected(&Table { entries: vec![line("c", 1.0, false)], admission_fraction: 1.0 })
+        !tables
+            .routes_to_ejected(&Table { entries: vec![resolved("c", 1.0, false)], admission_fraction: 1.0 })
     );
 }
--- a/crates/core/src/weights.rs
+++ b/crates/core/src/weights.rs
@@ -18,16 +18,16 @@
 /// its fraction. Weights that are not finite or not above 0 are treated as equal to the lightest: this
 /// function never drops an entry.
 pub fn whole(weights: &[f64]) -> Vec<u32> {
-    let sound = |weight: &f64| weight.is_finite() && *weight > 0.0;
-    let lightest = weights.iter().copied().filter(sound).fold(f64::INFINITY, f64::min);
+    let is_valid = |weight: &f64| weight.is_finite() && *weight > 0.0;
+    let lightest = weights.iter().copied().filter(is_valid).fold(f64::INFINITY, f64::min);
     let lightest = if lightest.is_finite() { lightest } else { 1.0 };
-    let weight = |weight: &f64| if sound(weight) { *weight } else { lightest };
+    let weight = |weight: &f64| if is_valid(weight) { *weight } else { lightest };
     let largest = weights.iter().map(weight).fold(lightest, f64::max);
     // Relative to the largest weight, so that the sum of finite weights can't overflow.
-    let sum: f64 = weights.iter().map(|one| weight(one) / largest).sum();
+    let sum: f64 = weights.iter().map(|raw| weight(raw) / largest).sum();
     let headroom = f64::from(u32::MAX) - weights.len() as f64;
     let scale = (LIGHTEST / (lightest / largest)).min(headroom / sum.max(1.0));
-    weights.iter().map(|one| ((weight(one) / largest * scale) as u32).max(1)).collect()
+    weights.iter().map(|raw| ((weight(raw) / largest * scale) as u32).max(1)).collect()
 }
 
 #[cfg(test)]
--- a/crates/core/src/weights/tests.rs
+++ b/crates/core/src/weights/tests.rs
@@ -17,18 +17,18 @@
         let sum: f64 = weights.iter().sum();
         let lightest = weights.iter().copied().fold(f64::INFINITY, f64::min);
         prop_assume!(sum / lightest < 4e6);
-        let all: u64 = whole.iter().map(|one| u64::from(*one)).sum();
-        prop_assert!(all <= u64::from(u32::MAX));
+        let total: u64 = whole.iter().map(|weight| u64::from(*weight)).sum();
+        prop_assert!(total <= u64::from(u32::MAX));
         for (weight, whole) in weights.iter().zip(&whole) {
-            let (was, is) = (weight / sum, f64::from(*whole) / all as f64);
-            prop_assert!(*whole >= 1 && (is / was - 1.0).abs() < 1.01 * ROUNDED_BY, "{was} {is}");
+            let (fraction_before, fraction_after) = (weight / sum, f64::from(*whole) / total as f64);
+            prop_assert!(*whole >= 1 && (fraction_after / fraction_before - 1.0).abs() < 1.01 * ROUNDED_BY, "{fraction_before} {fraction_after}");
         }
     }
 
     #[test]
     fn sums_fit_however_far_apart_weights_are(weights in prop::collection::vec(0.0f64..f64::MAX, 1..50)) {
         let whole = whole(&weights);
-        prop_assert!(whole.iter().map(|one| u64::from(*one)).sum::<u64>() <= u64::from(u32::MAX));
-        prop_assert!(whole.iter().all(|one| *one >= 1));
+        prop_assert!(whole.iter().map(|weight| u64::from(*weight)).sum::<u64>() <= u64::from(u32::MAX));
+        prop_assert!(whole.iter().all(|weight| *weight >= 1));
     }
 }
