--- a/crates/client/tests/model.rs
+++ b/crates/client/tests/model.rs
@@ -165,7 +165,7 @@
         for place in 0..3 {
             let stream = self.engine.fleet().named(&format!("p{place}")).unwrap().1.stream;
             self.engine.stream_has_capacity(stream);
-            self.engine.settled(stream);
+            self.engine.clear_in_flight(stream);
             self.engine.resend_requested(self.now, stream, 1);
         }
     }
--- a/crates/core/benches/restart.rs
+++ b/crates/core/benches/restart.rs
@@ -143,7 +143,7 @@
                         succeeded: if n == 4 { 0 } else { 4 },
                         failed: if n == 4 { 4 } else { 0 },
                         // Differs each time, as an identical report is discarded as a copy.
-                        answers: if n == 4 {
+                        latency_sum_and_count: if n == 4 {
                             (Duration::ZERO, 0)
                         } else {
                             (Duration::from_micros(80_000 + now), 4)
--- a/crates/core/src/engine/actions.rs
+++ b/crates/core/src/engine/actions.rs
@@ -30,19 +30,19 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
     /// The module's tick was due.
-    Beat,
+    Tick,
     /// The roster changed.
     Roster,
     /// Load reports were aggregated.
     Reports,
     /// A proxy connected.
-    Joined,
+    ProxyConnected,
     /// A proxy disconnected.
-    Left,
+    ProxyDisconnected,
     /// A proxy sent an acknowledgement that the module had requested.
-    Acked,
+    Acknowledged,
     /// A health check finished.
-    Probed,
+    HealthChecked,
 }
 
 /// An event for the log.
@@ -51,14 +51,14 @@
     /// The module made a decision.
     Decided {
         /// The decision.
-        what: DecisionSummary,
+        summary: DecisionSummary,
         /// The version under which it is published.
         version: u64,
         /// The kinds of input since the last flush.
-        answers: Arc<[Cause]>,
+        causes: Arc<[Cause]>,
     },
     /// The roster source reported an empty roster; it is not accepted before this time.
-    EmptyRosterDoubted(Duration),
+    EmptyRosterUnconfirmed(Duration),
     /// A proxy rejected a version and keeps its last accepted tables.
     VersionRejected {
         /// The proxy's name.
@@ -66,7 +66,7 @@
         /// The rejected version.
         version: u64,
         /// The reason reported by the proxy.
-        words: String,
+        reason: String,
     },
     /// The number of proxies in the join queue, which wait for channel capacity.
     JoinsQueued(usize),
@@ -79,9 +79,9 @@
         /// The proxy's name.
         proxy: Arc<str>,
         /// The traffic class.
-        group: usize,
+        class: usize,
         /// Why it was released.
-        over: ReleaseReason,
+        reason: ReleaseReason,
     },
 }
 
@@ -89,11 +89,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum DecisionSummary {
     /// A replica was ejected (`true`) or restored (`false`).
-    Withdraw(ReplicaId, bool),
+    Ejection(ReplicaId, bool),
     /// A table changed: the name of its proxy, and the number of changed entries.
-    Lines(Arc<str>, usize),
+    TableUpdate(Arc<str>, usize),
     /// A proxy was assigned a table for these traffic classes.
-    Follow(Arc<str>, ClassSet),
+    TableAssignment(Arc<str>, ClassSet),
     /// The admission fraction and retry policy of these traffic classes were set.
-    Level(ClassSet, f64, RetryPolicy),
+    Admission(ClassSet, f64, RetryPolicy),
 }
--- a/crates/core/src/engine/decisions.rs
+++ b/crates/core/src/engine/decisions.rs
@@ -21,7 +21,8 @@
 const FLOOD_RETRY: Duration = Duration::from_millis(250);
 
 /// Inputs after which the amount of shifted traffic is not limited.
-const SHIFTING_CAUSES: [Cause; 4] = [Cause::Roster, Cause::Joined, Cause::Left, Cause::Probed];
+const SHIFTING_CAUSES: [Cause; 4] =
+    [Cause::Roster, Cause::ProxyConnected, Cause::ProxyDisconnected, Cause::HealthChecked];
 
 /// The effects of a flush.
 #[derive(Debug, Default)]
@@ -44,7 +45,7 @@
 impl Engine {
     /// Applies all decisions that the module makes now and publishes the changes.
     pub(super) fn flush_decisions(&mut self, now: Duration) {
-        let answers: Arc<[Cause]> = std::mem::take(&mut self.causes).into_iter().collect();
+        let causes: Arc<[Cause]> = std::mem::take(&mut self.causes).into_iter().collect();
         let version = self.version + 1;
         self.flush_count += 1;
         let mut flush = Flush::default();
@@ -63,8 +64,9 @@
         }
         self.find_assigned_proxies(&mut flush);
 
-        let shift_expected = answers.iter().any(|cause| SHIFTING_CAUSES.contains(cause));
-        let event = |what| Action::Report(EngineEvent::Decided { what, version, answers: answers.clone() });
+        let shift_expected = causes.iter().any(|cause| SHIFTING_CAUSES.contains(cause));
+        let event =
+            |summary| Action::Report(EngineEvent::Decided { summary, version, causes: causes.clone() });
         self.pending_actions.extend(flush.summaries.into_iter().map(event));
         let proxies: Vec<ProxyId> = match flush.everyone {
             true => self.fleet.proxy_ids(),
@@ -114,23 +116,23 @@
                 self.tables.set_ejected(replica.clone(), ejected);
                 flush.everyone = true;
                 flush.replica_ejected_or_restored = true;
-                Some(DecisionSummary::Withdraw(replica, ejected))
+                Some(DecisionSummary::Ejection(replica, ejected))
             }
             Decision::UpdateTable { table, entries } => {
                 // The table may be assigned to a proxy only later in the same flush.
                 flush.updated_tables.push(UpdatedTable { summary: flush.summaries.len(), table });
                 let count = entries.len();
                 self.tables.update_entries(table, entries);
-                Some(DecisionSummary::Lines("".into(), count))
+                Some(DecisionSummary::TableUpdate("".into(), count))
             }
             Decision::AssignTable { proxy, table, classes } => {
                 self.assign_table(proxy, table, classes, flush);
-                Some(DecisionSummary::Follow(self.name_of(proxy), classes))
+                Some(DecisionSummary::TableAssignment(self.name_of(proxy), classes))
             }
             Decision::SetAdmission { classes, fraction, retry_policy } => {
                 self.set_admission(now, classes, fraction, retry_policy);
                 flush.everyone = true;
-                Some(DecisionSummary::Level(classes, fraction, retry_policy))
+                Some(DecisionSummary::Admission(classes, fraction, retry_policy))
             }
         }
     }
@@ -170,7 +172,7 @@
         for updated in &flush.updated_tables {
             let Some(id) = assigned.get(&updated.table) else { continue };
             flush.proxies.insert(*id);
-            if let DecisionSummary::Lines(name, _) = &mut flush.summaries[updated.summary] {
+            if let DecisionSummary::TableUpdate(name, _) = &mut flush.summaries[updated.summary] {
                 *name = self.name_of(*id);
             }
         }
--- a/crates/core/src/engine/inputs.rs
+++ b/crates/core/src/engine/inputs.rs
@@ -24,8 +24,8 @@
     pub(super) fn apply_roster(&mut self, now: Duration, entries: Vec<RosterEntry>) {
         match self.roster.update(now, entries) {
             RosterChange::Same => {}
-            RosterChange::Doubted(until) => {
-                self.pending_actions.push_back(Action::Report(EngineEvent::EmptyRosterDoubted(until)));
+            RosterChange::Unconfirmed(until) => {
+                self.pending_actions.push_back(Action::Report(EngineEvent::EmptyRosterUnconfirmed(until)));
             }
             RosterChange::Changed(listed) => self.roster_changed(now, &listed),
         }
@@ -56,7 +56,7 @@
         self.frozen_tables.retain(|(of, _), frozen| *of != proxy || !frozen.migrated);
         self.governor.proxy_disconnected(proxy);
         self.guard.proxy_disconnected(proxy);
-        self.causes.insert(Cause::Left);
+        self.causes.insert(Cause::ProxyDisconnected);
     }
 
     /// Processes a load report of the proxy with this name. Stream ids increase in the order of opening.
@@ -81,10 +81,10 @@
 
     /// The proxy on a stream acknowledged all versions up to this one.
     pub fn version_acknowledged(&mut self, now: Duration, stream: StreamId, version: u64) {
-        let Some(id) = self.fleet.number_of(stream) else { return };
+        let Some(id) = self.fleet.id_on_stream(stream) else { return };
         for requested_at in self.fleet.acknowledge(stream, version) {
             self.governor.acknowledged(now.saturating_sub(requested_at));
-            self.causes.insert(Cause::Acked);
+            self.causes.insert(Cause::Acknowledged);
         }
         if self.fleet.get(id).is_some_and(|proxy| proxy.acknowledged_version >= proxy.sent_version) {
             self.send_limiter.acknowledged(id);
@@ -93,31 +93,31 @@
 
     /// The proxy on a stream rejected a version with this reason. It keeps its last accepted tables and is
     /// sent nothing until they change.
-    pub fn version_rejected(&mut self, stream: StreamId, version: u64, words: &str) {
-        let Some(id) = self.fleet.number_of(stream) else { return };
-        self.fleet.reject(stream, version, words);
+    pub fn version_rejected(&mut self, stream: StreamId, version: u64, reason: &str) {
+        let Some(id) = self.fleet.id_on_stream(stream) else { return };
+        self.fleet.reject(stream, version, reason);
         self.send_limiter.acknowledged(id);
         if let Some(proxy) = self.fleet.get(id) {
-            let words = proxy.rejected.as_ref().map(|(_, words)| words.clone()).unwrap_or_default();
+            let reason = proxy.rejected.as_ref().map(|(_, reason)| reason.clone()).unwrap_or_default();
             self.pending_actions.push_back(Action::Report(EngineEvent::VersionRejected {
                 proxy: proxy.name.clone(),
                 version,
-                words,
+                reason,
             }));
         }
     }
 
     /// The proxy on a stream responded to everything that it was sent, with an acknowledgement or a
     /// rejection.
-    pub fn settled(&mut self, stream: StreamId) {
-        if let Some(id) = self.fleet.number_of(stream) {
+    pub fn clear_in_flight(&mut self, stream: StreamId) {
+        if let Some(id) = self.fleet.id_on_stream(stream) {
             self.send_limiter.acknowledged(id);
         }
     }
 
     /// The proxy on a stream requests resources that it was not sent yet, with this number of table entries.
     pub fn resend_requested(&mut self, now: Duration, stream: StreamId, entries: usize) {
-        if let Some(id) = self.fleet.number_of(stream) {
+        if let Some(id) = self.fleet.id_on_stream(stream) {
             self.send_limiter.request(now, id, entries, true);
         }
     }
@@ -140,7 +140,7 @@
 
     /// The proxy's stream has capacity again.
     pub fn stream_has_capacity(&mut self, stream: StreamId) {
-        if let Some(id) = self.fleet.number_of(stream) {
+        if let Some(id) = self.fleet.id_on_stream(stream) {
             self.send_limiter.stream_has_capacity(id);
         }
     }
@@ -155,11 +155,11 @@
         load: &[f64],
     ) {
         self.governor.record_health_check(now, replica, latency, load);
-        self.causes.insert(Cause::Probed);
+        self.causes.insert(Cause::HealthChecked);
     }
 
     /// Changes the limit on aggregated report entries passed to the module per second.
-    pub fn limit_reports(&mut self, entries_per_second: f64) {
+    pub fn set_report_limit(&mut self, entries_per_second: f64) {
         self.reports.set_limit(entries_per_second);
     }
 
@@ -171,15 +171,15 @@
         &mut self,
         now: Duration,
         replica: &ReplicaId,
-        what: OverrideKind,
+        kind: OverrideKind,
         until: Duration,
         reason: &str,
     ) -> Result<(), OverrideError> {
         if self.roster.get(replica).is_none_or(|known| known.phase == Phase::Gone) {
             return Err(OverrideError::NoReplica(replica.clone()));
         }
-        let why = truncate_reason(reason);
-        self.overrides.set(replica.clone(), Override { what, since: now, until, why })?;
+        let reason = truncate_reason(reason);
+        self.overrides.set(replica.clone(), Override { kind, since: now, until, reason })?;
         self.refresh(now, &self.fleet.proxy_ids());
         Ok(())
     }
--- a/crates/core/src/engine/inspection.rs
+++ b/crates/core/src/engine/inspection.rs
@@ -41,7 +41,7 @@
     /// Frozen tables in force.
     pub frozen_tables: usize,
     /// The source reports an empty roster that is not accepted yet.
-    pub roster_doubted: bool,
+    pub empty_roster_unconfirmed: bool,
 }
 
 impl Engine {
@@ -51,8 +51,8 @@
     }
 
     /// The id of the proxy on a stream.
-    pub fn number_of(&self, stream: StreamId) -> Option<ProxyId> {
-        self.fleet.number_of(stream)
+    pub fn id_on_stream(&self, stream: StreamId) -> Option<ProxyId> {
+        self.fleet.id_on_stream(stream)
     }
 
     /// All connected proxies.
@@ -179,7 +179,7 @@
             queued_reports: self.reports.queued_entries(),
             history_entries: self.history.entry_count(),
             frozen_tables: self.frozen_tables.len(),
-            roster_doubted: self.roster.empty_roster_doubted(),
+            empty_roster_unconfirmed: self.roster.empty_roster_unconfirmed(),
         }
     }
 }
--- a/crates/core/src/engine/joining.rs
+++ b/crates/core/src/engine/joining.rs
@@ -65,7 +65,7 @@
         self.refresh(now, &[joined.proxy]);
         self.store_version(now, joined.proxy);
         self.join_queue.push_back(QueuedJoin { proxy: joined.proxy, requests_per_second });
-        self.causes.insert(Cause::Joined);
+        self.causes.insert(Cause::ProxyConnected);
         Ok(joined)
     }
 
@@ -85,8 +85,8 @@
             let dropped = self.frozen_tables.extract_if(.., |(proxy, _), _| *proxy == id);
             let released = dropped.map(|((_, class), _)| EngineEvent::FrozenTableReleased {
                 proxy: join.name.clone(),
-                group: class,
-                over: ReleaseReason::Reused,
+                class,
+                reason: ReleaseReason::Reused,
             });
             self.pending_actions.extend(released.map(Action::Report));
         }
@@ -138,7 +138,7 @@
             };
             self.governor.proxy_connected(now, connection);
             self.reserved_entries += self.join_cost_entries;
-            self.causes.insert(Cause::Joined);
+            self.causes.insert(Cause::ProxyConnected);
         }
         let queued = self.join_queue.len();
         if queued > 0 && queued != queued_before {
--- a/crates/core/src/engine/migration.rs
+++ b/crates/core/src/engine/migration.rs
@@ -37,7 +37,7 @@
     /// proxy is on its default table.
     pub fn adopt_migrated_tables(&mut self, now: Duration, id: ProxyId, migrated: MigratedProxy) -> usize {
         let Some(proxy) = self.fleet.get(id) else { return 0 };
-        if proxy.holds_default_table || proxy.kind() == TableKind::Own {
+        if proxy.holds_default_table || proxy.kind() == TableKind::Assigned {
             return 0;
         }
         let zone = proxy.zone;
--- a/crates/core/src/engine/recovery.rs
+++ b/crates/core/src/engine/recovery.rs
@@ -164,12 +164,12 @@
 
     fn store_overrides(&self, items: &mut StoredItems, now: Duration, calendar: f64) {
         for (id, replica_override) in self.overrides.iter() {
-            let weight = match replica_override.what {
+            let weight = match replica_override.kind {
                 OverrideKind::Exclude => None,
                 OverrideKind::Weight(factor) => Some(factor),
             };
             let until = stored_until(replica_override.until, now, calendar);
-            let item = StoredItem::Override { weight, until, reason: replica_override.why.clone() };
+            let item = StoredItem::Override { weight, until, reason: replica_override.reason.clone() };
             items.insert(format!("override/{id}"), Arc::new(item));
         }
         // Restored overrides that wait for the first roster.
@@ -194,7 +194,7 @@
         zone: proxy.zone,
         epoch,
         version,
-        has_dedicated_table: proxy.kind() == TableKind::Own,
+        has_dedicated_table: proxy.kind() == TableKind::Assigned,
         tables: proxy.tables.iter().map(stored_table).collect(),
         retry_policies: proxy.retry_policies.1.iter().map(|policy| (*policy).into()).collect(),
         requests_per_second,
--- a/crates/core/src/engine/rollback.rs
+++ b/crates/core/src/engine/rollback.rs
@@ -18,7 +18,7 @@
     /// All tables of one proxy, by its name.
     Proxy(Arc<str>),
     /// The tables of one traffic class, of all proxies.
-    Group(usize),
+    Class(usize),
     /// All tables of all proxies.
     All,
 }
@@ -31,7 +31,7 @@
     /// Proxies for which the version is no longer retained, or that were on their default tables then.
     pub without: Vec<Arc<str>>,
     /// Entries of the frozen tables that are not published, by proxy and traffic class.
-    pub left_out: Vec<(Arc<str>, usize, ReplicaId, OmissionReason)>,
+    pub omitted: Vec<(Arc<str>, usize, ReplicaId, OmissionReason)>,
     /// The number of tables that were not frozen because no usable entry is left of them.
     pub unfreezable: usize,
 }
@@ -44,10 +44,10 @@
     NoProxy(Arc<str>),
     /// The requested version is newer than the newest one.
     #[error("version {0} does not exist yet; the newest version is {1}")]
-    NotYet(u64, u64),
+    UnknownVersion(u64, u64),
     /// The history retains this version for none of the proxies.
     #[error("version {0} is not retained for any of the selected proxies")]
-    NotKept(u64),
+    NotRetained(u64),
 }
 
 impl Engine {
@@ -66,7 +66,7 @@
         until: Duration,
     ) -> Result<RollbackReport, RollbackError> {
         if version > self.version {
-            return Err(RollbackError::NotYet(version, self.version));
+            return Err(RollbackError::UnknownVersion(version, self.version));
         }
         let (proxies, classes) = self.resolve_scope(scope)?;
         let why = truncate_reason(reason);
@@ -100,7 +100,7 @@
             }
         }
         if changed.is_empty() {
-            return Err(RollbackError::NotKept(version));
+            return Err(RollbackError::NotRetained(version));
         }
         self.refresh(now, &changed);
         Ok(report)
@@ -116,19 +116,19 @@
     ) {
         let current = self.current_table(id, class);
         let ejected = |id: &ReplicaId| self.tables.is_ejected(id);
-        let (table, left_out) = frozen_tables::resolve(&frozen, &current, &self.roster, ejected);
+        let (table, omitted) = frozen_tables::resolve(&frozen, &current, &self.roster, ejected);
         if table.is_none() {
             report.unfreezable += 1;
             return;
         }
-        let omitted = left_out.into_iter().map(|(replica, reason)| (name.clone(), class, replica, reason));
-        report.left_out.extend(omitted);
+        let omitted = omitted.into_iter().map(|(replica, reason)| (name.clone(), class, replica, reason));
+        report.omitted.extend(omitted);
         report.frozen += 1;
         if let Some(before) = self.frozen_tables.insert((id, class), frozen) {
             let event = EngineEvent::FrozenTableReleased {
                 proxy: name.clone(),
-                group: class,
-                over: ReleaseReason::Replaced(before.why),
+                class,
+                reason: ReleaseReason::Replaced(before.why),
             };
             self.pending_actions.push_back(Action::Report(event));
         }
@@ -168,8 +168,8 @@
         for (id, class) in &released {
             let event = EngineEvent::FrozenTableReleased {
                 proxy: self.name_of(*id),
-                group: *class,
-                over: reason.clone(),
+                class: *class,
+                reason: reason.clone(),
             };
             self.pending_actions.push_back(Action::Report(event));
         }
@@ -182,7 +182,7 @@
     fn resolve_scope(&self, scope: &TableScope) -> Result<(Vec<ProxyId>, Range<usize>), RollbackError> {
         Ok(match scope {
             TableScope::All => (self.fleet.proxy_ids(), 0..self.class_count),
-            TableScope::Group(class) => (self.fleet.proxy_ids(), *class..(class + 1).min(self.class_count)),
+            TableScope::Class(class) => (self.fleet.proxy_ids(), *class..(class + 1).min(self.class_count)),
             TableScope::Proxy(name) => {
                 let named = self.fleet.named(name);
                 let (id, _) = named.ok_or_else(|| RollbackError::NoProxy(name.clone()))?;
--- a/crates/core/src/engine/scheduling.rs
+++ b/crates/core/src/engine/scheduling.rs
@@ -69,7 +69,7 @@
     }
 
     fn process_roster_deadlines(&mut self, now: Duration) {
-        if let Some(listed) = self.roster.believe_empty(now) {
+        if let Some(listed) = self.roster.accept_empty(now) {
             self.roster_changed(now, &listed);
         }
         if let Some(entries) = self.backups.release_due(now) {
@@ -112,7 +112,7 @@
 
     fn tick_if_due(&mut self, now: Duration) {
         if now >= self.next_tick {
-            self.causes.insert(Cause::Beat);
+            self.causes.insert(Cause::Tick);
             self.catching_up = false;
             self.reserved_entries = 0.0;
             self.governor.tick();
@@ -120,7 +120,7 @@
     }
 
     fn ask_module(&mut self, now: Duration) {
-        let ticked = self.causes.contains(&Cause::Beat);
+        let ticked = self.causes.contains(&Cause::Tick);
         self.flush_decisions(now);
         if std::mem::take(&mut self.recheck_all) {
             self.recheck_everything(now);
--- a/crates/core/src/engine/tests/connecting.rs
+++ b/crates/core/src/engine/tests/connecting.rs
@@ -58,7 +58,7 @@
         engine.proxy_connected(ms(number), number, &join(&format!("p{number:04}"), &[])).unwrap();
     }
     let late = engine.proxy_connected(ms(999), 5000, &join("late", &[]));
-    assert_eq!(late, Err(JoinError::Full { joined: 1000, most: 1000 }));
+    assert_eq!(late, Err(JoinError::Full { connected: 1000, capacity: 1000 }));
     let mut done = BTreeSet::new();
     for tick in 0..2000 {
         let now = ms(1000 + tick * 20);
--- a/crates/core/src/engine/tests/publishing.rs
+++ b/crates/core/src/engine/tests/publishing.rs
@@ -23,8 +23,8 @@
     let (flushed, events) = run(&mut engine, ms(1600));
     assert_eq!(flushed, [0, 1]);
     assert!(events.iter().any(|event| matches!(event,
-        EngineEvent::Decided { what: DecisionSummary::Withdraw(id, true), answers, .. } if &**id == "a"
-            && answers.contains(&Cause::Roster) | answers.contains(&Cause::Beat))));
+        EngineEvent::Decided { summary: DecisionSummary::Ejection(id, true), causes, .. } if &**id == "a"
+            && causes.contains(&Cause::Roster) | causes.contains(&Cause::Tick))));
     assert!((0..2).all(|proxy| !routable_replicas(&engine, proxy).contains(&"a".to_string())));
     assert!(
         !routable_replicas(&engine, 0).is_empty(),
@@ -52,10 +52,10 @@
     run(&mut engine, ms(600));
     engine.update_roster(ms(700), vec![]);
     let (flushed, events) = run(&mut engine, ms(5000));
-    assert!(flushed.is_empty() && matches!(events[0], EngineEvent::EmptyRosterDoubted(_)));
+    assert!(flushed.is_empty() && matches!(events[0], EngineEvent::EmptyRosterUnconfirmed(_)));
     assert_eq!(routable_replicas(&engine, 0).len(), 3);
     engine.update_roster(ms(6000), ready(&["a", "b", "c"]));
-    assert!(!engine.status(ms(6000)).roster_doubted);
+    assert!(!engine.status(ms(6000)).empty_roster_unconfirmed);
     assert!(run(&mut engine, ms(60_000)).0.is_empty());
 }
 
@@ -70,7 +70,9 @@
     engine.version_acknowledged(ms(700), 2, version);
     let (flushed, events) = run(&mut engine, ms(3000));
     assert!(flushed.is_empty());
-    assert!(matches!(&events[0], EngineEvent::VersionRejected { words, .. } if words == "no such locality"));
+    assert!(
+        matches!(&events[0], EngineEvent::VersionRejected { reason, .. } if reason == "no such locality")
+    );
     assert_eq!(engine.proxy(0).unwrap().acknowledged_version, 0);
     engine.update_roster(ms(3100), ready(&["a", "b"]));
     assert_eq!(run(&mut engine, ms(4000)).0, [0, 1]);
@@ -89,13 +91,13 @@
     let version = engine.proxy(0).unwrap().newest();
     engine.version_acknowledged(ms(1700), 1, version - 1);
     assert!(
-        !engine.causes.contains(&Cause::Acked),
+        !engine.causes.contains(&Cause::Acknowledged),
         "an acknowledgement of an older version answers no later request"
     );
     engine.version_acknowledged(ms(1800), 1, version);
-    assert!(engine.causes.remove(&Cause::Acked));
+    assert!(engine.causes.remove(&Cause::Acknowledged));
     engine.version_acknowledged(ms(1900), 1, version);
-    assert!(!engine.causes.contains(&Cause::Acked));
+    assert!(!engine.causes.contains(&Cause::Acknowledged));
 }
 
 #[test]
--- a/crates/core/src/engine/tests/rollback.rs
+++ b/crates/core/src/engine/tests/rollback.rs
@@ -36,8 +36,8 @@
     engine.update_roster(ms(3000), ready(&["b", "c", "d", "e"]));
     run_and_acknowledge(&mut engine, ms(4000));
     let report = engine.rollback(ms(5000), &TableScope::All, before, "too wide", ms(60_000)).unwrap();
-    assert_eq!((report.frozen, report.unfreezable, report.left_out.len()), (2, 0, 2));
-    assert_eq!(report.left_out[0].3, OmissionReason::Gone);
+    assert_eq!((report.frozen, report.unfreezable, report.omitted.len()), (2, 0, 2));
+    assert_eq!(report.omitted[0].3, OmissionReason::Gone);
     run_and_acknowledge(&mut engine, ms(5100));
     assert_eq!(routable_replicas(&engine, 0), ["b", "c"]);
     // While the table is frozen, the module's updates are not published, but drains are.
@@ -48,7 +48,7 @@
     assert_eq!(routable_replicas(&engine, 0), ["c"]);
     assert_eq!(engine.release(ms(8000), &TableScope::Proxy("p".into())), Ok(2));
     let events = run_and_acknowledge(&mut engine, ms(8100));
-    assert!(matches!(events[0], EngineEvent::FrozenTableReleased { over: ReleaseReason::Released, .. }));
+    assert!(matches!(events[0], EngineEvent::FrozenTableReleased { reason: ReleaseReason::Released, .. }));
     assert_eq!(routable_replicas(&engine, 0), ["c", "d", "e", "f"]);
 }
 
@@ -57,23 +57,24 @@
     let (mut engine, before) = engine_with_proxy(&["a", "b"]);
     engine.update_roster(ms(1000), ready(&["a", "b", "c"]));
     run_and_acknowledge(&mut engine, ms(2000));
-    engine.rollback(ms(3000), &TableScope::Group(1), before, "", ms(9000)).unwrap();
+    engine.rollback(ms(3000), &TableScope::Class(1), before, "", ms(9000)).unwrap();
     assert_eq!(engine.frozen_tables().count(), 1);
     run_and_acknowledge(&mut engine, ms(8990));
     assert_eq!(engine.next_deadline(ms(8990)).min(ms(9000)), engine.next_deadline(ms(8990)));
     let events = run_and_acknowledge(&mut engine, ms(9000));
     assert!(events.iter().any(|event| matches!(
         event,
-        EngineEvent::FrozenTableReleased { group: 1, over: ReleaseReason::Time, .. }
+        EngineEvent::FrozenTableReleased { class: 1, reason: ReleaseReason::Time, .. }
     )));
     engine.rollback(ms(10_000), &TableScope::All, before, "", ms(90_000)).unwrap();
     run_and_acknowledge(&mut engine, ms(10_100));
     engine.update_roster(ms(11_000), ready(&["c"]));
     let events = run_and_acknowledge(&mut engine, ms(12_000));
     assert!(
-        events
-            .iter()
-            .any(|event| matches!(event, EngineEvent::FrozenTableReleased { over: ReleaseReason::Bare, .. }))
+        events.iter().any(|event| matches!(
+            event,
+            EngineEvent::FrozenTableReleased { reason: ReleaseReason::Bare, .. }
+        ))
     );
     assert_eq!(routable_replicas(&engine, 0), ["c"], "the module's own table");
     assert_eq!(engine.frozen_tables().count(), 0);
@@ -88,7 +89,7 @@
     engine.rollback(ms(3001), &TableScope::All, before, "second", ms(60_000)).unwrap();
     let events = run_and_acknowledge(&mut engine, ms(3100));
     assert!(events.iter().any(|event| matches!(event,
-        EngineEvent::FrozenTableReleased { over: ReleaseReason::Replaced(why), .. } if &**why == "first")));
+        EngineEvent::FrozenTableReleased { reason: ReleaseReason::Replaced(why), .. } if &**why == "first")));
     assert!(engine.frozen_tables().all(|(_, _, frozen_table)| &*frozen_table.why == "second"));
 }
 
@@ -98,8 +99,8 @@
     let later = engine.status(ms(0)).version + 1;
     let roll_back =
         |engine: &mut Engine, scope, version| engine.rollback(ms(1000), &scope, version, "", ms(9000));
-    assert!(matches!(roll_back(&mut engine, TableScope::All, later), Err(RollbackError::NotYet(..))));
-    assert_eq!(roll_back(&mut engine, TableScope::All, 0), Err(RollbackError::NotKept(0)));
+    assert!(matches!(roll_back(&mut engine, TableScope::All, later), Err(RollbackError::UnknownVersion(..))));
+    assert_eq!(roll_back(&mut engine, TableScope::All, 0), Err(RollbackError::NotRetained(0)));
     let unknown = TableScope::Proxy("nobody".into());
     assert_eq!(roll_back(&mut engine, unknown.clone(), before), Err(RollbackError::NoProxy("nobody".into())));
     assert!(engine.release(ms(1000), &unknown).is_err());
--- a/crates/core/src/engine/tests/scheduling.rs
+++ b/crates/core/src/engine/tests/scheduling.rs
@@ -54,7 +54,7 @@
             failed: 0,
             issued: 10,
             in_flight: 0,
-            answers: (Duration::from_micros(500_000 + now), 10),
+            latency_sum_and_count: (Duration::from_micros(500_000 + now), 10),
             load: vec![1.0],
         };
         let report = LoadReport {
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -17,7 +17,7 @@
 /// The maximum number of proxies. Ids have 16 bits. The module assigns two tables to each proxy, and table
 /// ids have 16 bits as well, three of which are reserved; so a proxy with a higher id could never get a
 /// dedicated table.
-pub const MOST_PROXIES: usize = (u16::MAX as usize - 2) / 2;
+pub const MAX_PROXIES: usize = (u16::MAX as usize - 2) / 2;
 /// How long a proxy must be away before its id may be reused. By then none of its reports and
 /// acknowledgements can arrive any more.
 pub const REUSE_AFTER: Duration = Duration::from_secs(600);
@@ -59,38 +59,40 @@
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum JoinError {
     /// No id is free.
-    #[error("{joined} proxies are connected and no id is free (maximum {most}); connect to another governor")]
+    #[error(
+        "{connected} proxies are connected and no id is free (maximum {capacity}); connect to another governor"
+    )]
     Full {
         /// The number of connected proxies.
-        joined: usize,
+        connected: usize,
         /// The maximum number of proxies.
-        most: usize,
+        capacity: usize,
     },
     /// Two proxies seem to use the same name.
     #[error(
-        "streams of the proxy name `{name}` replaced each other {times} times in {over:?}: two proxies use it; \
+        "streams of the proxy name `{name}` replaced each other {replacements} times in {period:?}: two proxies use it; \
              give each its own node id"
     )]
     Contested {
         /// The name.
         name: Arc<str>,
         /// How often its stream was replaced recently.
-        times: usize,
+        replacements: usize,
         /// The time within which the replacements were counted.
-        over: Duration,
+        period: Duration,
     },
     /// The name is empty.
     #[error("the proxy name (node id) is empty")]
-    Nameless,
+    EmptyName,
 }
 
 /// The kind of table that a proxy uses, for operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TableKind {
     /// The proxy's own default table.
-    Standing,
+    ProxyDefault,
     /// A table that the module has assigned to the proxy.
-    Own,
+    Assigned,
 }
 
 /// One connected proxy.
@@ -131,7 +133,11 @@
 
     /// The kind of table that it uses.
     pub fn kind(&self) -> TableKind {
-        if self.assigned_tables.iter().any(Option::is_some) { TableKind::Own } else { TableKind::Standing }
+        if self.assigned_tables.iter().any(Option::is_some) {
+            TableKind::Assigned
+        } else {
+            TableKind::ProxyDefault
+        }
     }
 
     /// Whether the tables that it should hold are known: published ones, or its default table. Nothing can be
@@ -179,13 +185,13 @@
 }
 
 impl ProxyIdAllocator {
-    /// Allocates at most `capacity` ids, and never more than [`MOST_PROXIES`].
+    /// Allocates at most `capacity` ids, and never more than [`MAX_PROXIES`].
     pub fn new(capacity: usize) -> Self {
         ProxyIdAllocator {
             by_name: BTreeMap::new(),
             release: BTreeSet::new(),
             next: 0,
-            capacity: capacity.min(MOST_PROXIES),
+            capacity: capacity.min(MAX_PROXIES),
         }
     }
 
@@ -248,7 +254,7 @@
 }
 
 impl Fleet {
-    /// Allows `max_proxies` connected proxies, and never more than [`MOST_PROXIES`].
+    /// Allows `max_proxies` connected proxies, and never more than [`MAX_PROXIES`].
     pub fn new(max_proxies: usize) -> Self {
         Fleet {
             proxies: BTreeMap::new(),
@@ -275,7 +281,7 @@
         retry_policies: (u64, Vec<RetryPolicy>),
     ) -> Result<JoinOutcome, JoinError> {
         if join.name.is_empty() {
-            return Err(JoinError::Nameless);
+            return Err(JoinError::EmptyName);
         }
         let connected = self.by_name.get(&join.name).and_then(|id| self.proxies.get(id));
         let replaced_stream = connected.map(|proxy| proxy.stream);
@@ -285,8 +291,8 @@
             if times.len() >= MAX_REPLACED_STREAMS {
                 return Err(JoinError::Contested {
                     name: join.name.clone(),
-                    times: times.len(),
-                    over: CONTEST_PERIOD,
+                    replacements: times.len(),
+                    period: CONTEST_PERIOD,
                 });
             }
             times.push_back(now);
@@ -294,7 +300,7 @@
         self.replaced_streams
             .retain(|_, times| times.back().is_some_and(|last| *last + CONTEST_PERIOD > now));
         let Some((id, previous_name)) = self.ids.assign(now, &join.name) else {
-            return Err(JoinError::Full { joined: self.proxies.len(), most: self.ids.capacity() });
+            return Err(JoinError::Full { connected: self.proxies.len(), capacity: self.ids.capacity() });
         };
         if let Some(old) = replaced_stream {
             self.by_stream.remove(&old);
@@ -340,9 +346,9 @@
     }
 
     /// A proxy rejected a version and keeps its earlier tables.
-    pub fn reject(&mut self, stream: StreamId, version: u64, words: &str) {
+    pub fn reject(&mut self, stream: StreamId, version: u64, reason: &str) {
         if let Some(proxy) = self.proxy_on_stream_mut(stream) {
-            proxy.rejected = Some((version, words.chars().take(MAX_REJECTION_LENGTH).collect()));
+            proxy.rejected = Some((version, reason.chars().take(MAX_REJECTION_LENGTH).collect()));
         }
     }
 
@@ -357,7 +363,7 @@
     }
 
     /// The id of the proxy on a stream.
-    pub fn number_of(&self, stream: StreamId) -> Option<ProxyId> {
+    pub fn id_on_stream(&self, stream: StreamId) -> Option<ProxyId> {
         self.by_stream.get(&stream).copied()
     }
 
--- a/crates/core/src/fleet/tests.rs
+++ b/crates/core/src/fleet/tests.rs
@@ -24,7 +24,7 @@
     assert_eq!(connect(&mut fleet, 1, 1, "a").unwrap().proxy, 0);
     assert_eq!(connect(&mut fleet, 1, 2, "b").unwrap().proxy, 1);
     fleet.disconnect(Duration::from_secs(2), 1);
-    assert!(matches!(connect(&mut fleet, 3, 3, "c"), Err(JoinError::Full { joined: 1, most: 2 })));
+    assert!(matches!(connect(&mut fleet, 3, 3, "c"), Err(JoinError::Full { connected: 1, capacity: 2 })));
     assert_eq!(connect(&mut fleet, 4, 4, "a").unwrap().proxy, 0, "gets its former id back");
     fleet.disconnect(Duration::from_secs(5), 4);
     assert_eq!(connect(&mut fleet, 700, 5, "c").unwrap().proxy, 0);
@@ -54,8 +54,8 @@
     for stream in 0..5 {
         connect(&mut fleet, 1, stream, "a").unwrap();
     }
-    assert!(matches!(connect(&mut fleet, 2, 9, "a"), Err(JoinError::Contested { times: 4, .. })));
-    assert_eq!(fleet.number_of(4), Some(0), "the connected proxy stays connected");
+    assert!(matches!(connect(&mut fleet, 2, 9, "a"), Err(JoinError::Contested { replacements: 4, .. })));
+    assert_eq!(fleet.id_on_stream(4), Some(0), "the connected proxy stays connected");
     assert!(connect(&mut fleet, 12, 10, "a").is_ok());
 }
 
--- a/crates/core/src/history.rs
+++ b/crates/core/src/history.rs
@@ -89,7 +89,7 @@
     }
 
     /// The version that a proxy reports to hold, if it is retained and has the reported digest.
-    pub fn held(&self, proxy: ProxyId, version: u64, digest: &Digest) -> Option<&HistoryEntry> {
+    pub fn find(&self, proxy: ProxyId, version: u64, digest: &Digest) -> Option<&HistoryEntry> {
         let versions = self.by_proxy.get(&proxy)?;
         versions.iter().rev().find(|entry| entry.version == version && entry.digest == *digest)
     }
--- a/crates/core/src/history/tests.rs
+++ b/crates/core/src/history/tests.rs
@@ -45,8 +45,8 @@
     let mut history = History::new(3, 1000);
     (1..4).for_each(|n| history.push(0, version(n * 10, 2)));
     let digest = version(20, 2).digest;
-    assert!(history.held(0, 20, &digest).is_some());
-    assert!(history.held(0, 20, &[0; 32]).is_none() && history.held(0, 21, &digest).is_none());
+    assert!(history.find(0, 20, &digest).is_some());
+    assert!(history.find(0, 20, &[0; 32]).is_none() && history.find(0, 21, &digest).is_none());
     assert_eq!(history.as_of(0, 29).map(|entry| entry.version), Some(20));
     assert_eq!(history.as_of(0, 9), None);
     history.push(0, version(30, 2));
--- a/crates/core/src/overrides.rs
+++ b/crates/core/src/overrides.rs
@@ -11,9 +11,9 @@
 use crate::tables::Table;
 
 /// The range of weight factors; a value outside it is taken for a typing error.
-pub const FACTORS: (f64, f64) = (0.01, 100.0);
+pub const FACTOR_RANGE: (f64, f64) = (0.01, 100.0);
 /// The maximum number of overrides; a fleet that needs more needs another roster.
-pub const MOST: usize = 1000;
+pub const MAX_OVERRIDES: usize = 1000;
 
 /// The effect of an override.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -28,13 +28,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Override {
     /// The effect.
-    pub what: OverrideKind,
+    pub kind: OverrideKind,
     /// When it was set.
     pub since: Duration,
     /// When it expires.
     pub until: Duration,
     /// The operator's reason.
-    pub why: Arc<str>,
+    pub reason: Arc<str>,
 }
 
 /// Why an override was rejected.
@@ -43,11 +43,11 @@
     /// The replica is not listed.
     #[error("replica `{0}` is not in the roster")]
     NoReplica(ReplicaId),
-    /// The factor is not within [`FACTORS`].
+    /// The factor is not within [`FACTOR_RANGE`].
     #[error("weight factor {0} is not between 0.01 and 100")]
     Factor(f64),
-    /// There are [`MOST`] overrides already.
-    #[error("there are already {MOST} overrides, the maximum")]
+    /// There are [`MAX_OVERRIDES`] overrides already.
+    #[error("there are already {MAX_OVERRIDES} overrides, the maximum")]
     Full,
 }
 
@@ -63,12 +63,12 @@
     /// # Errors
     /// The factor is out of range, or there are too many overrides; on error nothing changes.
     pub fn set(&mut self, replica: ReplicaId, new: Override) -> Result<(), OverrideError> {
-        if let OverrideKind::Weight(factor) = new.what
-            && !(FACTORS.0..=FACTORS.1).contains(&factor)
+        if let OverrideKind::Weight(factor) = new.kind
+            && !(FACTOR_RANGE.0..=FACTOR_RANGE.1).contains(&factor)
         {
             return Err(OverrideError::Factor(factor));
         }
-        if self.by_replica.len() >= MOST && !self.by_replica.contains_key(&replica) {
+        if self.by_replica.len() >= MAX_OVERRIDES && !self.by_replica.contains_key(&replica) {
             return Err(OverrideError::Full);
         }
         self.by_replica.insert(replica, new);
@@ -92,7 +92,7 @@
 
     /// Whether a replica is excluded.
     pub fn excludes(&self, replica: &ReplicaId) -> bool {
-        self.by_replica.get(replica).is_some_and(|entry| entry.what == OverrideKind::Exclude)
+        self.by_replica.get(replica).is_some_and(|entry| entry.kind == OverrideKind::Exclude)
     }
 
     /// Whether there is an override of a replica.
@@ -111,7 +111,7 @@
             return;
         }
         for entry in &mut table.entries {
-            match self.by_replica.get(&entry.replica).map(|entry| entry.what) {
+            match self.by_replica.get(&entry.replica).map(|entry| entry.kind) {
                 Some(OverrideKind::Exclude) => entry.routable = false,
                 Some(OverrideKind::Weight(factor)) => entry.weight *= factor,
                 None => {}
--- a/crates/core/src/reports.rs
+++ b/crates/core/src/reports.rs
@@ -52,7 +52,7 @@
     /// Attempts without an outcome yet.
     pub in_flight: u64,
     /// The sum of the latencies of successful attempts that report one, and the number of those attempts.
-    pub answers: (Duration, u64),
+    pub latency_sum_and_count: (Duration, u64),
     /// The replica's latest load fields, in the order of the settings.
     pub load: Vec<f64>,
 }
@@ -258,7 +258,7 @@
         let aggregate = self.aggregate(now, Key::ReplicaStatistics(zone, observation.replica.clone()));
         aggregate.attempts += attempts;
         aggregate.failed += observation.failed;
-        let (latency_sum, latency_count) = observation.answers;
+        let (latency_sum, latency_count) = observation.latency_sum_and_count;
         aggregate.latency_sum = aggregate.latency_sum.saturating_add(latency_sum);
         aggregate.latency_count += latency_count;
         if !observation.load.is_empty() {
@@ -362,7 +362,7 @@
 
 fn has_impossible_counters(observation: &ReplicaObservation) -> bool {
     let largest = observation.succeeded.max(observation.failed).max(observation.issued);
-    let (_, latency_count) = observation.answers;
+    let (_, latency_count) = observation.latency_sum_and_count;
     largest > MAX_ATTEMPTS
         || latency_count > observation.succeeded
         || observation.load.iter().any(|field| !field.is_finite())
@@ -404,7 +404,7 @@
         observation.failed.hash(&mut hasher);
         observation.issued.hash(&mut hasher);
         observation.in_flight.hash(&mut hasher);
-        observation.answers.hash(&mut hasher);
+        observation.latency_sum_and_count.hash(&mut hasher);
         observation.load.iter().for_each(|field| field.to_bits().hash(&mut hasher));
     }
     hasher.finish()
--- a/crates/core/src/reports/tests.rs
+++ b/crates/core/src/reports/tests.rs
@@ -14,7 +14,7 @@
         failed: failures,
         issued: successes + failures,
         in_flight: 0,
-        answers: (ms(20u64.saturating_mul(successes)), successes),
+        latency_sum_and_count: (ms(20u64.saturating_mul(successes)), successes),
         load: vec![],
     };
     LoadReport { interval: ms(interval), observations: vec![observation], rejected: vec![(0, 1)] }
@@ -79,7 +79,7 @@
     assert_eq!(record(&mut reports, 11_000, 1, &report(400_000, 1, 0)), Err(DiscardReason::Interval));
     assert_eq!(record(&mut reports, 11_000, 1, &report(1000, u64::MAX, 0)), Err(DiscardReason::Counters));
     let mut invalid = report(1000, 5, 0);
-    invalid.observations[0].answers.1 = 6;
+    invalid.observations[0].latency_sum_and_count.1 = 6;
     assert_eq!(record(&mut reports, 11_000, 1, &invalid), Err(DiscardReason::Counters));
     assert_eq!(reports.take_due(ms(99_000)), []);
 }
--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -63,7 +63,7 @@
     /// The complete changed roster for the module.
     Changed(Vec<ReplicaEntry>),
     /// The roster is empty; the previous one stays in force until the given time.
-    Doubted(Duration),
+    Unconfirmed(Duration),
 }
 
 impl Roster {
@@ -85,7 +85,7 @@
         if entries.is_empty() && has_listed {
             let since = *self.empty_since.get_or_insert(now);
             if now < since + self.empty_roster_timeout {
-                return RosterChange::Doubted(since + self.empty_roster_timeout);
+                return RosterChange::Unconfirmed(since + self.empty_roster_timeout);
             }
         } else {
             self.empty_since = None;
@@ -94,7 +94,7 @@
     }
 
     /// Accepts an empty roster after its timeout. Returns the complete roster for the module if it changed.
-    pub fn believe_empty(&mut self, now: Duration) -> Option<Vec<ReplicaEntry>> {
+    pub fn accept_empty(&mut self, now: Duration) -> Option<Vec<ReplicaEntry>> {
         let since = self.empty_since.filter(|since| now >= *since + self.empty_roster_timeout)?;
         match self.replace(since, Vec::new()) {
             RosterChange::Changed(listed) => Some(listed),
@@ -102,7 +102,7 @@
         }
     }
 
-    /// When to call [`Roster::believe_empty`] next.
+    /// When to call [`Roster::accept_empty`] next.
     pub fn next_deadline(&self) -> Option<Duration> {
         let has_listed = self.known.values().any(|replica| replica.phase != Phase::Gone);
         self.empty_since.filter(|_| has_listed).map(|since| since + self.empty_roster_timeout)
@@ -149,7 +149,7 @@
     }
 
     /// The replica that has, or had last, this address.
-    pub fn at(&self, address: &str) -> Option<&ReplicaId> {
+    pub fn replica_at(&self, address: &str) -> Option<&ReplicaId> {
         self.by_address.get(address)
     }
 
@@ -169,7 +169,7 @@
     }
 
     /// Whether an empty roster is waiting for its timeout.
-    pub fn empty_roster_doubted(&self) -> bool {
+    pub fn empty_roster_unconfirmed(&self) -> bool {
         self.next_deadline().is_some()
     }
 
--- a/crates/core/src/roster/tests.rs
+++ b/crates/core/src/roster/tests.rs
@@ -22,13 +22,13 @@
 fn believes_an_empty_roster_only_after_its_timeout() {
     let mut roster = Roster::new(s(30));
     roster.update(s(1), vec![entry("a", Phase::Ready, None)]);
-    assert_eq!(roster.update(s(10), vec![]), RosterChange::Doubted(s(40)));
-    assert_eq!(roster.believe_empty(s(39)), None);
+    assert_eq!(roster.update(s(10), vec![]), RosterChange::Unconfirmed(s(40)));
+    assert_eq!(roster.accept_empty(s(39)), None);
     assert!(roster.is_ready(&"a".into()));
     assert_eq!(roster.update(s(20), vec![entry("a", Phase::Ready, None)]), RosterChange::Same);
     assert_eq!(roster.next_deadline(), None, "the source lists replicas again");
-    assert_eq!(roster.update(s(50), vec![]), RosterChange::Doubted(s(80)));
-    assert_eq!(roster.believe_empty(s(80)), Some(vec![]));
+    assert_eq!(roster.update(s(50), vec![]), RosterChange::Unconfirmed(s(80)));
+    assert_eq!(roster.accept_empty(s(80)), Some(vec![]));
     assert!(!roster.is_ready(&"a".into()));
 }
 
@@ -55,7 +55,7 @@
     let mut roster = Roster::new(s(30));
     roster.update(s(1), vec![entry("b", Phase::Ready, None)]);
     roster.update(s(2), vec![entry("a", Phase::Ready, None)]);
-    assert_eq!(roster.at("10.0.0.1:1"), Some(&"a".into()));
+    assert_eq!(roster.replica_at("10.0.0.1:1"), Some(&"a".into()));
     roster.forget_gone(|_| false);
     assert!(roster.get(&"b".into()).is_none());
 }
--- a/crates/core/src/table_versions.rs
+++ b/crates/core/src/table_versions.rs
@@ -63,7 +63,7 @@
     /// Converts a table to its published form: its routable entries, with integer weights.
     pub fn of(table: &Table, retry_policy: RetryPolicy) -> PublishedTable {
         let routable: Vec<_> = table.entries.iter().filter(|entry| entry.routable).collect();
-        let weights = weights::whole(&routable.iter().map(|entry| entry.weight).collect::<Vec<_>>());
+        let weights = weights::to_integers(&routable.iter().map(|entry| entry.weight).collect::<Vec<_>>());
         let entries = routable.into_iter().zip(weights).map(|(entry, weight)| {
             let published = PublishedEntry { address: entry.address.clone(), zone: entry.zone, weight };
             (entry.replica.clone(), published)
@@ -120,7 +120,7 @@
     /// Its weight.
     pub weight: u32,
     /// The address and zone of the replica; `None`: unchanged from the base.
-    pub at: Option<(Arc<str>, usize)>,
+    pub location: Option<(Arc<str>, usize)>,
 }
 
 /// The change of a traffic class.
@@ -135,9 +135,9 @@
         /// The replicas of removed entries.
         removed: Vec<ReplicaId>,
         /// The fraction of requests to admit, in millionths.
-        level: u32,
+        admission_millionths: u32,
         /// The class's retry policy.
-        tries: RetryPolicy,
+        retry_policy: RetryPolicy,
     },
 }
 
@@ -160,10 +160,10 @@
     Base,
     /// It omits the address of a replica that the base does not contain.
     #[error("the delta omits the address of a replica that is not in its base")]
-    Unknown,
+    UnknownReplica,
     /// It names an unknown traffic class.
     #[error("the delta names an unknown traffic class")]
-    Group,
+    UnknownClass,
     /// The resulting state does not have the digest in the delta.
     #[error("the digest of the resulting state differs from the one in the delta")]
     Digest,
@@ -192,15 +192,15 @@
     let changed = new.entries.iter().filter(|(id, entry)| held(id) != Some(entry)).map(|(id, entry)| {
         let same_location =
             held(id).is_some_and(|held| held.address == entry.address && held.zone == entry.zone);
-        let at = (!same_location).then(|| (entry.address.clone(), entry.zone));
-        ChangedEntry { replica: id.clone(), weight: entry.weight, at }
+        let location = (!same_location).then(|| (entry.address.clone(), entry.zone));
+        ChangedEntry { replica: id.clone(), weight: entry.weight, location }
     });
     let removed = old.into_iter().flat_map(|old| old.entries.keys());
     TableChange::Entries {
         changed: changed.collect(),
         removed: removed.filter(|id| !new.entries.contains_key(*id)).cloned().collect(),
-        level: new.admission_millionths,
-        tries: new.retry_policy,
+        admission_millionths: new.admission_millionths,
+        retry_policy: new.retry_policy,
     }
 }
 
@@ -214,7 +214,7 @@
     }
     let mut state = held.clone();
     for (class, change) in &delta.changes {
-        let table = state.classes.get_mut(*class).ok_or(Mismatch::Group)?;
+        let table = state.classes.get_mut(*class).ok_or(Mismatch::UnknownClass)?;
         apply_change(table, change)?;
     }
     if state.digest() != delta.digest {
@@ -224,7 +224,7 @@
 }
 
 fn apply_change(table: &mut Option<PublishedTable>, change: &TableChange) -> Result<(), Mismatch> {
-    let TableChange::Entries { changed, removed, level, tries } = change else {
+    let TableChange::Entries { changed, removed, admission_millionths, retry_policy } = change else {
         *table = None;
         return Ok(());
     };
@@ -233,18 +233,18 @@
         admission_millionths: MILLION,
         retry_policy: RetryPolicy::Never,
     });
-    table.admission_millionths = *level;
-    table.retry_policy = *tries;
+    table.admission_millionths = *admission_millionths;
+    table.retry_policy = *retry_policy;
     for id in removed {
         table.entries.remove(id);
     }
-    for ChangedEntry { replica, weight, at } in changed {
-        let entry = match (at, table.entries.get(replica)) {
+    for ChangedEntry { replica, weight, location } in changed {
+        let entry = match (location, table.entries.get(replica)) {
             (Some((address, zone)), _) => {
                 PublishedEntry { address: address.clone(), zone: *zone, weight: *weight }
             }
             (None, Some(held)) => PublishedEntry { weight: *weight, ..held.clone() },
-            (None, None) => return Err(Mismatch::Unknown),
+            (None, None) => return Err(Mismatch::UnknownReplica),
         };
         table.entries.insert(replica.clone(), entry);
     }
--- a/crates/core/src/table_versions/tests.rs
+++ b/crates/core/src/table_versions/tests.rs
@@ -86,17 +86,17 @@
         Ok(two.clone()),
         "the delta sets the weight that the state already has"
     );
-    let unknown_replica = ChangedEntry { replica: "b".into(), weight: 1, at: None };
+    let unknown_replica = ChangedEntry { replica: "b".into(), weight: 1, location: None };
     let entries = TableChange::Entries {
         changed: vec![unknown_replica],
         removed: vec![],
-        level: 0,
-        tries: RetryPolicy::Never,
+        admission_millionths: 0,
+        retry_policy: RetryPolicy::Never,
     };
     let unknown = Delta { changes: BTreeMap::from([(0, entries.clone())]), ..valid.clone() };
-    assert_eq!(apply(&one, one.digest(), &unknown), Err(Mismatch::Unknown));
+    assert_eq!(apply(&one, one.digest(), &unknown), Err(Mismatch::UnknownReplica));
     let unknown_class = Delta { changes: BTreeMap::from([(5, entries)]), ..valid };
-    assert_eq!(apply(&one, one.digest(), &unknown_class), Err(Mismatch::Group));
+    assert_eq!(apply(&one, one.digest(), &unknown_class), Err(Mismatch::UnknownClass));
 }
 
 #[test]
@@ -104,8 +104,8 @@
     let (one, two) = (state_with_weight(1), state_with_weight(2));
     let change = delta(&one, one.digest(), &two, two.digest());
     let TableChange::Entries { changed, .. } = &change.changes[&0] else { panic!() };
-    assert_eq!(changed[0].at, None);
+    assert_eq!(changed[0].location, None);
     let first = delta(&PublishedState { classes: vec![None] }, [0; 32], &two, two.digest());
     let TableChange::Entries { changed, .. } = &first.changes[&0] else { panic!() };
-    assert_eq!(changed[0].at, Some(("a:1".into(), 0)));
+    assert_eq!(changed[0].location, Some(("a:1".into(), 0)));
 }
--- a/crates/daemon/src/host.rs
+++ b/crates/daemon/src/host.rs
@@ -172,7 +172,7 @@
 
     /// A proxy's stream or session is over.
     fn disconnected(&mut self, now: Duration, stream: StreamId) {
-        let proxy = self.engine.number_of(stream).and_then(|number| self.engine.proxy(number));
+        let proxy = self.engine.id_on_stream(stream).and_then(|number| self.engine.proxy(number));
         if let Some(name) = proxy.map(|proxy| proxy.name.clone()) {
             self.membership.proxy_disconnected(now, &name);
         }
--- a/crates/daemon/src/host/engine_events.rs
+++ b/crates/daemon/src/host/engine_events.rs
@@ -10,16 +10,16 @@
 impl Host {
     pub(super) fn log_engine_event(&self, event: &EngineEvent) {
         match event {
-            EngineEvent::Decided { what, version, answers } => self.log_decision(what, *version, answers),
-            EngineEvent::EmptyRosterDoubted(_) => {
+            EngineEvent::Decided { summary, version, causes } => self.log_decision(summary, *version, causes),
+            EngineEvent::EmptyRosterUnconfirmed(_) => {
                 tracing::warn!("the roster is empty; the last one stays until it has been so for long");
             }
-            EngineEvent::VersionRejected { proxy, version, words } => {
-                tracing::warn!(%proxy, version, reason = words, "tables rejected by proxy");
+            EngineEvent::VersionRejected { proxy, version, reason } => {
+                tracing::warn!(%proxy, version, reason, "tables rejected by proxy");
             }
-            EngineEvent::FrozenTableReleased { proxy, group, over } => {
-                let class = self.class_name(*group);
-                tracing::warn!(%proxy, class, reason = %over, "frozen table released");
+            EngineEvent::FrozenTableReleased { proxy, class, reason } => {
+                let class = self.class_name(*class);
+                tracing::warn!(%proxy, class, %reason, "frozen table released");
             }
             EngineEvent::OverrideExpired(replica) => tracing::warn!(%replica, "override expired"),
             EngineEvent::TableRefused(refusal) => self.log_refusal(refusal),
@@ -32,23 +32,23 @@
     fn log_decision(&self, decision: &DecisionSummary, version: u64, causes: &[Cause]) {
         let causes = causes.iter().map(labels::cause).collect::<Vec<_>>().join(", ");
         match decision {
-            DecisionSummary::Withdraw(replica, true) => {
+            DecisionSummary::Ejection(replica, true) => {
                 ::metrics::counter!(metrics::EJECTIONS).increment(1);
                 let reason = self.engine.ejection_reason(replica).unwrap_or("");
                 tracing::info!(%replica, reason, version, causes, "replica ejected");
             }
-            DecisionSummary::Withdraw(replica, false) => {
+            DecisionSummary::Ejection(replica, false) => {
                 ::metrics::counter!(metrics::EJECTIONS).increment(0);
                 tracing::info!(%replica, version, causes, "replica reinstated");
             }
-            DecisionSummary::Lines(proxy, entries) => {
+            DecisionSummary::TableUpdate(proxy, entries) => {
                 tracing::info!(%proxy, entries, version, causes, "table changed");
             }
-            DecisionSummary::Follow(proxy, classes) => {
+            DecisionSummary::TableAssignment(proxy, classes) => {
                 let classes = self.class_names(*classes);
                 tracing::info!(%proxy, classes, version, causes, "table assigned");
             }
-            DecisionSummary::Level(classes, admission_fraction, retry_policy) => {
+            DecisionSummary::Admission(classes, admission_fraction, retry_policy) => {
                 let classes = self.class_names(*classes);
                 let retries = retry_policy_name(*retry_policy);
                 tracing::info!(classes, admission_fraction, retries, version, causes, "admission changed");
--- a/crates/daemon/src/host/grpc.rs
+++ b/crates/daemon/src/host/grpc.rs
@@ -40,7 +40,7 @@
     }
 
     fn ads_closed(&mut self, now: Duration, stream: StreamId) {
-        if let Some(number) = self.engine.number_of(stream) {
+        if let Some(number) = self.engine.id_on_stream(stream) {
             let name = self.engine.proxy(number).map(|proxy| proxy.name.clone());
             tracing::info!(proxy = name.as_deref(), stream, "proxy disconnected");
         }
@@ -68,7 +68,7 @@
                     self.ads_message(now, stream, message);
                 }
                 if settled {
-                    self.engine.settled(stream);
+                    self.engine.clear_in_flight(stream);
                 }
             }
             Err(error) => {
@@ -123,7 +123,7 @@
         let Some(proxy) = self.report_streams.get(&stream).cloned() else { return };
         let roster = self.engine.known_roster();
         let (reports, unknown_entries) =
-            decode::reports(&self.wire, statistics, |address| roster.at(address).cloned());
+            decode::reports(&self.wire, statistics, |address| roster.replica_at(address).cloned());
         if unknown_entries > 0 {
             ::metrics::counter!(metrics::REPORT_ENTRIES_UNKNOWN).increment(unknown_entries as u64);
         }
@@ -167,7 +167,7 @@
             self.engine.version_acknowledged(now, stream, version);
         }
         if settled {
-            self.engine.settled(stream);
+            self.engine.clear_in_flight(stream);
         }
         None
     }
@@ -178,6 +178,6 @@
     match error {
         JoinError::Full { .. } => Status::resource_exhausted(error.to_string()),
         JoinError::Contested { .. } => Status::already_exists(error.to_string()),
-        JoinError::Nameless => Status::invalid_argument(error.to_string()),
+        JoinError::EmptyName => Status::invalid_argument(error.to_string()),
     }
 }
--- a/crates/daemon/src/host/long_poll.rs
+++ b/crates/daemon/src/host/long_poll.rs
@@ -78,7 +78,7 @@
             Ok(held) => held,
             Err(error) => return drop(reply.send(Err(invalid(error)))),
         };
-        let Some(number) = self.engine.number_of(session) else {
+        let Some(number) = self.engine.id_on_stream(session) else {
             let redirect = self.pending_redirects.remove(&session);
             let refusal = redirect.map_or(RequestError::UnknownSession, RequestError::Redirected);
             return drop(reply.send(Err(refusal)));
@@ -93,11 +93,11 @@
         }
         if let Some(version) = accepted.acknowledged_version {
             self.engine.version_acknowledged(now, session, version);
-            self.engine.settled(session);
+            self.engine.clear_in_flight(session);
         }
         let newest = self.engine.history().newest(number).map(|newest| newest.version);
         if accepted.acknowledged_version != newest {
-            self.engine.settled(session);
+            self.engine.clear_in_flight(session);
             self.engine.resend_requested(now, session, 1);
         }
         self.engine.stream_has_capacity(session);
@@ -223,6 +223,6 @@
     match error {
         JoinError::Full { .. } => RequestError::Full(error.to_string()),
         JoinError::Contested { .. } => RequestError::Conflict(error.to_string()),
-        JoinError::Nameless => RequestError::Invalid(error.to_string()),
+        JoinError::EmptyName => RequestError::Invalid(error.to_string()),
     }
 }
--- a/crates/daemon/src/host/operations.rs
+++ b/crates/daemon/src/host/operations.rs
@@ -95,7 +95,7 @@
     }
 
     fn rollback_outcome(&self, report: &RollbackReport) -> RollbackOutcome {
-        let omitted = report.left_out.iter();
+        let omitted = report.omitted.iter();
         let omitted = omitted.map(|(proxy, class, replica, reason)| OmittedEntry {
             proxy: proxy.to_string(),
             class: self.class_name(*class),
@@ -164,7 +164,7 @@
 
     fn class_scope(&self, name: &str) -> Result<TableScope, OperatorError> {
         let class = self.wire.groups.iter().position(|class| class.name == name);
-        class.map(TableScope::Group).ok_or_else(|| OperatorError::UnknownClass(name.to_string()))
+        class.map(TableScope::Class).ok_or_else(|| OperatorError::UnknownClass(name.to_string()))
     }
 }
 
--- a/crates/daemon/src/host/status.rs
+++ b/crates/daemon/src/host/status.rs
@@ -166,7 +166,7 @@
             queued_joins: status.queued_joins,
             queued_entries: status.queued_entries,
             max_queued_entries: status.max_queued_entries,
-            empty_roster_doubted: status.roster_doubted,
+            empty_roster_doubted: status.empty_roster_unconfirmed,
             reports: ReportsSection {
                 counted,
                 queued: status.queued_reports,
@@ -207,9 +207,9 @@
     /// Which kind of tables a proxy follows: its own (`standing`), its zone's, or one solved for it.
     pub(super) fn table_kind(&self, number: ProxyId, proxy: &Proxy) -> &'static str {
         match proxy.kind() {
-            TableKind::Standing => "standing",
-            TableKind::Own if self.engine.is_critical(number) => "critical",
-            TableKind::Own => "default",
+            TableKind::ProxyDefault => "standing",
+            TableKind::Assigned if self.engine.is_critical(number) => "critical",
+            TableKind::Assigned => "default",
         }
     }
 
@@ -252,14 +252,14 @@
 }
 
 fn override_status(now: Duration, replica: &ReplicaId, one: &Override) -> OverrideStatus {
-    let weight = match one.what {
+    let weight = match one.kind {
         OverrideKind::Exclude => 0.0,
         OverrideKind::Weight(factor) => factor,
     };
     OverrideStatus {
         replica: replica.to_string(),
         weight,
-        reason: one.why.to_string(),
+        reason: one.reason.to_string(),
         remaining_seconds: one.until.saturating_sub(now).as_secs_f64(),
     }
 }
--- a/crates/daemon/src/labels.rs
+++ b/crates/daemon/src/labels.rs
@@ -50,12 +50,12 @@
 /// An input that a decision answers, as the log names it.
 pub fn cause(cause: &Cause) -> &'static str {
     match cause {
-        Cause::Beat => "timer",
+        Cause::Tick => "timer",
         Cause::Roster => "roster",
         Cause::Reports => "reports",
-        Cause::Joined => "proxy connected",
-        Cause::Left => "proxy disconnected",
-        Cause::Acked => "acknowledgement",
-        Cause::Probed => "health check",
+        Cause::ProxyConnected => "proxy connected",
+        Cause::ProxyDisconnected => "proxy disconnected",
+        Cause::Acknowledged => "acknowledgement",
+        Cause::HealthChecked => "health check",
     }
 }
--- a/crates/daemon/src/run/event_loop.rs
+++ b/crates/daemon/src/run/event_loop.rs
@@ -144,7 +144,7 @@
     fn settings_read(&mut self, read: Result<Settings>) {
         let Some(settings) = accept_settings(read, &self.settings) else { return };
         self.settings = settings;
-        self.host.engine.limit_reports(self.settings.report_entries_per_second);
+        self.host.engine.set_report_limit(self.settings.report_entries_per_second);
         self.tasks.roster.abort();
         let rosters = self.senders.rosters.clone();
         self.tasks.roster = watch_roster(&self.settings, &self.wire, self.clock, rosters);
--- a/crates/long-poll/src/conversion.rs
+++ b/crates/long-poll/src/conversion.rs
@@ -196,7 +196,7 @@
                 issued: observed.issued,
                 succeeded: observed.succeeded,
                 failed: observed.failed,
-                total_latency_millis: to_millis(observed.answers.0),
+                total_latency_millis: to_millis(observed.latency_sum_and_count.0),
                 load: observed.load.clone(),
             });
         }
@@ -238,7 +238,7 @@
             failed: statistics.failed,
             issued: statistics.issued,
             in_flight: 0,
-            answers: (total_latency, timed),
+            latency_sum_and_count: (total_latency, timed),
             load: if has_all_metrics { statistics.load.clone() } else { Vec::new() },
         })
     }
@@ -306,12 +306,12 @@
                 admission_millionths: table_versions::MILLION,
                 retry_policy: RETRY_NEVER.into(),
             },
-            TableChange::Entries { changed, removed, level, tries } => ClassUpdate {
+            TableChange::Entries { changed, removed, admission_millionths, retry_policy } => ClassUpdate {
                 use_default_table: false,
                 entries: changed.iter().map(|entry| self.encode_changed_entry(entry)).collect(),
                 removed: removed.iter().map(ReplicaId::to_string).collect(),
-                admission_millionths: *level,
-                retry_policy: retry_policy_name(*tries).into(),
+                admission_millionths: *admission_millionths,
+                retry_policy: retry_policy_name(*retry_policy).into(),
             },
         }
     }
@@ -320,8 +320,8 @@
         TableEntry {
             replica: entry.replica.to_string(),
             weight: entry.weight,
-            address: entry.at.as_ref().map(|(address, _)| address.to_string()),
-            zone: entry.at.as_ref().map(|(_, zone)| self.zone_name(*zone)),
+            address: entry.location.as_ref().map(|(address, _)| address.to_string()),
+            zone: entry.location.as_ref().map(|(_, zone)| self.zone_name(*zone)),
         }
     }
 
@@ -357,14 +357,14 @@
             changed.push(ChangedEntry {
                 replica: entry.replica.as_str().into(),
                 weight: entry.weight,
-                at: address.zip(zone),
+                location: address.zip(zone),
             });
         }
         Ok(TableChange::Entries {
             changed,
             removed: update.removed.iter().map(|replica| replica.as_str().into()).collect(),
-            level: update.admission_millionths,
-            tries: parse_retry_policy(&update.retry_policy)?,
+            admission_millionths: update.admission_millionths,
+            retry_policy: parse_retry_policy(&update.retry_policy)?,
         })
     }
 
@@ -375,15 +375,16 @@
     ) -> Result<PublishedState, InvalidMessageError> {
         let mut state = PublishedState { classes: vec![None; self.classes.len()] };
         for (class, change) in changes {
-            let TableChange::Entries { changed, level, tries, .. } = change else { continue };
+            let TableChange::Entries { changed, admission_millionths, retry_policy, .. } = change else {
+                continue;
+            };
             let mut entries = BTreeMap::new();
             for entry in changed {
                 let missing = || InvalidMessageError::field("lines", "an address is missing");
-                let (address, zone) = entry.at.ok_or_else(missing)?;
+                let (address, zone) = entry.location.ok_or_else(missing)?;
                 entries.insert(entry.replica, PublishedEntry { address, zone, weight: entry.weight });
             }
-            state.classes[class] =
-                Some(PublishedTable { entries, admission_millionths: level, retry_policy: tries });
+            state.classes[class] = Some(PublishedTable { entries, admission_millionths, retry_policy });
         }
         Ok(state)
     }
--- a/crates/long-poll/src/sessions.rs
+++ b/crates/long-poll/src/sessions.rs
@@ -190,7 +190,7 @@
     ) -> Result<AcceptedPoll<R>, (UnknownSessionError, R)> {
         let Poll { session: id, proxy, held, wait, reply } = poll;
         let Some(session) = self.sessions.get_mut(&id) else { return Err((UnknownSessionError, reply)) };
-        let retained = held.filter(|held| history.held(proxy, held.version, &held.digest).is_some());
+        let retained = held.filter(|held| history.find(proxy, held.version, &held.digest).is_some());
         // A version of another epoch is known by its content alone. One that is retained here never is: if digests
         // collided by a fault, the proxy would stay on an old table for ever.
         session.unknown_digest = match retained {
@@ -228,7 +228,7 @@
     ) -> Option<PollAnswer<R>> {
         let newest = history.newest(proxy)?;
         let session = self.sessions.get_mut(&id)?;
-        let base = session.held.and_then(|held| history.held(proxy, held.version, &held.digest));
+        let base = session.held.and_then(|held| history.find(proxy, held.version, &held.digest));
         // Who returns from another epoch with the very content that this one arrives at holds it already.
         let holds_same_content = session.held.is_none() && session.unknown_digest == Some(newest.digest);
         if holds_same_content || base.is_some_and(|base| base.state == newest.state) {
--- a/crates/xds/src/decode.rs
+++ b/crates/xds/src/decode.rs
@@ -211,7 +211,7 @@
             };
             // All fields or none: the module reads them by place.
             let load: Option<Vec<f64>> = wire.load_metrics.iter().map(mean).collect();
-            let answers = metric(&wire.answer_metric).map_or((Duration::ZERO, 0), |one| {
+            let latency_sum_and_count = metric(&wire.answer_metric).map_or((Duration::ZERO, 0), |one| {
                 let seconds = Duration::try_from_secs_f64(one.total_metric_value / 1000.0);
                 (seconds.unwrap_or(Duration::MAX), one.num_requests_finished_with_metric)
             });
@@ -222,7 +222,7 @@
                 failed: endpoint.total_error_requests,
                 issued: endpoint.total_issued_requests,
                 in_flight: endpoint.total_requests_in_progress,
-                answers,
+                latency_sum_and_count,
                 load: load.unwrap_or_default(),
             });
         }
--- a/crates/xds/src/decode/tests.rs
+++ b/crates/xds/src/decode/tests.rs
@@ -101,7 +101,7 @@
     assert_eq!(reports[0].rejected, [(0, 3)]);
     let met = &reports[0].observations[0];
     assert_eq!((met.succeeded, met.failed, met.issued, met.load.as_slice()), (8, 2, 11, [2.0].as_slice()));
-    assert_eq!(met.answers, (Duration::from_millis(160), 8));
+    assert_eq!(met.latency_sum_and_count, (Duration::from_millis(160), 8));
 }
 
 #[test]
--- a/crates/xds/src/encode.rs
+++ b/crates/xds/src/encode.rs
@@ -181,7 +181,7 @@
 /// A table: its open lines by zone, the weight of a zone the sum of theirs.
 pub fn assignment(wire: &Wire, name: &str, table: &Table) -> ClusterLoadAssignment {
     let open: Vec<_> = table.entries.iter().filter(|line| line.routable).collect();
-    let weights = weights::whole(&open.iter().map(|line| line.weight).collect::<Vec<_>>());
+    let weights = weights::to_integers(&open.iter().map(|line| line.weight).collect::<Vec<_>>());
     let mut zones: BTreeMap<usize, (u32, Vec<LbEndpoint>)> = BTreeMap::new();
     for (line, weight) in open.into_iter().zip(weights) {
         let (sum, endpoints) = zones.entry(line.zone).or_default();
