--- a/crates/core/src/engine/actions.rs
+++ b/crates/core/src/engine/actions.rs
@@ -1,4 +1,4 @@
-//! What the engine asks its host to do, and what it reports for the log.
+//! Actions that the engine asks its host to carry out, and events for the log.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,88 +12,88 @@
 #[cfg(doc)]
 use super::Engine;
 
-/// One thing for the host to do.
+/// An action for the host to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Have the proxy's front write what it should hold and was not sent; then call [`Engine::tables_sent`], or
+    /// The proxy's front end must send the pending changes; then call [`Engine::tables_sent`], or
     /// [`Engine::stream_full`] if its stream has no capacity.
     Flush(ProxyId),
-    /// A stream is over, as a later one of the same proxy has replaced it.
+    /// Close a stream that a newer stream of the same proxy has replaced.
     CloseStream(StreamId),
-    /// Send one health check to a replica, and call [`Engine::health_checked`] with its result.
+    /// Send one health check to a replica and pass the result to [`Engine::health_checked`].
     CheckHealth(ReplicaId),
-    /// Something to write to the log.
+    /// Write an event to the log.
     Report(EngineEvent),
 }
 
-/// A kind of input that came since the module was last asked for decisions.
+/// A kind of input since the module was last asked for decisions.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// The module's timer is due.
-    Beat,
+    /// The module's tick was due.
+    Tick,
     /// The roster changed.
     Roster,
     /// Load reports were aggregated.
     Reports,
     /// A proxy connected.
-    Joined,
+    ProxyConnected,
     /// A proxy disconnected.
-    Left,
-    /// A proxy acknowledged what the module wanted acknowledged.
-    Acked,
-    /// A health check has a result.
-    Probed,
+    ProxyDisconnected,
+    /// A proxy sent an acknowledgement that the module had requested.
+    Acknowledged,
+    /// A health check finished.
+    HealthChecked,
 }
 
-/// One event for the log.
+/// An event for the log.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EngineEvent {
-    /// What the module decided, the version that it goes out under, and the inputs that it answers.
+    /// The module made a decision.
     Decided {
         /// The decision.
-        what: DecisionSummary,
-        /// The version that it goes out under.
+        summary: DecisionSummary,
+        /// The version under which it is published.
         version: u64,
-        /// The inputs since the last flush.
-        answers: Arc<[Cause]>,
+        /// The kinds of input since the last flush.
+        causes: Arc<[Cause]>,
     },
-    /// An empty roster is not believed before this time.
-    EmptyRosterDoubted(Duration),
-    /// A proxy rejected a version, in its own words; its last good tables stand.
+    /// The roster source reported an empty roster; it is not accepted before this time.
+    EmptyRosterUnconfirmed(Duration),
+    /// A proxy rejected a version and keeps its last accepted tables.
     VersionRejected {
         /// The proxy's name.
         proxy: Arc<str>,
-        /// The version that it rejected.
+        /// The rejected version.
         version: u64,
-        /// Its reason, in its own words.
-        words: String,
+        /// The reason reported by the proxy.
+        reason: String,
     },
-    /// So many proxies wait in the join queue, as the channel is full.
+    /// The number of proxies in the join queue, which wait for channel capacity.
     JoinsQueued(usize),
     /// An operator's override of a replica has expired.
     OverrideExpired(ReplicaId),
-    /// Something is not sent as it was decided. A refusal that lasts is reported once.
+    /// The guard refused a table or a part of it. A lasting refusal is reported once.
     TableRefused(Refusal),
     /// A frozen table was released.
     FrozenTableReleased {
         /// The proxy's name.
         proxy: Arc<str>,
         /// The traffic class.
-        group: usize,
+        class: usize,
         /// Why it was released.
-        over: ReleaseReason,
+        reason: ReleaseReason,
     },
 }
 
-/// A decision of the module, in short.
+/// The summary of a decision of the module.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DecisionSummary {
-    /// A replica, and whether it is ejected (`true`) or restored.
-    Withdraw(ReplicaId, bool),
-    /// The proxy that a table is for, and how many entries of it changed.
-    Lines(Arc<str>, usize),
-    /// A proxy is assigned a table for these traffic classes.
-    Follow(Arc<str>, ClassSet),
-    /// Admission fraction and retry policy of these traffic classes.
-    Level(ClassSet, f64, RetryPolicy),
+    /// A replica was ejected (`true`) or restored (`false`).
+    Ejection(ReplicaId, bool),
+    /// A table changed: the name of its proxy, and the number of changed entries.
+    TableUpdate(Arc<str>, usize),
+    /// A proxy was assigned a table for these traffic classes.
+    TableAssignment(Arc<str>, ClassSet),
+    /// The admission fraction and retry policy of these traffic classes were set.
+    Admission(ClassSet, f64, RetryPolicy),
 }
--- a/crates/core/src/engine/rollback.rs
+++ b/crates/core/src/engine/rollback.rs
@@ -9,54 +9,54 @@
 
 use crate::frozen_tables::{self, FrozenTable, OmissionReason, ReleaseReason};
 
-use super::inputs::shortened;
+use super::inputs::truncate_reason;
 use super::{Action, Engine, EngineEvent};
 
-/// Whose tables an operator means.
+/// The tables that a rollback or a release applies to.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TableScope {
     /// All tables of one proxy, by its name.
     Proxy(Arc<str>),
-    /// Tables of one traffic class, of all proxies.
-    Group(usize),
+    /// The tables of one traffic class, of all proxies.
+    Class(usize),
     /// All tables of all proxies.
     All,
 }
 
-/// What a rollback came to.
+/// The result of a rollback.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RollbackReport {
-    /// Tables that are frozen now.
+    /// The number of tables that were frozen.
     pub frozen: usize,
-    /// Proxies of which so old a version is not retained, or which were on their default tables then.
+    /// Proxies for which the version is no longer retained, or that were on their default tables then.
     pub without: Vec<Arc<str>>,
-    /// What is not published of the frozen tables, by proxy and traffic class.
-    pub left_out: Vec<(Arc<str>, usize, ReplicaId, OmissionReason)>,
-    /// Tables that can't be frozen, as nothing of them is left.
+    /// Entries of the frozen tables that are not published, by proxy and traffic class.
+    pub omitted: Vec<(Arc<str>, usize, ReplicaId, OmissionReason)>,
+    /// The number of tables that were not frozen because no usable entry is left of them.
     pub unfreezable: usize,
 }
 
 /// Why a rollback or a release was rejected.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum RollbackError {
-    /// No such proxy is connected.
-    #[error("no proxy `{0}` is joined")]
+    /// No proxy of this name is connected.
+    #[error("no proxy named `{0}` is connected")]
     NoProxy(Arc<str>),
-    /// The version asked for, and the newest.
-    #[error("version {0} is not given out yet; the newest is {1}")]
-    NotYet(u64, u64),
-    /// History does not go back to this version.
-    #[error("of version {0} nothing is kept for anyone concerned")]
-    NotKept(u64),
+    /// The requested version is newer than the newest one.
+    #[error("version {0} does not exist yet; the newest version is {1}")]
+    UnknownVersion(u64, u64),
+    /// The history retains this version for none of the proxies.
+    #[error("version {0} is not retained for any of the selected proxies")]
+    NotRetained(u64),
 }
 
 impl Engine {
-    /// Freezes tables at an earlier version: these proxies hold, from now on and until `until`, what they were
-    /// sent as of that version, less what the rules forbid now. The module goes on deciding; what it decides for
-    /// them waits.
+    /// Freezes tables at an earlier version: until `until` these proxies hold the tables published to them as
+    /// of that version, less what the rules forbid now. The module continues to decide, but its decisions for
+    /// these tables are not published meanwhile.
     ///
     /// # Errors
-    /// As [`RollbackError`]; nothing is changed by a rollback that comes to nothing.
+    /// See [`RollbackError`]; on error nothing changes.
     pub fn rollback(
         &mut self,
         now: Duration,
@@ -66,25 +66,25 @@
         until: Duration,
     ) -> Result<RollbackReport, RollbackError> {
         if version > self.version {
-            return Err(RollbackError::NotYet(version, self.version));
+            return Err(RollbackError::UnknownVersion(version, self.version));
         }
         let (proxies, classes) = self.resolve_scope(scope)?;
-        let why = shortened(reason);
+        let why = truncate_reason(reason);
         let mut report = RollbackReport::default();
-        let mut touched = Vec::new();
+        let mut changed = Vec::new();
         for id in proxies {
             let Some(name) = self.fleet.get(id).map(|proxy| proxy.name.clone()) else { continue };
-            let Some(then) = self.history.as_of(id, version).cloned() else {
+            let Some(past) = self.history.as_of(id, version).cloned() else {
                 report.without.push(name);
                 continue;
             };
             let mut had_tables = false;
             for class in classes.clone() {
-                let Some(table) = then.state.classes.get(class).cloned().flatten() else { continue };
+                let Some(table) = past.state.classes.get(class).cloned().flatten() else { continue };
                 had_tables = true;
                 let frozen = FrozenTable {
-                    version: then.version,
-                    published_at: then.published_at,
+                    version: past.version,
+                    published_at: past.published_at,
                     table,
                     since: now,
                     until,
@@ -94,15 +94,15 @@
                 self.freeze(id, &name, class, frozen, &mut report);
             }
             if had_tables {
-                touched.push(id);
+                changed.push(id);
             } else {
                 report.without.push(name);
             }
         }
-        if touched.is_empty() {
-            return Err(RollbackError::NotKept(version));
+        if changed.is_empty() {
+            return Err(RollbackError::NotRetained(version));
         }
-        self.refresh(now, &touched);
+        self.refresh(now, &changed);
         Ok(report)
     }
 
@@ -116,28 +116,29 @@
     ) {
         let current = self.current_table(id, class);
         let ejected = |id: &ReplicaId| self.tables.is_ejected(id);
-        let (table, left_out) = frozen_tables::resolve(&frozen, &current, &self.roster, ejected);
+        let (table, omitted) = frozen_tables::resolve(&frozen, &current, &self.roster, ejected);
         if table.is_none() {
             report.unfreezable += 1;
             return;
         }
-        let omitted = left_out.into_iter().map(|(replica, reason)| (name.clone(), class, replica, reason));
-        report.left_out.extend(omitted);
+        let omitted = omitted.into_iter().map(|(replica, reason)| (name.clone(), class, replica, reason));
+        report.omitted.extend(omitted);
         report.frozen += 1;
         if let Some(before) = self.frozen_tables.insert((id, class), frozen) {
             let event = EngineEvent::FrozenTableReleased {
                 proxy: name.clone(),
-                group: class,
-                over: ReleaseReason::Replaced(before.why),
+                class,
+                reason: ReleaseReason::Replaced(before.why),
             };
             self.pending_actions.push_back(Action::Report(event));
         }
     }
 
-    /// Releases frozen tables: the module's current tables are published again. Returns how many there were.
+    /// Releases frozen tables, so that the module's current tables are published again. Returns the number of
+    /// released tables.
     ///
     /// # Errors
-    /// No such proxy.
+    /// [`RollbackError::NoProxy`].
     pub fn release(&mut self, now: Duration, scope: &TableScope) -> Result<usize, RollbackError> {
         let (proxies, classes) = self.resolve_scope(scope)?;
         let proxies: BTreeSet<ProxyId> = proxies.into_iter().collect();
@@ -146,7 +147,7 @@
         }))
     }
 
-    /// Releases frozen tables whose time is over.
+    /// Releases expired frozen tables.
     pub(super) fn release_expired(&mut self, now: Duration) {
         if self.frozen_tables.values().any(|frozen| frozen.until <= now) {
             self.release_where(now, &ReleaseReason::Time, |_, frozen| frozen.until <= now);
@@ -161,14 +162,14 @@
     ) -> usize {
         let released: Vec<(ProxyId, usize)> = self
             .frozen_tables
-            .extract_if(.., |place, frozen| matches(place, frozen))
-            .map(|(place, _)| place)
+            .extract_if(.., |key, frozen| matches(key, frozen))
+            .map(|(key, _)| key)
             .collect();
         for (id, class) in &released {
             let event = EngineEvent::FrozenTableReleased {
                 proxy: self.name_of(*id),
-                group: *class,
-                over: reason.clone(),
+                class: *class,
+                reason: reason.clone(),
             };
             self.pending_actions.push_back(Action::Report(event));
         }
@@ -177,11 +178,11 @@
         released.len()
     }
 
-    /// Proxies and traffic classes of a scope.
+    /// The proxies and traffic classes of a scope.
     fn resolve_scope(&self, scope: &TableScope) -> Result<(Vec<ProxyId>, Range<usize>), RollbackError> {
         Ok(match scope {
             TableScope::All => (self.fleet.proxy_ids(), 0..self.class_count),
-            TableScope::Group(class) => (self.fleet.proxy_ids(), *class..(class + 1).min(self.class_count)),
+            TableScope::Class(class) => (self.fleet.proxy_ids(), *class..(class + 1).min(self.class_count)),
             TableScope::Proxy(name) => {
                 let named = self.fleet.named(name);
                 let (id, _) = named.ok_or_else(|| RollbackError::NoProxy(name.clone()))?;
--- a/crates/core/src/engine/scheduling.rs
+++ b/crates/core/src/engine/scheduling.rs
@@ -1,4 +1,4 @@
-//! The order of work: what is due, when the module is asked again, and the next action for the host.
+//! Scheduling: due work, the next call of the module, and the next action for the host.
 
 use std::time::Duration;
 
@@ -6,17 +6,19 @@
 
 use super::{Action, Cause, Engine, EngineEvent};
 
-/// So far behind its tick a process has stood still: stopped, swapped out, or on a machine that slept.
-const STOOD_STILL: Duration = Duration::from_secs(3);
-/// It then takes inputs for so long before the module decides. To the module the gap would be a silence of
-/// replicas, and its proxies, who have long gone elsewhere, would still be connected. *Harm:* a replica that went
-/// bad in the gap is ejected so much later; drains are not, as they go with the roster.
+/// A tick late by more than this means that the process was paused: stopped, swapped out, or on a machine
+/// that was suspended.
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(3);
+/// After a pause, inputs are processed for this long before the module decides. Otherwise the module would
+/// take the gap for silence of the replicas, and would count proxies as connected that have long moved to
+/// other governors. *Harm:* a replica that failed during the gap is ejected later by this time; drains are
+/// not delayed, as they follow from the roster.
 pub(super) const CATCH_UP: Duration = Duration::from_secs(1);
 
 impl Engine {
-    /// The next thing to do, until there is none.
+    /// The next action for the host; `None` if there is nothing to do.
     pub fn next_action(&mut self, now: Duration) -> Option<Action> {
-        // A host that left a flush undone would be offered it for ever.
+        // A flush that the host did not carry out must not be offered again and again.
         if let Some(id) = self.offered_flush.take() {
             self.send_limiter.stream_full(id);
         }
@@ -29,7 +31,7 @@
         Some(Action::Flush(id))
     }
 
-    /// When to pull [`Engine::next_action`] again, if nothing else happens.
+    /// When to call [`Engine::next_action`] again if no other event occurs.
     pub fn next_deadline(&self, now: Duration) -> Duration {
         let deadlines = [
             self.roster.next_deadline(),
@@ -44,12 +46,12 @@
     }
 
     fn process_due(&mut self, now: Duration) {
-        self.detect_standstill(now);
+        self.detect_pause(now);
         self.process_roster_deadlines(now);
         self.release_expired(now);
         self.expire_restored(now);
         self.expire_overrides(now);
-        self.pass_on_reports(now);
+        self.forward_reports(now);
         self.drain_join_queue(now);
         self.tick_if_due(now);
         if !self.causes.is_empty() {
@@ -57,16 +59,17 @@
         }
     }
 
-    /// Once for each gap: on a machine that is always so late the module must decide all the same.
-    fn detect_standstill(&mut self, now: Duration) {
-        if now > self.next_tick + STOOD_STILL && !self.catching_up {
+    /// Postpones the tick once per pause, so that the module still decides on a machine that is always this
+    /// late.
+    fn detect_pause(&mut self, now: Duration) {
+        if now > self.next_tick + PAUSE_THRESHOLD && !self.catching_up {
             self.next_tick = now + CATCH_UP;
             self.catching_up = true;
         }
     }
 
     fn process_roster_deadlines(&mut self, now: Duration) {
-        if let Some(listed) = self.roster.believe_empty(now) {
+        if let Some(listed) = self.roster.accept_empty(now) {
             self.roster_changed(now, &listed);
         }
         if let Some(entries) = self.backups.release_due(now) {
@@ -84,18 +87,24 @@
         self.refresh(now, &self.fleet.proxy_ids());
     }
 
-    fn pass_on_reports(&mut self, now: Duration) {
+    fn forward_reports(&mut self, now: Duration) {
         for statistics in self.reports.take_due(now) {
             self.causes.insert(Cause::Reports);
             match statistics {
-                AggregatedStatistics::Replica(one) => {
-                    let succeeded = one.attempts.saturating_sub(one.failed);
-                    self.guard.record_throughput(now, &one.replica, one.zone, succeeded, one.interval);
-                    self.governor.record_replica_statistics(now, one);
+                AggregatedStatistics::Replica(statistics) => {
+                    let succeeded = statistics.attempts.saturating_sub(statistics.failed);
+                    self.guard.record_throughput(
+                        now,
+                        &statistics.replica,
+                        statistics.zone,
+                        succeeded,
+                        statistics.interval,
+                    );
+                    self.governor.record_replica_statistics(now, statistics);
                 }
-                AggregatedStatistics::Demand(one) => {
-                    self.guard.record_demand(one.proxy, one.class, one.requests, one.interval);
-                    self.governor.record_demand(now, one);
+                AggregatedStatistics::Demand(demand) => {
+                    self.guard.record_demand(demand.proxy, demand.class, demand.requests, demand.interval);
+                    self.governor.record_demand(now, demand);
                 }
             }
         }
@@ -103,7 +112,7 @@
 
     fn tick_if_due(&mut self, now: Duration) {
         if now >= self.next_tick {
-            self.causes.insert(Cause::Beat);
+            self.causes.insert(Cause::Tick);
             self.catching_up = false;
             self.reserved_entries = 0.0;
             self.governor.tick();
@@ -111,7 +120,7 @@
     }
 
     fn ask_module(&mut self, now: Duration) {
-        let ticked = self.causes.contains(&Cause::Beat);
+        let ticked = self.causes.contains(&Cause::Tick);
         self.flush_decisions(now);
         if std::mem::take(&mut self.recheck_all) {
             self.recheck_everything(now);
