--- a/crates/core/src/engine/recovery.rs
+++ b/crates/core/src/engine/recovery.rs
@@ -241,7 +241,7 @@
     pub(super) fn resume_proxy(&mut self, now: Duration, id: ProxyId, known: StoredProxy) {
         let version = self.version;
         let policies: Vec<RetryPolicy> = known.retry_policies.iter().map(|policy| (*policy).into()).collect();
-        let reason: Arc<str> = "restored after a restart".into();
+        let reason: Arc<str> = "known from before a restart".into();
         for (class, stored) in known.tables.into_iter().enumerate().take(self.class_count) {
             let Some(stored) = stored else { continue };
             let table = Table::from(stored);
--- a/crates/core/src/engine/rollback.rs
+++ b/crates/core/src/engine/rollback.rs
@@ -37,16 +37,18 @@
 }
 
 /// Why a rollback or a release was rejected.
+///
+/// The texts are part of responses and must not change.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum RollbackError {
     /// No proxy of this name is connected.
-    #[error("no proxy named `{0}` is connected")]
+    #[error("no proxy `{0}` is joined")]
     NoProxy(Arc<str>),
     /// The requested version is newer than the newest one.
-    #[error("version {0} does not exist yet; the newest version is {1}")]
+    #[error("version {0} is not given out yet; the newest is {1}")]
     UnknownVersion(u64, u64),
     /// The history retains this version for none of the proxies.
-    #[error("version {0} is not retained for any of the selected proxies")]
+    #[error("of version {0} nothing is kept for anyone concerned")]
     NotRetained(u64),
 }
 
--- a/crates/core/src/fencing.rs
+++ b/crates/core/src/fencing.rs
@@ -9,19 +9,21 @@
 const MAX_GOVERNORS: usize = 64;
 
 /// Why an update is not accepted.
+///
+/// The texts are part of responses and must not change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FencingError {
     /// It comes from a governor that the proxy does not follow.
-    #[error("it comes from a governor that the proxy does not follow")]
+    #[error("it comes from another governor than the one that is followed")]
     NotFollowed,
     /// It has an older epoch than an update that was accepted.
-    #[error("its epoch is older than that of an accepted update")]
+    #[error("it comes from an older life of its governor than one that was heeded")]
     OlderEpoch,
     /// It has an older version than an update that was accepted in the same epoch.
-    #[error("its version is older than that of an accepted update of the same epoch")]
+    #[error("it is older than one of the same life that was heeded")]
     OlderVersion,
     /// It was sent before the current stream began.
-    #[error("it was sent on an earlier stream")]
+    #[error("it was said on an older stream")]
     OlderStream,
 }
 
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -56,11 +56,13 @@
 }
 
 /// Why a join was rejected.
+///
+/// The texts are part of responses and must not change.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum JoinError {
     /// No id is free.
     #[error(
-        "{connected} proxies are connected and no id is free (maximum {capacity}); connect to another governor"
+        "{connected} proxies are joined, and no more numbers are free (at most {capacity}); join another governor"
     )]
     Full {
         /// The number of connected proxies.
@@ -70,7 +72,7 @@
     },
     /// Two proxies seem to use the same name.
     #[error(
-        "streams of the proxy name `{name}` replaced each other {replacements} times in {period:?}: two proxies use it; \
+        "streams under the name `{name}` replaced each other {replacements} times in {period:?}: two proxies have it; \
              give each its own node id"
     )]
     Contested {
@@ -82,7 +84,7 @@
         period: Duration,
     },
     /// The name is empty.
-    #[error("the proxy name (node id) is empty")]
+    #[error("a proxy must come with a name (node id)")]
     EmptyName,
 }
 
--- a/crates/core/src/frozen_tables.rs
+++ b/crates/core/src/frozen_tables.rs
@@ -35,16 +35,18 @@
 }
 
 /// Why an entry of a frozen table is not published.
+///
+/// The texts are part of responses and must not change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum OmissionReason {
     /// The replica is not ready.
     #[error("gone or draining")]
     Gone,
     /// The replica is ejected.
-    #[error("ejected by the module")]
+    #[error("withdrawn by the module")]
     Ejected,
     /// The replica restarted, and the module does not send requests to it yet.
-    #[error("restarted since, and not in the module's current table")]
+    #[error("started since, and not in the module's present table")]
     Restarted,
 }
 
--- a/crates/core/src/overrides.rs
+++ b/crates/core/src/overrides.rs
@@ -38,16 +38,18 @@
 }
 
 /// Why an override was rejected.
+///
+/// The texts are part of responses and must not change.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum OverrideError {
     /// The replica is not listed.
-    #[error("replica `{0}` is not in the roster")]
+    #[error("no replica `{0}` is listed")]
     NoReplica(ReplicaId),
     /// The factor is not within [`FACTOR_RANGE`].
-    #[error("weight factor {0} is not between 0.01 and 100")]
+    #[error("a factor is from 0.01 to 100, and not {0}")]
     Factor(f64),
     /// There are [`MAX_OVERRIDES`] overrides already.
-    #[error("there are already {MAX_OVERRIDES} overrides, the maximum")]
+    #[error("{MAX_OVERRIDES} replicas are overridden already")]
     Full,
 }
 
--- a/crates/core/src/table_versions.rs
+++ b/crates/core/src/table_versions.rs
@@ -153,19 +153,21 @@
 }
 
 /// Why a delta can't be applied. In each case the complete state must be requested.
+///
+/// The texts are part of responses and must not change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Mismatch {
     /// It was made for another base state.
-    #[error("the delta's base is not the current state")]
+    #[error("it starts from a state that is not held")]
     Base,
     /// It omits the address of a replica that the base does not contain.
-    #[error("the delta omits the address of a replica that is not in its base")]
+    #[error("it names a replica whose address is not known")]
     UnknownReplica,
     /// It names an unknown traffic class.
-    #[error("the delta names an unknown traffic class")]
+    #[error("it names a group that is not known")]
     UnknownClass,
     /// The resulting state does not have the digest in the delta.
-    #[error("the digest of the resulting state differs from the one in the delta")]
+    #[error("what it comes to has another digest than it says")]
     Digest,
 }
 
