--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -97,7 +97,7 @@
                 governor.record_health_check(now, &replica, response_time, &load);
             }
             GovernorEvent::Tick => governor.tick(),
-            GovernorEvent::Acknowledged(elapsed) => governor.acknowledged(elapsed),
+            GovernorEvent::Acknowledged(elapsed) => governor.record_acknowledgement(elapsed),
             GovernorEvent::Ignored => {}
         }
         self.active_governors.insert(id);
--- a/crates/core/benches/guard.rs
+++ b/crates/core/benches/guard.rs
@@ -88,7 +88,7 @@
         run(&mut engine, now);
         idle_ticks += start.elapsed();
     }
-    let (refused, passed) = engine.guard().tally();
+    let (refused, passed) = engine.guard().counts();
     let micros = |span: Duration| span.as_secs_f64() * 1e6 / f64::from(EVENTS);
     (micros(events), micros(idle_ticks), passed, refused.values().sum())
 }
--- a/crates/core/benches/restart.rs
+++ b/crates/core/benches/restart.rs
@@ -196,13 +196,13 @@
         };
         let (complete_ms, complete_bytes, mut known) = store(&StoredItems::new());
         let (unchanged_ms, unchanged_bytes, _) = store(&known);
-        known.insert(snapshot::NAMES.into(), std::sync::Arc::new(names.clone()));
-        known.insert(snapshot::ALIVE.into(), std::sync::Arc::new(StoredItem::Alive { at: 1000.0 }));
+        known.insert(snapshot::NAMES_ITEM.into(), std::sync::Arc::new(names.clone()));
+        known.insert(snapshot::ALIVE_ITEM.into(), std::sync::Arc::new(StoredItem::Alive { at: 1000.0 }));
         let ejected_before = before.engine.is_ejected(&"r04".into());
         for age in [None, Some(1.0), Some(600.0), Some(36_000.0)] {
             let mut after = Run::new(proxy_count, 20_500);
             if let Some(age) = age {
-                let (restored, rejected) = snapshot::recall(known.clone(), 1000.0 + age, &names);
+                let (restored, rejected) = snapshot::restore(known.clone(), 1000.0 + age, &names);
                 assert!(rejected.is_empty());
                 after.engine.restore(ms(20_500), restored);
             }
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -211,7 +211,7 @@
     /// Disables all checks of the guard, to measure what the guard costs and prevents.
     #[cfg(any(test, feature = "suspect"))]
     pub fn switch_guard_off(&mut self) {
-        self.guard.switch_off();
+        self.guard.disable();
     }
 }
 
--- a/crates/core/src/engine/decisions.rs
+++ b/crates/core/src/engine/decisions.rs
@@ -57,7 +57,7 @@
                 // A module that never stops deciding must not delay drains: the remaining decisions are
                 // requested in the next flush.
                 let (asked, allowed) = (decision_count as f64, MAX_DECISIONS as f64);
-                self.guard.record_refusal(now, 0, RefusalReason::Flood, asked, allowed);
+                self.guard.record_refusal(now, 0, RefusalReason::TooManyDecisions, asked, allowed);
                 self.next_tick = now + FLOOD_RETRY;
                 break;
             }
--- a/crates/core/src/engine/inputs.rs
+++ b/crates/core/src/engine/inputs.rs
@@ -83,7 +83,7 @@
     pub fn version_acknowledged(&mut self, now: Duration, stream: StreamId, version: u64) {
         let Some(id) = self.fleet.id_on_stream(stream) else { return };
         for requested_at in self.fleet.acknowledge(stream, version) {
-            self.governor.acknowledged(now.saturating_sub(requested_at));
+            self.governor.record_acknowledgement(now.saturating_sub(requested_at));
             self.causes.insert(Cause::Acknowledged);
         }
         if self.fleet.get(id).is_some_and(|proxy| proxy.acknowledged_version >= proxy.sent_version) {
--- a/crates/core/src/engine/inspection.rs
+++ b/crates/core/src/engine/inspection.rs
@@ -11,7 +11,8 @@
 use crate::guard::Guard;
 use crate::history::History;
 use crate::recording::{
-    FORM, RecordedEntry, RecordedProxy, RecordedReplica, RecordedTable, RecordedThroughput, Recording,
+    FORMAT_VERSION, RecordedEntry, RecordedProxy, RecordedReplica, RecordedTable, RecordedThroughput,
+    Recording,
 };
 use crate::reports::DiscardReason;
 use crate::roster::{KnownReplica, Roster};
@@ -66,7 +67,7 @@
     }
 
     /// The last accepted roster.
-    pub fn known_roster(&self) -> &Roster {
+    pub fn accepted_roster(&self) -> &Roster {
         &self.roster
     }
 
@@ -104,7 +105,7 @@
             per_second,
         };
         Recording {
-            form: FORM,
+            form: FORMAT_VERSION,
             governor: String::new(),
             taken_at: 0.0,
             zones: Vec::new(),
--- a/crates/core/src/engine/joining.rs
+++ b/crates/core/src/engine/joining.rs
@@ -86,7 +86,7 @@
             let released = dropped.map(|((_, class), _)| EngineEvent::FrozenTableReleased {
                 proxy: join.name.clone(),
                 class,
-                reason: ReleaseReason::Reused,
+                reason: ReleaseReason::ProxyIdReused,
             });
             self.pending_actions.extend(released.map(Action::Report));
         }
@@ -111,7 +111,7 @@
                 table: restored.stored.published(),
                 since: now,
                 until: restored.until,
-                why: restored.stored.reason,
+                reason: restored.stored.reason,
                 migrated: false,
             };
             self.frozen_tables.insert((proxy, class), frozen);
--- a/crates/core/src/engine/migration.rs
+++ b/crates/core/src/engine/migration.rs
@@ -42,7 +42,7 @@
         }
         let zone = proxy.zone;
         let stream = proxy.stream;
-        let why: Arc<str> = format!("handed over by {}", migrated.from).into();
+        let reason: Arc<str> = format!("handed over by {}", migrated.from).into();
         let mut adopted = 0;
         for (class, table) in migrated.state.classes.into_iter().enumerate().take(self.class_count) {
             let Some(table) = table else { continue };
@@ -52,7 +52,7 @@
                 table,
                 since: now,
                 until: now + MIGRATED_TABLE_TIMEOUT,
-                why: why.clone(),
+                reason: reason.clone(),
                 migrated: true,
             };
             let current = self.current_table(id, class);
--- a/crates/core/src/engine/publishing.rs
+++ b/crates/core/src/engine/publishing.rs
@@ -135,8 +135,11 @@
 
     fn release_empty(&mut self, id: ProxyId, class: usize) {
         self.frozen_tables.remove(&(id, class));
-        let event =
-            EngineEvent::FrozenTableReleased { proxy: self.name_of(id), class, reason: ReleaseReason::Bare };
+        let event = EngineEvent::FrozenTableReleased {
+            proxy: self.name_of(id),
+            class,
+            reason: ReleaseReason::NoUsableEntry,
+        };
         self.pending_actions.push_back(Action::Report(event));
     }
 
--- a/crates/core/src/engine/recovery.rs
+++ b/crates/core/src/engine/recovery.rs
@@ -61,7 +61,7 @@
             let name = format!("proxy/{}", proxy.name);
             let version = proxy.newest();
             let demand: Vec<f64> = (0..self.class_count)
-                .map(|class| snapshot::stepped(self.guard.requests_per_second(id, class)))
+                .map(|class| snapshot::quantized(self.guard.requests_per_second(id, class)))
                 .collect();
             // Equal versions have equal tables, so these are not copied and compared again each time.
             let unchanged = before.get(&name).filter(|item| {
@@ -93,7 +93,7 @@
     fn store_replicas(&self, items: &mut StoredItems, now: Duration) {
         let mut replicas: BTreeMap<&ReplicaId, StoredReplica> = BTreeMap::new();
         for (id, zone, per_second) in self.guard.throughput(now) {
-            replicas.entry(id).or_default().throughput.push((zone, snapshot::stepped(per_second)));
+            replicas.entry(id).or_default().throughput.push((zone, snapshot::quantized(per_second)));
         }
         for (id, known) in self.roster.iter() {
             if known.phase == Phase::Ready && self.tables.is_ejected(id) {
@@ -135,7 +135,7 @@
                 version: frozen.version,
                 published_at: (calendar - now.saturating_sub(frozen.published_at).as_secs_f64()).round(),
                 until: stored_until(frozen.until, now, calendar),
-                reason: frozen.why.clone(),
+                reason: frozen.reason.clone(),
                 entries: frozen.table.entries.iter().map(entry).collect(),
                 admission_millionths: frozen.table.admission_millionths,
                 retry_policy: frozen.table.retry_policy.into(),
@@ -231,7 +231,7 @@
     /// restart.
     pub(super) fn ordinary_demand(&self, join: &JoinRequest, restored: Option<&StoredProxy>) -> f64 {
         let Some(known) = restored else { return join.requests_per_second };
-        let weight = snapshot::counts(self.restored.age, snapshot::DEMAND);
+        let weight = snapshot::decay_factor(self.restored.age, snapshot::DEMAND_HALF_LIFE);
         join.requests_per_second
             + (known.requests_per_second.iter().sum::<f64>() - join.requests_per_second) * weight
     }
@@ -255,7 +255,7 @@
                     table: PublishedTable::of(&table, policy),
                     since: now,
                     until: now + MIGRATED_TABLE_TIMEOUT,
-                    why: reason.clone(),
+                    reason: reason.clone(),
                     migrated: true,
                 };
                 self.frozen_tables.entry((id, class)).or_insert(frozen);
@@ -298,7 +298,8 @@
     /// The module ejects a replica where everything fails only if it observes successes at others.
     fn report_restored_successes(&mut self, now: Duration, throughput: BTreeMap<(ReplicaId, usize), f64>) {
         for ((id, zone), per_second) in throughput {
-            let succeeded = (per_second * snapshot::LAST.as_secs_f64()).round().min(1e6) as u64;
+            let succeeded =
+                (per_second * snapshot::RESTORED_REPORT_INTERVAL.as_secs_f64()).round().min(1e6) as u64;
             let ready = self.roster.is_ready(&id);
             if ready && succeeded > 0 && !self.restored.ejected.contains_key(&id) {
                 self.report_restored_statistics(now, zone, id, succeeded, 0);
@@ -333,7 +334,7 @@
             self.restored.admission_fractions.clear();
             self.refresh(now, &self.fleet.proxy_ids());
         }
-        if now >= self.restored_at + snapshot::TABLES {
+        if now >= self.restored_at + snapshot::TABLE_LIFETIME {
             // A proxy that has not reconnected by now has moved to another governor or no longer exists.
             self.restored.proxies.clear();
         }
--- a/crates/core/src/engine/rollback.rs
+++ b/crates/core/src/engine/rollback.rs
@@ -71,7 +71,7 @@
             return Err(RollbackError::UnknownVersion(version, self.version));
         }
         let (proxies, classes) = self.resolve_scope(scope)?;
-        let why = truncate_reason(reason);
+        let reason = truncate_reason(reason);
         let mut report = RollbackReport::default();
         let mut changed = Vec::new();
         for id in proxies {
@@ -90,7 +90,7 @@
                     table,
                     since: now,
                     until,
-                    why: why.clone(),
+                    reason: reason.clone(),
                     migrated: false,
                 };
                 self.freeze(id, &name, class, frozen, &mut report);
@@ -130,7 +130,7 @@
             let event = EngineEvent::FrozenTableReleased {
                 proxy: name.clone(),
                 class,
-                reason: ReleaseReason::Replaced(before.why),
+                reason: ReleaseReason::Replaced(before.reason),
             };
             self.pending_actions.push_back(Action::Report(event));
         }
@@ -152,7 +152,7 @@
     /// Releases expired frozen tables.
     pub(super) fn release_expired(&mut self, now: Duration) {
         if self.frozen_tables.values().any(|frozen| frozen.until <= now) {
-            self.release_where(now, &ReleaseReason::Time, |_, frozen| frozen.until <= now);
+            self.release_where(now, &ReleaseReason::Expired, |_, frozen| frozen.until <= now);
         }
     }
 
--- a/crates/core/src/engine/tests/faulty_module.rs
+++ b/crates/core/src/engine/tests/faulty_module.rs
@@ -88,7 +88,7 @@
                 let routable_entries: Vec<_> =
                     versioned.table.entries.iter().filter(|entry| entry.routable).collect();
                 record("no routable entry", routable_entries.is_empty());
-                let phase = |id: &ReplicaId| engine.known_roster().get(id).map(|known| known.phase);
+                let phase = |id: &ReplicaId| engine.accepted_roster().get(id).map(|known| known.phase);
                 record(
                     "draining replica",
                     routable_entries.iter().any(|entry| phase(&entry.replica) != Some(Phase::Ready)),
@@ -184,11 +184,11 @@
     // The guard refuses none of the module's decisions. Current tables are checked again when a replica
     // restarts; there the guard reacts one tick earlier than the module.
     let is_early = |refusal: &crate::guard::Refusal| {
-        refusal.reason == RefusalReason::Cold
+        refusal.reason == RefusalReason::ColdOverload
             && refusal.replica.as_deref() == Some(COLD)
             && refusal.at < at(9500)
     };
-    let (_, passed) = engine.guard().tally();
+    let (_, passed) = engine.guard().counts();
     let refusals: Vec<_> = engine.guard().refusals().collect();
     assert!(
         passed > 20 && !refusals.is_empty() && refusals.iter().all(|refusal| is_early(refusal)),
--- a/crates/core/src/engine/tests/inspection.rs
+++ b/crates/core/src/engine/tests/inspection.rs
@@ -16,24 +16,28 @@
     let proxy = engine.proxy_connected(ms(1), 1, &join("p", &[])).unwrap().proxy;
     run(&mut engine, ms(600));
     let before = routable_replicas(&engine, proxy);
-    let dry_run = |engine: &Engine, group, level, lines: &[(&str, f64)]| {
+    let dry_run = |engine: &Engine, class, admission_fraction, entries: &[(&str, f64)]| {
         let recording = Recording {
             zones: vec!["z".into()],
             groups: vec!["one".into(), "other".into()],
             ..engine.record(ms(700))
         };
-        let lines = lines.iter().map(|(id, weight)| ((*id).into(), *weight)).collect();
-        let result =
-            recording.would(&[CandidateTable { proxy: "p".into(), group, lines, level }]).unwrap()?;
+        let entries = entries.iter().map(|(id, weight)| ((*id).into(), *weight)).collect();
+        let result = recording
+            .check_candidates(&[CandidateTable { proxy: "p".into(), class, entries, admission_fraction }])
+            .unwrap()?;
         let reasons: Vec<RefusalReason> = result.refusals.iter().map(|one| one.refusal.reason).collect();
         Ok::<_, CandidateError>((result.tables[0].clone(), reasons))
     };
     let (table, reasons) = dry_run(&engine, 0, 2.0, &[("a", 1.0), ("b", -1.0)]).unwrap();
-    assert_eq!((table.entries.len(), reasons), (1, vec![RefusalReason::Level, RefusalReason::Weight]));
+    assert_eq!(
+        (table.entries.len(), reasons),
+        (1, vec![RefusalReason::InvalidAdmissionFraction, RefusalReason::InvalidWeight])
+    );
     let (table, reasons) = dry_run(&engine, 0, 1.0, &[("never", 1.0)]).unwrap();
     assert_eq!(
         (table.entries.len(), reasons.last()),
-        (3, Some(&RefusalReason::Bare)),
+        (3, Some(&RefusalReason::NoRoute)),
         "the last accepted table"
     );
     assert_eq!(dry_run(&engine, 1, 1.0, &[("a", 1.0), ("c", 1.0)]).unwrap().1, []);
@@ -42,6 +46,6 @@
     let (table, _) = dry_run(&engine, 0, 1.0, &[("a", 1.0), ("c", 1.0)]).unwrap();
     assert_eq!(table.entries.iter().filter(|line| line.routable).count(), 1);
     engine.end_override(ms(700), "a");
-    assert_eq!(dry_run(&engine, 2, 1.0, &[]), Err(CandidateError::NoGroup(2)));
+    assert_eq!(dry_run(&engine, 2, 1.0, &[]), Err(CandidateError::UnknownClass(2)));
     assert_eq!((routable_replicas(&engine, proxy), engine.guard().refusals().count()), (before, 0));
 }
--- a/crates/core/src/engine/tests/recovery.rs
+++ b/crates/core/src/engine/tests/recovery.rs
@@ -23,12 +23,12 @@
     let stored_names =
         StoredItem::Names { governor: "g".into(), zones: vec!["z".into()], groups: groups.to_vec() };
     let mut items = before.stored_items(now, &StoredItems::new(), 1000.0, 7, &groups);
-    items.insert(snapshot::NAMES.into(), Arc::new(stored_names.clone()));
-    items.insert(snapshot::ALIVE.into(), Arc::new(StoredItem::Alive { at: 1000.0 }));
+    items.insert(snapshot::NAMES_ITEM.into(), Arc::new(stored_names.clone()));
+    items.insert(snapshot::ALIVE_ITEM.into(), Arc::new(StoredItem::Alive { at: 1000.0 }));
     let items = items
         .into_iter()
         .map(|(name, item)| (name, Arc::new(snapshot::decode(&snapshot::encode(&item)).unwrap())));
-    let (restored, rejected) = snapshot::recall(items.collect(), 1000.0 + later, &stored_names);
+    let (restored, rejected) = snapshot::restore(items.collect(), 1000.0 + later, &stored_names);
     assert_eq!(rejected, []);
     let mut engine = Engine::new(EngineSettings::example(2), ms(0));
     engine.restore(ms(0), restored);
@@ -189,7 +189,7 @@
     run(&mut after, ms(900));
     let held: Vec<_> = after
         .frozen_tables()
-        .map(|(name, group, frozen)| (name.to_string(), group, frozen.why.clone()))
+        .map(|(name, group, frozen)| (name.to_string(), group, frozen.reason.clone()))
         .collect();
     assert_eq!(held, [("q".into(), 0, "a mistake".into()), ("q".into(), 1, "a mistake".into())]);
     assert!(!routable_replicas(&after, on_default).is_empty());
--- a/crates/core/src/engine/tests/rollback.rs
+++ b/crates/core/src/engine/tests/rollback.rs
@@ -37,7 +37,7 @@
     run_and_acknowledge(&mut engine, ms(4000));
     let report = engine.rollback(ms(5000), &TableScope::All, before, "too wide", ms(60_000)).unwrap();
     assert_eq!((report.frozen, report.unfreezable, report.omitted.len()), (2, 0, 2));
-    assert_eq!(report.omitted[0].3, OmissionReason::Gone);
+    assert_eq!(report.omitted[0].3, OmissionReason::NotReady);
     run_and_acknowledge(&mut engine, ms(5100));
     assert_eq!(routable_replicas(&engine, 0), ["b", "c"]);
     // While the table is frozen, the module's updates are not published, but drains are.
@@ -64,18 +64,16 @@
     let events = run_and_acknowledge(&mut engine, ms(9000));
     assert!(events.iter().any(|event| matches!(
         event,
-        EngineEvent::FrozenTableReleased { class: 1, reason: ReleaseReason::Time, .. }
+        EngineEvent::FrozenTableReleased { class: 1, reason: ReleaseReason::Expired, .. }
     )));
     engine.rollback(ms(10_000), &TableScope::All, before, "", ms(90_000)).unwrap();
     run_and_acknowledge(&mut engine, ms(10_100));
     engine.update_roster(ms(11_000), ready(&["c"]));
     let events = run_and_acknowledge(&mut engine, ms(12_000));
-    assert!(
-        events.iter().any(|event| matches!(
-            event,
-            EngineEvent::FrozenTableReleased { reason: ReleaseReason::Bare, .. }
-        ))
-    );
+    assert!(events.iter().any(|event| matches!(
+        event,
+        EngineEvent::FrozenTableReleased { reason: ReleaseReason::NoUsableEntry, .. }
+    )));
     assert_eq!(routable_replicas(&engine, 0), ["c"], "the module's own table");
     assert_eq!(engine.frozen_tables().count(), 0);
 }
@@ -90,7 +88,7 @@
     let events = run_and_acknowledge(&mut engine, ms(3100));
     assert!(events.iter().any(|event| matches!(event,
         EngineEvent::FrozenTableReleased { reason: ReleaseReason::Replaced(why), .. } if &**why == "first")));
-    assert!(engine.frozen_tables().all(|(_, _, frozen_table)| &*frozen_table.why == "second"));
+    assert!(engine.frozen_tables().all(|(_, _, frozen_table)| &*frozen_table.reason == "second"));
 }
 
 #[test]
--- a/crates/core/src/frozen_tables.rs
+++ b/crates/core/src/frozen_tables.rs
@@ -29,7 +29,7 @@
     /// When it is released at the latest.
     pub until: Duration,
     /// The operator's reason.
-    pub why: Arc<str>,
+    pub reason: Arc<str>,
     /// Whether another governor published it. Then it stays in force until the module here has decided.
     pub migrated: bool,
 }
@@ -41,7 +41,7 @@
 pub enum OmissionReason {
     /// The replica is not ready.
     #[error("gone or draining")]
-    Gone,
+    NotReady,
     /// The replica is ejected.
     #[error("withdrawn by the module")]
     Ejected,
@@ -58,16 +58,16 @@
     Released,
     /// The freeze has expired.
     #[error("the freeze has expired")]
-    Time,
+    Expired,
     /// None of its entries can be published any more.
     #[error("none of its entries is usable, so the proxy would have no route")]
-    Bare,
+    NoUsableEntry,
     /// A later rollback replaced it; the reason of that rollback.
     #[error("replaced by another rollback: {0}")]
     Replaced(Arc<str>),
     /// The proxy's number was assigned to another proxy.
     #[error("the proxy's number was assigned to another proxy")]
-    Reused,
+    ProxyIdReused,
 }
 
 /// Resolves a frozen table against the current state: the table to publish, and the entries that are omitted.
@@ -93,7 +93,7 @@
     let mut restarted: Vec<CappedEntry> = Vec::new();
     for (id, entry) in &frozen.table.entries {
         let Some(known) = roster.get(id).filter(|known| known.phase == Phase::Ready) else {
-            omitted.insert(id.clone(), OmissionReason::Gone);
+            omitted.insert(id.clone(), OmissionReason::NotReady);
             continue;
         };
         if ejected(id) {
--- a/crates/core/src/frozen_tables/tests.rs
+++ b/crates/core/src/frozen_tables/tests.rs
@@ -23,7 +23,7 @@
         },
         since: s(50),
         until: s(100),
-        why: "".into(),
+        reason: "".into(),
         migrated: false,
     }
 }
@@ -69,7 +69,12 @@
     let reasons: Vec<OmissionReason> = omitted.into_values().collect();
     assert_eq!(
         reasons,
-        [OmissionReason::Gone, OmissionReason::Gone, OmissionReason::Ejected, OmissionReason::Gone]
+        [
+            OmissionReason::NotReady,
+            OmissionReason::NotReady,
+            OmissionReason::Ejected,
+            OmissionReason::NotReady
+        ]
     );
 }
 
--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -61,7 +61,7 @@
     }
 
     /// Publishes every change unchecked, to measure what the guard contributes.
-    pub fn switch_off(&mut self) {
+    pub fn disable(&mut self) {
         self.disabled = true;
     }
 
@@ -202,8 +202,8 @@
     }
 
     /// Counts of refusals by reason, and of tables that passed unchanged.
-    pub fn tally(&self) -> (&BTreeMap<RefusalReason, u64>, u64) {
-        self.refusals.tally()
+    pub fn counts(&self) -> (&BTreeMap<RefusalReason, u64>, u64) {
+        self.refusals.counts()
     }
 
     /// The demand of a proxy for a class in requests per second, by the ledger.
--- a/crates/core/src/guard/capacity.rs
+++ b/crates/core/src/guard/capacity.rs
@@ -109,7 +109,7 @@
         let load = self.ledger.load(id);
         let weight = known.weight.max(0.0);
         let (reason, allowed) = if warmth < 1.0 {
-            (RefusalReason::Cold, capacity.allowed_cold(capacity.even_share * warmth * weight))
+            (RefusalReason::ColdOverload, capacity.allowed_cold(capacity.even_share * warmth * weight))
         } else {
             (RefusalReason::WarmOverload, capacity.known * weight * WARM_MARGIN)
         };
--- a/crates/core/src/guard/checks.rs
+++ b/crates/core/src/guard/checks.rs
@@ -285,7 +285,7 @@
 
 fn has_cold_overload(table: &Table, overloads: &Overloads) -> bool {
     let is_cold = |entry: &ResolvedEntry| {
-        overloads.get(&entry.replica).is_some_and(|overload| overload.reason == RefusalReason::Cold)
+        overloads.get(&entry.replica).is_some_and(|overload| overload.reason == RefusalReason::ColdOverload)
     };
     table.entries.iter().any(|entry| entry.routable && is_cold(entry))
 }
--- a/crates/core/src/guard/refusals.rs
+++ b/crates/core/src/guard/refusals.rs
@@ -18,11 +18,11 @@
 pub enum RefusalReason {
     /// The proxy would be left without a routable entry.
     #[error("no line of it is open, though a replica is ready")]
-    Bare,
+    NoRoute,
     /// Every routable entry names a replica that is draining or gone.
     #[error("all of its lines are to replicas that drain or are gone")]
     AllEntriesClosed,
-    /// As [`RefusalReason::Bare`], for a traffic class that is confined to the proxy's zone.
+    /// As [`RefusalReason::NoRoute`], for a traffic class that is confined to the proxy's zone.
     #[error("no line of it is open in the proxy's zone, which its group must not leave")]
     NoRouteInZone,
     /// An entry names a replica of another zone, for a traffic class that is confined to the proxy's zone.
@@ -30,25 +30,25 @@
     OutOfZone,
     /// An entry's weight is not a positive number.
     #[error("a weight is not finite, or not above 0")]
-    Weight,
+    InvalidWeight,
     /// The ratio of two weights is too large for the wire format.
     #[error("a weight is so small beside another that the wire can't say both")]
     WeightRatio,
     /// An admission fraction is not from 0 to 1.
     #[error("a level is not from 0 to 1")]
-    Level,
+    InvalidAdmissionFraction,
     /// A retry policy that could execute a request twice that is not idempotent.
     #[error("a flow that may have run would be tried again, and must not take effect twice")]
     UnsafeRetryPolicy,
     /// The decision module produces decisions without end.
     #[error("more decisions at once than there can be")]
-    Flood,
+    TooManyDecisions,
     /// Ejections leave too little capacity.
     #[error("so much is withdrawn that the rest could not take the flows")]
     TooManyEjections,
     /// Too much load on a replica in its slow start.
     #[error("a replica that is not warm yet would be sent more than its present part")]
-    Cold,
+    ColdOverload,
     /// Too much load on a warm replica.
     #[error("a replica would be sent more than it can take, while others have room")]
     WarmOverload,
@@ -232,7 +232,7 @@
         self.recent.iter()
     }
 
-    pub(super) fn tally(&self) -> (&BTreeMap<RefusalReason, u64>, u64) {
+    pub(super) fn counts(&self) -> (&BTreeMap<RefusalReason, u64>, u64) {
         (&self.counts, self.passed)
     }
 }
--- a/crates/core/src/guard/repair.rs
+++ b/crates/core/src/guard/repair.rs
@@ -115,7 +115,7 @@
             return;
         }
         self.add_finding(
-            RefusalReason::Level,
+            RefusalReason::InvalidAdmissionFraction,
             RefusalOutcome::Corrected,
             None,
             table.admission_fraction,
@@ -129,7 +129,7 @@
         for entry in table.entries.iter().filter(|entry| entry.routable && !has_valid_weight(entry)) {
             let replica = Some(&entry.replica);
             self.add_finding(
-                RefusalReason::Weight,
+                RefusalReason::InvalidWeight,
                 RefusalOutcome::Corrected,
                 replica,
                 entry.weight,
@@ -198,7 +198,7 @@
         if !roster.iter().any(|(id, _)| fits(id)) {
             return table;
         }
-        let reason = if self.same_zone_only { RefusalReason::NoRouteInZone } else { RefusalReason::Bare };
+        let reason = if self.same_zone_only { RefusalReason::NoRouteInZone } else { RefusalReason::NoRoute };
         let held = change.held.map(|held| with_current_states(held, &fits)).filter(has_route);
         let (outcome, replacement) = match held {
             Some(held) => (RefusalOutcome::Kept, held),
--- a/crates/core/src/guard/tests.rs
+++ b/crates/core/src/guard/tests.rs
@@ -82,13 +82,13 @@
     let held = table(&[("a", 2.0), ("b", 1.0), ("c", 1.0)]);
     let (out, refused) = check_one(&mut guard, &roster, Some(&held), table(&[]));
     assert_eq!(routable(&out), [("a".to_string(), 2.0), ("c".into(), 1.0)]);
-    assert_eq!(refused, [(RefusalReason::Bare, RefusalOutcome::Kept)]);
+    assert_eq!(refused, [(RefusalReason::NoRoute, RefusalOutcome::Kept)]);
     let (out, refused) = check_one(&mut guard, &roster, None, table(&[("b", 1.0)]));
     assert_eq!(
         refused,
         [
             (RefusalReason::AllEntriesClosed, RefusalOutcome::Kept),
-            (RefusalReason::Bare, RefusalOutcome::LastResort)
+            (RefusalReason::NoRoute, RefusalOutcome::LastResort)
         ]
     );
     assert_eq!(routable(&out).len(), 5, "all ready replicas of its zone");
@@ -139,7 +139,7 @@
     let invalid = [("a", f64::NAN), ("b", f64::INFINITY), ("c", -1.0), ("d", 1.0), ("e", 2.0)];
     let (out, refused) = check_one(&mut guard, &roster, None, table(&invalid));
     assert_eq!(routable(&out), [("d".to_string(), 1.0), ("e".into(), 2.0)]);
-    assert_eq!(refused, [(RefusalReason::Weight, RefusalOutcome::Corrected); 3]);
+    assert_eq!(refused, [(RefusalReason::InvalidWeight, RefusalOutcome::Corrected); 3]);
     let (out, refused) = check_one(&mut guard, &roster, None, table(&[("a", 1.0), ("b", 1.0), ("c", 1e-9)]));
     assert_eq!(
         (routable(&out)[2].1, refused),
@@ -151,7 +151,7 @@
         let (out, refused) = check_one(&mut guard, &roster, Some(&held), wanted);
         assert_eq!(
             (out.admission_fraction, refused),
-            (0.4, vec![(RefusalReason::Level, RefusalOutcome::Corrected)])
+            (0.4, vec![(RefusalReason::InvalidAdmissionFraction, RefusalOutcome::Corrected)])
         );
     }
 }
@@ -163,7 +163,7 @@
     assert_eq!(guard.check_retry_policy(s(1), 0b11, RetryPolicy::OnAnyFailure), split);
     let kept = vec![(0b11, RetryPolicy::IfNotExecuted)];
     assert_eq!(guard.check_retry_policy(s(1), 0b11, RetryPolicy::IfNotExecuted), kept);
-    assert_eq!(guard.tally().0[&RefusalReason::UnsafeRetryPolicy], 1);
+    assert_eq!(guard.counts().0[&RefusalReason::UnsafeRetryPolicy], 1);
 }
 
 #[test]
@@ -179,7 +179,7 @@
         .map(|out| 30.0 * routable(out)[0].1 / routable(out).iter().map(|entry| entry.1).sum::<f64>())
         .sum();
     assert!(sent < 12.5 && sent > 4.0, "{sent}");
-    assert!(guard.refusals().all(|refusal| refusal.reason == RefusalReason::Cold));
+    assert!(guard.refusals().all(|refusal| refusal.reason == RefusalReason::ColdOverload));
     assert!((guard.expected_load(&"a".into()) - sent).abs() < 1e-6, "the ledger holds the published tables");
     // A small load comes in bursts; for a large load the mean is enough.
     let factors =
@@ -190,7 +190,7 @@
     let changes = (0..4).map(|proxy| change(proxy, None, heavy())).collect();
     guard.check(s(100), &warm, |_| false, ShiftLimit::Unlimited, changes);
     assert!(guard.expected_load(&"a".into()) < 52.0, "{}", guard.expected_load(&"a".into()));
-    assert!(guard.tally().0[&RefusalReason::WarmOverload] > 0);
+    assert!(guard.counts().0[&RefusalReason::WarmOverload] > 0);
     // If all replicas but a cold one are ejected, the ejections are not followed.
     let mut ejecting = super::tests::guard(false);
     let mut wanted = heavy();
@@ -204,7 +204,7 @@
         (0..4).map(change_of).collect(),
     );
     assert!(out.iter().all(|out| routable(out).len() == 4) && ejecting.expected_load(&"a".into()) < 12.5);
-    assert!(ejecting.tally().0[&RefusalReason::TooManyEjections] > 0);
+    assert!(ejecting.counts().0[&RefusalReason::TooManyEjections] > 0);
     // The same if all are ejected and the ready replicas are published anyway.
     let mut all_ejected = super::tests::guard(false);
     let held = heavy();
@@ -242,7 +242,7 @@
     let held = table(&[("a", 1.0), ("b", 1.0), ("c", 1.0)]);
     let first = (0..4).map(|proxy| change(proxy, None, held.clone())).collect();
     guard.check(s(100), &roster, |_| false, ShiftLimit::Limited, first);
-    assert!(guard.tally().0.is_empty(), "first tables move no traffic");
+    assert!(guard.counts().0.is_empty(), "first tables move no traffic");
     let wanted = table(&[("d", 1.0), ("e", 1.0), ("f", 1.0)]);
     let shift = || (0..4).map(|proxy| change(proxy, Some(&held), wanted.clone())).collect();
     let mut at = |seconds, limit| guard.check(s(seconds), &roster, |_| false, limit, shift())[0] == wanted;
--- a/crates/core/src/recording.rs
+++ b/crates/core/src/recording.rs
@@ -25,7 +25,7 @@
 use crate::guard::GuardLimits;
 
 /// The version of the recording format that this release writes, and the only one that it reads.
-pub const FORM: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 /// The present time in a dry run, on a clock of its own. It is not 0, so that replicas can have started
 /// before it.
 const NOW: Duration = Duration::from_secs(10 * 86_400);
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Recording")]
 pub struct Recording {
-    /// The format version, as [`FORM`].
+    /// The format version, as [`FORMAT_VERSION`].
     pub form: u32,
     /// The governor's name.
     pub governor: String,
--- a/crates/core/src/recording/dry_run.rs
+++ b/crates/core/src/recording/dry_run.rs
@@ -18,11 +18,11 @@
     /// The proxy's name.
     pub proxy: Arc<str>,
     /// The index of the traffic class in the recording.
-    pub group: usize,
+    pub class: usize,
     /// Replicas and weights.
-    pub lines: Vec<(ReplicaId, f64)>,
+    pub entries: Vec<(ReplicaId, f64)>,
     /// The fraction of requests to admit.
-    pub level: f64,
+    pub admission_fraction: f64,
 }
 
 /// Why a candidate table can't be checked.
@@ -33,7 +33,7 @@
     UnknownProxy(Arc<str>),
     /// The recording has no traffic class with this index.
     #[error("group index {0} is out of range")]
-    NoGroup(usize),
+    UnknownClass(usize),
     /// There are two candidate tables for the same proxy and traffic class.
     #[error("proxy `{0}` has two candidate tables for the same group")]
     DuplicateTable(Arc<str>),
@@ -68,7 +68,10 @@
     ///
     /// # Errors
     /// The recording is invalid.
-    pub fn would(&self, wanted: &[CandidateTable]) -> Result<Result<DryRun, CandidateError>, RecordingError> {
+    pub fn check_candidates(
+        &self,
+        wanted: &[CandidateTable],
+    ) -> Result<Result<DryRun, CandidateError>, RecordingError> {
         self.validate()?;
         Ok(self.dry_run(wanted))
     }
@@ -144,9 +147,9 @@
             let Some(id) = ids.get(&*candidate.proxy).copied() else {
                 return Err(CandidateError::UnknownProxy(candidate.proxy.clone()));
             };
-            let class = candidate.group;
+            let class = candidate.class;
             if class >= self.groups.len() {
-                return Err(CandidateError::NoGroup(class));
+                return Err(CandidateError::UnknownClass(class));
             }
             if !seen.insert((id, class)) {
                 return Err(CandidateError::DuplicateTable(candidate.proxy.clone()));
@@ -154,7 +157,7 @@
             let proxy = &self.proxies[usize::from(id)];
             let entry =
                 |(replica, weight): &(ReplicaId, f64)| resolved(roster, proxy.zone, replica, *weight, true);
-            let mut entries: Vec<ResolvedEntry> = candidate.lines.iter().map(entry).collect();
+            let mut entries: Vec<ResolvedEntry> = candidate.entries.iter().map(entry).collect();
             entries.sort_by(|a, b| a.replica.cmp(&b.replica));
             changes.push(ProposedTable {
                 proxy: id,
@@ -162,7 +165,7 @@
                 class,
                 held: held.get(&(id, class)),
                 default_table: &proxy.default_table,
-                wanted: Table { entries, admission_fraction: candidate.level },
+                wanted: Table { entries, admission_fraction: candidate.admission_fraction },
             });
         }
         Ok(changes)
--- a/crates/core/src/recording/tests.rs
+++ b/crates/core/src/recording/tests.rs
@@ -25,7 +25,7 @@
         classes: vec![group.clone()],
     };
     Recording {
-        form: FORM,
+        form: FORMAT_VERSION,
         governor: "g".into(),
         taken_at: 0.0,
         zones: vec!["z".into()],
@@ -44,45 +44,48 @@
     }
 }
 
-fn wanted(proxy: &str, lines: &[(&str, f64)]) -> CandidateTable {
-    let lines = lines.iter().map(|(id, weight)| ((*id).into(), *weight)).collect();
-    CandidateTable { proxy: proxy.into(), group: 0, lines, level: 1.0 }
+fn wanted(proxy: &str, entries: &[(&str, f64)]) -> CandidateTable {
+    let entries = entries.iter().map(|(id, weight)| ((*id).into(), *weight)).collect();
+    CandidateTable { proxy: proxy.into(), class: 0, entries, admission_fraction: 1.0 }
 }
 
 #[test]
 fn checks_candidate_tables_together_against_what_was_held() {
     let recording = recording();
     let even = wanted("p", &[("a", 1.0), ("b", 1.0), ("c", 2.0)]);
-    assert_eq!(recording.would(std::slice::from_ref(&even)).unwrap().unwrap().refusals, []);
+    assert_eq!(recording.check_candidates(std::slice::from_ref(&even)).unwrap().unwrap().refusals, []);
     let drain = wanted("q", &[("d", 1.0)]);
-    let dry_run = recording.would(&[even.clone(), drain]).unwrap().unwrap();
+    let dry_run = recording.check_candidates(&[even.clone(), drain]).unwrap().unwrap();
     assert_eq!(dry_run.tables[0].entries.len(), 3);
     let reasons: Vec<_> =
         dry_run.refusals.iter().map(|refused| (refused.proxy.as_deref(), refused.refusal.reason)).collect();
-    assert_eq!(reasons, [(Some("q"), RefusalReason::AllEntriesClosed), (Some("q"), RefusalReason::Bare)]);
+    assert_eq!(reasons, [(Some("q"), RefusalReason::AllEntriesClosed), (Some("q"), RefusalReason::NoRoute)]);
     assert_eq!(dry_run.tables[1].entries.len(), 3, "the last good table stays in force");
     // Each table is valid by itself, but together they would put all requests on a cold replica.
     let mut cold = recording;
     cold.replicas[0].age_seconds = Some(1.0);
     let heavy = |proxy| wanted(proxy, &[("a", 1.0), ("b", 1.0)]);
-    let dry_run = cold.would(&[heavy("p"), heavy("q")]).unwrap().unwrap();
-    assert!(dry_run.refusals.iter().all(|refused| refused.refusal.reason == RefusalReason::Cold));
+    let dry_run = cold.check_candidates(&[heavy("p"), heavy("q")]).unwrap().unwrap();
+    assert!(dry_run.refusals.iter().all(|refused| refused.refusal.reason == RefusalReason::ColdOverload));
     assert!(dry_run.refusals.iter().any(|refused| refused.refusal.outcome == RefusalOutcome::Corrected));
     cold.replicas[0].out = true;
-    let dry_run = cold.would(&[heavy("p")]).unwrap().unwrap();
+    let dry_run = cold.check_candidates(&[heavy("p")]).unwrap().unwrap();
     assert!(!dry_run.tables[0].entries[0].routable, "an ejected replica stays closed");
 }
 
 #[test]
 fn rejects_impossible_recordings_and_candidates() {
     let twice = [wanted("p", &[("a", 1.0)]), wanted("p", &[("b", 1.0)])];
-    assert_eq!(recording().would(&twice).unwrap(), Err(CandidateError::DuplicateTable("p".into())));
-    let unknown_proxy = recording().would(&[wanted("x", &[])]).unwrap();
+    assert_eq!(
+        recording().check_candidates(&twice).unwrap(),
+        Err(CandidateError::DuplicateTable("p".into()))
+    );
+    let unknown_proxy = recording().check_candidates(&[wanted("x", &[])]).unwrap();
     assert_eq!(unknown_proxy, Err(CandidateError::UnknownProxy("x".into())));
     let error_after = |change: fn(&mut Recording)| {
         let mut recording = recording();
         change(&mut recording);
-        recording.would(&[]).unwrap_err().to_string()
+        recording.check_candidates(&[]).unwrap_err().to_string()
     };
     assert_eq!(
         error_after(|recording| recording.form = 9),
--- a/crates/core/src/recording/validation.rs
+++ b/crates/core/src/recording/validation.rs
@@ -5,7 +5,7 @@
 
 use wrenthread::types::{ClassSet, ProxyId};
 
-use super::{FORM, RecordedLimits, RecordedProxy, RecordedReplica, Recording};
+use super::{FORMAT_VERSION, RecordedLimits, RecordedProxy, RecordedReplica, Recording};
 
 /// Upper limit of the number of replicas.
 const MAX_REPLICAS: usize = 100_000;
@@ -13,8 +13,8 @@
 /// Why a recording can't be used for a dry run.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum RecordingError {
-    /// It has another format version than [`FORM`].
-    #[error("the recording has format {form}; this version reads format {FORM}")]
+    /// It has another format version than [`FORMAT_VERSION`].
+    #[error("the recording has format {form}; this version reads format {FORMAT_VERSION}")]
     UnsupportedFormat {
         /// The format version that it has.
         form: u32,
@@ -69,7 +69,7 @@
 
 impl Recording {
     pub(super) fn validate(&self) -> Result<(), RecordingError> {
-        if self.form != FORM {
+        if self.form != FORMAT_VERSION {
             return Err(RecordingError::UnsupportedFormat { form: self.form });
         }
         if self.replicas.len() > MAX_REPLICAS {
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -21,20 +21,20 @@
     StoredRetryPolicy, StoredTable, StoredTableEntry,
 };
 pub use restore::{
-    ADMISSION_LIFETIME, DEMAND, EJECTION_HALF_LIFE, LAST, RestoreError, RestoredFrozenTable,
-    RestoredOverride, RestoredState, TABLES, UNKNOWN_AGE, counts, recall,
+    ADMISSION_LIFETIME, DEMAND_HALF_LIFE, EJECTION_HALF_LIFE, RESTORED_REPORT_INTERVAL, RestoreError,
+    RestoredFrozenTable, RestoredOverride, RestoredState, TABLE_LIFETIME, UNKNOWN_AGE, decay_factor, restore,
 };
 
 use std::sync::Arc;
 
 /// Name of the item with the governor's name and its lists of zones and classes.
-pub const NAMES: &str = "names";
+pub const NAMES_ITEM: &str = "names";
 /// Name of the item with the time until which all items were current.
-pub const ALIVE: &str = "alive";
+pub const ALIVE_ITEM: &str = "alive";
 
 /// Rounds a figure to a power of 1.1, so that a value that moves slightly all the time is not written each
 /// time.
-pub fn stepped(figure: f64) -> f64 {
+pub fn quantized(figure: f64) -> f64 {
     if !(figure > 1e-3 && figure.is_finite()) {
         return 0.0;
     }
--- a/crates/core/src/snapshot/restore.rs
+++ b/crates/core/src/snapshot/restore.rs
@@ -9,22 +9,22 @@
 use crate::table_versions::MILLION;
 
 use super::items::{StoredFrozenTable, StoredItem, StoredItems, StoredProxy, StoredReplica, StoredTable};
-use super::{ALIVE, NAMES};
+use super::{ALIVE_ITEM, NAMES_ITEM};
 
 /// Half-life of demand and throughput.
-pub const DEMAND: Duration = Duration::from_secs(60);
+pub const DEMAND_HALF_LIFE: Duration = Duration::from_secs(60);
 /// Half-life of ejections.
 pub const EJECTION_HALF_LIFE: Duration = Duration::from_secs(20);
 /// How long a stored admission fraction is used, unless the module decides before. Older ones are dropped.
 pub const ADMISSION_LIFETIME: Duration = Duration::from_secs(10);
 /// How long the tables that proxies held are kept: after this time proxies have been with another governor or
 /// on their own.
-pub const TABLES: Duration = Duration::from_secs(600);
+pub const TABLE_LIFETIME: Duration = Duration::from_secs(600);
 /// The age assumed for items with a time in the future: the clock was set back, so their age is unknown.
 pub const UNKNOWN_AGE: Duration = Duration::from_secs(60);
 /// Interval for which restored throughput is reported to the module: to judge a replica where everything
 /// fails, it has to see that others succeed.
-pub const LAST: Duration = Duration::from_secs(2);
+pub const RESTORED_REPORT_INTERVAL: Duration = Duration::from_secs(2);
 /// Failed attempts that a fresh ejection is reported as.
 const EJECTION_ATTEMPTS: f64 = 20.0;
 /// Fewer failed attempts than this are not reported: they prove nothing.
@@ -44,7 +44,7 @@
     /// A figure of the item is out of range.
     #[error("stored item `{0}` has a figure out of range")]
     OutOfRange(String),
-    /// The item [`NAMES`] or [`ALIVE`] is missing.
+    /// The item [`NAMES_ITEM`] or [`ALIVE_ITEM`] is missing.
     #[error("the stored items lack the governor's name or their time; none of them is used")]
     MissingIdentity,
     /// The items belong to another governor.
@@ -99,20 +99,20 @@
 }
 
 /// The weight of a value of this age, from 1 down to 0.
-pub fn counts(age: Duration, half_life: Duration) -> f64 {
+pub fn decay_factor(age: Duration, half_life: Duration) -> f64 {
     0.5f64.powf(age.as_secs_f64() / half_life.as_secs_f64())
 }
 
 /// Restores the state from stored items, and reports the items that can't be used. `unix_seconds` is the
 /// current time, `names` this governor's own [`StoredItem::Names`].
-pub fn recall(
+pub fn restore(
     stored_items: StoredItems,
     unix_seconds: f64,
     names: &StoredItem,
 ) -> (RestoredState, Vec<RestoreError>) {
     let none_usable = |error| (RestoredState::default(), vec![error]);
     let item = |name: &str| stored_items.get(name).map(|item| (**item).clone());
-    let Some(StoredItem::Names { governor, zones, groups: classes }) = item(NAMES) else {
+    let Some(StoredItem::Names { governor, zones, groups: classes }) = item(NAMES_ITEM) else {
         return none_usable(RestoreError::MissingIdentity);
     };
     let StoredItem::Names { governor: own_name, zones: own_zones, groups: own_classes } = names else {
@@ -127,7 +127,7 @@
     if !same_names {
         errors.push(RestoreError::SettingsChanged);
     }
-    let Some(StoredItem::Alive { at: alive_at }) = item(ALIVE) else {
+    let Some(StoredItem::Alive { at: alive_at }) = item(ALIVE_ITEM) else {
         return none_usable(RestoreError::MissingIdentity);
     };
     let age = age(unix_seconds, alive_at);
@@ -186,7 +186,7 @@
     fn apply(&mut self, name: &str, item: StoredItem) -> Result<(), Unusable> {
         let (kind, of) = name.split_once('/').unwrap_or((name, ""));
         match (kind, item) {
-            (NAMES | ALIVE, _) => Ok(()),
+            (NAMES_ITEM | ALIVE_ITEM, _) => Ok(()),
             ("proxy", StoredItem::Proxy(proxy)) => self.proxy(of, proxy),
             ("replica", StoredItem::Replica(replica)) => self.replica(of, replica),
             ("level", StoredItem::Admission { fraction, .. }) => self.admission(of, fraction),
@@ -215,7 +215,7 @@
             return Err(Unusable::OutOfRange);
         }
         let absent_seconds = self.state.age.as_secs_f64() + proxy.absent_seconds;
-        if self.same_names && absent_seconds < TABLES.as_secs_f64() {
+        if self.same_names && absent_seconds < TABLE_LIFETIME.as_secs_f64() {
             self.state.proxies.insert(name.into(), proxy);
         }
         Ok(())
@@ -231,11 +231,11 @@
         }
         let id: ReplicaId = name.into();
         let age = self.state.age;
-        let attempts = (EJECTION_ATTEMPTS * counts(age, EJECTION_HALF_LIFE)).round() as u64;
+        let attempts = (EJECTION_ATTEMPTS * decay_factor(age, EJECTION_HALF_LIFE)).round() as u64;
         if replica.ejected && attempts >= MIN_EJECTION_ATTEMPTS {
             self.state.ejected.insert(id.clone(), attempts);
         }
-        let weight = counts(age, DEMAND);
+        let weight = decay_factor(age, DEMAND_HALF_LIFE);
         for (zone, per_second) in replica.throughput {
             if self.same_names && zone < self.zones.len() {
                 self.state.throughput.insert((id.clone(), zone), per_second * weight);
--- a/crates/core/src/snapshot/tests.rs
+++ b/crates/core/src/snapshot/tests.rs
@@ -41,8 +41,8 @@
 
 fn stored_items() -> StoredItems {
     let all = [
-        (NAMES.to_string(), names(&["entry"])),
-        (ALIVE.to_string(), StoredItem::Alive { at: 1000.0 }),
+        (NAMES_ITEM.to_string(), names(&["entry"])),
+        (ALIVE_ITEM.to_string(), StoredItem::Alive { at: 1000.0 }),
         ("proxy/p".to_string(), StoredItem::Proxy(proxy())),
         (
             "replica/a".to_string(),
@@ -59,7 +59,7 @@
 }
 
 fn at(unix_seconds: f64) -> RestoredState {
-    let (restored, errors) = recall(stored_items(), unix_seconds, &names(&["entry"]));
+    let (restored, errors) = restore(stored_items(), unix_seconds, &names(&["entry"]));
     assert_eq!(errors, []);
     restored
 }
@@ -87,8 +87,8 @@
         "proxy/p".into(),
         Arc::new(StoredItem::Proxy(StoredProxy { absent_seconds: 590.0, ..proxy() })),
     );
-    assert_eq!(recall(stored_items.clone(), 1009.0, &names).0.proxies.len(), 1);
-    assert_eq!(recall(stored_items, 1010.0, &names).0.proxies.len(), 0, "absences add up over restarts");
+    assert_eq!(restore(stored_items.clone(), 1009.0, &names).0.proxies.len(), 1);
+    assert_eq!(restore(stored_items, 1010.0, &names).0.proxies.len(), 0, "absences add up over restarts");
     let stale = at(1000.0 + 36_000.0);
     assert_eq!((stale.proxies.len(), stale.overrides.len(), stale.frozen_tables.len()), (0, 0, 0));
     assert!(stale.throughput[&("a".into(), 0)] < 1e-9);
@@ -108,17 +108,17 @@
     let with = |change: fn(&mut StoredItems)| {
         let mut stored_items = stored_items();
         change(&mut stored_items);
-        let (restored, errors) = recall(stored_items, 1001.0, &names(&["entry"]));
+        let (restored, errors) = restore(stored_items, 1001.0, &names(&["entry"]));
         (restored, errors.into_iter().map(|error| error.to_string()).collect::<Vec<_>>().join("; "))
     };
-    let (_, messages) = with(|stored_items| drop(stored_items.remove(NAMES)));
+    let (_, messages) = with(|stored_items| drop(stored_items.remove(NAMES_ITEM)));
     assert!(messages.contains("lack the governor's name or their time"));
-    let (_, messages) = with(|stored_items| drop(stored_items.remove(ALIVE)));
+    let (_, messages) = with(|stored_items| drop(stored_items.remove(ALIVE_ITEM)));
     assert!(messages.contains("lack the governor's name or their time"));
     let other_governor = StoredItem::Names { governor: "h".into(), zones: vec![], groups: vec![] };
-    let (restored, errors) = recall(stored_items(), 1001.0, &other_governor);
+    let (restored, errors) = restore(stored_items(), 1001.0, &other_governor);
     assert_eq!((restored, errors), (RestoredState::default(), vec![RestoreError::OtherGovernor("g".into())]));
-    let (restored, errors) = recall(stored_items(), 1001.0, &names(&["entry", "exit"]));
+    let (restored, errors) = restore(stored_items(), 1001.0, &names(&["entry", "exit"]));
     assert_eq!(
         (restored.proxies.len(), restored.admission_fractions.len(), errors),
         (0, 0, vec![RestoreError::SettingsChanged])
@@ -172,12 +172,12 @@
     let (before, mut now) = (stored_items(), stored_items());
     assert_eq!(changes(&before, &now), []);
     now.remove("level/entry");
-    now.insert(ALIVE.into(), Arc::new(StoredItem::Alive { at: 1005.0 }));
+    now.insert(ALIVE_ITEM.into(), Arc::new(StoredItem::Alive { at: 1005.0 }));
     let changed: Vec<_> =
         changes(&before, &now).into_iter().map(|(name, item)| (name, item.is_some())).collect();
-    assert_eq!(changed, [(ALIVE.to_string(), true), ("level/entry".to_string(), false)]);
-    assert_eq!((stepped(0.0), stepped(f64::NAN), stepped(100.0) == stepped(101.0)), (0.0, 0.0, true));
-    assert!((stepped(100.0) / 100.0 - 1.0).abs() < 0.05);
+    assert_eq!(changed, [(ALIVE_ITEM.to_string(), true), ("level/entry".to_string(), false)]);
+    assert_eq!((quantized(0.0), quantized(f64::NAN), quantized(100.0) == quantized(101.0)), (0.0, 0.0, true));
+    assert!((quantized(100.0) / 100.0 - 1.0).abs() < 0.05);
 }
 
 proptest! {
@@ -195,8 +195,8 @@
     #[test]
     fn no_bytes_make_restoring_panic(bytes in prop::collection::vec(any::<u8>(), 0..80)) {
         if let Some(item) = decode(&bytes) {
-            let stored_items = [(NAMES, names(&[])), (ALIVE, item.clone()), ("proxy/x", item)];
-            recall(stored_items.map(|(name, item)| (name.to_string(), Arc::new(item))).into(), 5.0, &names(&[]));
+            let stored_items = [(NAMES_ITEM, names(&[])), (ALIVE_ITEM, item.clone()), ("proxy/x", item)];
+            restore(stored_items.map(|(name, item)| (name.to_string(), Arc::new(item))).into(), 5.0, &names(&[]));
         }
     }
 
@@ -210,7 +210,7 @@
             if let Some(item) = decode(&bytes) {
                 let mut stored_items = stored_items();
                 stored_items.insert(name, Arc::new(item));
-                recall(stored_items, 1001.0, &names(&["entry"]));
+                restore(stored_items, 1001.0, &names(&["entry"]));
             }
         }
     }
--- a/crates/daemon/src/dry_run.rs
+++ b/crates/daemon/src/dry_run.rs
@@ -65,7 +65,8 @@
     let tables: Value = serde_json::from_str(&text).with_context(|| name.clone())?;
     let recording = recording(against)?;
     let candidates = candidates(&recording, &tables, proxy).with_context(|| name.clone())?;
-    let dry_run = recording.would(&candidates).with_context(|| format!("what is told by {against}"))?;
+    let dry_run =
+        recording.check_candidates(&candidates).with_context(|| format!("what is told by {against}"))?;
     let dry_run = dry_run.with_context(|| name)?;
     Ok(serde_json::to_value(outcome(&recording, &candidates, &dry_run))?)
 }
@@ -120,8 +121,8 @@
             replica.with_context(|| format!("a line of `{proxy}` for `{name}` without its `replica`"))?;
         entries.push((replica.into(), line["weight"].as_f64().unwrap_or(f64::NAN)));
     }
-    let level = table["level"].as_f64().unwrap_or(1.0);
-    Ok(CandidateTable { proxy: proxy.into(), group: class, lines: entries, level })
+    let admission_fraction = table["level"].as_f64().unwrap_or(1.0);
+    Ok(CandidateTable { proxy: proxy.into(), class, entries, admission_fraction })
 }
 
 fn outcome(recording: &Recording, candidates: &[CandidateTable], dry_run: &DryRun) -> Outcome {
@@ -148,7 +149,7 @@
             routable.map(|entry| PublishedEntry { replica: entry.replica.to_string(), weight: entry.weight });
         published.push(PublishedTable {
             proxy: candidate.proxy.to_string(),
-            class: class_name(candidate.group),
+            class: class_name(candidate.class),
             admission_fraction: table.admission_fraction,
             entries: entries.collect(),
         });
@@ -160,6 +161,6 @@
 fn is_concerned(dry_run: &DryRun, candidate: &CandidateTable) -> bool {
     dry_run.refusals.iter().any(|one| {
         let of_proxy = one.proxy.as_ref().is_none_or(|proxy| *proxy == candidate.proxy);
-        of_proxy && one.refusal.class == candidate.group
+        of_proxy && one.refusal.class == candidate.class
     })
 }
--- a/crates/daemon/src/host/grpc.rs
+++ b/crates/daemon/src/host/grpc.rs
@@ -121,7 +121,7 @@
 
     fn load_reported(&mut self, now: Duration, stream: StreamId, statistics: &[ClusterStats]) {
         let Some(proxy) = self.report_streams.get(&stream).cloned() else { return };
-        let roster = self.engine.known_roster();
+        let roster = self.engine.accepted_roster();
         let (reports, unknown_entries) =
             decode::reports(&self.wire, statistics, |address| roster.replica_at(address).cloned());
         if unknown_entries > 0 {
--- a/crates/daemon/src/host/metrics.rs
+++ b/crates/daemon/src/host/metrics.rs
@@ -64,7 +64,7 @@
         gauge!(ENTRIES_QUEUED).set(status.queued_entries as f64);
         gauge!(HISTORY_ENTRIES).set(status.history_entries as f64);
         gauge!(GUARD_ALARMS).set(guard.alarms(now) as f64);
-        gauge!(GUARD_PASSED).set(guard.tally().1 as f64);
+        gauge!(GUARD_PASSED).set(guard.counts().1 as f64);
         gauge!(FROZEN_TABLES).set(status.frozen_tables as f64);
         gauge!(VERSION).set(status.version as f64);
         gauge!(REPORT_ENTRIES_QUEUED).set(status.queued_reports as f64);
--- a/crates/daemon/src/host/status.rs
+++ b/crates/daemon/src/host/status.rs
@@ -240,14 +240,14 @@
             class: self.class_name(class),
             version: table.version,
             remaining_seconds: table.until.saturating_sub(now).as_secs_f64(),
-            reason: table.why.to_string(),
+            reason: table.reason.to_string(),
         });
         statuses.collect()
     }
 }
 
 fn guard_status(engine: &Engine, now: Duration) -> GuardStatus {
-    let (refused, passed) = engine.guard().tally();
+    let (refused, passed) = engine.guard().counts();
     GuardStatus { passed, refused: count_by_text(refused), alarms: engine.guard().alarms(now) }
 }
 
--- a/crates/daemon/src/labels.rs
+++ b/crates/daemon/src/labels.rs
@@ -11,17 +11,17 @@
 /// The label `reason` of the metric that counts refusals.
 pub fn refusal_reason(reason: RefusalReason) -> &'static str {
     match reason {
-        RefusalReason::Bare => "Bare",
+        RefusalReason::NoRoute => "Bare",
         RefusalReason::AllEntriesClosed => "Draining",
         RefusalReason::NoRouteInZone => "ZoneBare",
         RefusalReason::OutOfZone => "OutOfZone",
-        RefusalReason::Weight => "Weight",
+        RefusalReason::InvalidWeight => "Weight",
         RefusalReason::WeightRatio => "Wire",
-        RefusalReason::Level => "Level",
+        RefusalReason::InvalidAdmissionFraction => "Level",
         RefusalReason::UnsafeRetryPolicy => "Tries",
-        RefusalReason::Flood => "Flood",
+        RefusalReason::TooManyDecisions => "Flood",
         RefusalReason::TooManyEjections => "Withdrawn",
-        RefusalReason::Cold => "Cold",
+        RefusalReason::ColdOverload => "Cold",
         RefusalReason::WarmOverload => "Over",
         RefusalReason::ShiftTooLarge => "Sweep",
         RefusalReason::TooManyEntries => "Lines",
--- a/crates/daemon/src/labels/tests.rs
+++ b/crates/daemon/src/labels/tests.rs
@@ -7,17 +7,17 @@
 #[test]
 fn labels_of_refusal_reasons_stay_as_they_are() {
     let labels = [
-        (RefusalReason::Bare, "Bare"),
+        (RefusalReason::NoRoute, "Bare"),
         (RefusalReason::AllEntriesClosed, "Draining"),
         (RefusalReason::NoRouteInZone, "ZoneBare"),
         (RefusalReason::OutOfZone, "OutOfZone"),
-        (RefusalReason::Weight, "Weight"),
+        (RefusalReason::InvalidWeight, "Weight"),
         (RefusalReason::WeightRatio, "Wire"),
-        (RefusalReason::Level, "Level"),
+        (RefusalReason::InvalidAdmissionFraction, "Level"),
         (RefusalReason::UnsafeRetryPolicy, "Tries"),
-        (RefusalReason::Flood, "Flood"),
+        (RefusalReason::TooManyDecisions, "Flood"),
         (RefusalReason::TooManyEjections, "Withdrawn"),
-        (RefusalReason::Cold, "Cold"),
+        (RefusalReason::ColdOverload, "Cold"),
         (RefusalReason::WarmOverload, "Over"),
         (RefusalReason::ShiftTooLarge, "Sweep"),
         (RefusalReason::TooManyEntries, "Lines"),
--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -79,7 +79,7 @@
         tracing::info!(folder = %folder.display(), "nothing was known; from now on it is kept");
         return RestoredState::default();
     }
-    let (restored, unused) = snapshot::recall(items.clone(), unix_seconds, names);
+    let (restored, unused) = snapshot::restore(items.clone(), unix_seconds, names);
     for reason in &unused {
         tracing::warn!(%reason, "of what was known, this is not used");
     }
--- a/crates/daemon/src/state/inspect.rs
+++ b/crates/daemon/src/state/inspect.rs
@@ -103,7 +103,7 @@
             serde_json::from_value(value.clone()).with_context(|| format!("{name}: `{entry}`"))?;
         changes.push(Change::put(entry.as_str(), snapshot::encode(&item)));
     }
-    if !entries.contains_key(snapshot::NAMES) || !entries.contains_key(snapshot::ALIVE) {
+    if !entries.contains_key(snapshot::NAMES_ITEM) || !entries.contains_key(snapshot::ALIVE_ITEM) {
         bail!("{name} does not say whose entries these are");
     }
     let (mut store, recovered) = Store::open(Folder::lock(folder)?)?;
--- a/crates/daemon/src/state/writer.rs
+++ b/crates/daemon/src/state/writer.rs
@@ -72,8 +72,8 @@
 
     /// Stores what is known now: what differs from before is sent to the thread, or waits for it.
     pub fn store(&mut self, mut items: StoredItems, unix_seconds: f64) {
-        items.insert(snapshot::NAMES.into(), self.names.clone());
-        items.insert(snapshot::ALIVE.into(), self.alive(unix_seconds));
+        items.insert(snapshot::NAMES_ITEM.into(), self.names.clone());
+        items.insert(snapshot::ALIVE_ITEM.into(), self.alive(unix_seconds));
         for (name, item) in snapshot::changes(&self.previous, &items) {
             self.pending.insert(name, item.map(snapshot::encode));
         }
@@ -85,7 +85,7 @@
     /// The time of now, or the one stored before if that was a moment ago.
     fn alive(&mut self, unix_seconds: f64) -> Arc<StoredItem> {
         let is_recent = self.alive_stored_at.is_some_and(|at| at.elapsed() < ALIVE_INTERVAL);
-        match self.previous.get(snapshot::ALIVE) {
+        match self.previous.get(snapshot::ALIVE_ITEM) {
             Some(alive) if is_recent => alive.clone(),
             _ => {
                 self.alive_stored_at = Some(Instant::now());
--- a/crates/durable-store/tests/restarts.rs
+++ b/crates/durable-store/tests/restarts.rs
@@ -71,7 +71,7 @@
         let mut settings = EngineSettings::example(2);
         settings.governor.proxy_count = PROXIES as u64;
         let mut engine = Engine::new(settings, ms(0));
-        engine.restore(ms(0), snapshot::recall(items.clone(), wall_clock, &stored_names()).0);
+        engine.restore(ms(0), snapshot::restore(items.clone(), wall_clock, &stored_names()).0);
         Run { engine, epoch, store, stored_items: items }
     }
 
@@ -79,8 +79,8 @@
         let groups = ["one".to_string(), "other".to_string()];
         let mut items =
             self.engine.stored_items(ms(now), &self.stored_items, wall_clock, self.epoch, &groups);
-        items.insert(snapshot::NAMES.into(), Arc::new(stored_names()));
-        items.insert(snapshot::ALIVE.into(), Arc::new(StoredItem::Alive { at: wall_clock }));
+        items.insert(snapshot::NAMES_ITEM.into(), Arc::new(stored_names()));
+        items.insert(snapshot::ALIVE_ITEM.into(), Arc::new(StoredItem::Alive { at: wall_clock }));
         let changes: Vec<Change> = snapshot::changes(&self.stored_items, &items)
             .into_iter()
             .map(|(name, item)| Change { name, content: item.map(snapshot::encode) })
@@ -136,7 +136,7 @@
         }
         // The proxies send 40 requests per second in all. A replica that was restarted may get at most about twice
         // its share of them; warm replicas are not checked.
-        if self.engine.known_roster().get(&"f".into()).is_some_and(|f| f.started_at == Some(ms(900))) {
+        if self.engine.accepted_roster().get(&"f".into()).is_some_and(|f| f.started_at == Some(ms(900))) {
             assert!(
                 cold_rate < 2.5 * 40.0 * 0.3 / 4.3,
                 "{now}: {cold_rate} requests per second on the restarted replica"
--- a/crates/platform-governor/src/governor.rs
+++ b/crates/platform-governor/src/governor.rs
@@ -142,7 +142,7 @@
             Message::DemandStatistics(statistics) => self.governor.record_demand(now, statistics),
             Message::Acknowledged { nonce, latency, .. } => {
                 if self.outbox.acknowledge(now, proxy, nonce, latency) {
-                    self.governor.acknowledged(latency);
+                    self.governor.record_acknowledgement(latency);
                 } else {
                     self.discard(DiscardReason::UnexpectedAcknowledgement);
                 }
--- a/src/governor.rs
+++ b/src/governor.rs
@@ -266,7 +266,7 @@
     }
 
     /// Records that a message was acknowledged, and how long after it was sent.
-    pub fn acknowledged(&mut self, elapsed: Duration) {
+    pub fn record_acknowledgement(&mut self, elapsed: Duration) {
         self.send_queue.acknowledge(elapsed, self.parameters.max_transit_delay);
     }
 
--- a/src/governor/tests/publishing.rs
+++ b/src/governor/tests/publishing.rs
@@ -139,13 +139,13 @@
         governor
     };
     let mut quick = channel();
-    quick.acknowledged(SECOND);
+    quick.record_acknowledgement(SECOND);
     assert_eq!(
         quick.send_queue.entries, 100.0,
         "the acknowledged message was sent at 3.5 s at the earliest, due to the acknowledgement's transit"
     );
     let mut slow = channel();
-    slow.acknowledged(4 * SECOND);
+    slow.record_acknowledgement(4 * SECOND);
     assert_eq!(slow.send_queue.entries, 400.0);
     // Without acknowledgements the queue drains over time, at the assured rate.
     slow.publish(6 * SECOND, PublishTrigger::Event);
@@ -182,13 +182,13 @@
     governor.send_queue.entries = 900.0;
     governor.publish(SECOND / 2, PublishTrigger::Event);
     assert_eq!(governor.send_queue.entries, 900.0 - 0.2 * 500.0);
-    governor.acknowledged(SECOND / 2);
+    governor.record_acknowledgement(SECOND / 2);
     assert_eq!(
         governor.send_queue.entries,
         900.0 - 0.2 * 500.0,
         "other messages of the same batch may still be queued"
     );
     governor.publish(3 * SECOND / 2, PublishTrigger::Event);
-    governor.acknowledged(SECOND / 2);
+    governor.record_acknowledgement(SECOND / 2);
     assert_eq!(governor.send_queue.entries, 0.0, "the batch was sent earlier than the message");
 }
