--- a/crates/core/src/engine/rollback.rs
+++ b/crates/core/src/engine/rollback.rs
@@ -37,16 +37,18 @@
 }
 
 /// Why a rollback or a release was rejected.
+///
+/// The texts are part of responses and must not change.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum RollbackError {
     /// No proxy of this name is connected.
-    #[error("no proxy named `{0}` is connected")]
+    #[error("no proxy `{0}` is joined")]
     NoProxy(Arc<str>),
     /// The requested version is newer than the newest one.
-    #[error("version {0} does not exist yet; the newest version is {1}")]
+    #[error("version {0} is not given out yet; the newest is {1}")]
     UnknownVersion(u64, u64),
     /// The history retains this version for none of the proxies.
-    #[error("version {0} is not retained for any of the selected proxies")]
+    #[error("of version {0} nothing is kept for anyone concerned")]
     NotRetained(u64),
 }
 
@@ -69,7 +71,7 @@
             return Err(RollbackError::UnknownVersion(version, self.version));
         }
         let (proxies, classes) = self.resolve_scope(scope)?;
-        let why = truncate_reason(reason);
+        let reason = truncate_reason(reason);
         let mut report = RollbackReport::default();
         let mut changed = Vec::new();
         for id in proxies {
@@ -88,7 +90,7 @@
                     table,
                     since: now,
                     until,
-                    why: why.clone(),
+                    reason: reason.clone(),
                     migrated: false,
                 };
                 self.freeze(id, &name, class, frozen, &mut report);
@@ -128,7 +130,7 @@
             let event = EngineEvent::FrozenTableReleased {
                 proxy: name.clone(),
                 class,
-                reason: ReleaseReason::Replaced(before.why),
+                reason: ReleaseReason::Replaced(before.reason),
             };
             self.pending_actions.push_back(Action::Report(event));
         }
@@ -150,7 +152,7 @@
     /// Releases expired frozen tables.
     pub(super) fn release_expired(&mut self, now: Duration) {
         if self.frozen_tables.values().any(|frozen| frozen.until <= now) {
-            self.release_where(now, &ReleaseReason::Time, |_, frozen| frozen.until <= now);
+            self.release_where(now, &ReleaseReason::Expired, |_, frozen| frozen.until <= now);
         }
     }
 
