--- a/crates/core/src/guard/limits.rs
+++ b/crates/core/src/guard/limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// Factor by which the load of a cold replica may exceed its current share, by the ledger. The ledger holds
-/// means and lags by half a second, so the factor stays below [`COLD_FAILURE`].
+/// means and lags by half a second, so the factor stays below `COLD_FAILURE`.
 pub const COLD_MARGIN: f64 = 2.0;
 /// Factor of its share at which a cold replica fails, as the replicas in rehearsals do.
 pub(super) const COLD_FAILURE: f64 = 2.5;
