--- a/crates/client/examples/follow.rs
+++ b/crates/client/examples/follow.rs
@@ -9,13 +9,13 @@
 use wrenthread_client::table_cache::TableCache;
 use wrenthread_client::{Observer, ProxyIdentity, UpdatedTables};
 
-struct Printed;
+struct PrintingObserver;
 
-impl Observer for Printed {
-    fn update_received(&self, mark: &str, lines: usize, tables: &UpdatedTables) {
-        println!("version {mark}, {lines} lines");
-        for (group, (lines, level)) in tables {
-            println!("  {group}: level {level}, {lines:?}");
+impl Observer for PrintingObserver {
+    fn update_received(&self, version: &str, entries: usize, tables: &UpdatedTables) {
+        println!("version {version}, {entries} lines");
+        for (group, (entries, admission_fraction)) in tables {
+            println!("  {group}: level {admission_fraction}, {entries:?}");
         }
     }
 }
@@ -23,17 +23,18 @@
 #[tokio::main(flavor = "current_thread")]
 async fn main() {
     let mut arguments = std::env::args().skip(1);
-    let (Some(at), Some(name), Some(zone)) = (arguments.next(), arguments.next(), arguments.next()) else {
+    let (Some(base_url), Some(name), Some(zone)) = (arguments.next(), arguments.next(), arguments.next())
+    else {
         eprintln!("follow http://HOST:PORT NAME ZONE GROUP ...");
         std::process::exit(2);
     };
     let cache = Rc::new(RefCell::new(TableCache::new(arguments.collect(), vec![], None)));
-    let who = ProxyIdentity { name, zone, requests_per_second: 1.0 };
+    let identity = ProxyIdentity { name, zone, requests_per_second: 1.0 };
     // The table is kept over broken sessions: only the session is joined anew.
     loop {
-        match Session::join(&at, &who, &cache).await {
+        match Session::join(&base_url, &identity, &cache).await {
             Ok(session) => {
-                if let Err(error) = follow(&session, &cache, &Printed).await {
+                if let Err(error) = follow(&session, &cache, &PrintingObserver).await {
                     eprintln!("{error}");
                 }
             }
--- a/crates/client/examples/follow_grpc.rs
+++ b/crates/client/examples/follow_grpc.rs
@@ -10,26 +10,30 @@
 use wrenthread_client::table_cache::TableCache;
 use wrenthread_client::{Error, Governor, Observer, ProxyIdentity, UpdatedTables};
 
-struct Printed;
+struct PrintingObserver;
 
-impl Observer for Printed {
-    fn update_received(&self, mark: &str, lines: usize, tables: &UpdatedTables) {
-        println!("{mark}: {lines} lines");
-        for (group, (lines, level)) in tables {
-            println!("  {group}: level {level}, {lines:?}");
+impl Observer for PrintingObserver {
+    fn update_received(&self, nonce: &str, entries: usize, tables: &UpdatedTables) {
+        println!("{nonce}: {entries} lines");
+        for (group, (entries, admission_fraction)) in tables {
+            println!("  {group}: level {admission_fraction}, {entries:?}");
         }
     }
 }
 
-async fn report(uri: &str, who: &ProxyIdentity, cache: &Rc<RefCell<TableCache>>) -> Result<(), Error> {
-    let mut reports = Reports::open(uri, who, cache).await?;
-    let mut last = Instant::now();
+async fn send_reports(
+    uri: &str,
+    identity: &ProxyIdentity,
+    cache: &Rc<RefCell<TableCache>>,
+) -> Result<(), Error> {
+    let mut reports = Reports::open(uri, identity, cache).await?;
+    let mut last_report = Instant::now();
     loop {
         reports.wait().await?;
         let stats = cache.borrow_mut().take_counters();
         let groups = cache.borrow().classes().to_vec();
-        let request = grpc::request(&groups, last.elapsed(), &stats, &["waiting"]);
-        last = Instant::now();
+        let request = grpc::request(&groups, last_report.elapsed(), &stats, &["waiting"]);
+        last_report = Instant::now();
         reports.sender().send(request).await.map_err(|_| Error::Ended)?;
     }
 }
@@ -42,13 +46,15 @@
         std::process::exit(2);
     };
     let cache = Rc::new(RefCell::new(TableCache::new(arguments.collect(), vec![], None)));
-    let who = ProxyIdentity { name, zone, requests_per_second: 1.0 };
+    let identity = ProxyIdentity { name, zone, requests_per_second: 1.0 };
     let versions = Rc::new(RefCell::new(Versions::default()));
     let governor = Governor { grpc: uri.clone(), ..Governor::default() };
     let following = async {
         loop {
             // The table, and the marks of what is held, outlive the stream.
-            if let Err(error) = grpc::follow(&governor, &who, true, &cache, &versions, &Printed).await {
+            if let Err(error) =
+                grpc::follow(&governor, &identity, true, &cache, &versions, &PrintingObserver).await
+            {
                 eprintln!("{error}");
             }
             tokio::time::sleep(Duration::from_secs(1)).await;
@@ -56,7 +62,7 @@
     };
     let reporting = async {
         loop {
-            if let Err(error) = report(&uri, &who, &cache).await {
+            if let Err(error) = send_reports(&uri, &identity, &cache).await {
                 eprintln!("reports: {error}");
             }
             tokio::time::sleep(Duration::from_secs(1)).await;
--- a/crates/client/src/grpc.rs
+++ b/crates/client/src/grpc.rs
@@ -15,8 +15,9 @@
 use wrenthread::types::RetryPolicy;
 use wrenthread_xds::clients::ads::AggregatedDiscoveryServiceClient;
 use wrenthread_xds::clients::lrs::LoadReportingServiceClient;
-use wrenthread_xds::decode::{METADATA, host_port};
+use wrenthread_xds::decode::{METADATA_KEY, host_port};
 use wrenthread_xds::encode::{self, Kind};
+use wrenthread_xds::parse_identifier;
 use wrenthread_xds::pb::envoy::config::core::v3::{ControlPlane, Locality, Node};
 use wrenthread_xds::pb::envoy::config::endpoint::v3::lb_endpoint::HostIdentifier;
 use wrenthread_xds::pb::envoy::config::endpoint::v3::{
@@ -30,7 +31,6 @@
 use wrenthread_xds::pb::envoy::service::load_stats::v3::{LoadStatsRequest, LoadStatsResponse};
 use wrenthread_xds::pb::google::protobuf::{Any, ListValue, Struct, Value, value};
 use wrenthread_xds::pb::google::rpc::Status;
-use wrenthread_xds::said_by;
 
 use crate::table_cache::{ReportCounters, TableCache};
 use crate::{Error, Governor, Observer, ProxyIdentity, UpdatedTables};
@@ -39,14 +39,14 @@
 #[derive(Debug, Clone, Default)]
 pub struct Versions(BTreeMap<(Kind, String), String>);
 
-fn unclear(error: impl ToString) -> Error {
-    Error::Unclear(error.to_string())
+fn decode_error(error: impl ToString) -> Error {
+    Error::Decode(error.to_string())
 }
 
 fn status(uri: &str) -> impl Fn(tonic::Status) -> Error + '_ {
     move |status| match status.metadata().get(wrenthread_xds::GO_TO).and_then(|to| to.to_str().ok()) {
         Some(to) => Error::Moved((!to.is_empty()).then(|| to.to_string())),
-        None => Error::Reach(uri.to_string(), status.message().to_string()),
+        None => Error::Unreachable(uri.to_string(), status.message().to_string()),
     }
 }
 
@@ -59,50 +59,53 @@
 /// How long a connection may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-async fn answered<T>(uri: &str, answer: impl Future<Output = Result<T, tonic::Status>>) -> Result<T, Error> {
-    let late = |_| Error::Reach(uri.to_string(), format!("no answer within {ANSWER_TIMEOUT:?}"));
-    tokio::time::timeout(ANSWER_TIMEOUT, answer).await.map_err(late)?.map_err(status(uri))
+async fn with_answer_timeout<T>(
+    uri: &str,
+    answer: impl Future<Output = Result<T, tonic::Status>>,
+) -> Result<T, Error> {
+    let timed_out = |_| Error::Unreachable(uri.to_string(), format!("no answer within {ANSWER_TIMEOUT:?}"));
+    tokio::time::timeout(ANSWER_TIMEOUT, answer).await.map_err(timed_out)?.map_err(status(uri))
 }
 
 pub(crate) async fn connect(uri: &str) -> Result<Channel, Error> {
-    let reach = |error: tonic::transport::Error| Error::Reach(uri.to_string(), error.to_string());
-    let endpoint = Endpoint::from_shared(uri.to_string()).map_err(reach)?;
+    let unreachable = |error: tonic::transport::Error| Error::Unreachable(uri.to_string(), error.to_string());
+    let endpoint = Endpoint::from_shared(uri.to_string()).map_err(unreachable)?;
     let endpoint = endpoint.connect_timeout(CONNECT_TIMEOUT).tcp_nodelay(true);
     let endpoint =
         endpoint.http2_keep_alive_interval(KEEPALIVE_INTERVAL).keep_alive_timeout(KEEPALIVE_TIMEOUT);
-    endpoint.keep_alive_while_idle(true).connect().await.map_err(reach)
+    endpoint.keep_alive_while_idle(true).connect().await.map_err(unreachable)
 }
 
-fn node(who: &ProxyIdentity, cache: &TableCache) -> Node {
+fn node(identity: &ProxyIdentity, cache: &TableCache) -> Node {
     let text = |text: &str| Value { kind: Some(value::Kind::StringValue(text.into())) };
     let number = |number: f64| Value { kind: Some(value::Kind::NumberValue(number)) };
     let structure = |fields: Vec<(&str, Value)>| {
         let fields = fields.into_iter().map(|(name, value)| (name.to_string(), value)).collect();
         Value { kind: Some(value::Kind::StructValue(Struct { fields })) }
     };
-    let lines = cache.default_table().iter();
-    let lines =
-        lines.map(|line| structure(vec![("replica", text(&line.replica)), ("weight", number(line.weight))]));
-    let standing = Value { kind: Some(value::Kind::ListValue(ListValue { values: lines.collect() })) };
-    let mut said = vec![("usual", number(who.requests_per_second)), ("standing", standing)];
-    said.extend(cache.ownership_proof().map(|claim| ("claim", text(claim))));
-    let said = structure(said);
+    let entries = cache.default_table().iter();
+    let entries = entries
+        .map(|entry| structure(vec![("replica", text(&entry.replica)), ("weight", number(entry.weight))]));
+    let default_table = Value { kind: Some(value::Kind::ListValue(ListValue { values: entries.collect() })) };
+    let mut fields = vec![("usual", number(identity.requests_per_second)), ("standing", default_table)];
+    fields.extend(cache.ownership_proof().map(|claim| ("claim", text(claim))));
+    let metadata = structure(fields);
     Node {
-        id: who.name.clone(),
-        locality: Some(Locality { zone: who.zone.clone(), ..Locality::default() }),
-        metadata: Some(Struct { fields: [(METADATA.to_string(), said)].into() }),
+        id: identity.name.clone(),
+        locality: Some(Locality { zone: identity.zone.clone(), ..Locality::default() }),
+        metadata: Some(Struct { fields: [(METADATA_KEY.to_string(), metadata)].into() }),
         ..Node::default()
     }
 }
 
 /// Endpoints first: their request says that the proxy holds tables of a governor.
 fn subscriptions(cache: &TableCache) -> [(Kind, Vec<String>); 3] {
-    let routes = vec![encode::ROUTES.to_string()];
+    let routes = vec![encode::ROUTE_CONFIG_NAME.to_string()];
     [(Kind::Endpoints, cache.classes().to_vec()), (Kind::Clusters, vec![]), (Kind::Routes, routes)]
 }
 
 /// Checks whether a response may be applied, if its governor is one of several: by its name, epoch and version.
-fn heed(
+fn check_ownership(
     governor: &Governor,
     cache: &Rc<RefCell<TableCache>>,
     control: Option<&ControlPlane>,
@@ -111,10 +114,10 @@
     if governor.name.is_empty() {
         return Ok(());
     }
-    let said = control.map(|control| control.identifier.as_str()).unwrap_or_default();
+    let identifier = control.map(|control| control.identifier.as_str()).unwrap_or_default();
     let version = version.rsplit_once('.').and_then(|(_, version)| version.parse().ok());
-    let (Some((name, epoch, claim)), Some(version)) = (said_by(said), version) else {
-        return Err(unclear("an order that does not say whose it is"));
+    let (Some((name, epoch, claim)), Some(version)) = (parse_identifier(identifier), version) else {
+        return Err(decode_error("an order that does not say whose it is"));
     };
     Ok(cache.borrow_mut().accept(name, epoch, version, claim)?)
 }
@@ -125,32 +128,32 @@
 /// Why the stream ended.
 pub async fn follow(
     governor: &Governor,
-    who: &ProxyIdentity,
+    identity: &ProxyIdentity,
     delta: bool,
     cache: &Rc<RefCell<TableCache>>,
     versions: &Rc<RefCell<Versions>>,
-    watch: &impl Observer,
+    observer: &impl Observer,
 ) -> Result<(), Error> {
     let mut client = AggregatedDiscoveryServiceClient::new(connect(&governor.grpc).await?);
     cache.borrow_mut().follow_governor(&governor.name);
     match delta {
-        true => by_delta(&mut client, governor, who, cache, versions, watch).await,
-        false => by_state(&mut client, governor, who, cache, versions, watch).await,
+        true => follow_delta(&mut client, governor, identity, cache, versions, observer).await,
+        false => follow_sotw(&mut client, governor, identity, cache, versions, observer).await,
     }
 }
 
-async fn by_state(
+async fn follow_sotw(
     client: &mut AggregatedDiscoveryServiceClient<Channel>,
     governor: &Governor,
-    who: &ProxyIdentity,
+    identity: &ProxyIdentity,
     cache: &Rc<RefCell<TableCache>>,
     versions: &Rc<RefCell<Versions>>,
-    watch: &impl Observer,
+    observer: &impl Observer,
 ) -> Result<(), Error> {
     let (requests, stream) = mpsc::channel(16);
     let kinds = subscriptions(&cache.borrow());
     let names: BTreeMap<Kind, Vec<String>> = kinds.clone().into();
-    let ask = |kind: Kind, nonce: &str, error: Option<String>, node: Option<Node>| DiscoveryRequest {
+    let request_for = |kind: Kind, nonce: &str, error: Option<String>, node: Option<Node>| DiscoveryRequest {
         version_info: versions.borrow().0.get(&(kind, String::new())).cloned().unwrap_or_default(),
         node,
         resource_names: names[&kind].clone(),
@@ -159,74 +162,77 @@
         error_detail: error.map(|message| Status { code: 3, message, ..Status::default() }),
         ..DiscoveryRequest::default()
     };
-    for (place, (kind, _)) in kinds.into_iter().enumerate() {
-        let node = (place == 0).then(|| node(who, &cache.borrow()));
-        requests.send(ask(kind, "", None, node)).await.map_err(unclear)?;
+    for (index, (kind, _)) in kinds.into_iter().enumerate() {
+        let node = (index == 0).then(|| node(identity, &cache.borrow()));
+        requests.send(request_for(kind, "", None, node)).await.map_err(decode_error)?;
     }
-    watch.connected();
+    observer.connected();
     let responses = client.stream_aggregated_resources(ReceiverStream::new(stream));
-    let mut responses = answered(&governor.grpc, responses).await?.into_inner();
+    let mut responses = with_answer_timeout(&governor.grpc, responses).await?.into_inner();
     while let Some(response) = responses.next().await {
         let response = response.map_err(status(&governor.grpc))?;
-        heed(governor, cache, response.control_plane.as_ref(), &response.version_info)?;
+        check_ownership(governor, cache, response.control_plane.as_ref(), &response.version_info)?;
         let DiscoveryResponse { version_info, resources, type_url, nonce, .. } = response;
         let Some(kind) = Kind::of(&type_url) else { continue };
-        let error = match take(kind, &nonce, &resources, cache, watch) {
+        let error = match apply_response(kind, &nonce, &resources, cache, observer) {
             Ok(()) => {
                 versions.borrow_mut().0.insert((kind, String::new()), version_info);
                 None
             }
             Err(error) => Some(error.to_string()),
         };
-        let taken = error.is_none();
-        requests.send(ask(kind, &nonce, error, None)).await.map_err(|_| Error::Ended)?;
-        watch.update_answered(&nonce, taken);
+        let accepted = error.is_none();
+        requests.send(request_for(kind, &nonce, error, None)).await.map_err(|_| Error::Ended)?;
+        observer.update_answered(&nonce, accepted);
     }
     Err(Error::Ended)
 }
 
-async fn by_delta(
+async fn follow_delta(
     client: &mut AggregatedDiscoveryServiceClient<Channel>,
     governor: &Governor,
-    who: &ProxyIdentity,
+    identity: &ProxyIdentity,
     cache: &Rc<RefCell<TableCache>>,
     versions: &Rc<RefCell<Versions>>,
-    watch: &impl Observer,
+    observer: &impl Observer,
 ) -> Result<(), Error> {
     let (requests, stream) = mpsc::channel(16);
-    let mut first = Some(node(who, &cache.borrow()));
+    let mut first_node = Some(node(identity, &cache.borrow()));
     let kinds = subscriptions(&cache.borrow());
     for (kind, names) in kinds {
-        let held = versions.borrow().0.clone();
-        let held = held.into_iter().filter(|((of, name), _)| *of == kind && !name.is_empty());
+        let held_versions = versions.borrow().0.clone();
+        let held_versions =
+            held_versions.into_iter().filter(|((of_kind, name), _)| *of_kind == kind && !name.is_empty());
         let request = DeltaDiscoveryRequest {
-            node: first.take(),
+            node: first_node.take(),
             type_url: kind.url(),
             resource_names_subscribe: if names.is_empty() { vec!["*".into()] } else { names },
-            initial_resource_versions: held.map(|((_, name), mark)| (name, mark)).collect(),
+            initial_resource_versions: held_versions.map(|((_, name), version)| (name, version)).collect(),
             ..DeltaDiscoveryRequest::default()
         };
-        requests.send(request).await.map_err(unclear)?;
+        requests.send(request).await.map_err(decode_error)?;
     }
-    watch.connected();
+    observer.connected();
     let responses = client.delta_aggregated_resources(ReceiverStream::new(stream));
-    let mut responses = answered(&governor.grpc, responses).await?.into_inner();
+    let mut responses = with_answer_timeout(&governor.grpc, responses).await?.into_inner();
     while let Some(response) = responses.next().await {
         let response = response.map_err(status(&governor.grpc))?;
-        heed(governor, cache, response.control_plane.as_ref(), &response.system_version_info)?;
+        check_ownership(governor, cache, response.control_plane.as_ref(), &response.system_version_info)?;
         let DeltaDiscoveryResponse { resources, type_url, removed_resources, nonce, .. } = response;
         let Some(kind) = Kind::of(&type_url) else { continue };
-        let whole: Vec<Any> = resources.iter().filter_map(|one| one.resource.clone()).collect();
-        let error = take(kind, &nonce, &whole, cache, watch).err().map(|error| error.to_string());
-        let taken = error.is_none();
-        if taken {
-            let held = &mut versions.borrow_mut().0;
-            held.extend(resources.into_iter().map(|one| ((kind, one.name), one.version)));
+        let contents: Vec<Any> = resources.iter().filter_map(|resource| resource.resource.clone()).collect();
+        let error =
+            apply_response(kind, &nonce, &contents, cache, observer).err().map(|error| error.to_string());
+        let accepted = error.is_none();
+        if accepted {
+            let held_versions = &mut versions.borrow_mut().0;
+            held_versions
+                .extend(resources.into_iter().map(|resource| ((kind, resource.name), resource.version)));
             for name in removed_resources {
                 if kind == Kind::Endpoints {
                     cache.borrow_mut().use_default_table(&name);
                 }
-                held.remove(&(kind, name));
+                held_versions.remove(&(kind, name));
             }
         }
         let answer = DeltaDiscoveryRequest {
@@ -236,40 +242,42 @@
             ..DeltaDiscoveryRequest::default()
         };
         requests.send(answer).await.map_err(|_| Error::Ended)?;
-        watch.update_answered(&nonce, taken);
+        observer.update_answered(&nonce, accepted);
     }
     Err(Error::Ended)
 }
 
 /// Applies a response: all of it, or none if some of it does not decode.
-fn take(
+fn apply_response(
     kind: Kind,
     nonce: &str,
     resources: &[Any],
     cache: &Rc<RefCell<TableCache>>,
-    watch: &impl Observer,
+    observer: &impl Observer,
 ) -> Result<(), Error> {
-    let (mut tables, mut tries, mut lines) = (UpdatedTables::new(), Vec::new(), 0);
-    let mut read = || {
+    let (mut tables, mut retry_policies, mut lines) = (UpdatedTables::new(), Vec::new(), 0);
+    let mut decode_all = || {
         for resource in resources {
             match kind {
                 Kind::Endpoints => {
-                    let table = ClusterLoadAssignment::decode(resource.value.as_slice()).map_err(unclear)?;
-                    let (name, open, level) = table_of(&table)?;
-                    lines += open.len().max(1);
-                    tables.insert(name, (open, level));
+                    let table =
+                        ClusterLoadAssignment::decode(resource.value.as_slice()).map_err(decode_error)?;
+                    let (name, entries, admission_fraction) = decode_table(&table)?;
+                    lines += entries.len().max(1);
+                    tables.insert(name, (entries, admission_fraction));
                 }
                 Kind::Routes => {
-                    let routes = RouteConfiguration::decode(resource.value.as_slice()).map_err(unclear)?;
-                    for one in routes.virtual_hosts.iter().flat_map(|host| &host.routes) {
-                        let Some(route::Action::Route(action)) = &one.action else { continue };
-                        let on = action.retry_policy.as_ref().map(|policy| policy.retry_on.as_str());
-                        let allowed = match on {
+                    let routes =
+                        RouteConfiguration::decode(resource.value.as_slice()).map_err(decode_error)?;
+                    for route in routes.virtual_hosts.iter().flat_map(|host| &host.routes) {
+                        let Some(route::Action::Route(action)) = &route.action else { continue };
+                        let retry_on = action.retry_policy.as_ref().map(|policy| policy.retry_on.as_str());
+                        let allowed_retries = match retry_on {
                             None => RetryPolicy::Never,
-                            Some(on) if on.contains("5xx") => RetryPolicy::OnAnyFailure,
+                            Some(retry_on) if retry_on.contains("5xx") => RetryPolicy::OnAnyFailure,
                             Some(_) => RetryPolicy::IfNotExecuted,
                         };
-                        tries.push((one.name.clone(), allowed));
+                        retry_policies.push((route.name.clone(), allowed_retries));
                         lines += 1;
                     }
                 }
@@ -278,32 +286,34 @@
         }
         Ok(())
     };
-    let read: Result<(), Error> = read();
-    watch.update_received(nonce, lines, &tables);
-    read?;
+    let decoded: Result<(), Error> = decode_all();
+    observer.update_received(nonce, lines, &tables);
+    decoded?;
     let mut cache = cache.borrow_mut();
-    for (group, (lines, level)) in tables {
-        cache.set_table(&group, lines, level);
+    for (group, (entries, admission_fraction)) in tables {
+        cache.set_table(&group, entries, admission_fraction);
     }
-    for (group, allowed) in tries {
-        cache.set_retry_policy(&group, allowed);
+    for (group, allowed_retries) in retry_policies {
+        cache.set_retry_policy(&group, allowed_retries);
     }
     Ok(())
 }
 
-type Lines = Vec<(Arc<str>, f64)>;
+type RoutableEntries = Vec<(Arc<str>, f64)>;
 
-fn table_of(table: &ClusterLoadAssignment) -> Result<(String, Lines, f64), Error> {
+fn decode_table(table: &ClusterLoadAssignment) -> Result<(String, RoutableEntries, f64), Error> {
     let overloads = table.policy.as_ref().and_then(|policy| policy.drop_overloads.first());
-    let blocked = overloads.and_then(|one| one.drop_percentage).map_or(0, |part| part.numerator);
-    let mut open = Vec::new();
+    let rejected_millionths =
+        overloads.and_then(|overload| overload.drop_percentage).map_or(0, |part| part.numerator);
+    let mut entries = Vec::new();
     for endpoint in table.endpoints.iter().flat_map(|zone| &zone.lb_endpoints) {
         let Some(HostIdentifier::Endpoint(host)) = &endpoint.host_identifier else { continue };
-        let at = host_port(host.address.as_ref()).ok_or_else(|| unclear("an endpoint without an address"))?;
+        let address =
+            host_port(host.address.as_ref()).ok_or_else(|| decode_error("an endpoint without an address"))?;
         let weight = endpoint.load_balancing_weight.map_or(1, |weight| weight.value);
-        open.push((at.as_str().into(), f64::from(weight)));
+        entries.push((address.as_str().into(), f64::from(weight)));
     }
-    Ok((table.cluster_name.clone(), open, 1.0 - f64::from(blocked) / 1e6))
+    Ok((table.cluster_name.clone(), entries, 1.0 - f64::from(rejected_millionths) / 1e6))
 }
 
 /// A stream of load reports.
@@ -321,17 +331,17 @@
     /// The governor can't be reached, or wants no reports.
     pub async fn open(
         uri: &str,
-        who: &ProxyIdentity,
+        identity: &ProxyIdentity,
         cache: &Rc<RefCell<TableCache>>,
     ) -> Result<Reports, Error> {
         let mut client = LoadReportingServiceClient::new(connect(uri).await?);
         let (requests, stream) = mpsc::channel(16);
-        let first = LoadStatsRequest { node: Some(node(who, &cache.borrow())), cluster_stats: vec![] };
-        requests.send(first).await.map_err(unclear)?;
+        let first = LoadStatsRequest { node: Some(node(identity, &cache.borrow())), cluster_stats: vec![] };
+        requests.send(first).await.map_err(decode_error)?;
         let answers = client.stream_load_stats(ReceiverStream::new(stream));
-        let mut answers = answered(uri, answers).await?.into_inner();
-        let asked = answers.next().await.ok_or(Error::Ended)?.map_err(status(uri))?;
-        let every = asked.load_reporting_interval.ok_or_else(|| unclear("no interval"))?;
+        let mut answers = with_answer_timeout(uri, answers).await?.into_inner();
+        let first_response = answers.next().await.ok_or(Error::Ended)?.map_err(status(uri))?;
+        let every = first_response.load_reporting_interval.ok_or_else(|| decode_error("no interval"))?;
         let every = Duration::new(every.seconds.max(0) as u64, every.nanos.clamp(0, 999_999_999) as u32);
         Ok(Reports { every, requests, answers })
     }
@@ -365,18 +375,18 @@
         num_requests_finished_with_metric: count,
         total_metric_value: total,
     };
-    let group = |(place, name): (usize, &String)| {
-        let here = stats.replicas.iter().filter(|((group, _), _)| *group == place);
-        let endpoints = here.map(|((_, at), met)| UpstreamEndpointStats {
-            address: Some(encode::address(at)),
-            total_successful_requests: met.succeeded,
-            total_error_requests: met.failed,
-            total_issued_requests: met.attempts,
+    let group = |(index, name): (usize, &String)| {
+        let attempted = stats.replicas.iter().filter(|((group, _), _)| *group == index);
+        let endpoints = attempted.map(|((_, address), counters)| UpstreamEndpointStats {
+            address: Some(encode::address(address)),
+            total_successful_requests: counters.succeeded,
+            total_error_requests: counters.failed,
+            total_issued_requests: counters.attempts,
             load_metric_stats: metrics
                 .iter()
-                .zip(&met.load)
-                .map(|(name, total)| metric(name, met.succeeded, *total))
-                .chain([metric("answer_ms", met.succeeded, met.latency_sum.as_secs_f64() * 1000.0)])
+                .zip(&counters.load)
+                .map(|(name, total)| metric(name, counters.succeeded, *total))
+                .chain([metric("answer_ms", counters.succeeded, counters.latency_sum.as_secs_f64() * 1000.0)])
                 .collect(),
             ..UpstreamEndpointStats::default()
         });
@@ -386,7 +396,7 @@
                 upstream_endpoint_stats: endpoints.collect(),
                 ..UpstreamLocalityStats::default()
             }],
-            total_dropped_requests: stats.rejected.get(place).copied().unwrap_or(0),
+            total_dropped_requests: stats.rejected.get(index).copied().unwrap_or(0),
             load_report_interval: Some(wrenthread_xds::pb::google::protobuf::Duration {
                 seconds: interval.as_secs() as i64,
                 nanos: interval.subsec_nanos() as i32,
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -47,9 +47,9 @@
     /// The stream or session is over.
     fn disconnected(&self) {}
     /// A response came: its nonce or version, the number of its entries, and its tables.
-    fn update_received(&self, _mark: &str, _lines: usize, _tables: &UpdatedTables) {}
+    fn update_received(&self, _version: &str, _entries: usize, _tables: &UpdatedTables) {}
     /// The response was accepted, or rejected.
-    fn update_answered(&self, _mark: &str, _taken: bool) {}
+    fn update_answered(&self, _version: &str, _accepted: bool) {}
 }
 
 /// Observes nothing.
@@ -72,15 +72,15 @@
 /// Whether a governor at a gRPC port serves proxies, by the public health protocol, within a second. One that answers
 /// but does not implement that protocol does.
 pub async fn answers(uri: &str) -> bool {
-    let ask = async {
+    let check = async {
         let channel = grpc::connect(uri).await.ok()?;
         let request = tonic_health::pb::HealthCheckRequest::default();
         match tonic_health::pb::health_client::HealthClient::new(channel).check(request).await {
-            Ok(told) => Some(told.into_inner().status == tonic_health::ServingStatus::Serving as i32),
+            Ok(response) => Some(response.into_inner().status == tonic_health::ServingStatus::Serving as i32),
             Err(status) => Some(status.code() == tonic::Code::Unimplemented),
         }
     };
-    tokio::time::timeout(std::time::Duration::from_secs(1), ask).await.ok().flatten().unwrap_or(false)
+    tokio::time::timeout(std::time::Duration::from_secs(1), check).await.ok().flatten().unwrap_or(false)
 }
 
 /// Why a governor can't be followed, or no longer.
@@ -91,16 +91,16 @@
     Fenced(#[from] wrenthread_core::fencing::FencingError),
     /// It can't be reached: its address, and the cause.
     #[error("the governor at {0}: {1}")]
-    Reach(String, String),
+    Unreachable(String, String),
     /// It rejected the proxy, for this reason.
     #[error("the governor turned the proxy away: {0}")]
-    Refused(String),
+    Rejected(String),
     /// It redirects the proxy to a governor of this name; none: to the next in the proxy's own ranking.
     #[error("the governor sends the proxy on to {}", .0.as_deref().unwrap_or("whoever is next"))]
     Moved(Option<String>),
     /// A response does not decode.
     #[error("what came can't be understood: {0}")]
-    Unclear(String),
+    Decode(String),
     /// The stream ended.
     #[error("the stream ended")]
     Ended,
--- a/crates/client/src/poll.rs
+++ b/crates/client/src/poll.rs
@@ -34,35 +34,35 @@
     pub parameters: SessionParameters,
 }
 
-fn reach(base: &str) -> impl Fn(reqwest::Error) -> Error + '_ {
-    move |error| Error::Reach(base.to_string(), error.to_string())
+fn unreachable(base: &str) -> impl Fn(reqwest::Error) -> Error + '_ {
+    move |error| Error::Unreachable(base.to_string(), error.to_string())
 }
 
-async fn answered(base: &str, request: RequestBuilder) -> Result<(StatusCode, Vec<u8>), Error> {
-    let response = request.header("accept", CBOR).send().await.map_err(reach(base))?;
+async fn send(base: &str, request: RequestBuilder) -> Result<(StatusCode, Vec<u8>), Error> {
+    let response = request.header("accept", CBOR).send().await.map_err(unreachable(base))?;
     let status = response.status();
-    let body = response.bytes().await.map_err(reach(base))?;
+    let body = response.bytes().await.map_err(unreachable(base))?;
     match status.is_success() || status == StatusCode::NOT_MODIFIED {
         true => Ok((status, body.to_vec())),
         false => {
-            let said: Result<ErrorResponse, Error> = read(&body);
-            if let Ok(ErrorResponse { redirect_to: Some(to), .. }) = &said {
+            let error: Result<ErrorResponse, Error> = decode(&body);
+            if let Ok(ErrorResponse { redirect_to: Some(to), .. }) = &error {
                 return Err(Error::Moved((!to.is_empty()).then(|| to.clone())));
             }
-            Err(Error::Refused(
-                said.map_or_else(|_| status.to_string(), |said| format!("{status}: {}", said.error)),
+            Err(Error::Rejected(
+                error.map_or_else(|_| status.to_string(), |error| format!("{status}: {}", error.error)),
             ))
         }
     }
 }
 
-fn read<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, Error> {
-    ciborium::from_reader(body).map_err(|error| Error::Unclear(error.to_string()))
+fn decode<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, Error> {
+    ciborium::from_reader(body).map_err(|error| Error::Decode(error.to_string()))
 }
 
-fn written<T: serde::Serialize>(request: RequestBuilder, value: &T) -> Result<RequestBuilder, Error> {
+fn with_cbor_body<T: serde::Serialize>(request: RequestBuilder, value: &T) -> Result<RequestBuilder, Error> {
     let mut body = Vec::new();
-    ciborium::into_writer(value, &mut body).map_err(|error| Error::Unclear(error.to_string()))?;
+    ciborium::into_writer(value, &mut body).map_err(|error| Error::Decode(error.to_string()))?;
     Ok(request.header("content-type", CBOR).body(body))
 }
 
@@ -73,67 +73,74 @@
     /// The governor can't be reached, or rejects the proxy.
     pub async fn join(
         at: &str,
-        who: &ProxyIdentity,
+        identity: &ProxyIdentity,
         cache: &Rc<RefCell<TableCache>>,
     ) -> Result<Session, Error> {
         let client = Client::builder().connect_timeout(CONNECT_TIMEOUT).build();
-        let client = client.map_err(reach(at))?;
-        let base = format!("{at}/v1/proxies/{}", who.name);
-        let asked = {
+        let client = client.map_err(unreachable(at))?;
+        let base = format!("{at}/v1/proxies/{}", identity.name);
+        let join_request = {
             let cache = cache.borrow();
-            let line = |line: &crate::table_cache::DefaultEntry| DefaultTableEntry {
-                replica: line.replica.clone(),
-                weight: line.weight,
+            let entry = |entry: &crate::table_cache::DefaultEntry| DefaultTableEntry {
+                replica: entry.replica.clone(),
+                weight: entry.weight,
             };
             JoinRequest {
-                zone: who.zone.clone(),
-                requests_per_second: Some(who.requests_per_second),
-                default_table: cache.default_table().iter().map(line).collect(),
+                zone: identity.zone.clone(),
+                requests_per_second: Some(identity.requests_per_second),
+                default_table: cache.default_table().iter().map(entry).collect(),
                 holds_tables: cache.holds_governor_tables(),
                 ownership_proof: cache.ownership_proof().map(str::to_string),
             }
         };
-        let request = written(client.post(&base).timeout(ANSWER_TIMEOUT), &asked)?;
-        let told: JoinResponse = read(&answered(&base, request).await?.1)?;
-        cache.borrow_mut().follow_governor(&told.parameters.governor);
-        Ok(Session { client, base, session: told.session, parameters: told.parameters })
+        let request = with_cbor_body(client.post(&base).timeout(ANSWER_TIMEOUT), &join_request)?;
+        let response: JoinResponse = decode(&send(&base, request).await?.1)?;
+        cache.borrow_mut().follow_governor(&response.parameters.governor);
+        Ok(Session { client, base, session: response.session, parameters: response.parameters })
     }
 
     /// Polls once, and applies what comes.
     ///
     /// # Errors
     /// The session is over, or the response does not decode; join again.
-    pub async fn ask(&self, cache: &Rc<RefCell<TableCache>>, watch: &impl Observer) -> Result<(), Error> {
+    pub async fn ask(&self, cache: &Rc<RefCell<TableCache>>, observer: &impl Observer) -> Result<(), Error> {
         let mut url = format!("{}/tables?session={}&wait={}", self.base, self.session, POLL_WAIT.as_secs());
         if let Some((version, digest)) = cache.borrow().held_version() {
             url += &format!("&version={version}&digest={}", hex(digest));
         }
         let request = self.client.get(url).timeout(POLL_WAIT + ANSWER_TIMEOUT);
-        let (status, body) = answered(&self.base, request).await?;
+        let (status, body) = send(&self.base, request).await?;
         if status == StatusCode::NOT_MODIFIED {
             return Ok(());
         }
-        let told: TablesResponse = read(&body)?;
-        let of = told.version.split_once('.');
-        let life = of.and_then(|(epoch, at)| Some((u64::from_str_radix(epoch, 16).ok()?, at.parse().ok()?)));
-        let (epoch, at) = life.ok_or_else(|| Error::Unclear(format!("version `{}`", told.version)))?;
-        cache.borrow_mut().accept(&self.parameters.governor, epoch, at, told.ownership_proof.as_deref())?;
-        let understood =
-            self.parameters.decode_tables(&told).map_err(|error| Error::Unclear(error.to_string()))?;
+        let response: TablesResponse = decode(&body)?;
+        let parts = response.version.split_once('.');
+        let epoch_and_version = parts
+            .and_then(|(epoch, version)| Some((u64::from_str_radix(epoch, 16).ok()?, version.parse().ok()?)));
+        let (epoch, version) =
+            epoch_and_version.ok_or_else(|| Error::Decode(format!("version `{}`", response.version)))?;
+        cache.borrow_mut().accept(
+            &self.parameters.governor,
+            epoch,
+            version,
+            response.ownership_proof.as_deref(),
+        )?;
+        let decoded =
+            self.parameters.decode_tables(&response).map_err(|error| Error::Decode(error.to_string()))?;
         let lines: usize =
-            told.classes.values().map(|class| 1 + class.entries.len() + class.removed.len()).sum();
-        let taken = match understood {
-            DecodedTables::Complete(whole) => {
-                cache.borrow_mut().set_state(told.version.clone(), whole);
+            response.classes.values().map(|class| 1 + class.entries.len() + class.removed.len()).sum();
+        let accepted = match decoded {
+            DecodedTables::Complete(state) => {
+                cache.borrow_mut().set_state(response.version.clone(), state);
                 true
             }
             DecodedTables::Delta(delta) => {
-                cache.borrow_mut().apply_delta(told.version.clone(), &delta).is_ok()
+                cache.borrow_mut().apply_delta(response.version.clone(), &delta).is_ok()
             }
         };
-        let tables = if taken { cache.borrow().updated_tables() } else { UpdatedTables::new() };
-        watch.update_received(&told.version, lines, &tables);
-        watch.update_answered(&told.version, taken);
+        let tables = if accepted { cache.borrow().updated_tables() } else { UpdatedTables::new() };
+        observer.update_received(&response.version, lines, &tables);
+        observer.update_answered(&response.version, accepted);
         Ok(())
     }
 
@@ -143,9 +150,9 @@
     /// As [`Session::ask`].
     pub async fn report(&self, number: u64, report: &ReportRequest) -> Result<bool, Error> {
         let url = format!("{}/reports/{number}?session={}", self.base, self.session);
-        let request = written(self.client.post(url).timeout(ANSWER_TIMEOUT), report)?;
-        let told: ReportResponse = read(&answered(&self.base, request).await?.1)?;
-        Ok(told.counted)
+        let request = with_cbor_body(self.client.post(url).timeout(ANSWER_TIMEOUT), report)?;
+        let response: ReportResponse = decode(&send(&self.base, request).await?.1)?;
+        Ok(response.counted)
     }
 }
 
@@ -156,10 +163,10 @@
 pub async fn follow(
     session: &Session,
     cache: &Rc<RefCell<TableCache>>,
-    watch: &impl Observer,
+    observer: &impl Observer,
 ) -> Result<(), Error> {
     loop {
-        session.ask(cache, watch).await?;
+        session.ask(cache, observer).await?;
     }
 }
 
@@ -167,22 +174,22 @@
 /// out.
 pub fn report(cache: &TableCache, interval: Duration, stats: &ReportCounters) -> ReportRequest {
     let groups = cache.classes();
-    let met = stats.replicas.iter().filter_map(|((group, at), met)| {
-        let delivered = met.succeeded.max(1) as f64;
+    let replicas = stats.replicas.iter().filter_map(|((group, at), counters)| {
+        let delivered = counters.succeeded.max(1) as f64;
         Some(ReplicaStatistics {
             class: groups.get(*group)?.clone(),
             replica: cache.replica_at(at)?,
-            issued: met.attempts,
-            succeeded: met.succeeded,
-            failed: met.failed,
-            total_latency_millis: met.latency_sum.as_secs_f64() * 1000.0,
-            load: met.load.iter().map(|sum| sum / delivered).collect(),
+            issued: counters.attempts,
+            succeeded: counters.succeeded,
+            failed: counters.failed,
+            total_latency_millis: counters.latency_sum.as_secs_f64() * 1000.0,
+            load: counters.load.iter().map(|sum| sum / delivered).collect(),
         })
     });
-    let blocked = groups.iter().zip(&stats.rejected).map(|(group, flows)| (group.clone(), *flows));
+    let rejected_requests = groups.iter().zip(&stats.rejected).map(|(group, flows)| (group.clone(), *flows));
     ReportRequest {
         interval_millis: interval.as_secs_f64() * 1000.0,
-        replicas: met.collect(),
-        rejected: blocked.collect(),
+        replicas: replicas.collect(),
+        rejected: rejected_requests.collect(),
     }
 }
--- a/crates/client/src/table_cache.rs
+++ b/crates/client/src/table_cache.rs
@@ -12,7 +12,7 @@
 };
 
 /// Limit of the remembered replicas; beyond it they are forgotten, and learnt again from the next tables.
-const MAX_NAMES: usize = 100_000;
+const MAX_KNOWN_REPLICAS: usize = 100_000;
 
 /// An entry of the default table.
 #[derive(Debug, Clone, PartialEq)]
@@ -64,9 +64,9 @@
 }
 
 #[derive(Debug, Clone, Default, PartialEq)]
-struct Lines {
-    lines: Vec<(Arc<str>, f64)>,
-    level: f64,
+struct CachedTable {
+    entries: Vec<(Arc<str>, f64)>,
+    admission_fraction: f64,
 }
 
 /// The table cache of one proxy. No I/O, no clock.
@@ -74,40 +74,44 @@
 pub struct TableCache {
     classes: Vec<String>,
     default_table: Vec<DefaultEntry>,
-    told: Vec<Option<Lines>>,
+    tables: Vec<Option<CachedTable>>,
     retry_policy: Vec<RetryPolicy>,
     /// Long poll: the state that deltas apply to.
-    whole: PublishedState,
+    state: PublishedState,
     held_version: Option<(String, Digest)>,
     /// Which governor is followed, and the ownership proof of the tables that are held.
-    fence: FencingState,
+    fencing: FencingState,
     ownership_proof: Option<String>,
     /// Replicas by the addresses that tables named.
-    names: BTreeMap<Arc<str>, String>,
-    avoid: Option<(u32, Duration)>,
-    failing: BTreeMap<Arc<str>, u32>,
-    avoided: BTreeMap<Arc<str>, Duration>,
-    stats: ReportCounters,
+    replica_by_address: BTreeMap<Arc<str>, String>,
+    ejection: Option<(u32, Duration)>,
+    consecutive_failures: BTreeMap<Arc<str>, u32>,
+    ejected_until: BTreeMap<Arc<str>, Duration>,
+    counters: ReportCounters,
 }
 
 impl TableCache {
-    /// `avoid`: after so many failures in a row an address is ejected for so long.
-    pub fn new(groups: Vec<String>, standing: Vec<DefaultEntry>, avoid: Option<(u32, Duration)>) -> Self {
+    /// `ejection`: after so many failures in a row an address is ejected for so long.
+    pub fn new(
+        groups: Vec<String>,
+        default_entries: Vec<DefaultEntry>,
+        ejection: Option<(u32, Duration)>,
+    ) -> Self {
         let count = groups.len();
         TableCache {
             classes: groups,
-            default_table: standing,
-            told: vec![None; count],
+            default_table: default_entries,
+            tables: vec![None; count],
             retry_policy: vec![RetryPolicy::Never; count],
-            whole: PublishedState { classes: vec![None; count] },
+            state: PublishedState { classes: vec![None; count] },
             held_version: None,
-            fence: FencingState::default(),
+            fencing: FencingState::default(),
             ownership_proof: None,
-            names: BTreeMap::new(),
-            avoid,
-            failing: BTreeMap::new(),
-            avoided: BTreeMap::new(),
-            stats: ReportCounters { replicas: BTreeMap::new(), rejected: vec![0; count] },
+            replica_by_address: BTreeMap::new(),
+            ejection,
+            consecutive_failures: BTreeMap::new(),
+            ejected_until: BTreeMap::new(),
+            counters: ReportCounters { replicas: BTreeMap::new(), rejected: vec![0; count] },
         }
     }
 
@@ -125,7 +129,7 @@
 
     /// From now on only this governor's tables are accepted.
     pub fn follow_governor(&mut self, governor: &str) {
-        self.fence.follow(governor);
+        self.fencing.follow(governor);
     }
 
     /// Checks whether tables of a governor's epoch and version may be applied, and keeps their ownership proof.
@@ -137,10 +141,10 @@
         governor: &str,
         epoch: u64,
         version: u64,
-        claim: Option<&str>,
+        ownership_proof: Option<&str>,
     ) -> Result<(), FencingError> {
-        self.fence.accept(governor, epoch, version)?;
-        self.ownership_proof = claim.map(str::to_string);
+        self.fencing.accept(governor, epoch, version)?;
+        self.ownership_proof = ownership_proof.map(str::to_string);
         Ok(())
     }
 
@@ -157,23 +161,23 @@
     }
 
     /// Sets a group's table and admission fraction. An unknown group is ignored.
-    pub fn set_table(&mut self, group: &str, lines: Vec<(Arc<str>, f64)>, level: f64) {
-        if let Some(place) = self.class_index(group) {
-            self.told[place] = Some(Lines { lines, level });
+    pub fn set_table(&mut self, group: &str, entries: Vec<(Arc<str>, f64)>, admission_fraction: f64) {
+        if let Some(index) = self.class_index(group) {
+            self.tables[index] = Some(CachedTable { entries, admission_fraction });
         }
     }
 
     /// Removes a group's table: the default table is used again.
     pub fn use_default_table(&mut self, group: &str) {
-        if let Some(place) = self.class_index(group) {
-            self.told[place] = None;
+        if let Some(index) = self.class_index(group) {
+            self.tables[index] = None;
         }
     }
 
     /// Sets the retry policy of a group.
-    pub fn set_retry_policy(&mut self, group: &str, tries: RetryPolicy) {
-        if let Some(place) = self.class_index(group) {
-            self.retry_policy[place] = tries;
+    pub fn set_retry_policy(&mut self, group: &str, retry_policy: RetryPolicy) {
+        if let Some(index) = self.class_index(group) {
+            self.retry_policy[index] = retry_policy;
         }
     }
 
@@ -185,33 +189,36 @@
     /// Whether it holds anything but its default table: also where a delta did not apply and the next poll requests a
     /// snapshot.
     pub fn holds_governor_tables(&self) -> bool {
-        self.told.iter().any(Option::is_some)
+        self.tables.iter().any(Option::is_some)
     }
 
     /// Sets a snapshot, which was validated already.
-    pub fn set_state(&mut self, version: String, whole: PublishedState) {
-        self.held_version = Some((version, whole.digest()));
-        if self.names.len() > MAX_NAMES {
-            self.names.clear();
+    pub fn set_state(&mut self, version: String, state: PublishedState) {
+        self.held_version = Some((version, state.digest()));
+        if self.replica_by_address.len() > MAX_KNOWN_REPLICAS {
+            self.replica_by_address.clear();
         }
-        for (id, line) in whole.classes.iter().flatten().flat_map(|said| &said.entries) {
-            self.names.insert(line.address.clone(), id.to_string());
+        for (id, entry) in state.classes.iter().flatten().flat_map(|table| &table.entries) {
+            self.replica_by_address.insert(entry.address.clone(), id.to_string());
         }
-        for (place, said) in whole.classes.iter().enumerate().take(self.told.len()) {
-            self.told[place] = said.as_ref().map(|said| {
-                let PublishedTable { entries: lines, admission_millionths: level, retry_policy: tries } =
-                    said;
-                self.retry_policy[place] = *tries;
-                Lines {
-                    lines: lines
+        for (index, table) in state.classes.iter().enumerate().take(self.tables.len()) {
+            self.tables[index] = table.as_ref().map(|table| {
+                let PublishedTable {
+                    entries: published,
+                    admission_millionths: millionths,
+                    retry_policy: policy,
+                } = table;
+                self.retry_policy[index] = *policy;
+                CachedTable {
+                    entries: published
                         .values()
-                        .map(|line| (line.address.clone(), f64::from(line.weight)))
+                        .map(|entry| (entry.address.clone(), f64::from(entry.weight)))
                         .collect(),
-                    level: f64::from(*level) / f64::from(MILLION),
+                    admission_fraction: f64::from(*millionths) / f64::from(MILLION),
                 }
             });
         }
-        self.whole = whole;
+        self.state = state;
     }
 
     /// Applies a delta, if it starts from the state that is held and results in the one that it names.
@@ -220,9 +227,9 @@
     /// It does not; the tables stay, and the next poll requests a snapshot.
     pub fn apply_delta(&mut self, version: String, delta: &Delta) -> Result<(), Mismatch> {
         let held = self.held_version.as_ref().map_or([0; 32], |(_, digest)| *digest);
-        match table_versions::apply(&self.whole, held, delta) {
-            Ok(whole) => {
-                self.set_state(version, whole);
+        match table_versions::apply(&self.state, held, delta) {
+            Ok(state) => {
+                self.set_state(version, state);
                 Ok(())
             }
             Err(mismatch) => {
@@ -234,50 +241,55 @@
 
     /// All tables that were received, for observers.
     pub fn updated_tables(&self) -> crate::UpdatedTables {
-        let told = self.classes.iter().zip(&self.told);
-        let told = told.filter_map(|(group, told)| Some((group, told.as_ref()?)));
-        told.map(|(group, told)| (group.clone(), (told.lines.clone(), told.level))).collect()
+        let tables = self.classes.iter().zip(&self.tables);
+        let tables = tables.filter_map(|(group, table)| Some((group, table.as_ref()?)));
+        tables
+            .map(|(group, table)| (group.clone(), (table.entries.clone(), table.admission_fraction)))
+            .collect()
     }
 
     /// The replica at an address. Replicas are remembered for as long as their attempts may be reported.
     pub fn replica_at(&self, at: &str) -> Option<String> {
-        let standing = self.default_table.iter().find(|line| &*line.address == at);
-        standing.map(|line| line.replica.clone()).or_else(|| self.names.get(at).cloned())
+        let default_entry = self.default_table.iter().find(|entry| &*entry.address == at);
+        default_entry.map(|entry| entry.replica.clone()).or_else(|| self.replica_by_address.get(at).cloned())
     }
 
     // ---- requests
 
-    /// Picks the address for an attempt, by two random numbers from 0 up to 1. `but`: the address of the attempt before,
+    /// Picks the address for an attempt, by two random numbers from 0 up to 1. `excluded`: the address of the attempt before,
     /// which is excluded. None: the request is rejected, by the admission fraction or for want of an entry; it is counted
     /// if this is its first attempt.
     pub fn pick(
         &mut self,
         now: Duration,
         group: usize,
-        chance: (f64, f64),
-        but: Option<&Arc<str>>,
+        random: (f64, f64),
+        excluded: Option<&Arc<str>>,
     ) -> Option<Arc<str>> {
-        self.avoided.retain(|_, until| now < *until);
-        let told = self.told.get(group)?.as_ref();
-        let level = told.map_or(1.0, |told| told.level);
-        let standing = || self.default_table.iter().map(|line| (&line.address, line.weight)).collect();
-        let lines: Vec<(&Arc<str>, f64)> =
-            told.map_or_else(standing, |told| told.lines.iter().map(|(at, weight)| (at, *weight)).collect());
-        let picked = (but.is_some() || chance.0 < level).then(|| {
-            let elsewhere = lines.iter().filter(|(at, _)| Some(*at) != but);
-            let near: Vec<_> = elsewhere.clone().filter(|(at, _)| !self.avoided.contains_key(*at)).collect();
+        self.ejected_until.retain(|_, until| now < *until);
+        let table = self.tables.get(group)?.as_ref();
+        let admission_fraction = table.map_or(1.0, |table| table.admission_fraction);
+        let default_entries =
+            || self.default_table.iter().map(|entry| (&entry.address, entry.weight)).collect();
+        let entries: Vec<(&Arc<str>, f64)> = table.map_or_else(default_entries, |table| {
+            table.entries.iter().map(|(at, weight)| (at, *weight)).collect()
+        });
+        let picked = (excluded.is_some() || random.0 < admission_fraction).then(|| {
+            let candidates = entries.iter().filter(|(at, _)| Some(*at) != excluded);
+            let not_ejected: Vec<_> =
+                candidates.clone().filter(|(at, _)| !self.ejected_until.contains_key(*at)).collect();
             // Where all are ejected, one that fails is better than none.
-            let open: Vec<_> = if near.is_empty() { elsewhere.collect() } else { near };
-            let mut left = chance.1 * open.iter().map(|(_, weight)| weight).sum::<f64>();
-            let passed = |(_, weight): &&&(&Arc<str>, f64)| {
-                left -= weight;
-                left < 0.0
+            let eligible: Vec<_> = if not_ejected.is_empty() { candidates.collect() } else { not_ejected };
+            let mut remaining = random.1 * eligible.iter().map(|(_, weight)| weight).sum::<f64>();
+            let reached = |(_, weight): &&&(&Arc<str>, f64)| {
+                remaining -= weight;
+                remaining < 0.0
             };
-            open.iter().find(passed).or(open.last()).map(|(at, _)| (*at).clone())
+            eligible.iter().find(reached).or(eligible.last()).map(|(at, _)| (*at).clone())
         });
         let picked = picked.flatten();
-        if picked.is_none() && but.is_none() {
-            self.stats.rejected[group] += 1;
+        if picked.is_none() && excluded.is_none() {
+            self.counters.rejected[group] += 1;
         }
         picked
     }
@@ -289,35 +301,35 @@
 
     /// Counts a request that was rejected before any attempt by other than [`TableCache::pick`].
     pub fn request_rejected(&mut self, group: usize) {
-        if let Some(blocked) = self.stats.rejected.get_mut(group) {
-            *blocked += 1;
+        if let Some(rejected) = self.counters.rejected.get_mut(group) {
+            *rejected += 1;
         }
     }
 
     /// An attempt starts.
     pub fn attempt_started(&mut self, group: usize, at: &Arc<str>) {
-        self.stats.replicas.entry((group, at.clone())).or_default().attempts += 1;
+        self.counters.replicas.entry((group, at.clone())).or_default().attempts += 1;
     }
 
     /// An attempt ended.
     pub fn attempt_ended(&mut self, now: Duration, group: usize, at: &Arc<str>, outcome: Outcome) {
-        let met = self.stats.replicas.entry((group, at.clone())).or_default();
+        let replica = self.counters.replicas.entry((group, at.clone())).or_default();
         match outcome {
-            Outcome::Succeeded { latency: took, load } => {
-                met.succeeded += 1;
-                met.latency_sum += took;
-                met.load.resize(load.len(), 0.0);
-                met.load.iter_mut().zip(load).for_each(|(sum, one)| *sum += one);
-                self.failing.remove(at);
+            Outcome::Succeeded { latency: answer_time, load } => {
+                replica.succeeded += 1;
+                replica.latency_sum += answer_time;
+                replica.load.resize(load.len(), 0.0);
+                replica.load.iter_mut().zip(load).for_each(|(sum, value)| *sum += value);
+                self.consecutive_failures.remove(at);
             }
             Outcome::Failed => {
-                met.failed += 1;
-                let Some((most, span)) = self.avoid else { return };
-                let in_a_row = self.failing.entry(at.clone()).or_default();
-                *in_a_row += 1;
-                if *in_a_row >= most {
-                    self.failing.remove(at);
-                    self.avoided.insert(at.clone(), now + span);
+                replica.failed += 1;
+                let Some((max_failures, ejection_time)) = self.ejection else { return };
+                let failures = self.consecutive_failures.entry(at.clone()).or_default();
+                *failures += 1;
+                if *failures >= max_failures {
+                    self.consecutive_failures.remove(at);
+                    self.ejected_until.insert(at.clone(), now + ejection_time);
                 }
             }
         }
@@ -325,8 +337,11 @@
 
     /// Takes the statistics since the last time.
     pub fn take_counters(&mut self) -> ReportCounters {
-        let blocked = vec![0; self.classes.len()];
-        std::mem::replace(&mut self.stats, ReportCounters { replicas: BTreeMap::new(), rejected: blocked })
+        let no_rejections = vec![0; self.classes.len()];
+        std::mem::replace(
+            &mut self.counters,
+            ReportCounters { replicas: BTreeMap::new(), rejected: no_rejections },
+        )
     }
 }
 
--- a/crates/client/tests/model.rs
+++ b/crates/client/tests/model.rs
@@ -68,7 +68,7 @@
     Poll(Box<TableCache>),
 }
 
-struct World {
+struct Simulation {
     engine: Engine,
     now: Duration,
     streams: u64,
@@ -76,20 +76,20 @@
     proxies: Vec<Proxy>,
 }
 
-impl World {
-    fn new() -> World {
+impl Simulation {
+    fn new() -> Simulation {
         let now = Duration::from_secs(1000);
         let ads = |delta| Proxy::Ads { delta, session: None, held: None };
         let cache = || TableCache::new(vec!["match".into(), "charge".into()], vec![], None);
         let proxies = vec![ads(false), ads(true), Proxy::Poll(Box::new(cache()))];
         let engine = Engine::new(EngineSettings::example(2), now);
-        let mut world = World { engine, now, streams: 0, sessions: Sessions::default(), proxies };
-        world.list(0b1111);
-        (0..3).for_each(|place| world.start_over(place));
-        world
+        let mut simulation = Simulation { engine, now, streams: 0, sessions: Sessions::default(), proxies };
+        simulation.set_roster(0b1111);
+        (0..3).for_each(|index| simulation.reconnect(index));
+        simulation
     }
 
-    fn list(&mut self, ready: u8) {
+    fn set_roster(&mut self, ready: u8) {
         let entry = |n: u8| RosterEntry {
             id: format!("r{n}").as_str().into(),
             address: format!("10.0.0.{n}:80").as_str().into(),
@@ -103,26 +103,26 @@
     }
 
     /// The proxy's stream breaks, and it is back with what it holds.
-    fn start_over(&mut self, place: usize) {
+    fn reconnect(&mut self, index: usize) {
         self.streams += 1;
         let (stream, now) = (self.streams, self.now + Duration::from_secs(11));
         self.now = now;
-        let (initial, holds_orders) = match &self.proxies[place] {
-            Proxy::Ads { held, .. } => (held.as_ref().map(|(_, mark)| mark.clone()), held.is_some()),
+        let (held_version, holds_tables) = match &self.proxies[index] {
+            Proxy::Ads { held, .. } => (held.as_ref().map(|(_, version)| version.clone()), held.is_some()),
             Proxy::Poll(cache) => (None, cache.held_version().is_some()),
         };
-        let name = format!("p{place}");
+        let name = format!("p{index}");
         let join = JoinRequest {
             name: name.as_str().into(),
             zone: 0,
             requests_per_second: 1.0,
             default_table: vec![],
-            holds_governor_tables: holds_orders,
+            holds_governor_tables: holds_tables,
             ownership_proof: None,
             proven_version: None,
         };
         self.engine.proxy_connected(now, stream, &join).unwrap();
-        match &mut self.proxies[place] {
+        match &mut self.proxies[index] {
             Proxy::Poll(_) => self.sessions.open(now, stream, name.as_str().into()),
             Proxy::Ads { delta, session, .. } => {
                 let names = vec!["match".to_string()];
@@ -130,8 +130,8 @@
                     true => Request::Delta(DeltaDiscoveryRequest {
                         type_url: Kind::Endpoints.url(),
                         resource_names_subscribe: names,
-                        initial_resource_versions: initial
-                            .map(|mark| ("match".into(), mark))
+                        initial_resource_versions: held_version
+                            .map(|version| ("match".into(), version))
                             .into_iter()
                             .collect(),
                         ..DeltaDiscoveryRequest::default()
@@ -150,20 +150,20 @@
     }
 
     /// A while goes by; proxies of the set are written to, and of those some lose what they are told.
-    fn pass(&mut self, reached: u8, lost: u8) {
+    fn advance(&mut self, reachable: u8, response_lost: u8) {
         self.now += Duration::from_secs(6);
-        let mut broken = Vec::new();
-        while let Some(step) = self.engine.next_action(self.now) {
-            if let Action::Flush(number) = step {
-                broken.extend(self.flush(number, reached, lost));
+        let mut broken_streams = Vec::new();
+        while let Some(action) = self.engine.next_action(self.now) {
+            if let Action::Flush(number) = action {
+                broken_streams.extend(self.flush(number, reachable, response_lost));
             }
         }
-        broken.sort_unstable();
-        broken.dedup();
+        broken_streams.sort_unstable();
+        broken_streams.dedup();
         // What is lost on a stream breaks it.
-        broken.into_iter().for_each(|place| self.start_over(place));
-        for place in 0..3 {
-            let stream = self.engine.fleet().named(&format!("p{place}")).unwrap().1.stream;
+        broken_streams.into_iter().for_each(|index| self.reconnect(index));
+        for index in 0..3 {
+            let stream = self.engine.fleet().named(&format!("p{index}")).unwrap().1.stream;
             self.engine.stream_has_capacity(stream);
             self.engine.clear_in_flight(stream);
             self.engine.resend_requested(self.now, stream, 1);
@@ -171,23 +171,23 @@
     }
 
     /// The proxy whose stream breaks over it, if one does.
-    fn flush(&mut self, number: ProxyId, reached: u8, lost: u8) -> Option<usize> {
+    fn flush(&mut self, number: ProxyId, reachable: u8, response_lost: u8) -> Option<usize> {
         let proxy = self.engine.proxy(number).unwrap();
-        let place: usize = proxy.name[1..].parse().unwrap();
-        if reached >> place & 1 == 0 {
+        let index: usize = proxy.name[1..].parse().unwrap();
+        if reachable >> index & 1 == 0 {
             self.engine.stream_full(number);
             return None;
         }
-        let lost = lost >> place & 1 == 1;
-        match &mut self.proxies[place] {
+        let response_lost = response_lost >> index & 1 == 1;
+        match &mut self.proxies[index] {
             Proxy::Ads { session, held, .. } => {
                 let flushed = session.as_mut().unwrap().flush(&wire(), proxy);
-                if !lost {
-                    flushed.responses.iter().for_each(|response| take(response, held));
+                if !response_lost {
+                    flushed.responses.iter().for_each(|response| apply_response(response, held));
                 }
-                let (lines, messages) = (flushed.lines, flushed.responses.len());
-                self.engine.tables_sent(self.now, number, lines, messages);
-                (lost && messages > 0).then_some(place)
+                let (entries, messages) = (flushed.lines, flushed.responses.len());
+                self.engine.tables_sent(self.now, number, entries, messages);
+                (response_lost && messages > 0).then_some(index)
             }
             Proxy::Poll(cache) => {
                 let (session, parameters) = (proxy.stream, parameters());
@@ -199,22 +199,22 @@
                 let history = self.engine.history();
                 let poll = Poll { session, proxy: number, held, wait, reply: () };
                 assert!(self.sessions.poll(self.now, poll, history).is_ok());
-                let told = match proxy.has_known_tables() {
+                let tables = match proxy.has_known_tables() {
                     true => self.sessions.answer_pending(self.now, session, number, history),
                     false => None,
                 };
-                self.engine.tables_sent(self.now, number, usize::from(told.is_some()), 1);
-                let told = match told.filter(|_| !lost).map(|answer| answer.outcome) {
-                    Some(PollOutcome::Complete(one)) => {
-                        parameters.encode_complete(one.version, &one.digest, &one.state)
+                self.engine.tables_sent(self.now, number, usize::from(tables.is_some()), 1);
+                let tables = match tables.filter(|_| !response_lost).map(|answer| answer.outcome) {
+                    Some(PollOutcome::Complete(complete)) => {
+                        parameters.encode_complete(complete.version, &complete.digest, &complete.state)
                     }
                     Some(PollOutcome::Delta { version, delta }) => parameters.encode_delta(version, &delta),
                     _ => return None,
                 };
-                match parameters.decode_tables(&told).unwrap() {
-                    DecodedTables::Complete(whole) => cache.set_state(told.version, whole),
+                match parameters.decode_tables(&tables).unwrap() {
+                    DecodedTables::Complete(state) => cache.set_state(tables.version, state),
                     DecodedTables::Delta(delta) => {
-                        assert_eq!(cache.apply_delta(told.version, &delta), Ok(()));
+                        assert_eq!(cache.apply_delta(tables.version, &delta), Ok(()));
                     }
                 }
                 None
@@ -223,69 +223,71 @@
     }
 
     /// What the engine says a proxy's first group is, and what the proxy holds.
-    fn both(&self, place: usize) -> (Table, Table) {
-        let (_, proxy) = self.engine.fleet().named(&format!("p{place}")).unwrap();
-        let said = PublishedTable::of(&proxy.tables[0].as_ref().unwrap().table, proxy.retry_policies.1[0]);
-        let said = said.entries.values().map(|line| (line.address.to_string(), line.weight)).collect();
-        let held = match &self.proxies[place] {
+    fn expected_and_held(&self, index: usize) -> (Table, Table) {
+        let (_, proxy) = self.engine.fleet().named(&format!("p{index}")).unwrap();
+        let expected =
+            PublishedTable::of(&proxy.tables[0].as_ref().unwrap().table, proxy.retry_policies.1[0]);
+        let expected =
+            expected.entries.values().map(|entry| (entry.address.to_string(), entry.weight)).collect();
+        let held = match &self.proxies[index] {
             Proxy::Ads { held, .. } => held.as_ref().unwrap().0.clone(),
             Proxy::Poll(cache) => {
-                let lines = cache.updated_tables()["match"].0.clone();
-                lines.into_iter().map(|(at, weight)| (at.to_string(), weight as u32)).collect()
+                let entries = cache.updated_tables()["match"].0.clone();
+                entries.into_iter().map(|(at, weight)| (at.to_string(), weight as u32)).collect()
             }
         };
-        (said, held)
+        (expected, held)
     }
 }
 
-fn take(response: &Response, held: &mut Option<(Table, String)>) {
+fn apply_response(response: &Response, held: &mut Option<(Table, String)>) {
     let resources: Vec<(Vec<u8>, String)> = match response {
-        Response::Sotw(one) => one.resources.iter().map(|any| (any.value.clone(), String::new())).collect(),
-        Response::Delta(one) => {
-            assert!(one.removed_resources.is_empty(), "nobody is told to drop its table");
-            let whole = one
+        Response::Sotw(sotw) => sotw.resources.iter().map(|any| (any.value.clone(), String::new())).collect(),
+        Response::Delta(delta) => {
+            assert!(delta.removed_resources.is_empty(), "nobody is told to drop its table");
+            let contents = delta
                 .resources
                 .iter()
-                .filter_map(|one| Some((one.resource.clone()?.value, one.version.clone())));
-            whole.collect()
+                .filter_map(|resource| Some((resource.resource.clone()?.value, resource.version.clone())));
+            contents.collect()
         }
     };
-    for (bytes, mark) in resources {
+    for (bytes, version) in resources {
         let table = ClusterLoadAssignment::decode(bytes.as_slice()).unwrap();
-        let lines = table.endpoints.iter().flat_map(|zone| &zone.lb_endpoints).map(|line| {
-            let Some(HostIdentifier::Endpoint(host)) = &line.host_identifier else { panic!() };
-            (decode::host_port(host.address.as_ref()).unwrap(), line.load_balancing_weight.unwrap().value)
+        let entries = table.endpoints.iter().flat_map(|zone| &zone.lb_endpoints).map(|entry| {
+            let Some(HostIdentifier::Endpoint(host)) = &entry.host_identifier else { panic!() };
+            (decode::host_port(host.address.as_ref()).unwrap(), entry.load_balancing_weight.unwrap().value)
         });
-        *held = Some((lines.collect(), mark));
+        *held = Some((entries.collect(), version));
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
     #[test]
-    fn all_end_on_what_the_engine_says(
+    fn all_proxies_converge_to_the_tables_of_the_engine(
         steps in prop::collection::vec((0u8..64, 0u8..8, 0u8..8, 0usize..6), 1..20),
     ) {
-        let mut world = World::new();
-        for (ready, reached, lost, over) in steps {
+        let mut simulation = Simulation::new();
+        for (ready, reachable, response_lost, reconnecting) in steps {
             if ready != 0 {
-                world.list(ready | 1);
+                simulation.set_roster(ready | 1);
             }
-            world.pass(reached, lost);
-            if over < 3 {
-                world.start_over(over);
+            simulation.advance(reachable, response_lost);
+            if reconnecting < 3 {
+                simulation.reconnect(reconnecting);
             }
         }
-        (0..6).for_each(|_| world.pass(7, 0));
-        for place in 0..3 {
-            let (said, held) = world.both(place);
-            prop_assert_eq!(said, held, "proxy {}", place);
+        (0..6).for_each(|_| simulation.advance(7, 0));
+        for index in 0..3 {
+            let (expected, held) = simulation.expected_and_held(index);
+            prop_assert_eq!(expected, held, "proxy {}", index);
         }
     }
 
     /// Messages of the public protocol, cut off and changed: an error, or something that is borne.
     #[test]
-    fn broken_messages_of_the_first_front_are_borne(
+    fn corrupt_xds_messages_cause_no_panic(
         cut in 0usize..300, at in 0usize..300, byte in any::<u8>(), second in any::<u8>(),
     ) {
         let request = DeltaDiscoveryRequest {
@@ -296,11 +298,11 @@
             response_nonce: "1.1".into(),
             ..DeltaDiscoveryRequest::default()
         };
-        let mut world = World::new();
-        world.pass(7, 0);
+        let mut simulation = Simulation::new();
+        simulation.advance(7, 0);
         let mut bytes = request.encode_to_vec();
-        let place = at % bytes.len();
-        bytes[place] = byte;
+        let position = at % bytes.len();
+        bytes[position] = byte;
         let other = second as usize % bytes.len();
         bytes[other] ^= second;
         bytes.truncate(cut.max(1));
@@ -308,7 +310,7 @@
             let mut session = Session::new(1, &Request::Delta(request.clone()));
             let _ = decode::join(&wire(), request.node.as_ref(), 1.0, false);
             if session.request(Request::Delta(request)).is_ok() {
-                session.flush(&wire(), world.engine.proxy(0).unwrap());
+                session.flush(&wire(), simulation.engine.proxy(0).unwrap());
             }
         }
         use wrenthread_xds::pb::envoy::service::load_stats::v3::LoadStatsRequest;
@@ -316,13 +318,13 @@
             &["match".to_string()], Duration::from_millis(500), &Default::default(), &["waiting"],
         );
         let mut bytes = stats.encode_to_vec();
-        let place = at % bytes.len();
-        bytes[place] = byte;
+        let position = at % bytes.len();
+        bytes[position] = byte;
         bytes.truncate(cut.max(1));
         if let Ok(stats) = LoadStatsRequest::decode(bytes.as_slice()) {
             let (reports, _) = decode::reports(&wire(), &stats.cluster_stats, |at| Some(at.into()));
             for report in reports {
-                let _ = world.engine.record_report(world.now, "p0", 99, &report);
+                let _ = simulation.engine.record_report(simulation.now, "p0", 99, &report);
             }
         }
     }
--- a/crates/xds/src/decode.rs
+++ b/crates/xds/src/decode.rs
@@ -19,49 +19,49 @@
 use crate::pb::google::protobuf::{Struct, Value, value};
 
 /// The key under which nodes and endpoints say what the specification has no field for.
-pub const METADATA: &str = "wrenthread";
+pub const METADATA_KEY: &str = "wrenthread";
 /// Longer names, and larger standing tables, are not taken.
-const LONGEST_NAME: usize = 256;
-const MOST_STANDING: usize = 1000;
+const MAX_NODE_ID_BYTES: usize = 256;
+const MAX_DEFAULT_ENTRIES: usize = 1000;
 
 /// Why a message can't be understood.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub enum Unclear {
+pub enum DecodeError {
     /// The first request names no node.
     #[error("the stream's first message has no node")]
-    NoNode,
+    MissingNode,
     /// The node's id is no name.
     #[error("node id: {0}")]
-    Name(String),
+    InvalidNodeId(String),
     /// The node's zone is not in the settings.
-    #[error("node `{node}` is in zone `{zone}`; the settings know {known}")]
-    Zone {
+    #[error("node `{node}` is in zone `{zone}`; the settings know {known_zones}")]
+    UnknownZone {
         /// The node's id.
         node: String,
         /// The zone that it names.
         zone: String,
         /// The settings' zones.
-        known: String,
+        known_zones: String,
     },
     /// A field of the node's metadata can't be meant.
-    #[error("node `{node}`: metadata `wrenthread.{field}`: {why}")]
-    Metadata {
+    #[error("node `{node}`: metadata `wrenthread.{field}`: {reason}")]
+    InvalidMetadata {
         /// The node's id.
         node: String,
         /// The field of the metadata.
         field: &'static str,
         /// What is wrong with it.
-        why: String,
+        reason: String,
     },
     /// An endpoint of an upstream's cluster can't be meant.
-    #[error("endpoint {place} of `{cluster}`: {why}")]
-    Endpoint {
+    #[error("endpoint {position} of `{cluster}`: {reason}")]
+    InvalidEndpoint {
         /// The cluster's name.
         cluster: String,
         /// The endpoint's place in it.
-        place: usize,
+        position: usize,
         /// What is wrong with it.
-        why: String,
+        reason: String,
     },
 }
 
@@ -83,18 +83,21 @@
     }
 }
 
-fn ours(metadata: Option<&Metadata>) -> Option<&Struct> {
-    metadata?.filter_metadata.get(METADATA)
+fn wrenthread_metadata(metadata: Option<&Metadata>) -> Option<&Struct> {
+    metadata?.filter_metadata.get(METADATA_KEY)
 }
 
 /// A name that a node may have.
-pub fn name(node: Option<&Node>) -> Result<&str, Unclear> {
-    let node = node.ok_or(Unclear::NoNode)?;
+pub fn name(node: Option<&Node>) -> Result<&str, DecodeError> {
+    let node = node.ok_or(DecodeError::MissingNode)?;
     if node.id.is_empty() {
-        return Err(Unclear::Name("is empty; every proxy needs one of its own".into()));
+        return Err(DecodeError::InvalidNodeId("is empty; every proxy needs one of its own".into()));
     }
-    if node.id.len() > LONGEST_NAME {
-        return Err(Unclear::Name(format!("has {} bytes; {LONGEST_NAME} are allowed", node.id.len())));
+    if node.id.len() > MAX_NODE_ID_BYTES {
+        return Err(DecodeError::InvalidNodeId(format!(
+            "has {} bytes; {MAX_NODE_ID_BYTES} are allowed",
+            node.id.len()
+        )));
     }
     Ok(&node.id)
 }
@@ -106,53 +109,59 @@
 pub fn join(
     wire: &Wire,
     node: Option<&Node>,
-    usual: f64,
-    holds_orders: bool,
-) -> Result<JoinRequest, Unclear> {
+    default_requests_per_second: f64,
+    holds_tables: bool,
+) -> Result<JoinRequest, DecodeError> {
     let name = name(node)?;
-    let node = node.ok_or(Unclear::NoNode)?;
-    let said = node.locality.as_ref().map_or("", |locality| &locality.zone);
-    let zone = match wire.zones.iter().position(|zone| zone == said) {
+    let node = node.ok_or(DecodeError::MissingNode)?;
+    let zone_name = node.locality.as_ref().map_or("", |locality| &locality.zone);
+    let zone = match wire.zones.iter().position(|zone| zone == zone_name) {
         Some(zone) => zone,
-        None if said.is_empty() && wire.zones.len() == 1 => 0,
+        None if zone_name.is_empty() && wire.zones.len() == 1 => 0,
         None => {
-            let known = wire.zones.iter().map(|zone| format!("`{zone}`")).collect::<Vec<_>>().join(", ");
-            return Err(Unclear::Zone { node: name.into(), zone: said.into(), known });
+            let known_zones =
+                wire.zones.iter().map(|zone| format!("`{zone}`")).collect::<Vec<_>>().join(", ");
+            return Err(DecodeError::UnknownZone { node: name.into(), zone: zone_name.into(), known_zones });
         }
     };
-    let bad = |field, why: &str| Unclear::Metadata { node: name.into(), field, why: why.into() };
+    let invalid = |field, reason: &str| DecodeError::InvalidMetadata {
+        node: name.into(),
+        field,
+        reason: reason.into(),
+    };
     let mut join = JoinRequest {
         name: Arc::from(name),
         zone,
-        requests_per_second: usual,
+        requests_per_second: default_requests_per_second,
         default_table: Vec::new(),
-        holds_governor_tables: holds_orders,
+        holds_governor_tables: holds_tables,
         ownership_proof: None,
         proven_version: None,
     };
-    let metadata = node.metadata.as_ref().and_then(|metadata| field(metadata, METADATA));
-    let Some(value::Kind::StructValue(said)) = metadata else { return Ok(join) };
-    if said.fields.contains_key("usual") {
-        let usual = number(field(said, "usual")).filter(|usual| *usual >= 0.0);
-        join.requests_per_second = usual.ok_or_else(|| bad("usual", "is not a number of flows a second"))?;
+    let metadata = node.metadata.as_ref().and_then(|metadata| field(metadata, METADATA_KEY));
+    let Some(value::Kind::StructValue(fields)) = metadata else { return Ok(join) };
+    if fields.fields.contains_key("usual") {
+        let rate = number(field(fields, "usual")).filter(|rate| *rate >= 0.0);
+        join.requests_per_second =
+            rate.ok_or_else(|| invalid("usual", "is not a number of flows a second"))?;
     }
-    if let Some(claim) = field(said, "claim") {
-        let value::Kind::StringValue(claim) = claim else { return Err(bad("claim", "is not a text")) };
+    if let Some(claim) = field(fields, "claim") {
+        let value::Kind::StringValue(claim) = claim else { return Err(invalid("claim", "is not a text")) };
         join.ownership_proof = Some(claim.clone());
     }
-    if let Some(standing) = field(said, "standing") {
-        let value::Kind::ListValue(lines) = standing else { return Err(bad("standing", "is not a list")) };
-        if lines.values.len() > MOST_STANDING {
-            return Err(bad("standing", &format!("has more than {MOST_STANDING} lines")));
+    if let Some(table) = field(fields, "standing") {
+        let value::Kind::ListValue(entries) = table else { return Err(invalid("standing", "is not a list")) };
+        if entries.values.len() > MAX_DEFAULT_ENTRIES {
+            return Err(invalid("standing", &format!("has more than {MAX_DEFAULT_ENTRIES} lines")));
         }
-        let line = |value: &Value| {
-            let Some(value::Kind::StructValue(line)) = &value.kind else { return None };
-            let weight = number(field(line, "weight")).filter(|weight| *weight > 0.0)?;
-            Some((ReplicaId::from(text(field(line, "replica"))?), weight))
+        let entry = |value: &Value| {
+            let Some(value::Kind::StructValue(entry)) = &value.kind else { return None };
+            let weight = number(field(entry, "weight")).filter(|weight| *weight > 0.0)?;
+            Some((ReplicaId::from(text(field(entry, "replica"))?), weight))
         };
-        let lines: Option<Vec<_>> = lines.values.iter().map(line).collect();
+        let entries: Option<Vec<_>> = entries.values.iter().map(entry).collect();
         join.default_table =
-            lines.ok_or_else(|| bad("standing", "a line needs a `replica` and a `weight` above 0"))?;
+            entries.ok_or_else(|| invalid("standing", "a line needs a `replica` and a `weight` above 0"))?;
     }
     Ok(join)
 }
@@ -173,13 +182,13 @@
 pub fn reports(
     wire: &Wire,
     stats: &[ClusterStats],
-    at: impl Fn(&str) -> Option<ReplicaId>,
+    replica_at: impl Fn(&str) -> Option<ReplicaId>,
 ) -> (Vec<LoadReport>, usize) {
     let mut by_interval: BTreeMap<Duration, LoadReport> = BTreeMap::new();
-    let mut unknown = 0;
+    let mut unknown_entries = 0;
     for cluster in stats {
         let Some(group) = wire.groups.iter().position(|group| group.name == cluster.cluster_name) else {
-            unknown += 1;
+            unknown_entries += 1;
             continue;
         };
         let interval = cluster.load_report_interval.as_ref().map_or(Duration::ZERO, |span| {
@@ -193,8 +202,9 @@
         report.rejected.push((group, cluster.total_dropped_requests));
         for endpoint in cluster.upstream_locality_stats.iter().flat_map(|zone| &zone.upstream_endpoint_stats)
         {
-            let Some(replica) = host_port(endpoint.address.as_ref()).and_then(|address| at(&address)) else {
-                unknown += 1;
+            let Some(replica) = host_port(endpoint.address.as_ref()).and_then(|address| replica_at(&address))
+            else {
+                unknown_entries += 1;
                 continue;
             };
             let metric = |name: &String| {
@@ -206,14 +216,15 @@
                     },
                 )
             };
-            let mean = |name: &String| {
-                metric(name).map(|one| one.total_metric_value / one.num_requests_finished_with_metric as f64)
+            let mean_value = |name: &String| {
+                metric(name)
+                    .map(|metric| metric.total_metric_value / metric.num_requests_finished_with_metric as f64)
             };
             // All fields or none: the module reads them by place.
-            let load: Option<Vec<f64>> = wire.load_metrics.iter().map(mean).collect();
-            let latency_sum_and_count = metric(&wire.answer_metric).map_or((Duration::ZERO, 0), |one| {
-                let seconds = Duration::try_from_secs_f64(one.total_metric_value / 1000.0);
-                (seconds.unwrap_or(Duration::MAX), one.num_requests_finished_with_metric)
+            let load: Option<Vec<f64>> = wire.load_metrics.iter().map(mean_value).collect();
+            let latency_sum_and_count = metric(&wire.answer_metric).map_or((Duration::ZERO, 0), |metric| {
+                let seconds = Duration::try_from_secs_f64(metric.total_metric_value / 1000.0);
+                (seconds.unwrap_or(Duration::MAX), metric.num_requests_finished_with_metric)
             });
             report.observations.push(ReplicaObservation {
                 class: group,
@@ -227,7 +238,7 @@
             });
         }
     }
-    (by_interval.into_values().collect(), unknown)
+    (by_interval.into_values().collect(), unknown_entries)
 }
 
 /// An upstream's endpoints as roster entries. `started` turns seconds of the calendar into the host's time.
@@ -235,33 +246,36 @@
 /// Health maps to phases: DRAINING drains; UNHEALTHY, TIMEOUT and DEGRADED are left to the module's own eyes
 /// and count as ready, since a source that calls everything ill would bare the fleet; absent ones are gone.
 /// Localities of any priority but the first are backups, all alike.
-pub fn entries(
+pub fn roster_entries(
     wire: &Wire,
     assignment: &ClusterLoadAssignment,
-    started: impl Fn(f64) -> Option<Duration>,
-) -> Result<Vec<RosterEntry>, Unclear> {
+    started_at: impl Fn(f64) -> Option<Duration>,
+) -> Result<Vec<RosterEntry>, DecodeError> {
     let mut entries = Vec::new();
     for zone in &assignment.endpoints {
         let backup = zone.priority > 0;
-        let said = zone.locality.as_ref().map_or("", |locality| &locality.zone);
+        let zone_name = zone.locality.as_ref().map_or("", |locality| &locality.zone);
         for endpoint in &zone.lb_endpoints {
-            let place = entries.len() + 1;
-            let bad =
-                |why: String| Unclear::Endpoint { cluster: assignment.cluster_name.clone(), place, why };
+            let position = entries.len() + 1;
+            let invalid = |reason: String| DecodeError::InvalidEndpoint {
+                cluster: assignment.cluster_name.clone(),
+                position,
+                reason,
+            };
             let zone = wire
                 .zones
                 .iter()
-                .position(|zone| zone == said)
-                .or((said.is_empty() && wire.zones.len() == 1).then_some(0))
-                .ok_or_else(|| bad(format!("zone `{said}` is not in the settings")))?;
+                .position(|zone| zone == zone_name)
+                .or((zone_name.is_empty() && wire.zones.len() == 1).then_some(0))
+                .ok_or_else(|| invalid(format!("zone `{zone_name}` is not in the settings")))?;
             let Some(HostIdentifier::Endpoint(host)) = &endpoint.host_identifier else {
-                return Err(bad("has no address of its own".into()));
+                return Err(invalid("has no address of its own".into()));
             };
-            let address =
-                host_port(host.address.as_ref()).ok_or_else(|| bad("has no address with a port".into()))?;
-            let ours = ours(endpoint.metadata.as_ref());
-            let id = ours.and_then(|ours| text(field(ours, "replica"))).unwrap_or(&address);
-            let started = ours.and_then(|ours| number(field(ours, "started"))).and_then(&started);
+            let address = host_port(host.address.as_ref())
+                .ok_or_else(|| invalid("has no address with a port".into()))?;
+            let custom = wrenthread_metadata(endpoint.metadata.as_ref());
+            let id = custom.and_then(|custom| text(field(custom, "replica"))).unwrap_or(&address);
+            let start_time = custom.and_then(|custom| number(field(custom, "started"))).and_then(&started_at);
             let weight =
                 endpoint.load_balancing_weight.as_ref().map_or(1.0, |weight| f64::from(weight.value));
             entries.push(RosterEntry {
@@ -273,7 +287,7 @@
                     Ok(HealthStatus::Draining) => Phase::Draining,
                     _ => Phase::Ready,
                 },
-                started_at: started,
+                started_at: start_time,
                 backup,
             });
         }
--- a/crates/xds/src/decode/tests.rs
+++ b/crates/xds/src/decode/tests.rs
@@ -23,7 +23,7 @@
 }
 
 fn node(id: &str, zone: &str, metadata: Option<Value>) -> Node {
-    let fields = metadata.map(|said| (METADATA.to_string(), said)).into_iter().collect();
+    let fields = metadata.map(|value| (METADATA_KEY.to_string(), value)).into_iter().collect();
     Node {
         id: id.into(),
         locality: Some(Locality { zone: zone.into(), ..Locality::default() }),
@@ -39,32 +39,32 @@
 }
 
 #[test]
-fn a_node_says_its_zone_its_flows_and_its_standing_table() {
-    let line = structure(vec![
+fn reads_zone_request_rate_and_default_table_of_a_node() {
+    let entry = structure(vec![
         ("replica", value::Kind::StringValue("r1".into())),
         ("weight", value::Kind::NumberValue(2.0)),
     ]);
-    let list = crate::pb::google::protobuf::ListValue { values: vec![line] };
-    let said =
+    let list = crate::pb::google::protobuf::ListValue { values: vec![entry] };
+    let metadata =
         structure(vec![("usual", value::Kind::NumberValue(6.5)), ("standing", value::Kind::ListValue(list))]);
-    let join = super::join(&wire(), Some(&node("p", "south", Some(said))), 1.0, false).unwrap();
+    let join = super::join(&wire(), Some(&node("p", "south", Some(metadata))), 1.0, false).unwrap();
     assert_eq!((join.zone, join.requests_per_second, join.default_table), (1, 6.5, vec![("r1".into(), 2.0)]));
 }
 
 #[test]
-fn nodes_that_can_not_be_placed_are_told_why() {
-    let why = |node: &Node| super::join(&wire(), Some(node), 1.0, false).unwrap_err().to_string();
-    assert!(why(&node("p", "west", None)).contains("`north`, `south`"));
-    assert!(why(&node("", "north", None)).contains("every proxy needs one"));
-    let said = structure(vec![("usual", value::Kind::NumberValue(f64::NAN))]);
-    assert!(why(&node("p", "north", Some(said))).contains("wrenthread.usual"));
-    let said = structure(vec![("standing", value::Kind::BoolValue(true))]);
-    assert!(why(&node("p", "north", Some(said))).contains("is not a list"));
-    assert!(matches!(super::join(&wire(), None, 1.0, false), Err(Unclear::NoNode)));
+fn rejects_invalid_nodes_with_a_reason() {
+    let reason = |node: &Node| super::join(&wire(), Some(node), 1.0, false).unwrap_err().to_string();
+    assert!(reason(&node("p", "west", None)).contains("`north`, `south`"));
+    assert!(reason(&node("", "north", None)).contains("every proxy needs one"));
+    let metadata = structure(vec![("usual", value::Kind::NumberValue(f64::NAN))]);
+    assert!(reason(&node("p", "north", Some(metadata))).contains("wrenthread.usual"));
+    let metadata = structure(vec![("standing", value::Kind::BoolValue(true))]);
+    assert!(reason(&node("p", "north", Some(metadata))).contains("is not a list"));
+    assert!(matches!(super::join(&wire(), None, 1.0, false), Err(DecodeError::MissingNode)));
 }
 
 #[test]
-fn load_statistics_become_reports_by_interval() {
+fn groups_load_statistics_by_interval() {
     let endpoint = |port: u32| UpstreamEndpointStats {
         address: Some(encode::address(&format!("10.0.0.1:{port}"))),
         total_successful_requests: 8,
@@ -99,13 +99,16 @@
     assert_eq!((reports.len(), unknown), (1, 2));
     assert_eq!(reports[0].interval, Duration::new(1, 5));
     assert_eq!(reports[0].rejected, [(0, 3)]);
-    let met = &reports[0].observations[0];
-    assert_eq!((met.succeeded, met.failed, met.issued, met.load.as_slice()), (8, 2, 11, [2.0].as_slice()));
-    assert_eq!(met.latency_sum_and_count, (Duration::from_millis(160), 8));
+    let observation = &reports[0].observations[0];
+    assert_eq!(
+        (observation.succeeded, observation.failed, observation.issued, observation.load.as_slice()),
+        (8, 2, 11, [2.0].as_slice())
+    );
+    assert_eq!(observation.latency_sum_and_count, (Duration::from_millis(160), 8));
 }
 
 #[test]
-fn addresses_go_there_and_back() {
+fn addresses_round_trip() {
     for at in ["10.0.0.1:80", "[::1]:8080", "worker.local:1"] {
         assert_eq!(host_port(Some(&encode::address(at))).as_deref(), Some(at));
     }
--- a/crates/xds/src/encode.rs
+++ b/crates/xds/src/encode.rs
@@ -45,11 +45,11 @@
 use crate::{Path, Route, Wire, WireGroup};
 
 /// The one listener and the one route configuration that all proxies are given.
-pub const LISTENER: &str = "wrenthread";
+pub const LISTENER_NAME: &str = "wrenthread";
 /// The name of the one route configuration.
-pub const ROUTES: &str = "wrenthread-routes";
+pub const ROUTE_CONFIG_NAME: &str = "wrenthread-routes";
 /// The category under which proxies report flows that a level blocked.
-pub const LEVEL: &str = "level";
+pub const OVERLOAD_CATEGORY: &str = "level";
 const MILLION: f64 = 1_000_000.0;
 
 /// The resource types, in the order in which they are made before what names them.
@@ -85,35 +85,37 @@
     }
 
     /// Types of which a response must hold all that there is, and whose empty subscription means everything.
-    pub fn whole(self) -> bool {
+    pub fn requires_full_state(self) -> bool {
         matches!(self, Kind::Clusters | Kind::Listeners)
     }
 }
 
 /// All that there is to be had for one proxy: names and the versions of their last change.
-pub fn catalogue(wire: &Wire, proxy: &Proxy, kind: Kind) -> BTreeMap<String, u64> {
+pub fn resource_versions(wire: &Wire, proxy: &Proxy, kind: Kind) -> BTreeMap<String, u64> {
     let groups = wire.groups.iter().zip(&proxy.tables);
     match kind {
         Kind::Clusters => groups.map(|(group, _)| (group.name.clone(), 1)).collect(),
         Kind::Endpoints => {
-            groups.filter_map(|(group, kept)| Some((group.name.clone(), kept.as_ref()?.version))).collect()
+            groups.filter_map(|(group, table)| Some((group.name.clone(), table.as_ref()?.version))).collect()
         }
-        Kind::Listeners => BTreeMap::from([(LISTENER.to_string(), 1)]),
-        Kind::Routes => BTreeMap::from([(ROUTES.to_string(), proxy.retry_policies.0)]),
+        Kind::Listeners => BTreeMap::from([(LISTENER_NAME.to_string(), 1)]),
+        Kind::Routes => BTreeMap::from([(ROUTE_CONFIG_NAME.to_string(), proxy.retry_policies.0)]),
     }
 }
 
 /// One resource of the catalogue, and how many lines it has. None for a name that is not in it.
 pub fn resource(wire: &Wire, proxy: &Proxy, kind: Kind, name: &str) -> Option<(Any, usize)> {
-    let place = || wire.groups.iter().position(|group| group.name == name);
+    let class_index = || wire.groups.iter().position(|group| group.name == name);
     Some(match kind {
-        Kind::Clusters => (packed(&cluster(&wire.groups[place()?])), 1),
+        Kind::Clusters => (to_any(&cluster(&wire.groups[class_index()?])), 1),
         Kind::Endpoints => {
-            let table = &proxy.tables.get(place()?)?.as_ref()?.table;
-            (packed(&assignment(wire, name, table)), table.entries.len().max(1))
+            let table = &proxy.tables.get(class_index()?)?.as_ref()?.table;
+            (to_any(&assignment(wire, name, table)), table.entries.len().max(1))
+        }
+        Kind::Listeners if name == LISTENER_NAME => (to_any(&listener()), 1),
+        Kind::Routes if name == ROUTE_CONFIG_NAME => {
+            (to_any(&route_configuration(wire, &proxy.retry_policies.1)), wire.groups.len())
         }
-        Kind::Listeners if name == LISTENER => (packed(&listener()), 1),
-        Kind::Routes if name == ROUTES => (packed(&routes(wire, &proxy.retry_policies.1)), wire.groups.len()),
         Kind::Listeners | Kind::Routes => return None,
     })
 }
@@ -123,15 +125,18 @@
     blake3::hash(&resource.value).to_hex()[..16].to_string()
 }
 
-fn packed<M: Message + Name>(message: &M) -> Any {
+fn to_any<M: Message + Name>(message: &M) -> Any {
     Any { type_url: M::type_url(), value: message.encode_to_vec() }
 }
 
-fn span(span: std::time::Duration) -> Duration {
-    Duration { seconds: span.as_secs().min(i64::MAX as u64) as i64, nanos: span.subsec_nanos() as i32 }
+fn proto_duration(duration: std::time::Duration) -> Duration {
+    Duration {
+        seconds: duration.as_secs().min(i64::MAX as u64) as i64,
+        nanos: duration.subsec_nanos() as i32,
+    }
 }
 
-fn ads() -> ConfigSource {
+fn ads_source() -> ConfigSource {
     ConfigSource {
         resource_api_version: ApiVersion::V3 as i32,
         config_source_specifier: Some(ConfigSourceSpecifier::Ads(AggregatedConfigSource {})),
@@ -143,7 +148,10 @@
     Cluster {
         name: group.name.clone(),
         cluster_discovery_type: Some(ClusterDiscoveryType::Type(DiscoveryType::Eds as i32)),
-        eds_cluster_config: Some(EdsClusterConfig { eds_config: Some(ads()), service_name: String::new() }),
+        eds_cluster_config: Some(EdsClusterConfig {
+            eds_config: Some(ads_source()),
+            service_name: String::new(),
+        }),
         lb_policy: LbPolicy::RoundRobin as i32,
         common_lb_config: Some(CommonLbConfig {
             // A proxy must not fall back on lines that are shut because few are open.
@@ -163,11 +171,11 @@
 }
 
 /// `host:port` as the specification's address; anything else stays whole, with port 0.
-pub fn address(at: &str) -> Address {
-    let (host, port) = at
+pub fn address(host_port: &str) -> Address {
+    let (host, port) = host_port
         .rsplit_once(':')
         .and_then(|(host, port)| Some((host, port.parse::<u16>().ok()?)))
-        .unwrap_or((at, 0));
+        .unwrap_or((host_port, 0));
     let host = host.strip_prefix('[').and_then(|host| host.strip_suffix(']')).unwrap_or(host);
     Address {
         address: Some(address::Address::SocketAddress(SocketAddress {
@@ -180,17 +188,17 @@
 
 /// A table: its open lines by zone, the weight of a zone the sum of theirs.
 pub fn assignment(wire: &Wire, name: &str, table: &Table) -> ClusterLoadAssignment {
-    let open: Vec<_> = table.entries.iter().filter(|line| line.routable).collect();
-    let weights = weights::to_integers(&open.iter().map(|line| line.weight).collect::<Vec<_>>());
+    let routable: Vec<_> = table.entries.iter().filter(|entry| entry.routable).collect();
+    let weights = weights::to_integers(&routable.iter().map(|entry| entry.weight).collect::<Vec<_>>());
     let mut zones: BTreeMap<usize, (u32, Vec<LbEndpoint>)> = BTreeMap::new();
-    for (line, weight) in open.into_iter().zip(weights) {
-        let (sum, endpoints) = zones.entry(line.zone).or_default();
+    for (entry, weight) in routable.into_iter().zip(weights) {
+        let (sum, endpoints) = zones.entry(entry.zone).or_default();
         *sum += weight;
         endpoints.push(LbEndpoint {
             health_status: HealthStatus::Healthy as i32,
             load_balancing_weight: Some(UInt32Value { value: weight }),
             host_identifier: Some(HostIdentifier::Endpoint(Endpoint {
-                address: Some(address(&line.address)),
+                address: Some(address(&entry.address)),
                 ..Endpoint::default()
             })),
             ..LbEndpoint::default()
@@ -205,53 +213,53 @@
         load_balancing_weight: Some(UInt32Value { value: sum }),
         ..LocalityLbEndpoints::default()
     });
-    let blocked = ((1.0 - table.admission_fraction.clamp(0.0, 1.0)) * MILLION).round() as u32;
+    let rejected = ((1.0 - table.admission_fraction.clamp(0.0, 1.0)) * MILLION).round() as u32;
     let overload = DropOverload {
-        category: LEVEL.to_string(),
+        category: OVERLOAD_CATEGORY.to_string(),
         drop_percentage: Some(FractionalPercent {
-            numerator: blocked,
+            numerator: rejected,
             denominator: DenominatorType::Million as i32,
         }),
     };
     ClusterLoadAssignment {
         cluster_name: name.to_string(),
         endpoints: endpoints.collect(),
-        policy: (blocked > 0).then(|| Policy { drop_overloads: vec![overload], ..Policy::default() }),
+        policy: (rejected > 0).then(|| Policy { drop_overloads: vec![overload], ..Policy::default() }),
         ..ClusterLoadAssignment::default()
     }
 }
 
 fn listener() -> Listener {
     let manager = HttpConnectionManager {
-        stat_prefix: LISTENER.to_string(),
+        stat_prefix: LISTENER_NAME.to_string(),
         route_specifier: Some(RouteSpecifier::Rds(Rds {
-            config_source: Some(ads()),
-            route_config_name: ROUTES.to_string(),
+            config_source: Some(ads_source()),
+            route_config_name: ROUTE_CONFIG_NAME.to_string(),
         })),
         http_filters: vec![HttpFilter {
             name: "envoy.filters.http.router".to_string(),
-            config_type: Some(http_filter::ConfigType::TypedConfig(packed(&Router::default()))),
+            config_type: Some(http_filter::ConfigType::TypedConfig(to_any(&Router::default()))),
             ..HttpFilter::default()
         }],
         ..HttpConnectionManager::default()
     };
     Listener {
-        name: LISTENER.to_string(),
-        api_listener: Some(ApiListener { api_listener: Some(packed(&manager)) }),
+        name: LISTENER_NAME.to_string(),
+        api_listener: Some(ApiListener { api_listener: Some(to_any(&manager)) }),
         ..Listener::default()
     }
 }
 
 /// What a proxy may do after a try without a good answer, as a route's policy.
-fn retries(tries: RetryPolicy) -> Option<WireRetryPolicy> {
-    let on = match tries {
+fn route_retry_policy(policy: RetryPolicy) -> Option<WireRetryPolicy> {
+    let retry_on = match policy {
         RetryPolicy::Never => return None,
         // Both prove that the first try never ran.
         RetryPolicy::IfNotExecuted => "connect-failure,refused-stream",
         RetryPolicy::OnAnyFailure => "5xx,reset,connect-failure,refused-stream",
     };
     Some(WireRetryPolicy {
-        retry_on: on.to_string(),
+        retry_on: retry_on.to_string(),
         num_retries: Some(UInt32Value { value: 1 }),
         host_selection_retry_max_attempts: 3,
         ..WireRetryPolicy::default()
@@ -259,33 +267,33 @@
 }
 
 /// A group's place, and the path and header that lead to it.
-type Matched<'a> = (usize, PathSpecifier, Option<(&'a str, &'a str)>);
+type OrderedRoute<'a> = (usize, PathSpecifier, Option<(&'a str, &'a str)>);
 
 /// Routes in the order in which proxies are to try them: the first that fits counts.
 ///
 /// Groups said by one prefix or header each stand as they were said. Where any has several paths, headers go
 /// first, and paths by [`Path`]'s rule. Under a firm prefix a longer one that is not firm goes before
 /// patterns, too: one list can't say that it should only for flows that no pattern fits.
-fn ordered(groups: &[WireGroup]) -> Vec<Matched<'_>> {
-    let whole = || PathSpecifier::Prefix("/".to_string());
-    let several = groups.iter().any(|group| matches!(group.route, Route::Paths(_)));
+fn ordered_routes(groups: &[WireGroup]) -> Vec<OrderedRoute<'_>> {
+    let any_path = || PathSpecifier::Prefix("/".to_string());
+    let has_lists = groups.iter().any(|group| matches!(group.route, Route::Paths(_)));
     let mut paths: Vec<(usize, Path)> = Vec::new();
     let mut routes = Vec::new();
-    for (place, group) in groups.iter().enumerate() {
+    for (class_index, group) in groups.iter().enumerate() {
         match &group.route {
             Route::Header(name, value) => {
-                routes.push((place, whole(), Some((name.as_str(), value.as_str()))));
+                routes.push((class_index, any_path(), Some((name.as_str(), value.as_str()))));
             }
-            Route::Prefix(prefix) if several => paths.push((place, Path::Prefix(prefix.clone()))),
-            Route::Prefix(prefix) => routes.push((place, PathSpecifier::Prefix(prefix.clone()), None)),
-            Route::Paths(all) => paths.extend(all.iter().map(|path| (place, path.clone()))),
+            Route::Prefix(prefix) if has_lists => paths.push((class_index, Path::Prefix(prefix.clone()))),
+            Route::Prefix(prefix) => routes.push((class_index, PathSpecifier::Prefix(prefix.clone()), None)),
+            Route::Paths(several) => paths.extend(several.iter().map(|path| (class_index, path.clone()))),
         }
     }
-    let firm: Vec<String> = paths
+    let firm_prefixes: Vec<String> = paths
         .iter()
         .filter_map(|(_, path)| if let Path::Firm(prefix) = path { Some(prefix.clone()) } else { None })
         .collect();
-    let under_firm = |prefix: &String| firm.iter().any(|firm| prefix.starts_with(firm));
+    let under_firm = |prefix: &String| firm_prefixes.iter().any(|firm| prefix.starts_with(firm));
     let rank = |(_, path): &(usize, Path)| match path {
         Path::Exact(_) => (0, 0),
         Path::Firm(prefix) => (1, usize::MAX - prefix.len()),
@@ -295,25 +303,25 @@
     };
     // Stable: patterns stay as they were said.
     paths.sort_by_key(rank);
-    routes.extend(paths.into_iter().map(|(place, path)| {
+    routes.extend(paths.into_iter().map(|(class_index, path)| {
         let path = match path {
             Path::Exact(path) => PathSpecifier::Path(path),
             Path::Firm(prefix) | Path::Prefix(prefix) => PathSpecifier::Prefix(prefix),
-            Path::Pattern(pattern, any_case) => {
+            Path::Pattern(pattern, ignore_case) => {
                 // The wire's pattern has to fit the whole path.
-                let case = if any_case { "i" } else { "" };
-                let regex = format!("(?s{case}).*(?:{pattern}).*");
+                let case_flag = if ignore_case { "i" } else { "" };
+                let regex = format!("(?s{case_flag}).*(?:{pattern}).*");
                 PathSpecifier::SafeRegex(RegexMatcher { regex, ..RegexMatcher::default() })
             }
         };
-        (place, path, None)
+        (class_index, path, None)
     }));
     routes
 }
 
-fn routes(wire: &Wire, tries: &[RetryPolicy]) -> RouteConfiguration {
-    let routes = ordered(&wire.groups).into_iter().filter_map(|(place, path, header)| {
-        let (group, tries) = (&wire.groups[place], tries.get(place)?);
+fn route_configuration(wire: &Wire, retry_policies: &[RetryPolicy]) -> RouteConfiguration {
+    let routes = ordered_routes(&wire.groups).into_iter().filter_map(|(class_index, path, header)| {
+        let (group, retry_policy) = (&wire.groups[class_index], retry_policies.get(class_index)?);
         let header = header.map(|(name, value)| {
             let exact = StringMatcher {
                 match_pattern: Some(MatchPattern::Exact(value.to_string())),
@@ -334,15 +342,15 @@
             }),
             action: Some(route::Action::Route(RouteAction {
                 cluster_specifier: Some(route_action::ClusterSpecifier::Cluster(group.name.clone())),
-                timeout: Some(span(group.expiry)),
-                retry_policy: retries(*tries),
+                timeout: Some(proto_duration(group.expiry)),
+                retry_policy: route_retry_policy(*retry_policy),
                 ..RouteAction::default()
             })),
             ..WireRoute::default()
         })
     });
     RouteConfiguration {
-        name: ROUTES.to_string(),
+        name: ROUTE_CONFIG_NAME.to_string(),
         virtual_hosts: vec![VirtualHost {
             name: "all".to_string(),
             domains: vec!["*".to_string()],
--- a/crates/xds/src/encode/tests.rs
+++ b/crates/xds/src/encode/tests.rs
@@ -23,37 +23,39 @@
     }
 }
 
-fn line(name: &str, zone: usize, weight: f64, open: bool) -> ResolvedEntry {
+fn entry(name: &str, zone: usize, weight: f64, is_routable: bool) -> ResolvedEntry {
     ResolvedEntry {
         replica: name.into(),
         address: format!("10.0.0.1:{}", name.len()).into(),
         zone,
         weight,
-        routable: open,
+        routable: is_routable,
     }
 }
 
 #[test]
-fn shut_lines_leave_and_levels_are_said_in_parts_of_a_million() {
-    let lines = vec![line("a", 0, 1.0, true), line("bb", 0, 5.0, false), line("ccc", 1, 3.0, true)];
-    let said = assignment(&wire(), "match", &Table { entries: lines, admission_fraction: 0.85 });
+fn omits_unroutable_entries_and_sends_admission_in_millionths() {
+    let resolved = vec![entry("a", 0, 1.0, true), entry("bb", 0, 5.0, false), entry("ccc", 1, 3.0, true)];
+    let message = assignment(&wire(), "match", &Table { entries: resolved, admission_fraction: 0.85 });
     let weights: Vec<u32> =
-        said.endpoints.iter().map(|one| one.load_balancing_weight.unwrap().value).collect();
+        message.endpoints.iter().map(|locality| locality.load_balancing_weight.unwrap().value).collect();
     assert_eq!(weights, [1000, 3000]);
-    let dropped = &said.policy.unwrap().drop_overloads[0];
+    let dropped = &message.policy.unwrap().drop_overloads[0];
     assert_eq!(dropped.drop_percentage.unwrap().numerator, 150_000);
-    let whole = assignment(&wire(), "match", &Table { entries: vec![], admission_fraction: 1.0 });
-    assert!(whole.policy.is_none() && whole.endpoints.is_empty());
+    let unlimited = assignment(&wire(), "match", &Table { entries: vec![], admission_fraction: 1.0 });
+    assert!(unlimited.policy.is_none() && unlimited.endpoints.is_empty());
 }
 
 #[test]
-fn further_tries_are_only_what_the_module_allows() {
-    let said = routes(&wire(), &[RetryPolicy::Never, RetryPolicy::IfNotExecuted]);
-    let policies: Vec<Option<String>> = said.virtual_hosts[0]
+fn sends_the_retry_policy_of_each_class() {
+    let configuration = route_configuration(&wire(), &[RetryPolicy::Never, RetryPolicy::IfNotExecuted]);
+    let policies: Vec<Option<String>> = configuration.virtual_hosts[0]
         .routes
         .iter()
         .map(|route| match route.action.as_ref().unwrap() {
-            route::Action::Route(action) => action.retry_policy.as_ref().map(|one| one.retry_on.clone()),
+            route::Action::Route(action) => {
+                action.retry_policy.as_ref().map(|policy| policy.retry_on.clone())
+            }
             other => panic!("{other:?}"),
         })
         .collect();
@@ -61,7 +63,7 @@
 }
 
 #[test]
-fn of_several_paths_the_one_that_counts_stands_first() {
+fn orders_paths_by_precedence() {
     let group = |name: &str, paths: Vec<Path>| WireGroup {
         name: name.into(),
         route: Route::Paths(paths),
@@ -76,52 +78,53 @@
         ],
         ..wire()
     };
-    let said = routes(&wire, &[RetryPolicy::Never; 3]).virtual_hosts.remove(0).routes;
+    let routes = route_configuration(&wire, &[RetryPolicy::Never; 3]).virtual_hosts.remove(0).routes;
     let path = |route: &WireRoute| match route.r#match.as_ref().unwrap().path_specifier.clone().unwrap() {
         PathSpecifier::Path(path) => format!("= {path}"),
         PathSpecifier::Prefix(prefix) => prefix,
         PathSpecifier::SafeRegex(regex) => regex.regex,
         other => panic!("{other:?}"),
     };
-    let said: Vec<String> = said.iter().map(|route| format!("{} {}", route.name, path(route))).collect();
-    let wanted = ["odd = /a", "firm /s/x/", "firm /s/", "odd (?si).*(?:[.]php$).*", "rest /a/long", "rest /"];
-    assert_eq!(said, wanted);
+    let ordered: Vec<String> = routes.iter().map(|route| format!("{} {}", route.name, path(route))).collect();
+    let expected =
+        ["odd = /a", "firm /s/x/", "firm /s/", "odd (?si).*(?:[.]php$).*", "rest /a/long", "rest /"];
+    assert_eq!(ordered, expected);
 }
 
 #[test]
-fn the_same_content_has_the_same_mark() {
-    let table = Table { entries: vec![line("a", 0, 1.0, true)], admission_fraction: 1.0 };
-    let one = packed(&assignment(&wire(), "match", &table));
+fn equal_content_has_an_equal_digest() {
+    let table = Table { entries: vec![entry("a", 0, 1.0, true)], admission_fraction: 1.0 };
+    let one = to_any(&assignment(&wire(), "match", &table));
     assert_eq!(
         digest(&one),
-        digest(&packed(&assignment(
+        digest(&to_any(&assignment(
             &Wire { epoch: 8, governor: String::new(), key: None, ..wire() },
             "match",
             &table
         )))
     );
     let other = Table { admission_fraction: 0.5, ..table };
-    assert_ne!(digest(&one), digest(&packed(&assignment(&wire(), "match", &other))));
+    assert_ne!(digest(&one), digest(&to_any(&assignment(&wire(), "match", &other))));
 }
 
 proptest! {
     #[test]
-    fn both_kinds_of_proxies_come_to_the_same_shares(
+    fn locality_weights_and_flat_weights_give_equal_shares(
         lines in prop::collection::vec((0usize..2, 0.01f64..50.0), 1..40),
     ) {
         let name = |n| "x".repeat(n + 1);
-        let make = |(n, (zone, weight)): (usize, &(usize, f64))| line(&name(n), *zone, *weight, true);
+        let make = |(n, (zone, weight)): (usize, &(usize, f64))| entry(&name(n), *zone, *weight, true);
         let table = Table { entries: lines.iter().enumerate().map(make).collect(), admission_fraction: 1.0 };
-        let said = assignment(&wire(), "match", &table);
-        let weight = |one: &LbEndpoint| f64::from(one.load_balancing_weight.unwrap().value);
-        let all: f64 = said.endpoints.iter().flat_map(|zone| &zone.lb_endpoints).map(weight).sum();
-        let of = |zone: &LocalityLbEndpoints| f64::from(zone.load_balancing_weight.unwrap().value);
-        let zones: f64 = said.endpoints.iter().map(of).sum();
-        for zone in &said.endpoints {
-            let here: f64 = zone.lb_endpoints.iter().map(weight).sum();
-            for one in &zone.lb_endpoints {
-                let by_zone = of(zone) / zones * weight(one) / here;
-                prop_assert!((by_zone - weight(one) / all).abs() < 1e-12);
+        let message = assignment(&wire(), "match", &table);
+        let weight = |endpoint: &LbEndpoint| f64::from(endpoint.load_balancing_weight.unwrap().value);
+        let flat_total: f64 = message.endpoints.iter().flat_map(|zone| &zone.lb_endpoints).map(weight).sum();
+        let zone_weight = |zone: &LocalityLbEndpoints| f64::from(zone.load_balancing_weight.unwrap().value);
+        let total: f64 = message.endpoints.iter().map(zone_weight).sum();
+        for zone in &message.endpoints {
+            let in_zone: f64 = zone.lb_endpoints.iter().map(weight).sum();
+            for endpoint in &zone.lb_endpoints {
+                let by_zone = zone_weight(zone) / total * weight(endpoint) / in_zone;
+                prop_assert!((by_zone - weight(endpoint) / flat_total).abs() < 1e-12);
             }
         }
     }
--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -65,7 +65,7 @@
 }
 
 /// What [`Wire::identifier`] says: the governor, its epoch, and the claim if there is one.
-pub fn said_by(identifier: &str) -> Option<(&str, u64, Option<&str>)> {
+pub fn parse_identifier(identifier: &str) -> Option<(&str, u64, Option<&str>)> {
     let mut parts = identifier.strip_prefix("wrenthread/")?.splitn(3, '/');
     let (name, epoch) = (parts.next()?, parts.next()?);
     Some((name, u64::from_str_radix(epoch, 16).ok()?, parts.next()))
--- a/crates/xds/src/service.rs
+++ b/crates/xds/src/service.rs
@@ -30,9 +30,9 @@
 use crate::session;
 
 /// Responses that may wait in a stream's channel: those of one flush, and of a drain behind it.
-pub const CHANNEL: usize = 8;
+pub const CHANNEL_CAPACITY: usize = 8;
 /// Room that a flush needs there: one response of each type.
-pub const ROOM: usize = 4;
+pub const MAX_FLUSH_RESPONSES: usize = 4;
 
 /// Where a stream's answers go.
 #[derive(Debug, Clone)]
@@ -47,16 +47,16 @@
     /// Whether a whole flush fits.
     pub fn has_room(&self) -> bool {
         match self {
-            Answers::Sotw(answers) => answers.capacity() >= ROOM,
-            Answers::Delta(answers) => answers.capacity() >= ROOM,
+            Answers::Sotw(answers) => answers.capacity() >= MAX_FLUSH_RESPONSES,
+            Answers::Delta(answers) => answers.capacity() >= MAX_FLUSH_RESPONSES,
         }
     }
 
     /// Waits until a whole flush fits; false if the stream is over.
     pub async fn room(&self) -> bool {
         match self {
-            Answers::Sotw(answers) => answers.reserve_many(ROOM).await.is_ok(),
-            Answers::Delta(answers) => answers.reserve_many(ROOM).await.is_ok(),
+            Answers::Sotw(answers) => answers.reserve_many(MAX_FLUSH_RESPONSES).await.is_ok(),
+            Answers::Delta(answers) => answers.reserve_many(MAX_FLUSH_RESPONSES).await.is_ok(),
         }
     }
 
@@ -137,16 +137,16 @@
 #[derive(Debug, Clone)]
 pub struct Front {
     events: mpsc::Sender<Event>,
-    streams: Arc<AtomicU64>,
+    next_stream: Arc<AtomicU64>,
     report_every: std::time::Duration,
 }
 
-type Answer<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
+type ResponseStream<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
 
 impl Front {
     /// Events go to `events`; a full channel holds streams back, which is how load reaches their sockets.
     pub fn new(events: mpsc::Sender<Event>, report_every: std::time::Duration) -> Self {
-        Front { events, streams: Arc::new(AtomicU64::new(1)), report_every }
+        Front { events, next_stream: Arc::new(AtomicU64::new(1)), report_every }
     }
 
     /// The services, for a server's router.
@@ -166,25 +166,25 @@
 
     /// One numbering for all kinds of streams, in the order of their opening.
     pub fn number(&self) -> u64 {
-        self.streams.fetch_add(1, Ordering::Relaxed)
+        self.next_stream.fetch_add(1, Ordering::Relaxed)
     }
 
-    async fn tell(&self, event: Event) -> Result<(), Status> {
+    async fn send_event(&self, event: Event) -> Result<(), Status> {
         self.events.send(event).await.map_err(|_| Status::unavailable("the governor is stopping"))
     }
 
     /// Carries a stream's requests to the owner until it ends or breaks.
-    async fn carry<R>(
+    async fn forward_requests<R>(
         &self,
         answers: Answers,
         requests: Streaming<R>,
-        into: fn(R) -> session::Request,
+        wrap: fn(R) -> session::Request,
     ) -> Result<(), Status>
     where
         R: Send + 'static,
     {
         let stream = self.number();
-        self.tell(Event::Opened { stream, answers: answers.clone() }).await?;
+        self.send_event(Event::Opened { stream, answers: answers.clone() }).await?;
         let front = self.clone();
         tokio::spawn(async move {
             let mut requests = requests;
@@ -194,12 +194,12 @@
                     () = closed(&answers) => None,
                 };
                 let Some(Ok(request)) = request else { break };
-                let request = Box::new(into(request));
-                if front.tell(Event::Asked { stream, request }).await.is_err() {
+                let request = Box::new(wrap(request));
+                if front.send_event(Event::Asked { stream, request }).await.is_err() {
                     break;
                 }
             }
-            let _ = front.tell(Event::Closed { stream }).await;
+            let _ = front.send_event(Event::Closed { stream }).await;
         });
         Ok(())
     }
@@ -214,15 +214,15 @@
 
 #[tonic::async_trait]
 impl AggregatedDiscoveryService for Front {
-    type StreamAggregatedResourcesStream = Answer<DiscoveryResponse>;
-    type DeltaAggregatedResourcesStream = Answer<DeltaDiscoveryResponse>;
+    type StreamAggregatedResourcesStream = ResponseStream<DiscoveryResponse>;
+    type DeltaAggregatedResourcesStream = ResponseStream<DeltaDiscoveryResponse>;
 
     async fn stream_aggregated_resources(
         &self,
         request: Request<Streaming<DiscoveryRequest>>,
     ) -> Result<Response<Self::StreamAggregatedResourcesStream>, Status> {
-        let (answers, stream) = mpsc::channel(CHANNEL);
-        self.carry(Answers::Sotw(answers), request.into_inner(), session::Request::Sotw).await?;
+        let (answers, stream) = mpsc::channel(CHANNEL_CAPACITY);
+        self.forward_requests(Answers::Sotw(answers), request.into_inner(), session::Request::Sotw).await?;
         Ok(Response::new(Box::pin(ReceiverStream::new(stream))))
     }
 
@@ -230,21 +230,21 @@
         &self,
         request: Request<Streaming<DeltaDiscoveryRequest>>,
     ) -> Result<Response<Self::DeltaAggregatedResourcesStream>, Status> {
-        let (answers, stream) = mpsc::channel(CHANNEL);
-        self.carry(Answers::Delta(answers), request.into_inner(), session::Request::Delta).await?;
+        let (answers, stream) = mpsc::channel(CHANNEL_CAPACITY);
+        self.forward_requests(Answers::Delta(answers), request.into_inner(), session::Request::Delta).await?;
         Ok(Response::new(Box::pin(ReceiverStream::new(stream))))
     }
 }
 
 #[tonic::async_trait]
 impl LoadReportingService for Front {
-    type StreamLoadStatsStream = Answer<LoadStatsResponse>;
+    type StreamLoadStatsStream = ResponseStream<LoadStatsResponse>;
 
     async fn stream_load_stats(
         &self,
         request: Request<Streaming<LoadStatsRequest>>,
     ) -> Result<Response<Self::StreamLoadStatsStream>, Status> {
-        let (answers, stream) = mpsc::channel(CHANNEL);
+        let (answers, stream) = mpsc::channel(CHANNEL_CAPACITY);
         let (front, mut requests) = (self.clone(), request.into_inner());
         tokio::spawn(async move {
             let Some(Ok(first)) = requests.next().await else { return };
@@ -254,23 +254,23 @@
                 return;
             };
             let stream = front.number();
-            let every = front.report_every;
-            let asked = LoadStatsResponse {
+            let interval = front.report_every;
+            let interval_request = LoadStatsResponse {
                 send_all_clusters: true,
                 report_endpoint_granularity: true,
                 load_reporting_interval: Some(crate::pb::google::protobuf::Duration {
-                    seconds: every.as_secs() as i64,
-                    nanos: every.subsec_nanos() as i32,
+                    seconds: interval.as_secs() as i64,
+                    nanos: interval.subsec_nanos() as i32,
                 }),
                 ..LoadStatsResponse::default()
             };
-            let opened = Event::ReportsOpened { stream, node: Box::new(node) };
-            if front.tell(opened).await.is_err() || answers.send(Ok(asked)).await.is_err() {
+            let event = Event::ReportsOpened { stream, node: Box::new(node) };
+            if front.send_event(event).await.is_err() || answers.send(Ok(interval_request)).await.is_err() {
                 return;
             }
             let mut stats = first.cluster_stats;
             loop {
-                if !stats.is_empty() && front.tell(Event::Reported { stream, stats }).await.is_err() {
+                if !stats.is_empty() && front.send_event(Event::Reported { stream, stats }).await.is_err() {
                     break;
                 }
                 stats = tokio::select! {
@@ -281,7 +281,7 @@
                     () = answers.closed() => break,
                 };
             }
-            let _ = front.tell(Event::ReportsClosed { stream }).await;
+            let _ = front.send_event(Event::ReportsClosed { stream }).await;
         });
         Ok(Response::new(Box::pin(ReceiverStream::new(stream))))
     }
@@ -289,7 +289,7 @@
 
 #[tonic::async_trait]
 impl ClientStatusDiscoveryService for Front {
-    type StreamClientStatusStream = Answer<ClientStatusResponse>;
+    type StreamClientStatusStream = ResponseStream<ClientStatusResponse>;
 
     async fn stream_client_status(
         &self,
@@ -314,7 +314,7 @@
 impl Front {
     async fn status(&self, request: ClientStatusRequest) -> Result<ClientStatusResponse, Status> {
         let (reply, answer) = oneshot::channel();
-        self.tell(Event::Status { request: Box::new(request), reply }).await?;
+        self.send_event(Event::Status { request: Box::new(request), reply }).await?;
         answer.await.map_err(|_| Status::unavailable("the governor is stopping"))
     }
 }
--- a/crates/xds/src/session.rs
+++ b/crates/xds/src/session.rs
@@ -20,9 +20,9 @@
 };
 
 /// A type's names beyond this are more than any settings have groups; the stream is ended.
-const MOST_NAMES: usize = 4096;
+const MAX_NAMES_PER_TYPE: usize = 4096;
 /// Responses of a type that may be unacknowledged before the oldest is given up for lost.
-const MOST_OUTSTANDING: usize = 32;
+const MAX_OUTSTANDING: usize = 32;
 
 /// A request of either variant of ADS.
 #[derive(Debug, Clone, PartialEq)]
@@ -75,35 +75,35 @@
 
 /// Why a stream is ended.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub enum Bad {
+pub enum SessionError {
     /// It subscribes to more names than a stream may.
-    #[error("subscribes to {0} names of one type; {MOST_NAMES} are allowed")]
+    #[error("subscribes to {0} names of one type; {MAX_NAMES_PER_TYPE} are allowed")]
     TooManyNames(usize),
     /// It has requests of both variants.
     #[error("mixes the delta and the state-of-the-world variant on one stream")]
-    Mixed,
+    MixedVariants,
 }
 
 #[derive(Debug, Default)]
 struct Subscription {
     wildcard: bool,
     names: BTreeSet<String>,
-    named_before: bool,
+    ever_named: bool,
     /// By name: version and content mark as sent on this stream.
     sent: BTreeMap<String, (u64, String)>,
     /// Delta: names that the proxy was told there is nothing of.
-    absent: BTreeSet<String>,
+    reported_absent: BTreeSet<String>,
     /// Delta: what the proxy said it holds, by name and mark, until it is compared.
-    initial: BTreeMap<String, String>,
+    initial_versions: BTreeMap<String, String>,
     /// Names that must be answered even if nothing about them changed.
-    asked: BTreeSet<String>,
+    must_send: BTreeSet<String>,
     /// Something must be answered even if there is nothing (types that are sent whole).
-    answer: bool,
+    response_due: bool,
     outstanding: VecDeque<(String, u64)>,
     /// The nonce of the last response.
-    last: String,
+    last_nonce: String,
     /// The newest version that was turned down, if nothing later was taken.
-    refused: Option<u64>,
+    rejected_version: Option<u64>,
 }
 
 impl Subscription {
@@ -118,16 +118,16 @@
     delta: bool,
     epoch: u64,
     subscriptions: BTreeMap<Kind, Subscription>,
-    nonces: u64,
+    last_nonce_number: u64,
     /// The newest version that a flush brought this stream to.
-    flushed: u64,
-    acked: u64,
-    stale: u64,
+    flushed_version: u64,
+    acked_version: u64,
+    stale_requests: u64,
 }
 
 /// What a flush came to.
 #[derive(Debug, Default, PartialEq)]
-pub struct Flushed {
+pub struct FlushOutcome {
     /// The responses to send, in their order.
     pub responses: Vec<Response>,
     /// Lines in them; 0 if there was nothing to say.
@@ -156,84 +156,85 @@
             delta: matches!(first, Request::Delta(_)),
             epoch,
             subscriptions: BTreeMap::new(),
-            nonces: 0,
-            flushed: 0,
-            acked: 0,
-            stale: 0,
+            last_nonce_number: 0,
+            flushed_version: 0,
+            acked_version: 0,
+            stale_requests: 0,
         }
     }
 
     /// Whether the proxy has answered all that it was sent.
     pub fn settled(&self) -> bool {
-        self.subscriptions.values().all(|one| one.outstanding.is_empty())
+        self.subscriptions.values().all(|subscription| subscription.outstanding.is_empty())
     }
 
     /// Requests that answered responses which were no longer the newest, or none that was ever given.
     pub fn stale(&self) -> u64 {
-        self.stale
+        self.stale_requests
     }
 
     /// Takes a request in.
     ///
     /// Errors: requests that no proxy of good will sends; the stream is to be ended with the error's words.
-    pub fn request(&mut self, request: Request) -> Result<Vec<Heard>, Bad> {
+    pub fn request(&mut self, request: Request) -> Result<Vec<Heard>, SessionError> {
         match request {
-            Request::Sotw(request) if !self.delta => self.sotw(request),
-            Request::Delta(request) if self.delta => self.delta(request),
-            _ => Err(Bad::Mixed),
+            Request::Sotw(request) if !self.delta => self.sotw_request(request),
+            Request::Delta(request) if self.delta => self.delta_request(request),
+            _ => Err(SessionError::MixedVariants),
         }
     }
 
-    fn sotw(&mut self, request: DiscoveryRequest) -> Result<Vec<Heard>, Bad> {
+    fn sotw_request(&mut self, request: DiscoveryRequest) -> Result<Vec<Heard>, SessionError> {
         let Some(kind) = Kind::of(&request.type_url) else {
             return Ok(vec![Heard::Unserved(request.type_url)]);
         };
-        if request.resource_names.len() > MOST_NAMES {
-            return Err(Bad::TooManyNames(request.resource_names.len()));
+        if request.resource_names.len() > MAX_NAMES_PER_TYPE {
+            return Err(SessionError::TooManyNames(request.resource_names.len()));
         }
         let error = request.error_detail.map(|status| status.message);
-        let (mut heard, newest) = self.answer(kind, &request.response_nonce, error);
+        let (mut effects, newest) = self.acknowledge(kind, &request.response_nonce, error);
         let subscription = self.subscriptions.entry(kind).or_default();
         // Names beside an answer to an older response are older than those that will come with the newest.
         if !newest {
-            return Ok(heard);
+            return Ok(effects);
         }
-        let starred = request.resource_names.iter().any(|name| name == "*");
+        let has_wildcard = request.resource_names.iter().any(|name| name == "*");
         let names: BTreeSet<String> = request.resource_names.into_iter().filter(|name| name != "*").collect();
-        let wildcard = starred || kind.whole() && names.is_empty() && !subscription.named_before;
+        let wildcard =
+            has_wildcard || kind.requires_full_state() && names.is_empty() && !subscription.ever_named;
         if names != subscription.names || wildcard != subscription.wildcard {
             let new: Vec<&String> = names.difference(&subscription.names).collect();
-            subscription.asked.extend(new.into_iter().cloned());
+            subscription.must_send.extend(new.into_iter().cloned());
             // A name that is given up and taken again is asked for anew: the proxy dropped what it had.
             subscription.sent.retain(|name, _| wildcard || names.contains(name));
-            subscription.named_before |= !names.is_empty();
-            subscription.answer |= kind.whole();
+            subscription.ever_named |= !names.is_empty();
+            subscription.response_due |= kind.requires_full_state();
             (subscription.names, subscription.wildcard) = (names, wildcard);
-            heard.push(Heard::Wants);
+            effects.push(Heard::Wants);
         }
-        Ok(heard)
+        Ok(effects)
     }
 
-    fn delta(&mut self, request: DeltaDiscoveryRequest) -> Result<Vec<Heard>, Bad> {
+    fn delta_request(&mut self, request: DeltaDiscoveryRequest) -> Result<Vec<Heard>, SessionError> {
         let Some(kind) = Kind::of(&request.type_url) else {
             return Ok(vec![Heard::Unserved(request.type_url)]);
         };
         let first = !self.subscriptions.contains_key(&kind);
         let error = request.error_detail.map(|status| status.message);
-        let (mut heard, _) = match request.response_nonce.is_empty() {
+        let (mut effects, _) = match request.response_nonce.is_empty() {
             true => (Vec::new(), true),
-            false => self.answer(kind, &request.response_nonce, error),
+            false => self.acknowledge(kind, &request.response_nonce, error),
         };
         let subscription = self.subscriptions.entry(kind).or_default();
         let (subscribe, unsubscribe) = (request.resource_names_subscribe, request.resource_names_unsubscribe);
-        if subscription.names.len() + subscribe.len() > MOST_NAMES {
-            return Err(Bad::TooManyNames(subscription.names.len() + subscribe.len()));
+        if subscription.names.len() + subscribe.len() > MAX_NAMES_PER_TYPE {
+            return Err(SessionError::TooManyNames(subscription.names.len() + subscribe.len()));
         }
         if first {
-            subscription.initial = request.initial_resource_versions.into_iter().collect();
-            if subscribe.is_empty() && kind.whole() {
+            subscription.initial_versions = request.initial_resource_versions.into_iter().collect();
+            if subscribe.is_empty() && kind.requires_full_state() {
                 subscription.wildcard = true;
-                heard.push(Heard::Wants);
+                effects.push(Heard::Wants);
             }
         }
         for name in subscribe {
@@ -241,11 +242,11 @@
                 "*" => subscription.wildcard = true,
                 _ => {
                     // Asked for again means sent again, whatever it was sent before.
-                    subscription.asked.insert(name.clone());
+                    subscription.must_send.insert(name.clone());
                     subscription.names.insert(name);
                 }
             }
-            heard.push(Heard::Wants);
+            effects.push(Heard::Wants);
         }
         for name in unsubscribe {
             match name.as_str() {
@@ -257,87 +258,100 @@
             let wildcard = subscription.wildcard;
             let names = &subscription.names;
             subscription.sent.retain(|name, _| wildcard || names.contains(name));
-            subscription.absent.retain(|name| names.contains(name));
-            subscription.asked.retain(|name| names.contains(name));
+            subscription.reported_absent.retain(|name| names.contains(name));
+            subscription.must_send.retain(|name| names.contains(name));
         }
-        heard.dedup();
-        Ok(heard)
+        effects.dedup();
+        Ok(effects)
     }
 
     /// An answer to a response, by its nonce; and whether it is to the newest (or to none, at the beginning).
-    fn answer(&mut self, kind: Kind, nonce: &str, error: Option<String>) -> (Vec<Heard>, bool) {
+    fn acknowledge(&mut self, kind: Kind, nonce: &str, error: Option<String>) -> (Vec<Heard>, bool) {
         let subscription = self.subscriptions.entry(kind).or_default();
         if nonce.is_empty() {
             return (Vec::new(), true);
         }
-        let Some(place) = subscription.outstanding.iter().position(|(sent, _)| sent == nonce) else {
+        let Some(position) = subscription.outstanding.iter().position(|(sent, _)| sent == nonce) else {
             // Answered before, or given on a stream that is gone. Names beside it count if nothing newer is
             // on its way, as when a proxy asks for more between two responses.
             let settled = subscription.outstanding.is_empty();
-            self.stale += u64::from(nonce != subscription.last);
+            self.stale_requests += u64::from(nonce != subscription.last_nonce);
             return (Vec::new(), settled);
         };
-        let newest = place + 1 == subscription.outstanding.len();
+        let newest = position + 1 == subscription.outstanding.len();
         // An answer to a later response answers those before it: they came on one stream.
-        let version = subscription.outstanding.drain(..=place).next_back().map_or(0, |(_, version)| version);
-        self.stale += u64::from(!newest);
+        let version =
+            subscription.outstanding.drain(..=position).next_back().map_or(0, |(_, version)| version);
+        self.stale_requests += u64::from(!newest);
         match error {
-            Some(words) => {
-                subscription.refused = Some(version);
-                (vec![Heard::Nacked(version, words)], newest)
+            Some(reason) => {
+                subscription.rejected_version = Some(version);
+                (vec![Heard::Nacked(version, reason)], newest)
             }
             None => {
-                subscription.refused = subscription.refused.filter(|refused| *refused > version);
-                (self.all_acked().map(Heard::Acked).into_iter().collect(), newest)
+                subscription.rejected_version =
+                    subscription.rejected_version.filter(|rejected| *rejected > version);
+                (self.newly_acknowledged().map(Heard::Acked).into_iter().collect(), newest)
             }
         }
     }
 
     /// The newest version up to which all is acknowledged, if that is news.
-    fn all_acked(&mut self) -> Option<u64> {
-        let open = self.subscriptions.values().filter_map(|one| one.outstanding.front()).map(|(_, at)| *at);
-        let refused = self.subscriptions.values().filter_map(|one| one.refused);
-        let all = open.chain(refused).map(|version| version.saturating_sub(1)).fold(self.flushed, u64::min);
-        if all > self.acked {
-            self.acked = all;
+    fn newly_acknowledged(&mut self) -> Option<u64> {
+        let unanswered = self
+            .subscriptions
+            .values()
+            .filter_map(|subscription| subscription.outstanding.front())
+            .map(|(_, version)| *version);
+        let rejected = self.subscriptions.values().filter_map(|subscription| subscription.rejected_version);
+        let all = unanswered
+            .chain(rejected)
+            .map(|version| version.saturating_sub(1))
+            .fold(self.flushed_version, u64::min);
+        if all > self.acked_version {
+            self.acked_version = all;
             return Some(all);
         }
         None
     }
 
     /// All that the proxy should hold and this stream was not sent.
-    pub fn flush(&mut self, wire: &Wire, proxy: &Proxy) -> Flushed {
-        let mut flushed = Flushed::default();
+    pub fn flush(&mut self, wire: &Wire, proxy: &Proxy) -> FlushOutcome {
+        let mut flushed = FlushOutcome::default();
         let newest = proxy.newest();
-        let updates = |one: &Subscription| {
-            let there = encode::catalogue(wire, proxy, Kind::Endpoints);
-            there.iter().any(|(name, version)| one.sent.get(name).is_some_and(|(sent, _)| sent < version))
+        let has_update = |subscription: &Subscription| {
+            let available = encode::resource_versions(wire, proxy, Kind::Endpoints);
+            available
+                .iter()
+                .any(|(name, version)| subscription.sent.get(name).is_some_and(|(sent, _)| sent < version))
         };
-        let first = self.subscriptions.get(&Kind::Endpoints).is_some_and(updates);
-        let order = match first {
+        let endpoints_first = self.subscriptions.get(&Kind::Endpoints).is_some_and(has_update);
+        let order = match endpoints_first {
             true => [Kind::Endpoints, Kind::Clusters, Kind::Listeners, Kind::Routes],
             false => Kind::ALL,
         };
         for kind in order {
-            let Some((response, lines)) = self.difference(wire, proxy, kind, newest) else { continue };
+            let Some((response, lines)) = self.next_response(wire, proxy, kind, newest) else { continue };
             flushed.responses.push(response);
             flushed.lines += lines;
         }
-        let subscribed =
-            self.subscriptions.get(&Kind::Endpoints).is_some_and(|one| one.wildcard || !one.names.is_empty());
-        if subscribed {
-            if self.flushed == 0 {
+        let endpoints_subscribed = self
+            .subscriptions
+            .get(&Kind::Endpoints)
+            .is_some_and(|subscription| subscription.wildcard || !subscription.names.is_empty());
+        if endpoints_subscribed {
+            if self.flushed_version == 0 {
                 // What was before this stream was never sent on it, and none of it is news.
-                self.acked = newest.saturating_sub(1);
+                self.acked_version = newest.saturating_sub(1);
             }
-            self.flushed = self.flushed.max(newest);
-            flushed.acked = self.all_acked();
+            self.flushed_version = self.flushed_version.max(newest);
+            flushed.acked = self.newly_acknowledged();
         }
         flushed
     }
 
     #[expect(clippy::too_many_lines, reason = "left for readers: docs/ROADMAP.md")]
-    fn difference(
+    fn next_response(
         &mut self,
         wire: &Wire,
         proxy: &Proxy,
@@ -345,67 +359,67 @@
         newest: u64,
     ) -> Option<(Response, usize)> {
         let subscription = self.subscriptions.get_mut(&kind)?;
-        let there = encode::catalogue(wire, proxy, kind);
-        let covered: Vec<(&String, u64)> = there
+        let available = encode::resource_versions(wire, proxy, kind);
+        let covered: Vec<(&String, u64)> = available
             .iter()
             .filter(|(name, _)| subscription.covers(name))
-            .map(|(name, at)| (name, *at))
+            .map(|(name, version)| (name, *version))
             .collect();
         let (mut resources, mut lines) = (Vec::new(), 0);
-        let asked = std::mem::take(&mut subscription.asked);
-        let mut changed = std::mem::take(&mut subscription.answer);
+        let must_send = std::mem::take(&mut subscription.must_send);
+        let mut changed = std::mem::take(&mut subscription.response_due);
         for (name, version) in &covered {
             let sent = subscription.sent.get(*name).cloned();
-            if sent.as_ref().is_some_and(|(sent, _)| sent == version) && !asked.contains(*name) {
+            if sent.as_ref().is_some_and(|(sent, _)| sent == version) && !must_send.contains(*name) {
                 continue;
             }
             let Some((resource, count)) = encode::resource(wire, proxy, kind, name) else { continue };
-            let mark = encode::digest(&resource);
-            let same = sent.as_ref().is_some_and(|(_, held)| *held == mark)
-                || subscription.initial.get(*name).is_some_and(|held| *held == mark);
-            subscription.initial.remove(*name);
-            subscription.sent.insert((*name).clone(), (*version, mark.clone()));
-            subscription.absent.remove(*name);
+            let digest = encode::digest(&resource);
+            let unchanged = sent.as_ref().is_some_and(|(_, held_digest)| *held_digest == digest)
+                || subscription.initial_versions.get(*name).is_some_and(|held_digest| *held_digest == digest);
+            subscription.initial_versions.remove(*name);
+            subscription.sent.insert((*name).clone(), (*version, digest.clone()));
+            subscription.reported_absent.remove(*name);
             // What the proxy holds to the letter need not be sent, unless it asks without holding it.
-            if same && (!asked.contains(*name) || self.delta && sent.is_none()) {
+            if unchanged && (!must_send.contains(*name) || self.delta && sent.is_none()) {
                 continue;
             }
             changed = true;
-            resources.push(((*name).clone(), mark, resource));
+            resources.push(((*name).clone(), digest, resource));
             lines += count;
         }
-        let gone: Vec<String> = if self.delta {
-            let sent = subscription.sent.keys().chain(subscription.initial.keys());
+        let removed: Vec<String> = if self.delta {
+            let sent = subscription.sent.keys().chain(subscription.initial_versions.keys());
             // A table that is not made yet is none that does not exist: who holds one keeps it until then.
-            let pending = |name: &String| {
+            let undecided = |name: &String| {
                 kind == Kind::Endpoints
                     && !proxy.has_known_tables()
                     && wire.groups.iter().any(|group| group.name == *name)
             };
-            let named = sent.chain(subscription.names.iter());
-            let named = named.filter(|name| !there.contains_key(*name) && !pending(name));
-            named
-                .filter(|name| !subscription.absent.contains(*name) || asked.contains(*name))
+            let known = sent.chain(subscription.names.iter());
+            let missing = known.filter(|name| !available.contains_key(*name) && !undecided(name));
+            missing
+                .filter(|name| !subscription.reported_absent.contains(*name) || must_send.contains(*name))
                 .cloned()
                 .collect()
         } else {
-            let gone = |name: &&String| !there.contains_key(*name);
-            let gone: Vec<String> = subscription.sent.keys().filter(gone).cloned().collect();
+            let is_removed = |name: &&String| !available.contains_key(*name);
+            let removed: Vec<String> = subscription.sent.keys().filter(is_removed).cloned().collect();
             // Only types that are sent whole can say that something is no more.
-            changed |= kind.whole() && !gone.is_empty();
-            gone
+            changed |= kind.requires_full_state() && !removed.is_empty();
+            removed
         };
-        for name in &gone {
+        for name in &removed {
             subscription.sent.remove(name);
-            subscription.initial.remove(name);
+            subscription.initial_versions.remove(name);
             if self.delta {
-                subscription.absent.insert(name.clone());
+                subscription.reported_absent.insert(name.clone());
             }
         }
-        if !changed && (!self.delta || gone.is_empty()) {
+        if !changed && (!self.delta || removed.is_empty()) {
             return None;
         }
-        if !self.delta && kind.whole() {
+        if !self.delta && kind.requires_full_state() {
             resources.clear();
             lines = 0;
             for (name, _) in &covered {
@@ -415,16 +429,16 @@
                 }
             }
         }
-        self.nonces += 1;
-        let nonce = format!("{:x}.{}", self.epoch, self.nonces);
-        if subscription.outstanding.len() == MOST_OUTSTANDING {
+        self.last_nonce_number += 1;
+        let nonce = format!("{:x}.{}", self.epoch, self.last_nonce_number);
+        if subscription.outstanding.len() == MAX_OUTSTANDING {
             subscription.outstanding.pop_front();
         }
         subscription.outstanding.push_back((nonce.clone(), newest));
-        subscription.last.clone_from(&nonce);
+        subscription.last_nonce.clone_from(&nonce);
         let control_plane = Some(ControlPlane { identifier: wire.identifier(&proxy.name, newest) });
         let version = format!("{:x}.{newest}", self.epoch);
-        let lines = (lines + gone.len()).max(1);
+        let lines = (lines + removed.len()).max(1);
         let response = match self.delta {
             true => Response::Delta(DeltaDiscoveryResponse {
                 system_version_info: version,
@@ -438,7 +452,7 @@
                     })
                     .collect(),
                 type_url: kind.url(),
-                removed_resources: gone,
+                removed_resources: removed,
                 nonce,
                 control_plane,
                 ..DeltaDiscoveryResponse::default()
@@ -459,13 +473,13 @@
     pub fn status(&self, wire: &Wire, proxy: &Proxy) -> Vec<(Kind, String, u64, Standing)> {
         let mut status = Vec::new();
         for (kind, subscription) in &self.subscriptions {
-            for (name, version) in encode::catalogue(wire, proxy, *kind) {
+            for (name, version) in encode::resource_versions(wire, proxy, *kind) {
                 if !subscription.covers(&name) {
                     continue;
                 }
                 let sent = subscription.sent.get(&name).map(|(sent, _)| *sent);
                 let standing = match sent {
-                    Some(_) if subscription.refused.is_some() => Standing::Nacked,
+                    Some(_) if subscription.rejected_version.is_some() => Standing::Nacked,
                     Some(sent) if sent < version => Standing::NotSent,
                     Some(_) if subscription.outstanding.is_empty() => Standing::Acked,
                     Some(_) => Standing::Sent,
--- a/crates/xds/src/session/tests.rs
+++ b/crates/xds/src/session/tests.rs
@@ -27,7 +27,7 @@
 }
 
 /// An engine with one proxy on tables of its own, and its session.
-struct Rig {
+struct Fixture {
     engine: Engine,
     now: Duration,
     session: Session,
@@ -46,8 +46,8 @@
     names.iter().map(entry).collect()
 }
 
-impl Rig {
-    fn new(first: Request) -> Rig {
+impl Fixture {
+    fn new(first: Request) -> Fixture {
         let now = Duration::from_secs(100);
         let mut engine = Engine::new(EngineSettings::example(2), now);
         engine.update_roster(now, entries(&["a", "b", "c"]));
@@ -61,17 +61,17 @@
             proven_version: None,
         };
         engine.proxy_connected(now, 1, &join).unwrap();
-        let mut rig = Rig { engine, now, session: Session::new(0xabc, &first) };
-        rig.session.request(first).unwrap();
-        rig.pass();
-        rig
+        let mut fixture = Fixture { engine, now, session: Session::new(0xabc, &first) };
+        fixture.session.request(first).unwrap();
+        fixture.advance();
+        fixture
     }
 
     /// Lets the engine decide, without flushing the session.
-    fn pass(&mut self) {
+    fn advance(&mut self) {
         self.now += Duration::from_millis(1000);
-        while let Some(step) = self.engine.next_action(self.now) {
-            if let Action::Flush(number) = step {
+        while let Some(action) = self.engine.next_action(self.now) {
+            if let Action::Flush(number) = action {
                 self.engine.tables_sent(self.now, number, 1, 1);
             }
         }
@@ -81,10 +81,10 @@
 
     fn roster(&mut self, names: &[&str]) {
         self.engine.update_roster(self.now, entries(names));
-        self.pass();
+        self.advance();
     }
 
-    fn flush(&mut self) -> Flushed {
+    fn flush(&mut self) -> FlushOutcome {
         self.session.flush(&wire(), self.engine.proxy(0).unwrap())
     }
 
@@ -98,191 +98,196 @@
         type_url: kind.url(),
         resource_names: names.iter().map(|name| (*name).into()).collect(),
         response_nonce: nonce.into(),
-        error_detail: error.map(|words| Status { code: 3, message: words.into(), ..Status::default() }),
+        error_detail: error.map(|reason| Status { code: 3, message: reason.into(), ..Status::default() }),
         ..DiscoveryRequest::default()
     })
 }
 
-fn delta(kind: Kind, more: &[&str], less: &[&str], nonce: &str) -> DeltaDiscoveryRequest {
+fn delta(kind: Kind, subscribe: &[&str], unsubscribe: &[&str], nonce: &str) -> DeltaDiscoveryRequest {
     DeltaDiscoveryRequest {
         type_url: kind.url(),
-        resource_names_subscribe: more.iter().map(|name| (*name).into()).collect(),
-        resource_names_unsubscribe: less.iter().map(|name| (*name).into()).collect(),
+        resource_names_subscribe: subscribe.iter().map(|name| (*name).into()).collect(),
+        resource_names_unsubscribe: unsubscribe.iter().map(|name| (*name).into()).collect(),
         response_nonce: nonce.into(),
         ..DeltaDiscoveryRequest::default()
     }
 }
 
 /// Types, nonces and numbers of resources of a flush.
-fn said(flushed: &Flushed) -> Vec<(Kind, String, usize)> {
-    let one = |response: &Response| match response {
-        Response::Sotw(one) => (Kind::of(&one.type_url).unwrap(), one.nonce.clone(), one.resources.len()),
-        Response::Delta(one) => (Kind::of(&one.type_url).unwrap(), one.nonce.clone(), one.resources.len()),
+fn summary(flushed: &FlushOutcome) -> Vec<(Kind, String, usize)> {
+    let summarize = |response: &Response| match response {
+        Response::Sotw(sotw) => (Kind::of(&sotw.type_url).unwrap(), sotw.nonce.clone(), sotw.resources.len()),
+        Response::Delta(delta) => {
+            (Kind::of(&delta.type_url).unwrap(), delta.nonce.clone(), delta.resources.len())
+        }
     };
-    flushed.responses.iter().map(one).collect()
+    flushed.responses.iter().map(summarize).collect()
 }
 
 #[test]
-fn types_go_in_the_order_in_which_they_are_made_and_drains_before_all() {
-    let kinds =
-        |rig: &mut Rig| -> Vec<Kind> { said(&rig.flush()).into_iter().map(|(kind, ..)| kind).collect() };
+fn sends_types_in_dependency_order_and_endpoint_updates_first() {
+    let kinds = |fixture: &mut Fixture| -> Vec<Kind> {
+        summary(&fixture.flush()).into_iter().map(|(kind, ..)| kind).collect()
+    };
     let first = sotw(Kind::Endpoints, &["charge", "match"], "", None);
-    let mut rig = Rig::new(first.clone());
-    rig.session.request(sotw(Kind::Routes, &[encode::ROUTES], "", None)).unwrap();
-    rig.session.request(sotw(Kind::Clusters, &[], "", None)).unwrap();
-    assert_eq!(kinds(&mut rig), [Kind::Clusters, Kind::Endpoints, Kind::Routes]);
-    let mut rig = Rig::new(first);
-    assert_eq!(kinds(&mut rig), [Kind::Endpoints]);
-    rig.session.request(sotw(Kind::Clusters, &[], "", None)).unwrap();
-    rig.roster(&["a", "b"]);
-    assert_eq!(kinds(&mut rig), [Kind::Endpoints, Kind::Clusters]);
-    assert!(rig.flush().responses.is_empty(), "once");
+    let mut fixture = Fixture::new(first.clone());
+    fixture.session.request(sotw(Kind::Routes, &[encode::ROUTE_CONFIG_NAME], "", None)).unwrap();
+    fixture.session.request(sotw(Kind::Clusters, &[], "", None)).unwrap();
+    assert_eq!(kinds(&mut fixture), [Kind::Clusters, Kind::Endpoints, Kind::Routes]);
+    let mut fixture = Fixture::new(first);
+    assert_eq!(kinds(&mut fixture), [Kind::Endpoints]);
+    fixture.session.request(sotw(Kind::Clusters, &[], "", None)).unwrap();
+    fixture.roster(&["a", "b"]);
+    assert_eq!(kinds(&mut fixture), [Kind::Endpoints, Kind::Clusters]);
+    assert!(fixture.flush().responses.is_empty(), "once");
 }
 
 #[test]
-fn an_ack_is_news_once_all_types_of_the_change_are_taken() {
-    let mut rig = Rig::new(sotw(Kind::Endpoints, &["charge", "match"], "", None));
-    rig.session.request(sotw(Kind::Routes, &[encode::ROUTES], "", None)).unwrap();
-    let sent = said(&rig.flush());
-    let routes = rig.session.request(sotw(Kind::Routes, &[encode::ROUTES], &sent[1].1, None)).unwrap();
+fn reports_an_ack_once_all_types_of_a_change_are_acked() {
+    let mut fixture = Fixture::new(sotw(Kind::Endpoints, &["charge", "match"], "", None));
+    fixture.session.request(sotw(Kind::Routes, &[encode::ROUTE_CONFIG_NAME], "", None)).unwrap();
+    let sent = summary(&fixture.flush());
+    let routes =
+        fixture.session.request(sotw(Kind::Routes, &[encode::ROUTE_CONFIG_NAME], &sent[1].1, None)).unwrap();
     assert_eq!(routes, []);
     let endpoints = sotw(Kind::Endpoints, &["charge", "match"], &sent[0].1, None);
-    assert_eq!(rig.session.request(endpoints.clone()).unwrap(), [Heard::Acked(rig.newest())]);
-    assert_eq!(rig.session.request(endpoints).unwrap(), [], "and no news again");
+    assert_eq!(fixture.session.request(endpoints.clone()).unwrap(), [Heard::Acked(fixture.newest())]);
+    assert_eq!(fixture.session.request(endpoints).unwrap(), [], "and no news again");
 }
 
 #[test]
-fn an_ack_for_an_older_nonce_counts_for_its_version_only_and_its_names_are_old() {
-    let mut rig = Rig::new(sotw(Kind::Endpoints, &["charge", "match"], "", None));
-    let first = said(&rig.flush())[0].1.clone();
-    let before = rig.newest();
-    rig.roster(&["a", "b"]);
-    let second = said(&rig.flush())[0].1.clone();
-    let heard = rig.session.request(sotw(Kind::Endpoints, &["charge"], &first, None)).unwrap();
-    let [Heard::Acked(version)] = heard[..] else { panic!("{heard:?}") };
-    assert!(before <= version && version < rig.newest());
-    rig.roster(&["b", "c"]);
-    assert_eq!(said(&rig.flush())[0].2, 2, "both names still hold");
-    let heard = rig.session.request(sotw(Kind::Endpoints, &["charge"], &second, None)).unwrap();
-    assert!(matches!(heard[..], [Heard::Acked(_)]));
-    assert_eq!(rig.session.request(sotw(Kind::Endpoints, &["charge"], "abc.77", None)).unwrap(), []);
-    assert_eq!(rig.session.stale(), 3);
+fn an_ack_with_an_older_nonce_acks_only_its_version_and_its_names_are_ignored() {
+    let mut fixture = Fixture::new(sotw(Kind::Endpoints, &["charge", "match"], "", None));
+    let first = summary(&fixture.flush())[0].1.clone();
+    let before = fixture.newest();
+    fixture.roster(&["a", "b"]);
+    let second = summary(&fixture.flush())[0].1.clone();
+    let effects = fixture.session.request(sotw(Kind::Endpoints, &["charge"], &first, None)).unwrap();
+    let [Heard::Acked(version)] = effects[..] else { panic!("{effects:?}") };
+    assert!(before <= version && version < fixture.newest());
+    fixture.roster(&["b", "c"]);
+    assert_eq!(summary(&fixture.flush())[0].2, 2, "both names still hold");
+    let effects = fixture.session.request(sotw(Kind::Endpoints, &["charge"], &second, None)).unwrap();
+    assert!(matches!(effects[..], [Heard::Acked(_)]));
+    assert_eq!(fixture.session.request(sotw(Kind::Endpoints, &["charge"], "abc.77", None)).unwrap(), []);
+    assert_eq!(fixture.session.stale(), 3);
 }
 
 #[test]
-fn a_nack_is_followed_by_nothing_until_there_is_a_new_version() {
-    let mut rig = Rig::new(sotw(Kind::Endpoints, &["charge", "match"], "", None));
-    let (nonce, version) = (said(&rig.flush())[0].1.clone(), rig.newest());
+fn sends_nothing_after_a_nack_until_a_new_version() {
+    let mut fixture = Fixture::new(sotw(Kind::Endpoints, &["charge", "match"], "", None));
+    let (nonce, version) = (summary(&fixture.flush())[0].1.clone(), fixture.newest());
     let names = ["charge", "match"];
-    let heard = rig.session.request(sotw(Kind::Endpoints, &names, &nonce, Some("bad"))).unwrap();
-    assert_eq!(heard, [Heard::Nacked(version, "bad".into())]);
-    assert_eq!(rig.flush(), Flushed::default());
-    rig.roster(&["a", "b"]);
-    let nonce = said(&rig.flush())[0].1.clone();
-    let heard = rig.session.request(sotw(Kind::Endpoints, &names, &nonce, None)).unwrap();
-    assert_eq!(heard, [Heard::Acked(rig.newest())]);
+    let effects = fixture.session.request(sotw(Kind::Endpoints, &names, &nonce, Some("bad"))).unwrap();
+    assert_eq!(effects, [Heard::Nacked(version, "bad".into())]);
+    assert_eq!(fixture.flush(), FlushOutcome::default());
+    fixture.roster(&["a", "b"]);
+    let nonce = summary(&fixture.flush())[0].1.clone();
+    let effects = fixture.session.request(sotw(Kind::Endpoints, &names, &nonce, None)).unwrap();
+    assert_eq!(effects, [Heard::Acked(fixture.newest())]);
 }
 
 #[test]
-fn subscriptions_grow_and_shrink_and_unknown_names_are_no_harm() {
-    let mut rig = Rig::new(sotw(Kind::Endpoints, &["match", "nobody"], "", None));
-    let sent = said(&rig.flush());
+fn handles_growing_and_shrinking_subscriptions_and_unknown_names() {
+    let mut fixture = Fixture::new(sotw(Kind::Endpoints, &["match", "nobody"], "", None));
+    let sent = summary(&fixture.flush());
     assert_eq!(sent[0].2, 1);
-    let more = sotw(Kind::Endpoints, &["match", "charge"], &sent[0].1, None);
-    assert!(rig.session.request(more).unwrap().contains(&Heard::Wants));
-    let sent = said(&rig.flush());
+    let subscribe = sotw(Kind::Endpoints, &["match", "charge"], &sent[0].1, None);
+    assert!(fixture.session.request(subscribe).unwrap().contains(&Heard::Wants));
+    let sent = summary(&fixture.flush());
     assert_eq!(sent[0].2, 1, "only what was not sent yet");
-    rig.session.request(sotw(Kind::Endpoints, &[], &sent[0].1, None)).unwrap();
-    rig.roster(&["a", "b"]);
-    assert!(rig.flush().responses.is_empty(), "nothing of what was given up");
-    let again = rig.session.request(sotw(Kind::Endpoints, &["match"], &sent[0].1, None)).unwrap();
+    fixture.session.request(sotw(Kind::Endpoints, &[], &sent[0].1, None)).unwrap();
+    fixture.roster(&["a", "b"]);
+    assert!(fixture.flush().responses.is_empty(), "nothing of what was given up");
+    let again = fixture.session.request(sotw(Kind::Endpoints, &["match"], &sent[0].1, None)).unwrap();
     assert_eq!(again, [Heard::Wants]);
-    assert_eq!(said(&rig.flush())[0].2, 1);
+    assert_eq!(summary(&fixture.flush())[0].2, 1);
 }
 
 #[test]
-fn a_proxy_that_subscribes_to_nothing_is_sent_nothing_and_acknowledges_nothing() {
-    let mut rig = Rig::new(sotw(Kind::Endpoints, &[], "", None));
-    assert_eq!(rig.flush(), Flushed::default());
+fn sends_and_acks_nothing_without_a_subscription() {
+    let mut fixture = Fixture::new(sotw(Kind::Endpoints, &[], "", None));
+    assert_eq!(fixture.flush(), FlushOutcome::default());
     let unserved = Request::Sotw(DiscoveryRequest { type_url: "x/y".into(), ..DiscoveryRequest::default() });
-    assert_eq!(rig.session.request(unserved).unwrap(), [Heard::Unserved("x/y".into())]);
-    let mixed = rig.session.request(Request::Delta(delta(Kind::Endpoints, &["a"], &[], "")));
-    assert_eq!(mixed, Err(Bad::Mixed));
+    assert_eq!(fixture.session.request(unserved).unwrap(), [Heard::Unserved("x/y".into())]);
+    let mixed = fixture.session.request(Request::Delta(delta(Kind::Endpoints, &["a"], &[], "")));
+    assert_eq!(mixed, Err(SessionError::MixedVariants));
 }
 
 #[test]
-fn wildcards_mean_all_clusters_and_an_emptied_list_means_none() {
-    let mut rig = Rig::new(sotw(Kind::Clusters, &[], "", None));
-    let sent = said(&rig.flush());
+fn a_wildcard_selects_all_clusters_and_an_emptied_list_selects_none() {
+    let mut fixture = Fixture::new(sotw(Kind::Clusters, &[], "", None));
+    let sent = summary(&fixture.flush());
     assert_eq!(sent[0].2, 2);
-    rig.session.request(sotw(Kind::Clusters, &["match"], &sent[0].1, None)).unwrap();
-    let sent = said(&rig.flush());
+    fixture.session.request(sotw(Kind::Clusters, &["match"], &sent[0].1, None)).unwrap();
+    let sent = summary(&fixture.flush());
     assert_eq!(sent[0].2, 1);
-    rig.session.request(sotw(Kind::Clusters, &[], &sent[0].1, None)).unwrap();
-    let sent = said(&rig.flush());
+    fixture.session.request(sotw(Kind::Clusters, &[], &sent[0].1, None)).unwrap();
+    let sent = summary(&fixture.flush());
     assert_eq!(sent[0].2, 0, "nothing is subscribed to, and the proxy is told so");
-    rig.session.request(sotw(Kind::Clusters, &["*"], &sent[0].1, None)).unwrap();
-    assert_eq!(said(&rig.flush())[0].2, 2);
+    fixture.session.request(sotw(Kind::Clusters, &["*"], &sent[0].1, None)).unwrap();
+    assert_eq!(summary(&fixture.flush())[0].2, 2);
 }
 
 #[test]
-fn delta_sends_changes_says_what_does_not_exist_and_answers_what_is_asked_again() {
-    let mut rig = Rig::new(Request::Delta(delta(Kind::Endpoints, &["match", "nobody"], &[], "")));
-    let flushed = rig.flush();
+fn delta_sends_changes_reports_missing_names_and_resends_on_request() {
+    let mut fixture = Fixture::new(Request::Delta(delta(Kind::Endpoints, &["match", "nobody"], &[], "")));
+    let flushed = fixture.flush();
     let Response::Delta(first) = &flushed.responses[0] else { panic!() };
     assert_eq!(
         (first.resources.len(), first.removed_resources.as_slice()),
         (1, ["nobody".to_string()].as_slice())
     );
-    let heard = rig.session.request(Request::Delta(delta(Kind::Endpoints, &[], &[], &first.nonce))).unwrap();
-    assert_eq!(heard, [Heard::Acked(rig.newest())]);
-    assert!(rig.flush().responses.is_empty());
-    rig.session.request(Request::Delta(delta(Kind::Endpoints, &["match"], &[], ""))).unwrap();
-    assert_eq!(said(&rig.flush())[0].2, 1, "asked for again");
-    rig.session.request(Request::Delta(delta(Kind::Endpoints, &[], &["match"], ""))).unwrap();
-    rig.roster(&["a", "b"]);
-    assert!(rig.flush().responses.is_empty());
+    let effects =
+        fixture.session.request(Request::Delta(delta(Kind::Endpoints, &[], &[], &first.nonce))).unwrap();
+    assert_eq!(effects, [Heard::Acked(fixture.newest())]);
+    assert!(fixture.flush().responses.is_empty());
+    fixture.session.request(Request::Delta(delta(Kind::Endpoints, &["match"], &[], ""))).unwrap();
+    assert_eq!(summary(&fixture.flush())[0].2, 1, "asked for again");
+    fixture.session.request(Request::Delta(delta(Kind::Endpoints, &[], &["match"], ""))).unwrap();
+    fixture.roster(&["a", "b"]);
+    assert!(fixture.flush().responses.is_empty());
 }
 
 #[test]
-fn a_proxy_that_comes_back_with_the_same_content_is_not_sent_it_again() {
-    let mut rig = Rig::new(Request::Delta(delta(Kind::Endpoints, &["match", "charge"], &[], "")));
-    let flushed = rig.flush();
+fn does_not_resend_content_that_a_reconnecting_proxy_holds() {
+    let mut fixture = Fixture::new(Request::Delta(delta(Kind::Endpoints, &["match", "charge"], &[], "")));
+    let flushed = fixture.flush();
     let Response::Delta(first) = &flushed.responses[0] else { panic!() };
-    let mut back = delta(Kind::Endpoints, &["match", "charge"], &[], "");
-    back.initial_resource_versions =
-        first.resources.iter().map(|one| (one.name.clone(), one.version.clone())).collect();
-    back.initial_resource_versions.insert("match".into(), "0123".into());
-    back.initial_resource_versions.insert("left over".into(), "4567".into());
-    let mut other = Rig::new(Request::Delta(back.clone()));
+    let mut reconnect = delta(Kind::Endpoints, &["match", "charge"], &[], "");
+    reconnect.initial_resource_versions =
+        first.resources.iter().map(|resource| (resource.name.clone(), resource.version.clone())).collect();
+    reconnect.initial_resource_versions.insert("match".into(), "0123".into());
+    reconnect.initial_resource_versions.insert("left over".into(), "4567".into());
+    let mut other = Fixture::new(Request::Delta(reconnect.clone()));
     let flushed = other.flush();
     let Response::Delta(again) = &flushed.responses[0] else { panic!() };
     assert_eq!(again.resources.len(), 1, "only the one whose mark differs");
     assert_eq!(again.removed_resources, ["left over"]);
-    back.initial_resource_versions =
-        first.resources.iter().map(|one| (one.name.clone(), one.version.clone())).collect();
-    let mut third = Rig::new(Request::Delta(back));
+    reconnect.initial_resource_versions =
+        first.resources.iter().map(|resource| (resource.name.clone(), resource.version.clone())).collect();
+    let mut third = Fixture::new(Request::Delta(reconnect));
     let flushed = third.flush();
     assert_eq!((flushed.responses.len(), flushed.acked), (0, Some(third.newest())));
 }
 
 #[test]
-fn a_stream_that_breaks_between_two_types_of_one_change_leaves_nothing_acknowledged() {
-    let mut rig = Rig::new(sotw(Kind::Endpoints, &["charge", "match"], "", None));
-    rig.session.request(sotw(Kind::Routes, &[encode::ROUTES], "", None)).unwrap();
-    let sent = said(&rig.flush());
-    rig.session.request(sotw(Kind::Routes, &[encode::ROUTES], &sent[1].1, None)).unwrap();
+fn a_stream_broken_between_two_types_of_a_change_acks_nothing() {
+    let mut fixture = Fixture::new(sotw(Kind::Endpoints, &["charge", "match"], "", None));
+    fixture.session.request(sotw(Kind::Routes, &[encode::ROUTE_CONFIG_NAME], "", None)).unwrap();
+    let sent = summary(&fixture.flush());
+    fixture.session.request(sotw(Kind::Routes, &[encode::ROUTE_CONFIG_NAME], &sent[1].1, None)).unwrap();
     // The endpoints' answer never comes; the proxy is back on a new stream, which starts from nothing.
-    let mut back = Session::new(0xabc, &sotw(Kind::Endpoints, &[], "", None));
-    back.request(sotw(Kind::Endpoints, &["charge", "match"], &sent[0].1, None)).unwrap();
-    let flushed = back.flush(&wire(), rig.engine.proxy(0).unwrap());
-    assert_eq!((said(&flushed)[0].2, flushed.acked), (2, None));
+    let mut new_session = Session::new(0xabc, &sotw(Kind::Endpoints, &[], "", None));
+    new_session.request(sotw(Kind::Endpoints, &["charge", "match"], &sent[0].1, None)).unwrap();
+    let flushed = new_session.flush(&wire(), fixture.engine.proxy(0).unwrap());
+    assert_eq!((summary(&flushed)[0].2, flushed.acked), (2, None));
 }
 
 proptest::proptest! {
     /// Whatever comes, in whatever order: no panic, and no more is acknowledged than was sent.
     #[test]
-    fn any_sequence_of_requests_is_borne(
+    fn accepts_any_sequence_of_requests(
         steps in proptest::collection::vec(
             (0usize..4, 0usize..4, 0u64..12, proptest::bool::ANY, 0usize..3), 1..60,
         ),
@@ -300,16 +305,16 @@
                 false => sotw(Kind::ALL[kind], names[names_at], &nonce, error.then_some("no")),
             }
         };
-        let mut rig = Rig::new(make(steps[0]));
+        let mut fixture = Fixture::new(make(steps[0]));
         for step in &steps {
-            for heard in rig.session.request(make(*step)).unwrap() {
-                if let Heard::Acked(version) = heard {
-                    proptest::prop_assert!(version <= rig.newest());
+            for effect in fixture.session.request(make(*step)).unwrap() {
+                if let Heard::Acked(version) = effect {
+                    proptest::prop_assert!(version <= fixture.newest());
                 }
             }
             match step.4 {
-                0 => drop(rig.flush()),
-                1 => rig.roster(if step.3 { &["a", "b"] } else { &["b", "c"] }),
+                0 => drop(fixture.flush()),
+                1 => fixture.roster(if step.3 { &["a", "b"] } else { &["b", "c"] }),
                 _ => {}
             }
         }
@@ -317,7 +322,7 @@
 }
 
 #[test]
-fn who_comes_back_with_tables_is_not_told_that_there_are_none_before_there_are() {
+fn does_not_remove_held_tables_before_new_ones_are_published() {
     let now = Duration::from_secs(100);
     let mut engine = Engine::new(EngineSettings::example(2), now);
     engine.update_roster(now, entries(&["a", "b", "c"]));
@@ -336,10 +341,10 @@
     let mut session = Session::new(0xabc, &Request::Delta(first.clone()));
     session.request(Request::Delta(first)).unwrap();
     let flushed = session.flush(&wire(), engine.proxy(0).unwrap());
-    let Response::Delta(told) = &flushed.responses[0] else { panic!() };
-    assert_eq!(told.removed_resources, ["nobody"], "what is unknown for ever, and nothing else");
+    let Response::Delta(response) = &flushed.responses[0] else { panic!() };
+    assert_eq!(response.removed_resources, ["nobody"], "what is unknown for ever, and nothing else");
     let later = now + Duration::from_millis(300);
     while engine.next_action(later).is_some() {}
     let flushed = session.flush(&wire(), engine.proxy(0).unwrap());
-    assert_eq!(said(&flushed)[0].2, 1);
+    assert_eq!(summary(&flushed)[0].2, 1);
 }
--- a/crates/xds/src/tests.rs
+++ b/crates/xds/src/tests.rs
@@ -1,11 +1,18 @@
-use super::said_by;
+use super::parse_identifier;
 
 #[test]
-fn who_says_an_order_is_read_as_it_was_written() {
-    assert_eq!(said_by("wrenthread/g1/1f"), Some(("g1", 31, None)));
-    assert_eq!(said_by("wrenthread/g1/1f/k.67.1f.2.70.00"), Some(("g1", 31, Some("k.67.1f.2.70.00"))));
+fn parses_control_plane_identifiers() {
+    assert_eq!(parse_identifier("wrenthread/g1/1f"), Some(("g1", 31, None)));
     assert_eq!(
-        (said_by("another/g1/1f"), said_by("wrenthread/g1"), said_by("wrenthread/g1/x")),
+        parse_identifier("wrenthread/g1/1f/k.67.1f.2.70.00"),
+        Some(("g1", 31, Some("k.67.1f.2.70.00")))
+    );
+    assert_eq!(
+        (
+            parse_identifier("another/g1/1f"),
+            parse_identifier("wrenthread/g1"),
+            parse_identifier("wrenthread/g1/x")
+        ),
         (None, None, None)
     );
 }
--- a/crates/xds/src/upstream.rs
+++ b/crates/xds/src/upstream.rs
@@ -20,31 +20,32 @@
 use crate::pb::google::rpc::Status;
 
 /// First wait after a broken stream, doubled up to the second.
-const AGAIN: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(10));
+const RETRY_BACKOFF: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(10));
 
 /// What a response says, put beside what was known: the new whole list, or why it is not taken.
 ///
 /// Endpoints come by cluster, and a response need not name all of them: those it leaves out stay as they
 /// were.
-pub fn merged(
+pub fn merge_response(
     wire: &Wire,
     known: &BTreeMap<String, Vec<RosterEntry>>,
     response: &DiscoveryResponse,
-    started: impl Fn(f64) -> Option<Duration>,
+    started_at: impl Fn(f64) -> Option<Duration>,
 ) -> Result<BTreeMap<String, Vec<RosterEntry>>, String> {
     let mut merged = known.clone();
     for resource in &response.resources {
         let assignment = ClusterLoadAssignment::decode(resource.value.as_slice())
             .map_err(|error| format!("not a ClusterLoadAssignment: {error}"))?;
-        let entries = decode::entries(wire, &assignment, &started).map_err(|error| error.to_string())?;
+        let entries =
+            decode::roster_entries(wire, &assignment, &started_at).map_err(|error| error.to_string())?;
         merged.insert(assignment.cluster_name, entries);
     }
-    let mut seen = BTreeMap::new();
+    let mut cluster_by_replica = BTreeMap::new();
     for (cluster, entries) in &merged {
         for entry in entries {
-            if let Some(other) = seen.insert(entry.id.clone(), cluster) {
+            if let Some(other_cluster) = cluster_by_replica.insert(entry.id.clone(), cluster) {
                 return Err(format!(
-                    "replica `{}` is in `{other}` and in `{cluster}`, or twice in one",
+                    "replica `{}` is in `{other_cluster}` and in `{cluster}`, or twice in one",
                     entry.id
                 ));
             }
@@ -59,29 +60,29 @@
     wire: Wire,
     uri: String,
     clusters: Vec<String>,
-    started: impl Fn(f64) -> Option<Duration> + Clone,
-    lists: mpsc::Sender<Vec<RosterEntry>>,
+    started_at: impl Fn(f64) -> Option<Duration> + Clone,
+    rosters: mpsc::Sender<Vec<RosterEntry>>,
 ) {
-    let (mut known, mut wait) = (BTreeMap::new(), AGAIN.0);
-    while !lists.is_closed() {
-        match once(&wire, &uri, &clusters, &started, &lists, &mut known).await {
-            Ok(true) => wait = AGAIN.0,
+    let (mut known, mut backoff) = (BTreeMap::new(), RETRY_BACKOFF.0);
+    while !rosters.is_closed() {
+        match follow_stream(&wire, &uri, &clusters, &started_at, &rosters, &mut known).await {
+            Ok(true) => backoff = RETRY_BACKOFF.0,
             Ok(false) => {}
             Err(error) => {
                 tracing::warn!(%uri, %error, "the upstream roster can't be followed; the last list stays");
             }
         }
-        tokio::time::sleep(wait).await;
-        wait = (2 * wait).min(AGAIN.1);
+        tokio::time::sleep(backoff).await;
+        backoff = (2 * backoff).min(RETRY_BACKOFF.1);
     }
 }
 
-async fn once(
+async fn follow_stream(
     wire: &Wire,
     uri: &str,
     clusters: &[String],
-    started: &(impl Fn(f64) -> Option<Duration> + Clone),
-    lists: &mpsc::Sender<Vec<RosterEntry>>,
+    started_at: &(impl Fn(f64) -> Option<Duration> + Clone),
+    rosters: &mpsc::Sender<Vec<RosterEntry>>,
     known: &mut BTreeMap<String, Vec<RosterEntry>>,
 ) -> Result<bool, Box<dyn std::error::Error>> {
     let endpoint = Endpoint::from_shared(uri.to_string())?
@@ -90,7 +91,7 @@
         .keep_alive_while_idle(true);
     let mut client = AggregatedDiscoveryServiceClient::new(endpoint.connect().await?);
     let (requests, stream) = mpsc::channel(4);
-    let ask = |version: &str, nonce: &str, error: Option<String>, node: bool| DiscoveryRequest {
+    let request = |version: &str, nonce: &str, error: Option<String>, node: bool| DiscoveryRequest {
         version_info: version.to_string(),
         node: node.then(|| Node { id: format!("wrenthread-{:x}", wire.epoch), ..Node::default() }),
         resource_names: clusters.to_vec(),
@@ -99,26 +100,26 @@
         error_detail: error.map(|message| Status { code: 3, message, ..Status::default() }),
         ..DiscoveryRequest::default()
     };
-    requests.send(ask("", "", None, true)).await?;
+    requests.send(request("", "", None, true)).await?;
     let mut responses = client.stream_aggregated_resources(ReceiverStream::new(stream)).await?.into_inner();
-    let (mut version, mut any) = (String::new(), false);
+    let (mut version, mut accepted_any) = (String::new(), false);
     while let Some(response) = responses.next().await {
         let response = response?;
-        match merged(wire, known, &response, started) {
+        match merge_response(wire, known, &response, started_at) {
             Ok(merged) => {
                 *known = merged;
-                any = true;
+                accepted_any = true;
                 version.clone_from(&response.version_info);
-                requests.send(ask(&version, &response.nonce, None, false)).await?;
-                lists.send(known.values().flatten().cloned().collect()).await?;
+                requests.send(request(&version, &response.nonce, None, false)).await?;
+                rosters.send(known.values().flatten().cloned().collect()).await?;
             }
             Err(error) => {
                 tracing::warn!(%uri, %error, "a list of the upstream is not taken; the last one stays");
-                requests.send(ask(&version, &response.nonce, Some(error), false)).await?;
+                requests.send(request(&version, &response.nonce, Some(error), false)).await?;
             }
         }
     }
-    Ok(any)
+    Ok(accepted_any)
 }
 
 #[cfg(test)]
--- a/crates/xds/src/upstream/tests.rs
+++ b/crates/xds/src/upstream/tests.rs
@@ -7,10 +7,10 @@
 use wrenthread::types::Phase;
 
 fn response(cluster: &str, zone: &str, addresses: &[(&str, HealthStatus)]) -> DiscoveryResponse {
-    let endpoint = |(at, health): &(&str, HealthStatus)| LbEndpoint {
+    let endpoint = |(address, health): &(&str, HealthStatus)| LbEndpoint {
         health_status: *health as i32,
         host_identifier: Some(HostIdentifier::Endpoint(Endpoint {
-            address: Some(encode::address(at)),
+            address: Some(encode::address(address)),
             ..Endpoint::default()
         })),
         ..LbEndpoint::default()
@@ -42,28 +42,28 @@
 }
 
 #[test]
-fn clusters_that_a_response_leaves_out_stay_and_health_becomes_a_phase() {
-    let none = |_| None;
-    let one = response("a", "north", &[("10.0.0.1:1", HealthStatus::Healthy)]);
-    let known = merged(&wire(), &BTreeMap::new(), &one, none).unwrap();
-    let two = response(
+fn keeps_clusters_missing_from_a_response_and_maps_health_to_phases() {
+    let no_start_time = |_| None;
+    let first = response("a", "north", &[("10.0.0.1:1", HealthStatus::Healthy)]);
+    let known = merge_response(&wire(), &BTreeMap::new(), &first, no_start_time).unwrap();
+    let second = response(
         "b",
         "north",
         &[("10.0.0.2:1", HealthStatus::Draining), ("10.0.0.3:1", HealthStatus::Unhealthy)],
     );
-    let known = merged(&wire(), &known, &two, none).unwrap();
+    let known = merge_response(&wire(), &known, &second, no_start_time).unwrap();
     let phases: Vec<Phase> = known.values().flatten().map(|entry| entry.phase).collect();
     assert_eq!(phases, [Phase::Ready, Phase::Draining, Phase::Ready]);
 }
 
 #[test]
-fn lists_with_an_error_in_them_are_refused_with_its_place() {
-    let why = |response| merged(&wire(), &BTreeMap::new(), &response, |_| None).unwrap_err();
+fn rejects_invalid_responses_with_the_location_of_the_error() {
+    let error = |response| merge_response(&wire(), &BTreeMap::new(), &response, |_| None).unwrap_err();
     let twice = [("10.0.0.1:1", HealthStatus::Healthy), ("10.0.0.1:1", HealthStatus::Healthy)];
-    assert!(why(response("a", "north", &twice)).contains("twice in one"));
-    let zone = why(response("a", "west", &twice));
+    assert!(error(response("a", "north", &twice)).contains("twice in one"));
+    let zone = error(response("a", "west", &twice));
     assert!(zone.contains("endpoint 1 of `a`") && zone.contains("`west`"), "{zone}");
-    let mut cut = response("a", "north", &twice);
-    cut.resources[0].value.truncate(9);
-    assert!(why(cut).contains("not a ClusterLoadAssignment"));
+    let mut truncated = response("a", "north", &twice);
+    truncated.resources[0].value.truncate(9);
+    assert!(error(truncated).contains("not a ClusterLoadAssignment"));
 }
