--- a/crates/client/examples/follow.rs
+++ b/crates/client/examples/follow.rs
@@ -1,5 +1,5 @@
-//! Follows a governor by long-poll and prints what it is told: `cargo run -p wrenthread-client --example
-//! follow -- http://127.0.0.1:15012 NAME ZONE GROUP ...`
+//! Follows a governor by long poll and prints the tables that it receives:
+//! `cargo run -p wrenthread-client --example follow -- http://127.0.0.1:15012 NAME ZONE GROUP ...`
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -13,9 +13,9 @@
 
 impl Observer for PrintingObserver {
     fn update_received(&self, version: &str, entries: usize, tables: &UpdatedTables) {
-        println!("version {version}, {entries} lines");
+        println!("version {version}, {entries} entries");
         for (group, (entries, admission_fraction)) in tables {
-            println!("  {group}: level {admission_fraction}, {entries:?}");
+            println!("  {group}: admission fraction {admission_fraction}, {entries:?}");
         }
     }
 }
@@ -25,12 +25,12 @@
     let mut arguments = std::env::args().skip(1);
     let (Some(base_url), Some(name), Some(zone)) = (arguments.next(), arguments.next(), arguments.next())
     else {
-        eprintln!("follow http://HOST:PORT NAME ZONE GROUP ...");
+        eprintln!("usage: follow http://HOST:PORT NAME ZONE GROUP ...");
         std::process::exit(2);
     };
     let cache = Rc::new(RefCell::new(TableCache::new(arguments.collect(), vec![], None)));
     let identity = ProxyIdentity { name, zone, requests_per_second: 1.0 };
-    // The table is kept over broken sessions: only the session is joined anew.
+    // The tables are kept across sessions; only the session is joined again.
     loop {
         match Session::join(&base_url, &identity, &cache).await {
             Ok(session) => {
--- a/crates/client/examples/follow_grpc.rs
+++ b/crates/client/examples/follow_grpc.rs
@@ -1,4 +1,4 @@
-//! Follows a governor by the public protocol, reports every interval, and prints what it is told:
+//! Follows a governor by xDS, reports load at the requested interval, and prints the tables that it receives:
 //! `cargo run -p wrenthread-client --example follow_grpc -- http://127.0.0.1:15010 NAME ZONE GROUP ...`
 
 use std::cell::RefCell;
@@ -14,9 +14,9 @@
 
 impl Observer for PrintingObserver {
     fn update_received(&self, nonce: &str, entries: usize, tables: &UpdatedTables) {
-        println!("{nonce}: {entries} lines");
+        println!("{nonce}: {entries} entries");
         for (group, (entries, admission_fraction)) in tables {
-            println!("  {group}: level {admission_fraction}, {entries:?}");
+            println!("  {group}: admission fraction {admission_fraction}, {entries:?}");
         }
     }
 }
@@ -42,7 +42,7 @@
 async fn main() {
     let mut arguments = std::env::args().skip(1);
     let (Some(uri), Some(name), Some(zone)) = (arguments.next(), arguments.next(), arguments.next()) else {
-        eprintln!("follow_grpc http://HOST:PORT NAME ZONE GROUP ...");
+        eprintln!("usage: follow_grpc http://HOST:PORT NAME ZONE GROUP ...");
         std::process::exit(2);
     };
     let cache = Rc::new(RefCell::new(TableCache::new(arguments.collect(), vec![], None)));
@@ -51,7 +51,7 @@
     let governor = Governor { grpc: uri.clone(), ..Governor::default() };
     let following = async {
         loop {
-            // The table, and the marks of what is held, outlive the stream.
+            // The tables and their versions are kept across streams.
             if let Err(error) =
                 grpc::follow(&governor, &identity, true, &cache, &versions, &PrintingObserver).await
             {
--- a/crates/client/src/grpc.rs
+++ b/crates/client/src/grpc.rs
@@ -1,4 +1,4 @@
-//! Following a governor by the public protocol, in either variant of ADS, and reporting by LRS.
+//! Follows a governor by xDS, in either variant of ADS, and reports load by LRS.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -35,7 +35,8 @@
 use crate::table_cache::{ReportCounters, TableCache};
 use crate::{Error, Governor, Observer, ProxyIdentity, UpdatedTables};
 
-/// The versions that a proxy holds, by type and resource name; with an empty name, of a whole type. They outlive streams.
+/// The versions that a proxy holds, by type and resource name; an empty name stands for the whole type. They are kept
+/// across streams.
 #[derive(Debug, Clone, Default)]
 pub struct Versions(BTreeMap<(Kind, String), String>);
 
@@ -50,13 +51,13 @@
     }
 }
 
-/// Interval of HTTP/2 keepalives: a governor's process may stand still while its sockets stay up.
+/// Interval of HTTP/2 keepalives, which detect a governor whose process hangs while its sockets stay open.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a keepalive may go unanswered before the stream ends.
+/// Timeout of a keepalive; the stream ends after it.
 const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the first answer on a stream may take.
+/// Timeout of the initial response headers of a stream.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a connection may take.
+/// Timeout of connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 async fn with_answer_timeout<T>(
@@ -98,13 +99,15 @@
     }
 }
 
-/// Endpoints first: their request says that the proxy holds tables of a governor.
+/// The subscriptions by type. Endpoints come first, as their request states whether the proxy holds a governor's
+/// tables.
 fn subscriptions(cache: &TableCache) -> [(Kind, Vec<String>); 3] {
     let routes = vec![encode::ROUTE_CONFIG_NAME.to_string()];
     [(Kind::Endpoints, cache.classes().to_vec()), (Kind::Clusters, vec![]), (Kind::Routes, routes)]
 }
 
-/// Checks whether a response may be applied, if its governor is one of several: by its name, epoch and version.
+/// Checks by governor, epoch and version whether a response may be applied. A governor
+/// without a name is the only one and is not checked.
 fn check_ownership(
     governor: &Governor,
     cache: &Rc<RefCell<TableCache>>,
@@ -117,12 +120,12 @@
     let identifier = control.map(|control| control.identifier.as_str()).unwrap_or_default();
     let version = version.rsplit_once('.').and_then(|(_, version)| version.parse().ok());
     let (Some((name, epoch, claim)), Some(version)) = (parse_identifier(identifier), version) else {
-        return Err(decode_error("an order that does not say whose it is"));
+        return Err(decode_error("a response without a valid governor identifier or version"));
     };
     Ok(cache.borrow_mut().accept(name, epoch, version, claim)?)
 }
 
-/// Follows over one stream until it ends. The tables stay as they are then; call it again with the same `versions`.
+/// Follows a governor over one stream until it ends. The cached tables are kept; call it again with the same `versions`.
 ///
 /// # Errors
 /// Why the stream ended.
@@ -247,7 +250,7 @@
     Err(Error::Ended)
 }
 
-/// Applies a response: all of it, or none if some of it does not decode.
+/// Applies a response completely, or not at all if a part of it does not decode.
 fn apply_response(
     kind: Kind,
     nonce: &str,
@@ -318,17 +321,17 @@
 
 /// A stream of load reports.
 pub struct Reports {
-    /// How often the governor wants them.
+    /// The interval that the governor requested.
     pub every: Duration,
     requests: mpsc::Sender<LoadStatsRequest>,
     answers: Streaming<LoadStatsResponse>,
 }
 
 impl Reports {
-    /// Opens a stream, and learns how often to report.
+    /// Opens a stream and receives the reporting interval.
     ///
     /// # Errors
-    /// The governor can't be reached, or wants no reports.
+    /// The governor can't be reached, or requests no reports.
     pub async fn open(
         uri: &str,
         identity: &ProxyIdentity,
@@ -341,7 +344,9 @@
         let answers = client.stream_load_stats(ReceiverStream::new(stream));
         let mut answers = with_answer_timeout(uri, answers).await?.into_inner();
         let first_response = answers.next().await.ok_or(Error::Ended)?.map_err(status(uri))?;
-        let every = first_response.load_reporting_interval.ok_or_else(|| decode_error("no interval"))?;
+        let every = first_response
+            .load_reporting_interval
+            .ok_or_else(|| decode_error("a response without a load reporting interval"))?;
         let every = Duration::new(every.seconds.max(0) as u64, every.nanos.clamp(0, 999_999_999) as u32);
         Ok(Reports { every, requests, answers })
     }
@@ -349,7 +354,7 @@
     /// Waits until the next report is due.
     ///
     /// # Errors
-    /// The stream is over.
+    /// The stream ended.
     pub async fn wait(&mut self) -> Result<(), Error> {
         tokio::select! {
             () = tokio::time::sleep(self.every) => Ok(()),
@@ -357,13 +362,13 @@
         }
     }
 
-    /// Where reports are sent, for senders that outlive this borrow.
+    /// The sender of reports, for use beyond a borrow of this value.
     pub fn sender(&self) -> mpsc::Sender<LoadStatsRequest> {
         self.requests.clone()
     }
 }
 
-/// A report as an LRS request. `metrics`: the names of the load metrics, in order.
+/// Encodes a report as an LRS request. `metrics` are the names of the load metrics, in order.
 pub fn request(
     groups: &[String],
     interval: Duration,
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,8 +1,8 @@
-//! For proxies in Rust: follow a governor by gRPC or long poll, cache its tables while streams break, pick replicas by
-//! weight, enforce admission fractions and retry policies, and report load.
+//! Client library for proxies: follows a governor by gRPC or long poll, caches its tables across broken streams, picks
+//! replicas by weight, enforces admission fractions and retry policies, and reports load.
 //!
-//! [`table_cache::TableCache`] is the table cache, without I/O; [`grpc`] and [`poll`] keep it up to date and report for it. All of
-//! it lives on one thread (a tokio `LocalSet`), so nothing is locked.
+//! [`table_cache::TableCache`] is the table cache, without I/O; [`grpc`] and [`poll`] update it and send its reports.
+//! Everything runs on one thread (a tokio `LocalSet`), so there are no locks.
 //!
 //! ```
 //! use std::time::Duration;
@@ -10,7 +10,7 @@
 //!
 //! let default_table = vec![DefaultEntry { replica: "r1".into(), address: "10.0.0.1:80".into(), weight: 1.0 }];
 //! let mut cache = TableCache::new(vec!["match".into()], default_table, None);
-//! // Two numbers from 0 up to 1, from the proxy's own source of chance.
+//! // Two random numbers from 0 (included) to 1 (excluded), from the proxy's own generator.
 //! let address = cache.pick(Duration::ZERO, 0, (0.2, 0.7), None).unwrap();
 //! assert_eq!(&*address, "10.0.0.1:80");
 //! cache.attempt_started(0, &address);
@@ -26,14 +26,14 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Who a proxy is.
+/// The identity of a proxy.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ProxyIdentity {
-    /// Its name; no other proxy has it.
+    /// Its unique name.
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// Requests per second that it ordinarily receives.
+    /// The requests per second that it usually receives.
     pub requests_per_second: f64,
 }
 
@@ -42,11 +42,11 @@
 
 /// Observes streams and responses.
 pub trait Observer {
-    /// A first message went out on a new stream, or a session was opened.
+    /// The first messages were sent on a new stream, or a session was opened.
     fn connected(&self) {}
-    /// The stream or session is over.
+    /// The stream or session ended.
     fn disconnected(&self) {}
-    /// A response came: its nonce or version, the number of its entries, and its tables.
+    /// A response was received: its nonce or version, the number of its entries, and its tables.
     fn update_received(&self, _version: &str, _entries: usize, _tables: &UpdatedTables) {}
     /// The response was accepted, or rejected.
     fn update_answered(&self, _version: &str, _accepted: bool) {}
@@ -58,10 +58,10 @@
 
 impl Observer for NoObserver {}
 
-/// A governor, by its name among those that share the fleet (empty where it is alone), and its ports.
+/// A governor: its name and the URLs of its ports.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Governor {
-    /// Its name.
+    /// Its name among the governors that share the fleet; empty if it is the only one.
     pub name: String,
     /// `http://host:port` for gRPC.
     pub grpc: String,
@@ -69,8 +69,8 @@
     pub poll: String,
 }
 
-/// Whether a governor at a gRPC port serves proxies, by the public health protocol, within a second. One that answers
-/// but does not implement that protocol does.
+/// Whether the governor at a gRPC port answers the standard health check as serving within a second. A server that
+/// does not implement the health check counts as serving.
 pub async fn answers(uri: &str) -> bool {
     let check = async {
         let channel = grpc::connect(uri).await.ok()?;
@@ -83,20 +83,21 @@
     tokio::time::timeout(std::time::Duration::from_secs(1), check).await.ok().flatten().unwrap_or(false)
 }
 
-/// Why a governor can't be followed, or no longer.
+/// Why following a governor failed or ended.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// Its tables belong to another governor, or are outdated.
-    #[error("an order is not heeded: {0}")]
+    /// A response was rejected because its tables are outdated or come from another governor.
+    #[error("tables rejected by the ownership check: {0}")]
     Fenced(#[from] wrenthread_core::fencing::FencingError),
-    /// It can't be reached: its address, and the cause.
-    #[error("the governor at {0}: {1}")]
+    /// A request failed: the governor's address, and the cause.
+    #[error("request to the governor at {0} failed: {1}")]
     Unreachable(String, String),
-    /// It rejected the proxy, for this reason.
-    #[error("the governor turned the proxy away: {0}")]
+    /// The governor rejected the request, for this reason.
+    #[error("the governor rejected the request: {0}")]
     Rejected(String),
-    /// It redirects the proxy to a governor of this name; none: to the next in the proxy's own ranking.
-    #[error("the governor sends the proxy on to {}", .0.as_deref().unwrap_or("whoever is next"))]
+    /// The governor redirects the proxy to the governor with this name; none: to the next one in the proxy's own
+    /// ranking.
+    #[error("the governor redirects the proxy to {}", .0.as_deref().unwrap_or("the next governor of its ranking"))]
     Moved(Option<String>),
     /// A response does not decode.
     #[error("what came can't be understood: {0}")]
--- a/crates/client/src/poll.rs
+++ b/crates/client/src/poll.rs
@@ -1,4 +1,4 @@
-//! Following a governor by long polls over HTTP, and reporting to it.
+//! Follows a governor by long polls over HTTP, and reports load to it.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,12 +16,12 @@
 use crate::table_cache::{ReportCounters, TableCache};
 use crate::{Error, Observer, ProxyIdentity, UpdatedTables};
 
-/// How long the governor may keep a poll waiting. Plain HTTP has no sign of life besides its answers: a governor that
-/// stands still is found after this and [`ANSWER_TIMEOUT`].
+/// How long the governor may delay the response to a poll. Plain HTTP has no keepalive besides responses, so a governor
+/// that hangs is detected after this time plus [`ANSWER_TIMEOUT`].
 const POLL_WAIT: Duration = Duration::from_secs(4);
-/// How long an answer may take, beside the time that a poll waits.
+/// Timeout of a response, in addition to the delay of a poll.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a connection may take.
+/// Timeout of connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A session with a governor.
@@ -30,7 +30,7 @@
     client: Client,
     base: String,
     session: u64,
-    /// What the governor stated when it was joined.
+    /// The parameters that the governor stated in its response to the join.
     pub parameters: SessionParameters,
 }
 
@@ -99,10 +99,10 @@
         Ok(Session { client, base, session: response.session, parameters: response.parameters })
     }
 
-    /// Polls once, and applies what comes.
+    /// Polls once, and applies the response.
     ///
     /// # Errors
-    /// The session is over, or the response does not decode; join again.
+    /// The session ended, or the response is invalid; join again.
     pub async fn ask(&self, cache: &Rc<RefCell<TableCache>>, observer: &impl Observer) -> Result<(), Error> {
         let mut url = format!("{}/tables?session={}&wait={}", self.base, self.session, POLL_WAIT.as_secs());
         if let Some((version, digest)) = cache.borrow().held_version() {
@@ -144,7 +144,7 @@
         Ok(())
     }
 
-    /// Sends a report; repeat it under the same number if the answer is lost. False if it was counted already.
+    /// Sends a report; repeat it with the same number if the response is lost. False if it was counted already.
     ///
     /// # Errors
     /// As [`Session::ask`].
@@ -156,10 +156,10 @@
     }
 }
 
-/// Follows one session until it ends. The tables stay as they are then.
+/// Follows a governor over one session until it ends. The cached tables are kept.
 ///
 /// # Errors
-/// Why it ended.
+/// Why the session ended.
 pub async fn follow(
     session: &Session,
     cache: &Rc<RefCell<TableCache>>,
@@ -170,8 +170,8 @@
     }
 }
 
-/// A report as a long-poll message. Replicas are named as the tables named them; an address that is forgotten is left
-/// out.
+/// Encodes a report as a long-poll message. Replicas have the names from the tables; addresses without a known replica
+/// are omitted.
 pub fn report(cache: &TableCache, interval: Duration, stats: &ReportCounters) -> ReportRequest {
     let groups = cache.classes();
     let replicas = stats.replicas.iter().filter_map(|((group, at), counters)| {
--- a/crates/client/src/table_cache.rs
+++ b/crates/client/src/table_cache.rs
@@ -1,5 +1,5 @@
-//! A proxy's table cache: the tables that its governor published last, or its default table; statistics for the next
-//! report; and the addresses that it ejected.
+//! A proxy's table cache: the last tables that its governor published, or its default table; statistics for the next
+//! report; and ejected addresses.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
     self, Delta, Digest, MILLION, Mismatch, PublishedState, PublishedTable,
 };
 
-/// Limit of the remembered replicas; beyond it they are forgotten, and learnt again from the next tables.
+/// Maximum number of remembered replicas. Beyond it all are forgotten, and learnt again from the next tables.
 const MAX_KNOWN_REPLICAS: usize = 100_000;
 
 /// An entry of the default table.
@@ -34,7 +34,7 @@
     pub succeeded: u64,
     /// Attempts that failed.
     pub failed: u64,
-    /// Sum of the answer times of those that succeeded.
+    /// Sum of the answer times of successful attempts.
     pub latency_sum: Duration,
     /// Sum of the load metrics over the successful attempts that reported them.
     pub load: Vec<f64>,
@@ -69,7 +69,7 @@
     admission_fraction: f64,
 }
 
-/// The table cache of one proxy. No I/O, no clock.
+/// The table cache of one proxy. It does no I/O and reads no clock.
 #[derive(Debug)]
 pub struct TableCache {
     classes: Vec<String>,
@@ -79,10 +79,10 @@
     /// Long poll: the state that deltas apply to.
     state: PublishedState,
     held_version: Option<(String, Digest)>,
-    /// Which governor is followed, and the ownership proof of the tables that are held.
+    /// Which governor is followed, and in which version.
     fencing: FencingState,
     ownership_proof: Option<String>,
-    /// Replicas by the addresses that tables named.
+    /// Replicas by address, from the tables.
     replica_by_address: BTreeMap<Arc<str>, String>,
     ejection: Option<(u32, Duration)>,
     consecutive_failures: BTreeMap<Arc<str>, u32>,
@@ -91,7 +91,7 @@
 }
 
 impl TableCache {
-    /// `ejection`: after so many failures in a row an address is ejected for so long.
+    /// `ejection`: the number of consecutive failures after which an address is ejected, and for how long.
     pub fn new(
         groups: Vec<String>,
         default_entries: Vec<DefaultEntry>,
@@ -127,7 +127,7 @@
 
     // ---- ownership
 
-    /// From now on only this governor's tables are accepted.
+    /// Accepts only this governor's tables from now on.
     pub fn follow_governor(&mut self, governor: &str) {
         self.fencing.follow(governor);
     }
@@ -135,7 +135,7 @@
     /// Checks whether tables of a governor's epoch and version may be applied, and keeps their ownership proof.
     ///
     /// # Errors
-    /// They come from another governor, or are outdated.
+    /// The tables come from another governor, or are outdated.
     pub fn accept(
         &mut self,
         governor: &str,
@@ -148,14 +148,14 @@
         Ok(())
     }
 
-    /// The ownership proof, for the governor that is joined next.
+    /// The ownership proof of the cached tables, for the governor that is joined next.
     pub fn ownership_proof(&self) -> Option<&str> {
         self.ownership_proof.as_deref()
     }
 
     // ---- tables
 
-    /// The index of a group; none for an unknown one.
+    /// The index of a group; none if it is unknown.
     pub fn class_index(&self, group: &str) -> Option<usize> {
         self.classes.iter().position(|known| known == group)
     }
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Removes a group's table: the default table is used again.
+    /// Removes a group's table, so that the default table is used again.
     pub fn use_default_table(&mut self, group: &str) {
         if let Some(index) = self.class_index(group) {
             self.tables[index] = None;
@@ -186,13 +186,13 @@
         self.held_version.as_ref()
     }
 
-    /// Whether it holds anything but its default table: also where a delta did not apply and the next poll requests a
-    /// snapshot.
+    /// Whether it holds any table besides the default table. This stays true if a delta did not apply and the next poll
+    /// requests a snapshot.
     pub fn holds_governor_tables(&self) -> bool {
         self.tables.iter().any(Option::is_some)
     }
 
-    /// Sets a snapshot, which was validated already.
+    /// Applies a snapshot, which must be valid.
     pub fn set_state(&mut self, version: String, state: PublishedState) {
         self.held_version = Some((version, state.digest()));
         if self.replica_by_address.len() > MAX_KNOWN_REPLICAS {
@@ -224,7 +224,7 @@
     /// Applies a delta, if it starts from the state that is held and results in the one that it names.
     ///
     /// # Errors
-    /// It does not; the tables stay, and the next poll requests a snapshot.
+    /// The delta does not apply; the tables are kept, and the next poll requests a snapshot.
     pub fn apply_delta(&mut self, version: String, delta: &Delta) -> Result<(), Mismatch> {
         let held = self.held_version.as_ref().map_or([0; 32], |(_, digest)| *digest);
         match table_versions::apply(&self.state, held, delta) {
@@ -239,7 +239,7 @@
         }
     }
 
-    /// All tables that were received, for observers.
+    /// All published tables that are held, for observers.
     pub fn updated_tables(&self) -> crate::UpdatedTables {
         let tables = self.classes.iter().zip(&self.tables);
         let tables = tables.filter_map(|(group, table)| Some((group, table.as_ref()?)));
@@ -248,7 +248,8 @@
             .collect()
     }
 
-    /// The replica at an address. Replicas are remembered for as long as their attempts may be reported.
+    /// The replica at an address. Replicas are remembered after they leave the tables, as their attempts may still be
+    /// reported.
     pub fn replica_at(&self, at: &str) -> Option<String> {
         let default_entry = self.default_table.iter().find(|entry| &*entry.address == at);
         default_entry.map(|entry| entry.replica.clone()).or_else(|| self.replica_by_address.get(at).cloned())
@@ -256,9 +257,9 @@
 
     // ---- requests
 
-    /// Picks the address for an attempt, by two random numbers from 0 up to 1. `excluded`: the address of the attempt before,
-    /// which is excluded. None: the request is rejected, by the admission fraction or for want of an entry; it is counted
-    /// if this is its first attempt.
+    /// Picks the address for an attempt, by two random numbers from 0 (included) to 1 (excluded). `excluded` is the
+    /// address of the previous attempt. None: the request is rejected, by the admission fraction or because no entry
+    /// is available; it is counted if this is its first attempt.
     pub fn pick(
         &mut self,
         now: Duration,
@@ -278,7 +279,7 @@
             let candidates = entries.iter().filter(|(at, _)| Some(*at) != excluded);
             let not_ejected: Vec<_> =
                 candidates.clone().filter(|(at, _)| !self.ejected_until.contains_key(*at)).collect();
-            // Where all are ejected, one that fails is better than none.
+            // If all are ejected, an address that fails is better than none.
             let eligible: Vec<_> = if not_ejected.is_empty() { candidates.collect() } else { not_ejected };
             let mut remaining = random.1 * eligible.iter().map(|(_, weight)| weight).sum::<f64>();
             let reached = |(_, weight): &&&(&Arc<str>, f64)| {
@@ -299,19 +300,19 @@
         self.retry_policy.get(group).copied().unwrap_or_default()
     }
 
-    /// Counts a request that was rejected before any attempt by other than [`TableCache::pick`].
+    /// Counts a request that was rejected before any attempt, other than by [`TableCache::pick`].
     pub fn request_rejected(&mut self, group: usize) {
         if let Some(rejected) = self.counters.rejected.get_mut(group) {
             *rejected += 1;
         }
     }
 
-    /// An attempt starts.
+    /// Counts the start of an attempt.
     pub fn attempt_started(&mut self, group: usize, at: &Arc<str>) {
         self.counters.replicas.entry((group, at.clone())).or_default().attempts += 1;
     }
 
-    /// An attempt ended.
+    /// Counts the outcome of an attempt, and ejects the address after too many consecutive failures.
     pub fn attempt_ended(&mut self, now: Duration, group: usize, at: &Arc<str>, outcome: Outcome) {
         let replica = self.counters.replicas.entry((group, at.clone())).or_default();
         match outcome {
@@ -335,7 +336,7 @@
         }
     }
 
-    /// Takes the statistics since the last time.
+    /// Returns the statistics since the last call, and resets them.
     pub fn take_counters(&mut self) -> ReportCounters {
         let no_rejections = vec![0; self.classes.len()];
         std::mem::replace(
--- a/crates/client/tests/model.rs
+++ b/crates/client/tests/model.rs
@@ -1,5 +1,5 @@
-//! Both fronts against one model: proxies on one engine, by state of the world, by delta and by long-poll,
-//! that skip, repeat and lose what they are told and start over, all end on what the engine says.
+//! Model test of all protocols: proxies of one engine, by state of the world, delta and long poll, that miss and lose
+//! responses and reconnect, must converge to the tables of the engine.
 
 #![allow(
     clippy::unwrap_used,
@@ -62,7 +62,7 @@
     }
 }
 
-/// One proxy of each kind: what it holds of the first group, and how it hears.
+/// A proxy: its protocol and the table that it holds of the first group.
 enum Proxy {
     Ads { delta: bool, session: Option<Session>, held: Option<(Table, String)> },
     Poll(Box<TableCache>),
@@ -102,7 +102,7 @@
         self.engine.update_roster(self.now, (0..6).map(entry).collect());
     }
 
-    /// The proxy's stream breaks, and it is back with what it holds.
+    /// Breaks the proxy's stream and reconnects it with the tables that it holds.
     fn reconnect(&mut self, index: usize) {
         self.streams += 1;
         let (stream, now) = (self.streams, self.now + Duration::from_secs(11));
@@ -149,7 +149,7 @@
         }
     }
 
-    /// A while goes by; proxies of the set are written to, and of those some lose what they are told.
+    /// Advances time and flushes the proxies of the first bit set; those of the second lose the response.
     fn advance(&mut self, reachable: u8, response_lost: u8) {
         self.now += Duration::from_secs(6);
         let mut broken_streams = Vec::new();
@@ -160,7 +160,7 @@
         }
         broken_streams.sort_unstable();
         broken_streams.dedup();
-        // What is lost on a stream breaks it.
+        // A lost response breaks the stream.
         broken_streams.into_iter().for_each(|index| self.reconnect(index));
         for index in 0..3 {
             let stream = self.engine.fleet().named(&format!("p{index}")).unwrap().1.stream;
@@ -170,7 +170,7 @@
         }
     }
 
-    /// The proxy whose stream breaks over it, if one does.
+    /// Flushes a proxy. Returns its index if the stream breaks.
     fn flush(&mut self, number: ProxyId, reachable: u8, response_lost: u8) -> Option<usize> {
         let proxy = self.engine.proxy(number).unwrap();
         let index: usize = proxy.name[1..].parse().unwrap();
@@ -222,7 +222,7 @@
         }
     }
 
-    /// What the engine says a proxy's first group is, and what the proxy holds.
+    /// The table of a proxy's first group by the engine, and the one that the proxy holds.
     fn expected_and_held(&self, index: usize) -> (Table, Table) {
         let (_, proxy) = self.engine.fleet().named(&format!("p{index}")).unwrap();
         let expected =
@@ -244,7 +244,7 @@
     let resources: Vec<(Vec<u8>, String)> = match response {
         Response::Sotw(sotw) => sotw.resources.iter().map(|any| (any.value.clone(), String::new())).collect(),
         Response::Delta(delta) => {
-            assert!(delta.removed_resources.is_empty(), "nobody is told to drop its table");
+            assert!(delta.removed_resources.is_empty(), "no table is removed");
             let contents = delta
                 .resources
                 .iter()
@@ -285,7 +285,7 @@
         }
     }
 
-    /// Messages of the public protocol, cut off and changed: an error, or something that is borne.
+    /// Truncated and corrupted xDS messages are rejected or handled without a panic.
     #[test]
     fn corrupt_xds_messages_cause_no_panic(
         cut in 0usize..300, at in 0usize..300, byte in any::<u8>(), second in any::<u8>(),
--- a/crates/xds/src/decode.rs
+++ b/crates/xds/src/decode.rs
@@ -1,5 +1,4 @@
-//! From the specification's messages to the core's words. What can't be understood is an error that says
-//! where.
+//! Decodes xDS and LRS messages into the types of the core. Errors name the offending field.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,19 +17,20 @@
 use crate::pb::envoy::config::endpoint::v3::{ClusterLoadAssignment, ClusterStats};
 use crate::pb::google::protobuf::{Struct, Value, value};
 
-/// The key under which nodes and endpoints say what the specification has no field for.
+/// Metadata key of nodes and endpoints for values that xDS has no field for.
 pub const METADATA_KEY: &str = "wrenthread";
-/// Longer names, and larger standing tables, are not taken.
+/// Maximum length of a node id.
 const MAX_NODE_ID_BYTES: usize = 256;
+/// Maximum number of entries in a node's default table.
 const MAX_DEFAULT_ENTRIES: usize = 1000;
 
-/// Why a message can't be understood.
+/// Why a message can't be decoded.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum DecodeError {
-    /// The first request names no node.
+    /// The first request of a stream has no node.
     #[error("the stream's first message has no node")]
     MissingNode,
-    /// The node's id is no name.
+    /// The node's id is empty or too long.
     #[error("node id: {0}")]
     InvalidNodeId(String),
     /// The node's zone is not in the settings.
@@ -38,12 +38,12 @@
     UnknownZone {
         /// The node's id.
         node: String,
-        /// The zone that it names.
+        /// The node's zone.
         zone: String,
-        /// The settings' zones.
+        /// The zones in the settings.
         known_zones: String,
     },
-    /// A field of the node's metadata can't be meant.
+    /// A field of the node's metadata is invalid.
     #[error("node `{node}`: metadata `wrenthread.{field}`: {reason}")]
     InvalidMetadata {
         /// The node's id.
@@ -53,12 +53,12 @@
         /// What is wrong with it.
         reason: String,
     },
-    /// An endpoint of an upstream's cluster can't be meant.
+    /// An endpoint of an upstream cluster is invalid.
     #[error("endpoint {position} of `{cluster}`: {reason}")]
     InvalidEndpoint {
         /// The cluster's name.
         cluster: String,
-        /// The endpoint's place in it.
+        /// The position of the endpoint in the cluster, from 1.
         position: usize,
         /// What is wrong with it.
         reason: String,
@@ -87,7 +87,7 @@
     metadata?.filter_metadata.get(METADATA_KEY)
 }
 
-/// A name that a node may have.
+/// Returns a node's id, after validation.
 pub fn name(node: Option<&Node>) -> Result<&str, DecodeError> {
     let node = node.ok_or(DecodeError::MissingNode)?;
     if node.id.is_empty() {
@@ -102,9 +102,10 @@
     Ok(&node.id)
 }
 
-/// What a node says of itself. `usual` stands in where it does not say how many flows it gets.
+/// Decodes the node of a stream's first request. `default_requests_per_second` applies if the node's metadata
+/// does not state its request rate.
 ///
-/// A node's standing table is its own word, in its metadata:
+/// The metadata holds the request rate (`usual`) and the default table (`standing`):
 /// `{"wrenthread": {"usual": 6.5, "standing": [{"replica": "r1", "weight": 1.0}, ...]}}`.
 pub fn join(
     wire: &Wire,
@@ -166,7 +167,7 @@
     Ok(join)
 }
 
-/// `host:port`, as the roster spells it.
+/// Formats an address as `host:port`, as in the roster.
 pub fn host_port(at: Option<&Address>) -> Option<String> {
     let Some(address::Address::SocketAddress(socket)) = &at?.address else { return None };
     let Some(PortSpecifier::PortValue(port)) = &socket.port_specifier else { return None };
@@ -176,9 +177,9 @@
     })
 }
 
-/// One proxy's load statistics, a report for each interval that its clusters name. `at` finds the replica at
-/// an address; groups that the settings don't know and lines without a known address are counted and left
-/// out.
+/// Decodes one proxy's load statistics into one report per reporting interval. `replica_at` returns the
+/// replica at an address. Clusters that are not in the settings and endpoints whose address is unknown are
+/// skipped; the second result is their number.
 pub fn reports(
     wire: &Wire,
     stats: &[ClusterStats],
@@ -220,7 +221,7 @@
                 metric(name)
                     .map(|metric| metric.total_metric_value / metric.num_requests_finished_with_metric as f64)
             };
-            // All fields or none: the module reads them by place.
+            // All metrics or none: the module reads them by index.
             let load: Option<Vec<f64>> = wire.load_metrics.iter().map(mean_value).collect();
             let latency_sum_and_count = metric(&wire.answer_metric).map_or((Duration::ZERO, 0), |metric| {
                 let seconds = Duration::try_from_secs_f64(metric.total_metric_value / 1000.0);
@@ -241,11 +242,13 @@
     (by_interval.into_values().collect(), unknown_entries)
 }
 
-/// An upstream's endpoints as roster entries. `started` turns seconds of the calendar into the host's time.
+/// Decodes the endpoints of an upstream cluster into roster entries. `started_at` converts Unix seconds to the
+/// host's clock.
 ///
-/// Health maps to phases: DRAINING drains; UNHEALTHY, TIMEOUT and DEGRADED are left to the module's own eyes
-/// and count as ready, since a source that calls everything ill would bare the fleet; absent ones are gone.
-/// Localities of any priority but the first are backups, all alike.
+/// DRAINING endpoints are draining. All others are ready, also with UNHEALTHY, TIMEOUT or DEGRADED: the module
+/// detects failures itself, and an upstream that marked every endpoint unhealthy would leave the fleet without
+/// replicas. Endpoints that are missing from the message leave the roster. All localities with a priority
+/// above 0 are backups of equal rank.
 pub fn roster_entries(
     wire: &Wire,
     assignment: &ClusterLoadAssignment,
--- a/crates/xds/src/encode.rs
+++ b/crates/xds/src/encode.rs
@@ -1,8 +1,8 @@
-//! From what a proxy should hold to the specification's resources.
+//! Encodes the tables and retry policies that a proxy should hold as xDS resources.
 //!
-//! Shut lines leave the resource. They could stand as DRAINING instead, but proxies that pick a locality
-//! first scale its weight by the part of its hosts that is healthy, and so would come to other shares than
-//! those that pick among all lines.
+//! Entries that are not routable are omitted. They could be sent as DRAINING instead, but proxies that pick a
+//! locality first scale its weight by its fraction of healthy hosts, and would get other shares than proxies
+//! that pick among all entries.
 
 use std::collections::BTreeMap;
 
@@ -44,20 +44,20 @@
 use crate::pb::google::protobuf::{Any, Duration, UInt32Value};
 use crate::{Path, Route, Wire, WireGroup};
 
-/// The one listener and the one route configuration that all proxies are given.
+/// Name of the one listener, which all proxies get.
 pub const LISTENER_NAME: &str = "wrenthread";
-/// The name of the one route configuration.
+/// Name of the one route configuration, which all proxies get.
 pub const ROUTE_CONFIG_NAME: &str = "wrenthread-routes";
-/// The category under which proxies report flows that a level blocked.
+/// Drop category under which proxies report the requests that the admission fraction rejected.
 pub const OVERLOAD_CATEGORY: &str = "level";
 const MILLION: f64 = 1_000_000.0;
 
-/// The resource types, in the order in which they are made before what names them.
+/// The resource types, ordered so that a resource is sent before those that refer to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// CDS: a cluster for each traffic class.
+    /// CDS: one cluster per traffic class.
     Clusters,
-    /// EDS: a cluster's endpoints, the table of a class.
+    /// EDS: the endpoints of a cluster, from the table of its class.
     Endpoints,
     /// LDS: the one listener.
     Listeners,
@@ -79,18 +79,19 @@
         }
     }
 
-    /// The type with this URL; none if it is not served.
+    /// The type with this URL; none if it is not supported.
     pub fn of(url: &str) -> Option<Kind> {
         Kind::ALL.into_iter().find(|kind| kind.url() == url)
     }
 
-    /// Types of which a response must hold all that there is, and whose empty subscription means everything.
+    /// Whether state-of-the-world responses of this type must contain all resources, and an initial subscription
+    /// without names is a wildcard.
     pub fn requires_full_state(self) -> bool {
         matches!(self, Kind::Clusters | Kind::Listeners)
     }
 }
 
-/// All that there is to be had for one proxy: names and the versions of their last change.
+/// The resources of one type that exist for a proxy: the version of the last change, by name.
 pub fn resource_versions(wire: &Wire, proxy: &Proxy, kind: Kind) -> BTreeMap<String, u64> {
     let groups = wire.groups.iter().zip(&proxy.tables);
     match kind {
@@ -103,7 +104,7 @@
     }
 }
 
-/// One resource of the catalogue, and how many lines it has. None for a name that is not in it.
+/// Encodes a resource; also returns its number of entries. None if no resource has this name.
 pub fn resource(wire: &Wire, proxy: &Proxy, kind: Kind, name: &str) -> Option<(Any, usize)> {
     let class_index = || wire.groups.iter().position(|group| group.name == name);
     Some(match kind {
@@ -120,7 +121,7 @@
     })
 }
 
-/// What a resource's content comes to: the same content has the same mark, whoever gave it and when.
+/// A digest of a resource's content, independent of the governor and the version that it was sent with.
 pub fn digest(resource: &Any) -> String {
     blake3::hash(&resource.value).to_hex()[..16].to_string()
 }
@@ -154,7 +155,7 @@
         }),
         lb_policy: LbPolicy::RoundRobin as i32,
         common_lb_config: Some(CommonLbConfig {
-            // A proxy must not fall back on lines that are shut because few are open.
+            // Disables panic mode: a proxy must not fall back on unhealthy hosts because few are healthy.
             healthy_panic_threshold: Some(Percent { value: 0.0 }),
             locality_config_specifier: Some(LocalityConfigSpecifier::LocalityWeightedLbConfig(
                 LocalityWeightedLbConfig {},
@@ -170,7 +171,7 @@
     }
 }
 
-/// `host:port` as the specification's address; anything else stays whole, with port 0.
+/// Encodes `host:port` as a socket address. Other text becomes the host, with port 0.
 pub fn address(host_port: &str) -> Address {
     let (host, port) = host_port
         .rsplit_once(':')
@@ -186,7 +187,7 @@
     }
 }
 
-/// A table: its open lines by zone, the weight of a zone the sum of theirs.
+/// Encodes a table: its routable entries by zone. The weight of a zone is the sum of its entries' weights.
 pub fn assignment(wire: &Wire, name: &str, table: &Table) -> ClusterLoadAssignment {
     let routable: Vec<_> = table.entries.iter().filter(|entry| entry.routable).collect();
     let weights = weights::to_integers(&routable.iter().map(|entry| entry.weight).collect::<Vec<_>>());
@@ -250,11 +251,11 @@
     }
 }
 
-/// What a proxy may do after a try without a good answer, as a route's policy.
+/// Encodes a retry policy for a route; none if retries are not allowed.
 fn route_retry_policy(policy: RetryPolicy) -> Option<WireRetryPolicy> {
     let retry_on = match policy {
         RetryPolicy::Never => return None,
-        // Both prove that the first try never ran.
+        // Both conditions prove that the first attempt was not executed.
         RetryPolicy::IfNotExecuted => "connect-failure,refused-stream",
         RetryPolicy::OnAnyFailure => "5xx,reset,connect-failure,refused-stream",
     };
@@ -266,14 +267,15 @@
     })
 }
 
-/// A group's place, and the path and header that lead to it.
+/// The index of a traffic class, with the path and header that requests to it match.
 type OrderedRoute<'a> = (usize, PathSpecifier, Option<(&'a str, &'a str)>);
 
-/// Routes in the order in which proxies are to try them: the first that fits counts.
+/// Orders routes as proxies evaluate them: the first match wins.
 ///
-/// Groups said by one prefix or header each stand as they were said. Where any has several paths, headers go
-/// first, and paths by [`Path`]'s rule. Under a firm prefix a longer one that is not firm goes before
-/// patterns, too: one list can't say that it should only for flows that no pattern fits.
+/// If every class has a single prefix or header, routes keep the order of the settings. If any class has several
+/// paths, headers come first, then paths by the precedence that [`Path`] defines. A longer plain prefix under a
+/// firm one also precedes patterns: an ordered list can't express that it applies only to requests that match no
+/// pattern.
 fn ordered_routes(groups: &[WireGroup]) -> Vec<OrderedRoute<'_>> {
     let any_path = || PathSpecifier::Prefix("/".to_string());
     let has_lists = groups.iter().any(|group| matches!(group.route, Route::Paths(_)));
@@ -301,14 +303,14 @@
         Path::Pattern(..) => (2, 0),
         Path::Prefix(prefix) => (3, usize::MAX - prefix.len()),
     };
-    // Stable: patterns stay as they were said.
+    // The sort is stable: patterns keep the order of the settings.
     paths.sort_by_key(rank);
     routes.extend(paths.into_iter().map(|(class_index, path)| {
         let path = match path {
             Path::Exact(path) => PathSpecifier::Path(path),
             Path::Firm(prefix) | Path::Prefix(prefix) => PathSpecifier::Prefix(prefix),
             Path::Pattern(pattern, ignore_case) => {
-                // The wire's pattern has to fit the whole path.
+                // xDS patterns have to match the whole path.
                 let case_flag = if ignore_case { "i" } else { "" };
                 let regex = format!("(?s{case_flag}).*(?:{pattern}).*");
                 PathSpecifier::SafeRegex(RegexMatcher { regex, ..RegexMatcher::default() })
--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -1,10 +1,9 @@
-//! The gRPC front, by the public specifications of xDS and LRS: nothing of ours is needed on a proxy's side.
+//! The gRPC server for proxies, by the public specifications of xDS and LRS: proxies need no wrenthread code.
 //!
-//! [`session::Session`] is what the protocol is about, for one stream, without I/O: subscriptions, versions,
-//! nonces, what was sent and is not acknowledged. [`encode`] and [`decode`] turn the core's words into
-//! messages and back. [`service`] carries messages between sockets and the one task that owns engine and
-//! sessions; [`upstream`] is the other way round, the governor as a client that follows another's endpoints
-//! as its roster.
+//! [`session::Session`] implements the protocol of one ADS stream, without I/O: subscriptions, versions, nonces
+//! and unacknowledged responses. [`encode`] and [`decode`] convert between the types of the core and messages.
+//! [`service`] passes messages between sockets and the task that owns the engine and the sessions.
+//! [`upstream`] is a client: it follows the endpoints of another control plane as the governor's roster.
 
 pub mod decode;
 pub mod encode;
@@ -12,10 +11,10 @@
 pub mod session;
 pub mod upstream;
 
-/// The messages of the specifications, for those who stand on the other side of a socket.
+/// The messages of the specifications, for clients and tests.
 pub use envoy_types::pb;
 
-/// The services' clients, by the services' short names.
+/// Clients of the services, by their short names.
 pub mod clients {
     use crate::pb::envoy::service;
     pub use service::discovery::v3::aggregated_discovery_service_client as ads;
@@ -23,33 +22,33 @@
     pub use service::status::v3::client_status_discovery_service_client as csds;
 }
 
-/// In the metadata of a stream's end: the governor that the proxy is to go to, empty for whoever is next in
-/// its own order. Proxies of the public kind don't read it, and come back by their own.
+/// Key in the trailing metadata of a stream: the governor that the proxy is redirected to; empty for the next
+/// one in the proxy's own ranking. Proxies without wrenthread code ignore it and reconnect on their own.
 pub const GO_TO: &str = "wrenthread-go-to";
 
-/// What the front needs to know of the settings to name things on the wire.
+/// The settings that are needed to encode and decode messages.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Wire {
-    /// This governor's life; versions and nonces carry it.
+    /// The epoch of this governor's run, which versions and nonces contain.
     pub epoch: u64,
-    /// This governor's name among those that share the fleet; empty where it is alone.
+    /// This governor's name among those that share the fleet; empty if it is the only one.
     pub governor: String,
-    /// What it signs claims with; none are given without it.
+    /// The key that signs ownership proofs; without one none are issued.
     pub key: Option<wrenthread_core::ownership::SigningKey>,
-    /// The zones' names, in the order of their numbers.
+    /// The names of the zones, by index.
     pub zones: Vec<String>,
-    /// The traffic classes, in the order of their numbers.
+    /// The traffic classes, by index.
     pub groups: Vec<WireGroup>,
-    /// How often proxies are to report.
+    /// The interval at which proxies report load.
     pub report_every: std::time::Duration,
-    /// The names of load metrics in reports, in the order of the module's load fields.
+    /// The names of the load metrics in reports, in the order of the module's load fields.
     pub load_metrics: Vec<String>,
-    /// The metric that holds an answer's time in milliseconds.
+    /// The name of the metric with the answer time in milliseconds.
     pub answer_metric: String,
 }
 
 impl Wire {
-    /// The signed word that a proxy holds this governor's orders up to a version.
+    /// A signed proof that a proxy holds this governor's tables up to a version; none without a key.
     pub fn claim(&self, proxy: &str, version: u64) -> Option<String> {
         let (governor, proxy) = (self.governor.clone(), proxy.to_string());
         let claim =
@@ -57,53 +56,54 @@
         self.key.as_ref().map(|key| wrenthread_core::ownership::sign(key, &claim))
     }
 
-    /// Who says so, in each response: `wrenthread/GOVERNOR/EPOCH`, and the claim behind it if there is one.
+    /// The control plane identifier in responses: `wrenthread/GOVERNOR/EPOCH`, followed by `/` and the ownership
+    /// proof if there is one.
     pub fn identifier(&self, proxy: &str, version: u64) -> String {
         let claim = self.claim(proxy, version).map_or_else(String::new, |claim| format!("/{claim}"));
         format!("wrenthread/{}/{:x}{claim}", self.governor, self.epoch)
     }
 }
 
-/// What [`Wire::identifier`] says: the governor, its epoch, and the claim if there is one.
+/// Parses the result of [`Wire::identifier`]: the governor, its epoch, and the ownership proof if there is one.
 pub fn parse_identifier(identifier: &str) -> Option<(&str, u64, Option<&str>)> {
     let mut parts = identifier.strip_prefix("wrenthread/")?.splitn(3, '/');
     let (name, epoch) = (parts.next()?, parts.next()?);
     Some((name, u64::from_str_radix(epoch, 16).ok()?, parts.next()))
 }
 
-/// A traffic group: a cluster of its own and a route to it.
+/// A traffic class, which has its own cluster and routes to it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WireGroup {
-    /// The class's name, which is its cluster's, too.
+    /// The name of the class and of its cluster.
     pub name: String,
-    /// What leads requests to it.
+    /// Which requests belong to the class.
     pub route: Route,
-    /// How long a request may take in all.
+    /// The timeout of a request, over all its attempts.
     pub expiry: std::time::Duration,
 }
 
-/// What tells a group's flows from others'.
+/// How requests are matched to a traffic class.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Route {
-    /// Paths that begin with this.
+    /// Paths with this prefix.
     Prefix(String),
-    /// Requests whose header (the first) has this value (the second).
+    /// A header's name and the value that it must have.
     Header(String, String),
-    /// Several paths; which goes before which is [`Path`]'s.
+    /// Several paths; [`Path`] defines their precedence.
     Paths(Vec<Path>),
 }
 
-/// A path that leads to a group. First come exact ones; then the longest prefix if it is a firm one; then the
-/// first pattern; then the longest prefix.
+/// A path match of a traffic class. Precedence: an exact path; the longest prefix, if it is [`Path::Firm`]; the
+/// first pattern; the longest prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Path {
-    /// Paths that begin with this.
+    /// Paths with this prefix.
     Prefix(String),
-    /// This path and no other.
+    /// Exactly this path.
     Exact(String),
-    /// A prefix that goes before patterns.
+    /// A prefix with precedence over patterns.
     Firm(String),
-    /// A regular expression that some part of the path fits; whether upper and lower case are alike.
+    /// A regular expression that matches some part of the path; whether it ignores case.
     Pattern(String, bool),
 }
 
--- a/crates/xds/src/service.rs
+++ b/crates/xds/src/service.rs
@@ -1,6 +1,6 @@
-//! The gRPC services: they carry messages between sockets and the task that owns engine and sessions, and
-//! know nothing else. Each stream's answers go through a short channel, so a proxy that does not read fills
-//! only its own, and what would be sent to it is merged meanwhile.
+//! The gRPC services. They only pass messages between sockets and the task that owns the engine and the
+//! sessions. Responses go through a bounded channel per stream: a proxy that does not read fills only its own
+//! channel, and later changes are merged until it reads again.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -29,22 +29,22 @@
 use crate::pb::envoy::service::status::v3::{ClientStatusRequest, ClientStatusResponse};
 use crate::session;
 
-/// Responses that may wait in a stream's channel: those of one flush, and of a drain behind it.
+/// Capacity of a stream's response channel: the responses of one flush and of a drain after it.
 pub const CHANNEL_CAPACITY: usize = 8;
-/// Room that a flush needs there: one response of each type.
+/// Maximum number of responses of one flush: one of each resource type.
 pub const MAX_FLUSH_RESPONSES: usize = 4;
 
-/// Where a stream's answers go.
+/// Sends responses on a stream.
 #[derive(Debug, Clone)]
 pub enum Answers {
-    /// Of a state-of-the-world stream.
+    /// For a state-of-the-world stream.
     Sotw(mpsc::Sender<Result<DiscoveryResponse, Status>>),
-    /// Of a delta stream.
+    /// For a delta stream.
     Delta(mpsc::Sender<Result<DeltaDiscoveryResponse, Status>>),
 }
 
 impl Answers {
-    /// Whether a whole flush fits.
+    /// Whether the channel has capacity for a complete flush.
     pub fn has_room(&self) -> bool {
         match self {
             Answers::Sotw(answers) => answers.capacity() >= MAX_FLUSH_RESPONSES,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Waits until a whole flush fits; false if the stream is over.
+    /// Waits for capacity for a complete flush; false if the stream has ended.
     pub async fn room(&self) -> bool {
         match self {
             Answers::Sotw(answers) => answers.reserve_many(MAX_FLUSH_RESPONSES).await.is_ok(),
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Gives a response to the stream. What does not fit is lost, so ask [`Answers::has_room`] first; what is
-    /// said on a stream that is over is lost with it.
+    /// Sends a response. It is dropped if the stream has ended or the channel is full, so check
+    /// [`Answers::has_room`] first.
     pub fn send(&self, response: session::Response) {
         let _ = match (self, response) {
             (Answers::Sotw(answers), session::Response::Sotw(response)) => {
@@ -74,7 +74,7 @@
         };
     }
 
-    /// Ends the stream with a status, if it still has room to hear it.
+    /// Ends the stream with a status. The status is dropped if the channel is full.
     pub fn end(&self, status: Status) {
         let _ = match self {
             Answers::Sotw(answers) => answers.try_send(Err(status)).is_ok(),
@@ -83,57 +83,57 @@
     }
 }
 
-/// What happens on the sockets, for the one task that owns all state.
+/// Events of the streams, for the task that owns all state.
 #[derive(Debug)]
 pub enum Event {
     /// An ADS stream was opened.
     Opened {
         /// The number of the stream.
         stream: u64,
-        /// Where its responses go.
+        /// Sends the stream's responses.
         answers: Answers,
     },
-    /// A request came on it.
+    /// A request was received on an ADS stream.
     Asked {
         /// The number of the stream.
         stream: u64,
         /// The request.
         request: Box<session::Request>,
     },
-    /// It ended.
+    /// An ADS stream ended.
     Closed {
         /// The number of the stream.
         stream: u64,
     },
-    /// An LRS stream was opened by this node.
+    /// An LRS stream was opened.
     ReportsOpened {
         /// The number of the stream.
         stream: u64,
-        /// Who reports.
+        /// The node that reports.
         node: Box<Node>,
     },
-    /// A load report came on it.
+    /// A load report was received on an LRS stream.
     Reported {
         /// The number of the stream.
         stream: u64,
         /// Statistics by cluster.
         stats: Vec<ClusterStats>,
     },
-    /// It ended.
+    /// An LRS stream ended.
     ReportsClosed {
         /// The number of the stream.
         stream: u64,
     },
-    /// A CSDS request.
+    /// A CSDS request was received.
     Status {
         /// The request.
         request: Box<ClientStatusRequest>,
-        /// Where the response goes.
+        /// Receives the response.
         reply: oneshot::Sender<ClientStatusResponse>,
     },
 }
 
-/// All three services.
+/// Implements the ADS, LRS and CSDS services.
 #[derive(Debug, Clone)]
 pub struct Front {
     events: mpsc::Sender<Event>,
@@ -144,12 +144,13 @@
 type ResponseStream<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
 
 impl Front {
-    /// Events go to `events`; a full channel holds streams back, which is how load reaches their sockets.
+    /// Events are sent to `events`. While that channel is full, streams are not read, which applies back pressure
+    /// to the proxies.
     pub fn new(events: mpsc::Sender<Event>, report_every: std::time::Duration) -> Self {
         Front { events, next_stream: Arc::new(AtomicU64::new(1)), report_every }
     }
 
-    /// The services, for a server's router.
+    /// The services, for the router of a server.
     pub fn services(
         &self,
     ) -> (
@@ -164,7 +165,7 @@
         )
     }
 
-    /// One numbering for all kinds of streams, in the order of their opening.
+    /// Allocates a stream number. All kinds of streams share one sequence, in the order of their opening.
     pub fn number(&self) -> u64 {
         self.next_stream.fetch_add(1, Ordering::Relaxed)
     }
@@ -173,7 +174,7 @@
         self.events.send(event).await.map_err(|_| Status::unavailable("the governor is stopping"))
     }
 
-    /// Carries a stream's requests to the owner until it ends or breaks.
+    /// Forwards the requests of a stream as events, until the stream ends.
     async fn forward_requests<R>(
         &self,
         answers: Answers,
--- a/crates/xds/src/session.rs
+++ b/crates/xds/src/session.rs
@@ -1,12 +1,12 @@
-//! One ADS stream, without I/O: what it subscribed to, what it was sent, what it acknowledged.
+//! The protocol of one ADS stream, without I/O: its subscriptions, sent resources and acknowledgements.
 //!
-//! A session holds no tables. [`Session::flush`] compares what the proxy should hold with what this stream
-//! was sent and says the difference, so that states which came and went in between are never sent. Both
-//! variants of the protocol are served from the same marks: state of the world says changed resources (or all
-//! of a type that must be whole), delta also what is no more.
+//! A session holds no tables. [`Session::flush`] compares what the proxy should hold with what was sent on this
+//! stream and sends the difference, so intermediate states are never sent. Both variants of the protocol use the
+//! same versions and digests: state-of-the-world responses contain changed resources (or all resources, for types
+//! that require it), delta responses also list removed ones.
 //!
-//! Order: clusters, endpoints, listeners, routes, so that nothing is named before it exists; but endpoints
-//! that the proxy holds already go first of all, as that is how it hears of drains.
+//! Types are sent in the order clusters, endpoints, listeners, routes, so that no resource refers to a missing
+//! one. If endpoints that were sent before have changed, endpoints come first: they carry drains.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -19,31 +19,31 @@
     DeltaDiscoveryRequest, DeltaDiscoveryResponse, DiscoveryRequest, DiscoveryResponse, Resource,
 };
 
-/// A type's names beyond this are more than any settings have groups; the stream is ended.
+/// Maximum number of names per type, more than the classes of any settings; the stream is ended beyond it.
 const MAX_NAMES_PER_TYPE: usize = 4096;
-/// Responses of a type that may be unacknowledged before the oldest is given up for lost.
+/// Maximum number of unacknowledged responses per type; beyond it the oldest is considered lost.
 const MAX_OUTSTANDING: usize = 32;
 
 /// A request of either variant of ADS.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Request {
-    /// Of the state-of-the-world variant.
+    /// A state-of-the-world request.
     Sotw(DiscoveryRequest),
-    /// Of the delta variant.
+    /// A delta request.
     Delta(DeltaDiscoveryRequest),
 }
 
 /// A response of either variant of ADS.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Response {
-    /// Of the state-of-the-world variant.
+    /// A state-of-the-world response.
     Sotw(DiscoveryResponse),
-    /// Of the delta variant.
+    /// A delta response.
     Delta(DeltaDiscoveryResponse),
 }
 
 impl Request {
-    /// The node that it names, if it names one.
+    /// The node of the request, if it has one.
     pub fn node(&self) -> Option<&crate::pb::envoy::config::core::v3::Node> {
         match self {
             Request::Sotw(request) => request.node.as_ref(),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Whether a stream's first message says that the proxy holds orders of some governor.
+    /// Whether the first request of a stream states that the proxy holds tables of a governor.
     pub fn holds_orders(&self) -> bool {
         match self {
             Request::Sotw(request) => !request.version_info.is_empty(),
@@ -60,26 +60,26 @@
     }
 }
 
-/// What a request came to.
+/// An effect of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Heard {
-    /// All that was sent up to this version is acknowledged.
+    /// Everything up to this version is acknowledged.
     Acked(u64),
-    /// A response of this version was turned down, with these words.
+    /// The response with this version was rejected, for this reason.
     Nacked(u64, String),
-    /// Something was asked for that is to be answered.
+    /// Resources were requested.
     Wants,
-    /// A type that is not served here.
+    /// The resource type with this URL is not supported.
     Unserved(String),
 }
 
-/// Why a stream is ended.
+/// Why a stream has to be ended.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum SessionError {
-    /// It subscribes to more names than a stream may.
+    /// It subscribes to too many names of one type.
     #[error("subscribes to {0} names of one type; {MAX_NAMES_PER_TYPE} are allowed")]
     TooManyNames(usize),
-    /// It has requests of both variants.
+    /// It mixes requests of both variants.
     #[error("mixes the delta and the state-of-the-world variant on one stream")]
     MixedVariants,
 }
@@ -89,20 +89,20 @@
     wildcard: bool,
     names: BTreeSet<String>,
     ever_named: bool,
-    /// By name: version and content mark as sent on this stream.
+    /// The version and digest last sent on this stream, by name.
     sent: BTreeMap<String, (u64, String)>,
-    /// Delta: names that the proxy was told there is nothing of.
+    /// Delta: names that were reported as removed or missing.
     reported_absent: BTreeSet<String>,
-    /// Delta: what the proxy said it holds, by name and mark, until it is compared.
+    /// Delta: the versions that the proxy stated in its first request, by name, until they are compared.
     initial_versions: BTreeMap<String, String>,
-    /// Names that must be answered even if nothing about them changed.
+    /// Names that must be sent even if they did not change.
     must_send: BTreeSet<String>,
-    /// Something must be answered even if there is nothing (types that are sent whole).
+    /// Whether a response is due even if it is empty (types that require the full state).
     response_due: bool,
     outstanding: VecDeque<(String, u64)>,
     /// The nonce of the last response.
     last_nonce: String,
-    /// The newest version that was turned down, if nothing later was taken.
+    /// The newest rejected version, if no later one was accepted.
     rejected_version: Option<u64>,
 }
 
@@ -119,38 +119,38 @@
     epoch: u64,
     subscriptions: BTreeMap<Kind, Subscription>,
     last_nonce_number: u64,
-    /// The newest version that a flush brought this stream to.
+    /// The newest version that was flushed to this stream.
     flushed_version: u64,
     acked_version: u64,
     stale_requests: u64,
 }
 
-/// What a flush came to.
+/// The result of a flush.
 #[derive(Debug, Default, PartialEq)]
 pub struct FlushOutcome {
-    /// The responses to send, in their order.
+    /// The responses to send, in order.
     pub responses: Vec<Response>,
-    /// Lines in them; 0 if there was nothing to say.
+    /// The number of entries in them; 0 if there are no responses.
     pub lines: usize,
-    /// The proxy holds all up to this version already.
+    /// Set if everything up to this version is already acknowledged.
     pub acked: Option<u64>,
 }
 
-/// Where a resource stands, for operators.
+/// The status of a resource on a stream, for CSDS.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// The proxy acknowledged the version.
+    /// The proxy acknowledged it.
     Acked,
-    /// It was sent, and the proxy has not answered yet.
+    /// It was sent, but not answered yet.
     Sent,
     /// The proxy rejected it.
     Nacked,
-    /// It was not sent.
+    /// It was not sent, or has changed since.
     NotSent,
 }
 
 impl Session {
-    /// A stream of the variant that its first request is of.
+    /// Creates a session of the variant of the stream's first request.
     pub fn new(epoch: u64, first: &Request) -> Self {
         Session {
             delta: matches!(first, Request::Delta(_)),
@@ -163,19 +163,20 @@
         }
     }
 
-    /// Whether the proxy has answered all that it was sent.
+    /// Whether the proxy has answered all responses.
     pub fn settled(&self) -> bool {
         self.subscriptions.values().all(|subscription| subscription.outstanding.is_empty())
     }
 
-    /// Requests that answered responses which were no longer the newest, or none that was ever given.
+    /// The number of requests with a nonce that is outdated or unknown.
     pub fn stale(&self) -> u64 {
         self.stale_requests
     }
 
-    /// Takes a request in.
+    /// Processes a request and returns its effects.
     ///
-    /// Errors: requests that no proxy of good will sends; the stream is to be ended with the error's words.
+    /// # Errors
+    /// The request violates the protocol or a limit; the stream has to be ended with the error.
     pub fn request(&mut self, request: Request) -> Result<Vec<Heard>, SessionError> {
         match request {
             Request::Sotw(request) if !self.delta => self.sotw_request(request),
@@ -194,7 +195,7 @@
         let error = request.error_detail.map(|status| status.message);
         let (mut effects, newest) = self.acknowledge(kind, &request.response_nonce, error);
         let subscription = self.subscriptions.entry(kind).or_default();
-        // Names beside an answer to an older response are older than those that will come with the newest.
+        // An answer to an older response has outdated names: the answer to the newest one will replace them.
         if !newest {
             return Ok(effects);
         }
@@ -205,7 +206,8 @@
         if names != subscription.names || wildcard != subscription.wildcard {
             let new: Vec<&String> = names.difference(&subscription.names).collect();
             subscription.must_send.extend(new.into_iter().cloned());
-            // A name that is given up and taken again is asked for anew: the proxy dropped what it had.
+            // Forgets names that the proxy unsubscribed from: it drops their resources, so that a later
+            // subscription has to send them again.
             subscription.sent.retain(|name, _| wildcard || names.contains(name));
             subscription.ever_named |= !names.is_empty();
             subscription.response_due |= kind.requires_full_state();
@@ -241,7 +243,7 @@
             match name.as_str() {
                 "*" => subscription.wildcard = true,
                 _ => {
-                    // Asked for again means sent again, whatever it was sent before.
+                    // A repeated subscription requests the resource again, even if it was sent before.
                     subscription.must_send.insert(name.clone());
                     subscription.names.insert(name);
                 }
@@ -265,21 +267,22 @@
         Ok(effects)
     }
 
-    /// An answer to a response, by its nonce; and whether it is to the newest (or to none, at the beginning).
+    /// Processes the ACK or NACK of the response with this nonce. Also returns whether the names in the request
+    /// apply: it has no nonce, answers the newest response, or no response is outstanding.
     fn acknowledge(&mut self, kind: Kind, nonce: &str, error: Option<String>) -> (Vec<Heard>, bool) {
         let subscription = self.subscriptions.entry(kind).or_default();
         if nonce.is_empty() {
             return (Vec::new(), true);
         }
         let Some(position) = subscription.outstanding.iter().position(|(sent, _)| sent == nonce) else {
-            // Answered before, or given on a stream that is gone. Names beside it count if nothing newer is
-            // on its way, as when a proxy asks for more between two responses.
+            // Answered before, or from an earlier stream. The names in the request apply if no response is
+            // outstanding, for example when a proxy subscribes to more names between two responses.
             let settled = subscription.outstanding.is_empty();
             self.stale_requests += u64::from(nonce != subscription.last_nonce);
             return (Vec::new(), settled);
         };
         let newest = position + 1 == subscription.outstanding.len();
-        // An answer to a later response answers those before it: they came on one stream.
+        // An answer to a response also answers earlier ones: the stream delivers them in order.
         let version =
             subscription.outstanding.drain(..=position).next_back().map_or(0, |(_, version)| version);
         self.stale_requests += u64::from(!newest);
@@ -296,7 +299,7 @@
         }
     }
 
-    /// The newest version up to which all is acknowledged, if that is news.
+    /// The newest version up to which everything is acknowledged, if it is newer than the last one returned.
     fn newly_acknowledged(&mut self) -> Option<u64> {
         let unanswered = self
             .subscriptions
@@ -315,7 +318,7 @@
         None
     }
 
-    /// All that the proxy should hold and this stream was not sent.
+    /// Returns what the proxy should hold and was not sent on this stream.
     pub fn flush(&mut self, wire: &Wire, proxy: &Proxy) -> FlushOutcome {
         let mut flushed = FlushOutcome::default();
         let newest = proxy.newest();
@@ -341,7 +344,7 @@
             .is_some_and(|subscription| subscription.wildcard || !subscription.names.is_empty());
         if endpoints_subscribed {
             if self.flushed_version == 0 {
-                // What was before this stream was never sent on it, and none of it is news.
+                // Older versions were never sent on this stream, so they must not count as newly acknowledged.
                 self.acked_version = newest.saturating_sub(1);
             }
             self.flushed_version = self.flushed_version.max(newest);
@@ -380,7 +383,8 @@
             subscription.initial_versions.remove(*name);
             subscription.sent.insert((*name).clone(), (*version, digest.clone()));
             subscription.reported_absent.remove(*name);
-            // What the proxy holds to the letter need not be sent, unless it asks without holding it.
+            // Content that the proxy already holds is sent again only on explicit request. A first delta
+            // subscription that states the same version is not such a request.
             if unchanged && (!must_send.contains(*name) || self.delta && sent.is_none()) {
                 continue;
             }
@@ -390,7 +394,8 @@
         }
         let removed: Vec<String> = if self.delta {
             let sent = subscription.sent.keys().chain(subscription.initial_versions.keys());
-            // A table that is not made yet is none that does not exist: who holds one keeps it until then.
+            // A table that is not published yet must not be reported as removed: a proxy that holds an older
+            // one keeps it until then.
             let undecided = |name: &String| {
                 kind == Kind::Endpoints
                     && !proxy.has_known_tables()
@@ -405,7 +410,7 @@
         } else {
             let is_removed = |name: &&String| !available.contains_key(*name);
             let removed: Vec<String> = subscription.sent.keys().filter(is_removed).cloned().collect();
-            // Only types that are sent whole can say that something is no more.
+            // Only types that require the full state can express a removal in this variant.
             changed |= kind.requires_full_state() && !removed.is_empty();
             removed
         };
@@ -469,7 +474,7 @@
         Some((response, lines))
     }
 
-    /// Each subscribed resource: kind, name, version as sent, and where it stands.
+    /// The subscribed resources: type, name, version last sent (0 if none), and status.
     pub fn status(&self, wire: &Wire, proxy: &Proxy) -> Vec<(Kind, String, u64, Standing)> {
         let mut status = Vec::new();
         for (kind, subscription) in &self.subscriptions {
--- a/crates/xds/src/session/tests.rs
+++ b/crates/xds/src/session/tests.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// An engine with one proxy on tables of its own, and its session.
+/// An engine with one proxy, which states that it holds a governor's tables, and its session.
 struct Fixture {
     engine: Engine,
     now: Duration,
@@ -67,7 +67,7 @@
         fixture
     }
 
-    /// Lets the engine decide, without flushing the session.
+    /// Advances time by a second and runs the engine, without flushing the session.
     fn advance(&mut self) {
         self.now += Duration::from_millis(1000);
         while let Some(action) = self.engine.next_action(self.now) {
@@ -113,7 +113,7 @@
     }
 }
 
-/// Types, nonces and numbers of resources of a flush.
+/// The types, nonces and numbers of resources of a flush.
 fn summary(flushed: &FlushOutcome) -> Vec<(Kind, String, usize)> {
     let summarize = |response: &Response| match response {
         Response::Sotw(sotw) => (Kind::of(&sotw.type_url).unwrap(), sotw.nonce.clone(), sotw.resources.len()),
@@ -139,7 +139,7 @@
     fixture.session.request(sotw(Kind::Clusters, &[], "", None)).unwrap();
     fixture.roster(&["a", "b"]);
     assert_eq!(kinds(&mut fixture), [Kind::Endpoints, Kind::Clusters]);
-    assert!(fixture.flush().responses.is_empty(), "once");
+    assert!(fixture.flush().responses.is_empty(), "sent only once");
 }
 
 #[test]
@@ -152,7 +152,7 @@
     assert_eq!(routes, []);
     let endpoints = sotw(Kind::Endpoints, &["charge", "match"], &sent[0].1, None);
     assert_eq!(fixture.session.request(endpoints.clone()).unwrap(), [Heard::Acked(fixture.newest())]);
-    assert_eq!(fixture.session.request(endpoints).unwrap(), [], "and no news again");
+    assert_eq!(fixture.session.request(endpoints).unwrap(), [], "a repeated ACK has no effect");
 }
 
 #[test]
@@ -166,7 +166,7 @@
     let [Heard::Acked(version)] = effects[..] else { panic!("{effects:?}") };
     assert!(before <= version && version < fixture.newest());
     fixture.roster(&["b", "c"]);
-    assert_eq!(summary(&fixture.flush())[0].2, 2, "both names still hold");
+    assert_eq!(summary(&fixture.flush())[0].2, 2, "both names are still subscribed");
     let effects = fixture.session.request(sotw(Kind::Endpoints, &["charge"], &second, None)).unwrap();
     assert!(matches!(effects[..], [Heard::Acked(_)]));
     assert_eq!(fixture.session.request(sotw(Kind::Endpoints, &["charge"], "abc.77", None)).unwrap(), []);
@@ -195,10 +195,10 @@
     let subscribe = sotw(Kind::Endpoints, &["match", "charge"], &sent[0].1, None);
     assert!(fixture.session.request(subscribe).unwrap().contains(&Heard::Wants));
     let sent = summary(&fixture.flush());
-    assert_eq!(sent[0].2, 1, "only what was not sent yet");
+    assert_eq!(sent[0].2, 1, "only the resource that was not sent yet");
     fixture.session.request(sotw(Kind::Endpoints, &[], &sent[0].1, None)).unwrap();
     fixture.roster(&["a", "b"]);
-    assert!(fixture.flush().responses.is_empty(), "nothing of what was given up");
+    assert!(fixture.flush().responses.is_empty(), "nothing for unsubscribed names");
     let again = fixture.session.request(sotw(Kind::Endpoints, &["match"], &sent[0].1, None)).unwrap();
     assert_eq!(again, [Heard::Wants]);
     assert_eq!(summary(&fixture.flush())[0].2, 1);
@@ -224,7 +224,7 @@
     assert_eq!(sent[0].2, 1);
     fixture.session.request(sotw(Kind::Clusters, &[], &sent[0].1, None)).unwrap();
     let sent = summary(&fixture.flush());
-    assert_eq!(sent[0].2, 0, "nothing is subscribed to, and the proxy is told so");
+    assert_eq!(sent[0].2, 0, "an empty response, as nothing is subscribed");
     fixture.session.request(sotw(Kind::Clusters, &["*"], &sent[0].1, None)).unwrap();
     assert_eq!(summary(&fixture.flush())[0].2, 2);
 }
@@ -243,7 +243,7 @@
     assert_eq!(effects, [Heard::Acked(fixture.newest())]);
     assert!(fixture.flush().responses.is_empty());
     fixture.session.request(Request::Delta(delta(Kind::Endpoints, &["match"], &[], ""))).unwrap();
-    assert_eq!(summary(&fixture.flush())[0].2, 1, "asked for again");
+    assert_eq!(summary(&fixture.flush())[0].2, 1, "requested again");
     fixture.session.request(Request::Delta(delta(Kind::Endpoints, &[], &["match"], ""))).unwrap();
     fixture.roster(&["a", "b"]);
     assert!(fixture.flush().responses.is_empty());
@@ -262,7 +262,7 @@
     let mut other = Fixture::new(Request::Delta(reconnect.clone()));
     let flushed = other.flush();
     let Response::Delta(again) = &flushed.responses[0] else { panic!() };
-    assert_eq!(again.resources.len(), 1, "only the one whose mark differs");
+    assert_eq!(again.resources.len(), 1, "only the one whose digest differs");
     assert_eq!(again.removed_resources, ["left over"]);
     reconnect.initial_resource_versions =
         first.resources.iter().map(|resource| (resource.name.clone(), resource.version.clone())).collect();
@@ -277,7 +277,7 @@
     fixture.session.request(sotw(Kind::Routes, &[encode::ROUTE_CONFIG_NAME], "", None)).unwrap();
     let sent = summary(&fixture.flush());
     fixture.session.request(sotw(Kind::Routes, &[encode::ROUTE_CONFIG_NAME], &sent[1].1, None)).unwrap();
-    // The endpoints' answer never comes; the proxy is back on a new stream, which starts from nothing.
+    // The endpoints are never acknowledged; the proxy reconnects on a new stream, which starts without state.
     let mut new_session = Session::new(0xabc, &sotw(Kind::Endpoints, &[], "", None));
     new_session.request(sotw(Kind::Endpoints, &["charge", "match"], &sent[0].1, None)).unwrap();
     let flushed = new_session.flush(&wire(), fixture.engine.proxy(0).unwrap());
@@ -285,7 +285,7 @@
 }
 
 proptest::proptest! {
-    /// Whatever comes, in whatever order: no panic, and no more is acknowledged than was sent.
+    /// No sequence of requests causes a panic or acknowledges more than was sent.
     #[test]
     fn accepts_any_sequence_of_requests(
         steps in proptest::collection::vec(
@@ -342,7 +342,7 @@
     session.request(Request::Delta(first)).unwrap();
     let flushed = session.flush(&wire(), engine.proxy(0).unwrap());
     let Response::Delta(response) = &flushed.responses[0] else { panic!() };
-    assert_eq!(response.removed_resources, ["nobody"], "what is unknown for ever, and nothing else");
+    assert_eq!(response.removed_resources, ["nobody"], "only the name that no class has");
     let later = now + Duration::from_millis(300);
     while engine.next_action(later).is_some() {}
     let flushed = session.flush(&wire(), engine.proxy(0).unwrap());
--- a/crates/xds/src/upstream.rs
+++ b/crates/xds/src/upstream.rs
@@ -1,4 +1,4 @@
-//! The governor as a client: it follows endpoints of another control plane as its roster.
+//! xDS client that follows the endpoints of another control plane as the governor's roster.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,13 +19,12 @@
 use crate::pb::envoy::service::discovery::v3::{DiscoveryRequest, DiscoveryResponse};
 use crate::pb::google::rpc::Status;
 
-/// First wait after a broken stream, doubled up to the second.
+/// Initial and maximum delay before a reconnect; the delay doubles in between.
 const RETRY_BACKOFF: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(10));
 
-/// What a response says, put beside what was known: the new whole list, or why it is not taken.
+/// Merges a response into the known clusters: returns the new state, or why the response is rejected.
 ///
-/// Endpoints come by cluster, and a response need not name all of them: those it leaves out stay as they
-/// were.
+/// A response need not contain all clusters; those that it omits keep their endpoints.
 pub fn merge_response(
     wire: &Wire,
     known: &BTreeMap<String, Vec<RosterEntry>>,
@@ -54,8 +53,9 @@
     Ok(merged)
 }
 
-/// Follows clusters of an upstream for ever; whole lists go to `lists`. A list with an error in it is
-/// answered by a NACK with the error's words, and the last good one stays.
+/// Follows clusters of an upstream until the receiver of `rosters` is gone, and sends it the complete roster
+/// after each change. An invalid response is answered by a NACK with the error, and the last valid roster is
+/// kept.
 pub async fn follow(
     wire: Wire,
     uri: String,
@@ -69,7 +69,7 @@
             Ok(true) => backoff = RETRY_BACKOFF.0,
             Ok(false) => {}
             Err(error) => {
-                tracing::warn!(%uri, %error, "the upstream roster can't be followed; the last list stays");
+                tracing::warn!(%uri, %error, "following the upstream control plane failed; keeping the last roster");
             }
         }
         tokio::time::sleep(backoff).await;
@@ -114,7 +114,7 @@
                 rosters.send(known.values().flatten().cloned().collect()).await?;
             }
             Err(error) => {
-                tracing::warn!(%uri, %error, "a list of the upstream is not taken; the last one stays");
+                tracing::warn!(%uri, %error, "rejected an upstream response; keeping the last roster");
                 requests.send(request(&version, &response.nonce, Some(error), false)).await?;
             }
         }
