--- a/crates/client/src/grpc.rs
+++ b/crates/client/src/grpc.rs
@@ -258,7 +258,7 @@
     cache: &Rc<RefCell<TableCache>>,
     observer: &impl Observer,
 ) -> Result<(), Error> {
-    let (mut tables, mut retry_policies, mut lines) = (UpdatedTables::new(), Vec::new(), 0);
+    let (mut tables, mut retry_policies, mut entry_count) = (UpdatedTables::new(), Vec::new(), 0);
     let mut decode_all = || {
         for resource in resources {
             match kind {
@@ -266,7 +266,7 @@
                     let table =
                         ClusterLoadAssignment::decode(resource.value.as_slice()).map_err(decode_error)?;
                     let (name, entries, admission_fraction) = decode_table(&table)?;
-                    lines += entries.len().max(1);
+                    entry_count += entries.len().max(1);
                     tables.insert(name, (entries, admission_fraction));
                 }
                 Kind::Routes => {
@@ -281,16 +281,16 @@
                             Some(_) => RetryPolicy::IfNotExecuted,
                         };
                         retry_policies.push((route.name.clone(), allowed_retries));
-                        lines += 1;
+                        entry_count += 1;
                     }
                 }
-                Kind::Clusters | Kind::Listeners => lines += 1,
+                Kind::Clusters | Kind::Listeners => entry_count += 1,
             }
         }
         Ok(())
     };
     let decoded: Result<(), Error> = decode_all();
-    observer.update_received(nonce, lines, &tables);
+    observer.update_received(nonce, entry_count, &tables);
     decoded?;
     let mut cache = cache.borrow_mut();
     for (group, (entries, admission_fraction)) in tables {
--- a/crates/client/src/poll.rs
+++ b/crates/client/src/poll.rs
@@ -72,13 +72,13 @@
     /// # Errors
     /// The governor can't be reached, or rejects the proxy.
     pub async fn join(
-        at: &str,
+        base_url: &str,
         identity: &ProxyIdentity,
         cache: &Rc<RefCell<TableCache>>,
     ) -> Result<Session, Error> {
         let client = Client::builder().connect_timeout(CONNECT_TIMEOUT).build();
-        let client = client.map_err(unreachable(at))?;
-        let base = format!("{at}/v1/proxies/{}", identity.name);
+        let client = client.map_err(unreachable(base_url))?;
+        let base = format!("{base_url}/v1/proxies/{}", identity.name);
         let join_request = {
             let cache = cache.borrow();
             let entry = |entry: &crate::table_cache::DefaultEntry| DefaultTableEntry {
@@ -127,7 +127,7 @@
         )?;
         let decoded =
             self.parameters.decode_tables(&response).map_err(|error| Error::Decode(error.to_string()))?;
-        let lines: usize =
+        let entry_count: usize =
             response.classes.values().map(|class| 1 + class.entries.len() + class.removed.len()).sum();
         let accepted = match decoded {
             DecodedTables::Complete(state) => {
@@ -139,7 +139,7 @@
             }
         };
         let tables = if accepted { cache.borrow().updated_tables() } else { UpdatedTables::new() };
-        observer.update_received(&response.version, lines, &tables);
+        observer.update_received(&response.version, entry_count, &tables);
         observer.update_answered(&response.version, accepted);
         Ok(())
     }
@@ -174,19 +174,19 @@
 /// are omitted.
 pub fn report(cache: &TableCache, interval: Duration, stats: &ReportCounters) -> ReportRequest {
     let groups = cache.classes();
-    let replicas = stats.replicas.iter().filter_map(|((group, at), counters)| {
-        let delivered = counters.succeeded.max(1) as f64;
+    let replicas = stats.replicas.iter().filter_map(|((group, address), counters)| {
+        let successes = counters.succeeded.max(1) as f64;
         Some(ReplicaStatistics {
             class: groups.get(*group)?.clone(),
-            replica: cache.replica_at(at)?,
+            replica: cache.replica_at(address)?,
             issued: counters.attempts,
             succeeded: counters.succeeded,
             failed: counters.failed,
             total_latency_millis: counters.latency_sum.as_secs_f64() * 1000.0,
-            load: counters.load.iter().map(|sum| sum / delivered).collect(),
+            load: counters.load.iter().map(|sum| sum / successes).collect(),
         })
     });
-    let rejected_requests = groups.iter().zip(&stats.rejected).map(|(group, flows)| (group.clone(), *flows));
+    let rejected_requests = groups.iter().zip(&stats.rejected).map(|(group, count)| (group.clone(), *count));
     ReportRequest {
         interval_millis: interval.as_secs_f64() * 1000.0,
         replicas: replicas.collect(),
--- a/crates/client/src/table_cache.rs
+++ b/crates/client/src/table_cache.rs
@@ -226,8 +226,8 @@
     /// # Errors
     /// The delta does not apply; the tables are kept, and the next poll requests a snapshot.
     pub fn apply_delta(&mut self, version: String, delta: &Delta) -> Result<(), Mismatch> {
-        let held = self.held_version.as_ref().map_or([0; 32], |(_, digest)| *digest);
-        match table_versions::apply(&self.state, held, delta) {
+        let held_digest = self.held_version.as_ref().map_or([0; 32], |(_, digest)| *digest);
+        match table_versions::apply(&self.state, held_digest, delta) {
             Ok(state) => {
                 self.set_state(version, state);
                 Ok(())
@@ -250,9 +250,11 @@
 
     /// The replica at an address. Replicas are remembered after they leave the tables, as their attempts may still be
     /// reported.
-    pub fn replica_at(&self, at: &str) -> Option<String> {
-        let default_entry = self.default_table.iter().find(|entry| &*entry.address == at);
-        default_entry.map(|entry| entry.replica.clone()).or_else(|| self.replica_by_address.get(at).cloned())
+    pub fn replica_at(&self, address: &str) -> Option<String> {
+        let default_entry = self.default_table.iter().find(|entry| &*entry.address == address);
+        default_entry
+            .map(|entry| entry.replica.clone())
+            .or_else(|| self.replica_by_address.get(address).cloned())
     }
 
     // ---- requests
@@ -273,12 +275,14 @@
         let default_entries =
             || self.default_table.iter().map(|entry| (&entry.address, entry.weight)).collect();
         let entries: Vec<(&Arc<str>, f64)> = table.map_or_else(default_entries, |table| {
-            table.entries.iter().map(|(at, weight)| (at, *weight)).collect()
+            table.entries.iter().map(|(address, weight)| (address, *weight)).collect()
         });
         let picked = (excluded.is_some() || random.0 < admission_fraction).then(|| {
-            let candidates = entries.iter().filter(|(at, _)| Some(*at) != excluded);
-            let not_ejected: Vec<_> =
-                candidates.clone().filter(|(at, _)| !self.ejected_until.contains_key(*at)).collect();
+            let candidates = entries.iter().filter(|(address, _)| Some(*address) != excluded);
+            let not_ejected: Vec<_> = candidates
+                .clone()
+                .filter(|(address, _)| !self.ejected_until.contains_key(*address))
+                .collect();
             // If all are ejected, an address that fails is better than none.
             let eligible: Vec<_> = if not_ejected.is_empty() { candidates.collect() } else { not_ejected };
             let mut remaining = random.1 * eligible.iter().map(|(_, weight)| weight).sum::<f64>();
@@ -286,7 +290,7 @@
                 remaining -= weight;
                 remaining < 0.0
             };
-            eligible.iter().find(reached).or(eligible.last()).map(|(at, _)| (*at).clone())
+            eligible.iter().find(reached).or(eligible.last()).map(|(address, _)| (*address).clone())
         });
         let picked = picked.flatten();
         if picked.is_none() && excluded.is_none() {
@@ -308,29 +312,29 @@
     }
 
     /// Counts the start of an attempt.
-    pub fn attempt_started(&mut self, group: usize, at: &Arc<str>) {
-        self.counters.replicas.entry((group, at.clone())).or_default().attempts += 1;
+    pub fn attempt_started(&mut self, group: usize, address: &Arc<str>) {
+        self.counters.replicas.entry((group, address.clone())).or_default().attempts += 1;
     }
 
     /// Counts the outcome of an attempt, and ejects the address after too many consecutive failures.
-    pub fn attempt_ended(&mut self, now: Duration, group: usize, at: &Arc<str>, outcome: Outcome) {
-        let replica = self.counters.replicas.entry((group, at.clone())).or_default();
+    pub fn attempt_ended(&mut self, now: Duration, group: usize, address: &Arc<str>, outcome: Outcome) {
+        let replica = self.counters.replicas.entry((group, address.clone())).or_default();
         match outcome {
             Outcome::Succeeded { latency: answer_time, load } => {
                 replica.succeeded += 1;
                 replica.latency_sum += answer_time;
                 replica.load.resize(load.len(), 0.0);
                 replica.load.iter_mut().zip(load).for_each(|(sum, value)| *sum += value);
-                self.consecutive_failures.remove(at);
+                self.consecutive_failures.remove(address);
             }
             Outcome::Failed => {
                 replica.failed += 1;
                 let Some((max_failures, ejection_time)) = self.ejection else { return };
-                let failures = self.consecutive_failures.entry(at.clone()).or_default();
+                let failures = self.consecutive_failures.entry(address.clone()).or_default();
                 *failures += 1;
                 if *failures >= max_failures {
-                    self.consecutive_failures.remove(at);
-                    self.ejected_until.insert(at.clone(), now + ejection_time);
+                    self.consecutive_failures.remove(address);
+                    self.ejected_until.insert(address.clone(), now + ejection_time);
                 }
             }
         }
--- a/crates/client/tests/model.rs
+++ b/crates/client/tests/model.rs
@@ -233,7 +233,7 @@
             Proxy::Ads { held, .. } => held.as_ref().unwrap().0.clone(),
             Proxy::Poll(cache) => {
                 let entries = cache.updated_tables()["match"].0.clone();
-                entries.into_iter().map(|(at, weight)| (at.to_string(), weight as u32)).collect()
+                entries.into_iter().map(|(address, weight)| (address.to_string(), weight as u32)).collect()
             }
         };
         (expected, held)
@@ -288,7 +288,7 @@
     /// Truncated and corrupted xDS messages are rejected or handled without a panic.
     #[test]
     fn corrupt_xds_messages_cause_no_panic(
-        cut in 0usize..300, at in 0usize..300, byte in any::<u8>(), second in any::<u8>(),
+        cut in 0usize..300, offset in 0usize..300, byte in any::<u8>(), second in any::<u8>(),
     ) {
         let request = DeltaDiscoveryRequest {
             type_url: Kind::Endpoints.url(),
@@ -301,10 +301,10 @@
         let mut simulation = Simulation::new();
         simulation.advance(7, 0);
         let mut bytes = request.encode_to_vec();
-        let position = at % bytes.len();
+        let position = offset % bytes.len();
         bytes[position] = byte;
-        let other = second as usize % bytes.len();
-        bytes[other] ^= second;
+        let second_position = second as usize % bytes.len();
+        bytes[second_position] ^= second;
         bytes.truncate(cut.max(1));
         if let Ok(request) = DeltaDiscoveryRequest::decode(bytes.as_slice()) {
             let mut session = Session::new(1, &Request::Delta(request.clone()));
@@ -318,11 +318,11 @@
             &["match".to_string()], Duration::from_millis(500), &Default::default(), &["waiting"],
         );
         let mut bytes = stats.encode_to_vec();
-        let position = at % bytes.len();
+        let position = offset % bytes.len();
         bytes[position] = byte;
         bytes.truncate(cut.max(1));
         if let Ok(stats) = LoadStatsRequest::decode(bytes.as_slice()) {
-            let (reports, _) = decode::reports(&wire(), &stats.cluster_stats, |at| Some(at.into()));
+            let (reports, _) = decode::reports(&wire(), &stats.cluster_stats, |address| Some(address.into()));
             for report in reports {
                 let _ = simulation.engine.record_report(simulation.now, "p0", 99, &report);
             }
--- a/crates/xds/src/decode.rs
+++ b/crates/xds/src/decode.rs
@@ -168,8 +168,8 @@
 }
 
 /// Formats an address as `host:port`, as in the roster.
-pub fn host_port(at: Option<&Address>) -> Option<String> {
-    let Some(address::Address::SocketAddress(socket)) = &at?.address else { return None };
+pub fn host_port(address: Option<&Address>) -> Option<String> {
+    let Some(address::Address::SocketAddress(socket)) = &address?.address else { return None };
     let Some(PortSpecifier::PortValue(port)) = &socket.port_specifier else { return None };
     Some(match socket.address.contains(':') {
         true => format!("[{}]:{port}", socket.address),
--- a/crates/xds/src/decode/tests.rs
+++ b/crates/xds/src/decode/tests.rs
@@ -94,8 +94,8 @@
         }],
         ..ClusterStats::default()
     };
-    let at = |address: &str| (address == "10.0.0.1:1").then(|| "r1".into());
-    let (reports, unknown) = super::reports(&wire(), &[stats("match"), stats("other")], at);
+    let replica_at = |address: &str| (address == "10.0.0.1:1").then(|| "r1".into());
+    let (reports, unknown) = super::reports(&wire(), &[stats("match"), stats("other")], replica_at);
     assert_eq!((reports.len(), unknown), (1, 2));
     assert_eq!(reports[0].interval, Duration::new(1, 5));
     assert_eq!(reports[0].rejected, [(0, 3)]);
@@ -109,7 +109,7 @@
 
 #[test]
 fn addresses_round_trip() {
-    for at in ["10.0.0.1:80", "[::1]:8080", "worker.local:1"] {
-        assert_eq!(host_port(Some(&encode::address(at))).as_deref(), Some(at));
+    for address in ["10.0.0.1:80", "[::1]:8080", "worker.local:1"] {
+        assert_eq!(host_port(Some(&encode::address(address))).as_deref(), Some(address));
     }
 }
--- a/crates/xds/src/encode/tests.rs
+++ b/crates/xds/src/encode/tests.rs
@@ -94,27 +94,27 @@
 #[test]
 fn equal_content_has_an_equal_digest() {
     let table = Table { entries: vec![entry("a", 0, 1.0, true)], admission_fraction: 1.0 };
-    let one = to_any(&assignment(&wire(), "match", &table));
+    let resource = to_any(&assignment(&wire(), "match", &table));
     assert_eq!(
-        digest(&one),
+        digest(&resource),
         digest(&to_any(&assignment(
             &Wire { epoch: 8, governor: String::new(), key: None, ..wire() },
             "match",
             &table
         )))
     );
-    let other = Table { admission_fraction: 0.5, ..table };
-    assert_ne!(digest(&one), digest(&to_any(&assignment(&wire(), "match", &other))));
+    let changed = Table { admission_fraction: 0.5, ..table };
+    assert_ne!(digest(&resource), digest(&to_any(&assignment(&wire(), "match", &changed))));
 }
 
 proptest! {
     #[test]
     fn locality_weights_and_flat_weights_give_equal_shares(
-        lines in prop::collection::vec((0usize..2, 0.01f64..50.0), 1..40),
+        generated in prop::collection::vec((0usize..2, 0.01f64..50.0), 1..40),
     ) {
         let name = |n| "x".repeat(n + 1);
         let make = |(n, (zone, weight)): (usize, &(usize, f64))| entry(&name(n), *zone, *weight, true);
-        let table = Table { entries: lines.iter().enumerate().map(make).collect(), admission_fraction: 1.0 };
+        let table = Table { entries: generated.iter().enumerate().map(make).collect(), admission_fraction: 1.0 };
         let message = assignment(&wire(), "match", &table);
         let weight = |endpoint: &LbEndpoint| f64::from(endpoint.load_balancing_weight.unwrap().value);
         let flat_total: f64 = message.endpoints.iter().flat_map(|zone| &zone.lb_endpoints).map(weight).sum();
--- a/crates/xds/src/service.rs
+++ b/crates/xds/src/service.rs
@@ -250,8 +250,8 @@
         tokio::spawn(async move {
             let Some(Ok(first)) = requests.next().await else { return };
             let Some(node) = first.node else {
-                let why = Status::invalid_argument("the stream's first message has no node");
-                let _ = answers.send(Err(why)).await;
+                let status = Status::invalid_argument("the stream's first message has no node");
+                let _ = answers.send(Err(status)).await;
                 return;
             };
             let stream = front.number();
--- a/crates/xds/src/session.rs
+++ b/crates/xds/src/session.rs
@@ -334,9 +334,9 @@
             false => Kind::ALL,
         };
         for kind in order {
-            let Some((response, lines)) = self.next_response(wire, proxy, kind, newest) else { continue };
+            let Some((response, count)) = self.next_response(wire, proxy, kind, newest) else { continue };
             flushed.responses.push(response);
-            flushed.lines += lines;
+            flushed.lines += count;
         }
         let endpoints_subscribed = self
             .subscriptions
@@ -368,7 +368,7 @@
             .filter(|(name, _)| subscription.covers(name))
             .map(|(name, version)| (name, *version))
             .collect();
-        let (mut resources, mut lines) = (Vec::new(), 0);
+        let (mut resources, mut entry_count) = (Vec::new(), 0);
         let must_send = std::mem::take(&mut subscription.must_send);
         let mut changed = std::mem::take(&mut subscription.response_due);
         for (name, version) in &covered {
@@ -390,7 +390,7 @@
             }
             changed = true;
             resources.push(((*name).clone(), digest, resource));
-            lines += count;
+            entry_count += count;
         }
         let removed: Vec<String> = if self.delta {
             let sent = subscription.sent.keys().chain(subscription.initial_versions.keys());
@@ -426,11 +426,11 @@
         }
         if !self.delta && kind.requires_full_state() {
             resources.clear();
-            lines = 0;
+            entry_count = 0;
             for (name, _) in &covered {
                 if let Some((resource, count)) = encode::resource(wire, proxy, kind, name) {
                     resources.push(((*name).clone(), String::new(), resource));
-                    lines += count;
+                    entry_count += count;
                 }
             }
         }
@@ -443,7 +443,7 @@
         subscription.last_nonce.clone_from(&nonce);
         let control_plane = Some(ControlPlane { identifier: wire.identifier(&proxy.name, newest) });
         let version = format!("{:x}.{newest}", self.epoch);
-        let lines = (lines + removed.len()).max(1);
+        let entry_count = (entry_count + removed.len()).max(1);
         let response = match self.delta {
             true => Response::Delta(DeltaDiscoveryResponse {
                 system_version_info: version,
@@ -471,7 +471,7 @@
                 ..DiscoveryResponse::default()
             }),
         };
-        Some((response, lines))
+        Some((response, entry_count))
     }
 
     /// The subscribed resources: type, name, version last sent (0 if none), and status.
@@ -483,14 +483,14 @@
                     continue;
                 }
                 let sent = subscription.sent.get(&name).map(|(sent, _)| *sent);
-                let standing = match sent {
+                let resource_status = match sent {
                     Some(_) if subscription.rejected_version.is_some() => Standing::Nacked,
                     Some(sent) if sent < version => Standing::NotSent,
                     Some(_) if subscription.outstanding.is_empty() => Standing::Acked,
                     Some(_) => Standing::Sent,
                     None => Standing::NotSent,
                 };
-                status.push((*kind, name, sent.unwrap_or(0), standing));
+                status.push((*kind, name, sent.unwrap_or(0), resource_status));
             }
         }
         status
--- a/crates/xds/src/session/tests.rs
+++ b/crates/xds/src/session/tests.rs
@@ -208,8 +208,9 @@
 fn sends_and_acks_nothing_without_a_subscription() {
     let mut fixture = Fixture::new(sotw(Kind::Endpoints, &[], "", None));
     assert_eq!(fixture.flush(), FlushOutcome::default());
-    let unserved = Request::Sotw(DiscoveryRequest { type_url: "x/y".into(), ..DiscoveryRequest::default() });
-    assert_eq!(fixture.session.request(unserved).unwrap(), [Heard::Unserved("x/y".into())]);
+    let unsupported =
+        Request::Sotw(DiscoveryRequest { type_url: "x/y".into(), ..DiscoveryRequest::default() });
+    assert_eq!(fixture.session.request(unsupported).unwrap(), [Heard::Unserved("x/y".into())]);
     let mixed = fixture.session.request(Request::Delta(delta(Kind::Endpoints, &["a"], &[], "")));
     assert_eq!(mixed, Err(SessionError::MixedVariants));
 }
@@ -259,8 +260,8 @@
         first.resources.iter().map(|resource| (resource.name.clone(), resource.version.clone())).collect();
     reconnect.initial_resource_versions.insert("match".into(), "0123".into());
     reconnect.initial_resource_versions.insert("left over".into(), "4567".into());
-    let mut other = Fixture::new(Request::Delta(reconnect.clone()));
-    let flushed = other.flush();
+    let mut second = Fixture::new(Request::Delta(reconnect.clone()));
+    let flushed = second.flush();
     let Response::Delta(again) = &flushed.responses[0] else { panic!() };
     assert_eq!(again.resources.len(), 1, "only the one whose digest differs");
     assert_eq!(again.removed_resources, ["left over"]);
