--- a/crates/xds/src/service.rs
+++ b/crates/xds/src/service.rs
@@ -1,6 +1,6 @@
-//! The gRPC services: they carry messages between sockets and the task that owns engine and sessions, and
-//! know nothing else. Each stream's answers go through a short channel, so a proxy that does not read fills
-//! only its own, and what would be sent to it is merged meanwhile.
+//! The gRPC services. They only pass messages between sockets and the task that owns the engine and the
+//! sessions. Responses go through a bounded channel per stream: a proxy that does not read fills only its own
+//! channel, and later changes are merged until it reads again.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -29,39 +29,39 @@
 use crate::pb::envoy::service::status::v3::{ClientStatusRequest, ClientStatusResponse};
 use crate::session;
 
-/// Responses that may wait in a stream's channel: those of one flush, and of a drain behind it.
-pub const CHANNEL: usize = 8;
-/// Room that a flush needs there: one response of each type.
-pub const ROOM: usize = 4;
+/// Capacity of a stream's response channel: the responses of one flush and of a drain after it.
+pub const CHANNEL_CAPACITY: usize = 8;
+/// Maximum number of responses of one flush: one of each resource type.
+pub const MAX_FLUSH_RESPONSES: usize = 4;
 
-/// Where a stream's answers go.
+/// Sends responses on a stream.
 #[derive(Debug, Clone)]
 pub enum Answers {
-    /// Of a state-of-the-world stream.
+    /// For a state-of-the-world stream.
     Sotw(mpsc::Sender<Result<DiscoveryResponse, Status>>),
-    /// Of a delta stream.
+    /// For a delta stream.
     Delta(mpsc::Sender<Result<DeltaDiscoveryResponse, Status>>),
 }
 
 impl Answers {
-    /// Whether a whole flush fits.
+    /// Whether the channel has capacity for a complete flush.
     pub fn has_room(&self) -> bool {
         match self {
-            Answers::Sotw(answers) => answers.capacity() >= ROOM,
-            Answers::Delta(answers) => answers.capacity() >= ROOM,
+            Answers::Sotw(answers) => answers.capacity() >= MAX_FLUSH_RESPONSES,
+            Answers::Delta(answers) => answers.capacity() >= MAX_FLUSH_RESPONSES,
         }
     }
 
-    /// Waits until a whole flush fits; false if the stream is over.
+    /// Waits for capacity for a complete flush; false if the stream has ended.
     pub async fn room(&self) -> bool {
         match self {
-            Answers::Sotw(answers) => answers.reserve_many(ROOM).await.is_ok(),
-            Answers::Delta(answers) => answers.reserve_many(ROOM).await.is_ok(),
+            Answers::Sotw(answers) => answers.reserve_many(MAX_FLUSH_RESPONSES).await.is_ok(),
+            Answers::Delta(answers) => answers.reserve_many(MAX_FLUSH_RESPONSES).await.is_ok(),
         }
     }
 
-    /// Gives a response to the stream. What does not fit is lost, so ask [`Answers::has_room`] first; what is
-    /// said on a stream that is over is lost with it.
+    /// Sends a response. It is dropped if the stream has ended or the channel is full, so check
+    /// [`Answers::has_room`] first.
     pub fn send(&self, response: session::Response) {
         let _ = match (self, response) {
             (Answers::Sotw(answers), session::Response::Sotw(response)) => {
@@ -74,7 +74,7 @@
         };
     }
 
-    /// Ends the stream with a status, if it still has room to hear it.
+    /// Ends the stream with a status. The status is dropped if the channel is full.
     pub fn end(&self, status: Status) {
         let _ = match self {
             Answers::Sotw(answers) => answers.try_send(Err(status)).is_ok(),
@@ -83,73 +83,74 @@
     }
 }
 
-/// What happens on the sockets, for the one task that owns all state.
+/// Events of the streams, for the task that owns all state.
 #[derive(Debug)]
 pub enum Event {
     /// An ADS stream was opened.
     Opened {
         /// The number of the stream.
         stream: u64,
-        /// Where its responses go.
+        /// Sends the stream's responses.
         answers: Answers,
     },
-    /// A request came on it.
+    /// A request was received on an ADS stream.
     Asked {
         /// The number of the stream.
         stream: u64,
         /// The request.
         request: Box<session::Request>,
     },
-    /// It ended.
+    /// An ADS stream ended.
     Closed {
         /// The number of the stream.
         stream: u64,
     },
-    /// An LRS stream was opened by this node.
+    /// An LRS stream was opened.
     ReportsOpened {
         /// The number of the stream.
         stream: u64,
-        /// Who reports.
+        /// The node that reports.
         node: Box<Node>,
     },
-    /// A load report came on it.
+    /// A load report was received on an LRS stream.
     Reported {
         /// The number of the stream.
         stream: u64,
         /// Statistics by cluster.
         stats: Vec<ClusterStats>,
     },
-    /// It ended.
+    /// An LRS stream ended.
     ReportsClosed {
         /// The number of the stream.
         stream: u64,
     },
-    /// A CSDS request.
+    /// A CSDS request was received.
     Status {
         /// The request.
         request: Box<ClientStatusRequest>,
-        /// Where the response goes.
+        /// Receives the response.
         reply: oneshot::Sender<ClientStatusResponse>,
     },
 }
 
-/// All three services.
+/// Implements the ADS, LRS and CSDS services.
 #[derive(Debug, Clone)]
 pub struct Front {
     events: mpsc::Sender<Event>,
-    streams: Arc<AtomicU64>,
+    next_stream: Arc<AtomicU64>,
     report_every: std::time::Duration,
 }
 
-type Answer<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
+type ResponseStream<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
 
 impl Front {
-    /// Events go to `events`; a full channel holds streams back, which is how load reaches their sockets.
+    /// Events are sent to `events`. While that channel is full, streams are not read, which applies back pressure
+    /// to the proxies.
     pub fn new(events: mpsc::Sender<Event>, report_every: std::time::Duration) -> Self {
-        Front { events, streams: Arc::new(AtomicU64::new(1)), report_every }
+        Front { events, next_stream: Arc::new(AtomicU64::new(1)), report_every }
     }
 
-    /// The services, for a server's router.
+    /// The services, for the router of a server.
     pub fn services(
         &self,
     ) -> (
@@ -164,27 +165,27 @@
         )
     }
 
-    /// One numbering for all kinds of streams, in the order of their opening.
+    /// Allocates a stream number. All kinds of streams share one sequence, in the order of their opening.
     pub fn number(&self) -> u64 {
-        self.streams.fetch_add(1, Ordering::Relaxed)
+        self.next_stream.fetch_add(1, Ordering::Relaxed)
     }
 
-    async fn tell(&self, event: Event) -> Result<(), Status> {
+    async fn send_event(&self, event: Event) -> Result<(), Status> {
         self.events.send(event).await.map_err(|_| Status::unavailable("the governor is stopping"))
     }
 
-    /// Carries a stream's requests to the owner until it ends or breaks.
-    async fn carry<R>(
+    /// Forwards the requests of a stream as events, until the stream ends.
+    async fn forward_requests<R>(
         &self,
         answers: Answers,
         requests: Streaming<R>,
-        into: fn(R) -> session::Request,
+        wrap: fn(R) -> session::Request,
     ) -> Result<(), Status>
     where
         R: Send + 'static,
     {
         let stream = self.number();
-        self.tell(Event::Opened { stream, answers: answers.clone() }).await?;
+        self.send_event(Event::Opened { stream, answers: answers.clone() }).await?;
         let front = self.clone();
         tokio::spawn(async move {
             let mut requests = requests;
@@ -194,12 +195,12 @@
                     () = closed(&answers) => None,
                 };
                 let Some(Ok(request)) = request else { break };
-                let request = Box::new(into(request));
-                if front.tell(Event::Asked { stream, request }).await.is_err() {
+                let request = Box::new(wrap(request));
+                if front.send_event(Event::Asked { stream, request }).await.is_err() {
                     break;
                 }
             }
-            let _ = front.tell(Event::Closed { stream }).await;
+            let _ = front.send_event(Event::Closed { stream }).await;
         });
         Ok(())
     }
@@ -214,15 +215,15 @@
 
 #[tonic::async_trait]
 impl AggregatedDiscoveryService for Front {
-    type StreamAggregatedResourcesStream = Answer<DiscoveryResponse>;
-    type DeltaAggregatedResourcesStream = Answer<DeltaDiscoveryResponse>;
+    type StreamAggregatedResourcesStream = ResponseStream<DiscoveryResponse>;
+    type DeltaAggregatedResourcesStream = ResponseStream<DeltaDiscoveryResponse>;
 
     async fn stream_aggregated_resources(
         &self,
         request: Request<Streaming<DiscoveryRequest>>,
     ) -> Result<Response<Self::StreamAggregatedResourcesStream>, Status> {
-        let (answers, stream) = mpsc::channel(CHANNEL);
-        self.carry(Answers::Sotw(answers), request.into_inner(), session::Request::Sotw).await?;
+        let (answers, stream) = mpsc::channel(CHANNEL_CAPACITY);
+        self.forward_requests(Answers::Sotw(answers), request.into_inner(), session::Request::Sotw).await?;
         Ok(Response::new(Box::pin(ReceiverStream::new(stream))))
     }
 
@@ -230,47 +231,47 @@
         &self,
         request: Request<Streaming<DeltaDiscoveryRequest>>,
     ) -> Result<Response<Self::DeltaAggregatedResourcesStream>, Status> {
-        let (answers, stream) = mpsc::channel(CHANNEL);
-        self.carry(Answers::Delta(answers), request.into_inner(), session::Request::Delta).await?;
+        let (answers, stream) = mpsc::channel(CHANNEL_CAPACITY);
+        self.forward_requests(Answers::Delta(answers), request.into_inner(), session::Request::Delta).await?;
         Ok(Response::new(Box::pin(ReceiverStream::new(stream))))
     }
 }
 
 #[tonic::async_trait]
 impl LoadReportingService for Front {
-    type StreamLoadStatsStream = Answer<LoadStatsResponse>;
+    type StreamLoadStatsStream = ResponseStream<LoadStatsResponse>;
 
     async fn stream_load_stats(
         &self,
         request: Request<Streaming<LoadStatsRequest>>,
     ) -> Result<Response<Self::StreamLoadStatsStream>, Status> {
-        let (answers, stream) = mpsc::channel(CHANNEL);
+        let (answers, stream) = mpsc::channel(CHANNEL_CAPACITY);
         let (front, mut requests) = (self.clone(), request.into_inner());
         tokio::spawn(async move {
             let Some(Ok(first)) = requests.next().await else { return };
             let Some(node) = first.node else {
-                let why = Status::invalid_argument("the stream's first message has no node");
-                let _ = answers.send(Err(why)).await;
+                let status = Status::invalid_argument("the stream's first message has no node");
+                let _ = answers.send(Err(status)).await;
                 return;
             };
             let stream = front.number();
-            let every = front.report_every;
-            let asked = LoadStatsResponse {
+            let interval = front.report_every;
+            let interval_request = LoadStatsResponse {
                 send_all_clusters: true,
                 report_endpoint_granularity: true,
                 load_reporting_interval: Some(crate::pb::google::protobuf::Duration {
-                    seconds: every.as_secs() as i64,
-                    nanos: every.subsec_nanos() as i32,
+                    seconds: interval.as_secs() as i64,
+                    nanos: interval.subsec_nanos() as i32,
                 }),
                 ..LoadStatsResponse::default()
             };
-            let opened = Event::ReportsOpened { stream, node: Box::new(node) };
-            if front.tell(opened).await.is_err() || answers.send(Ok(asked)).await.is_err() {
+            let event = Event::ReportsOpened { stream, node: Box::new(node) };
+            if front.send_event(event).await.is_err() || answers.send(Ok(interval_request)).await.is_err() {
                 return;
             }
             let mut stats = first.cluster_stats;
             loop {
-                if !stats.is_empty() && front.tell(Event::Reported { stream, stats }).await.is_err() {
+                if !stats.is_empty() && front.send_event(Event::Reported { stream, stats }).await.is_err() {
                     break;
                 }
                 stats = tokio::select! {
@@ -281,7 +282,7 @@
                     () = answers.closed() => break,
                 };
             }
-            let _ = front.tell(Event::ReportsClosed { stream }).await;
+            let _ = front.send_event(Event::ReportsClosed { stream }).await;
         });
         Ok(Response::new(Box::pin(ReceiverStream::new(stream))))
     }
@@ -289,7 +290,7 @@
 
 #[tonic::async_trait]
 impl ClientStatusDiscoveryService for Front {
-    type StreamClientStatusStream = Answer<ClientStatusResponse>;
+    type StreamClientStatusStream = ResponseStream<ClientStatusResponse>;
 
     async fn stream_client_status(
         &self,
@@ -314,7 +315,7 @@
 impl Front {
     async fn status(&self, request: ClientStatusRequest) -> Result<ClientStatusResponse, Status> {
         let (reply, answer) = oneshot::channel();
-        self.tell(Event::Status { request: Box::new(request), reply }).await?;
+        self.send_event(Event::Status { request: Box::new(request), reply }).await?;
         answer.await.map_err(|_| Status::unavailable("the governor is stopping"))
     }
 }
