--- a/crates/long-poll/src/conversion.rs
+++ b/crates/long-poll/src/conversion.rs
@@ -1,4 +1,4 @@
-//! How messages stand for the core's types: names for numbers, texts for enums, in both directions.
+//! Converts wire messages to the core's types and back: names to indices, and strings to enums.
 
 #[cfg(test)]
 mod tests;
@@ -18,18 +18,18 @@
     TableEntry, TablesResponse,
 };
 
-/// The longest name of a proxy.
+/// Maximum length of a proxy's name.
 const MAX_NAME_BYTES: usize = 256;
-/// The most entries of a proxy's default table.
+/// Maximum number of entries in a proxy's default table.
 const MAX_DEFAULT_TABLE_ENTRIES: usize = 1000;
-/// How much of a wrong text an error repeats.
+/// Maximum length of an invalid value that is quoted in an error.
 const MAX_QUOTED_CHARS: usize = 80;
 
 const RETRY_NEVER: &str = "never";
 const RETRY_IF_NOT_EXECUTED: &str = "if-never-ran";
 const RETRY_ON_ANY_FAILURE: &str = "once";
 
-/// What is wrong with a message.
+/// Why a message is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidMessageError {
     /// A zone that is not in the settings.
@@ -40,21 +40,21 @@
         /// The zones in the settings.
         known: String,
     },
-    /// A field with a value that it can't have.
+    /// A field has an invalid value.
     #[error("`{field}`: {reason}")]
     Field {
-        /// The field, by its name on the wire.
+        /// The wire name of the field.
         field: &'static str,
-        /// What is wrong with it.
+        /// Why the value is invalid.
         reason: String,
     },
     /// A traffic class that is not in the settings.
     #[error("group `{0}` is not known")]
     Class(String),
-    /// A text that is no digest.
+    /// A malformed digest.
     #[error("digest `{0}` is not 64 hexadecimal digits")]
     Digest(String),
-    /// A text that is no version.
+    /// A malformed version.
     #[error("version `{0}` is not EPOCH.NUMBER")]
     Version(String),
 }
@@ -65,30 +65,30 @@
     }
 }
 
-/// Tables as they were read: complete, or a delta to apply.
+/// Decoded tables: complete, or a delta to apply.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DecodedTables {
     /// All tables of a version.
     Complete(PublishedState),
-    /// What differs from an earlier version.
+    /// The changes since an earlier version.
     Delta(Delta),
 }
 
-/// Reads a digest in hexadecimal.
+/// Parses a hexadecimal digest.
 ///
 /// # Errors
-/// It is not 64 hexadecimal digits.
+/// The text is not 64 hexadecimal digits.
 pub fn parse_digest(text: &str) -> Result<Digest, InvalidMessageError> {
     let digest = table_versions::unhex(text).and_then(|bytes| bytes.try_into().ok());
     digest.ok_or_else(|| InvalidMessageError::Digest(quoted(text)))
 }
 
-/// The start of a wrong text, for an error.
+/// The start of an invalid value, to be quoted in an error.
 fn quoted(text: &str) -> String {
     text.chars().take(MAX_QUOTED_CHARS).collect()
 }
 
-/// The name of a retry policy, on the wire and in status.
+/// The name of a retry policy, as used on the wire and in the status.
 pub fn retry_policy_name(policy: RetryPolicy) -> &'static str {
     match policy {
         RetryPolicy::Never => RETRY_NEVER,
@@ -120,7 +120,7 @@
         self.zones.get(zone).cloned().unwrap_or_default()
     }
 
-    /// The number of a zone. The name may be left out where there is one zone.
+    /// The index of a zone. The name may be empty if there is only one zone.
     fn parse_zone(&self, name: &str) -> Result<usize, InvalidMessageError> {
         if name.is_empty() && self.zones.len() == 1 {
             return Ok(0);
@@ -137,10 +137,10 @@
         class.ok_or_else(|| InvalidMessageError::Class(name.into()))
     }
 
-    /// The number in `EPOCH.NUMBER`; none for another epoch's.
+    /// The number in `EPOCH.NUMBER`, or `None` if the epoch is not this session's.
     ///
     /// # Errors
-    /// It has another form.
+    /// The text does not have that form.
     pub fn parse_version(&self, version: &str) -> Result<Option<u64>, InvalidMessageError> {
         let invalid = || InvalidMessageError::Version(quoted(version));
         let (epoch, number) = version.split_once('.').ok_or_else(invalid)?;
@@ -148,10 +148,11 @@
         Ok((epoch == self.epoch).then_some(number))
     }
 
-    /// A join, for the engine. `default_requests_per_second`: the load of a proxy that does not say its own.
+    /// Decodes a join request for the engine. `default_requests_per_second` is the load of a proxy that does not state
+    /// its own.
     ///
     /// # Errors
-    /// A name, zone, load or default table that can't be.
+    /// The name, zone, load or default table is invalid.
     pub fn decode_join(
         &self,
         proxy: &str,
@@ -185,7 +186,7 @@
         })
     }
 
-    /// A load report as a proxy would send it.
+    /// Encodes a load report as a proxy sends it.
     pub fn encode_report(&self, report: &LoadReport) -> ReportRequest {
         let mut replicas = Vec::new();
         for observed in &report.observations {
@@ -206,10 +207,10 @@
         ReportRequest { interval_millis: to_millis(report.interval), replicas, rejected: rejected.collect() }
     }
 
-    /// A load report, for the engine.
+    /// Decodes a load report for the engine.
     ///
     /// # Errors
-    /// Times that can't be, or a class that is not known.
+    /// A duration is invalid, or a class is unknown.
     pub fn decode_report(&self, report: &ReportRequest) -> Result<LoadReport, InvalidMessageError> {
         let interval = parse_millis("interval_ms", report.interval_millis)?;
         let mut observations = Vec::new();
@@ -228,7 +229,7 @@
         statistics: &ReplicaStatistics,
     ) -> Result<ReplicaObservation, InvalidMessageError> {
         let total_latency = parse_millis("answer_ms", statistics.total_latency_millis)?;
-        // A sum of nothing is no time that was measured.
+        // A total latency of zero means that no latency was measured.
         let timed = if total_latency.is_zero() { 0 } else { statistics.succeeded };
         let has_all_metrics = statistics.load.len() == self.load_metrics.len();
         Ok(ReplicaObservation {
@@ -243,7 +244,7 @@
         })
     }
 
-    /// Complete tables.
+    /// Encodes complete tables.
     pub fn encode_complete(&self, version: u64, digest: &Digest, state: &PublishedState) -> TablesResponse {
         let mut classes = BTreeMap::new();
         for (name, table) in self.classes.iter().zip(&state.classes) {
@@ -280,7 +281,7 @@
         format!("{}.{version}", self.epoch)
     }
 
-    /// What differs from an earlier version.
+    /// Encodes the changes since an earlier version.
     pub fn encode_delta(&self, version: u64, delta: &Delta) -> TablesResponse {
         let mut classes = BTreeMap::new();
         for (class, change) in &delta.changes {
@@ -325,10 +326,10 @@
         }
     }
 
-    /// Tables as they were sent.
+    /// Decodes complete tables or a delta.
     ///
     /// # Errors
-    /// Names that are not known, an incomplete entry, complete tables whose digest is another.
+    /// A name is unknown, an entry is incomplete, or complete tables do not match their digest.
     pub fn decode_tables(&self, tables: &TablesResponse) -> Result<DecodedTables, InvalidMessageError> {
         let mut changes = BTreeMap::new();
         for (name, update) in &tables.classes {
@@ -368,7 +369,7 @@
         })
     }
 
-    /// The state that changes come to where nothing was before.
+    /// The state that results from applying changes to an empty state.
     fn complete_state(
         &self,
         changes: BTreeMap<usize, TableChange>,
--- a/crates/long-poll/src/conversion/tests.rs
+++ b/crates/long-poll/src/conversion/tests.rs
@@ -13,7 +13,7 @@
     }
 }
 
-/// A state of replicas by number with weights, for one class or both.
+/// A state with replicas given by number and weight, for the first class or for both.
 fn state(weights: &[(u8, u32)], both: bool) -> PublishedState {
     let entry = |(id, weight): &(u8, u32)| {
         let zone = usize::from(id % 2);
@@ -45,7 +45,7 @@
         prop_assert_eq!(table_versions::apply(&one, one.digest(), &decoded).unwrap(), two);
     }
 
-    /// Cut off or changed bytes: an error, or something with another digest; never a panic.
+    /// Truncated or changed messages are rejected or decode to the same tables; they never cause a panic.
     #[test]
     fn broken_messages_are_rejected(cut in 0usize..400, at in 0usize..400, byte in any::<u8>()) {
         let (parameters, state) = (parameters(), state(&[(1, 5), (2, 7)], true));
--- a/crates/long-poll/src/lib.rs
+++ b/crates/long-poll/src/lib.rs
@@ -1,11 +1,12 @@
-//! The long-poll front: a second way for proxies to follow a governor, on the same engine and under the same rules.
+//! The long-poll HTTP interface, an alternative to gRPC streams for proxies that follow a governor. Both use the same
+//! engine and the same rules.
 //!
-//! A proxy joins once, then polls again and again for what differs from the version that it holds; the poll itself
-//! says which version that is, and so acknowledges it. The answer is a delta from there, or complete tables where
-//! that version is not retained; a poll waits for as long as it says if there is nothing new.
+//! A proxy joins once and then polls repeatedly. Each poll names the version that the proxy holds and so acknowledges
+//! it. The response is a delta from that version, or complete tables if that version is no longer retained. If there is
+//! nothing new, the poll waits for up to the time that it asks for.
 //!
-//! [`sessions::Sessions`] is the state behind that, without I/O; [`messages`] are what crosses the wire, [`conversion`]
-//! turns them into the core's types, [`service`] holds the HTTP handlers.
+//! [`sessions::Sessions`] keeps the session state without I/O, [`messages`] defines the wire messages, [`conversion`]
+//! translates between them and the core's types, and [`service`] has the HTTP handlers.
 
 #![warn(missing_docs)]
 
--- a/crates/long-poll/src/messages.rs
+++ b/crates/long-poll/src/messages.rs
@@ -1,46 +1,47 @@
-//! The messages, as JSON or CBOR. Their names on the wire, and the OpenAPI document that is made of these types, are an
-//! interface: fields are renamed by serde attributes alone, and doc comments of fields are the document's text.
+//! The wire messages, as JSON or CBOR. Their wire names and the OpenAPI document generated from these types are a
+//! public interface: serde attributes keep the wire names of renamed fields, and doc comments of fields become the
+//! descriptions in the document.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use utoipa::ToSchema;
 
-/// What names and numbers on the wire stand for: zones, traffic classes, the epoch.
+/// Parameters of a session: zones, traffic classes, the epoch, and the limits for polls and reports.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, ToSchema)]
-#[schema(as = Terms, description = "What names and numbers on the wire stand for.")]
+#[schema(as = Terms, description = "Session parameters: zones, groups, the epoch, and limits for polls and reports.")]
 pub struct SessionParameters {
-    /// This governor's life.
+    /// The governor's epoch, with which its versions begin.
     pub epoch: String,
-    /// Its name among those that share the fleet; empty where it is alone.
+    /// The governor's name among those that share the fleet; empty for a single governor.
     #[serde(default)]
     pub governor: String,
-    /// Zones and groups, in the order in which digests are made over them.
+    /// The zones. Digests depend on the order of zones and groups.
     pub zones: Vec<String>,
     #[allow(missing_docs, reason = "a doc comment would change the OpenAPI document")]
     #[serde(rename = "groups")]
     pub classes: Vec<String>,
-    /// How often to report, in seconds.
+    /// Interval between load reports, in seconds.
     #[serde(rename = "report_every_s")]
     pub report_interval_seconds: String,
-    /// Load metrics that reports may carry, in order.
+    /// Load metrics that reports may contain, in this order.
     #[serde(rename = "load")]
     pub load_metrics: Vec<String>,
-    /// The longest that a question may wait, in seconds.
+    /// Maximum time that a poll may wait, in seconds.
     #[serde(rename = "wait_most_s")]
     pub max_wait_seconds: u64,
 }
 
-/// An entry of the default table that a proxy came with.
+/// An entry of the default table that a joining proxy holds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, ToSchema)]
-#[schema(as = StandingLine, description = "A standing table's line.")]
+#[schema(as = StandingLine, description = "An entry of a default table.")]
 #[allow(missing_docs, reason = "doc comments of fields would change the OpenAPI document")]
 pub struct DefaultTableEntry {
     pub replica: String,
     pub weight: f64,
 }
 
-/// A proxy says who it is.
+/// A request to join.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, ToSchema)]
 #[serde(deny_unknown_fields)]
 #[schema(as = JoinAsked)]
@@ -48,26 +49,26 @@
     #[allow(missing_docs, reason = "a doc comment would change the OpenAPI document")]
     #[serde(default)]
     pub zone: String,
-    /// Flows a second that it ordinarily receives.
+    /// Requests per second that the proxy usually receives.
     #[serde(rename = "usual")]
     pub requests_per_second: Option<f64>,
-    /// The standing table that it holds, if it has one.
+    /// The default table that the proxy holds, if it has one.
     #[serde(default, rename = "standing")]
     pub default_table: Vec<DefaultTableEntry>,
-    /// It holds tables of this or another governor besides.
+    /// Whether the proxy also holds tables from this or another governor.
     #[serde(default, rename = "holds_orders")]
     pub holds_tables: bool,
-    /// The signed word of whose they are, as it was told.
+    /// The signed proof of which governor owns the proxy, as received with its tables.
     #[serde(default, rename = "claim")]
     pub ownership_proof: Option<String>,
 }
 
-// The session that a proxy has from now on. (No doc comment: it would change the OpenAPI document.)
+// The session of a proxy that has joined. (No doc comment: it would change the OpenAPI document.)
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, ToSchema)]
 #[schema(as = JoinTold)]
 #[allow(missing_docs, reason = "doc comments would change the OpenAPI document")]
 pub struct JoinResponse {
-    /// To be named in everything that follows.
+    /// The session number, required in all further requests.
     pub session: u64,
     #[serde(rename = "terms")]
     pub parameters: SessionParameters,
@@ -80,45 +81,45 @@
 pub struct TableEntry {
     pub replica: String,
     pub weight: u32,
-    /// Left out where it is as in the base.
+    /// Omitted in a delta if unchanged from the base.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub address: Option<String>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
 }
 
-// The table of one traffic class, or what changes in it.
+// The table of one traffic class, or the changes to it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, ToSchema)]
 #[schema(as = GroupTold)]
 #[allow(missing_docs, reason = "doc comments would change the OpenAPI document")]
 pub struct ClassUpdate {
-    /// The proxy stays on its standing table from here on; nothing else counts then.
+    /// If set, the proxy uses its default table from now on and ignores the other fields.
     #[serde(default, rename = "standing", skip_serializing_if = "std::ops::Not::not")]
     pub use_default_table: bool,
     #[serde(default, rename = "lines", skip_serializing_if = "Vec::is_empty")]
     pub entries: Vec<TableEntry>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub removed: Vec<String>,
-    /// Flows to let in, in parts of a million.
+    /// Fraction of requests to admit, in millionths.
     #[serde(rename = "level")]
     pub admission_millionths: u32,
-    /// `never`, `if-never-ran` or `once`.
+    /// Retry policy: `never`, `if-never-ran` or `once`.
     #[serde(rename = "tries")]
     pub retry_policy: String,
 }
 
-/// What differs from the version that was held, or complete tables.
+/// Changes since the version that the proxy holds, or complete tables.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, ToSchema)]
-#[schema(as = TablesTold, description = "What differs from the version that was held, or all there is.")]
+#[schema(as = TablesTold, description = "Changes since the version that the proxy holds, or complete tables.")]
 pub struct TablesResponse {
-    /// `EPOCH.NUMBER`.
+    /// The version, as `EPOCH.NUMBER`.
     pub version: String,
-    /// Of the whole state that this comes to, in hexadecimal.
+    /// Digest of the complete state at this version, in hexadecimal.
     pub digest: String,
-    /// The digest that a delta starts from; without it this is the whole.
+    /// Digest of the state that the delta applies to; absent for complete tables.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub base: Option<String>,
-    /// To be shown to whichever governor the proxy joins next.
+    /// Signed proof of ownership, to be sent with the next join.
     #[serde(default, rename = "claim", skip_serializing_if = "Option::is_none")]
     pub ownership_proof: Option<String>,
     #[allow(missing_docs, reason = "a doc comment would change the OpenAPI document")]
@@ -126,10 +127,10 @@
     pub classes: BTreeMap<String, ClassUpdate>,
 }
 
-/// What a proxy observed at a replica, within a report's interval.
+/// What a proxy observed of a replica during the interval of a report.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize, ToSchema)]
 #[serde(deny_unknown_fields, default)]
-#[schema(as = MetTold, description = "What a proxy met at a replica, within a report's interval.")]
+#[schema(as = MetTold, description = "What a proxy observed of a replica during the interval of a report.")]
 #[allow(missing_docs, reason = "doc comments of fields would change the OpenAPI document")]
 pub struct ReplicaStatistics {
     #[serde(rename = "group")]
@@ -140,10 +141,10 @@
     pub succeeded: u64,
     #[serde(rename = "dropped")]
     pub failed: u64,
-    /// Sum of the answer times of the delivered ones, in milliseconds.
+    /// Sum of the response times of the delivered requests, in milliseconds.
     #[serde(rename = "answer_ms")]
     pub total_latency_millis: f64,
-    /// The replica's latest word of its load, in the order of the terms' metrics; may be empty.
+    /// The load that the replica reported last, in the order of the session's load metrics; may be empty.
     pub load: Vec<f64>,
 }
 
@@ -157,30 +158,30 @@
     pub interval_millis: f64,
     #[serde(default, rename = "met")]
     pub replicas: Vec<ReplicaStatistics>,
-    /// By group: flows that were blocked before any try.
+    /// Requests rejected before any attempt, by group.
     #[serde(default, rename = "blocked")]
     pub rejected: BTreeMap<String, u64>,
 }
 
-// Whether a load report counts.
+// Whether a load report was counted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, ToSchema)]
 #[schema(as = ReportTold)]
 #[allow(missing_docs, reason = "doc comments would change the OpenAPI document")]
 pub struct ReportResponse {
-    /// Whether it counts; a copy of one that was counted does not, and all is well.
+    /// Whether the report was counted. A duplicate is not counted again, which is no error.
     pub counted: bool,
-    /// Why not.
+    /// Why the report was not counted.
     #[serde(default, rename = "why", skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
 }
 
-// Why a request is not served.
+// Why a request was not served.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, ToSchema)]
 #[schema(as = Trouble)]
 #[allow(missing_docs, reason = "doc comments would change the OpenAPI document")]
 pub struct ErrorResponse {
     pub error: String,
-    /// The governor to go to; empty: whoever is next in the proxy's own order.
+    /// The governor to join instead; empty: the next one in the proxy's own order.
     #[serde(default, rename = "go_to", skip_serializing_if = "Option::is_none")]
     pub redirect_to: Option<String>,
 }
--- a/crates/long-poll/src/service.rs
+++ b/crates/long-poll/src/service.rs
@@ -1,5 +1,5 @@
-//! The HTTP handlers: they read and write messages, in JSON or CBOR as the client asks, and hand requests to the task that
-//! owns all state.
+//! The HTTP handlers. They decode requests and encode responses, in JSON or CBOR as the client asks, and pass the
+//! requests to the task that owns all state.
 
 #[cfg(test)]
 mod tests;
@@ -26,52 +26,52 @@
     ReportRequest, ReportResponse, SessionParameters, TableEntry, TablesResponse,
 };
 
-/// Larger bodies are rejected.
+/// Maximum size of a request body; larger ones are rejected.
 pub const MAX_BODY_BYTES: usize = 1 << 20;
 /// The content type of CBOR.
 pub const CBOR: &str = "application/cbor";
 /// The content type of JSON.
 const JSON: &str = "application/json";
-/// After how many seconds to come again where no more proxies fit.
+/// `Retry-After` in seconds when the limit of connected proxies is reached.
 const RETRY_AFTER_FULL: &str = "10";
-/// After how many seconds to come again when the governor stops.
+/// `Retry-After` in seconds when the governor is stopping.
 const RETRY_AFTER_STOP: &str = "2";
 
-/// Why a request is not served.
+/// Why a request was not served.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestError {
-    /// It is not understood.
+    /// The request is malformed or has invalid values.
     Invalid(String),
-    /// Another stream or session has the name, or took the poll's place.
+    /// Another stream or session uses the same proxy name, or a later poll replaced this one.
     Conflict(String),
-    /// There is no such session.
+    /// The session does not exist.
     UnknownSession,
-    /// The proxy is to go to this governor, or (none) to the next in its own order.
+    /// The proxy must join this governor instead, or, if `None`, the next one in its own order.
     Redirected(Option<String>),
-    /// No more proxies fit: try again after a while.
+    /// The limit of connected proxies is reached; the proxy may retry later.
     Full(String),
-    /// The governor stops.
+    /// The governor is stopping.
     Stopping,
 }
 
-/// What a poll is answered by.
+/// The response to a poll.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PollResponse {
     /// Tables that the proxy does not hold yet.
     Tables(TablesResponse),
-    /// Nothing newer.
+    /// There is nothing newer than the version that the proxy holds.
     Unchanged,
 }
 
-/// Where the answer to a request goes.
+/// The channel for the response to a request.
 pub type Reply<T> = oneshot::Sender<Result<T, RequestError>>;
 
-/// The version that a proxy says it holds, as it was sent.
+/// The version that a proxy claims to hold, not yet parsed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimedVersion {
-    /// `EPOCH.NUMBER`.
+    /// The version, as `EPOCH.NUMBER`.
     pub version: String,
-    /// The digest, in hexadecimal.
+    /// The digest of its content, in hexadecimal.
     pub digest: String,
 }
 
@@ -80,66 +80,69 @@
 pub enum Request {
     /// A proxy joins.
     Join {
-        /// Its name.
+        /// The proxy's name.
         proxy: String,
-        /// What it says of itself.
+        /// The decoded body.
         join: JoinRequest,
-        /// Where the answer goes.
+        /// The channel for the response.
         reply: Reply<JoinResponse>,
     },
     /// A proxy polls for tables.
     Poll {
         /// Its session.
         session: u64,
-        /// What it says it holds.
+        /// The version that it claims to hold.
         held: Option<ClaimedVersion>,
         /// How long the poll may wait.
         wait: Duration,
-        /// Where the answer goes.
+        /// The channel for the response.
         reply: Reply<PollResponse>,
     },
     /// A proxy reports its load.
     Report {
         /// Its session.
         session: u64,
-        /// The report's number: one number counts once.
+        /// The report's number; a report with a number already received is not counted again.
         number: u64,
-        /// The report.
+        /// The decoded body.
         report: ReportRequest,
-        /// Where the answer goes.
+        /// The channel for the response.
         reply: Reply<ReportResponse>,
     },
     /// A proxy leaves.
     Leave {
         /// Its session.
         session: u64,
-        /// Where the answer goes.
+        /// The channel for the response.
         reply: Reply<()>,
     },
 }
 
-// Doc comments of parameters are the text of the OpenAPI document.
+// Doc comments of these parameters are the descriptions in the OpenAPI document.
 #[derive(Debug, Deserialize, IntoParams)]
 struct SessionQuery {
-    /// As told when joining.
+    /// The session number from the join response.
     session: u64,
 }
 
 #[derive(Debug, Deserialize, IntoParams)]
 struct TablesQuery {
-    /// As told when joining.
+    /// The session number from the join response.
     session: u64,
-    /// The version that is held, as it was told.
+    /// The version that the proxy holds, as received with its tables.
     version: Option<String>,
-    /// And its digest.
+    /// The digest of that version.
     digest: Option<String>,
-    /// How long the question may wait, in seconds.
+    /// How long the poll may wait for a change, in seconds.
     wait: Option<f64>,
 }
 
 #[derive(OpenApi)]
 #[openapi(
-    info(title = "wrenthread long-poll front", description = "Tables as deltas, load reports by number"),
+    info(
+        title = "wrenthread long-poll front",
+        description = "Tables as deltas, and load reports that are numbered so that a repeated one is not counted twice"
+    ),
     paths(join, leave, tables, report),
     components(schemas(
         JoinRequest,
@@ -157,7 +160,7 @@
 )]
 struct Description;
 
-/// The OpenAPI document of this front, as it is served.
+/// The OpenAPI document that is served at `/v1/openapi.json`.
 pub fn description() -> utoipa::openapi::OpenApi {
     Description::openapi()
 }
@@ -168,14 +171,14 @@
     max_wait: Duration,
 }
 
-/// The routes. Polls wait for `max_wait` at the longest.
+/// The routes of the HTTP service. Polls wait for at most `max_wait`.
 pub fn router(requests: mpsc::Sender<Request>, max_wait: Duration) -> Router {
     Router::new()
         .route("/v1/proxies/{proxy}", post(join).delete(leave))
         .route("/v1/proxies/{proxy}/tables", get(tables))
         .route("/v1/proxies/{proxy}/reports/{number}", post(report))
         .route("/v1/openapi.json", get(|| async { axum::Json(description()) }))
-        // The limit holds for what comes out of a compressed body, too.
+        // The body size is limited both before and after decompression.
         .layer(DefaultBodyLimit::max(MAX_BODY_BYTES))
         .layer(RequestDecompressionLayer::new())
         .layer(RequestBodyLimitLayer::new(MAX_BODY_BYTES))
@@ -212,7 +215,7 @@
         }
     }
 
-    /// After how many seconds to come again, if that helps.
+    /// The `Retry-After` header in seconds, for errors where a retry can succeed.
     fn retry_after(&self) -> Option<&'static str> {
         match self {
             RequestError::Full(_) => Some(RETRY_AFTER_FULL),
@@ -264,9 +267,9 @@
     }
 }
 
-/// Join: say who you are, and learn the terms.
+/// Joins this governor: opens a session and returns its parameters.
 #[utoipa::path(post, path = "/v1/proxies/{proxy}", request_body = JoinRequest,
-    params(("proxy" = String, Path, description = "the proxy's name, its own")),
+    params(("proxy" = String, Path, description = "the proxy's name; no two proxies share one")),
     responses((status = 200, body = JoinResponse), (status = 400, body = ErrorResponse), (status = 409, body = ErrorResponse),
         (status = 503, body = ErrorResponse)))]
 async fn join(
@@ -285,7 +288,7 @@
     }
 }
 
-/// Leave: the session is over.
+/// Leaves this governor and closes the session.
 #[utoipa::path(delete, path = "/v1/proxies/{proxy}", params(("proxy" = String, Path), SessionQuery),
     responses((status = 204), (status = 410, body = ErrorResponse)))]
 async fn leave(
@@ -300,11 +303,11 @@
     }
 }
 
-/// What differs from the version held; the question itself acknowledges that version.
+/// Polls for changes since the version that the proxy holds. The poll also acknowledges that version.
 #[utoipa::path(get, path = "/v1/proxies/{proxy}/tables", params(("proxy" = String, Path), TablesQuery),
-    responses((status = 200, body = TablesResponse), (status = 304, description = "nothing differs"),
+    responses((status = 200, body = TablesResponse), (status = 304, description = "the proxy holds the newest version"),
         (status = 400, body = ErrorResponse), (status = 409, body = ErrorResponse), (status = 410, body = ErrorResponse),
-        (status = 421, body = ErrorResponse, description = "go to another governor")))]
+        (status = 421, body = ErrorResponse, description = "the proxy must join another governor")))]
 async fn tables(
     State(front): State<Front>,
     Path(_proxy): Path<String>,
@@ -330,14 +333,14 @@
     }
 }
 
-/// The version in `If-None-Match`: the tag that a response with tables carries.
+/// The version in `If-None-Match`, which repeats the `ETag` of an earlier response with tables.
 fn version_in_tag(headers: &HeaderMap) -> Option<ClaimedVersion> {
     let tag = headers.get(header::IF_NONE_MATCH)?.to_str().ok()?;
     let (version, digest) = tag.trim_matches('"').split_once('-')?;
     Some(ClaimedVersion { version: version.to_string(), digest: digest.to_string() })
 }
 
-/// A load report; one number counts once.
+/// Accepts a load report. A report with a number already received is not counted again.
 #[utoipa::path(post, path = "/v1/proxies/{proxy}/reports/{number}", request_body = ReportRequest,
     params(("proxy" = String, Path), ("number" = u64, Path), SessionQuery),
     responses((status = 200, body = ReportResponse), (status = 400, body = ErrorResponse),
--- a/crates/long-poll/src/service/tests.rs
+++ b/crates/long-poll/src/service/tests.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use tower::ServiceExt;
 
-/// A router whose requests are all answered, without state behind them.
+/// A router whose requests are answered with fixed responses, without any state.
 fn router_with_plain_answers() -> Router {
     let (requests, mut received) = mpsc::channel(8);
     tokio::spawn(async move {
@@ -69,7 +69,7 @@
             let body = if path.contains("reports") { report.clone() } else { b"{}".to_vec() };
             let response = call(&method.to_uppercase(), &uri, &[], body).await;
             let status = response.status();
-            assert!(status != 404 && status != 405, "{method} {path} is described and not served");
+            assert!(status != 404 && status != 405, "{method} {path} is described but not served");
             if status == 200 {
                 let schema = &described["responses"]["200"]["content"]["application/json"]["schema"]["$ref"];
                 let name = schema.as_str().unwrap().rsplit('/').next().unwrap().to_string();
--- a/crates/long-poll/src/sessions.rs
+++ b/crates/long-poll/src/sessions.rs
@@ -1,4 +1,4 @@
-//! The sessions of proxies: what each holds and whose poll is pending; without I/O.
+//! The sessions of proxies, without I/O: the version that each proxy holds, its pending poll, and its deadlines.
 
 #[cfg(test)]
 mod tests;
@@ -12,25 +12,26 @@
 use wrenthread_core::history::{History, HistoryEntry};
 use wrenthread_core::table_versions::{self, Delta, Digest, TableChange};
 
-/// A proxy is taken for gone when it has not polled for so long after its last poll was answered.
+/// A session ends when its proxy has not polled for this long since its last poll was answered.
 const SESSION_TIMEOUT: Duration = Duration::from_secs(15);
-/// Where a session's end is noticed later than this, the governor stood still, and polls that came meanwhile are unread.
+/// A session deadline that is handled later than this shows that the governor was stalled. Polls that arrived meanwhile
+/// may still be unread.
 const STANDSTILL: Duration = Duration::from_secs(1);
-/// What sessions have then, once, to be heard.
+/// The extension, granted once, that lets the unread poll of such a session be processed.
 const STANDSTILL_GRACE: Duration = Duration::from_secs(2);
-/// Report numbers that are remembered of each proxy.
+/// How many report numbers are remembered per session, to detect duplicates.
 const MAX_REPORT_NUMBERS: usize = 64;
 
 /// A version of the tables as a proxy holds it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldVersion {
-    /// The version; 0 for one of another epoch.
+    /// The version number; 0 for a version of another epoch.
     pub version: u64,
     /// The digest of its content.
     pub digest: Digest,
 }
 
-/// A poll that waits for a change.
+/// A poll that waits for new tables.
 #[derive(Debug)]
 struct PendingPoll<R> {
     reply: R,
@@ -42,102 +43,102 @@
 struct Session<R> {
     proxy: Arc<str>,
     held: Option<HeldVersion>,
-    /// The digest that its last poll named, if that is not of a version retained here.
+    /// The digest that the last poll named, if it belongs to no version retained here.
     unknown_digest: Option<Digest>,
     pending: Option<PendingPoll<R>>,
     deadline: Duration,
-    /// Its deadline was put off since its last poll, as the governor had stood still.
+    /// The deadline was already extended since the last poll, because the governor was stalled.
     deferred: bool,
     report_numbers: VecDeque<u64>,
 }
 
-/// What a poll is answered by.
+/// The outcome of a poll.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PollOutcome {
     /// All tables of a version.
     Complete(HistoryEntry),
-    /// What differs between the version held and a newer one.
+    /// The changes from the held version to a newer one.
     Delta {
         /// The newer version.
         version: u64,
-        /// What differs.
+        /// The changes.
         delta: Delta,
     },
-    /// Nothing newer than what is held.
+    /// There is nothing newer than the held version.
     Unchanged {
-        /// What the proxy holds.
+        /// The version that the proxy holds.
         held: Option<HeldVersion>,
     },
-    /// A later poll of the same session took its place.
+    /// A later poll of the same session replaced it.
     Superseded,
     /// The session is over.
     SessionClosed,
 }
 
-/// What a deadline ended.
+/// A poll or a session whose deadline has passed.
 #[derive(Debug, PartialEq)]
 pub enum Expired<R> {
-    /// A poll has waited for as long as it may.
+    /// The wait time of a poll is over.
     Poll {
-        /// Where its answer goes.
+        /// The handle for the response.
         reply: R,
-        /// What it is answered by.
+        /// The outcome to respond with.
         outcome: PollOutcome,
     },
-    /// A proxy has not polled for too long.
+    /// The session was closed because its proxy has stopped polling.
     Session(StreamId),
 }
 
-/// There is no such session.
+/// The session does not exist.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("no such session here: join again")]
 pub struct UnknownSessionError;
 
-/// A poll: what differs from the version that is held?
+/// A poll for changes since the version that the proxy holds.
 #[derive(Debug)]
 pub struct Poll<R> {
-    /// The session that polls.
+    /// The session.
     pub session: StreamId,
-    /// Its proxy's number.
+    /// The id of its proxy.
     pub proxy: ProxyId,
-    /// What the proxy says it holds.
+    /// The version that the proxy claims to hold.
     pub held: Option<HeldVersion>,
     /// How long the poll may wait.
     pub wait: Duration,
-    /// Where its answer goes.
+    /// The handle for the response.
     pub reply: R,
 }
 
-/// What a poll says besides, once it is pending.
+/// The result of accepting a poll, which is now pending.
 #[derive(Debug, PartialEq)]
 pub struct AcceptedPoll<R> {
-    /// The version that the proxy holds, and so acknowledges.
+    /// The version that the proxy holds and thereby acknowledges.
     pub acknowledged_version: Option<u64>,
-    /// The poll that was pending before, to be answered as superseded.
+    /// The previously pending poll, to be answered with [`PollOutcome::Superseded`].
     pub superseded: Option<R>,
 }
 
 /// The answer to a pending poll.
 #[derive(Debug, PartialEq)]
 pub struct PollAnswer<R> {
-    /// Where it goes.
+    /// The handle for the response.
     pub reply: R,
-    /// What it says.
+    /// The outcome to respond with.
     pub outcome: PollOutcome,
-    /// How many table entries it has.
+    /// The number of table entries in the response.
     pub entries: usize,
 }
 
 /// Whether a load report was received before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportNumber {
-    /// It is the first of its number.
+    /// The number is new.
     New,
-    /// One of its number was received before.
+    /// A report with this number was received before.
     Duplicate,
 }
 
-/// All sessions. `R` is whatever a poll is answered through.
+/// All sessions. `R` is the handle through which a poll is answered.
 #[derive(Debug)]
 pub struct Sessions<R> {
     sessions: BTreeMap<StreamId, Session<R>>,
@@ -151,7 +152,7 @@
 }
 
 impl<R> Sessions<R> {
-    /// A proxy has joined; the number of its stream is its session's.
+    /// Opens the session of a proxy that has joined. The stream's id becomes the session's id.
     pub fn open(&mut self, now: Duration, id: StreamId, proxy: Arc<str>) {
         let deadline = now + SESSION_TIMEOUT;
         let session = Session {
@@ -175,13 +176,14 @@
         }
     }
 
-    /// A poll. It is pending until [`Sessions::answer_pending`] has something new for it, or its wait is over.
+    /// Registers a poll. It is pending until [`Sessions::answer_pending`] finds something new for it, or its wait time
+    /// is over.
     ///
-    /// What is said to be held counts only if it is what was sent under that version: a proxy that holds something
-    /// else of the same number (by a fault of either side) is sent complete tables.
+    /// The claimed version is accepted only if its digest is that of the content sent under that number. A proxy that
+    /// holds other content under the same number (by a fault of either side) is sent complete tables.
     ///
     /// # Errors
-    /// There is no such session; with the reply, to say so.
+    /// The session does not exist. The error returns the reply handle, so that the caller can respond.
     pub fn poll(
         &mut self,
         now: Duration,
@@ -191,8 +193,8 @@
         let Poll { session: id, proxy, held, wait, reply } = poll;
         let Some(session) = self.sessions.get_mut(&id) else { return Err((UnknownSessionError, reply)) };
         let retained = held.filter(|held| history.find(proxy, held.version, &held.digest).is_some());
-        // A version of another epoch is known by its content alone. One that is retained here never is: if digests
-        // collided by a fault, the proxy would stay on an old table for ever.
+        // A version that is not retained here, such as one of another epoch, is recognised by its digest alone. A
+        // retained one is not: if two digests collided by a fault, the proxy would keep an old table for ever.
         session.unknown_digest = match retained {
             Some(_) => None,
             None => held.map(|held| held.digest),
@@ -218,7 +220,7 @@
         self.sessions.get(&id).is_some_and(|session| session.pending.is_some())
     }
 
-    /// Answers a session's pending poll if the newest version is not what the proxy holds.
+    /// Answers a session's pending poll if the newest version differs from what the proxy holds.
     pub fn answer_pending(
         &mut self,
         now: Duration,
@@ -229,7 +231,7 @@
         let newest = history.newest(proxy)?;
         let session = self.sessions.get_mut(&id)?;
         let base = session.held.and_then(|held| history.find(proxy, held.version, &held.digest));
-        // Who returns from another epoch with the very content that this one arrives at holds it already.
+        // A proxy from another epoch may already hold the same content as the newest version here.
         let holds_same_content = session.held.is_none() && session.unknown_digest == Some(newest.digest);
         if holds_same_content || base.is_some_and(|base| base.state == newest.state) {
             session.held = Some(HeldVersion { version: newest.version, digest: newest.digest });
@@ -244,10 +246,10 @@
         Some(PollAnswer { reply: pending.reply, outcome, entries })
     }
 
-    /// Remembers the number of a load report: whether it is new.
+    /// Records the number of a load report and returns whether it is new.
     ///
     /// # Errors
-    /// There is no such session.
+    /// The session does not exist.
     pub fn record_report_number(
         &mut self,
         id: StreamId,
@@ -269,19 +271,19 @@
         self.sessions.get(&id).map(|session| &session.proxy)
     }
 
-    /// Ends a session: where its pending poll is to be answered, if it has one.
+    /// Closes a session. Returns the reply handle of its pending poll, if it has one.
     pub fn close(&mut self, id: StreamId) -> Option<R> {
         let session = self.sessions.remove(&id)?;
         self.deadlines.remove(&(session.deadline, id));
         session.pending.map(|pending| pending.reply)
     }
 
-    /// When [`Sessions::next_expired`] has something next.
+    /// The earliest time at which [`Sessions::next_expired`] can return something.
     pub fn next_deadline(&self) -> Option<Duration> {
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// What has expired by now, one after another.
+    /// Removes and returns the next poll or session that has expired. To be called until it returns nothing.
     pub fn next_expired(&mut self, now: Duration) -> Option<Expired<R>> {
         loop {
             let (deadline, id) = *self.deadlines.first()?;
@@ -304,25 +306,25 @@
         }
     }
 
-    /// Ends all sessions, as the governor stops: where their pending polls are to be answered.
+    /// Closes all sessions when the governor stops. Returns the reply handles of their pending polls.
     pub fn close_all(&mut self) -> Vec<R> {
         self.deadlines.clear();
         let sessions = std::mem::take(&mut self.sessions);
         sessions.into_values().filter_map(|session| Some(session.pending?.reply)).collect()
     }
 
-    /// How many sessions there are.
+    /// The number of sessions.
     pub fn len(&self) -> usize {
         self.sessions.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no sessions.
     pub fn is_empty(&self) -> bool {
         self.sessions.is_empty()
     }
 }
 
-/// What differs between two versions, and how many entries that is.
+/// The delta between two versions, and its size in entries.
 fn delta_outcome(base: &HistoryEntry, newest: &HistoryEntry) -> (PollOutcome, usize) {
     let delta = table_versions::delta(&base.state, base.digest, &newest.state, newest.digest);
     let entries = delta.changes.values().map(|change| match change {
--- a/crates/long-poll/src/sessions/tests.rs
+++ b/crates/long-poll/src/sessions/tests.rs
@@ -20,7 +20,7 @@
     HistoryEntry { version, published_at: s(0), digest: state.digest(), state: Arc::new(state) }
 }
 
-/// One open session, and a history of versions with weights.
+/// One open session, and a history of versions, each given by its number and the weight of its only entry.
 fn sessions(versions: &[(u64, u32)]) -> (Sessions<u32>, History) {
     let (mut sessions, mut history) = (Sessions::default(), History::new(2, 1000));
     sessions.open(s(0), SESSION, "p".into());
@@ -49,7 +49,7 @@
     history.push(PROXY, version(2, 6));
     let answer = sessions.answer_pending(s(3), SESSION, PROXY, &history).unwrap();
     assert!(matches!(answer.outcome, PollOutcome::Delta { version: 2, .. }) && answer.entries == 2);
-    // It missed that one and a later one, which pushed its version out.
+    // The proxy missed version 2 and a later one, with which its own version is no longer retained.
     history.push(PROXY, version(3, 7));
     sessions.poll(s(4), poll(held(1, 5), s(30), 3), &history).unwrap();
     let answer = sessions.answer_pending(s(4), SESSION, PROXY, &history).unwrap();
@@ -57,19 +57,19 @@
 }
 
 #[test]
-fn a_digest_that_does_not_belong_to_its_version_is_no_base() {
+fn a_version_with_a_wrong_digest_is_not_used_as_a_base() {
     let (mut sessions, history) = sessions(&[(1, 5), (2, 6)]);
     let accepted = sessions.poll(s(1), poll(held(1, 77), s(30), 1), &history).unwrap();
     assert_eq!(accepted.acknowledged_version, None);
     let answer = sessions.answer_pending(s(1), SESSION, PROXY, &history).unwrap();
     assert!(matches!(answer.outcome, PollOutcome::Complete(_)));
-    // What has the newest content holds the newest version, whatever number it knows it by.
+    // A proxy with the newest content holds the newest version, under whatever number.
     let accepted = sessions.poll(s(2), poll(held(1, 6), s(30), 2), &history).unwrap();
     assert_eq!(accepted.acknowledged_version, Some(2));
 }
 
 #[test]
-fn content_that_a_later_epoch_arrives_at_is_not_sent_to_who_holds_it() {
+fn content_held_from_another_epoch_is_not_sent_again() {
     let (mut sessions, mut history) = sessions(&[(1, 5)]);
     let accepted = sessions.poll(s(1), poll(held(0, 6), s(30), 1), &history).unwrap();
     assert_eq!(accepted.acknowledged_version, None);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn colliding_digests_leave_no_proxy_on_an_old_table() {
+fn a_digest_collision_does_not_keep_a_proxy_on_an_old_table() {
     let (mut sessions, mut history) = sessions(&[]);
     let colliding = |at, weight| HistoryEntry { digest: [7; 32], ..version(at, weight) };
     history.push(PROXY, colliding(1, 5));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_poll_waits_as_long_as_it_may_and_a_later_one_supersedes_it() {
+fn a_poll_waits_until_its_deadline_and_is_superseded_by_a_later_one() {
     let (mut sessions, history) = sessions(&[(1, 5)]);
     sessions.poll(s(1), poll(held(1, 5), s(30), 1), &history).unwrap();
     let accepted = sessions.poll(s(2), poll(held(1, 5), s(10), 2), &history).unwrap();
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_report_number_counts_once() {
+fn detects_duplicate_report_numbers() {
     let (mut sessions, _) = sessions(&[]);
     assert_eq!(sessions.record_report_number(SESSION, 4), Ok(ReportNumber::New));
     assert_eq!(sessions.record_report_number(SESSION, 4), Ok(ReportNumber::Duplicate));
@@ -121,17 +121,18 @@
         (100..300).all(|number| { sessions.record_report_number(SESSION, number) == Ok(ReportNumber::New) })
     );
     let remembered = sessions.sessions[&SESSION].report_numbers.len();
-    assert_eq!(remembered, MAX_REPORT_NUMBERS, "and what is remembered is bounded");
+    assert_eq!(remembered, MAX_REPORT_NUMBERS, "the number of remembered report numbers is bounded");
 }
 
-/// Guards against a whole fleet that has to join again as the governor stood still for longer than a session lasts.
+/// Guards against a whole fleet that has to join again because the governor was stalled for longer than the session
+/// timeout, so that polls that had arrived in time were still unread.
 #[test]
-fn a_session_is_heard_before_it_ends_where_the_governor_stood_still() {
+fn a_session_deadline_is_extended_once_after_a_stall_of_the_governor() {
     let (mut sessions, history) = sessions(&[(1, 5)]);
-    assert!(sessions.next_expired(s(40)).is_none(), "a poll may wait unread");
+    assert!(sessions.next_expired(s(40)).is_none(), "a poll may be unread");
     sessions.poll(s(40), poll(held(1, 5), s(10), 1), &history).unwrap();
     assert_eq!(sessions.len(), 1);
-    // One that says nothing then ends, also where the governor is always late.
+    // A session without a poll after that ends, even if the governor is late again.
     assert!(matches!(sessions.next_expired(s(50)), Some(Expired::Poll { .. })));
     assert!(sessions.next_expired(s(70)).is_none());
     assert_eq!(sessions.next_expired(s(90)), Some(Expired::Session(SESSION)));
--- a/crates/long-poll/tests/wire_format.rs
+++ b/crates/long-poll/tests/wire_format.rs
@@ -1,7 +1,8 @@
-//! Golden files: what crosses the long-poll front's sockets stays as it is, byte for byte, whatever the types are called.
+//! Golden files: messages keep their wire format byte for byte, whatever the Rust types are called.
 //!
-//! The responses and the OpenAPI document were captured from the program of commit b735929. That program accepted the
-//! fields of the requests. `tables_delta_default.json` was composed by hand of the fields that its types had.
+//! The responses, and the OpenAPI document except for its descriptions and summaries, were captured from the program of
+//! commit b735929, which also accepted the fields of the requests. `tables_delta_default.json` was written by hand from
+//! the fields of that program's types.
 
 #![allow(
     clippy::unwrap_used,
@@ -18,20 +19,20 @@
 };
 use wrenthread_long_poll::service::description;
 
-/// Reads a golden message and writes it again: no byte may differ, nor any field be lost.
+/// Reads a golden message and writes it again; the result must be the same bytes, also after a round trip as CBOR.
 fn reads_and_writes<T: DeserializeOwned + Serialize>(golden: &str) -> T {
-    let message: T = serde_json::from_str(golden).expect("the message is read");
-    let written = serde_json::to_string(&message).expect("the message is written");
+    let message: T = serde_json::from_str(golden).expect("the message can be read");
+    let written = serde_json::to_string(&message).expect("the message can be written");
     assert_eq!(written, golden);
     let mut cbor = Vec::new();
-    ciborium::into_writer(&message, &mut cbor).expect("the message is written as CBOR");
-    let read: T = ciborium::from_reader(cbor.as_slice()).expect("the message is read as CBOR");
+    ciborium::into_writer(&message, &mut cbor).expect("the message can be written as CBOR");
+    let read: T = ciborium::from_reader(cbor.as_slice()).expect("the message can be read as CBOR");
     assert_eq!(serde_json::to_string(&read).unwrap(), golden);
     message
 }
 
 #[test]
-fn join_messages_keep_their_form() {
+fn join_messages_keep_their_wire_format() {
     reads_and_writes::<JoinRequest>(include_str!("golden/join_request.json"));
     reads_and_writes::<JoinResponse>(include_str!("golden/join_response.json"));
 }
@@ -47,14 +48,14 @@
 }
 
 #[test]
-fn tables_keep_their_form() {
+fn tables_keep_their_wire_format() {
     reads_and_writes::<TablesResponse>(include_str!("golden/tables_complete.json"));
     reads_and_writes::<TablesResponse>(include_str!("golden/tables_delta.json"));
     reads_and_writes::<TablesResponse>(include_str!("golden/tables_delta_default.json"));
 }
 
 #[test]
-fn load_reports_keep_their_form() {
+fn load_reports_keep_their_wire_format() {
     reads_and_writes::<ReportRequest>(include_str!("golden/report_request.json"));
     reads_and_writes::<ReportResponse>(include_str!("golden/report_response_counted.json"));
     reads_and_writes::<ReportResponse>(include_str!("golden/report_response_not_counted.json"));
@@ -71,13 +72,13 @@
 }
 
 #[test]
-fn errors_keep_their_form() {
+fn errors_keep_their_wire_format() {
     reads_and_writes::<ErrorResponse>(include_str!("golden/error.json"));
     reads_and_writes::<ErrorResponse>(include_str!("golden/error_moved.json"));
 }
 
 #[test]
-fn the_openapi_document_stays_as_it_is() {
+fn the_openapi_document_matches_the_golden_file() {
     let document = serde_json::to_string(&description()).unwrap();
     assert_eq!(document, include_str!("golden/openapi.json"));
 }
