--- a/crates/long-poll/src/conversion.rs
+++ b/crates/long-poll/src/conversion.rs
@@ -230,7 +230,7 @@
     ) -> Result<ReplicaObservation, InvalidMessageError> {
         let total_latency = parse_millis("answer_ms", statistics.total_latency_millis)?;
         // A total latency of zero means that no latency was measured.
-        let timed = if total_latency.is_zero() { 0 } else { statistics.succeeded };
+        let latency_count = if total_latency.is_zero() { 0 } else { statistics.succeeded };
         let has_all_metrics = statistics.load.len() == self.load_metrics.len();
         Ok(ReplicaObservation {
             class: self.parse_class(&statistics.class)?,
@@ -239,7 +239,7 @@
             failed: statistics.failed,
             issued: statistics.issued,
             in_flight: 0,
-            latency_sum_and_count: (total_latency, timed),
+            latency_sum_and_count: (total_latency, latency_count),
             load: if has_all_metrics { statistics.load.clone() } else { Vec::new() },
         })
     }
--- a/crates/long-poll/src/conversion/tests.rs
+++ b/crates/long-poll/src/conversion/tests.rs
@@ -33,16 +33,16 @@
 proptest! {
     #[test]
     fn tables_are_decoded_as_they_were_encoded(
-        one in prop::collection::vec((0u8..9, 1u32..99), 0..9), both in prop::bool::ANY,
-        two in prop::collection::vec((0u8..9, 1u32..99), 0..9), other in prop::bool::ANY,
+        base in prop::collection::vec((0u8..9, 1u32..99), 0..9), base_has_both in prop::bool::ANY,
+        newer in prop::collection::vec((0u8..9, 1u32..99), 0..9), newer_has_both in prop::bool::ANY,
     ) {
-        let (one, two, parameters) = (state(&one, both), state(&two, other), parameters());
-        let complete = parameters.encode_complete(7, &one.digest(), &one);
-        prop_assert_eq!(parameters.decode_tables(&complete).unwrap(), DecodedTables::Complete(one.clone()));
-        let delta = table_versions::delta(&one, one.digest(), &two, two.digest());
+        let (base, newer, parameters) = (state(&base, base_has_both), state(&newer, newer_has_both), parameters());
+        let complete = parameters.encode_complete(7, &base.digest(), &base);
+        prop_assert_eq!(parameters.decode_tables(&complete).unwrap(), DecodedTables::Complete(base.clone()));
+        let delta = table_versions::delta(&base, base.digest(), &newer, newer.digest());
         let decoded = parameters.decode_tables(&parameters.encode_delta(8, &delta)).unwrap();
         let DecodedTables::Delta(decoded) = decoded else { panic!() };
-        prop_assert_eq!(table_versions::apply(&one, one.digest(), &decoded).unwrap(), two);
+        prop_assert_eq!(table_versions::apply(&base, base.digest(), &decoded).unwrap(), newer);
     }
 
     /// Truncated or changed messages are rejected or decode to the same tables; they never cause a panic.
@@ -55,8 +55,8 @@
         let json = serde_json::to_vec(&tables).unwrap();
         for good in [json, cbor] {
             let mut bad = good.clone();
-            let place = at % bad.len();
-            bad[place] = byte;
+            let index = at % bad.len();
+            bad[index] = byte;
             bad.truncate(cut.max(1));
             let read = [
                 serde_json::from_slice::<TablesResponse>(&bad).ok(),
--- a/crates/long-poll/src/service.rs
+++ b/crates/long-poll/src/service.rs
@@ -158,15 +158,15 @@
         ErrorResponse
     ))
 )]
-struct Description;
+struct ApiDocument;
 
 /// The OpenAPI document that is served at `/v1/openapi.json`.
-pub fn description() -> utoipa::openapi::OpenApi {
-    Description::openapi()
+pub fn openapi_document() -> utoipa::openapi::OpenApi {
+    ApiDocument::openapi()
 }
 
 #[derive(Debug, Clone)]
-struct Front {
+struct ServiceState {
     requests: mpsc::Sender<Request>,
     max_wait: Duration,
 }
@@ -177,29 +177,29 @@
         .route("/v1/proxies/{proxy}", post(join).delete(leave))
         .route("/v1/proxies/{proxy}/tables", get(tables))
         .route("/v1/proxies/{proxy}/reports/{number}", post(report))
-        .route("/v1/openapi.json", get(|| async { axum::Json(description()) }))
+        .route("/v1/openapi.json", get(|| async { axum::Json(openapi_document()) }))
         // The body size is limited both before and after decompression.
         .layer(DefaultBodyLimit::max(MAX_BODY_BYTES))
         .layer(RequestDecompressionLayer::new())
         .layer(RequestBodyLimitLayer::new(MAX_BODY_BYTES))
         .layer(CompressionLayer::new())
-        .with_state(Front { requests, max_wait })
+        .with_state(ServiceState { requests, max_wait })
 }
 
 fn wants_cbor(headers: &HeaderMap) -> bool {
     let accept = headers.get(header::ACCEPT).and_then(|value| value.to_str().ok()).unwrap_or_default();
-    accept.split(',').any(|one| one.split(';').next().is_some_and(|one| one.trim() == CBOR))
+    accept.split(',').any(|range| range.split(';').next().is_some_and(|media_type| media_type.trim() == CBOR))
 }
 
-fn write<T: Serialize>(headers: &HeaderMap, status: StatusCode, value: &T) -> Response {
-    let (kind, body) = if wants_cbor(headers) {
+fn encode_response<T: Serialize>(headers: &HeaderMap, status: StatusCode, value: &T) -> Response {
+    let (content_type, body) = if wants_cbor(headers) {
         let mut body = Vec::new();
         (CBOR, ciborium::into_writer(value, &mut body).map(|()| body).map_err(|error| error.to_string()))
     } else {
         (JSON, serde_json::to_vec(value).map_err(|error| error.to_string()))
     };
     match body {
-        Ok(body) => (status, [(header::CONTENT_TYPE, kind)], body).into_response(),
+        Ok(body) => (status, [(header::CONTENT_TYPE, content_type)], body).into_response(),
         Err(error) => (StatusCode::INTERNAL_SERVER_ERROR, error).into_response(),
     }
 }
@@ -224,7 +224,7 @@
         }
     }
 
-    fn message(&self) -> ErrorResponse {
+    fn response(&self) -> ErrorResponse {
         let mut redirect_to = None;
         let error: &str = match self {
             RequestError::Invalid(reason) | RequestError::Conflict(reason) | RequestError::Full(reason) => {
@@ -242,24 +242,25 @@
 }
 
 fn error_response(headers: &HeaderMap, error: &RequestError) -> Response {
-    let mut response = write(headers, error.status(), &error.message());
+    let mut response = encode_response(headers, error.status(), &error.response());
     if let Some(seconds) = error.retry_after() {
         response.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from_static(seconds));
     }
     response
 }
 
-fn read<T: DeserializeOwned>(headers: &HeaderMap, body: &Bytes) -> Result<T, RequestError> {
-    let kind = headers.get(header::CONTENT_TYPE).and_then(|value| value.to_str().ok()).unwrap_or(JSON);
+fn decode_body<T: DeserializeOwned>(headers: &HeaderMap, body: &Bytes) -> Result<T, RequestError> {
+    let content_type =
+        headers.get(header::CONTENT_TYPE).and_then(|value| value.to_str().ok()).unwrap_or(JSON);
     let invalid = |error: String| RequestError::Invalid(format!("the body: {error}"));
-    match kind.split(';').next().map(str::trim) {
+    match content_type.split(';').next().map(str::trim) {
         Some(CBOR) => ciborium::from_reader(body.as_ref()).map_err(|error| invalid(error.to_string())),
         Some(JSON) => serde_json::from_slice(body).map_err(|error| invalid(error.to_string())),
-        _ => Err(invalid(format!("content type `{kind}`; it takes {JSON} or {CBOR}"))),
+        _ => Err(invalid(format!("content type `{content_type}`; it takes {JSON} or {CBOR}"))),
     }
 }
 
-impl Front {
+impl ServiceState {
     async fn request<T>(&self, request: impl FnOnce(Reply<T>) -> Request) -> Result<T, RequestError> {
         let (reply, answer) = oneshot::channel();
         self.requests.send(request(reply)).await.map_err(|_| RequestError::Stopping)?;
@@ -273,17 +274,17 @@
     responses((status = 200, body = JoinResponse), (status = 400, body = ErrorResponse), (status = 409, body = ErrorResponse),
         (status = 503, body = ErrorResponse)))]
 async fn join(
-    State(front): State<Front>,
+    State(state): State<ServiceState>,
     Path(proxy): Path<String>,
     headers: HeaderMap,
     body: Bytes,
 ) -> Response {
-    let join = match read::<JoinRequest>(&headers, &body) {
+    let join = match decode_body::<JoinRequest>(&headers, &body) {
         Ok(join) => join,
         Err(error) => return error_response(&headers, &error),
     };
-    match front.request(|reply| Request::Join { proxy, join, reply }).await {
-        Ok(response) => write(&headers, StatusCode::OK, &response),
+    match state.request(|reply| Request::Join { proxy, join, reply }).await {
+        Ok(response) => encode_response(&headers, StatusCode::OK, &response),
         Err(error) => error_response(&headers, &error),
     }
 }
@@ -292,12 +293,12 @@
 #[utoipa::path(delete, path = "/v1/proxies/{proxy}", params(("proxy" = String, Path), SessionQuery),
     responses((status = 204), (status = 410, body = ErrorResponse)))]
 async fn leave(
-    State(front): State<Front>,
+    State(state): State<ServiceState>,
     Path(_proxy): Path<String>,
     Query(query): Query<SessionQuery>,
     headers: HeaderMap,
 ) -> Response {
-    match front.request(|reply| Request::Leave { session: query.session, reply }).await {
+    match state.request(|reply| Request::Leave { session: query.session, reply }).await {
         Ok(()) => StatusCode::NO_CONTENT.into_response(),
         Err(error) => error_response(&headers, &error),
     }
@@ -309,7 +310,7 @@
         (status = 400, body = ErrorResponse), (status = 409, body = ErrorResponse), (status = 410, body = ErrorResponse),
         (status = 421, body = ErrorResponse, description = "the proxy must join another governor")))]
 async fn tables(
-    State(front): State<Front>,
+    State(state): State<ServiceState>,
     Path(_proxy): Path<String>,
     Query(query): Query<TablesQuery>,
     headers: HeaderMap,
@@ -319,10 +320,10 @@
         _ => version_in_tag(&headers),
     };
     let wait = Duration::try_from_secs_f64(query.wait.unwrap_or(0.0)).unwrap_or_default();
-    let (session, wait) = (query.session, wait.min(front.max_wait));
-    match front.request(|reply| Request::Poll { session, held, wait, reply }).await {
+    let (session, wait) = (query.session, wait.min(state.max_wait));
+    match state.request(|reply| Request::Poll { session, held, wait, reply }).await {
         Ok(PollResponse::Tables(tables)) => {
-            let mut response = write(&headers, StatusCode::OK, &tables);
+            let mut response = encode_response(&headers, StatusCode::OK, &tables);
             if let Ok(tag) = HeaderValue::from_str(&format!("\"{}-{}\"", tables.version, tables.digest)) {
                 response.headers_mut().insert(header::ETAG, tag);
             }
@@ -346,18 +347,18 @@
     responses((status = 200, body = ReportResponse), (status = 400, body = ErrorResponse),
         (status = 410, body = ErrorResponse)))]
 async fn report(
-    State(front): State<Front>,
+    State(state): State<ServiceState>,
     Path((_proxy, number)): Path<(String, u64)>,
     Query(query): Query<SessionQuery>,
     headers: HeaderMap,
     body: Bytes,
 ) -> Response {
-    let report = match read::<ReportRequest>(&headers, &body) {
+    let report = match decode_body::<ReportRequest>(&headers, &body) {
         Ok(report) => report,
         Err(error) => return error_response(&headers, &error),
     };
-    match front.request(|reply| Request::Report { session: query.session, number, report, reply }).await {
-        Ok(response) => write(&headers, StatusCode::OK, &response),
+    match state.request(|reply| Request::Report { session: query.session, number, report, reply }).await {
+        Ok(response) => encode_response(&headers, StatusCode::OK, &response),
         Err(error) => error_response(&headers, &error),
     }
 }
--- a/crates/long-poll/src/service/tests.rs
+++ b/crates/long-poll/src/service/tests.rs
@@ -5,7 +5,7 @@
 use tower::ServiceExt;
 
 /// A router whose requests are answered with fixed responses, without any state.
-fn router_with_plain_answers() -> Router {
+fn router_with_fixed_responses() -> Router {
     let (requests, mut received) = mpsc::channel(8);
     tokio::spawn(async move {
         while let Some(request) = received.recv().await {
@@ -51,7 +51,7 @@
     for (name, value) in headers {
         request = request.header(*name, *value);
     }
-    router_with_plain_answers().oneshot(request.body(Body::from(body)).unwrap()).await.unwrap()
+    router_with_fixed_responses().oneshot(request.body(Body::from(body)).unwrap()).await.unwrap()
 }
 
 async fn bytes(response: Response) -> Bytes {
@@ -62,7 +62,7 @@
 async fn the_openapi_document_describes_what_is_served() {
     let described: serde_json::Value =
         serde_json::from_slice(&bytes(call("GET", "/v1/openapi.json", &[], vec![]).await).await).unwrap();
-    let (mut seen, report) = (0, br#"{"interval_ms": 1000}"#.to_vec());
+    let (mut operations, report) = (0, br#"{"interval_ms": 1000}"#.to_vec());
     for (path, methods) in described["paths"].as_object().unwrap() {
         let uri = path.replace("{proxy}", "p").replace("{number}", "1") + "?session=1";
         for (method, described) in methods.as_object().unwrap() {
@@ -73,23 +73,26 @@
             if status == 200 {
                 let schema = &described["responses"]["200"]["content"]["application/json"]["schema"]["$ref"];
                 let name = schema.as_str().unwrap().rsplit('/').next().unwrap().to_string();
-                let whole: serde_json::Value = serde_json::from_slice(&bytes(response).await).unwrap();
+                let message: serde_json::Value = serde_json::from_slice(&bytes(response).await).unwrap();
                 let schema =
-                    serde_json::to_value(description()).unwrap()["components"]["schemas"][&name].clone();
-                let said: Vec<&String> = whole.as_object().unwrap().keys().collect();
-                let known = schema["properties"].as_object().unwrap();
-                assert!(said.iter().all(|field| known.contains_key(*field)), "{name}: {said:?}");
-                let needed = schema["required"].as_array().into_iter().flatten();
-                assert!(needed.clone().all(|field| whole.get(field.as_str().unwrap()).is_some()), "{name}");
+                    serde_json::to_value(openapi_document()).unwrap()["components"]["schemas"][&name].clone();
+                let fields: Vec<&String> = message.as_object().unwrap().keys().collect();
+                let properties = schema["properties"].as_object().unwrap();
+                assert!(fields.iter().all(|field| properties.contains_key(*field)), "{name}: {fields:?}");
+                let required = schema["required"].as_array().into_iter().flatten();
+                assert!(
+                    required.clone().all(|field| message.get(field.as_str().unwrap()).is_some()),
+                    "{name}"
+                );
             }
-            seen += 1;
+            operations += 1;
         }
     }
-    assert_eq!(seen, 4);
+    assert_eq!(operations, 4);
 }
 
 #[tokio::test]
-async fn content_types_tags_and_errors_are_served() {
+async fn serves_content_types_entity_tags_and_errors() {
     let json = call("GET", "/v1/proxies/p/tables?session=1", &[], vec![]).await;
     assert_eq!(json.headers()["etag"], "\"a.1-00\"");
     let unchanged =
@@ -99,18 +102,19 @@
     assert_eq!(cbor.headers()["content-type"], CBOR);
     let tables: TablesResponse = ciborium::from_reader(bytes(cbor).await.as_ref()).unwrap();
     assert_eq!(tables.version, "a.1");
-    let gone = call("GET", "/v1/proxies/p/tables?session=9&version=a.1&digest=00", &[], vec![]).await;
-    assert_eq!(gone.status(), 410);
+    let unknown_session =
+        call("GET", "/v1/proxies/p/tables?session=9&version=a.1&digest=00", &[], vec![]).await;
+    assert_eq!(unknown_session.status(), 410);
     let full = call("DELETE", "/v1/proxies/p?session=1", &[], vec![]).await;
     assert_eq!(
         (full.status().as_u16(), &full.headers()["retry-after"]),
         (503, &HeaderValue::from_static("10"))
     );
-    let unclear = call("POST", "/v1/proxies/p", &[], b"{\"zoen\": 1}".to_vec()).await;
-    assert_eq!(unclear.status(), 400);
-    assert!(String::from_utf8_lossy(&bytes(unclear).await).contains("zoen"));
-    let kind = call("POST", "/v1/proxies/p", &[("content-type", "text/plain")], b"{}".to_vec()).await;
-    assert_eq!(kind.status(), 400);
+    let unknown_field = call("POST", "/v1/proxies/p", &[], b"{\"zoen\": 1}".to_vec()).await;
+    assert_eq!(unknown_field.status(), 400);
+    assert!(String::from_utf8_lossy(&bytes(unknown_field).await).contains("zoen"));
+    let unsupported = call("POST", "/v1/proxies/p", &[("content-type", "text/plain")], b"{}".to_vec()).await;
+    assert_eq!(unsupported.status(), 400);
     let large =
         call("POST", "/v1/proxies/p", &[("content-length", "1048577")], vec![b' '; MAX_BODY_BYTES + 1]).await;
     assert_eq!(large.status(), 413);
--- a/crates/long-poll/src/sessions.rs
+++ b/crates/long-poll/src/sessions.rs
@@ -16,9 +16,9 @@
 const SESSION_TIMEOUT: Duration = Duration::from_secs(15);
 /// A session deadline that is handled later than this shows that the governor was stalled. Polls that arrived meanwhile
 /// may still be unread.
-const STANDSTILL: Duration = Duration::from_secs(1);
+const STALL_THRESHOLD: Duration = Duration::from_secs(1);
 /// The extension, granted once, that lets the unread poll of such a session be processed.
-const STANDSTILL_GRACE: Duration = Duration::from_secs(2);
+const STALL_GRACE: Duration = Duration::from_secs(2);
 /// How many report numbers are remembered per session, to detect duplicates.
 const MAX_REPORT_NUMBERS: usize = 64;
 
@@ -48,7 +48,7 @@
     pending: Option<PendingPoll<R>>,
     deadline: Duration,
     /// The deadline was already extended since the last poll, because the governor was stalled.
-    deferred: bool,
+    extended: bool,
     report_numbers: VecDeque<u64>,
 }
 
@@ -161,7 +161,7 @@
             unknown_digest: None,
             pending: None,
             deadline,
-            deferred: false,
+            extended: false,
             report_numbers: VecDeque::new(),
         };
         self.sessions.insert(id, session);
@@ -204,7 +204,7 @@
         session.held = retained.or(newest);
         let acknowledged_version = session.held.map(|held| held.version);
         let pending = PendingPoll { reply, deadline: now + wait };
-        session.deferred = false;
+        session.extended = false;
         let superseded = session.pending.replace(pending).map(|earlier| earlier.reply);
         self.set_deadline(id, now + wait);
         Ok(AcceptedPoll { acknowledged_version, superseded })
@@ -296,13 +296,13 @@
                 self.set_deadline(id, now + SESSION_TIMEOUT);
                 return Some(Expired::Poll { reply: pending.reply, outcome });
             }
-            let is_late = now > deadline + STANDSTILL;
-            if !is_late || session.deferred {
+            let was_stalled = now > deadline + STALL_THRESHOLD;
+            if !was_stalled || session.extended {
                 self.close(id);
                 return Some(Expired::Session(id));
             }
-            session.deferred = true;
-            self.set_deadline(id, now + STANDSTILL_GRACE);
+            session.extended = true;
+            self.set_deadline(id, now + STALL_GRACE);
         }
     }
 
--- a/crates/long-poll/src/sessions/tests.rs
+++ b/crates/long-poll/src/sessions/tests.rs
@@ -24,12 +24,12 @@
 fn sessions(versions: &[(u64, u32)]) -> (Sessions<u32>, History) {
     let (mut sessions, mut history) = (Sessions::default(), History::new(2, 1000));
     sessions.open(s(0), SESSION, "p".into());
-    versions.iter().for_each(|(at, weight)| history.push(PROXY, version(*at, *weight)));
+    versions.iter().for_each(|(number, weight)| history.push(PROXY, version(*number, *weight)));
     (sessions, history)
 }
 
-fn held(at: u64, weight: u32) -> Option<HeldVersion> {
-    Some(HeldVersion { version: at, digest: version(at, weight).digest })
+fn held(number: u64, weight: u32) -> Option<HeldVersion> {
+    Some(HeldVersion { version: number, digest: version(number, weight).digest })
 }
 
 fn poll(held: Option<HeldVersion>, wait: Duration, reply: u32) -> Poll<u32> {
@@ -81,7 +81,7 @@
 #[test]
 fn a_digest_collision_does_not_keep_a_proxy_on_an_old_table() {
     let (mut sessions, mut history) = sessions(&[]);
-    let colliding = |at, weight| HistoryEntry { digest: [7; 32], ..version(at, weight) };
+    let colliding = |number, weight| HistoryEntry { digest: [7; 32], ..version(number, weight) };
     history.push(PROXY, colliding(1, 5));
     history.push(PROXY, colliding(2, 6));
     let held = Some(HeldVersion { version: 1, digest: [7; 32] });
--- a/crates/long-poll/tests/wire_format.rs
+++ b/crates/long-poll/tests/wire_format.rs
@@ -17,7 +17,7 @@
 use wrenthread_long_poll::messages::{
     ErrorResponse, JoinRequest, JoinResponse, ReportRequest, ReportResponse, TablesResponse,
 };
-use wrenthread_long_poll::service::description;
+use wrenthread_long_poll::service::openapi_document;
 
 /// Reads a golden message and writes it again; the result must be the same bytes, also after a round trip as CBOR.
 fn reads_and_writes<T: DeserializeOwned + Serialize>(golden: &str) -> T {
@@ -79,6 +79,6 @@
 
 #[test]
 fn the_openapi_document_matches_the_golden_file() {
-    let document = serde_json::to_string(&description()).unwrap();
+    let document = serde_json::to_string(&openapi_document()).unwrap();
     assert_eq!(document, include_str!("golden/openapi.json"));
 }
