--- a/crates/settings/src/day.rs
+++ b/crates/settings/src/day.rs
@@ -1,4 +1,4 @@
-//! A rehearsed day, from its script.
+//! Scripts of rehearsals: a simulated day with its fleet, its request load and its faults.
 
 use serde::Serialize;
 
@@ -21,33 +21,33 @@
         /// Number of workers.
         count: usize,
     },
-    /// The workers of a zone are replaced, one after another, by cold ones.
+    /// The workers of a zone are replaced by cold ones, one after another.
     Deploy {
         /// Index of the zone.
         hall: usize,
-        /// From one worker to the next, in seconds.
+        /// Time between the replacements of two workers, in seconds.
         step: f64,
     },
-    /// Streams of some relays break at once.
+    /// The streams of some relays break at the same time.
     BrokenStreams {
         /// Fraction of the relays.
         share: f64,
     },
-    /// Load reports of some relays come late, and twice.
+    /// The load reports of some relays arrive late and twice.
     LateReports {
         /// Fraction of the relays.
         share: f64,
-        /// How late, in seconds.
+        /// Delay of the reports, in seconds.
         late: f64,
     },
     /// The governor is killed, and started again at the end.
     Kill {
         /// Index of the governor.
         governor: usize,
-        /// Orders of a flush that are sent before; 0: it is killed at once.
+        /// Number of messages of a flush that are sent before the kill; 0 kills at once.
         after_orders: usize,
     },
-    /// The governor's process stands still.
+    /// The governor's process is paused.
     Stall {
         /// Index of the governor.
         governor: usize,
@@ -57,12 +57,12 @@
         /// Index of the governor.
         governor: usize,
     },
-    /// What the governor sends to others is lost; what they send arrives.
+    /// Messages from the governor to other governors are lost; messages from them arrive.
     OneWay {
         /// Index of the governor.
         governor: usize,
     },
-    /// The governor's roster stays as it is.
+    /// The governor's roster is no longer updated.
     Stale {
         /// Index of the governor.
         governor: usize,
@@ -73,10 +73,10 @@
     Storm {
         /// Index of the governor.
         governor: usize,
-        /// How often.
+        /// How many times.
         count: usize,
     },
-    /// An operator rolls back to the present version at the end, for fifteen seconds.
+    /// An operator rolls back to the current version at the end, for fifteen seconds.
     StepBack,
 }
 
@@ -91,10 +91,10 @@
     pub trouble: Trouble,
 }
 
-/// Fleet, requests, faults, and the limits of the rules that are checked. Times are in seconds.
+/// The fleet, the request load, the faults, and the limits for the rules that a rehearsal checks. Times are in seconds.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Day {
-    /// How long requests come.
+    /// Duration of the request load.
     pub seconds: f64,
     /// The zones.
     pub halls: Vec<String>,
@@ -106,29 +106,29 @@
     pub flows_per_s: f64,
     /// Capacity of a worker that is warmed up, in requests per second.
     pub worker_flows_per_s: f64,
-    /// Delay of the roster.
+    /// Delay until the roster shows a change.
     pub roster_late: f64,
     /// Capacity fraction of a cold worker.
     pub cold_share: f64,
-    /// How long a worker is cold.
+    /// How long a worker takes to warm up.
     pub warm_after: f64,
-    /// No attempt may go to a replica so long after its drain was listed.
+    /// No attempt may go to a replica later than this after the roster lists it as draining.
     pub drain_grace: f64,
     /// Number of governors that share the relays.
     pub governors: usize,
-    /// Governors send gossip to each other.
+    /// Whether governors send gossip to each other.
     pub talk: bool,
-    /// Settings and roster are imported from an nginx configuration.
+    /// Whether settings and roster are imported from an nginx configuration.
     pub nginx: bool,
-    /// Governors have a durable store.
+    /// Whether governors have a durable store.
     pub state: bool,
-    /// No relay may be without a governor for so long.
+    /// Maximum time that a relay may be without a governor.
     pub care_for: f64,
-    /// No relay may be without a table entry for so long.
+    /// Maximum time that a relay may be without a table entry.
     pub bare_for: f64,
-    /// A cold worker fails at so many times its even share.
+    /// The multiple of its even share of the requests above which a cold worker fails.
     pub fall_multiple: f64,
-    /// If it lasts so long.
+    /// How long a cold worker must be overloaded until it fails.
     pub overload_for: f64,
     /// The faults, in the order of the script.
     pub troubles: Vec<Planned>,
@@ -151,10 +151,10 @@
     "storm",
 ];
 
-/// Checks a day's script; `file` is for the errors.
+/// Parses and validates the script of a rehearsal. `file` is the name that errors show.
 ///
 /// # Errors
-/// All that is wrong with it.
+/// All errors of the script.
 pub fn parse(file: &str, text: &str) -> Result<Day, SettingErrors> {
     let calls = script::run(file, text, ScriptKind::Day)?;
     let mut validator = Validator::new(file);
--- a/crates/settings/src/engine_settings.rs
+++ b/crates/settings/src/engine_settings.rs
@@ -1,4 +1,4 @@
-//! Settings as the engine takes them: the script's words become the engine's types here.
+//! Converts settings to those of the engine: names used in scripts become the engine's types.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use crate::model::{Group, Settings};
 
-/// A load metric by its name in scripts and reports.
+/// A load metric, with its name in scripts and reports.
 pub(crate) struct LoadMetric {
     pub(crate) name: &'static str,
     field: LoadField,
@@ -56,7 +56,7 @@
 }
 
 impl Settings {
-    /// The settings of an engine.
+    /// Returns the settings of the engine.
     pub fn engine_settings(&self) -> EngineSettings {
         EngineSettings {
             governor: self.governor_settings(),
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a script, and where.
+//! Errors in scripts, with their file and line.
 
 use std::fmt;
 
@@ -7,14 +7,14 @@
 
 use crate::schema::FieldType;
 
-/// One thing that is wrong with a script.
+/// An error in a script.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettingError {
     /// The script's file.
     pub file: String,
-    /// The line, from 1; 0 is the file as a whole.
+    /// The line number, from 1; 0 stands for the file as a whole.
     pub line: usize,
-    /// What is wrong, and what would be right.
+    /// What is wrong, and what is expected.
     #[serde(rename = "why")]
     pub reason: String,
 }
@@ -28,16 +28,16 @@
     }
 }
 
-/// All that is wrong with a script.
+/// All errors of a script.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(transparent)]
 pub struct SettingErrors {
-    /// At least one.
+    /// The errors; at least one.
     pub errors: Vec<SettingError>,
 }
 
 impl SettingErrors {
-    /// A single error; line 0 is the file as a whole.
+    /// A single error; line 0 stands for the file as a whole.
     pub(crate) fn single(file: &str, line: usize, problem: &Problem) -> Self {
         let reason = problem.to_string();
         SettingErrors { errors: vec![SettingError { file: file.to_string(), line, reason }] }
@@ -51,16 +51,16 @@
     }
 }
 
-/// Why a path of a group is not valid.
+/// Why a path of a group is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PathRouteError {
-    /// It is neither a pattern nor an absolute path.
+    /// The path is neither a pattern nor absolute.
     #[error("path \"{text}\" does not begin with `/`")]
     NotAbsolute {
         /// The path as it was written.
         text: String,
     },
-    /// Its pattern does not parse.
+    /// The path's pattern is no valid regular expression.
     #[error("\"{text}\" is no regular expression that proxies take")]
     InvalidPattern {
         /// The path as it was written.
@@ -68,19 +68,19 @@
     },
 }
 
-/// What is wrong at one place of a script. The texts are shown to users.
+/// A problem in a script, reported as a [`SettingError`]. The texts are shown to users.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Problem {
     // ---- the file
     #[error("{0}")]
     Unreadable(std::io::Error),
-    #[error("can't be read apart: {0}")]
+    #[error("can't start the process that reads the settings: {0}")]
     NoReaderProcess(std::io::Error),
     #[error(
-        "the script takes more than 10 s or 1 GiB; settings are to be small and quick to make ({status})"
+        "the process that reads the settings failed ({status}); a script may use 10 s of processor time and 1 GiB of memory"
     )]
     ReaderStopped { status: std::process::ExitStatus },
-    #[error("{bytes} bytes; {limit} are allowed")]
+    #[error("the script has {bytes} bytes; at most {limit} are allowed")]
     ScriptTooLarge { bytes: usize, limit: usize },
     #[error("{0}")]
     Script(String),
@@ -88,9 +88,9 @@
     // ---- names and values of fields
     #[error("`{section}` has no `{field}`; {hint}")]
     UnknownField { section: &'static str, field: String, hint: String },
-    #[error("`{field}` of `{section}` is a {kind}, which is no setting")]
+    #[error("`{field}` of `{section}` has type {kind}, which is not allowed in settings")]
     NotASetting { section: &'static str, field: String, kind: &'static str },
-    #[error("`{section}` was said already, on line {line}; say it once")]
+    #[error("`{section}` is already given on line {line}; it may be given once")]
     RepeatedSection { section: &'static str, line: usize },
     #[error("`{field}` of `{section}` is {value}; it takes {}", expected.description())]
     WrongValue { section: String, field: &'static str, value: Value, expected: FieldType },
@@ -100,11 +100,11 @@
     InvalidAddress { field: &'static str, text: String },
 
     // ---- groups
-    #[error("{count} groups; say `group(...)` for 1 to 64")]
+    #[error("{count} groups; define 1 to 64 with `group(...)`")]
     GroupCount { count: usize },
     #[error("a group needs a name")]
     UnnamedGroup,
-    #[error("group `{name}` was said already")]
+    #[error("group `{name}` is already defined")]
     RepeatedGroup { name: String },
     #[error("the latency budget of group `{name}` ({budget} s) is beyond its expiry ({expiry} s)")]
     BudgetBeyondExpiry { name: String, budget: f64, expiry: f64 },
@@ -122,13 +122,13 @@
     // ---- sections
     #[error("`name` is \"{name}\"; it takes up to 64 letters, digits, `-` and `_`")]
     InvalidGovernorName { name: String },
-    #[error("several governors share the fleet: say this one's `governor(name = ...)`")]
+    #[error("several governors share the fleet, so this one needs a name: `governor(name = ...)`")]
     UnnamedGovernor,
     #[error("peer `{name}` is this governor, or twice there")]
     RepeatedPeer { name: String },
     #[error("peer \"{text}\"; it takes \"name=address:port\"")]
     InvalidPeer { text: String },
-    #[error("governors that talk need `name`, `keys` and `talk`, each")]
+    #[error("governors that exchange gossip need `name`, `keys` and `talk`")]
     IncompleteGossip,
     #[error("`zones` is empty; name at least one")]
     NoZones,
@@ -136,14 +136,14 @@
     UnknownLoadMetric { metric: String, hint: String },
     #[error("`roster` needs a `file`, or an `upstream` and its `clusters`")]
     InvalidRosterSource,
-    #[error("`waiting_most` is {limit}; the tables of one proxy alone come to {needed} lines")]
+    #[error("`waiting_most` is {limit}; the tables of a single proxy need {needed} lines")]
     QueueLimitTooLow { limit: f64, needed: f64 },
 
     // ---- rehearsed days
-    #[error("a `deploy` needs a `hall` of the day")]
+    #[error("a `deploy` needs a `hall` that is in the `halls` of the day")]
     DeployWithoutHall,
-    #[error("no such trouble: `{kind}`; {hint}")]
+    #[error("unknown trouble `{kind}`; {hint}")]
     UnknownTrouble { kind: String, hint: String },
-    #[error("`{kind}` goes on after the day's end")]
+    #[error("`{kind}` lasts until after the day's end")]
     TroubleAfterEnd { kind: String },
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,8 @@
-//! The settings script, checked: Starlark in, [`Settings`] out, or all that is wrong with it at once.
+//! Reads and validates settings scripts, which are written in Starlark. The result is [`Settings`], or all errors of
+//! the script at once.
 //!
-//! The words of the script are an interface: `schema` has them all, and `validation` maps them to the fields of
-//! [`Settings`], which [`Settings::engine_settings`] maps to those of the engine.
+//! The names used in scripts are a public interface. `schema` defines them, `validation` maps them to the fields of
+//! [`Settings`], and [`Settings::engine_settings`] maps these to the settings of the engine.
 //!
 //! ```
 //! let script = r#"
--- a/crates/settings/src/loading.rs
+++ b/crates/settings/src/loading.rs
@@ -1,4 +1,4 @@
-//! Reading a script from its file, in this process or in one of its own with bounded time and memory.
+//! Loads a script from its file, in this process or in a separate process with limited processor time and memory.
 
 use std::path::Path;
 use std::process::Command;
@@ -7,15 +7,15 @@
 use crate::model::{RosterSource, Settings};
 use crate::validation::parse;
 
-/// Memory limit of a process that reads a script, in bytes.
+/// Memory limit of a separate process that reads a script, in bytes.
 const MAX_PROCESS_BYTES: u64 = 1 << 30;
-/// Limit of its processor time, in seconds.
+/// Processor time limit of a separate process that reads a script, in seconds.
 const MAX_PROCESS_SECONDS: u64 = 10;
 
-/// Reads and checks a script. Relative paths in it are resolved against its own folder.
+/// Reads and validates a script. Relative paths in it are resolved against the script's folder.
 ///
 /// # Errors
-/// The file can't be read, or what is wrong with it.
+/// The file can't be read, or the script has errors.
 pub fn load(path: &Path) -> Result<Settings, SettingErrors> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path)
@@ -44,22 +44,23 @@
     }
 }
 
-/// Bounds this process for the reading of a script: the interpreter checks its steps and its memory only now and then,
-/// and a few steps can ask for all the memory there is. To be called in a process of its own, which ends where it exceeds
-/// the bounds: [`load_apart`] does that.
+/// Limits the memory and processor time of this process before it reads a script. The interpreter's own limits are not
+/// enough: it checks its steps and memory only at intervals, and a few steps can allocate all available memory. To be
+/// called in a separate process, which is terminated if it exceeds the limits; see [`load_apart`].
 ///
 /// # Errors
-/// The system does not allow it.
+/// The operating system rejects the limits.
 pub fn bound_process() -> std::io::Result<()> {
     rlimit::Resource::AS.set(MAX_PROCESS_BYTES, MAX_PROCESS_BYTES)?;
     rlimit::Resource::CPU.set(MAX_PROCESS_SECONDS, MAX_PROCESS_SECONDS)
 }
 
-/// Reads and checks a script as [`load`] does, in a process of its own with bounded time and memory. `program` with
-/// `arguments` and the path has to call [`bound_process`], then [`load`], and write the result as JSON.
+/// Reads and validates a script like [`load`], but in a separate process with limited processor time and memory.
+/// `program`, started with `arguments` and the path, must call [`bound_process`] and [`load`], and write the result to
+/// standard output as JSON.
 ///
 /// # Errors
-/// As [`load`]; a script that exceeds the bounds.
+/// Those of [`load`]; also if the process can't be started, or ends without a result because it exceeds the limits.
 pub fn load_apart(program: &Path, arguments: &[&str], path: &Path) -> Result<Settings, SettingErrors> {
     let file = path.display().to_string();
     let output = Command::new(program)
--- a/crates/settings/src/model.rs
+++ b/crates/settings/src/model.rs
@@ -1,4 +1,5 @@
-//! Checked settings. Their serialised names are those that a governor compares, shows and hands between processes.
+//! Validated settings. Their serialised names are used to compare settings, to display them, and to pass them between
+//! processes.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,7 +12,7 @@
 /// A traffic class: a cluster of its own, and the route to it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Group {
-    /// Its name, of which there is one.
+    /// The name, unique among groups.
     pub name: String,
     /// `retriable`, `deduped` or `non-retriable`.
     #[serde(rename = "effect")]
@@ -19,7 +20,7 @@
     /// Which replicas recognise a repeated request: `all`, `zone` or `pack`.
     #[serde(rename = "deduped_by")]
     pub deduplication_scope: Option<String>,
-    /// How long after the first attempt they do, in seconds.
+    /// How long after the first attempt replicas recognise a repeated request, in seconds.
     #[serde(rename = "deduped_for")]
     pub deduplication_window: Option<f64>,
     /// The latency objective, in seconds.
@@ -31,10 +32,10 @@
     /// The priority weight.
     #[serde(rename = "utility")]
     pub priority_weight: f64,
-    /// Requests may only go to replicas in the proxy's zone.
+    /// Whether requests may only go to replicas in the proxy's zone.
     #[serde(rename = "own_zone")]
     pub same_zone_only: bool,
-    /// Which requests belong to it.
+    /// Which requests belong to the group.
     pub route: Route,
 }
 
@@ -42,16 +43,16 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Route {
-    /// Those whose path has this prefix.
+    /// Requests whose path has this prefix.
     Prefix(String),
-    /// Those that carry a header of this name, in lower case, with this value.
+    /// Requests with a header of this name (in lower case) and value.
     Header(String, String),
-    /// Those whose path fits one of several.
+    /// Requests whose path matches one of several.
     Paths(Vec<PathRoute>),
 }
 
 impl Route {
-    /// The paths that lead here; none for a header.
+    /// The paths of this route; none for a header.
     pub(crate) fn paths(&self) -> Vec<PathRoute> {
         match self {
             Route::Prefix(prefix) => vec![PathRoute::Prefix(prefix.clone())],
@@ -61,8 +62,8 @@
     }
 }
 
-/// One path of several that lead to a group. Of those that fit a request the first in this order is taken: an exact one,
-/// the longest prefix if it is a firm one, the first pattern, the longest prefix.
+/// One of several paths that lead to a group. Of those that match a request, the first in this order is taken: an exact
+/// path, the longest prefix if it is [`PathRoute::Firm`], the first pattern, the longest prefix.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PathRoute {
@@ -70,19 +71,19 @@
     Prefix(String),
     /// The whole path.
     Exact(String),
-    /// A prefix that goes before patterns.
+    /// A prefix that takes precedence over patterns.
     Firm(String),
-    /// A regular expression that some part of the path fits.
+    /// A regular expression that matches some part of the path.
     Pattern(String),
-    /// The same, in upper and lower case alike.
+    /// A regular expression that matches some part of the path, ignoring case.
     AnyCase(String),
 }
 
 impl PathRoute {
-    /// Reads a path as it is written in a script: `/prefix`, `= /exact`, `^~ /firm`, `~ pattern` or `~* pattern`.
+    /// Parses a path as written in a script: `/prefix`, `= /exact`, `^~ /firm`, `~ pattern` or `~* pattern`.
     ///
     /// # Errors
-    /// A path that is not absolute, or a pattern that does not parse.
+    /// The path is not absolute, or its pattern is invalid.
     pub fn read(text: &str) -> Result<Self, PathRouteError> {
         let (operator, rest) = match text.split_once(' ') {
             Some((operator, rest)) if ["=", "^~", "~", "~*"].contains(&operator) => (operator, rest.trim()),
@@ -107,25 +108,25 @@
     }
 }
 
-/// An nginx that follows this governor by files.
+/// Settings of an nginx that gets its tables from this governor as a generated configuration file.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Nginx {
-    /// The file that it includes.
+    /// The generated file, which the nginx configuration includes.
     #[serde(rename = "include")]
     pub include_file: PathBuf,
-    /// The command that has it read the file; empty if none is run.
+    /// The command that makes nginx reload its configuration; empty if none is run.
     #[serde(rename = "reload")]
     pub reload_command: Vec<String>,
-    /// From one file to the next, in seconds, at the least.
+    /// Minimum time between two versions of the file, in seconds.
     #[serde(rename = "every")]
     pub min_interval: f64,
-    /// The same for a file that drains or ejects a replica.
+    /// Minimum time before a version of the file that drains or ejects a replica, in seconds.
     #[serde(rename = "drains_every")]
     pub min_drain_interval: f64,
-    /// Timeout of the command, in seconds.
+    /// Timeout of the reload command, in seconds.
     #[serde(rename = "reload_within")]
     pub reload_timeout: f64,
-    /// Its access log, read as load reports.
+    /// nginx's access log, from which load reports are made.
     pub access_log: Option<PathBuf>,
 }
 
@@ -144,23 +145,23 @@
     },
 }
 
-/// Checked settings. Times are in seconds.
+/// Validated settings. Times are in seconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
     /// The traffic classes, in the order of the script.
     pub groups: Vec<Group>,
-    /// The zones, by the names that nodes and roster use.
+    /// The zones, by the names used in xDS nodes and in the roster.
     pub zones: Vec<String>,
     /// This governor's name; empty if it has none.
     pub governor: String,
-    /// Files with the fleet's keys; the first signs.
+    /// Files with the fleet's keys. The first key signs; signatures by any of them are valid.
     pub keys: Vec<PathBuf>,
-    /// Where other governors reach this one, by UDP.
+    /// The UDP address at which other governors reach this one.
     #[serde(rename = "talk")]
     pub gossip_address: Option<SocketAddr>,
     /// Other governors, by name and address.
     pub peers: Vec<(String, SocketAddr)>,
-    /// Limit of the proxies moved to other governors per second.
+    /// Maximum number of proxies moved to other governors per second.
     #[serde(rename = "moves_per_s")]
     pub moves_per_second: f64,
     /// Number of governors that share the proxies.
@@ -172,102 +173,102 @@
     /// Replicas in a default table.
     #[serde(rename = "standing_lines")]
     pub default_table_size: u64,
-    /// Requests per second of a proxy that reports none.
+    /// Requests per second assumed for a proxy that does not state its own.
     #[serde(rename = "usual")]
     pub default_requests_per_second: f64,
-    /// Proxies eject replicas locally.
+    /// Whether proxies eject replicas locally.
     #[serde(rename = "proxies_avoid")]
     pub proxies_eject_locally: bool,
     /// The default retry policy: `never`, `if-never-ran` or `once`.
     #[serde(rename = "tries")]
     pub default_retry_policy: String,
-    /// Proxies enforce admission fractions.
+    /// Whether proxies enforce admission fractions.
     #[serde(rename = "levels")]
     pub admission_control: bool,
-    /// Limit of the proxies connected here.
+    /// Maximum number of proxies connected to this governor.
     #[serde(rename = "joined_most")]
     pub max_proxies: u64,
-    /// Capacity fraction of a replica at its start, at the worst.
+    /// Lowest capacity fraction of a replica at its start.
     #[serde(rename = "cold_share")]
     pub initial_capacity_fraction: f64,
     /// Duration of slow start.
     #[serde(rename = "warm_after")]
     pub slow_start_duration: f64,
-    /// Limit of the table entries sent per second.
+    /// Maximum number of table entries sent per second, over all proxies.
     #[serde(rename = "lines_per_s")]
     pub entries_per_second: f64,
-    /// Cost of a message on top of its entries, in entries.
+    /// Overhead of a message in addition to its entries, in entries.
     #[serde(rename = "head_lines")]
     pub message_overhead_entries: f64,
-    /// Limit of the queued entries.
+    /// Maximum number of queued entries.
     #[serde(rename = "waiting_most")]
     pub max_queued_entries: f64,
-    /// Longest transit delay of a message.
+    /// Maximum transit delay of a message.
     #[serde(rename = "transit_most")]
     pub max_transit_delay: f64,
-    /// Limit of the messages to one proxy within `messages_over`.
+    /// Maximum number of messages to one proxy within [`Settings::message_limit_interval`].
     #[serde(rename = "messages_most")]
     pub message_limit: Option<u64>,
-    /// The interval for that.
+    /// The interval to which [`Settings::message_limit`] applies.
     #[serde(rename = "messages_over")]
     pub message_limit_interval: f64,
-    /// Cost of a request into another zone.
+    /// Cost of a request to another zone.
     #[serde(rename = "crossing_cost")]
     pub cross_zone_cost: f64,
-    /// How often proxies report.
+    /// Interval between load reports of a proxy.
     #[serde(rename = "report_every")]
     pub report_interval: f64,
-    /// Limit of the report entries that are taken per second.
+    /// Maximum number of report entries processed per second.
     #[serde(rename = "report_lines_per_s")]
     pub report_entries_per_second: f64,
     /// The load metrics that replicas report.
     #[serde(rename = "load")]
     pub load_metrics: Vec<String>,
-    /// The metric that holds an answer's time.
+    /// The metric that contains response times.
     #[serde(rename = "answer")]
     pub answer_time_metric: String,
     /// Where the endpoint list comes from.
     pub roster: RosterSource,
-    /// How often its file is looked at.
+    /// Interval between checks of the roster file for changes.
     #[serde(rename = "look_every")]
     pub roster_poll_interval: f64,
-    /// How long an empty list must last before it is believed.
+    /// How long the endpoint list must stay empty before the engine applies it.
     #[serde(rename = "empty_after")]
     pub empty_roster_timeout: f64,
-    /// Versions of a proxy's tables that are retained.
+    /// Number of retained versions of a proxy's tables.
     pub history_versions: u64,
-    /// Entries in all of them.
+    /// Maximum number of entries in all retained versions.
     #[serde(rename = "history_lines")]
     pub history_entries: u64,
-    /// The address for proxies by gRPC.
+    /// The listening address for proxies that use gRPC.
     #[serde(rename = "grpc")]
     pub grpc_address: SocketAddr,
-    /// The address for health, metrics and status.
+    /// The listening address for health, metrics and status.
     #[serde(rename = "http")]
     pub http_address: SocketAddr,
-    /// The address for proxies by long poll.
+    /// The listening address for proxies that use long polling.
     #[serde(rename = "poll")]
     pub long_poll_address: Option<SocketAddr>,
-    /// How often a stream is asked for a sign of life.
+    /// Interval between keepalive pings on a stream.
     #[serde(rename = "keepalive")]
     pub keepalive_interval: f64,
-    /// How long it may take to answer.
+    /// Timeout of a keepalive ping, after which the stream is closed.
     pub keepalive_timeout: f64,
-    /// The nginx that follows by files.
+    /// The settings of an nginx that follows this governor.
     pub nginx: Nginx,
     /// The folder of the durable store.
     #[serde(rename = "state")]
     pub state_folder: Option<PathBuf>,
-    /// How often changes are written to it.
+    /// Interval between writes of changes to the durable store.
     #[serde(rename = "state_every")]
     pub state_interval: f64,
 }
 
-/// Settings that take effect while a governor runs, by their serialised names.
+/// Settings that can change while a governor runs, by their serialised names.
 const RELOADABLE: [&str; 4] = ["report_lines_per_s", "roster", "look_every", "nginx"];
 
 impl Settings {
-    /// Differences to later settings that can't take effect while a governor runs, by section and field.
+    /// Describes the differences to new settings that can't take effect while a governor runs, by serialised name.
     pub fn fixed_differences(&self, later: &Settings) -> Vec<String> {
         let (current, later) = (self.by_name(), later.by_name());
         let mut differences = Vec::new();
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,4 +1,4 @@
-//! What a script may say: sections, their fields, the type of each, and its default.
+//! The schema of scripts: sections, and the name, type, default and description of each field.
 
 mod day;
 mod settings;
@@ -6,7 +6,7 @@
 pub(crate) use day::DAY;
 pub(crate) use settings::SECTIONS;
 
-/// How near a known name has to be to an unknown one to be suggested, by Jaro-Winkler similarity.
+/// Minimum Jaro-Winkler similarity at which a known name is suggested for an unknown one.
 const MIN_SIMILARITY: f64 = 0.7;
 
 /// The type of a field. Bounds are inclusive.
@@ -21,12 +21,12 @@
     OneOf(&'static [&'static str]),
 }
 
-/// What a field is if it is not given.
+/// The value of a field that a script does not set.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum DefaultValue {
-    /// It must be given.
+    /// There is no default; the field must be set.
     Required,
-    /// It has no value; the checks know what that means.
+    /// The field has no value; validation decides what that means.
     Unset,
     Number(f64),
     Flag(bool),
@@ -38,14 +38,14 @@
     pub(crate) name: &'static str,
     pub(crate) field_type: FieldType,
     pub(crate) default: DefaultValue,
-    /// What it is, for messages to users.
+    /// The description shown in error messages.
     pub(crate) meaning: &'static str,
 }
 
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Section {
     pub(crate) name: &'static str,
-    /// It is given once for each of its kind, by name, instead of once at most.
+    /// Whether the section may be given several times, each with a name, instead of once at most.
     pub(crate) repeated: bool,
     pub(crate) fields: &'static [Field],
 }
@@ -65,12 +65,12 @@
     Field { name, field_type, default, meaning }
 }
 
-/// A section of either kind of script, by its name.
+/// The section with this name, in settings or in rehearsal scripts.
 pub(crate) fn section(name: &str) -> Option<&'static Section> {
     SECTIONS.iter().chain(DAY).find(|section| section.name == name)
 }
 
-/// The known name nearest to an unknown one, if any is near.
+/// The known name most similar to an unknown one, if any is similar enough.
 pub(crate) fn nearest<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let similarity = |known: &str| strsim::jaro_winkler(name, known);
     let near = known.filter(|known| similarity(known) > MIN_SIMILARITY);
@@ -78,7 +78,7 @@
 }
 
 impl FieldType {
-    /// What would be right, in words.
+    /// The expected values, described for error messages.
     pub(crate) fn description(&self) -> String {
         match self {
             FieldType::Number { min, max } => format!("a number from {min} to {max}"),
--- a/crates/settings/src/schema/day.rs
+++ b/crates/settings/src/schema/day.rs
@@ -1,133 +1,148 @@
-//! The sections of the script of a rehearsed day.
+//! The sections of rehearsal scripts.
 
 use super::DefaultValue::{Flag, Number, Required, Unset};
 use super::{FieldType, Section, field};
 
-/// All sections.
+/// All sections of a rehearsal script.
 pub(crate) const DAY: &[Section] = &[
     Section {
         name: "day",
         repeated: false,
-        // The fleet and its flows.
+        // The fleet, the request load, and the limits for the rules.
         fields: &[
-            field("seconds", FieldType::Seconds { min: 1.0, max: 3600.0 }, Required, "how long flows come"),
-            field("halls", FieldType::Texts, Required, "zones"),
+            field(
+                "seconds",
+                FieldType::Seconds { min: 1.0, max: 3600.0 },
+                Required,
+                "duration of the request load",
+            ),
+            field("halls", FieldType::Texts, Required, "names of the zones"),
             field(
                 "workers",
                 FieldType::Whole { min: 1, max: 1000 },
                 Number(24.0),
-                "workers, dealt to the halls",
+                "number of workers, distributed over the halls",
             ),
             field(
                 "relays",
                 FieldType::Whole { min: 1, max: 1000 },
                 Number(16.0),
-                "relays, dealt to the halls",
+                "number of relays, distributed over the halls",
             ),
             field(
                 "flows_per_s",
                 FieldType::Number { min: 0.1, max: 10_000.0 },
                 Number(100.0),
-                "over all relays",
+                "requests per second over all relays",
             ),
             field(
                 "worker_flows_per_s",
                 FieldType::Number { min: 0.1, max: 10_000.0 },
                 Number(10.0),
-                "what a warm worker can do",
+                "capacity of a warm worker, in requests per second",
             ),
             field(
                 "roster_late",
                 FieldType::Seconds { min: 0.0, max: 60.0 },
                 Number(1.0),
-                "how late the roster is",
+                "delay until the roster shows a change",
             ),
             field(
                 "cold_share",
                 FieldType::Number { min: 0.05, max: 1.0 },
                 Number(0.25),
-                "what a cold worker can do",
+                "capacity of a cold worker, as a fraction",
             ),
             field(
                 "warm_after",
                 FieldType::Seconds { min: 0.1, max: 600.0 },
                 Number(12.0),
-                "and for how long",
+                "time that a worker takes to warm up",
             ),
             field(
                 "drain_grace",
                 FieldType::Seconds { min: 0.1, max: 60.0 },
                 Number(3.0),
-                "no try so long after a drain was listed",
+                "no attempt later than this after the roster lists a drain",
             ),
             field(
                 "governors",
                 FieldType::Whole { min: 1, max: 8 },
                 Number(1.0),
-                "governors that share the relays",
+                "number of governors that share the relays",
             ),
-            field("talk", FieldType::Flag, Flag(false), "they may talk to each other"),
-            field("state", FieldType::Flag, Flag(false), "governors know what they knew before a restart"),
+            field("talk", FieldType::Flag, Flag(false), "whether governors send gossip to each other"),
+            field("state", FieldType::Flag, Flag(false), "whether governors keep their state over a restart"),
             field(
                 "nginx",
                 FieldType::Flag,
                 Flag(false),
-                "settings and roster are imported from nginx's; halls are networks as `127.0.1`",
+                "whether settings and roster are imported from an nginx configuration; halls are networks as `127.0.1`",
             ),
             field(
                 "care_for",
                 FieldType::Seconds { min: 0.1, max: 60.0 },
                 Number(5.0),
-                "no relay without a governor for so long",
+                "maximum time that a relay may be without a governor",
             ),
             field(
                 "bare_for",
                 FieldType::Seconds { min: 0.1, max: 60.0 },
                 Number(2.0),
-                "no relay without a line for so long",
+                "maximum time that a relay may be without a table entry",
             ),
             field(
                 "fall_multiple",
                 FieldType::Number { min: 1.0, max: 100.0 },
                 Number(2.5),
-                "a cold worker falls at so many times its part",
+                "multiple of its even share above which a cold worker fails",
             ),
             field(
                 "overload_for",
                 FieldType::Seconds { min: 0.1, max: 60.0 },
                 Number(1.5),
-                "brought for so long",
+                "how long a cold worker must be overloaded until it fails",
             ),
         ],
     },
     Section {
         name: "trouble",
         repeated: true,
-        // What goes wrong, by kind.
+        // A fault to inject, named by its kind.
         fields: &[
-            field("at", FieldType::Seconds { min: 0.0, max: 3600.0 }, Required, "when it begins"),
-            field("lasts", FieldType::Seconds { min: 0.0, max: 3600.0 }, Number(0.0), "how long"),
-            field("hall", FieldType::Text, Unset, "where"),
+            field("at", FieldType::Seconds { min: 0.0, max: 3600.0 }, Required, "start of the fault"),
+            field(
+                "lasts",
+                FieldType::Seconds { min: 0.0, max: 3600.0 },
+                Number(0.0),
+                "duration of the fault",
+            ),
+            field("hall", FieldType::Text, Unset, "zone of the fault"),
             field(
                 "share",
                 FieldType::Number { min: 0.0, max: 1.0 },
                 Number(0.5),
-                "how many of those concerned",
+                "fraction of the relays that are affected",
+            ),
+            field(
+                "count",
+                FieldType::Whole { min: 1, max: 1000 },
+                Number(1.0),
+                "number of workers, or of kills in a `storm`",
             ),
-            field("count", FieldType::Whole { min: 1, max: 1000 }, Number(1.0), "how many workers"),
-            field("late", FieldType::Seconds { min: 0.0, max: 60.0 }, Number(2.0), "how late reports come"),
+            field("late", FieldType::Seconds { min: 0.0, max: 60.0 }, Number(2.0), "delay of load reports"),
             field(
                 "step",
                 FieldType::Seconds { min: 0.1, max: 600.0 },
                 Number(2.0),
-                "from one worker of a deploy to the next",
+                "time between the replacements of two workers in a `deploy`",
             ),
-            field("governor", FieldType::Whole { min: 0, max: 7 }, Number(0.0), "which governor"),
+            field("governor", FieldType::Whole { min: 0, max: 7 }, Number(0.0), "index of the governor"),
             field(
                 "after_orders",
                 FieldType::Whole { min: 0, max: 1000 },
                 Number(4.0),
-                "orders of a flush that still go out; 0: at once",
+                "messages of a flush that are sent before the kill; 0 kills at once",
             ),
         ],
     },
--- a/crates/settings/src/schema/settings.rs
+++ b/crates/settings/src/schema/settings.rs
@@ -1,38 +1,38 @@
-//! The sections of a settings script.
+//! The sections of settings scripts.
 
 use super::DefaultValue::{Flag, Number, Required, Text, Unset};
 use super::{FieldType, Section, field};
 
-/// All sections; the first stands for an unknown one.
+/// All sections of a settings script. The first is the fallback for an unknown section name.
 pub(crate) const SECTIONS: &[Section] = &[
     Section {
         name: "group",
         repeated: true,
-        // A traffic group: a cluster of its own, and the route to it.
+        // A traffic class: a cluster of its own, and the route to it.
         fields: &[
             field(
                 "effect",
                 FieldType::OneOf(&["retriable", "deduped", "non-retriable"]),
                 Text("non-retriable"),
-                "what a second run of a flow would do",
+                "whether a request may be executed twice",
             ),
             field(
                 "deduped_by",
                 FieldType::OneOf(&["all", "zone", "pack"]),
                 Unset,
-                "which replicas drop a repeat",
+                "which replicas recognise a repeated request",
             ),
             field(
                 "deduped_for",
                 FieldType::Seconds { min: 0.001, max: 86_400.0 },
                 Unset,
-                "how long after the first try they do",
+                "how long after the first attempt they recognise it",
             ),
             field(
                 "latency_budget",
                 FieldType::Seconds { min: 0.001, max: 3600.0 },
                 Required,
-                "an answer within it is worth all",
+                "latency objective of a request",
             ),
             field(
                 "expiry",
@@ -44,20 +44,20 @@
                 "utility",
                 FieldType::Number { min: 0.0, max: 1e6 },
                 Number(1.0),
-                "what a delivered flow is worth",
+                "priority weight of a request",
             ),
             field(
                 "own_zone",
                 FieldType::Flag,
                 Flag(false),
-                "flows may only go to replicas in the proxy's zone",
+                "whether requests may only go to replicas in the proxy's zone",
             ),
-            field("prefix", FieldType::Text, Unset, "path prefix of its flows"),
+            field("prefix", FieldType::Text, Unset, "path prefix of the group's requests"),
             field(
                 "header",
                 FieldType::Text,
                 Unset,
-                "`name: value` that its flows carry, instead of a prefix",
+                "header of the group's requests as `name: value`, instead of a prefix",
             ),
             field(
                 "paths",
@@ -71,158 +71,173 @@
     Section {
         name: "fleet",
         repeated: false,
-        // Proxies and governors.
+        // The proxies and governors.
         fields: &[
-            field("zones", FieldType::Texts, Required, "the zones, by the names that nodes and roster use"),
+            field(
+                "zones",
+                FieldType::Texts,
+                Required,
+                "the zones, by the names used in xDS nodes and in the roster",
+            ),
             field(
                 "governors",
                 FieldType::Whole { min: 1, max: 1000 },
                 Number(1.0),
-                "how many governors share the proxies",
+                "number of governors that share the proxies",
             ),
             field(
                 "proxies",
                 FieldType::Whole { min: 1, max: 1_000_000 },
                 Required,
-                "proxies of all governors together",
+                "number of proxies of all governors together",
             ),
             field(
                 "standing_lines",
                 FieldType::Whole { min: 1, max: 1000 },
                 Number(12.0),
-                "replicas in a standing table",
+                "number of replicas in a default table",
             ),
             field(
                 "usual",
                 FieldType::Number { min: 0.0, max: 1e9 },
                 Number(1.0),
-                "flows a second of a proxy that says none",
+                "requests per second of a proxy that does not state its own",
             ),
             field(
                 "proxies_avoid",
                 FieldType::Flag,
                 Flag(false),
-                "proxies keep away from what dropped their tries",
+                "whether proxies eject replicas locally after failed attempts",
             ),
             field(
                 "tries",
                 FieldType::OneOf(&["never", "if-never-ran", "once"]),
                 Text("never"),
-                "what proxies do about further tries until told default",
+                "default retry policy of proxies",
+            ),
+            field(
+                "levels",
+                FieldType::Flag,
+                Flag(true),
+                "whether proxies enforce admission fractions (drop_overloads)",
             ),
-            field("levels", FieldType::Flag, Flag(true), "proxies heed levels (drop_overloads)"),
             field(
                 "joined_most",
                 FieldType::Whole { min: 1, max: 32_766 },
                 Number(32_766.0),
-                "proxies joined here at once",
+                "maximum number of proxies connected to this governor",
             ),
         ],
     },
     Section {
         name: "governor",
         repeated: false,
-        // This governor, among those that share the fleet.
+        // This governor, one of those that share the fleet.
         fields: &[
-            field("name", FieldType::Text, Unset, "letters, digits, `-` and `_`; each governor has its own"),
+            field(
+                "name",
+                FieldType::Text,
+                Unset,
+                "unique name of this governor: letters, digits, `-` and `_`",
+            ),
             field(
                 "keys",
                 FieldType::Texts,
                 Unset,
-                "files with secrets that all share; the first signs, all count",
+                "files with the keys that all governors share; the first signs, all are valid",
             ),
             field(
                 "talk",
                 FieldType::Text,
                 Unset,
-                "where other governors reach this one, by UDP; none without it",
+                "UDP address at which other governors reach this one; no gossip without it",
             ),
             field("peers", FieldType::Texts, Unset, "other governors as \"name=address:port\""),
             field(
                 "moves_per_s",
                 FieldType::Number { min: 0.1, max: 10_000.0 },
                 Number(20.0),
-                "proxies that are handed over a second, at most",
+                "maximum number of proxies moved to other governors per second",
             ),
         ],
     },
     Section {
         name: "replicas",
         repeated: false,
-        // How replicas start.
+        // Slow start of replicas.
         fields: &[
             field(
                 "cold_share",
                 FieldType::Number { min: 0.01, max: 1.0 },
                 Number(0.25),
-                "share of its capacity at its start, at the worst",
+                "lowest capacity fraction of a replica at its start",
             ),
             field(
                 "warm_after",
                 FieldType::Seconds { min: 0.0, max: 3600.0 },
                 Number(30.0),
-                "and how long until it has all",
+                "time until a replica has its full capacity",
             ),
         ],
     },
     Section {
         name: "channel",
         repeated: false,
-        // What the governor may send.
+        // Limits for the messages that the governor sends.
         fields: &[
             field(
                 "lines_per_s",
                 FieldType::Number { min: 1.0, max: 1e9 },
                 Number(20_000.0),
-                "lines a second, to all proxies",
+                "maximum number of table entries sent per second, over all proxies",
             ),
             field(
                 "head_lines",
                 FieldType::Number { min: 0.0, max: 1000.0 },
                 Number(10.0),
-                "what a message costs on top of its lines",
+                "overhead of a message in addition to its entries, in entries",
             ),
             field(
                 "waiting_most",
                 FieldType::Number { min: 1.0, max: 1e9 },
                 Number(40_000.0),
-                "lines that may wait",
+                "maximum number of queued entries",
             ),
             field(
                 "transit_most",
                 FieldType::Seconds { min: 0.0, max: 60.0 },
                 Number(0.5),
-                "the longest way of a message",
+                "maximum transit delay of a message",
             ),
             field(
                 "messages_most",
                 FieldType::Whole { min: 8, max: 100_000 },
                 Unset,
-                "messages to one proxy within `messages_over`",
+                "maximum number of messages to one proxy within `messages_over`",
             ),
             field(
                 "messages_over",
                 FieldType::Seconds { min: 0.1, max: 3600.0 },
                 Number(10.0),
-                "the span for that",
+                "the interval to which `messages_most` applies",
             ),
             field(
                 "history_versions",
                 FieldType::Whole { min: 1, max: 1000 },
                 Number(16.0),
-                "versions of a proxy's tables that are kept",
+                "number of retained versions of a proxy's tables",
             ),
             field(
                 "history_lines",
                 FieldType::Whole { min: 1000, max: 1_000_000_000 },
                 Number(1_000_000.0),
-                "lines in all of them, about 150 bytes each",
+                "maximum number of entries in all retained versions, about 150 bytes each",
             ),
             field(
                 "crossing_cost",
                 FieldType::Number { min: 0.0, max: 1.0 },
                 Number(0.05),
-                "what a flow into another zone costs",
+                "cost of a request to another zone",
             ),
         ],
     },
@@ -235,13 +250,13 @@
                 "every",
                 FieldType::Seconds { min: 0.05, max: 60.0 },
                 Number(1.0),
-                "how often proxies report",
+                "interval between load reports of a proxy",
             ),
             field(
                 "lines_per_s",
                 FieldType::Number { min: 1.0, max: 1e9 },
                 Number(10_000.0),
-                "lines the module is given a second",
+                "maximum number of report entries processed per second",
             ),
             field(
                 "metrics",
@@ -249,7 +264,7 @@
                 Unset,
                 "load metrics, from `waiting`, `in_hand`, `service_ms`",
             ),
-            field("answer", FieldType::Text, Text("answer_ms"), "the metric that holds an answer's time"),
+            field("answer", FieldType::Text, Text("answer_ms"), "the metric that contains response times"),
         ],
     },
     Section {
@@ -257,94 +272,114 @@
         repeated: false,
         // Where the list of replicas comes from.
         fields: &[
-            field("file", FieldType::Text, Unset, "a JSON file, replaced whole"),
+            field("file", FieldType::Text, Unset, "a JSON file, replaced as a whole when it changes"),
             field("upstream", FieldType::Text, Unset, "or the URI of an xDS server"),
             field("clusters", FieldType::Texts, Unset, "and the clusters whose endpoints are the replicas"),
             field(
                 "look_every",
                 FieldType::Seconds { min: 0.02, max: 60.0 },
                 Number(0.2),
-                "how often the file is looked at",
+                "interval between checks of the file for changes",
             ),
             field(
                 "empty_after",
                 FieldType::Seconds { min: 0.0, max: 86_400.0 },
                 Number(30.0),
-                "how long an empty list must stand",
+                "how long the list must stay empty before it is applied",
             ),
         ],
     },
     Section {
         name: "state",
         repeated: false,
-        // What is known beyond a restart.
+        // State that outlasts a restart.
         fields: &[
-            field("folder", FieldType::Text, Unset, "where it lasts; nothing does without it"),
+            field("folder", FieldType::Text, Unset, "folder of the state; without it, no state is kept"),
             field(
                 "every",
                 FieldType::Seconds { min: 0.05, max: 60.0 },
                 Number(0.5),
-                "how often changes are written",
+                "interval between writes of changes",
             ),
         ],
     },
     Section {
         name: "nginx",
         repeated: false,
-        // An nginx that follows this governor by files (`wrenthread export nginx`).
+        // An nginx that gets its tables as a generated file (`wrenthread export nginx`).
         fields: &[
             field(
                 "include",
                 FieldType::Text,
                 Text("wrenthread.conf"),
-                "the file that it includes, replaced whole",
+                "the generated file that nginx includes, replaced as a whole",
             ),
             field(
                 "reload",
                 FieldType::Texts,
                 Unset,
-                "the command that has it read the file; none is run without it",
+                "command that makes nginx reload its configuration; none is run without it",
             ),
             field(
                 "every",
                 FieldType::Seconds { min: 0.05, max: 3600.0 },
                 Number(5.0),
-                "from one file to the next, at the least",
+                "minimum time between two versions of the file",
             ),
             field(
                 "drains_every",
                 FieldType::Seconds { min: 0.05, max: 3600.0 },
                 Number(1.0),
-                "the same, for one that shuts something",
+                "minimum time before a version that drains or ejects a replica",
             ),
             field(
                 "reload_within",
                 FieldType::Seconds { min: 0.05, max: 600.0 },
                 Number(10.0),
-                "the command has failed after it",
+                "timeout of the reload command",
+            ),
+            field(
+                "access_log",
+                FieldType::Text,
+                Unset,
+                "nginx's access log in wrenthread's format, from which load reports are made",
             ),
-            field("access_log", FieldType::Text, Unset, "its log in our format, read as load reports"),
         ],
     },
     Section {
         name: "listen",
         repeated: false,
-        // The sockets.
+        // Listening addresses.
         fields: &[
-            field("grpc", FieldType::Text, Text("127.0.0.1:15010"), "proxies (ADS, LRS, CSDS)"),
-            field("http", FieldType::Text, Text("127.0.0.1:15011"), "health, metrics, status"),
-            field("poll", FieldType::Text, Unset, "proxies (long-poll); none without it"),
+            field(
+                "grpc",
+                FieldType::Text,
+                Text("127.0.0.1:15010"),
+                "listening address for proxies that use gRPC (ADS, LRS, CSDS)",
+            ),
+            field(
+                "http",
+                FieldType::Text,
+                Text("127.0.0.1:15011"),
+                "listening address for health, metrics and status",
+            ),
+            field(
+                "poll",
+                FieldType::Text,
+                Unset,
+                "listening address for proxies that use long polling; none without it",
+            ),
             field(
                 "keepalive",
                 FieldType::Seconds { min: 0.1, max: 3600.0 },
                 Number(10.0),
-                "a stream is asked for life so often",
+                "interval between keepalive pings on a stream",
             ),
             field(
                 "keepalive_timeout",
                 FieldType::Seconds { min: 0.1, max: 3600.0 },
                 Number(5.0),
-                "and over without an answer",
+                "timeout of a keepalive ping, after which the stream is closed",
             ),
         ],
     },
--- a/crates/settings/src/script.rs
+++ b/crates/settings/src/script.rs
@@ -1,5 +1,5 @@
-//! Runs a script and records its calls, each with its line. Only names are checked here. A script can read nothing and
-//! reach nothing, and its steps and memory are bounded.
+//! Runs a script and records its calls of section functions, each with its line. Only names are checked here, not
+//! values. Scripts have no access to files or the network, and their steps and memory are limited.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,20 +18,20 @@
 
 /// Size limit of a script, in bytes.
 const MAX_SCRIPT_BYTES: usize = 1 << 20;
-/// Limit of the interpreter's steps.
+/// Maximum number of interpreter steps.
 const MAX_STEPS: u64 = 500_000;
 /// Limit of the interpreter's memory, in bytes.
 const MAX_HEAP_BYTES: usize = 32 << 20;
-/// Limit of the depth of calls.
+/// Maximum depth of nested calls.
 const MAX_CALL_DEPTH: usize = 100;
-/// Limit of the calls for one section.
+/// Maximum number of calls for one section.
 const MAX_CALLS: usize = 4096;
 
 /// One call of a section's function.
 #[derive(Debug, Clone)]
 pub(crate) struct Call {
     pub(crate) line: usize,
-    /// Empty for sections that are given once.
+    /// The name given to a repeated section; empty for sections that are given once.
     pub(crate) name: String,
     pub(crate) fields: BTreeMap<String, serde_json::Value>,
 }
@@ -52,14 +52,14 @@
     }
 }
 
-/// What the functions of a running script write to.
+/// Collects the calls and errors of a running script.
 #[derive(Debug, Default, ProvidesStaticType)]
 struct Recorder {
     calls: RefCell<Calls>,
     errors: RefCell<Vec<SettingError>>,
 }
 
-/// Where the running script calls a section's function.
+/// Where a script calls a section's function.
 struct CallSite {
     file: String,
     line: usize,
@@ -82,7 +82,8 @@
         self.errors.borrow_mut().push(SettingError { file: site.file.clone(), line: site.line, reason });
     }
 
-    /// The fields that the section has and whose values are settings.
+    /// Returns the valid fields of a call and reports the others: fields that the section does not have, and values
+    /// that can't be converted to JSON.
     fn fields(
         &self,
         site: &CallSite,
@@ -108,7 +109,7 @@
     }
 }
 
-/// What may have been meant by a field that the section does not have.
+/// A hint for a field that the section does not have: a similar name, or all names.
 fn hint(field: &str, section: &Section) -> String {
     match schema::nearest(field, section.field_names()) {
         Some(nearest) => format!("did you mean `{nearest}`?"),
@@ -119,7 +120,7 @@
     }
 }
 
-/// Records the call of a section that is given once.
+/// Records the call of a section without a name.
 fn record<'v>(
     section: &str,
     arguments: SmallMap<String, Value<'v>>,
@@ -128,14 +129,14 @@
     record_named(section, "", arguments, eval)
 }
 
-/// Records the call of a section that is given by name.
+/// Records the call of a section that may be repeated with different names.
 fn record_named<'v>(
     section: &str,
     name: &str,
     arguments: SmallMap<String, Value<'v>>,
     eval: &mut Evaluator<'v, '_, '_>,
 ) -> anyhow::Result<NoneType> {
-    let Some(section) = schema::section(section) else { anyhow::bail!("`{section}` is no section") };
+    let Some(section) = schema::section(section) else { anyhow::bail!("unknown section `{section}`") };
     let site = CallSite::of(eval);
     let Some(recorder) = eval.extra.and_then(|extra| extra.downcast_ref::<Recorder>()) else {
         anyhow::bail!("`{}` can't be called here", section.name);
@@ -144,7 +145,7 @@
     let mut calls = recorder.calls.borrow_mut();
     let calls = calls.by_section.entry(section.name).or_default();
     if calls.len() >= MAX_CALLS {
-        anyhow::bail!("`{}` is said more than {MAX_CALLS} times", section.name);
+        anyhow::bail!("`{}` is given more than {MAX_CALLS} times", section.name);
     }
     if let Some(first) = calls.first().filter(|_| !section.repeated) {
         let problem = Problem::RepeatedSection { section: section.name, line: first.line };
@@ -246,7 +247,7 @@
     }
 }
 
-/// Which sections a script may give.
+/// The kind of a script, which decides the sections that it may contain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ScriptKind {
     Settings,
@@ -255,7 +256,7 @@
 
 /// Runs a script and returns its calls.
 ///
-/// Errors: the script does not run, with the line; all unknown names.
+/// Errors: the script fails, with the line; or all unknown fields and sections given twice.
 pub(crate) fn run(file: &str, text: &str, kind: ScriptKind) -> Result<Calls, SettingErrors> {
     if text.len() > MAX_SCRIPT_BYTES {
         let problem = Problem::ScriptTooLarge { bytes: text.len(), limit: MAX_SCRIPT_BYTES };
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -64,7 +64,7 @@
     assert!(why("fleet(").starts_with("s.star:1"));
     assert!(
         why(&format!("{GOOD}\nfleet(zones = ['x'], proxies = 1)"))
-            .contains("s.star:12: `fleet` was said already, on line 2")
+            .contains("s.star:12: `fleet` is already given on line 2")
     );
 }
 
@@ -77,7 +77,7 @@
     assert!(why(&paths("[\"= x\"]")).contains("path \"= x\" does not begin with `/`"));
     assert!(why(&paths("[\"~ (\"]")).contains("no regular expression"));
     assert!(why(&paths("[\"/x\", \"/match\"]")).contains("have the same route"));
-    assert!(why(&GOOD.replace("plain(name, 2)", "plain('match', 2)")).contains("was said already"));
+    assert!(why(&GOOD.replace("plain(name, 2)", "plain('match', 2)")).contains("is already defined"));
     assert!(why(&GOOD.replace("\"waiting\"", "\"wating\"")).contains("did you mean `waiting`"));
     assert!(
         why("roster(file = 'x')").contains("0 groups") || why("roster(file = 'x')").contains("needs `zones`")
--- a/crates/settings/src/validation.rs
+++ b/crates/settings/src/validation.rs
@@ -1,4 +1,4 @@
-//! Checks of what a script said. All problems are collected, each with its line.
+//! Validation of the recorded calls of a script. All problems are collected, each with its line.
 
 mod fields;
 mod groups;
@@ -26,21 +26,21 @@
         self.errors.push(SettingError { file: self.file.to_string(), line, reason });
     }
 
-    /// Nothing is wrong so far.
+    /// Whether no problem has been reported so far.
     pub(crate) fn is_clean(&self) -> bool {
         self.errors.is_empty()
     }
 
-    /// What was found, as the error.
+    /// The collected problems, as an error.
     pub(crate) fn into_errors(self) -> SettingErrors {
         SettingErrors { errors: self.errors }
     }
 }
 
-/// Checks a script's text; `file` is for the errors.
+/// Parses and validates a settings script. `file` is the name that errors show.
 ///
 /// # Errors
-/// All that is wrong with it.
+/// All errors of the script.
 pub fn parse(file: &str, text: &str) -> Result<Settings, SettingErrors> {
     let calls: Calls = script::run(file, text, ScriptKind::Settings)?;
     sections::settings(file, &calls)
--- a/crates/settings/src/validation/fields.rs
+++ b/crates/settings/src/validation/fields.rs
@@ -1,4 +1,4 @@
-//! The fields of one section: their types, and the defaults of those that were not given.
+//! Validation of the fields of one section: checks their types and fills in defaults.
 
 use std::collections::BTreeSet;
 
@@ -9,9 +9,9 @@
 use crate::schema::{self, DefaultValue, Field, FieldType};
 use crate::script::Call;
 
-/// A section's fields, checked, with their defaults.
+/// The validated fields of a section, including defaults.
 pub(crate) struct Fields {
-    /// Where the section was given; 0 if it was not.
+    /// The line of the section; 0 if the script does not contain it.
     pub(crate) line: usize,
     values: Map<String, Value>,
 }
@@ -44,7 +44,7 @@
 }
 
 impl Validator<'_> {
-    /// Checks the fields of a section that was given by `call`, or not at all.
+    /// Validates the fields of a section, which the script may omit.
     pub(crate) fn fields(&mut self, section: &str, call: Option<&Call>) -> Fields {
         let line = call.map_or(0, |call| call.line);
         let title = match call {
@@ -65,7 +65,7 @@
     }
 }
 
-/// The value of a field; none if it may be and is left out.
+/// The value of a field, or its default; `None` for an optional field that is not set.
 fn field_value(title: &str, field: &Field, given: Option<&Value>) -> Result<Option<Value>, Problem> {
     let section = title.to_string();
     if let Some(value) = given {
--- a/crates/settings/src/validation/groups.rs
+++ b/crates/settings/src/validation/groups.rs
@@ -1,4 +1,4 @@
-//! Checks of traffic groups and their routes.
+//! Validation of traffic groups and their routes.
 
 use serde_json::Value;
 
@@ -8,7 +8,7 @@
 use crate::model::{Group, PathRoute, Route};
 use crate::script::Call;
 
-/// The engine keeps sets of traffic classes in 64 bits.
+/// The engine stores sets of traffic classes as 64-bit masks.
 const MAX_GROUPS: usize = 64;
 
 impl Validator<'_> {
@@ -23,7 +23,7 @@
         groups
     }
 
-    /// One group; none if something is wrong with it.
+    /// Validates one group; `None` if it has errors.
     fn group(&mut self, call: &Call, others: &[Group]) -> Option<Group> {
         let errors_before = self.errors.len();
         let fields = self.fields("group", Some(call));
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The route of a group, by exactly one of `prefix`, `header` and `paths`.
+    /// The route of a group, which is given by exactly one of `prefix`, `header` and `paths`.
     fn route(&mut self, line: usize, name: &str, fields: &Fields) -> Option<Route> {
         let texts = fields.texts("paths");
         let mut paths = Vec::new();
@@ -101,7 +101,7 @@
     }
 }
 
-/// A route by a header that is written as `name: value`.
+/// Parses a header route, written as `name: value`.
 fn header_route(header: &str) -> Option<Route> {
     let (name, value) = header.split_once(':')?;
     let (name, value) = (name.trim().to_lowercase(), value.trim().to_string());
--- a/crates/settings/src/validation/sections.rs
+++ b/crates/settings/src/validation/sections.rs
@@ -1,4 +1,4 @@
-//! Checks of the sections besides groups, and the settings that they make up.
+//! Validation of all sections other than groups, and construction of the settings.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,18 +13,18 @@
 use crate::schema;
 use crate::script::{Call, Calls};
 
-/// Size limit of a governor's name, in bytes.
+/// Maximum length of a governor's name, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
-/// How this governor reaches others, and they it.
+/// The addresses for gossip with other governors.
 struct Gossip {
     address: Option<SocketAddr>,
     peers: Vec<(String, SocketAddr)>,
 }
 
-/// Checks all sections.
+/// Validates all sections.
 ///
-/// Errors: all that is wrong with them.
+/// Errors: all problems found.
 #[expect(clippy::too_many_lines, reason = "left for readers: docs/ROADMAP.md")]
 pub(super) fn settings(file: &str, calls: &Calls) -> Result<Settings, SettingErrors> {
     let mut validator = Validator::new(file);
@@ -191,7 +191,7 @@
         address
     }
 
-    /// The tables of one proxy have to fit the queue.
+    /// Checks that the queue can hold the tables of one proxy.
     fn check_queue_limit(&mut self, groups: usize, fleet: &Fields, channel: &Fields) {
         let limit = channel.number("waiting_most");
         let needed = fleet.number("standing_lines") * groups as f64 + channel.number("head_lines");
@@ -201,7 +201,7 @@
     }
 }
 
-/// A peer that is written as `name=address:port`.
+/// Parses a peer, written as `name=address:port`.
 fn parse_peer(text: &str) -> Option<(String, SocketAddr)> {
     let (name, address) = text.split_once('=')?;
     Some((name.to_string(), address.parse().ok()?))
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -1,5 +1,6 @@
-//! What the release at commit b735929 made of scripts, as JSON: the text of errors, and the names by which settings are
-//! compared, shown and handed from one process to another.
+//! Golden files, captured from the release at commit b735929: scripts and their results as JSON. They pin the error
+//! texts and the serialised names of settings, which are used to compare settings, to display them, and to pass them
+//! between processes.
 
 #![allow(
     clippy::unwrap_used,
@@ -21,17 +22,17 @@
 }
 
 #[test]
-fn settings_are_serialised_as_in_the_earlier_release() {
+fn serialises_settings_as_the_earlier_release() {
     assert_eq!(settings_as_json("settings.star"), read("settings.json").trim_end());
 }
 
 #[test]
-fn errors_are_those_of_the_earlier_release_in_the_same_order() {
+fn reports_the_errors_of_the_earlier_release_in_the_same_order() {
     assert_eq!(settings_as_json("faults.star"), read("faults.json").trim_end());
 }
 
 #[test]
-fn serialised_settings_and_errors_are_read_again() {
+fn deserialises_settings_and_errors() {
     for file in ["settings", "faults"] {
         let parsed = wrenthread_settings::parse(&format!("{file}.star"), &read(&format!("{file}.star")));
         assert_eq!(serde_json::from_str::<Result<_, _>>(&read(&format!("{file}.json"))).unwrap(), parsed);
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn a_day_is_serialised_as_in_the_earlier_release() {
+fn serialises_a_day_as_the_earlier_release() {
     let day = day::parse("day.star", &read("day.star"));
     assert_eq!(serde_json::to_string(&day).unwrap(), read("day.json").trim_end());
 }
