--- a/crates/settings/src/day.rs
+++ b/crates/settings/src/day.rs
@@ -135,7 +135,7 @@
 }
 
 /// The kinds of faults, as scripts name them.
-const KINDS: [&str; 13] = [
+const TROUBLE_KINDS: [&str; 13] = [
     "silent",
     "quick_errors",
     "deploy",
@@ -159,11 +159,11 @@
     let calls = script::run(file, text, ScriptKind::Day)?;
     let mut validator = Validator::new(file);
     let day = validator.fields("day", calls.first("day"));
-    let halls = day.texts("halls");
+    let halls = day.text_list("halls");
     let mut troubles = Vec::new();
     for call in calls.all("trouble") {
         let fields = validator.fields("trouble", Some(call));
-        match trouble(call, &fields, &halls) {
+        match parse_trouble(call, &fields, &halls) {
             Ok(trouble) => {
                 let (at, lasts) = (fields.number("at"), fields.number("lasts"));
                 if at + lasts > day.number("seconds") {
@@ -180,18 +180,18 @@
     Ok(Day {
         seconds: day.number("seconds"),
         halls,
-        workers: day.whole("workers") as usize,
-        relays: day.whole("relays") as usize,
+        workers: day.integer("workers") as usize,
+        relays: day.integer("relays") as usize,
         flows_per_s: day.number("flows_per_s"),
         worker_flows_per_s: day.number("worker_flows_per_s"),
         roster_late: day.number("roster_late"),
         cold_share: day.number("cold_share"),
         warm_after: day.number("warm_after"),
         drain_grace: day.number("drain_grace"),
-        governors: day.whole("governors") as usize,
-        talk: day.flag("talk"),
-        nginx: day.flag("nginx"),
-        state: day.flag("state"),
+        governors: day.integer("governors") as usize,
+        talk: day.boolean("talk"),
+        nginx: day.boolean("nginx"),
+        state: day.boolean("state"),
         care_for: day.number("care_for"),
         bare_for: day.number("bare_for"),
         fall_multiple: day.number("fall_multiple"),
@@ -200,22 +200,22 @@
     })
 }
 
-fn trouble(call: &Call, fields: &Fields, halls: &[String]) -> Result<Trouble, Problem> {
-    let count = fields.whole("count") as usize;
+fn parse_trouble(call: &Call, fields: &Fields, halls: &[String]) -> Result<Trouble, Problem> {
+    let count = fields.integer("count") as usize;
     let share = fields.number("share");
-    let governor = fields.whole("governor") as usize;
+    let governor = fields.integer("governor") as usize;
     let trouble = match call.name.as_str() {
         "silent" => Trouble::Silent { count },
         "quick_errors" => Trouble::QuickErrors { count },
         "deploy" => {
-            let named = fields.text("hall");
-            let hall = named.and_then(|name| halls.iter().position(|hall| *hall == name));
+            let hall_name = fields.text("hall");
+            let hall = hall_name.and_then(|name| halls.iter().position(|hall| *hall == name));
             let hall = hall.ok_or(Problem::DeployWithoutHall)?;
             Trouble::Deploy { hall, step: fields.number("step") }
         }
         "broken_streams" => Trouble::BrokenStreams { share },
         "late_reports" => Trouble::LateReports { share, late: fields.number("late") },
-        "kill_governor" => Trouble::Kill { governor, after_orders: fields.whole("after_orders") as usize },
+        "kill_governor" => Trouble::Kill { governor, after_orders: fields.integer("after_orders") as usize },
         "stall_governor" => Trouble::Stall { governor },
         "cut_governor" => Trouble::Cut { governor },
         "one_way" => Trouble::OneWay { governor },
@@ -224,9 +224,9 @@
         "roll_governors" => Trouble::Roll,
         "step_back" => Trouble::StepBack,
         kind => {
-            let hint = match schema::nearest(kind, KINDS.into_iter()) {
-                Some(nearest) => format!("did you mean `{nearest}`?"),
-                None => KINDS.join(", "),
+            let hint = match schema::most_similar(kind, TROUBLE_KINDS.into_iter()) {
+                Some(similar) => format!("did you mean `{similar}`?"),
+                None => TROUBLE_KINDS.join(", "),
             };
             return Err(Problem::UnknownTrouble { kind: kind.to_string(), hint });
         }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -20,10 +20,10 @@
 }
 
 impl fmt::Display for SettingError {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.line {
-            0 => write!(to, "{}: {}", self.file, self.reason),
-            line => write!(to, "{}:{line}: {}", self.file, self.reason),
+            0 => write!(formatter, "{}: {}", self.file, self.reason),
+            line => write!(formatter, "{}:{line}: {}", self.file, self.reason),
         }
     }
 }
@@ -45,9 +45,9 @@
 }
 
 impl fmt::Display for SettingErrors {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let lines: Vec<String> = self.errors.iter().map(SettingError::to_string).collect();
-        to.write_str(&lines.join("\n"))
+        formatter.write_str(&lines.join("\n"))
     }
 }
 
@@ -88,14 +88,14 @@
     // ---- names and values of fields
     #[error("`{section}` has no `{field}`; {hint}")]
     UnknownField { section: &'static str, field: String, hint: String },
-    #[error("`{field}` of `{section}` has type {kind}, which is not allowed in settings")]
-    NotASetting { section: &'static str, field: String, kind: &'static str },
+    #[error("`{field}` of `{section}` has type {type_name}, which is not allowed in settings")]
+    UnsupportedType { section: &'static str, field: String, type_name: &'static str },
     #[error("`{section}` is already given on line {line}; it may be given once")]
     RepeatedSection { section: &'static str, line: usize },
-    #[error("`{field}` of `{section}` is {value}; it takes {}", expected.description())]
+    #[error("`{field}` of `{section}` is {value}; it takes {}", expected.describe())]
     WrongValue { section: String, field: &'static str, value: Value, expected: FieldType },
-    #[error("`{section}` needs `{field}`: {meaning} ({})", expected.description())]
-    MissingValue { section: String, field: &'static str, meaning: &'static str, expected: FieldType },
+    #[error("`{section}` needs `{field}`: {description} ({})", expected.describe())]
+    MissingValue { section: String, field: &'static str, description: &'static str, expected: FieldType },
     #[error("`{field}` is \"{text}\"; it takes `address:port`")]
     InvalidAddress { field: &'static str, text: String },
 
--- a/crates/settings/src/model.rs
+++ b/crates/settings/src/model.rs
@@ -84,15 +84,15 @@
     ///
     /// # Errors
     /// The path is not absolute, or its pattern is invalid.
-    pub fn read(text: &str) -> Result<Self, PathRouteError> {
+    pub fn parse(text: &str) -> Result<Self, PathRouteError> {
         let (operator, rest) = match text.split_once(' ') {
             Some((operator, rest)) if ["=", "^~", "~", "~*"].contains(&operator) => (operator, rest.trim()),
             _ => ("", text),
         };
         let operand = rest.to_string();
         match (operator, rest.starts_with('/')) {
-            ("~", _) => valid_pattern(text, operand).map(PathRoute::Pattern),
-            ("~*", _) => valid_pattern(text, operand).map(PathRoute::AnyCase),
+            ("~", _) => check_pattern(text, operand).map(PathRoute::Pattern),
+            ("~*", _) => check_pattern(text, operand).map(PathRoute::AnyCase),
             ("", true) => Ok(PathRoute::Prefix(operand)),
             ("=", true) => Ok(PathRoute::Exact(operand)),
             ("^~", true) => Ok(PathRoute::Firm(operand)),
@@ -101,7 +101,7 @@
     }
 }
 
-fn valid_pattern(text: &str, pattern: String) -> Result<String, PathRouteError> {
+fn check_pattern(text: &str, pattern: String) -> Result<String, PathRouteError> {
     match regex::Regex::new(&pattern) {
         Ok(_) => Ok(pattern),
         Err(_) => Err(PathRouteError::InvalidPattern { text: text.to_string() }),
@@ -270,7 +270,7 @@
 impl Settings {
     /// Describes the differences to new settings that can't take effect while a governor runs, by serialised name.
     pub fn fixed_differences(&self, later: &Settings) -> Vec<String> {
-        let (current, later) = (self.by_name(), later.by_name());
+        let (current, later) = (self.to_json_map(), later.to_json_map());
         let mut differences = Vec::new();
         for (name, value) in &current {
             if RELOADABLE.contains(&name.as_str()) || later.get(name) == Some(value) {
@@ -282,7 +282,7 @@
         differences
     }
 
-    fn by_name(&self) -> serde_json::Map<String, Value> {
+    fn to_json_map(&self) -> serde_json::Map<String, Value> {
         match serde_json::to_value(self) {
             Ok(Value::Object(map)) => map,
             _ => serde_json::Map::new(),
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -3,8 +3,8 @@
 mod day;
 mod settings;
 
-pub(crate) use day::DAY;
-pub(crate) use settings::SECTIONS;
+pub(crate) use day::DAY_SECTIONS;
+pub(crate) use settings::SETTINGS_SECTIONS;
 
 /// Minimum Jaro-Winkler similarity at which a known name is suggested for an unknown one.
 const MIN_SIMILARITY: f64 = 0.7;
@@ -13,11 +13,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum FieldType {
     Number { min: f64, max: f64 },
-    Whole { min: u64, max: u64 },
+    Integer { min: u64, max: u64 },
     Seconds { min: f64, max: f64 },
-    Flag,
+    Boolean,
     Text,
-    Texts,
+    TextList,
     OneOf(&'static [&'static str]),
 }
 
@@ -29,7 +29,7 @@
     /// The field has no value; validation decides what that means.
     Unset,
     Number(f64),
-    Flag(bool),
+    Boolean(bool),
     Text(&'static str),
 }
 
@@ -39,7 +39,7 @@
     pub(crate) field_type: FieldType,
     pub(crate) default: DefaultValue,
     /// The description shown in error messages.
-    pub(crate) meaning: &'static str,
+    pub(crate) description: &'static str,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -60,33 +60,33 @@
     name: &'static str,
     field_type: FieldType,
     default: DefaultValue,
-    meaning: &'static str,
+    description: &'static str,
 ) -> Field {
-    Field { name, field_type, default, meaning }
+    Field { name, field_type, default, description }
 }
 
 /// The section with this name, in settings or in rehearsal scripts.
 pub(crate) fn section(name: &str) -> Option<&'static Section> {
-    SECTIONS.iter().chain(DAY).find(|section| section.name == name)
+    SETTINGS_SECTIONS.iter().chain(DAY_SECTIONS).find(|section| section.name == name)
 }
 
 /// The known name most similar to an unknown one, if any is similar enough.
-pub(crate) fn nearest<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
+pub(crate) fn most_similar<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let similarity = |known: &str| strsim::jaro_winkler(name, known);
-    let near = known.filter(|known| similarity(known) > MIN_SIMILARITY);
-    near.max_by(|one, other| similarity(one).total_cmp(&similarity(other)))
+    let similar = known.filter(|known| similarity(known) > MIN_SIMILARITY);
+    similar.max_by(|a, b| similarity(a).total_cmp(&similarity(b)))
 }
 
 impl FieldType {
     /// The expected values, described for error messages.
-    pub(crate) fn description(&self) -> String {
+    pub(crate) fn describe(&self) -> String {
         match self {
             FieldType::Number { min, max } => format!("a number from {min} to {max}"),
-            FieldType::Whole { min, max } => format!("a whole number from {min} to {max}"),
+            FieldType::Integer { min, max } => format!("a whole number from {min} to {max}"),
             FieldType::Seconds { min, max } => format!("seconds, from {min} to {max}"),
-            FieldType::Flag => "True or False".to_string(),
+            FieldType::Boolean => "True or False".to_string(),
             FieldType::Text => "a text".to_string(),
-            FieldType::Texts => "a list of texts, none twice".to_string(),
+            FieldType::TextList => "a list of texts, none twice".to_string(),
             FieldType::OneOf(names) => {
                 let quoted: Vec<String> = names.iter().map(|name| format!("\"{name}\"")).collect();
                 quoted.join(" or ")
--- a/crates/settings/src/schema/day.rs
+++ b/crates/settings/src/schema/day.rs
@@ -1,10 +1,10 @@
 //! The sections of rehearsal scripts.
 
-use super::DefaultValue::{Flag, Number, Required, Unset};
+use super::DefaultValue::{Boolean, Number, Required, Unset};
 use super::{FieldType, Section, field};
 
 /// All sections of a rehearsal script.
-pub(crate) const DAY: &[Section] = &[
+pub(crate) const DAY_SECTIONS: &[Section] = &[
     Section {
         name: "day",
         repeated: false,
@@ -16,16 +16,16 @@
                 Required,
                 "duration of the request load",
             ),
-            field("halls", FieldType::Texts, Required, "names of the zones"),
+            field("halls", FieldType::TextList, Required, "names of the zones"),
             field(
                 "workers",
-                FieldType::Whole { min: 1, max: 1000 },
+                FieldType::Integer { min: 1, max: 1000 },
                 Number(24.0),
                 "number of workers, distributed over the halls",
             ),
             field(
                 "relays",
-                FieldType::Whole { min: 1, max: 1000 },
+                FieldType::Integer { min: 1, max: 1000 },
                 Number(16.0),
                 "number of relays, distributed over the halls",
             ),
@@ -67,16 +67,21 @@
             ),
             field(
                 "governors",
-                FieldType::Whole { min: 1, max: 8 },
+                FieldType::Integer { min: 1, max: 8 },
                 Number(1.0),
                 "number of governors that share the relays",
             ),
-            field("talk", FieldType::Flag, Flag(false), "whether governors send gossip to each other"),
-            field("state", FieldType::Flag, Flag(false), "whether governors keep their state over a restart"),
+            field("talk", FieldType::Boolean, Boolean(false), "whether governors send gossip to each other"),
+            field(
+                "state",
+                FieldType::Boolean,
+                Boolean(false),
+                "whether governors keep their state over a restart",
+            ),
             field(
                 "nginx",
-                FieldType::Flag,
-                Flag(false),
+                FieldType::Boolean,
+                Boolean(false),
                 "whether settings and roster are imported from an nginx configuration; halls are networks as `127.0.1`",
             ),
             field(
@@ -126,7 +131,7 @@
             ),
             field(
                 "count",
-                FieldType::Whole { min: 1, max: 1000 },
+                FieldType::Integer { min: 1, max: 1000 },
                 Number(1.0),
                 "number of workers, or of kills in a `storm`",
             ),
@@ -137,10 +142,10 @@
                 Number(2.0),
                 "time between the replacements of two workers in a `deploy`",
             ),
-            field("governor", FieldType::Whole { min: 0, max: 7 }, Number(0.0), "index of the governor"),
+            field("governor", FieldType::Integer { min: 0, max: 7 }, Number(0.0), "index of the governor"),
             field(
                 "after_orders",
-                FieldType::Whole { min: 0, max: 1000 },
+                FieldType::Integer { min: 0, max: 1000 },
                 Number(4.0),
                 "messages of a flush that are sent before the kill; 0 kills at once",
             ),
--- a/crates/settings/src/schema/settings.rs
+++ b/crates/settings/src/schema/settings.rs
@@ -1,10 +1,10 @@
 //! The sections of settings scripts.
 
-use super::DefaultValue::{Flag, Number, Required, Text, Unset};
+use super::DefaultValue::{Boolean, Number, Required, Text, Unset};
 use super::{FieldType, Section, field};
 
 /// All sections of a settings script. The first is the fallback for an unknown section name.
-pub(crate) const SECTIONS: &[Section] = &[
+pub(crate) const SETTINGS_SECTIONS: &[Section] = &[
     Section {
         name: "group",
         repeated: true,
@@ -48,8 +48,8 @@
             ),
             field(
                 "own_zone",
-                FieldType::Flag,
-                Flag(false),
+                FieldType::Boolean,
+                Boolean(false),
                 "whether requests may only go to replicas in the proxy's zone",
             ),
             field("prefix", FieldType::Text, Unset, "path prefix of the group's requests"),
@@ -61,7 +61,7 @@
             ),
             field(
                 "paths",
-                FieldType::Texts,
+                FieldType::TextList,
                 Unset,
                 "or several paths: \"/prefix\", \"= /exact\", \"^~ /prefix before patterns\", \"~ pattern\", \
                  \"~* pattern of any case\"",
@@ -75,25 +75,25 @@
         fields: &[
             field(
                 "zones",
-                FieldType::Texts,
+                FieldType::TextList,
                 Required,
                 "the zones, by the names used in xDS nodes and in the roster",
             ),
             field(
                 "governors",
-                FieldType::Whole { min: 1, max: 1000 },
+                FieldType::Integer { min: 1, max: 1000 },
                 Number(1.0),
                 "number of governors that share the proxies",
             ),
             field(
                 "proxies",
-                FieldType::Whole { min: 1, max: 1_000_000 },
+                FieldType::Integer { min: 1, max: 1_000_000 },
                 Required,
                 "number of proxies of all governors together",
             ),
             field(
                 "standing_lines",
-                FieldType::Whole { min: 1, max: 1000 },
+                FieldType::Integer { min: 1, max: 1000 },
                 Number(12.0),
                 "number of replicas in a default table",
             ),
@@ -105,8 +105,8 @@
             ),
             field(
                 "proxies_avoid",
-                FieldType::Flag,
-                Flag(false),
+                FieldType::Boolean,
+                Boolean(false),
                 "whether proxies eject replicas locally after failed attempts",
             ),
             field(
@@ -117,13 +117,13 @@
             ),
             field(
                 "levels",
-                FieldType::Flag,
-                Flag(true),
+                FieldType::Boolean,
+                Boolean(true),
                 "whether proxies enforce admission fractions (drop_overloads)",
             ),
             field(
                 "joined_most",
-                FieldType::Whole { min: 1, max: 32_766 },
+                FieldType::Integer { min: 1, max: 32_766 },
                 Number(32_766.0),
                 "maximum number of proxies connected to this governor",
             ),
@@ -142,7 +142,7 @@
             ),
             field(
                 "keys",
-                FieldType::Texts,
+                FieldType::TextList,
                 Unset,
                 "files with the keys that all governors share; the first signs, all are valid",
             ),
@@ -152,7 +152,7 @@
                 Unset,
                 "UDP address at which other governors reach this one; no gossip without it",
             ),
-            field("peers", FieldType::Texts, Unset, "other governors as \"name=address:port\""),
+            field("peers", FieldType::TextList, Unset, "other governors as \"name=address:port\""),
             field(
                 "moves_per_s",
                 FieldType::Number { min: 0.1, max: 10_000.0 },
@@ -211,7 +211,7 @@
             ),
             field(
                 "messages_most",
-                FieldType::Whole { min: 8, max: 100_000 },
+                FieldType::Integer { min: 8, max: 100_000 },
                 Unset,
                 "maximum number of messages to one proxy within `messages_over`",
             ),
@@ -223,13 +223,13 @@
             ),
             field(
                 "history_versions",
-                FieldType::Whole { min: 1, max: 1000 },
+                FieldType::Integer { min: 1, max: 1000 },
                 Number(16.0),
                 "number of retained versions of a proxy's tables",
             ),
             field(
                 "history_lines",
-                FieldType::Whole { min: 1000, max: 1_000_000_000 },
+                FieldType::Integer { min: 1000, max: 1_000_000_000 },
                 Number(1_000_000.0),
                 "maximum number of entries in all retained versions, about 150 bytes each",
             ),
@@ -260,7 +260,7 @@
             ),
             field(
                 "metrics",
-                FieldType::Texts,
+                FieldType::TextList,
                 Unset,
                 "load metrics, from `waiting`, `in_hand`, `service_ms`",
             ),
@@ -274,7 +274,12 @@
         fields: &[
             field("file", FieldType::Text, Unset, "a JSON file, replaced as a whole when it changes"),
             field("upstream", FieldType::Text, Unset, "or the URI of an xDS server"),
-            field("clusters", FieldType::Texts, Unset, "and the clusters whose endpoints are the replicas"),
+            field(
+                "clusters",
+                FieldType::TextList,
+                Unset,
+                "and the clusters whose endpoints are the replicas",
+            ),
             field(
                 "look_every",
                 FieldType::Seconds { min: 0.02, max: 60.0 },
@@ -316,7 +321,7 @@
             ),
             field(
                 "reload",
-                FieldType::Texts,
+                FieldType::TextList,
                 Unset,
                 "command that makes nginx reload its configuration; none is run without it",
             ),
--- a/crates/settings/src/script.rs
+++ b/crates/settings/src/script.rs
@@ -77,16 +77,20 @@
 }
 
 impl Recorder {
-    fn report(&self, site: &CallSite, problem: Problem) {
+    fn report(&self, call_site: &CallSite, problem: Problem) {
         let reason = problem.to_string();
-        self.errors.borrow_mut().push(SettingError { file: site.file.clone(), line: site.line, reason });
+        self.errors.borrow_mut().push(SettingError {
+            file: call_site.file.clone(),
+            line: call_site.line,
+            reason,
+        });
     }
 
     /// Returns the valid fields of a call and reports the others: fields that the section does not have, and values
     /// that can't be converted to JSON.
     fn fields(
         &self,
-        site: &CallSite,
+        call_site: &CallSite,
         section: &Section,
         arguments: SmallMap<String, Value>,
     ) -> BTreeMap<String, serde_json::Value> {
@@ -94,14 +98,17 @@
         for (field, value) in arguments {
             if section.field_names().all(|known| known != field) {
                 let hint = hint(&field, section);
-                self.report(site, Problem::UnknownField { section: section.name, field, hint });
+                self.report(call_site, Problem::UnknownField { section: section.name, field, hint });
                 continue;
             }
             match value.to_json_value() {
                 Ok(value) => drop(fields.insert(field, value)),
                 Err(_) => {
-                    let kind = value.get_type();
-                    self.report(site, Problem::NotASetting { section: section.name, field, kind });
+                    let type_name = value.get_type();
+                    self.report(
+                        call_site,
+                        Problem::UnsupportedType { section: section.name, field, type_name },
+                    );
                 }
             }
         }
@@ -111,8 +118,8 @@
 
 /// A hint for a field that the section does not have: a similar name, or all names.
 fn hint(field: &str, section: &Section) -> String {
-    match schema::nearest(field, section.field_names()) {
-        Some(nearest) => format!("did you mean `{nearest}`?"),
+    match schema::most_similar(field, section.field_names()) {
+        Some(similar) => format!("did you mean `{similar}`?"),
         None => {
             let known: Vec<&str> = section.field_names().collect();
             format!("it takes {}", known.join(", "))
@@ -137,11 +144,11 @@
     eval: &mut Evaluator<'v, '_, '_>,
 ) -> anyhow::Result<NoneType> {
     let Some(section) = schema::section(section) else { anyhow::bail!("unknown section `{section}`") };
-    let site = CallSite::of(eval);
+    let call_site = CallSite::of(eval);
     let Some(recorder) = eval.extra.and_then(|extra| extra.downcast_ref::<Recorder>()) else {
         anyhow::bail!("`{}` can't be called here", section.name);
     };
-    let fields = recorder.fields(&site, section, arguments);
+    let fields = recorder.fields(&call_site, section, arguments);
     let mut calls = recorder.calls.borrow_mut();
     let calls = calls.by_section.entry(section.name).or_default();
     if calls.len() >= MAX_CALLS {
@@ -149,9 +156,9 @@
     }
     if let Some(first) = calls.first().filter(|_| !section.repeated) {
         let problem = Problem::RepeatedSection { section: section.name, line: first.line };
-        recorder.report(&site, problem);
+        recorder.report(&call_site, problem);
     }
-    calls.push(Call { line: site.line, name: name.to_string(), fields });
+    calls.push(Call { line: call_site.line, name: name.to_string(), fields });
     Ok(NoneType)
 }
 
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use wrenthread::types::{DeduplicationScope, Idempotency, RetryPolicy};
 
-const GOOD: &str = r#"
+const VALID_SCRIPT: &str = r#"
 fleet(zones = ["north", "south"], proxies = 16, tries = "if-never-ran")
 def plain(name, budget):
     group(name, latency_budget = budget, expiry = 5, prefix = "/" + name)
@@ -16,91 +16,110 @@
 roster(file = "roster.json")
 "#;
 
-fn why(script: &str) -> String {
+fn parse_error(script: &str) -> String {
     parse("s.star", script).unwrap_err().to_string()
 }
 
 #[test]
 fn functions_and_loops_define_groups() {
-    let settings = parse("s.star", GOOD).unwrap();
+    let settings = parse("s.star", VALID_SCRIPT).unwrap();
     let names: Vec<_> = settings.groups.iter().map(|group| group.name.as_str()).collect();
     assert_eq!(names, ["match", "count", "charge"]);
     assert_eq!(settings.groups[2].route, Route::Header("x-group".into(), "charge".into()));
-    let setup = settings.engine_settings();
-    assert_eq!(setup.governor.default_retry_policy, RetryPolicy::IfNotExecuted);
+    let engine = settings.engine_settings();
+    assert_eq!(engine.governor.default_retry_policy, RetryPolicy::IfNotExecuted);
     assert!(matches!(
-        setup.governor.classes[2].idempotency,
+        engine.governor.classes[2].idempotency,
         Idempotency::IdempotentWithKey { scope: DeduplicationScope::All, .. }
     ));
-    assert_eq!(setup.governor.report_interval, Duration::from_millis(500));
+    assert_eq!(engine.governor.report_interval, Duration::from_millis(500));
 }
 
 #[test]
 fn gossip_needs_an_address_peers_a_name_and_keys() {
-    let talk = "governor(name = 'g0', keys = ['k'], talk = '10.0.0.1:15012', peers = ['g1=10.0.0.2:15012'])";
-    let settings = parse("s.star", &format!("{GOOD}{talk}")).unwrap();
+    let governor_section =
+        "governor(name = 'g0', keys = ['k'], talk = '10.0.0.1:15012', peers = ['g1=10.0.0.2:15012'])";
+    let settings = parse("s.star", &format!("{VALID_SCRIPT}{governor_section}")).unwrap();
     assert_eq!(settings.peers, [("g1".to_string(), "10.0.0.2:15012".parse().unwrap())]);
-    let why = |from: &str, to: &str| why(&format!("{GOOD}{}", talk.replace(from, to)));
-    assert!(why("10.0.0.1:15012", "here").contains("`talk` is \"here\"; it takes `address:port`"));
-    assert!(why("g1=", "").contains("it takes \"name=address:port\""));
-    assert!(why("g1=", "g0=").contains("peer `g0` is this governor, or twice there"));
-    for gone in ["keys = ['k'], ", "talk = '10.0.0.1:15012', ", "name = 'g0', "] {
-        assert!(why(gone, "").contains("need `name`, `keys` and `talk`"), "{gone}");
+    let error_after_replacing =
+        |from: &str, to: &str| parse_error(&format!("{VALID_SCRIPT}{}", governor_section.replace(from, to)));
+    assert!(
+        error_after_replacing("10.0.0.1:15012", "here")
+            .contains("`talk` is \"here\"; it takes `address:port`")
+    );
+    assert!(error_after_replacing("g1=", "").contains("it takes \"name=address:port\""));
+    assert!(error_after_replacing("g1=", "g0=").contains("peer `g0` is this governor, or twice there"));
+    for removed in ["keys = ['k'], ", "talk = '10.0.0.1:15012', ", "name = 'g0', "] {
+        assert!(error_after_replacing(removed, "").contains("need `name`, `keys` and `talk`"), "{removed}");
     }
 }
 
 #[test]
 fn reports_all_errors_with_their_lines_and_what_would_be_right() {
-    let script = GOOD.replace("every = 0.5", "evry = 0.5").replace("utility", "utilty");
-    let said = why(&script);
-    assert!(said.contains("s.star:7: `group` has no `utilty`; did you mean `utility`?"), "{said}");
-    assert!(said.contains("s.star:9: `reports` has no `evry`; did you mean `every`?"), "{said}");
-    let said = why(&GOOD
-        .replace("proxies = 16", "proxies = -1")
-        .replace("expiry = 5, prefix", "expiry = 1, prefix"));
-    assert!(said.contains("s.star:2: `proxies` of `fleet` is -1; it takes a whole number from 1"), "{said}");
-    assert!(said.contains("s.star:4: the latency budget of group `match` (2 s) is beyond"), "{said}");
-    assert!(why("grup('x')").contains("s.star:1"));
-    assert!(why("fleet(").starts_with("s.star:1"));
+    let script = VALID_SCRIPT.replace("every = 0.5", "evry = 0.5").replace("utility", "utilty");
+    let errors = parse_error(&script);
+    assert!(errors.contains("s.star:7: `group` has no `utilty`; did you mean `utility`?"), "{errors}");
+    assert!(errors.contains("s.star:9: `reports` has no `evry`; did you mean `every`?"), "{errors}");
+    let errors = parse_error(
+        &VALID_SCRIPT
+            .replace("proxies = 16", "proxies = -1")
+            .replace("expiry = 5, prefix", "expiry = 1, prefix"),
+    );
+    assert!(
+        errors.contains("s.star:2: `proxies` of `fleet` is -1; it takes a whole number from 1"),
+        "{errors}"
+    );
+    assert!(errors.contains("s.star:4: the latency budget of group `match` (2 s) is beyond"), "{errors}");
+    assert!(parse_error("grup('x')").contains("s.star:1"));
+    assert!(parse_error("fleet(").starts_with("s.star:1"));
     assert!(
-        why(&format!("{GOOD}\nfleet(zones = ['x'], proxies = 1)"))
+        parse_error(&format!("{VALID_SCRIPT}\nfleet(zones = ['x'], proxies = 1)"))
             .contains("s.star:12: `fleet` is already given on line 2")
     );
 }
 
 #[test]
-fn reports_settings_that_need_others() {
-    assert!(why(&GOOD.replace("roster(", "#")).contains("needs a `file`, or an `upstream`"));
-    assert!(why(&GOOD.replace("deduped_by = \"all\", ", "")).contains("go with effect"));
-    assert!(why(&GOOD.replace("X-Group: charge", "X-Group")).contains("needs a `prefix`"));
-    let paths = |paths: &str| GOOD.replace("header = \"X-Group: charge\"", &format!("paths = {paths}"));
-    assert!(why(&paths("[\"= x\"]")).contains("path \"= x\" does not begin with `/`"));
-    assert!(why(&paths("[\"~ (\"]")).contains("no regular expression"));
-    assert!(why(&paths("[\"/x\", \"/match\"]")).contains("have the same route"));
-    assert!(why(&GOOD.replace("plain(name, 2)", "plain('match', 2)")).contains("is already defined"));
-    assert!(why(&GOOD.replace("\"waiting\"", "\"wating\"")).contains("did you mean `waiting`"));
+fn rejects_incomplete_and_conflicting_settings() {
+    assert!(parse_error(&VALID_SCRIPT.replace("roster(", "#")).contains("needs a `file`, or an `upstream`"));
+    assert!(parse_error(&VALID_SCRIPT.replace("deduped_by = \"all\", ", "")).contains("go with effect"));
+    assert!(parse_error(&VALID_SCRIPT.replace("X-Group: charge", "X-Group")).contains("needs a `prefix`"));
+    let paths =
+        |paths: &str| VALID_SCRIPT.replace("header = \"X-Group: charge\"", &format!("paths = {paths}"));
+    assert!(parse_error(&paths("[\"= x\"]")).contains("path \"= x\" does not begin with `/`"));
+    assert!(parse_error(&paths("[\"~ (\"]")).contains("no regular expression"));
+    assert!(parse_error(&paths("[\"/x\", \"/match\"]")).contains("have the same route"));
     assert!(
-        why("roster(file = 'x')").contains("0 groups") || why("roster(file = 'x')").contains("needs `zones`")
+        parse_error(&VALID_SCRIPT.replace("plain(name, 2)", "plain('match', 2)"))
+            .contains("is already defined")
+    );
+    assert!(
+        parse_error(&VALID_SCRIPT.replace("\"waiting\"", "\"wating\"")).contains("did you mean `waiting`")
+    );
+    assert!(
+        parse_error("roster(file = 'x')").contains("0 groups")
+            || parse_error("roster(file = 'x')").contains("needs `zones`")
     );
 }
 
 #[test]
 fn stops_scripts_that_never_end_or_grow_without_bound() {
     let endless = "def f():\n    for i in range(1000000000):\n        pass\nf()";
-    assert!(why(endless).contains("s.star"));
+    assert!(parse_error(endless).contains("s.star"));
     let growing =
         "x = []\ndef f():\n    for i in range(1000000000):\n        x.append('y' * 10000 + str(i))\nf()";
-    assert!(why(growing).contains("s.star"));
+    assert!(parse_error(growing).contains("s.star"));
     let deep = "def f(n):\n    return f(n + 1)\nf(0)";
-    assert!(why(deep).contains("s.star"));
-    assert!(why(&"#".repeat(2 << 20)).contains("bytes"));
+    assert!(parse_error(deep).contains("s.star"));
+    assert!(parse_error(&"#".repeat(2 << 20)).contains("bytes"));
 }
 
 #[test]
-fn names_settings_that_need_a_restart() {
-    let now = parse("s.star", GOOD).unwrap();
-    let later =
-        parse("s.star", &GOOD.replace("proxies = 16", "proxies = 17").replace("roster.json", "other.json"));
+fn lists_differences_that_need_a_restart() {
+    let now = parse("s.star", VALID_SCRIPT).unwrap();
+    let later = parse(
+        "s.star",
+        &VALID_SCRIPT.replace("proxies = 16", "proxies = 17").replace("roster.json", "other.json"),
+    );
     assert_eq!(now.fixed_differences(&later.unwrap()), ["`proxies`: 16 runs, 17 is asked for"]);
     assert!(now.fixed_differences(&now).is_empty());
 }
--- a/crates/settings/src/validation/fields.rs
+++ b/crates/settings/src/validation/fields.rs
@@ -25,11 +25,11 @@
         self.value(name).and_then(Value::as_f64).unwrap_or_default()
     }
 
-    pub(crate) fn whole(&self, name: &str) -> u64 {
+    pub(crate) fn integer(&self, name: &str) -> u64 {
         self.number(name) as u64
     }
 
-    pub(crate) fn flag(&self, name: &str) -> bool {
+    pub(crate) fn boolean(&self, name: &str) -> bool {
         self.value(name).and_then(Value::as_bool).unwrap_or_default()
     }
 
@@ -37,7 +37,7 @@
         self.value(name).and_then(Value::as_str).map(str::to_string)
     }
 
-    pub(crate) fn texts(&self, name: &str) -> Vec<String> {
+    pub(crate) fn text_list(&self, name: &str) -> Vec<String> {
         let texts = self.value(name).and_then(Value::as_array).into_iter().flatten();
         texts.filter_map(Value::as_str).map(str::to_string).collect()
     }
@@ -47,15 +47,15 @@
     /// Validates the fields of a section, which the script may omit.
     pub(crate) fn fields(&mut self, section: &str, call: Option<&Call>) -> Fields {
         let line = call.map_or(0, |call| call.line);
-        let title = match call {
+        let section_title = match call {
             Some(call) if !call.name.is_empty() => format!("{section} {}", call.name),
             _ => section.to_string(),
         };
-        let known = schema::section(section).unwrap_or(&schema::SECTIONS[0]);
+        let section_schema = schema::section(section).unwrap_or(&schema::SETTINGS_SECTIONS[0]);
         let mut values = Map::new();
-        for field in known.fields {
+        for field in section_schema.fields {
             let given = call.and_then(|call| call.fields.get(field.name)).filter(|value| !value.is_null());
-            match field_value(&title, field, given) {
+            match field_value(&section_title, field, given) {
                 Ok(Some(value)) => drop(values.insert(field.name.into(), value)),
                 Ok(None) => {}
                 Err(problem) => self.report(line, problem),
@@ -66,8 +66,8 @@
 }
 
 /// The value of a field, or its default; `None` for an optional field that is not set.
-fn field_value(title: &str, field: &Field, given: Option<&Value>) -> Result<Option<Value>, Problem> {
-    let section = title.to_string();
+fn field_value(section_title: &str, field: &Field, given: Option<&Value>) -> Result<Option<Value>, Problem> {
+    let section = section_title.to_string();
     if let Some(value) = given {
         if accepts(&field.field_type, value) {
             return Ok(Some(value.clone()));
@@ -83,22 +83,22 @@
         DefaultValue::Required => Err(Problem::MissingValue {
             section,
             field: field.name,
-            meaning: field.meaning,
+            description: field.description,
             expected: field.field_type,
         }),
         DefaultValue::Unset => Ok(None),
         DefaultValue::Number(number) => Ok(Some(number.into())),
-        DefaultValue::Flag(flag) => Ok(Some(flag.into())),
+        DefaultValue::Boolean(flag) => Ok(Some(flag.into())),
         DefaultValue::Text(text) => Ok(Some(text.into())),
     }
 }
 fn accepts(field_type: &FieldType, value: &Value) -> bool {
     match field_type {
         FieldType::Number { min, max } | FieldType::Seconds { min, max } => is_within(value, *min, *max),
-        FieldType::Whole { min, max } => value.is_u64() && is_within(value, *min as f64, *max as f64),
-        FieldType::Flag => value.is_boolean(),
+        FieldType::Integer { min, max } => value.is_u64() && is_within(value, *min as f64, *max as f64),
+        FieldType::Boolean => value.is_boolean(),
         FieldType::Text => value.as_str().is_some_and(|text| !text.is_empty()),
-        FieldType::Texts => value.as_array().is_some_and(|texts| are_distinct_texts(texts)),
+        FieldType::TextList => value.as_array().is_some_and(|texts| are_distinct_texts(texts)),
         FieldType::OneOf(names) => value.as_str().is_some_and(|text| names.contains(&text)),
     }
 }
--- a/crates/settings/src/validation/groups.rs
+++ b/crates/settings/src/validation/groups.rs
@@ -51,7 +51,7 @@
             latency_objective: budget,
             request_deadline: expiry,
             priority_weight: fields.number("utility"),
-            same_zone_only: fields.flag("own_zone"),
+            same_zone_only: fields.boolean("own_zone"),
             route: route?,
         })
     }
@@ -67,10 +67,10 @@
 
     /// The route of a group, which is given by exactly one of `prefix`, `header` and `paths`.
     fn route(&mut self, line: usize, name: &str, fields: &Fields) -> Option<Route> {
-        let texts = fields.texts("paths");
+        let texts = fields.text_list("paths");
         let mut paths = Vec::new();
         for text in &texts {
-            match PathRoute::read(text) {
+            match PathRoute::parse(text) {
                 Ok(path) => paths.push(path),
                 Err(error) => self.report(line, error.into()),
             }
@@ -91,10 +91,10 @@
     fn check_route_is_unique(&mut self, line: usize, name: &str, route: Option<&Route>, others: &[Group]) {
         let Some(route) = route else { return };
         let paths = route.paths();
-        let is_same = |other: &&Group| {
+        let has_same_route = |other: &&Group| {
             other.route == *route || other.route.paths().iter().any(|path| paths.contains(path))
         };
-        if let Some(other) = others.iter().find(is_same) {
+        if let Some(other) = others.iter().find(has_same_route) {
             let (name, other) = (name.to_string(), other.name.clone());
             self.report(line, Problem::SameRoute { name, other });
         }
--- a/crates/settings/src/validation/sections.rs
+++ b/crates/settings/src/validation/sections.rs
@@ -56,18 +56,18 @@
         groups,
         zones,
         governor: name,
-        keys: governor.texts("keys").into_iter().map(PathBuf::from).collect(),
+        keys: governor.text_list("keys").into_iter().map(PathBuf::from).collect(),
         gossip_address: gossip.address,
         peers: gossip.peers,
         moves_per_second: governor.number("moves_per_s"),
-        governor_count: fleet.whole("governors"),
-        proxy_count: fleet.whole("proxies"),
-        default_table_size: fleet.whole("standing_lines"),
+        governor_count: fleet.integer("governors"),
+        proxy_count: fleet.integer("proxies"),
+        default_table_size: fleet.integer("standing_lines"),
         default_requests_per_second: fleet.number("usual"),
-        proxies_eject_locally: fleet.flag("proxies_avoid"),
+        proxies_eject_locally: fleet.boolean("proxies_avoid"),
         default_retry_policy: fleet.text("tries").unwrap_or_default(),
-        admission_control: fleet.flag("levels"),
-        max_proxies: fleet.whole("joined_most"),
+        admission_control: fleet.boolean("levels"),
+        max_proxies: fleet.integer("joined_most"),
         initial_capacity_fraction: replicas.number("cold_share"),
         slow_start_duration: replicas.number("warm_after"),
         entries_per_second: channel.number("lines_per_s"),
@@ -84,8 +84,8 @@
         roster: roster_source,
         roster_poll_interval: roster.number("look_every"),
         empty_roster_timeout: roster.number("empty_after"),
-        history_versions: channel.whole("history_versions"),
-        history_entries: channel.whole("history_lines"),
+        history_versions: channel.integer("history_versions"),
+        history_entries: channel.integer("history_lines"),
         grpc_address: grpc,
         http_address: http,
         long_poll_address: poll,
@@ -100,7 +100,7 @@
 fn nginx_settings(nginx: &Fields) -> Nginx {
     Nginx {
         include_file: nginx.text("include").unwrap_or_default().into(),
-        reload_command: nginx.texts("reload"),
+        reload_command: nginx.text_list("reload"),
         min_interval: nginx.number("every"),
         min_drain_interval: nginx.number("drains_every"),
         reload_timeout: nginx.number("reload_within"),
@@ -119,7 +119,7 @@
         if name.len() > MAX_NAME_BYTES || !name.chars().all(is_valid_character) {
             self.report(governor.line, Problem::InvalidGovernorName { name: name.clone() });
         }
-        if fleet.whole("governors") > 1 && name.is_empty() && self.is_clean() {
+        if fleet.integer("governors") > 1 && name.is_empty() && self.is_clean() {
             self.report(fleet.line, Problem::UnnamedGovernor);
         }
         name
@@ -128,7 +128,7 @@
     fn gossip(&mut self, local_name: &str, governor: &Fields) -> Gossip {
         let address = governor.text("talk").and_then(|_| self.address(governor, "talk"));
         let mut peers: Vec<(String, SocketAddr)> = Vec::new();
-        for text in governor.texts("peers") {
+        for text in governor.text_list("peers") {
             match parse_peer(&text) {
                 None => self.report(governor.line, Problem::InvalidPeer { text }),
                 Some((name, address)) => {
@@ -142,7 +142,7 @@
             }
         }
         let is_used = address.is_some() || !peers.is_empty();
-        let has_identity = !local_name.is_empty() && !governor.texts("keys").is_empty();
+        let has_identity = !local_name.is_empty() && !governor.text_list("keys").is_empty();
         if is_used && !(address.is_some() && has_identity) {
             self.report(governor.line, Problem::IncompleteGossip);
         }
@@ -150,7 +150,7 @@
     }
 
     fn zones(&mut self, fleet: &Fields, call: Option<&Call>) -> Vec<String> {
-        let zones = fleet.texts("zones");
+        let zones = fleet.text_list("zones");
         if zones.is_empty() && call.is_some_and(|call| call.fields.contains_key("zones")) {
             self.report(fleet.line, Problem::NoZones);
         }
@@ -158,12 +158,12 @@
     }
 
     fn load_metrics(&mut self, reports: &Fields) -> Vec<String> {
-        let metrics = reports.texts("metrics");
-        let known = || LOAD_METRICS.iter().map(|metric| metric.name);
+        let metrics = reports.text_list("metrics");
+        let metric_names = || LOAD_METRICS.iter().map(|metric| metric.name);
         for metric in &metrics {
-            if known().all(|name| name != metric) {
-                let nearest = schema::nearest(metric, known());
-                let hint = nearest.map_or_else(String::new, |name| format!("; did you mean `{name}`?"));
+            if metric_names().all(|name| name != metric) {
+                let similar = schema::most_similar(metric, metric_names());
+                let hint = similar.map_or_else(String::new, |name| format!("; did you mean `{name}`?"));
                 self.report(reports.line, Problem::UnknownLoadMetric { metric: metric.clone(), hint });
             }
         }
@@ -171,7 +171,7 @@
     }
 
     fn roster_source(&mut self, roster: &Fields) -> Option<RosterSource> {
-        let clusters = roster.texts("clusters");
+        let clusters = roster.text_list("clusters");
         match (roster.text("file"), roster.text("upstream")) {
             (Some(file), None) if clusters.is_empty() => Some(RosterSource::File(file.into())),
             (None, Some(uri)) if !clusters.is_empty() => Some(RosterSource::Upstream { uri, clusters }),
