--- a/crates/settings/src/day.rs
+++ b/crates/settings/src/day.rs
@@ -1,4 +1,4 @@
-//! A rehearsed day, from its script.
+//! Scripts of rehearsals: a simulated day with its fleet, its request load and its faults.
 
 use serde::Serialize;
 
@@ -21,33 +21,33 @@
         /// Number of workers.
         count: usize,
     },
-    /// The workers of a zone are replaced, one after another, by cold ones.
+    /// The workers of a zone are replaced by cold ones, one after another.
     Deploy {
         /// Index of the zone.
         hall: usize,
-        /// From one worker to the next, in seconds.
+        /// Time between the replacements of two workers, in seconds.
         step: f64,
     },
-    /// Streams of some relays break at once.
+    /// The streams of some relays break at the same time.
     BrokenStreams {
         /// Fraction of the relays.
         share: f64,
     },
-    /// Load reports of some relays come late, and twice.
+    /// The load reports of some relays arrive late and twice.
     LateReports {
         /// Fraction of the relays.
         share: f64,
-        /// How late, in seconds.
+        /// Delay of the reports, in seconds.
         late: f64,
     },
     /// The governor is killed, and started again at the end.
     Kill {
         /// Index of the governor.
         governor: usize,
-        /// Orders of a flush that are sent before; 0: it is killed at once.
+        /// Number of messages of a flush that are sent before the kill; 0 kills at once.
         after_orders: usize,
     },
-    /// The governor's process stands still.
+    /// The governor's process is paused.
     Stall {
         /// Index of the governor.
         governor: usize,
@@ -57,12 +57,12 @@
         /// Index of the governor.
         governor: usize,
     },
-    /// What the governor sends to others is lost; what they send arrives.
+    /// Messages from the governor to other governors are lost; messages from them arrive.
     OneWay {
         /// Index of the governor.
         governor: usize,
     },
-    /// The governor's roster stays as it is.
+    /// The governor's roster is no longer updated.
     Stale {
         /// Index of the governor.
         governor: usize,
@@ -73,10 +73,10 @@
     Storm {
         /// Index of the governor.
         governor: usize,
-        /// How often.
+        /// How many times.
         count: usize,
     },
-    /// An operator rolls back to the present version at the end, for fifteen seconds.
+    /// An operator rolls back to the current version at the end, for fifteen seconds.
     StepBack,
 }
 
@@ -91,10 +91,10 @@
     pub trouble: Trouble,
 }
 
-/// Fleet, requests, faults, and the limits of the rules that are checked. Times are in seconds.
+/// The fleet, the request load, the faults, and the limits for the rules that a rehearsal checks. Times are in seconds.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Day {
-    /// How long requests come.
+    /// Duration of the request load.
     pub seconds: f64,
     /// The zones.
     pub halls: Vec<String>,
@@ -106,36 +106,36 @@
     pub flows_per_s: f64,
     /// Capacity of a worker that is warmed up, in requests per second.
     pub worker_flows_per_s: f64,
-    /// Delay of the roster.
+    /// Delay until the roster shows a change.
     pub roster_late: f64,
     /// Capacity fraction of a cold worker.
     pub cold_share: f64,
-    /// How long a worker is cold.
+    /// How long a worker takes to warm up.
     pub warm_after: f64,
-    /// No attempt may go to a replica so long after its drain was listed.
+    /// No attempt may go to a replica later than this after the roster lists it as draining.
     pub drain_grace: f64,
     /// Number of governors that share the relays.
     pub governors: usize,
-    /// Governors send gossip to each other.
+    /// Whether governors send gossip to each other.
     pub talk: bool,
-    /// Settings and roster are imported from an nginx configuration.
+    /// Whether settings and roster are imported from an nginx configuration.
     pub nginx: bool,
-    /// Governors have a durable store.
+    /// Whether governors have a durable store.
     pub state: bool,
-    /// No relay may be without a governor for so long.
+    /// Maximum time that a relay may be without a governor.
     pub care_for: f64,
-    /// No relay may be without a table entry for so long.
+    /// Maximum time that a relay may be without a table entry.
     pub bare_for: f64,
-    /// A cold worker fails at so many times its even share.
+    /// The multiple of its even share of the requests above which a cold worker fails.
     pub fall_multiple: f64,
-    /// If it lasts so long.
+    /// How long a cold worker must be overloaded until it fails.
     pub overload_for: f64,
     /// The faults, in the order of the script.
     pub troubles: Vec<Planned>,
 }
 
 /// The kinds of faults, as scripts name them.
-const KINDS: [&str; 13] = [
+const TROUBLE_KINDS: [&str; 13] = [
     "silent",
     "quick_errors",
     "deploy",
@@ -151,19 +151,19 @@
     "storm",
 ];
 
-/// Checks a day's script; `file` is for the errors.
+/// Parses and validates the script of a rehearsal. `file` is the name that errors show.
 ///
 /// # Errors
-/// All that is wrong with it.
+/// All errors of the script.
 pub fn parse(file: &str, text: &str) -> Result<Day, SettingErrors> {
     let calls = script::run(file, text, ScriptKind::Day)?;
     let mut validator = Validator::new(file);
     let day = validator.fields("day", calls.first("day"));
-    let halls = day.texts("halls");
+    let halls = day.text_list("halls");
     let mut troubles = Vec::new();
     for call in calls.all("trouble") {
         let fields = validator.fields("trouble", Some(call));
-        match trouble(call, &fields, &halls) {
+        match parse_trouble(call, &fields, &halls) {
             Ok(trouble) => {
                 let (at, lasts) = (fields.number("at"), fields.number("lasts"));
                 if at + lasts > day.number("seconds") {
@@ -180,18 +180,18 @@
     Ok(Day {
         seconds: day.number("seconds"),
         halls,
-        workers: day.whole("workers") as usize,
-        relays: day.whole("relays") as usize,
+        workers: day.integer("workers") as usize,
+        relays: day.integer("relays") as usize,
         flows_per_s: day.number("flows_per_s"),
         worker_flows_per_s: day.number("worker_flows_per_s"),
         roster_late: day.number("roster_late"),
         cold_share: day.number("cold_share"),
         warm_after: day.number("warm_after"),
         drain_grace: day.number("drain_grace"),
-        governors: day.whole("governors") as usize,
-        talk: day.flag("talk"),
-        nginx: day.flag("nginx"),
-        state: day.flag("state"),
+        governors: day.integer("governors") as usize,
+        talk: day.boolean("talk"),
+        nginx: day.boolean("nginx"),
+        state: day.boolean("state"),
         care_for: day.number("care_for"),
         bare_for: day.number("bare_for"),
         fall_multiple: day.number("fall_multiple"),
@@ -200,22 +200,22 @@
     })
 }
 
-fn trouble(call: &Call, fields: &Fields, halls: &[String]) -> Result<Trouble, Problem> {
-    let count = fields.whole("count") as usize;
+fn parse_trouble(call: &Call, fields: &Fields, halls: &[String]) -> Result<Trouble, Problem> {
+    let count = fields.integer("count") as usize;
     let share = fields.number("share");
-    let governor = fields.whole("governor") as usize;
+    let governor = fields.integer("governor") as usize;
     let trouble = match call.name.as_str() {
         "silent" => Trouble::Silent { count },
         "quick_errors" => Trouble::QuickErrors { count },
         "deploy" => {
-            let named = fields.text("hall");
-            let hall = named.and_then(|name| halls.iter().position(|hall| *hall == name));
+            let hall_name = fields.text("hall");
+            let hall = hall_name.and_then(|name| halls.iter().position(|hall| *hall == name));
             let hall = hall.ok_or(Problem::DeployWithoutHall)?;
             Trouble::Deploy { hall, step: fields.number("step") }
         }
         "broken_streams" => Trouble::BrokenStreams { share },
         "late_reports" => Trouble::LateReports { share, late: fields.number("late") },
-        "kill_governor" => Trouble::Kill { governor, after_orders: fields.whole("after_orders") as usize },
+        "kill_governor" => Trouble::Kill { governor, after_orders: fields.integer("after_orders") as usize },
         "stall_governor" => Trouble::Stall { governor },
         "cut_governor" => Trouble::Cut { governor },
         "one_way" => Trouble::OneWay { governor },
@@ -224,9 +224,9 @@
         "roll_governors" => Trouble::Roll,
         "step_back" => Trouble::StepBack,
         kind => {
-            let hint = match schema::nearest(kind, KINDS.into_iter()) {
-                Some(nearest) => format!("did you mean `{nearest}`?"),
-                None => KINDS.join(", "),
+            let hint = match schema::most_similar(kind, TROUBLE_KINDS.into_iter()) {
+                Some(similar) => format!("did you mean `{similar}`?"),
+                None => TROUBLE_KINDS.join(", "),
             };
             return Err(Problem::UnknownTrouble { kind: kind.to_string(), hint });
         }
