--- a/crates/rehearsal/src/check.rs
+++ b/crates/rehearsal/src/check.rs
@@ -6,44 +6,46 @@
 use wrenthread_settings::day::Day;
 
 use crate::event_log::{
-    Entry, FLOWS, GROUPS, HEAD_LINES, LINES_PER_S, MESSAGES, NON_RETRIABLE, WAITING_MOST, What, capacity,
+    CLASS_TRAFFIC, CLASSES, ENTRIES_PER_SECOND, Entry, Event, MAX_QUEUED_ENTRIES, MESSAGE_LIMIT,
+    MESSAGE_OVERHEAD_ENTRIES, NON_RETRIABLE, capacity,
 };
 
 /// One rule, and where it was broken.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Ruled {
+pub struct RuleResult {
     /// The rule.
     pub rule: &'static str,
     /// What broke it; empty if nothing did.
-    pub broken: Vec<String>,
+    #[serde(rename = "broken")]
+    pub violations: Vec<String>,
 }
 
 /// All rules on one tape.
-pub fn all(day: &Day, tape: &[Entry]) -> Vec<Ruled> {
-    let ruled = |rule, broken| Ruled { rule, broken };
+pub fn all(day: &Day, event_log: &[Entry]) -> Vec<RuleResult> {
+    let result = |rule, violations| RuleResult { rule, violations };
     vec![
-        ruled("no proxy left without a replica", bare(day, tape)),
-        ruled("no effect twice", twice(tape)),
-        ruled("drains kept", drains(day, tape)),
-        ruled("no cold replica pushed over", cold(day, tape)),
-        ruled("short queue", queue(tape)),
-        ruled("every flow has its one end, before its expiry", ends(tape)),
-        ruled("every order is answered", answers(tape)),
-        ruled("every relay in a governor's care", care(day, tape)),
-        ruled("no order of an older life, or of another's", fenced(tape)),
+        result("no proxy left without a replica", empty_tables(day, event_log)),
+        result("no effect twice", repeated_effects(event_log)),
+        result("drains kept", drained_replica_attempts(day, event_log)),
+        result("no cold replica pushed over", cold_replica_overloads(day, event_log)),
+        result("short queue", exceeded_send_limits(event_log)),
+        result("every flow has its one end, before its expiry", unended_requests(event_log)),
+        result("every order is answered", unanswered_updates(event_log)),
+        result("every relay in a governor's care", unattended_proxies(day, event_log)),
+        result("no order of an older life, or of another's", stale_updates(event_log)),
     ]
 }
 
 /// Since when each relay is joined, and to which governor, as the tape goes on.
 #[derive(Default)]
-struct Joined(BTreeMap<usize, (f64, usize)>);
+struct JoinedProxies(BTreeMap<usize, (f64, usize)>);
 
-impl Joined {
-    fn see(&mut self, entry: &Entry) {
-        match &entry.what {
-            What::Joined { relay, governor } => drop(self.0.insert(*relay, (entry.at, *governor))),
-            What::Broken { relay } => drop(self.0.remove(relay)),
-            What::Governor { governor, up: false } => self.0.retain(|_, (_, of)| of != governor),
+impl JoinedProxies {
+    fn observe(&mut self, entry: &Entry) {
+        match &entry.event {
+            Event::Joined { proxy, governor } => drop(self.0.insert(*proxy, (entry.at, *governor))),
+            Event::StreamBroken { proxy } => drop(self.0.remove(proxy)),
+            Event::Governor { governor, up: false } => self.0.retain(|_, (_, of)| of != governor),
             _ => {}
         }
     }
@@ -51,11 +53,11 @@
 
 /// Since when each governor is told what the roster file says; none for one that is not.
 #[derive(Default)]
-struct Told(BTreeMap<usize, Option<f64>>);
+struct RosterDelivery(BTreeMap<usize, Option<f64>>);
 
-impl Told {
-    fn see(&mut self, entry: &Entry) {
-        if let What::Stale { governor, stale } = entry.what {
+impl RosterDelivery {
+    fn observe(&mut self, entry: &Entry) {
+        if let Event::StaleRoster { governor, stale } = entry.event {
             self.0.insert(governor, (!stale).then_some(entry.at));
         }
     }
@@ -68,129 +70,136 @@
 
 /// A joined relay whose table for a group has no line, for longer than allowed, while the list shows a worker
 /// that is ready and no longer cold.
-pub fn bare(day: &Day, tape: &[Entry]) -> Vec<String> {
-    let (mut joined, mut broken) = (Joined::default(), Vec::new());
+pub fn empty_tables(day: &Day, event_log: &[Entry]) -> Vec<String> {
+    let (mut joined, mut violations) = (JoinedProxies::default(), Vec::new());
     let mut empty: BTreeMap<(usize, String), (f64, bool)> = BTreeMap::new();
-    let (mut ready, mut started, mut listed_to) = (BTreeSet::new(), BTreeMap::new(), Told::default());
-    for entry in tape {
-        joined.see(entry);
-        listed_to.see(entry);
-        match &entry.what {
-            What::Roster { listed } => {
-                ready = listed.iter().filter(|one| one.ready).map(|one| one.worker).collect();
+    let (mut ready, mut started, mut delivery) =
+        (BTreeSet::new(), BTreeMap::new(), RosterDelivery::default());
+    for entry in event_log {
+        joined.observe(entry);
+        delivery.observe(entry);
+        match &entry.event {
+            Event::Roster { roster_entries } => {
+                ready = roster_entries.iter().filter(|item| item.ready).map(|item| item.replica).collect();
             }
-            What::Started { worker, cold } => drop(started.insert(*worker, cold.then_some(entry.at))),
-            What::Order { relay, tables, .. } => {
-                for (group, (lines, _)) in tables {
-                    let place = (*relay, group.clone());
-                    if lines.is_empty() {
-                        empty.entry(place).or_insert((entry.at, false));
+            Event::Started { replica, cold } => drop(started.insert(*replica, cold.then_some(entry.at))),
+            Event::TableUpdate { proxy, tables, .. } => {
+                for (class, (entries, _)) in tables {
+                    let table = (*proxy, class.clone());
+                    if entries.is_empty() {
+                        empty.entry(table).or_insert((entry.at, false));
                     } else {
-                        empty.remove(&place);
+                        empty.remove(&table);
                     }
                 }
             }
             _ => {}
         }
-        let warm = |worker: &usize| {
-            started.get(worker).copied().flatten().is_none_or(|at| entry.at - at >= day.warm_after)
+        let warm = |replica: &usize| {
+            started.get(replica).copied().flatten().is_none_or(|at| entry.at - at >= day.warm_after)
         };
-        let open = ready.iter().any(warm);
-        for ((relay, group), (since, told)) in &mut empty {
-            match joined.0.get(relay) {
-                Some((_, governor)) if listed_to.since(*governor).is_none() => *since = entry.at,
-                Some((at, _)) if open && entry.at - since.max(*at) > day.bare_for && !*told => {
-                    *told = true;
-                    broken.push(format!(
-                        "{:.2} s: relay {relay} has no line for {group} since {since:.2} s",
+        let replica_available = ready.iter().any(warm);
+        for ((proxy, class), (since, reported)) in &mut empty {
+            match joined.0.get(proxy) {
+                Some((_, governor)) if delivery.since(*governor).is_none() => *since = entry.at,
+                Some((at, _))
+                    if replica_available && entry.at - since.max(*at) > day.bare_for && !*reported =>
+                {
+                    *reported = true;
+                    violations.push(format!(
+                        "{:.2} s: relay {proxy} has no line for {class} since {since:.2} s",
                         entry.at
                     ));
                 }
-                Some(_) if open => {}
+                Some(_) if replica_available => {}
                 // Not joined, or nobody is there: it counts from when that is over.
                 _ => *since = entry.at,
             }
         }
     }
-    broken
+    violations
 }
 
 /// Work of a non-retriable flow that was done more than once.
-pub fn twice(tape: &[Entry]) -> Vec<String> {
+pub fn repeated_effects(event_log: &[Entry]) -> Vec<String> {
     let mut done: BTreeMap<u64, Vec<(f64, usize)>> = BTreeMap::new();
-    for entry in tape {
-        if let What::Effect { flow, worker, group: NON_RETRIABLE } = entry.what {
-            done.entry(flow).or_default().push((entry.at, worker));
+    for entry in event_log {
+        if let Event::EffectApplied { request, replica, class: NON_RETRIABLE } = entry.event {
+            done.entry(request).or_default().push((entry.at, replica));
         }
     }
     let twice = done.into_iter().filter(|(_, done)| done.len() > 1);
     twice
-        .map(|(flow, done)| format!("flow {flow} of {} took effect at {done:.2?}", GROUPS[NON_RETRIABLE]))
+        .map(|(request, done)| {
+            format!("flow {request} of {} took effect at {done:.2?}", CLASSES[NON_RETRIABLE])
+        })
         .collect()
 }
 
 /// Tries of joined relays at a worker that was listed as draining, or not at all, longer ago than the grace.
-pub fn drains(day: &Day, tape: &[Entry]) -> Vec<String> {
-    let (mut joined, mut broken) = (Joined::default(), Vec::new());
-    let (mut shut, mut known): (BTreeMap<usize, f64>, BTreeSet<usize>) = Default::default();
-    let mut listed_to = Told::default();
-    for entry in tape {
-        joined.see(entry);
-        listed_to.see(entry);
-        match &entry.what {
-            What::Roster { listed } => {
+pub fn drained_replica_attempts(day: &Day, event_log: &[Entry]) -> Vec<String> {
+    let (mut joined, mut violations) = (JoinedProxies::default(), Vec::new());
+    let (mut unavailable, mut ever_ready): (BTreeMap<usize, f64>, BTreeSet<usize>) = Default::default();
+    let mut delivery = RosterDelivery::default();
+    for entry in event_log {
+        joined.observe(entry);
+        delivery.observe(entry);
+        match &entry.event {
+            Event::Roster { roster_entries } => {
                 let ready: BTreeSet<usize> =
-                    listed.iter().filter(|one| one.ready).map(|one| one.worker).collect();
-                known.extend(&ready);
-                shut.retain(|worker, _| !ready.contains(worker));
-                for worker in known.difference(&ready) {
-                    shut.entry(*worker).or_insert(entry.at);
+                    roster_entries.iter().filter(|item| item.ready).map(|item| item.replica).collect();
+                ever_ready.extend(&ready);
+                unavailable.retain(|replica, _| !ready.contains(replica));
+                for replica in ever_ready.difference(&ready) {
+                    unavailable.entry(*replica).or_insert(entry.at);
                 }
             }
-            What::Try { flow, relay, worker } => {
-                let told = shut.get(worker).zip(joined.0.get(relay));
-                let told = told.and_then(|(shut, (joined, governor))| {
-                    Some(shut.max(*joined).max(listed_to.since(*governor)?))
+            Event::AttemptSent { request, proxy, replica } => {
+                let unavailable_since = unavailable.get(replica).zip(joined.0.get(proxy));
+                let unavailable_since = unavailable_since.and_then(|(unavailable, (joined, governor))| {
+                    Some(unavailable.max(*joined).max(delivery.since(*governor)?))
                 });
-                if let Some(told) = told.filter(|told| entry.at > told + day.drain_grace) {
+                if let Some(unavailable_since) = unavailable_since
+                    .filter(|unavailable_since| entry.at > unavailable_since + day.drain_grace)
+                {
                     let at = entry.at;
-                    broken.push(format!(
-                        "{at:.2} s: relay {relay} tries worker {worker} (flow {flow}), shut since {told:.2} s"
+                    violations.push(format!(
+                        "{at:.2} s: relay {proxy} tries worker {replica} (flow {request}), shut since {unavailable_since:.2} s"
                     ));
                 }
             }
             _ => {}
         }
     }
-    broken
+    violations
 }
 
 /// A cold worker that got the stated multiple of what it could do, for the stated time.
-pub fn cold(day: &Day, tape: &[Entry]) -> Vec<String> {
-    let mut broken = Vec::new();
+pub fn cold_replica_overloads(day: &Day, event_log: &[Entry]) -> Vec<String> {
+    let mut violations = Vec::new();
     let mut started: BTreeMap<usize, f64> = BTreeMap::new();
-    let mut got: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
-    for entry in tape {
-        match entry.what {
-            What::Started { worker, cold: true } => {
-                started.insert(worker, entry.at);
-                got.remove(&worker);
+    let mut attempt_times: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
+    for entry in event_log {
+        match entry.event {
+            Event::Started { replica, cold: true } => {
+                started.insert(replica, entry.at);
+                attempt_times.remove(&replica);
             }
-            What::Got { worker, .. } => {
-                let Some(since) = started.get(&worker) else { continue };
+            Event::AttemptReceived { replica, .. } => {
+                let Some(since) = started.get(&replica) else { continue };
                 if entry.at - since > day.warm_after {
                     continue;
                 }
-                let times = got.entry(worker).or_default();
+                let times = attempt_times.entry(replica).or_default();
                 times.push(entry.at);
                 times.retain(|at| entry.at - at <= day.overload_for);
                 // At its age at the end of the span it can do most: what it could do then is exceeded for
                 // sure.
-                let part = day.worker_flows_per_s * capacity(day, entry.at - since);
-                if times.len() as f64 > day.fall_multiple * part * day.overload_for {
-                    let (n, at) = (times.len(), entry.at);
-                    broken.push(format!(
-                        "{at:.2} s: worker {worker} got {n} flows in {} s; it can do {part:.1} a second",
+                let per_second = day.worker_flows_per_s * capacity(day, entry.at - since);
+                if times.len() as f64 > day.fall_multiple * per_second * day.overload_for {
+                    let (count, at) = (times.len(), entry.at);
+                    violations.push(format!(
+                        "{at:.2} s: worker {replica} got {count} flows in {} s; it can do {per_second:.1} a second",
                         day.overload_for
                     ));
                     times.clear();
@@ -199,37 +208,37 @@
             _ => {}
         }
     }
-    broken
+    violations
 }
 
 /// More lines than a channel of the stated pace and length lets out in a span, or too many messages to a
 /// relay.
 ///
 /// What waits inside the governor never crosses a socket: this sees what must follow from it.
-pub fn queue(tape: &[Entry]) -> Vec<String> {
-    let mut broken = Vec::new();
-    let mut lines: Vec<(f64, f64)> = Vec::new();
+pub fn exceeded_send_limits(event_log: &[Entry]) -> Vec<String> {
+    let mut violations = Vec::new();
+    let mut entries: Vec<(f64, f64)> = Vec::new();
     let mut messages: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
-    for entry in tape {
+    for entry in event_log {
         let at = entry.at;
-        match &entry.what {
-            What::Governor { up: true, .. } => (lines.clear(), messages.clear()).0,
-            What::Order { relay, lines: count, .. } => {
-                lines.push((at, *count as f64 + HEAD_LINES));
-                lines.retain(|(then, _)| at - then <= 1.0);
-                let second: f64 = lines.iter().map(|(_, count)| count).sum();
-                if second > LINES_PER_S + WAITING_MOST {
-                    broken.push(format!("{at:.2} s: {second} lines within a second"));
-                    lines.clear();
+        match &entry.event {
+            Event::Governor { up: true, .. } => (entries.clear(), messages.clear()).0,
+            Event::TableUpdate { proxy, entries: count, .. } => {
+                entries.push((at, *count as f64 + MESSAGE_OVERHEAD_ENTRIES));
+                entries.retain(|(sent_at, _)| at - sent_at <= 1.0);
+                let last_second: f64 = entries.iter().map(|(_, count)| count).sum();
+                if last_second > ENTRIES_PER_SECOND + MAX_QUEUED_ENTRIES {
+                    violations.push(format!("{at:.2} s: {last_second} lines within a second"));
+                    entries.clear();
                 }
-                let times = messages.entry(*relay).or_default();
+                let times = messages.entry(*proxy).or_default();
                 times.push(at);
-                times.retain(|then| at - then <= MESSAGES.1);
-                if times.len() > MESSAGES.0 {
-                    broken.push(format!(
-                        "{at:.2} s: {} messages to relay {relay} within {} s",
+                times.retain(|sent_at| at - sent_at <= MESSAGE_LIMIT.1);
+                if times.len() > MESSAGE_LIMIT.0 {
+                    violations.push(format!(
+                        "{at:.2} s: {} messages to relay {proxy} within {} s",
                         times.len(),
-                        MESSAGES.1
+                        MESSAGE_LIMIT.1
                     ));
                     times.clear();
                 }
@@ -237,113 +246,121 @@
             _ => {}
         }
     }
-    broken
+    violations
 }
 
 /// Flows without an end, with several, or with a late one. A tape ends some seconds after its last flow.
-pub fn ends(tape: &[Entry]) -> Vec<String> {
-    let (mut open, mut broken): (BTreeMap<u64, (f64, usize)>, _) = (BTreeMap::new(), Vec::new());
-    for entry in tape {
-        match entry.what {
-            What::Came { flow, group, .. } => drop(open.insert(flow, (entry.at, group))),
-            What::Ended { flow, .. } => match open.remove(&flow) {
+pub fn unended_requests(event_log: &[Entry]) -> Vec<String> {
+    let (mut pending, mut violations): (BTreeMap<u64, (f64, usize)>, _) = (BTreeMap::new(), Vec::new());
+    for entry in event_log {
+        match entry.event {
+            Event::RequestArrived { request, class, .. } => drop(pending.insert(request, (entry.at, class))),
+            Event::RequestEnded { request, .. } => match pending.remove(&request) {
                 // A timer may be a little late on a busy machine.
-                Some((came, group)) if entry.at - came > FLOWS[group].1 + 0.25 => {
-                    broken.push(format!(
-                        "flow {flow} of {} ended after {:.2} s",
-                        GROUPS[group],
-                        entry.at - came
+                Some((arrived, class)) if entry.at - arrived > CLASS_TRAFFIC[class].1 + 0.25 => {
+                    violations.push(format!(
+                        "flow {request} of {} ended after {:.2} s",
+                        CLASSES[class],
+                        entry.at - arrived
                     ));
                 }
                 Some(_) => {}
-                None => broken.push(format!("flow {flow} ended twice, or before it came")),
+                None => violations.push(format!("flow {request} ended twice, or before it came")),
             },
             _ => {}
         }
     }
-    broken.extend(
-        open.into_iter().map(|(flow, (at, _))| format!("flow {flow}, come at {at:.2} s, has no end")),
+    violations.extend(
+        pending
+            .into_iter()
+            .map(|(request, (at, _))| format!("flow {request}, come at {at:.2} s, has no end")),
     );
-    broken
+    violations
 }
 
 /// Orders that a relay neither took nor turned down while its stream stood.
-pub fn answers(tape: &[Entry]) -> Vec<String> {
-    let mut open: BTreeMap<usize, BTreeMap<&str, f64>> = BTreeMap::new();
-    let mut broken = Vec::new();
-    for entry in tape {
-        match &entry.what {
-            What::Order { relay, nonce, .. } => {
-                open.entry(*relay).or_default().insert(nonce, entry.at);
+pub fn unanswered_updates(event_log: &[Entry]) -> Vec<String> {
+    let mut pending: BTreeMap<usize, BTreeMap<&str, f64>> = BTreeMap::new();
+    let mut violations = Vec::new();
+    for entry in event_log {
+        match &entry.event {
+            Event::TableUpdate { proxy, nonce, .. } => {
+                pending.entry(*proxy).or_default().insert(nonce, entry.at);
             }
-            What::Answer { relay, nonce, .. } => {
-                let sent = open.get_mut(relay).and_then(|open| open.remove(nonce.as_str()));
-                let why = format!("{:.2} s: relay {relay} answers {nonce}, which it was not sent", entry.at);
-                broken.extend(sent.is_none().then_some(why));
+            Event::UpdateAnswered { proxy, nonce, .. } => {
+                let sent_at = pending.get_mut(proxy).and_then(|pending| pending.remove(nonce.as_str()));
+                let why = format!("{:.2} s: relay {proxy} answers {nonce}, which it was not sent", entry.at);
+                violations.extend(sent_at.is_none().then_some(why));
             }
-            What::Broken { relay } => drop(open.remove(relay)),
+            Event::StreamBroken { proxy } => drop(pending.remove(proxy)),
             _ => {}
         }
     }
-    let left = open.into_iter().flat_map(|(relay, open)| open.into_iter().map(move |one| (relay, one)));
-    broken
-        .extend(left.map(|(relay, (nonce, at))| format!("{at:.2} s: relay {relay} never answered {nonce}")));
-    broken
+    let unanswered = pending
+        .into_iter()
+        .flat_map(|(proxy, pending)| pending.into_iter().map(move |update| (proxy, update)));
+    violations.extend(
+        unanswered.map(|(proxy, (nonce, at))| format!("{at:.2} s: relay {proxy} never answered {nonce}")),
+    );
+    violations
 }
 
 /// A relay that was with no governor for longer than allowed while one was there.
-pub fn care(day: &Day, tape: &[Entry]) -> Vec<String> {
-    let (mut joined, mut up, mut broken) = (Joined::default(), BTreeSet::new(), Vec::new());
-    let mut alone: BTreeMap<usize, (f64, bool)> = BTreeMap::new();
-    for entry in tape {
-        joined.see(entry);
-        match &entry.what {
-            What::Governor { governor, up: true } => drop(up.insert(*governor)),
-            What::Governor { governor, up: false } => drop(up.remove(governor)),
-            What::Fleet { relays, .. } => {
-                alone = (0..relays.len()).map(|relay| (relay, (entry.at, false))).collect();
+pub fn unattended_proxies(day: &Day, event_log: &[Entry]) -> Vec<String> {
+    let (mut joined, mut up, mut violations) = (JoinedProxies::default(), BTreeSet::new(), Vec::new());
+    let mut unattended: BTreeMap<usize, (f64, bool)> = BTreeMap::new();
+    for entry in event_log {
+        joined.observe(entry);
+        match &entry.event {
+            Event::Governor { governor, up: true } => drop(up.insert(*governor)),
+            Event::Governor { governor, up: false } => drop(up.remove(governor)),
+            Event::Fleet { proxies, .. } => {
+                unattended = (0..proxies.len()).map(|proxy| (proxy, (entry.at, false))).collect();
             }
             _ => {}
         }
-        for (relay, (since, told)) in &mut alone {
-            if joined.0.contains_key(relay) || up.is_empty() {
-                (*since, *told) = (entry.at, false);
-            } else if entry.at - *since > day.care_for && !*told {
-                *told = true;
-                broken
-                    .push(format!("{:.2} s: relay {relay} is with no governor since {since:.2} s", entry.at));
+        for (proxy, (since, reported)) in &mut unattended {
+            if joined.0.contains_key(proxy) || up.is_empty() {
+                (*since, *reported) = (entry.at, false);
+            } else if entry.at - *since > day.care_for && !*reported {
+                *reported = true;
+                violations
+                    .push(format!("{:.2} s: relay {proxy} is with no governor since {since:.2} s", entry.at));
             }
         }
     }
-    broken
+    violations
 }
 
 /// Orders that a relay took in from an older life of a governor than one before, or from one that it was not
 /// with.
-pub fn fenced(tape: &[Entry]) -> Vec<String> {
-    let (mut joined, mut broken) = (Joined::default(), Vec::new());
-    let mut lives: BTreeMap<(usize, usize), u64> = BTreeMap::new();
-    for entry in tape {
+pub fn stale_updates(event_log: &[Entry]) -> Vec<String> {
+    let (mut joined, mut violations) = (JoinedProxies::default(), Vec::new());
+    let mut epochs: BTreeMap<(usize, usize), u64> = BTreeMap::new();
+    for entry in event_log {
         // What was on its way when a governor died still comes in.
-        if !matches!(entry.what, What::Governor { .. }) {
-            joined.see(entry);
+        if !matches!(entry.event, Event::Governor { .. }) {
+            joined.observe(entry);
         }
-        let What::Order { relay, governor, nonce, .. } = &entry.what else { continue };
-        let life = nonce.split('.').next().and_then(|life| u64::from_str_radix(life, 16).ok()).unwrap_or(0);
-        let newest = lives.entry((*relay, *governor)).or_insert(life);
-        if life < *newest {
-            broken
-                .push(format!("{:.2} s: relay {relay} heeds life {life:x} of governor {governor}", entry.at));
+        let Event::TableUpdate { proxy, governor, nonce, .. } = &entry.event else { continue };
+        let epoch =
+            nonce.split('.').next().and_then(|epoch| u64::from_str_radix(epoch, 16).ok()).unwrap_or(0);
+        let newest = epochs.entry((*proxy, *governor)).or_insert(epoch);
+        if epoch < *newest {
+            violations.push(format!(
+                "{:.2} s: relay {proxy} heeds life {epoch:x} of governor {governor}",
+                entry.at
+            ));
         }
-        *newest = life.max(*newest);
-        if joined.0.get(relay).is_none_or(|(_, of)| of != governor) {
-            broken.push(format!(
-                "{:.2} s: relay {relay} heeds governor {governor}, which it is not with",
+        *newest = epoch.max(*newest);
+        if joined.0.get(proxy).is_none_or(|(_, of)| of != governor) {
+            violations.push(format!(
+                "{:.2} s: relay {proxy} heeds governor {governor}, which it is not with",
                 entry.at
             ));
         }
     }
-    broken
+    violations
 }
 
 #[cfg(test)]
--- a/crates/rehearsal/src/check/tests.rs
+++ b/crates/rehearsal/src/check/tests.rs
@@ -1,141 +1,170 @@
 //! Tests of `check`.
 
 use super::*;
-use crate::event_log::{End, Listed};
+use crate::event_log::{RequestOutcome, RosterEntry};
 
 fn day() -> Day {
     wrenthread_settings::day::parse("d.star", "day(seconds = 10, halls = ['a'], bare_for = 1)").unwrap()
 }
 
-fn tape(entries: Vec<(f64, What)>) -> Vec<Entry> {
-    entries.into_iter().map(|(at, what)| Entry { at, what }).collect()
+fn event_log(entries: Vec<(f64, Event)>) -> Vec<Entry> {
+    entries.into_iter().map(|(at, event)| Entry { at, event }).collect()
 }
 
-fn roster(ready: &[bool]) -> What {
-    let listed = ready.iter().enumerate().map(|(worker, ready)| Listed { worker, ready: *ready });
-    What::Roster { listed: listed.collect() }
+fn roster(ready: &[bool]) -> Event {
+    let roster_entries =
+        ready.iter().enumerate().map(|(replica, ready)| RosterEntry { replica, ready: *ready });
+    Event::Roster { roster_entries: roster_entries.collect() }
 }
 
-fn order(relay: usize, lines: Vec<usize>) -> What {
-    let tables = BTreeMap::from([("plate-match".to_string(), (lines, 1.0))]);
-    What::Order { relay, governor: 0, nonce: "n".into(), lines: 1, tables }
+fn table_update(proxy: usize, entries: Vec<usize>) -> Event {
+    let tables = BTreeMap::from([("plate-match".to_string(), (entries, 1.0))]);
+    Event::TableUpdate { proxy, governor: 0, nonce: "n".into(), entries: 1, tables }
 }
 
 #[test]
 fn a_bare_relay_is_seen_while_it_is_joined_and_a_warm_worker_is_ready() {
-    let came = || What::Came { flow: 1, relay: 0, group: 0 };
+    let arrived = || Event::RequestArrived { request: 1, proxy: 0, class: 0 };
     let day = day();
-    let bare_for = |extra: What| {
-        bare(
+    let bare_for = |extra: Event| {
+        empty_tables(
             &day,
-            &tape(vec![
+            &event_log(vec![
                 (0.0, roster(&[true])),
-                (0.0, What::Joined { relay: 0, governor: 0 }),
-                (1.0, order(0, vec![])),
+                (0.0, Event::Joined { proxy: 0, governor: 0 }),
+                (1.0, table_update(0, vec![])),
                 (1.5, extra),
-                (3.0, came()),
+                (3.0, arrived()),
             ]),
         )
     };
-    assert_eq!(bare_for(came()).len(), 1);
-    assert!(bare_for(order(0, vec![0])).is_empty());
-    assert!(bare_for(What::Broken { relay: 0 }).is_empty());
+    assert_eq!(bare_for(arrived()).len(), 1);
+    assert!(bare_for(table_update(0, vec![0])).is_empty());
+    assert!(bare_for(Event::StreamBroken { proxy: 0 }).is_empty());
     assert!(bare_for(roster(&[false])).is_empty());
-    assert!(bare_for(What::Started { worker: 0, cold: true }).is_empty());
+    assert!(bare_for(Event::Started { replica: 0, cold: true }).is_empty());
 }
 
 #[test]
 fn an_effect_twice_is_seen_and_retriable_ones_are_none() {
-    let effect = |worker, group| What::Effect { flow: 5, worker, group };
-    assert_eq!(twice(&tape(vec![(1.0, effect(0, 2)), (2.0, effect(1, 2))])).len(), 1);
-    assert!(twice(&tape(vec![(1.0, effect(0, 0)), (2.0, effect(1, 0))])).is_empty());
+    let effect = |replica, class| Event::EffectApplied { request: 5, replica, class };
+    assert_eq!(repeated_effects(&event_log(vec![(1.0, effect(0, 2)), (2.0, effect(1, 2))])).len(), 1);
+    assert!(repeated_effects(&event_log(vec![(1.0, effect(0, 0)), (2.0, effect(1, 0))])).is_empty());
 }
 
 #[test]
 fn a_try_at_a_drained_worker_is_seen_after_the_grace_only() {
-    let tried = What::Try { flow: 1, relay: 0, worker: 1 };
+    let sent = Event::AttemptSent { request: 1, proxy: 0, replica: 1 };
     let at = |at, joined| {
-        drains(
+        drained_replica_attempts(
             &day(),
-            &tape(vec![
+            &event_log(vec![
                 (0.0, roster(&[true, true])),
                 (1.0, roster(&[true, false])),
-                (joined, What::Joined { relay: 0, governor: 0 }),
-                (at, tried.clone()),
+                (joined, Event::Joined { proxy: 0, governor: 0 }),
+                (at, sent.clone()),
             ]),
         )
     };
     assert_eq!(at(4.5, 1.2).len(), 1);
     assert!(at(3.5, 1.2).is_empty());
     assert!(at(4.5, 2.0).is_empty(), "joined later");
-    let back = tape(vec![
+    let back = event_log(vec![
         (0.0, roster(&[true, false])),
-        (0.0, What::Joined { relay: 0, governor: 0 }),
+        (0.0, Event::Joined { proxy: 0, governor: 0 }),
         (5.0, roster(&[true, true])),
-        (9.0, tried.clone()),
+        (9.0, sent.clone()),
     ]);
-    assert!(drains(&day(), &back).is_empty());
+    assert!(drained_replica_attempts(&day(), &back).is_empty());
 }
 
 #[test]
 fn a_cold_worker_pushed_over_is_seen() {
     let day = day();
-    let flows = |count: u64, cold| {
-        let mut entries = vec![(0.0, What::Started { worker: 0, cold })];
-        entries
-            .extend((0..count).map(|flow| (1.0 + flow as f64 / count as f64, What::Got { flow, worker: 0 })));
-        super::cold(&day, &tape(entries))
+    let requests = |count: u64, cold| {
+        let mut entries = vec![(0.0, Event::Started { replica: 0, cold })];
+        entries.extend((0..count).map(|request| {
+            (1.0 + request as f64 / count as f64, Event::AttemptReceived { request, replica: 0 })
+        }));
+        super::cold_replica_overloads(&day, &event_log(entries))
     };
-    assert!(flows(9, true).is_empty());
-    assert!(!flows(40, true).is_empty());
-    assert!(flows(40, false).is_empty());
+    assert!(requests(9, true).is_empty());
+    assert!(!requests(40, true).is_empty());
+    assert!(requests(40, false).is_empty());
 }
 
 #[test]
 fn a_flood_of_lines_or_messages_is_seen() {
-    let big = What::Order { relay: 0, governor: 0, nonce: "n".into(), lines: 9000, tables: BTreeMap::new() };
-    assert_eq!(queue(&tape(vec![(0.0, big)])).len(), 1);
-    let many = |step: f64| (0..41).map(|n| (f64::from(n) * step, order(0, vec![0]))).collect();
-    assert_eq!(queue(&tape(many(0.1))).len(), 1);
-    assert!(queue(&tape(many(0.5))).is_empty());
+    let big = Event::TableUpdate {
+        proxy: 0,
+        governor: 0,
+        nonce: "n".into(),
+        entries: 9000,
+        tables: BTreeMap::new(),
+    };
+    assert_eq!(exceeded_send_limits(&event_log(vec![(0.0, big)])).len(), 1);
+    let many = |step: f64| (0..41).map(|n| (f64::from(n) * step, table_update(0, vec![0]))).collect();
+    assert_eq!(exceeded_send_limits(&event_log(many(0.1))).len(), 1);
+    assert!(exceeded_send_limits(&event_log(many(0.5))).is_empty());
 }
 
 #[test]
 fn flows_and_orders_without_an_end_are_seen() {
-    let came = What::Came { flow: 1, relay: 0, group: 1 };
-    let ended = What::Ended { flow: 1, end: End::Dropped };
-    assert!(ends(&tape(vec![(0.0, came.clone()), (2.5, ended.clone())])).is_empty());
-    assert_eq!(ends(&tape(vec![(0.0, came.clone()), (3.0, ended.clone())])).len(), 1);
-    assert_eq!(ends(&tape(vec![(0.0, came.clone())])).len(), 1);
-    assert_eq!(ends(&tape(vec![(0.0, came), (1.0, ended.clone()), (1.0, ended)])).len(), 1);
-    let answer = What::Answer { relay: 0, nonce: "n".into(), taken: true };
-    assert!(answers(&tape(vec![(0.0, order(0, vec![])), (0.1, answer.clone())])).is_empty());
-    assert!(answers(&tape(vec![(0.0, order(0, vec![])), (0.1, What::Broken { relay: 0 })])).is_empty());
-    assert_eq!(answers(&tape(vec![(0.0, order(0, vec![]))])).len(), 1);
-    assert_eq!(answers(&tape(vec![(0.1, answer)])).len(), 1);
+    let arrived = Event::RequestArrived { request: 1, proxy: 0, class: 1 };
+    let ended = Event::RequestEnded { request: 1, outcome: RequestOutcome::Failed };
+    assert!(unended_requests(&event_log(vec![(0.0, arrived.clone()), (2.5, ended.clone())])).is_empty());
+    assert_eq!(unended_requests(&event_log(vec![(0.0, arrived.clone()), (3.0, ended.clone())])).len(), 1);
+    assert_eq!(unended_requests(&event_log(vec![(0.0, arrived.clone())])).len(), 1);
+    assert_eq!(
+        unended_requests(&event_log(vec![(0.0, arrived), (1.0, ended.clone()), (1.0, ended)])).len(),
+        1
+    );
+    let answer = Event::UpdateAnswered { proxy: 0, nonce: "n".into(), accepted: true };
+    assert!(
+        unanswered_updates(&event_log(vec![(0.0, table_update(0, vec![])), (0.1, answer.clone())]))
+            .is_empty()
+    );
+    assert!(
+        unanswered_updates(&event_log(vec![
+            (0.0, table_update(0, vec![])),
+            (0.1, Event::StreamBroken { proxy: 0 })
+        ]))
+        .is_empty()
+    );
+    assert_eq!(unanswered_updates(&event_log(vec![(0.0, table_update(0, vec![]))])).len(), 1);
+    assert_eq!(unanswered_updates(&event_log(vec![(0.1, answer)])).len(), 1);
 }
 
 #[test]
 fn a_relay_without_care_and_orders_of_another_or_an_older_life_are_seen() {
-    let fleet = What::Fleet { workers: vec![0], relays: vec![(0, vec![])] };
-    let came = What::Came { flow: 1, relay: 0, group: 0 };
-    let alone = |up, at| {
-        care(
+    let fleet = Event::Fleet { replicas: vec![0], proxies: vec![(0, vec![])] };
+    let arrived = Event::RequestArrived { request: 1, proxy: 0, class: 0 };
+    let unattended = |up, at| {
+        unattended_proxies(
             &day(),
-            &tape(vec![(0.0, fleet.clone()), (1.0, What::Governor { governor: 1, up }), (at, came.clone())]),
+            &event_log(vec![
+                (0.0, fleet.clone()),
+                (1.0, Event::Governor { governor: 1, up }),
+                (at, arrived.clone()),
+            ]),
         )
     };
-    assert_eq!((alone(true, 9.0).len(), alone(true, 4.0).len(), alone(false, 9.0).len()), (1, 0, 0));
-    let with = |governor| What::Joined { relay: 0, governor };
-    let order = |governor, nonce: &str| What::Order {
-        relay: 0,
+    assert_eq!(
+        (unattended(true, 9.0).len(), unattended(true, 4.0).len(), unattended(false, 9.0).len()),
+        (1, 0, 0)
+    );
+    let with = |governor| Event::Joined { proxy: 0, governor };
+    let table_update = |governor, nonce: &str| Event::TableUpdate {
+        proxy: 0,
         governor,
         nonce: nonce.into(),
-        lines: 1,
+        entries: 1,
         tables: BTreeMap::new(),
     };
-    let heeds = |then: Vec<What>| fenced(&tape(then.into_iter().map(|what| (1.0, what)).collect())).len();
-    assert_eq!(heeds(vec![with(0), order(0, "b.1"), order(0, "c.1")]), 0);
-    assert_eq!(heeds(vec![with(0), order(0, "b.1"), order(0, "a.9")]), 1);
-    assert_eq!(heeds(vec![with(0), order(1, "b.1")]), 1);
+    let stale_update_count = |then: Vec<Event>| {
+        stale_updates(&event_log(then.into_iter().map(|event| (1.0, event)).collect())).len()
+    };
+    assert_eq!(stale_update_count(vec![with(0), table_update(0, "b.1"), table_update(0, "c.1")]), 0);
+    assert_eq!(stale_update_count(vec![with(0), table_update(0, "b.1"), table_update(0, "a.9")]), 1);
+    assert_eq!(stale_update_count(vec![with(0), table_update(1, "b.1")]), 1);
 }
--- a/crates/rehearsal/src/event_log.rs
+++ b/crates/rehearsal/src/event_log.rs
@@ -11,20 +11,24 @@
 /// How a flow ended for its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum End {
+pub enum RequestOutcome {
     /// It succeeded.
-    Delivered,
+    #[serde(rename = "delivered")]
+    Succeeded,
     /// It was not admitted.
-    Blocked,
+    #[serde(rename = "blocked")]
+    Rejected,
     /// It failed.
-    Dropped,
+    #[serde(rename = "dropped")]
+    Failed,
 }
 
 /// A worker as the roster file says it.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Listed {
+pub struct RosterEntry {
     /// The replica's number.
-    pub worker: usize,
+    #[serde(rename = "worker")]
+    pub replica: usize,
     /// Whether it is listed as ready.
     pub ready: bool,
 }
@@ -32,18 +36,21 @@
 /// What happened.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum Event {
     /// The fleet, at the head of the tape: each worker's hall, each relay's hall and standing table.
     Fleet {
         /// Each replica's zone.
-        workers: Vec<usize>,
+        #[serde(rename = "workers")]
+        replicas: Vec<usize>,
         /// Each proxy's zone and default table.
-        relays: Vec<(usize, Vec<usize>)>,
+        #[serde(rename = "relays")]
+        proxies: Vec<(usize, Vec<usize>)>,
     },
     /// The roster file was replaced.
     Roster {
         /// The list.
-        listed: Vec<Listed>,
+        #[serde(rename = "listed")]
+        roster_entries: Vec<RosterEntry>,
     },
     /// A governor started or ended.
     Governor {
@@ -53,7 +60,8 @@
         up: bool,
     },
     /// A governor's roster file is not replaced any more, or is again.
-    Stale {
+    #[serde(rename = "stale")]
+    StaleRoster {
         /// The governor's number.
         governor: usize,
         /// Whether it is not replaced any more.
@@ -62,91 +70,121 @@
     /// A worker's process began, cold (or, at the day's start, warm).
     Started {
         /// The replica's number.
-        worker: usize,
+        #[serde(rename = "worker")]
+        replica: usize,
         /// Whether it has just started.
         cold: bool,
     },
     /// A relay's first message on a stream of the governor's.
     Joined {
         /// The proxy's number.
-        relay: usize,
+        #[serde(rename = "relay")]
+        proxy: usize,
         /// The governor's number.
         governor: usize,
     },
     /// A proxy's stream broke.
-    Broken {
+    #[serde(rename = "broken")]
+    StreamBroken {
         /// The proxy's number.
-        relay: usize,
+        #[serde(rename = "relay")]
+        proxy: usize,
     },
     /// A response of the governor's: its nonce, and for tables the open lines by group, and the levels.
-    Order {
+    #[serde(rename = "order")]
+    TableUpdate {
         /// The proxy's number.
-        relay: usize,
+        #[serde(rename = "relay")]
+        proxy: usize,
         /// The governor's number.
         governor: usize,
         /// The message's nonce.
         nonce: String,
         /// Table entries in it.
-        lines: usize,
+        #[serde(rename = "lines")]
+        entries: usize,
         /// By class: the replicas that may be sent to, and the admission fraction.
         tables: BTreeMap<String, (Vec<usize>, f64)>,
     },
     /// What the relay said to it.
-    Answer {
+    #[serde(rename = "answer")]
+    UpdateAnswered {
         /// The proxy's number.
-        relay: usize,
+        #[serde(rename = "relay")]
+        proxy: usize,
         /// The message's nonce.
         nonce: String,
         /// Whether the proxy took it.
-        taken: bool,
+        #[serde(rename = "taken")]
+        accepted: bool,
     },
     /// A proxy sent a load report.
     Report {
         /// The proxy's number.
-        relay: usize,
+        #[serde(rename = "relay")]
+        proxy: usize,
         /// Whether it was held back.
-        late: bool,
+        #[serde(rename = "late")]
+        delayed: bool,
     },
     /// A request came to a proxy.
-    Came {
+    #[serde(rename = "came")]
+    RequestArrived {
         /// The request's number.
-        flow: u64,
+        #[serde(rename = "flow")]
+        request: u64,
         /// The proxy's number.
-        relay: usize,
+        #[serde(rename = "relay")]
+        proxy: usize,
         /// Its traffic class.
-        group: usize,
+        #[serde(rename = "group")]
+        class: usize,
     },
     /// A proxy sent it to a replica.
-    Try {
+    #[serde(rename = "try")]
+    AttemptSent {
         /// The request's number.
-        flow: u64,
+        #[serde(rename = "flow")]
+        request: u64,
         /// The proxy's number.
-        relay: usize,
+        #[serde(rename = "relay")]
+        proxy: usize,
         /// The replica's number.
-        worker: usize,
+        #[serde(rename = "worker")]
+        replica: usize,
     },
     /// A worker took a try in.
-    Got {
+    #[serde(rename = "got")]
+    AttemptReceived {
         /// The request's number.
-        flow: u64,
+        #[serde(rename = "flow")]
+        request: u64,
         /// The replica's number.
-        worker: usize,
+        #[serde(rename = "worker")]
+        replica: usize,
     },
     /// A worker has done the flow's work: what it does to the world is done.
-    Effect {
+    #[serde(rename = "effect")]
+    EffectApplied {
         /// The request's number.
-        flow: u64,
+        #[serde(rename = "flow")]
+        request: u64,
         /// The replica's number.
-        worker: usize,
+        #[serde(rename = "worker")]
+        replica: usize,
         /// Its traffic class.
-        group: usize,
+        #[serde(rename = "group")]
+        class: usize,
     },
     /// It ended.
-    Ended {
+    #[serde(rename = "ended")]
+    RequestEnded {
         /// The request's number.
-        flow: u64,
+        #[serde(rename = "flow")]
+        request: u64,
         /// How.
-        end: End,
+        #[serde(rename = "end")]
+        outcome: RequestOutcome,
     },
 }
 
@@ -157,23 +195,23 @@
     pub at: f64,
     /// What happened.
     #[serde(flatten)]
-    pub what: What,
+    pub event: Event,
 }
 
-type Watcher = Box<dyn FnMut(&Entry)>;
+type LogObserver = Box<dyn FnMut(&Entry)>;
 
 /// The tape of a running day. All that writes to it runs on one thread.
 #[derive(Clone)]
-pub struct Tape {
+pub struct EventLog {
     start: Instant,
     entries: Rc<RefCell<Vec<Entry>>>,
-    watcher: Rc<RefCell<Option<Watcher>>>,
+    observer: Rc<RefCell<Option<LogObserver>>>,
 }
 
-impl Tape {
+impl EventLog {
     /// An empty log that begins now.
     pub fn new() -> Self {
-        Tape { start: Instant::now(), entries: Rc::default(), watcher: Rc::default() }
+        EventLog { start: Instant::now(), entries: Rc::default(), observer: Rc::default() }
     }
 
     /// Seconds since it began.
@@ -182,17 +220,17 @@
     }
 
     /// Adds an entry, at the present time.
-    pub fn add(&self, what: What) {
-        let entry = Entry { at: self.now(), what };
-        if let Some(watcher) = self.watcher.borrow_mut().as_mut() {
-            watcher(&entry);
+    pub fn record(&self, event: Event) {
+        let entry = Entry { at: self.now(), event };
+        if let Some(observer) = self.observer.borrow_mut().as_mut() {
+            observer(&entry);
         }
         self.entries.borrow_mut().push(entry);
     }
 
     /// Has every later entry seen by a watcher, as it is written. It must not write itself.
-    pub fn watch(&self, watcher: impl FnMut(&Entry) + 'static) {
-        *self.watcher.borrow_mut() = Some(Box::new(watcher));
+    pub fn set_observer(&self, observer: impl FnMut(&Entry) + 'static) {
+        *self.observer.borrow_mut() = Some(Box::new(observer));
     }
 
     /// All entries so far; the log is empty from then on.
@@ -201,26 +239,26 @@
     }
 }
 
-impl Default for Tape {
+impl Default for EventLog {
     fn default() -> Self {
-        Tape::new()
+        EventLog::new()
     }
 }
 
 /// The names of the day's three traffic groups, in order, as orders spell them.
-pub const GROUPS: [&str; 3] = ["plate-match", "space-count", "exit-charge"];
+pub const CLASSES: [&str; 3] = ["plate-match", "space-count", "exit-charge"];
 /// By group: latency budget and expiry in seconds, share of the flows.
-pub const FLOWS: [(f64, f64, f64); 3] = [(2.0, 5.0, 0.5), (1.0, 2.5, 0.3), (2.0, 5.0, 0.2)];
+pub const CLASS_TRAFFIC: [(f64, f64, f64); 3] = [(2.0, 5.0, 0.5), (1.0, 2.5, 0.3), (2.0, 5.0, 0.2)];
 /// The group whose effect must never happen twice.
 pub const NON_RETRIABLE: usize = 2;
 /// What the governor is told of its channel, for settings and checker alike.
-pub const LINES_PER_S: f64 = 4000.0;
+pub const ENTRIES_PER_SECOND: f64 = 4000.0;
 /// Table entries that a message costs beside its own.
-pub const HEAD_LINES: f64 = 10.0;
+pub const MESSAGE_OVERHEAD_ENTRIES: f64 = 10.0;
 /// Table entries that may be queued.
-pub const WAITING_MOST: f64 = 4000.0;
+pub const MAX_QUEUED_ENTRIES: f64 = 4000.0;
 /// Messages to one proxy within so many seconds.
-pub const MESSAGES: (usize, f64) = (40, 10.0);
+pub const MESSAGE_LIMIT: (usize, f64) = (40, 10.0);
 
 /// What a cold worker can do, as a share of what it can once warm.
 pub fn capacity(day: &Day, age: f64) -> f64 {
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -8,8 +8,8 @@
 pub mod check;
 pub mod event_log;
 pub mod network_links;
-pub mod relay;
-pub mod worker;
+pub mod proxy;
+pub mod replica;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -32,11 +32,11 @@
 use tokio::time::{sleep, timeout};
 use wrenthread_settings::day::{self, Day, Planned, Trouble};
 
-use check::Ruled;
-use event_log::{End, Entry, FLOWS, GROUPS, Listed, Tape, What};
-use network_links::Links;
-use relay::{Front, Relay};
-use worker::{Mode, Worker};
+use check::RuleResult;
+use event_log::{CLASS_TRAFFIC, CLASSES, Entry, Event, EventLog, RequestOutcome, RosterEntry};
+use network_links::GossipLinks;
+use proxy::{Front, Proxy};
+use replica::{Mode, Replica};
 use wrenthread_client::ProxyIdentity;
 
 const DAYS: [(&str, &str); 11] = [
@@ -53,9 +53,9 @@
     ("storms-bare", include_str!("../days/storms-bare.star")),
 ];
 /// Lines of a standing table.
-const STANDING: usize = 8;
+const DEFAULT_TABLE_SIZE: usize = 8;
 /// After the last flow came: time for the ends of all, and for the last orders' answers.
-const AFTER: f64 = 6.0;
+const SETTLE_SECONDS: f64 = 6.0;
 
 /// By which fronts the relays follow their governor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
@@ -71,14 +71,14 @@
 
 impl Fronts {
     /// The front of a relay; within a hall all of a mix are met.
-    fn of(self, relay: usize, halls: usize) -> Front {
-        let place = relay / halls + relay % halls;
+    fn of(self, proxy: usize, zone_count: usize) -> Front {
+        let index = proxy / zone_count + proxy % zone_count;
         match self {
-            Fronts::Grpc if place.is_multiple_of(2) => Front::StateOfTheWorld,
+            Fronts::Grpc if index.is_multiple_of(2) => Front::StateOfTheWorld,
             Fronts::Grpc => Front::Delta,
             Fronts::Poll => Front::LongPoll,
-            Fronts::Mixed if place.is_multiple_of(2) => Front::LongPoll,
-            Fronts::Mixed if place % 4 == 1 => Front::StateOfTheWorld,
+            Fronts::Mixed if index.is_multiple_of(2) => Front::LongPoll,
+            Fronts::Mixed if index % 4 == 1 => Front::StateOfTheWorld,
             Fronts::Mixed => Front::Delta,
         }
     }
@@ -86,17 +86,22 @@
 
 /// How a group fared.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
-pub struct Service {
+pub struct ClassService {
     /// Requests.
-    pub flows: u64,
+    #[serde(rename = "flows")]
+    pub requests: u64,
     /// Requests that succeeded.
-    pub delivered: u64,
+    #[serde(rename = "delivered")]
+    pub succeeded: u64,
     /// Those that succeeded within the latency objective.
-    pub in_budget: u64,
+    #[serde(rename = "in_budget")]
+    pub within_objective: u64,
     /// Requests that were not admitted.
-    pub blocked: u64,
+    #[serde(rename = "blocked")]
+    pub rejected: u64,
     /// Requests that failed.
-    pub dropped: u64,
+    #[serde(rename = "dropped")]
+    pub failed: u64,
 }
 
 /// What a day came to.
@@ -109,11 +114,12 @@
     /// The fronts that proxies used.
     pub fronts: Fronts,
     /// The verdict on each rule.
-    pub rules: Vec<Ruled>,
+    pub rules: Vec<RuleResult>,
     /// By group: with the governor, and on standing tables only.
-    pub service: BTreeMap<String, (Service, Service)>,
+    pub service: BTreeMap<String, (ClassService, ClassService)>,
     /// Messages from governors to proxies.
-    pub orders: usize,
+    #[serde(rename = "orders")]
+    pub table_updates: usize,
     /// Load reports of proxies.
     pub reports: usize,
     /// Relays that had the orders of the flush in which the governor was killed, of those joined.
@@ -130,15 +136,16 @@
 
     /// Whether no rule was broken.
     pub fn passed(&self) -> bool {
-        self.rules.iter().all(|ruled| ruled.broken.is_empty()) && self.orders > 0 && self.reports > 0
+        self.rules.iter().all(|result| result.violations.is_empty())
+            && self.table_updates > 0
+            && self.reports > 0
     }
 
-    fn in_budget(&self, of: impl Fn(&(Service, Service)) -> &Service) -> f64 {
-        let (good, all) = self
-            .service
-            .values()
-            .map(of)
-            .fold((0, 0), |(good, all), one| (good + one.in_budget, all + one.flows));
+    fn within_objective(&self, of: impl Fn(&(ClassService, ClassService)) -> &ClassService) -> f64 {
+        let (good, all) =
+            self.service.values().map(of).fold((0, 0), |(good, all), service| {
+                (good + service.within_objective, all + service.requests)
+            });
         good as f64 / (all as f64).max(1.0)
     }
 }
@@ -147,32 +154,35 @@
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(to, "{} (seed {}, {:?}): ", self.day, self.seed, self.fronts)?;
         writeln!(to, "{}", if self.passed() { "PASS" } else { "FAIL" })?;
-        for Ruled { rule, broken } in &self.rules {
-            writeln!(to, "  {:8} {rule}", if broken.is_empty() { "kept" } else { "BROKEN" })?;
-            for one in broken.iter().take(5) {
-                writeln!(to, "           {one}")?;
+        for RuleResult { rule, violations } in &self.rules {
+            writeln!(to, "  {:8} {rule}", if violations.is_empty() { "kept" } else { "BROKEN" })?;
+            for violation in violations.iter().take(5) {
+                writeln!(to, "           {violation}")?;
             }
-            if broken.len() > 5 {
-                writeln!(to, "           and {} more", broken.len() - 5)?;
+            if violations.len() > 5 {
+                writeln!(to, "           and {} more", violations.len() - 5)?;
             }
         }
         writeln!(to, "  in latency budget          governed   standing tables only")?;
-        let share = |one: &Service| 100.0 * one.in_budget as f64 / (one.flows as f64).max(1.0);
-        for (group, (governed, standing)) in &self.service {
+        let share = |service: &ClassService| {
+            100.0 * service.within_objective as f64 / (service.requests as f64).max(1.0)
+        };
+        for (class, (governed, baseline)) in &self.service {
             writeln!(
                 to,
-                "    {group:22} {:9.2}%  {:9.2}%   of {} flows",
+                "    {class:22} {:9.2}%  {:9.2}%   of {} flows",
                 share(governed),
-                share(standing),
-                governed.flows
+                share(baseline),
+                governed.requests
             )?;
         }
-        let (governed, standing) = (self.in_budget(|one| &one.0), self.in_budget(|one| &one.1));
-        writeln!(to, "    {:22} {:9.2}%  {:9.2}%", "all", 100.0 * governed, 100.0 * standing)?;
-        write!(to, "  {} orders, {} reports", self.orders, self.reports)?;
+        let (governed, baseline) =
+            (self.within_objective(|services| &services.0), self.within_objective(|services| &services.1));
+        writeln!(to, "    {:22} {:9.2}%  {:9.2}%", "all", 100.0 * governed, 100.0 * baseline)?;
+        write!(to, "  {} orders, {} reports", self.table_updates, self.reports)?;
         match self.killed_after {
-            Some(relays) => {
-                writeln!(to, "; the governor was killed when {relays} orders of its flush were out")
+            Some(proxies) => {
+                writeln!(to, "; the governor was killed when {proxies} orders of its flush were out")
             }
             None => writeln!(to),
         }?;
@@ -202,10 +212,10 @@
     day: &str,
     seed: u64,
     fronts: Fronts,
-    keep: Option<&Path>,
+    log_folder: Option<&Path>,
 ) -> Result<Verdict> {
-    let known = DAYS.iter().find(|(name, _)| *name == day);
-    let (file, text) = match known {
+    let built_in = DAYS.iter().find(|(name, _)| *name == day);
+    let (file, text) = match built_in {
         Some((name, text)) => (format!("{name}.star"), (*text).to_string()),
         None => {
             let names: Vec<&str> = DAYS.iter().map(|(name, _)| *name).collect();
@@ -223,34 +233,34 @@
     std::fs::create_dir_all(&folder).with_context(|| format!("{}", folder.display()))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = LocalSet::new();
-    let held = local.block_on(&runtime, async {
-        let governed = Field::new(parsed.clone(), seed, fronts).await?;
-        let standing = Field::new(parsed.clone(), seed, fronts).await?;
-        let (one, other) =
-            tokio::join!(governed.hold(Some((program.clone(), folder.clone()))), standing.hold(None));
-        other?;
-        let (killed_after, guard) = one?;
-        Ok::<_, anyhow::Error>((governed.tape.take(), standing.tape.take(), killed_after, guard))
+    let outcome = local.block_on(&runtime, async {
+        let governed = SimulatedFleet::new(parsed.clone(), seed, fronts).await?;
+        let baseline = SimulatedFleet::new(parsed.clone(), seed, fronts).await?;
+        let (governed_result, baseline_result) =
+            tokio::join!(governed.run_day(Some((program.clone(), folder.clone()))), baseline.run_day(None));
+        baseline_result?;
+        let (killed_after, guard) = governed_result?;
+        Ok::<_, anyhow::Error>((governed.event_log.take(), baseline.event_log.take(), killed_after, guard))
     });
-    let (governed, standing, killed_after, guard) = held?;
-    if let Some(keep) = keep {
-        std::fs::create_dir_all(keep)?;
-        let lines: Result<Vec<String>, _> = governed.iter().map(serde_json::to_string).collect();
-        let path = keep.join(format!(
+    let (governed, baseline, killed_after, guard) = outcome?;
+    if let Some(log_folder) = log_folder {
+        std::fs::create_dir_all(log_folder)?;
+        let json_lines: Result<Vec<String>, _> = governed.iter().map(serde_json::to_string).collect();
+        let path = log_folder.join(format!(
             "{}-{seed}.jsonl",
-            Path::new(&file).file_stem().map_or("day".into(), |one| one.to_string_lossy())
+            Path::new(&file).file_stem().map_or("day".into(), |stem| stem.to_string_lossy())
         ));
-        std::fs::write(&path, lines?.join("\n")).with_context(|| format!("{}", path.display()))?;
+        std::fs::write(&path, json_lines?.join("\n")).with_context(|| format!("{}", path.display()))?;
     }
-    let count = |wanted: fn(&What) -> bool| governed.iter().filter(|entry| wanted(&entry.what)).count();
+    let count = |wanted: fn(&Event) -> bool| governed.iter().filter(|entry| wanted(&entry.event)).count();
     let verdict = Verdict {
         day: day.to_string(),
         seed,
         fronts,
         rules: check::all(&parsed, &governed),
-        service: service(&governed, &standing),
-        orders: count(|what| matches!(what, What::Order { .. })),
-        reports: count(|what| matches!(what, What::Report { .. })),
+        service: service(&governed, &baseline),
+        table_updates: count(|event| matches!(event, Event::TableUpdate { .. })),
+        reports: count(|event| matches!(event, Event::Report { .. })),
         killed_after,
         guard,
     };
@@ -262,25 +272,25 @@
     Ok(verdict)
 }
 
-fn service(governed: &[Entry], standing: &[Entry]) -> BTreeMap<String, (Service, Service)> {
-    let of = |tape: &[Entry]| {
-        let (mut services, mut came) = (vec![Service::default(); 3], HashMap::new());
-        for entry in tape {
-            match entry.what {
-                What::Came { flow, group, .. } => {
-                    came.insert(flow, (entry.at, group));
-                    services[group].flows += 1;
+fn service(governed: &[Entry], baseline: &[Entry]) -> BTreeMap<String, (ClassService, ClassService)> {
+    let of = |event_log: &[Entry]| {
+        let (mut services, mut arrivals) = (vec![ClassService::default(); 3], HashMap::new());
+        for entry in event_log {
+            match entry.event {
+                Event::RequestArrived { request, class, .. } => {
+                    arrivals.insert(request, (entry.at, class));
+                    services[class].requests += 1;
                 }
-                What::Ended { flow, end } => {
-                    let Some((at, group)) = came.remove(&flow) else { continue };
-                    let service = &mut services[group];
-                    match end {
-                        End::Delivered => {
-                            service.delivered += 1;
-                            service.in_budget += u64::from(entry.at - at <= FLOWS[group].0);
+                Event::RequestEnded { request, outcome } => {
+                    let Some((at, class)) = arrivals.remove(&request) else { continue };
+                    let service = &mut services[class];
+                    match outcome {
+                        RequestOutcome::Succeeded => {
+                            service.succeeded += 1;
+                            service.within_objective += u64::from(entry.at - at <= CLASS_TRAFFIC[class].0);
                         }
-                        End::Blocked => service.blocked += 1,
-                        End::Dropped => service.dropped += 1,
+                        RequestOutcome::Rejected => service.rejected += 1,
+                        RequestOutcome::Failed => service.failed += 1,
                     }
                 }
                 _ => {}
@@ -288,78 +298,106 @@
         }
         services
     };
-    let both = of(governed).into_iter().zip(of(standing));
-    GROUPS.iter().zip(both).map(|(group, both)| ((*group).to_string(), both)).collect()
+    let both = of(governed).into_iter().zip(of(baseline));
+    CLASSES.iter().zip(both).map(|(class, both)| ((*class).to_string(), both)).collect()
 }
 
 /// One fleet: workers, relays, a roster, and what goes wrong with them.
-struct Field {
+struct SimulatedFleet {
     day: Rc<Day>,
     seed: u64,
-    tape: Tape,
-    workers: Rc<Vec<Rc<Worker>>>,
-    relays: Vec<Rc<Relay>>,
-    links: Rc<Links>,
+    event_log: EventLog,
+    replicas: Rc<Vec<Rc<Replica>>>,
+    proxies: Vec<Rc<Proxy>>,
+    gossip_links: Rc<GossipLinks>,
     /// Governors whose roster file is not replaced.
-    stale: RefCell<BTreeSet<usize>>,
+    stale_rosters: RefCell<BTreeSet<usize>>,
     /// Workers that are listed as draining.
     draining: RefCell<BTreeSet<usize>>,
     /// Seconds of the calendar at the tape's beginning.
-    calendar: f64,
+    log_start_unix_seconds: f64,
 }
 
-impl Field {
-    async fn new(day: Rc<Day>, seed: u64, fronts: Fronts) -> Result<Rc<Field>> {
-        let tape = Tape::new();
-        let halls = day.halls.len();
-        let mut workers = Vec::new();
-        for place in 0..day.workers {
-            workers.push(Worker::start(place, day.clone(), tape.clone()).await?);
+impl SimulatedFleet {
+    async fn new(day: Rc<Day>, seed: u64, fronts: Fronts) -> Result<Rc<SimulatedFleet>> {
+        let event_log = EventLog::new();
+        let zone_count = day.halls.len();
+        let mut replicas = Vec::new();
+        for index in 0..day.workers {
+            replicas.push(Replica::start(index, day.clone(), event_log.clone()).await?);
         }
-        let by_address: HashMap<String, Rc<Worker>> =
-            workers.iter().map(|worker| (worker.address.clone(), worker.clone())).collect();
-        let (workers, by_address) = (Rc::new(workers), Rc::new(by_address));
+        let by_address: HashMap<String, Rc<Replica>> =
+            replicas.iter().map(|replica| (replica.address.clone(), replica.clone())).collect();
+        let (replicas, by_address) = (Rc::new(replicas), Rc::new(by_address));
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let usual = day.flows_per_s / day.relays as f64;
-        let relays: Vec<Rc<Relay>> = (0..day.relays)
-            .map(|place| {
+        let rate_per_proxy = day.flows_per_s / day.relays as f64;
+        let proxies: Vec<Rc<Proxy>> = (0..day.relays)
+            .map(|index| {
                 // A relay draws its standing table from its hall, as the list then shows it.
-                let mut drawn: Vec<usize> =
-                    (0..day.workers).filter(|worker| worker % halls == place % halls).collect();
-                while drawn.len() > STANDING {
-                    drawn.remove(rng.next_u64() as usize % drawn.len());
+                let mut default_replicas: Vec<usize> =
+                    (0..day.workers).filter(|replica| replica % zone_count == index % zone_count).collect();
+                while default_replicas.len() > DEFAULT_TABLE_SIZE {
+                    default_replicas.remove(rng.next_u64() as usize % default_replicas.len());
                 }
-                let zone = day.halls[place % halls].clone();
-                let who = ProxyIdentity { name: format!("relay-{place}"), zone, requests_per_second: usual };
-                let standing: Vec<Rc<Worker>> = drawn.iter().map(|place| workers[*place].clone()).collect();
-                let front = fronts.of(place, halls);
-                Relay::new(place, who, front, &standing, by_address.clone(), seed, tape.clone())
+                let zone = day.halls[index % zone_count].clone();
+                let identity = ProxyIdentity {
+                    name: format!("relay-{index}"),
+                    zone,
+                    requests_per_second: rate_per_proxy,
+                };
+                let default_table: Vec<Rc<Replica>> =
+                    default_replicas.iter().map(|index| replicas[*index].clone()).collect();
+                let front = fronts.of(index, zone_count);
+                Proxy::new(
+                    index,
+                    identity,
+                    front,
+                    &default_table,
+                    by_address.clone(),
+                    seed,
+                    event_log.clone(),
+                )
             })
             .collect();
-        let calendar = SystemTime::now().duration_since(UNIX_EPOCH)?.as_secs_f64() - tape.now();
-        let (links, stale, draining) = (Rc::default(), RefCell::default(), RefCell::default());
-        Ok(Rc::new(Field { day, seed, tape, workers, relays, links, stale, draining, calendar }))
+        let log_start_unix_seconds =
+            SystemTime::now().duration_since(UNIX_EPOCH)?.as_secs_f64() - event_log.now();
+        let (gossip_links, stale_rosters, draining) = (Rc::default(), RefCell::default(), RefCell::default());
+        Ok(Rc::new(SimulatedFleet {
+            day,
+            seed,
+            event_log,
+            replicas,
+            proxies,
+            gossip_links,
+            stale_rosters,
+            draining,
+            log_start_unix_seconds,
+        }))
     }
 
     /// Holds the day; with a governor (its program, and a folder for its files) or without.
     #[expect(clippy::too_many_lines, reason = "left for readers: docs/ROADMAP.md")]
-    async fn hold(
+    async fn run_day(
         self: &Rc<Self>,
         governor: Option<(Program, PathBuf)>,
     ) -> Result<(Option<usize>, (u64, BTreeMap<String, u64>))> {
         let mut governors = Vec::new();
         if let Some((program, folder)) = governor {
             std::fs::write(folder.join("fleet.key"), format!("{:032}", self.seed))?;
-            for place in 0..self.day.governors {
-                governors.push(Governor::new(program.clone(), folder.clone(), place)?);
+            for index in 0..self.day.governors {
+                governors.push(GovernorProcess::new(program.clone(), folder.clone(), index)?);
             }
             if self.day.talk {
-                let heard_at: Vec<SocketAddr> = governors.iter().map(|one| one.talk).collect();
+                let gossip_addresses: Vec<SocketAddr> =
+                    governors.iter().map(|governor| governor.gossip_address).collect();
                 for governor in &mut governors {
                     let mut peers = Vec::new();
-                    for (other, at) in heard_at.iter().enumerate() {
-                        if other != governor.place {
-                            peers.push((other, self.links.lay(governor.place, other, *at).await?));
+                    for (peer, address) in gossip_addresses.iter().enumerate() {
+                        if peer != governor.index {
+                            peers.push((
+                                peer,
+                                self.gossip_links.create_link(governor.index, peer, *address).await?,
+                            ));
                         }
                     }
                     governor.peers = peers;
@@ -367,51 +405,56 @@
             }
             for governor in &governors {
                 match self.day.nginx {
-                    true => governor.import(&self.day, &self.workers)?,
-                    false => governor.settle(&self.day)?,
+                    true => governor.import(&self.day, &self.replicas)?,
+                    false => governor.write_settings(&self.day)?,
                 }
             }
         }
-        let governors: Vec<Rc<Governor>> = governors.into_iter().map(Rc::new).collect();
-        let halls = self.day.halls.len();
-        self.tape.add(What::Fleet {
-            workers: (0..self.day.workers).map(|worker| worker % halls).collect(),
-            relays: self.relays.iter().map(|relay| (relay.place % halls, Vec::new())).collect(),
+        let governors: Vec<Rc<GovernorProcess>> = governors.into_iter().map(Rc::new).collect();
+        let zone_count = self.day.halls.len();
+        self.event_log.record(Event::Fleet {
+            replicas: (0..self.day.workers).map(|replica| replica % zone_count).collect(),
+            proxies: self.proxies.iter().map(|proxy| (proxy.index % zone_count, Vec::new())).collect(),
         });
         let mut tasks = Vec::new();
         if !governors.is_empty() {
             // An imported roster is there already.
             match self.day.nginx {
-                true => self.tape_list(),
-                false => self.list(&governors)?,
+                true => self.record_roster(),
+                false => self.write_rosters(&governors)?,
             }
             for governor in &governors {
-                governor.start(&self.tape).await?;
+                governor.start(&self.event_log).await?;
             }
-            let dialled: Rc<Vec<_>> =
-                Rc::new(governors.iter().map(|governor| governor.dialled.clone()).collect());
-            for relay in &self.relays {
-                tasks.push(tokio::task::spawn_local(relay.clone().follow(dialled.clone())));
-                tasks.push(tokio::task::spawn_local(relay.clone().report()));
+            let endpoints: Rc<Vec<_>> =
+                Rc::new(governors.iter().map(|governor| governor.endpoint.clone()).collect());
+            for proxy in &self.proxies {
+                tasks.push(tokio::task::spawn_local(proxy.clone().follow(endpoints.clone())));
+                tasks.push(tokio::task::spawn_local(proxy.clone().report()));
             }
         }
-        let numbers = Rc::new(Cell::new(1));
-        let begins = self.tape.now();
-        for relay in &self.relays {
-            let (each, until) = (self.day.flows_per_s / self.day.relays as f64, begins + self.day.seconds);
-            tasks.push(tokio::task::spawn_local(relay.clone().bring(each, until, numbers.clone())));
+        let next_request_id = Rc::new(Cell::new(1));
+        let start = self.event_log.now();
+        for proxy in &self.proxies {
+            let (requests_per_second, end) =
+                (self.day.flows_per_s / self.day.relays as f64, start + self.day.seconds);
+            tasks.push(tokio::task::spawn_local(proxy.clone().generate_requests(
+                requests_per_second,
+                end,
+                next_request_id.clone(),
+            )));
         }
         for planned in self.day.troubles.clone() {
             let (this, governors) = (self.clone(), governors.clone());
             tasks.push(tokio::task::spawn_local(async move {
                 sleep(Duration::from_secs_f64(planned.at)).await;
-                if let Err(error) = this.go_wrong(&planned, &governors).await {
+                if let Err(error) = this.inject_fault(&planned, &governors).await {
                     eprintln!("a trouble could not be made: {error:#}");
                 }
             }));
         }
-        sleep(Duration::from_secs_f64(self.day.seconds + AFTER)).await;
-        let killed = governors.iter().find_map(|governor| governor.killed_after.get());
+        sleep(Duration::from_secs_f64(self.day.seconds + SETTLE_SECONDS)).await;
+        let killed_after = governors.iter().find_map(|governor| governor.killed_after.get());
         let (mut passed, mut refused) = (0, BTreeMap::new());
         for governor in &governors {
             // One that is down at the end has nothing to say.
@@ -425,189 +468,197 @@
         if !governors.is_empty() {
             governors.iter().for_each(|governor| governor.kill());
             // Orders on their way when the day ended are nobody's fault.
-            self.relays.iter().for_each(|relay| self.tape.add(What::Broken { relay: relay.place }));
+            self.proxies
+                .iter()
+                .for_each(|proxy| self.event_log.record(Event::StreamBroken { proxy: proxy.index }));
         }
         tasks.iter().for_each(tokio::task::JoinHandle::abort);
-        Ok((killed, (passed, refused)))
+        Ok((killed_after, (passed, refused)))
     }
 
     /// Replaces the governors' roster files by what holds now.
-    fn list(&self, governors: &[Rc<Governor>]) -> Result<()> {
+    fn write_rosters(&self, governors: &[Rc<GovernorProcess>]) -> Result<()> {
         let draining = self.draining.borrow();
-        let entry = |worker: &Rc<Worker>| {
-            let phase = if draining.contains(&worker.place) { "draining" } else { "ready" };
+        let entry = |replica: &Rc<Replica>| {
+            let phase = if draining.contains(&replica.index) { "draining" } else { "ready" };
             json!({
-                "id": worker.id, "address": worker.address, "phase": phase, "weight": 1.0,
-                "zone": self.day.halls[worker.place % self.day.halls.len()],
-                "started": worker.started().map(|at| self.calendar + at),
+                "id": replica.id, "address": replica.address, "phase": phase, "weight": 1.0,
+                "zone": self.day.halls[replica.index % self.day.halls.len()],
+                "started": replica.started().map(|at| self.log_start_unix_seconds + at),
             })
         };
-        let list = json!({"replicas": self.workers.iter().map(entry).collect::<Vec<_>>()});
-        let told = governors.iter().filter(|governor| !self.stale.borrow().contains(&governor.place));
-        for governor in told {
+        let roster = json!({"replicas": self.replicas.iter().map(entry).collect::<Vec<_>>()});
+        let receivers =
+            governors.iter().filter(|governor| !self.stale_rosters.borrow().contains(&governor.index));
+        for governor in receivers {
             let written = governor.folder.join("roster.new");
-            std::fs::write(&written, format!("{list:#}"))?;
+            std::fs::write(&written, format!("{roster:#}"))?;
             std::fs::rename(written, governor.folder.join("roster.json"))?;
         }
-        self.tape_list();
+        self.record_roster();
         Ok(())
     }
 
-    fn tape_list(&self) {
+    fn record_roster(&self) {
         let draining = self.draining.borrow();
-        let listed = self
-            .workers
+        let roster_entries = self
+            .replicas
             .iter()
-            .map(|worker| Listed { worker: worker.place, ready: !draining.contains(&worker.place) });
-        self.tape.add(What::Roster { listed: listed.collect() });
+            .map(|replica| RosterEntry { replica: replica.index, ready: !draining.contains(&replica.index) });
+        self.event_log.record(Event::Roster { roster_entries: roster_entries.collect() });
     }
 
     /// A governor's roster file is not replaced any more, or is again.
-    fn set_stale(&self, governors: &[Rc<Governor>], governor: usize, stale: bool) -> Result<()> {
+    fn set_stale_roster(
+        &self,
+        governors: &[Rc<GovernorProcess>],
+        governor: usize,
+        stale: bool,
+    ) -> Result<()> {
         match stale {
-            true => drop(self.stale.borrow_mut().insert(governor)),
-            false => drop(self.stale.borrow_mut().remove(&governor)),
+            true => drop(self.stale_rosters.borrow_mut().insert(governor)),
+            false => drop(self.stale_rosters.borrow_mut().remove(&governor)),
         }
-        self.tape.add(What::Stale { governor, stale });
-        if stale || governors.is_empty() { Ok(()) } else { self.list(governors) }
+        self.event_log.record(Event::StaleRoster { governor, stale });
+        if stale || governors.is_empty() { Ok(()) } else { self.write_rosters(governors) }
     }
 
-    async fn list_late(&self, governors: &[Rc<Governor>]) -> Result<()> {
+    async fn write_rosters_delayed(&self, governors: &[Rc<GovernorProcess>]) -> Result<()> {
         sleep(Duration::from_secs_f64(self.day.roster_late)).await;
-        if governors.is_empty() { Ok(()) } else { self.list(governors) }
+        if governors.is_empty() { Ok(()) } else { self.write_rosters(governors) }
     }
 
     #[expect(clippy::too_many_lines, reason = "left for readers: docs/ROADMAP.md")]
-    async fn go_wrong(&self, planned: &Planned, governors: &[Rc<Governor>]) -> Result<()> {
-        let lasts = Duration::from_secs_f64(planned.lasts);
-        let halls = self.day.halls.len();
-        let some = |count: usize| {
+    async fn inject_fault(&self, planned: &Planned, governors: &[Rc<GovernorProcess>]) -> Result<()> {
+        let duration = Duration::from_secs_f64(planned.lasts);
+        let zone_count = self.day.halls.len();
+        let pick_replicas = |count: usize| {
             // The first hall's workers, by seed: deploys are of other halls, as the days have it.
-            let workers = self.workers.iter().filter(|worker| worker.place % halls == 0);
-            let skip = self.seed as usize % (self.day.workers / halls).max(1);
-            workers.cycle().skip(skip).take(count).cloned().collect::<Vec<_>>()
+            let replicas = self.replicas.iter().filter(|replica| replica.index % zone_count == 0);
+            let skip = self.seed as usize % (self.day.workers / zone_count).max(1);
+            replicas.cycle().skip(skip).take(count).cloned().collect::<Vec<_>>()
         };
-        let share = |share: f64| {
-            let count = (share * self.relays.len() as f64).round() as usize;
-            self.relays.iter().cycle().skip(self.seed as usize % self.relays.len()).take(count)
+        let proxies = |fraction: f64| {
+            let count = (fraction * self.proxies.len() as f64).round() as usize;
+            self.proxies.iter().cycle().skip(self.seed as usize % self.proxies.len()).take(count)
         };
         match &planned.trouble {
             Trouble::Silent { count } | Trouble::QuickErrors { count } => {
                 let silent = matches!(planned.trouble, Trouble::Silent { .. });
-                let workers = some(*count);
+                let replicas = pick_replicas(*count);
                 let mode = if silent { Mode::Silent } else { Mode::QuickErrors };
-                workers.iter().for_each(|worker| worker.set(mode));
-                sleep(lasts).await;
-                workers.iter().for_each(|worker| worker.set(Mode::Well));
+                replicas.iter().for_each(|replica| replica.set_mode(mode));
+                sleep(duration).await;
+                replicas.iter().for_each(|replica| replica.set_mode(Mode::Healthy));
             }
             Trouble::Deploy { hall, step } => {
-                let workers = self.workers.iter().filter(|worker| worker.place % halls == *hall);
-                for worker in workers.take((planned.lasts / step).ceil() as usize) {
-                    self.draining.borrow_mut().insert(worker.place);
-                    self.list_late(governors).await?;
+                let replicas = self.replicas.iter().filter(|replica| replica.index % zone_count == *hall);
+                for replica in replicas.take((planned.lasts / step).ceil() as usize) {
+                    self.draining.borrow_mut().insert(replica.index);
+                    self.write_rosters_delayed(governors).await?;
                     sleep(Duration::from_secs_f64((step - 2.0 * self.day.roster_late).max(0.5))).await;
-                    worker.restart();
-                    self.draining.borrow_mut().remove(&worker.place);
-                    self.list_late(governors).await?;
+                    replica.restart();
+                    self.draining.borrow_mut().remove(&replica.index);
+                    self.write_rosters_delayed(governors).await?;
                 }
             }
-            Trouble::BrokenStreams { share: part } => share(*part).for_each(|relay| relay.cut()),
+            Trouble::BrokenStreams { share: part } => proxies(*part).for_each(|proxy| proxy.break_stream()),
             Trouble::LateReports { share: part, late } => {
-                share(*part).for_each(|relay| relay.report_late(*late));
-                sleep(lasts).await;
-                share(*part).for_each(|relay| relay.report_late(0.0));
+                proxies(*part).for_each(|proxy| proxy.set_report_delay(*late));
+                sleep(duration).await;
+                proxies(*part).for_each(|proxy| proxy.set_report_delay(0.0));
             }
             Trouble::Kill { governor, after_orders } => {
                 let Some(governor) = governors.get(*governor).cloned() else { return Ok(()) };
-                let place = governor.place;
+                let index = governor.index;
                 if *after_orders == 0 {
                     governor.kill();
                 }
-                let (after, armed, seen) = (*after_orders, Cell::new(false), Cell::new(0));
-                let killer = governor.clone();
-                self.tape.watch(move |entry| match &entry.what {
-                    What::Roster { .. } => armed.set(true),
-                    What::Order { governor, tables, .. }
-                        if *governor == place && armed.get() && !tables.is_empty() =>
+                let (after, roster_changed, updates_seen) = (*after_orders, Cell::new(false), Cell::new(0));
+                let target = governor.clone();
+                self.event_log.set_observer(move |entry| match &entry.event {
+                    Event::Roster { .. } => roster_changed.set(true),
+                    Event::TableUpdate { governor, tables, .. }
+                        if *governor == index && roster_changed.get() && !tables.is_empty() =>
                     {
-                        seen.set(seen.get() + 1);
-                        if seen.get() == after {
-                            killer.kill();
+                        updates_seen.set(updates_seen.get() + 1);
+                        if updates_seen.get() == after {
+                            target.kill();
                         }
-                        killer.killed_after.set(Some(seen.get()));
+                        target.killed_after.set(Some(updates_seen.get()));
                     }
                     _ => {}
                 });
-                let dead = async {
-                    while !governor.dead.get() {
+                let stopped = async {
+                    while !governor.stopped.get() {
                         sleep(Duration::from_millis(5)).await;
                     }
                 };
                 // Where no roster change comes in time, it is killed between two flushes.
-                let _ = timeout(lasts, dead).await;
+                let _ = timeout(duration, stopped).await;
                 governor.kill();
                 sleep(Duration::from_millis(50)).await;
-                self.tape.watch(|_| {});
-                self.tape.add(What::Governor { governor: place, up: false });
-                sleep(lasts).await;
-                governor.start(&self.tape).await?;
+                self.event_log.set_observer(|_| {});
+                self.event_log.record(Event::Governor { governor: index, up: false });
+                sleep(duration).await;
+                governor.start(&self.event_log).await?;
             }
             Trouble::Storm { governor, count } => {
                 let Some(governor) = governors.get(*governor) else { return Ok(()) };
                 let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ 0x5707);
-                let each = planned.lasts / *count as f64;
+                let interval = planned.lasts / *count as f64;
                 for _ in 0..*count {
-                    let chance = (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
-                    sleep(Duration::from_secs_f64(each * (0.1 + 0.8 * chance))).await;
+                    let random = (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
+                    sleep(Duration::from_secs_f64(interval * (0.1 + 0.8 * random))).await;
                     governor.kill();
-                    governor.ended().await;
-                    self.tape.add(What::Governor { governor: governor.place, up: false });
+                    governor.wait_for_exit().await;
+                    self.event_log.record(Event::Governor { governor: governor.index, up: false });
                     // As soon as a supervisor would.
                     sleep(Duration::from_millis(200)).await;
-                    governor.start(&self.tape).await?;
+                    governor.start(&self.event_log).await?;
                 }
             }
             Trouble::Stall { governor } => {
                 let Some(governor) = governors.get(*governor) else { return Ok(()) };
                 governor.signal(Signal::SIGSTOP)?;
-                self.tape.add(What::Governor { governor: governor.place, up: false });
-                sleep(lasts).await;
+                self.event_log.record(Event::Governor { governor: governor.index, up: false });
+                sleep(duration).await;
                 governor.signal(Signal::SIGCONT)?;
-                self.tape.add(What::Governor { governor: governor.place, up: true });
+                self.event_log.record(Event::Governor { governor: governor.index, up: true });
             }
             Trouble::Cut { governor } if !governors.is_empty() => {
-                let (here, count) = (*governor, governors.len());
-                let reach = |reaches: bool| {
-                    for relay in &self.relays {
-                        let within = relay.place % halls == here % halls;
-                        let lost = (0..count).filter(|other| (*other == here) != within);
-                        lost.for_each(|other| relay.reach(other, reaches));
+                let (isolated, count) = (*governor, governors.len());
+                let set_reachable = |reachable: bool| {
+                    for proxy in &self.proxies {
+                        let same_zone = proxy.index % zone_count == isolated % zone_count;
+                        let unreachable = (0..count).filter(|other| (*other == isolated) != same_zone);
+                        unreachable.for_each(|other| proxy.set_reachable(other, reachable));
                     }
-                    self.links.cut(here, count, false, !reaches);
-                    self.set_stale(governors, here, !reaches)
+                    self.gossip_links.set_blocked(isolated, count, false, !reachable);
+                    self.set_stale_roster(governors, isolated, !reachable)
                 };
-                reach(false)?;
-                sleep(lasts).await;
-                reach(true)?;
+                set_reachable(false)?;
+                sleep(duration).await;
+                set_reachable(true)?;
             }
             Trouble::OneWay { governor } => {
-                self.links.cut(*governor, governors.len(), true, true);
-                sleep(lasts).await;
-                self.links.cut(*governor, governors.len(), true, false);
+                self.gossip_links.set_blocked(*governor, governors.len(), true, true);
+                sleep(duration).await;
+                self.gossip_links.set_blocked(*governor, governors.len(), true, false);
             }
             Trouble::Stale { governor } if !governors.is_empty() => {
-                self.set_stale(governors, *governor, true)?;
-                sleep(lasts).await;
-                self.set_stale(governors, *governor, false)?;
+                self.set_stale_roster(governors, *governor, true)?;
+                sleep(duration).await;
+                self.set_stale_roster(governors, *governor, false)?;
             }
             Trouble::Roll => {
                 for governor in governors {
                     governor.drain().await?;
                     governor.signal(Signal::SIGTERM)?;
-                    governor.ended().await;
-                    self.tape.add(What::Governor { governor: governor.place, up: false });
+                    governor.wait_for_exit().await;
+                    self.event_log.record(Event::Governor { governor: governor.index, up: false });
                     sleep(Duration::from_millis(500)).await;
-                    governor.start(&self.tape).await?;
+                    governor.start(&self.event_log).await?;
                     // As an operator would: the next once this one is well.
                     sleep(Duration::from_secs(3)).await;
                 }
@@ -618,10 +669,18 @@
                     status["governor"]["version"].as_u64().context("a status without a version")
                 };
                 for governor in governors {
-                    let then = version(governor.operate(&["status", "--output", "json"]).await?)?;
-                    sleep(lasts).await;
-                    let back = ["rollback", &then.to_string(), "--all", "--why", "a mistake", "--for", "15"];
-                    governor.operate(&back).await?;
+                    let version_before = version(governor.operate(&["status", "--output", "json"]).await?)?;
+                    sleep(duration).await;
+                    let rollback = [
+                        "rollback",
+                        &version_before.to_string(),
+                        "--all",
+                        "--why",
+                        "a mistake",
+                        "--for",
+                        "15",
+                    ];
+                    governor.operate(&rollback).await?;
                 }
             }
             Trouble::Cut { .. } | Trouble::Stale { .. } => {}
@@ -631,18 +690,18 @@
 }
 
 /// The real program, as a process of its own.
-struct Governor {
-    place: usize,
+struct GovernorProcess {
+    index: usize,
     program: Program,
     folder: PathBuf,
-    dialled: wrenthread_client::Governor,
+    endpoint: wrenthread_client::Governor,
     http: String,
     ports: (u16, u16),
     /// Where it is heard by others, and where it finds them.
-    talk: SocketAddr,
+    gossip_address: SocketAddr,
     peers: Vec<(usize, SocketAddr)>,
     child: RefCell<Option<Child>>,
-    dead: Cell<bool>,
+    stopped: Cell<bool>,
     killed_after: Cell<Option<usize>>,
 }
 
@@ -651,8 +710,8 @@
 fn free_port() -> Result<u16> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let port = || {
-        let place = std::process::id().wrapping_mul(97).wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed));
-        15_100 + (place % 17_000) as u16
+        let offset = std::process::id().wrapping_mul(97).wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed));
+        15_100 + (offset % 17_000) as u16
     };
     let mut ports = std::iter::repeat_with(port).take(1000);
     ports.find(|port| is_free(*port)).context("no free port on loopback")
@@ -665,65 +724,78 @@
     tokio::net::TcpSocket::new_v4().is_ok_and(|socket| socket.bind(address).is_ok())
 }
 
-impl Governor {
-    fn new(program: Program, folder: PathBuf, place: usize) -> Result<Self> {
-        let folder = folder.join(format!("g{place}"));
+impl GovernorProcess {
+    fn new(program: Program, folder: PathBuf, index: usize) -> Result<Self> {
+        let folder = folder.join(format!("g{index}"));
         std::fs::create_dir_all(&folder)?;
         let (grpc, http, poll) = (free_port()?, free_port()?, free_port()?);
-        let talk = SocketAddr::from(([127, 0, 0, 1], free_port()?));
+        let gossip_address = SocketAddr::from(([127, 0, 0, 1], free_port()?));
         let uri = |port| format!("http://127.0.0.1:{port}");
-        let dialled =
-            wrenthread_client::Governor { name: format!("g{place}"), grpc: uri(grpc), poll: uri(poll) };
+        let endpoint =
+            wrenthread_client::Governor { name: format!("g{index}"), grpc: uri(grpc), poll: uri(poll) };
         let http = format!("127.0.0.1:{http}");
         let (ports, peers, killed_after) = ((grpc, poll), Vec::new(), Cell::new(None));
-        let (child, dead) = (RefCell::new(None), Cell::new(true));
-        Ok(Governor { place, program, folder, dialled, http, ports, talk, peers, child, dead, killed_after })
+        let (child, stopped) = (RefCell::new(None), Cell::new(true));
+        Ok(GovernorProcess {
+            index,
+            program,
+            folder,
+            endpoint,
+            http,
+            ports,
+            gossip_address,
+            peers,
+            child,
+            stopped,
+            killed_after,
+        })
     }
 
     /// Writes its settings.
-    fn settle(&self, day: &Day) -> Result<()> {
-        let Governor { place, http, ports: (grpc, poll), talk, .. } = self;
+    fn write_settings(&self, day: &Day) -> Result<()> {
+        let GovernorProcess { index, http, ports: (grpc, poll), gossip_address, .. } = self;
         let key = self.folder.join("../fleet.key");
-        let peers: Vec<String> = self.peers.iter().map(|(other, at)| format!("g{other}={at}")).collect();
-        let talking = match peers.is_empty() {
+        let peers: Vec<String> =
+            self.peers.iter().map(|(peer, address)| format!("g{peer}={address}")).collect();
+        let gossip = match peers.is_empty() {
             true => String::new(),
-            false => format!(", talk = \"{talk}\", peers = {peers:?}"),
+            false => format!(", talk = \"{gossip_address}\", peers = {peers:?}"),
         };
-        let groups: String = GROUPS
+        let classes: String = CLASSES
             .iter()
-            .zip(FLOWS)
+            .zip(CLASS_TRAFFIC)
             .enumerate()
-            .map(|(place, (group, (budget, expiry, _)))| {
-                let effect = if place == event_log::NON_RETRIABLE { "non-retriable" } else { "retriable" };
-                let utility = if place == 1 { 1.0 } else { 3.0 };
+            .map(|(index, (class, (objective, deadline, _)))| {
+                let effect = if index == event_log::NON_RETRIABLE { "non-retriable" } else { "retriable" };
+                let utility = if index == 1 { 1.0 } else { 3.0 };
                 format!(
-                    "group(\"{group}\", effect = \"{effect}\", latency_budget = {budget}, expiry = {expiry}, \
-                     utility = {utility}, prefix = \"/{group}\")\n"
+                    "group(\"{class}\", effect = \"{effect}\", latency_budget = {objective}, expiry = {deadline}, \
+                     utility = {utility}, prefix = \"/{class}\")\n"
                 )
             })
             .collect();
         let state = if day.state { "state(folder = \"state\", every = 0.2)\n" } else { "" };
         let settings = format!(
             "{state}fleet(zones = {:?}, proxies = {}, governors = {}, \
-             standing_lines = {STANDING}, proxies_avoid = True)\n\
-             governor(name = \"g{place}\", keys = [{key:?}]{talking})\n\
+             standing_lines = {DEFAULT_TABLE_SIZE}, proxies_avoid = True)\n\
+             governor(name = \"g{index}\", keys = [{key:?}]{gossip})\n\
              replicas(cold_share = {}, warm_after = {})\n\
              channel(lines_per_s = {}, head_lines = {}, waiting_most = {}, \
              messages_most = {}, messages_over = {})\n\
              reports(every = 0.5, metrics = [\"waiting\"])\n\
              roster(file = \"roster.json\", look_every = 0.05)\n\
              listen(grpc = \"127.0.0.1:{grpc}\", http = \"{http}\", \
-             poll = \"127.0.0.1:{poll}\")\n{groups}",
+             poll = \"127.0.0.1:{poll}\")\n{classes}",
             day.halls,
             day.relays,
             day.governors,
             day.cold_share,
             day.warm_after,
-            event_log::LINES_PER_S,
-            event_log::HEAD_LINES,
-            event_log::WAITING_MOST,
-            event_log::MESSAGES.0,
-            event_log::MESSAGES.1,
+            event_log::ENTRIES_PER_SECOND,
+            event_log::MESSAGE_OVERHEAD_ENTRIES,
+            event_log::MAX_QUEUED_ENTRIES,
+            event_log::MESSAGE_LIMIT.0,
+            event_log::MESSAGE_LIMIT.1,
         );
         std::fs::write(self.folder.join("settings.star"), settings)?;
         Ok(())
@@ -731,35 +803,39 @@
 
     /// Has its settings and its first roster imported from an nginx's configuration of this fleet; what that
     /// does not say is added as an operator would.
-    fn import(&self, day: &Day, workers: &[Rc<Worker>]) -> Result<()> {
-        let server = |worker: &Rc<Worker>| {
-            format!("    server {} slow_start={}ms;\n", worker.address, (day.warm_after * 1000.0) as u64)
+    fn import(&self, day: &Day, replicas: &[Rc<Replica>]) -> Result<()> {
+        let server = |replica: &Rc<Replica>| {
+            format!("    server {} slow_start={}ms;\n", replica.address, (day.warm_after * 1000.0) as u64)
         };
-        let servers: String = workers.iter().map(server).collect();
-        let location = |(place, (group, (budget, _, _))): (usize, (&&str, (f64, f64, f64)))| {
-            let repeats = if place == event_log::NON_RETRIABLE { "" } else { "error timeout non_idempotent" };
-            let next =
-                if repeats.is_empty() { String::new() } else { format!("proxy_next_upstream {repeats}; ") };
-            let read = (budget * 1000.0) as u64 - 250;
+        let servers: String = replicas.iter().map(server).collect();
+        let location = |(index, (class, (objective, _, _))): (usize, (&&str, (f64, f64, f64)))| {
+            let retry_conditions =
+                if index == event_log::NON_RETRIABLE { "" } else { "error timeout non_idempotent" };
+            let next_upstream = if retry_conditions.is_empty() {
+                String::new()
+            } else {
+                format!("proxy_next_upstream {retry_conditions}; ")
+            };
+            let read = (objective * 1000.0) as u64 - 250;
             format!(
-                "    location /{group} {{ proxy_pass http://gates; proxy_connect_timeout 250ms; \
-                 proxy_read_timeout {read}ms; {next}}}\n"
+                "    location /{class} {{ proxy_pass http://gates; proxy_connect_timeout 250ms; \
+                 proxy_read_timeout {read}ms; {next_upstream}}}\n"
             )
         };
-        let locations: String = GROUPS.iter().zip(FLOWS).enumerate().map(location).collect();
+        let locations: String = CLASSES.iter().zip(CLASS_TRAFFIC).enumerate().map(location).collect();
         let conf = self.folder.join("nginx.conf");
         std::fs::write(&conf, format!("upstream gates {{\n{servers}}}\nserver {{\n{locations}}}\n"))?;
         let (grpc, poll) = self.ports;
         let http = self.http.rsplit_once(':').map_or("", |(_, port)| port);
-        let ran = std::process::Command::new(&self.program.path)
+        let output = std::process::Command::new(&self.program.path)
             .args(["import", "nginx", "--zones", "network", "--strict"])
             .args(["--proxies", &day.relays.to_string(), "--ports", &format!("{grpc},{http},{poll}")])
             .arg("--output")
             .arg(&self.folder)
             .arg(&conf)
             .output()?;
-        if !ran.status.success() {
-            bail!("the import failed: {}", String::from_utf8_lossy(&ran.stderr));
+        if !output.status.success() {
+            bail!("the import failed: {}", String::from_utf8_lossy(&output.stderr));
         }
         let imported = std::fs::read_to_string(self.folder.join("gates/settings.star"))?;
         let key = self.folder.join("../fleet.key");
@@ -769,12 +845,12 @@
              channel(lines_per_s = {}, head_lines = {}, waiting_most = {}, \
              messages_most = {}, messages_over = {})\n\
              reports(every = 0.5, metrics = [\"waiting\"])",
-            self.place,
-            event_log::LINES_PER_S,
-            event_log::HEAD_LINES,
-            event_log::WAITING_MOST,
-            event_log::MESSAGES.0,
-            event_log::MESSAGES.1,
+            self.index,
+            event_log::ENTRIES_PER_SECOND,
+            event_log::MESSAGE_OVERHEAD_ENTRIES,
+            event_log::MAX_QUEUED_ENTRIES,
+            event_log::MESSAGE_LIMIT.0,
+            event_log::MESSAGE_LIMIT.1,
         );
         let settings = imported.replace("roster(file = \"roster.json\")", &added);
         std::fs::write(self.folder.join("settings.star"), settings)?;
@@ -782,7 +858,7 @@
         Ok(())
     }
 
-    async fn start(&self, tape: &Tape) -> Result<()> {
+    async fn start(&self, event_log: &EventLog) -> Result<()> {
         let log =
             std::fs::File::options().create(true).append(true).open(self.folder.join("governor.log"))?;
         let child = Command::new(&self.program.path)
@@ -796,10 +872,10 @@
             .spawn()
             .with_context(|| format!("{}", self.program.path.display()))?;
         *self.child.borrow_mut() = Some(child);
-        self.dead.set(false);
+        self.stopped.set(false);
         for _ in 0..200 {
             if tokio::net::TcpStream::connect(&self.http).await.is_ok() {
-                tape.add(What::Governor { governor: self.place, up: true });
+                event_log.record(Event::Governor { governor: self.index, up: true });
                 return Ok(());
             }
             sleep(Duration::from_millis(20)).await;
@@ -821,21 +897,21 @@
 
     /// Does what an operator does at the command line; what it prints.
     async fn operate(&self, arguments: &[&str]) -> Result<String> {
-        let at = ["--at", &self.http];
-        let ran = Command::new(&self.program.path).args(arguments).args(at).output().await?;
-        if !ran.status.success() {
-            eprintln!("{}", String::from_utf8_lossy(&ran.stderr).trim());
+        let address = ["--at", &self.http];
+        let output = Command::new(&self.program.path).args(arguments).args(address).output().await?;
+        if !output.status.success() {
+            eprintln!("{}", String::from_utf8_lossy(&output.stderr).trim());
         }
-        Ok(String::from_utf8(ran.stdout)?)
+        Ok(String::from_utf8(output.stdout)?)
     }
 
     /// Waits for its end.
-    async fn ended(&self) {
+    async fn wait_for_exit(&self) {
         let child = self.child.borrow_mut().take();
         if let Some(mut child) = child {
             let _ = timeout(Duration::from_secs(5), child.wait()).await;
         }
-        self.dead.set(true);
+        self.stopped.set(true);
     }
 
     /// Kills it, as by a power cut.
@@ -843,6 +919,6 @@
         if let Some(child) = self.child.borrow_mut().as_mut() {
             let _ = child.start_kill();
         }
-        self.dead.set(true);
+        self.stopped.set(true);
     }
 }
--- a/crates/rehearsal/src/network_links.rs
+++ b/crates/rehearsal/src/network_links.rs
@@ -10,36 +10,41 @@
 
 /// Links that are cut: from, to.
 #[derive(Default)]
-pub struct Links {
-    cut: RefCell<BTreeSet<(usize, usize)>>,
+pub struct GossipLinks {
+    blocked: RefCell<BTreeSet<(usize, usize)>>,
 }
 
-impl Links {
+impl GossipLinks {
     /// A link by which one governor reaches another, which is heard at `heard_at`; where the first is to
     /// send.
-    pub async fn lay(self: &Rc<Self>, from: usize, to: usize, heard_at: SocketAddr) -> Result<SocketAddr> {
+    pub async fn create_link(
+        self: &Rc<Self>,
+        from: usize,
+        to: usize,
+        target_address: SocketAddr,
+    ) -> Result<SocketAddr> {
         let socket = UdpSocket::bind(("127.0.0.1", 0)).await?;
-        let (at, this) = (socket.local_addr()?, self.clone());
+        let (link_address, this) = (socket.local_addr()?, self.clone());
         tokio::task::spawn_local(async move {
-            let mut room = vec![0; 2048];
+            let mut buffer = vec![0; 2048];
             loop {
                 // A governor that is down answers by an error of the socket's: the link stands.
-                let Ok((length, _)) = socket.recv_from(&mut room).await else { continue };
-                if !this.cut.borrow().contains(&(from, to)) {
-                    let _ = socket.send_to(&room[..length], heard_at).await;
+                let Ok((length, _)) = socket.recv_from(&mut buffer).await else { continue };
+                if !this.blocked.borrow().contains(&(from, to)) {
+                    let _ = socket.send_to(&buffer[..length], target_address).await;
                 }
             }
         });
-        Ok(at)
+        Ok(link_address)
     }
 
     /// Cuts all links from a governor, and (unless one way) to it; or mends them.
-    pub fn cut(&self, governor: usize, governors: usize, one_way: bool, cut: bool) {
-        for other in (0..governors).filter(|other| *other != governor) {
+    pub fn set_blocked(&self, governor: usize, governor_count: usize, one_way: bool, blocked: bool) {
+        for other in (0..governor_count).filter(|other| *other != governor) {
             for link in [(governor, other), (other, governor)].into_iter().take(if one_way { 1 } else { 2 }) {
-                match cut {
-                    true => drop(self.cut.borrow_mut().insert(link)),
-                    false => drop(self.cut.borrow_mut().remove(&link)),
+                match blocked {
+                    true => drop(self.blocked.borrow_mut().insert(link)),
+                    false => drop(self.blocked.borrow_mut().remove(&link)),
                 }
             }
         }
--- a/crates/rehearsal/src/worker.rs
+++ b/crates/rehearsal/src/replica.rs
@@ -13,18 +13,18 @@
 use tokio::sync::Semaphore;
 use wrenthread_settings::day::Day;
 
-use crate::event_log::{Tape, What, capacity};
+use crate::event_log::{Event, EventLog, capacity};
 
 /// Flows worked on at once.
-const HANDS: usize = 2;
+const MAX_CONCURRENT_REQUESTS: usize = 2;
 /// Flows that may wait before further ones are refused.
-const QUEUE: usize = 30;
+const MAX_QUEUED_REQUESTS: usize = 30;
 
 /// How a replica behaves.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Mode {
     /// It serves requests.
-    Well,
+    Healthy,
     /// It takes requests and never answers.
     Silent,
     /// It answers each request with an error at once.
@@ -34,46 +34,47 @@
 /// The process that runs under a worker's name and address; a restart makes a new one.
 struct Process {
     started: Option<f64>,
-    hands: Semaphore,
-    waiting: Cell<usize>,
+    slots: Semaphore,
+    queued: Cell<usize>,
 }
 
 /// A stand-in replica.
-pub struct Worker {
+pub struct Replica {
     /// Its number.
-    pub place: usize,
+    pub index: usize,
     /// Its name in roster and tables.
     pub id: String,
     /// Where it listens.
     pub address: String,
     day: Rc<Day>,
-    tape: Tape,
+    event_log: EventLog,
     mode: Cell<Mode>,
     process: RefCell<Rc<Process>>,
 }
 
-impl Worker {
+impl Replica {
     /// Starts a worker, warm.
     ///
     /// Errors: no socket on loopback.
-    pub async fn start(place: usize, day: Rc<Day>, tape: Tape) -> Result<Rc<Worker>> {
+    pub async fn start(index: usize, day: Rc<Day>, event_log: EventLog) -> Result<Rc<Replica>> {
         // On a day that is imported, zones are told by the networks of addresses.
         let host =
-            if day.nginx { format!("{}.1", day.halls[place % day.halls.len()]) } else { "127.0.0.1".into() };
+            if day.nginx { format!("{}.1", day.halls[index % day.halls.len()]) } else { "127.0.0.1".into() };
         let listener = TcpListener::bind(format!("{host}:0")).await.context("a worker's socket")?;
-        let process = Process { started: None, hands: Semaphore::new(HANDS), waiting: Cell::new(0) };
+        let process =
+            Process { started: None, slots: Semaphore::new(MAX_CONCURRENT_REQUESTS), queued: Cell::new(0) };
         let address = listener.local_addr()?.to_string();
-        let worker = Rc::new(Worker {
-            place,
-            id: if day.nginx { address.clone() } else { format!("worker-{place:02}") },
+        let replica = Rc::new(Replica {
+            index,
+            id: if day.nginx { address.clone() } else { format!("worker-{index:02}") },
             address,
             day,
-            tape,
-            mode: Cell::new(Mode::Well),
+            event_log,
+            mode: Cell::new(Mode::Healthy),
             process: RefCell::new(Rc::new(process)),
         });
-        worker.tape.add(What::Started { worker: place, cold: false });
-        let this = worker.clone();
+        replica.event_log.record(Event::Started { replica: index, cold: false });
+        let this = replica.clone();
         tokio::task::spawn_local(async move {
             while let Ok((connection, _)) = listener.accept().await {
                 let this = this.clone();
@@ -81,21 +82,24 @@
                 tokio::task::spawn_local(async move { drop(this.serve(connection).await) });
             }
         });
-        Ok(worker)
+        Ok(replica)
     }
 
     /// Has it behave so from now on.
-    pub fn set(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: Mode) {
         self.mode.set(mode);
     }
 
     /// A new process under the same name: cold, and without what the old one had in hand.
     pub fn restart(&self) {
-        let process =
-            Process { started: Some(self.tape.now()), hands: Semaphore::new(HANDS), waiting: Cell::new(0) };
-        self.process.borrow().hands.close();
+        let process = Process {
+            started: Some(self.event_log.now()),
+            slots: Semaphore::new(MAX_CONCURRENT_REQUESTS),
+            queued: Cell::new(0),
+        };
+        self.process.borrow().slots.close();
         *self.process.borrow_mut() = Rc::new(process);
-        self.tape.add(What::Started { worker: self.place, cold: true });
+        self.event_log.record(Event::Started { replica: self.index, cold: true });
     }
 
     /// When its process started, in seconds of the log; none if that is long ago.
@@ -107,9 +111,9 @@
         let mut connection = BufReader::new(connection);
         let mut line = String::new();
         connection.read_line(&mut line).await?;
-        let (flow, group) = line.trim().split_once(' ').context("FLOW GROUP")?;
-        let (flow, group) = (flow.parse::<u64>()?, group.parse::<usize>()?);
-        self.tape.add(What::Got { flow, worker: self.place });
+        let (request, class) = line.trim().split_once(' ').context("FLOW GROUP")?;
+        let (request, class) = (request.parse::<u64>()?, class.parse::<usize>()?);
+        self.event_log.record(Event::AttemptReceived { request, replica: self.index });
         let process = self.process.borrow().clone();
         match self.mode.get() {
             Mode::Silent => {
@@ -119,28 +123,30 @@
             }
             Mode::QuickErrors => {
                 tokio::time::sleep(Duration::from_millis(2)).await;
-                self.tape.add(What::Effect { flow, worker: self.place, group });
+                self.event_log.record(Event::EffectApplied { request, replica: self.index, class });
                 return Ok(connection.write_all(b"bad\n").await?);
             }
-            Mode::Well => {}
+            Mode::Healthy => {}
         }
-        if process.waiting.get() >= QUEUE {
+        if process.queued.get() >= MAX_QUEUED_REQUESTS {
             return Ok(connection.write_all(b"refused\n").await?);
         }
-        process.waiting.set(process.waiting.get() + 1);
-        let hand = process.hands.acquire().await;
-        process.waiting.set(process.waiting.get() - 1);
-        let Ok(_hand) = hand else { return Ok(()) };
-        let age = process.started.map_or(f64::MAX, |at| self.tape.now() - at);
+        process.queued.set(process.queued.get() + 1);
+        let permit = process.slots.acquire().await;
+        process.queued.set(process.queued.get() - 1);
+        let Ok(_permit) = permit else { return Ok(()) };
+        let age = process.started.map_or(f64::MAX, |at| self.event_log.now() - at);
         // Somewhat uneven work, the same for a flow wherever it runs.
-        let uneven = 0.7 + 0.6 * (flow.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 40) as f64 / f64::from(1 << 24);
-        let work = HANDS as f64 / self.day.worker_flows_per_s * uneven / capacity(&self.day, age);
-        tokio::time::sleep(Duration::from_secs_f64(work)).await;
-        if process.hands.is_closed() {
+        let work_factor =
+            0.7 + 0.6 * (request.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 40) as f64 / f64::from(1 << 24);
+        let duration = MAX_CONCURRENT_REQUESTS as f64 / self.day.worker_flows_per_s * work_factor
+            / capacity(&self.day, age);
+        tokio::time::sleep(Duration::from_secs_f64(duration)).await;
+        if process.slots.is_closed() {
             return Ok(());
         }
-        self.tape.add(What::Effect { flow, worker: self.place, group });
-        let waiting = process.waiting.get();
-        Ok(connection.write_all(format!("ok {waiting}\n").as_bytes()).await?)
+        self.event_log.record(Event::EffectApplied { request, replica: self.index, class });
+        let queued = process.queued.get();
+        Ok(connection.write_all(format!("ok {queued}\n").as_bytes()).await?)
     }
 }
