--- a/crates/rehearsal/src/check.rs
+++ b/crates/rehearsal/src/check.rs
@@ -1,4 +1,4 @@
-//! The checkers: each reads the tape alone and says where its rule was broken.
+//! Rule checks. Each check reads the event log only and returns the violations of its rule.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,17 +10,17 @@
     MESSAGE_OVERHEAD_ENTRIES, NON_RETRIABLE, capacity,
 };
 
-/// One rule, and where it was broken.
+/// A rule and its violations.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct RuleResult {
     /// The rule.
     pub rule: &'static str,
-    /// What broke it; empty if nothing did.
+    /// Descriptions of the violations; empty if there are none.
     #[serde(rename = "broken")]
     pub violations: Vec<String>,
 }
 
-/// All rules on one tape.
+/// Checks all rules on one event log.
 pub fn all(day: &Day, event_log: &[Entry]) -> Vec<RuleResult> {
     let result = |rule, violations| RuleResult { rule, violations };
     vec![
@@ -36,7 +36,7 @@
     ]
 }
 
-/// Since when each relay is joined, and to which governor, as the tape goes on.
+/// For each joined proxy, since when and to which governor, up to the current entry.
 #[derive(Default)]
 struct JoinedProxies(BTreeMap<usize, (f64, usize)>);
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// Since when each governor is told what the roster file says; none for one that is not.
+/// For each governor, since when its roster file is kept up to date; none while it is not.
 #[derive(Default)]
 struct RosterDelivery(BTreeMap<usize, Option<f64>>);
 
@@ -62,14 +62,14 @@
         }
     }
 
-    /// No governor can heed a list that it was not given.
+    /// Since when the governor gets rosters; none while its file is not updated, as it cannot act on those.
     fn since(&self, governor: usize) -> Option<f64> {
         self.0.get(&governor).copied().unwrap_or(Some(0.0))
     }
 }
 
-/// A joined relay whose table for a group has no line, for longer than allowed, while the list shows a worker
-/// that is ready and no longer cold.
+/// Finds joined proxies with an empty table for longer than allowed, while the roster lists a replica that is
+/// ready and warm.
 pub fn empty_tables(day: &Day, event_log: &[Entry]) -> Vec<String> {
     let (mut joined, mut violations) = (JoinedProxies::default(), Vec::new());
     let mut empty: BTreeMap<(usize, String), (f64, bool)> = BTreeMap::new();
@@ -112,7 +112,7 @@
                     ));
                 }
                 Some(_) if replica_available => {}
-                // Not joined, or nobody is there: it counts from when that is over.
+                // While the proxy is not joined or no replica is available, the time does not count.
                 _ => *since = entry.at,
             }
         }
@@ -120,7 +120,7 @@
     violations
 }
 
-/// Work of a non-retriable flow that was done more than once.
+/// Finds non-retriable requests that were executed more than once.
 pub fn repeated_effects(event_log: &[Entry]) -> Vec<String> {
     let mut done: BTreeMap<u64, Vec<(f64, usize)>> = BTreeMap::new();
     for entry in event_log {
@@ -136,7 +136,8 @@
         .collect()
 }
 
-/// Tries of joined relays at a worker that was listed as draining, or not at all, longer ago than the grace.
+/// Finds attempts of joined proxies at a replica that has been draining or off the roster for longer than the
+/// grace period.
 pub fn drained_replica_attempts(day: &Day, event_log: &[Entry]) -> Vec<String> {
     let (mut joined, mut violations) = (JoinedProxies::default(), Vec::new());
     let (mut unavailable, mut ever_ready): (BTreeMap<usize, f64>, BTreeSet<usize>) = Default::default();
@@ -174,7 +175,7 @@
     violations
 }
 
-/// A cold worker that got the stated multiple of what it could do, for the stated time.
+/// Finds cold replicas that received the configured multiple of their capacity for the configured time.
 pub fn cold_replica_overloads(day: &Day, event_log: &[Entry]) -> Vec<String> {
     let mut violations = Vec::new();
     let mut started: BTreeMap<usize, f64> = BTreeMap::new();
@@ -193,8 +194,8 @@
                 let times = attempt_times.entry(replica).or_default();
                 times.push(entry.at);
                 times.retain(|at| entry.at - at <= day.overload_for);
-                // At its age at the end of the span it can do most: what it could do then is exceeded for
-                // sure.
+                // Uses the capacity at the end of the span, which is the highest within it, so that the
+                // overload is certain.
                 let per_second = day.worker_flows_per_s * capacity(day, entry.at - since);
                 if times.len() as f64 > day.fall_multiple * per_second * day.overload_for {
                     let (count, at) = (times.len(), entry.at);
@@ -211,10 +212,11 @@
     violations
 }
 
-/// More lines than a channel of the stated pace and length lets out in a span, or too many messages to a
-/// relay.
+/// Finds seconds with more entries than the send rate and the queue allow, and proxies that got too many
+/// messages.
 ///
-/// What waits inside the governor never crosses a socket: this sees what must follow from it.
+/// The queue itself is inside the governor and not visible here; this checks its limits by the messages that
+/// were sent.
 pub fn exceeded_send_limits(event_log: &[Entry]) -> Vec<String> {
     let mut violations = Vec::new();
     let mut entries: Vec<(f64, f64)> = Vec::new();
@@ -249,14 +251,15 @@
     violations
 }
 
-/// Flows without an end, with several, or with a late one. A tape ends some seconds after its last flow.
+/// Finds requests that did not end, ended more than once or ended late. The event log goes on for some
+/// seconds after the last request.
 pub fn unended_requests(event_log: &[Entry]) -> Vec<String> {
     let (mut pending, mut violations): (BTreeMap<u64, (f64, usize)>, _) = (BTreeMap::new(), Vec::new());
     for entry in event_log {
         match entry.event {
             Event::RequestArrived { request, class, .. } => drop(pending.insert(request, (entry.at, class))),
             Event::RequestEnded { request, .. } => match pending.remove(&request) {
-                // A timer may be a little late on a busy machine.
+                // Tolerates 0.25 s for late timers on a busy machine.
                 Some((arrived, class)) if entry.at - arrived > CLASS_TRAFFIC[class].1 + 0.25 => {
                     violations.push(format!(
                         "flow {request} of {} ended after {:.2} s",
@@ -278,7 +281,8 @@
     violations
 }
 
-/// Orders that a relay neither took nor turned down while its stream stood.
+/// Finds table updates that a proxy neither accepted nor rejected while its stream was up, and answers to
+/// updates that were not sent.
 pub fn unanswered_updates(event_log: &[Entry]) -> Vec<String> {
     let mut pending: BTreeMap<usize, BTreeMap<&str, f64>> = BTreeMap::new();
     let mut violations = Vec::new();
@@ -305,7 +309,7 @@
     violations
 }
 
-/// A relay that was with no governor for longer than allowed while one was there.
+/// Finds proxies that were joined to no governor for longer than allowed while at least one was running.
 pub fn unattended_proxies(day: &Day, event_log: &[Entry]) -> Vec<String> {
     let (mut joined, mut up, mut violations) = (JoinedProxies::default(), BTreeSet::new(), Vec::new());
     let mut unattended: BTreeMap<usize, (f64, bool)> = BTreeMap::new();
@@ -332,13 +336,13 @@
     violations
 }
 
-/// Orders that a relay took in from an older life of a governor than one before, or from one that it was not
-/// with.
+/// Finds table updates from an earlier epoch of a governor than one before, or from a governor that the proxy
+/// was not joined to.
 pub fn stale_updates(event_log: &[Entry]) -> Vec<String> {
     let (mut joined, mut violations) = (JoinedProxies::default(), Vec::new());
     let mut epochs: BTreeMap<(usize, usize), u64> = BTreeMap::new();
     for entry in event_log {
-        // What was on its way when a governor died still comes in.
+        // Messages in transit when a governor dies still arrive, so its end does not count here.
         if !matches!(entry.event, Event::Governor { .. }) {
             joined.observe(entry);
         }
--- a/crates/rehearsal/src/check/tests.rs
+++ b/crates/rehearsal/src/check/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_bare_relay_is_seen_while_it_is_joined_and_a_warm_worker_is_ready() {
+fn finds_empty_tables_of_joined_proxies_while_a_warm_replica_is_ready() {
     let arrived = || Event::RequestArrived { request: 1, proxy: 0, class: 0 };
     let day = day();
     let bare_for = |extra: Event| {
@@ -46,14 +46,14 @@
 }
 
 #[test]
-fn an_effect_twice_is_seen_and_retriable_ones_are_none() {
+fn finds_repeated_effects_of_non_retriable_requests_only() {
     let effect = |replica, class| Event::EffectApplied { request: 5, replica, class };
     assert_eq!(repeated_effects(&event_log(vec![(1.0, effect(0, 2)), (2.0, effect(1, 2))])).len(), 1);
     assert!(repeated_effects(&event_log(vec![(1.0, effect(0, 0)), (2.0, effect(1, 0))])).is_empty());
 }
 
 #[test]
-fn a_try_at_a_drained_worker_is_seen_after_the_grace_only() {
+fn finds_attempts_at_drained_replicas_after_the_grace_period() {
     let sent = Event::AttemptSent { request: 1, proxy: 0, replica: 1 };
     let at = |at, joined| {
         drained_replica_attempts(
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_cold_worker_pushed_over_is_seen() {
+fn finds_overloaded_cold_replicas() {
     let day = day();
     let requests = |count: u64, cold| {
         let mut entries = vec![(0.0, Event::Started { replica: 0, cold })];
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_flood_of_lines_or_messages_is_seen() {
+fn finds_too_many_entries_or_messages() {
     let big = Event::TableUpdate {
         proxy: 0,
         governor: 0,
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn flows_and_orders_without_an_end_are_seen() {
+fn finds_unended_requests_and_unanswered_updates() {
     let arrived = Event::RequestArrived { request: 1, proxy: 0, class: 1 };
     let ended = Event::RequestEnded { request: 1, outcome: RequestOutcome::Failed };
     assert!(unended_requests(&event_log(vec![(0.0, arrived.clone()), (2.5, ended.clone())])).is_empty());
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_relay_without_care_and_orders_of_another_or_an_older_life_are_seen() {
+fn finds_unattended_proxies_and_stale_updates() {
     let fleet = Event::Fleet { replicas: vec![0], proxies: vec![(0, vec![])] };
     let arrived = Event::RequestArrived { request: 1, proxy: 0, class: 0 };
     let unattended = |up, at| {
--- a/crates/rehearsal/src/event_log.rs
+++ b/crates/rehearsal/src/event_log.rs
@@ -1,4 +1,5 @@
-//! Everything that crossed a socket, with its time and both ends. Checkers read this and nothing else.
+//! The event log of a rehearsal: everything that crossed a socket, with its time and both ends. The rule
+//! checks use this log only.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,22 +9,22 @@
 use serde::Serialize;
 use wrenthread_settings::day::Day;
 
-/// How a flow ended for its client.
+/// The outcome of a request for its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestOutcome {
-    /// It succeeded.
+    /// The request succeeded.
     #[serde(rename = "delivered")]
     Succeeded,
-    /// It was not admitted.
+    /// The request was not admitted.
     #[serde(rename = "blocked")]
     Rejected,
-    /// It failed.
+    /// The request failed.
     #[serde(rename = "dropped")]
     Failed,
 }
 
-/// A worker as the roster file says it.
+/// A replica as listed in the roster file.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct RosterEntry {
     /// The replica's number.
@@ -37,7 +38,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
-    /// The fleet, at the head of the tape: each worker's hall, each relay's hall and standing table.
+    /// The fleet; the first entry of the log.
     Fleet {
         /// Each replica's zone.
         #[serde(rename = "workers")]
@@ -48,34 +49,34 @@
     },
     /// The roster file was replaced.
     Roster {
-        /// The list.
+        /// The new roster.
         #[serde(rename = "listed")]
         roster_entries: Vec<RosterEntry>,
     },
-    /// A governor started or ended.
+    /// A governor process started or stopped.
     Governor {
         /// The governor's number.
         governor: usize,
-        /// Whether it runs from now on.
+        /// Whether it is running from now on.
         up: bool,
     },
-    /// A governor's roster file is not replaced any more, or is again.
+    /// Updates of a governor's roster file stopped or resumed.
     #[serde(rename = "stale")]
     StaleRoster {
         /// The governor's number.
         governor: usize,
-        /// Whether it is not replaced any more.
+        /// Whether updates stopped.
         stale: bool,
     },
-    /// A worker's process began, cold (or, at the day's start, warm).
+    /// A replica process started: cold, or warm at the start of the day.
     Started {
         /// The replica's number.
         #[serde(rename = "worker")]
         replica: usize,
-        /// Whether it has just started.
+        /// Whether it is cold.
         cold: bool,
     },
-    /// A relay's first message on a stream of the governor's.
+    /// A proxy sent its first message on a stream to a governor.
     Joined {
         /// The proxy's number.
         #[serde(rename = "relay")]
@@ -90,7 +91,7 @@
         #[serde(rename = "relay")]
         proxy: usize,
     },
-    /// A response of the governor's: its nonce, and for tables the open lines by group, and the levels.
+    /// A proxy received a response of a governor.
     #[serde(rename = "order")]
     TableUpdate {
         /// The proxy's number.
@@ -100,13 +101,13 @@
         governor: usize,
         /// The message's nonce.
         nonce: String,
-        /// Table entries in it.
+        /// Number of table entries in the message.
         #[serde(rename = "lines")]
         entries: usize,
-        /// By class: the replicas that may be sent to, and the admission fraction.
+        /// The tables it updates, by traffic class: the routable replicas and the admission fraction.
         tables: BTreeMap<String, (Vec<usize>, f64)>,
     },
-    /// What the relay said to it.
+    /// A proxy accepted or rejected a governor's response.
     #[serde(rename = "answer")]
     UpdateAnswered {
         /// The proxy's number.
@@ -114,7 +115,7 @@
         proxy: usize,
         /// The message's nonce.
         nonce: String,
-        /// Whether the proxy took it.
+        /// Whether the proxy accepted it.
         #[serde(rename = "taken")]
         accepted: bool,
     },
@@ -123,11 +124,11 @@
         /// The proxy's number.
         #[serde(rename = "relay")]
         proxy: usize,
-        /// Whether it was held back.
+        /// Whether a fault delayed it.
         #[serde(rename = "late")]
         delayed: bool,
     },
-    /// A request came to a proxy.
+    /// A request arrived at a proxy.
     #[serde(rename = "came")]
     RequestArrived {
         /// The request's number.
@@ -140,7 +141,7 @@
         #[serde(rename = "group")]
         class: usize,
     },
-    /// A proxy sent it to a replica.
+    /// A proxy sent a request to a replica.
     #[serde(rename = "try")]
     AttemptSent {
         /// The request's number.
@@ -153,7 +154,7 @@
         #[serde(rename = "worker")]
         replica: usize,
     },
-    /// A worker took a try in.
+    /// A replica received an attempt.
     #[serde(rename = "got")]
     AttemptReceived {
         /// The request's number.
@@ -163,7 +164,7 @@
         #[serde(rename = "worker")]
         replica: usize,
     },
-    /// A worker has done the flow's work: what it does to the world is done.
+    /// A replica executed a request: its side effects have happened.
     #[serde(rename = "effect")]
     EffectApplied {
         /// The request's number.
@@ -176,13 +177,13 @@
         #[serde(rename = "group")]
         class: usize,
     },
-    /// It ended.
+    /// A request ended.
     #[serde(rename = "ended")]
     RequestEnded {
         /// The request's number.
         #[serde(rename = "flow")]
         request: u64,
-        /// How.
+        /// The outcome.
         #[serde(rename = "end")]
         outcome: RequestOutcome,
     },
@@ -200,7 +201,7 @@
 
 type LogObserver = Box<dyn FnMut(&Entry)>;
 
-/// The tape of a running day. All that writes to it runs on one thread.
+/// The event log of a running day. All its writers run on one thread.
 #[derive(Clone)]
 pub struct EventLog {
     start: Instant,
@@ -209,17 +210,17 @@
 }
 
 impl EventLog {
-    /// An empty log that begins now.
+    /// Creates an empty log that starts now.
     pub fn new() -> Self {
         EventLog { start: Instant::now(), entries: Rc::default(), observer: Rc::default() }
     }
 
-    /// Seconds since it began.
+    /// Seconds since the log started.
     pub fn now(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
 
-    /// Adds an entry, at the present time.
+    /// Adds an entry with the current time.
     pub fn record(&self, event: Event) {
         let entry = Entry { at: self.now(), event };
         if let Some(observer) = self.observer.borrow_mut().as_mut() {
@@ -228,12 +229,13 @@
         self.entries.borrow_mut().push(entry);
     }
 
-    /// Has every later entry seen by a watcher, as it is written. It must not write itself.
+    /// Sets a function that is called with every later entry when it is recorded. It must not record entries
+    /// itself.
     pub fn set_observer(&self, observer: impl FnMut(&Entry) + 'static) {
         *self.observer.borrow_mut() = Some(Box::new(observer));
     }
 
-    /// All entries so far; the log is empty from then on.
+    /// Takes all entries so far and leaves the log empty.
     pub fn take(&self) -> Vec<Entry> {
         self.entries.take()
     }
@@ -245,22 +247,23 @@
     }
 }
 
-/// The names of the day's three traffic groups, in order, as orders spell them.
+/// Names of the three traffic classes, in order, as table updates spell them.
 pub const CLASSES: [&str; 3] = ["plate-match", "space-count", "exit-charge"];
-/// By group: latency budget and expiry in seconds, share of the flows.
+/// By traffic class: latency objective and request deadline in seconds, and share of the requests.
 pub const CLASS_TRAFFIC: [(f64, f64, f64); 3] = [(2.0, 5.0, 0.5), (1.0, 2.5, 0.3), (2.0, 5.0, 0.2)];
-/// The group whose effect must never happen twice.
+/// Index of the class whose requests must never be executed twice.
 pub const NON_RETRIABLE: usize = 2;
-/// What the governor is told of its channel, for settings and checker alike.
+/// Table entries per second that a governor may send. This limit and those below are both written to the
+/// settings and checked.
 pub const ENTRIES_PER_SECOND: f64 = 4000.0;
-/// Table entries that a message costs beside its own.
+/// Overhead of a message, counted in table entries.
 pub const MESSAGE_OVERHEAD_ENTRIES: f64 = 10.0;
 /// Table entries that may be queued.
 pub const MAX_QUEUED_ENTRIES: f64 = 4000.0;
-/// Messages to one proxy within so many seconds.
+/// Maximum number of messages to one proxy, and the span in seconds for which it holds.
 pub const MESSAGE_LIMIT: (usize, f64) = (40, 10.0);
 
-/// What a cold worker can do, as a share of what it can once warm.
+/// Capacity of a replica at an age in seconds, as a fraction of its capacity once warm.
 pub fn capacity(day: &Day, age: f64) -> f64 {
     (day.cold_share + (1.0 - day.cold_share) * age / day.warm_after).min(1.0)
 }
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,9 +1,9 @@
-//! The rehearsal kit: a bad day, on the real program and real sockets on loopback, judged by what crossed
-//! them.
+//! Rehearsals: runs a scripted day of faults against real governor processes over loopback sockets, and
+//! checks a set of rules on the log of what crossed those sockets.
 //!
-//! Stand-in relays follow a governor, which runs as a process of its own; stand-in workers do the work, a
-//! roster file is written some seconds late, and everything is taped. Beside it, in the same minutes, a like
-//! fleet has the same day on standing tables only.
+//! Stand-in proxies follow the governors and send requests to stand-in replicas; the roster file is written
+//! with a delay. At the same time, an identical fleet runs the same day on default tables only, for
+//! comparison.
 
 pub mod check;
 pub mod event_log;
@@ -52,25 +52,25 @@
     ("storms", include_str!("../days/storms.star")),
     ("storms-bare", include_str!("../days/storms-bare.star")),
 ];
-/// Lines of a standing table.
+/// Number of entries in a default table.
 const DEFAULT_TABLE_SIZE: usize = 8;
-/// After the last flow came: time for the ends of all, and for the last orders' answers.
+/// Time after the last request for all requests to end and the last table updates to be answered.
 const SETTLE_SECONDS: f64 = 6.0;
 
-/// By which fronts the relays follow their governor.
+/// Which protocols the proxies use to follow their governor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fronts {
-    /// All by gRPC.
+    /// All proxies use gRPC.
     Grpc,
-    /// All by long-poll.
+    /// All proxies use long-polling.
     Poll,
-    /// By turns.
+    /// Proxies alternate between the protocols.
     Mixed,
 }
 
 impl Fronts {
-    /// The front of a relay; within a hall all of a mix are met.
+    /// A proxy's protocol. Each zone with enough proxies has all protocols of a mix.
     fn of(self, proxy: usize, zone_count: usize) -> Front {
         let index = proxy / zone_count + proxy % zone_count;
         match self {
@@ -84,7 +84,7 @@
     }
 }
 
-/// How a group fared.
+/// Request counts of a traffic class.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct ClassService {
     /// Requests.
@@ -104,37 +104,40 @@
     pub failed: u64,
 }
 
-/// What a day came to.
+/// Result of a rehearsed day.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Verdict {
     /// The day's name.
     pub day: String,
-    /// The seed it was played with.
+    /// The seed of the run.
     pub seed: u64,
-    /// The fronts that proxies used.
+    /// The protocols that proxies used.
     pub fronts: Fronts,
     /// The verdict on each rule.
     pub rules: Vec<RuleResult>,
-    /// By group: with the governor, and on standing tables only.
+    /// By traffic class: with governors, and with default tables only.
     pub service: BTreeMap<String, (ClassService, ClassService)>,
-    /// Messages from governors to proxies.
+    /// Number of messages from governors to proxies.
     #[serde(rename = "orders")]
     pub table_updates: usize,
-    /// Load reports of proxies.
+    /// Number of load reports from proxies.
     pub reports: usize,
-    /// Relays that had the orders of the flush in which the governor was killed, of those joined.
+    /// Number of table updates received from the killed governor after the roster change that the fault waits
+    /// for; none if there were none.
     pub killed_after: Option<usize>,
-    /// Tables that the guard let pass, and what it refused, by why; of the governors' last lives.
+    /// Number of tables that the guard passed, and of those it refused by reason; counted since each governor
+    /// last started.
     pub guard: (u64, BTreeMap<String, u64>),
 }
 
 impl Verdict {
-    /// Tables that the guard refused: with the module as it is, on any day, none should be.
+    /// Number of tables that the guard refused. With the unmodified decision module this is expected to be 0
+    /// on any day.
     pub fn refused(&self) -> u64 {
         self.guard.1.values().sum()
     }
 
-    /// Whether no rule was broken.
+    /// Whether no rule was broken and there was at least one table update and one load report.
     pub fn passed(&self) -> bool {
         self.rules.iter().all(|result| result.violations.is_empty())
             && self.table_updates > 0
@@ -195,18 +198,20 @@
     }
 }
 
-/// The governor to run, and what it is told besides its settings.
+/// The governor executable and its additional arguments.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Program {
-    /// Where it is.
+    /// Path of the executable.
     pub path: PathBuf,
-    /// Arguments by which it decides wrongly.
+    /// Arguments that inject faults into its decisions.
     pub wrongs: Vec<String>,
 }
 
-/// Rehearses a day: one of the kit's by name, or a script's path. `program` is the governor to run.
+/// Rehearses a day, given as the name of a built-in day or the path of a script. `program` is the governor to
+/// run.
 ///
-/// Errors: no such day, faults in its script, or a rehearsal that can't be held (no sockets, no program).
+/// Errors: an unknown day, an invalid script, or a failure to run the rehearsal (for example, no sockets or
+/// no program).
 pub fn rehearse(
     program: &Program,
     day: &str,
@@ -302,7 +307,7 @@
     CLASSES.iter().zip(both).map(|(class, both)| ((*class).to_string(), both)).collect()
 }
 
-/// One fleet: workers, relays, a roster, and what goes wrong with them.
+/// A simulated fleet with its replicas, proxies, roster and injected faults.
 struct SimulatedFleet {
     day: Rc<Day>,
     seed: u64,
@@ -310,11 +315,11 @@
     replicas: Rc<Vec<Rc<Replica>>>,
     proxies: Vec<Rc<Proxy>>,
     gossip_links: Rc<GossipLinks>,
-    /// Governors whose roster file is not replaced.
+    /// Governors whose roster file is currently not updated.
     stale_rosters: RefCell<BTreeSet<usize>>,
-    /// Workers that are listed as draining.
+    /// Replicas that the roster lists as draining.
     draining: RefCell<BTreeSet<usize>>,
-    /// Seconds of the calendar at the tape's beginning.
+    /// Unix time in seconds at which the event log started.
     log_start_unix_seconds: f64,
 }
 
@@ -333,7 +338,7 @@
         let rate_per_proxy = day.flows_per_s / day.relays as f64;
         let proxies: Vec<Rc<Proxy>> = (0..day.relays)
             .map(|index| {
-                // A relay draws its standing table from its hall, as the list then shows it.
+                // Each proxy draws its default table from the replicas of its zone.
                 let mut default_replicas: Vec<usize> =
                     (0..day.workers).filter(|replica| replica % zone_count == index % zone_count).collect();
                 while default_replicas.len() > DEFAULT_TABLE_SIZE {
@@ -375,7 +380,7 @@
         }))
     }
 
-    /// Holds the day; with a governor (its program, and a folder for its files) or without.
+    /// Runs the day, with governors (given their program and a folder for their files) or without.
     #[expect(clippy::too_many_lines, reason = "left for readers: docs/ROADMAP.md")]
     async fn run_day(
         self: &Rc<Self>,
@@ -418,7 +423,7 @@
         });
         let mut tasks = Vec::new();
         if !governors.is_empty() {
-            // An imported roster is there already.
+            // The import has already written the roster file.
             match self.day.nginx {
                 true => self.record_roster(),
                 false => self.write_rosters(&governors)?,
@@ -449,7 +454,7 @@
             tasks.push(tokio::task::spawn_local(async move {
                 sleep(Duration::from_secs_f64(planned.at)).await;
                 if let Err(error) = this.inject_fault(&planned, &governors).await {
-                    eprintln!("a trouble could not be made: {error:#}");
+                    eprintln!("fault injection failed: {error:#}");
                 }
             }));
         }
@@ -457,7 +462,7 @@
         let killed_after = governors.iter().find_map(|governor| governor.killed_after.get());
         let (mut passed, mut refused) = (0, BTreeMap::new());
         for governor in &governors {
-            // One that is down at the end has nothing to say.
+            // A governor that is down at the end reports no counts.
             let status = governor.operate(&["status", "--output", "json"]).await.unwrap_or_default();
             let status: serde_json::Value = serde_json::from_str(&status).unwrap_or_default();
             passed += status["guard"]["passed"].as_u64().unwrap_or(0);
@@ -467,7 +472,7 @@
         }
         if !governors.is_empty() {
             governors.iter().for_each(|governor| governor.kill());
-            // Orders on their way when the day ended are nobody's fault.
+            // Table updates in transit at the end of the day are not counted as unanswered.
             self.proxies
                 .iter()
                 .for_each(|proxy| self.event_log.record(Event::StreamBroken { proxy: proxy.index }));
@@ -476,7 +481,7 @@
         Ok((killed_after, (passed, refused)))
     }
 
-    /// Replaces the governors' roster files by what holds now.
+    /// Replaces the governors' roster files with the current state of the replicas, except for stale ones.
     fn write_rosters(&self, governors: &[Rc<GovernorProcess>]) -> Result<()> {
         let draining = self.draining.borrow();
         let entry = |replica: &Rc<Replica>| {
@@ -508,7 +513,7 @@
         self.event_log.record(Event::Roster { roster_entries: roster_entries.collect() });
     }
 
-    /// A governor's roster file is not replaced any more, or is again.
+    /// Stops or resumes updating a governor's roster file.
     fn set_stale_roster(
         &self,
         governors: &[Rc<GovernorProcess>],
@@ -533,7 +538,8 @@
         let duration = Duration::from_secs_f64(planned.lasts);
         let zone_count = self.day.halls.len();
         let pick_replicas = |count: usize| {
-            // The first hall's workers, by seed: deploys are of other halls, as the days have it.
+            // Takes replicas of the first zone, starting at an offset from the seed. The built-in days deploy
+            // to other zones.
             let replicas = self.replicas.iter().filter(|replica| replica.index % zone_count == 0);
             let skip = self.seed as usize % (self.day.workers / zone_count).max(1);
             replicas.cycle().skip(skip).take(count).cloned().collect::<Vec<_>>()
@@ -594,7 +600,8 @@
                         sleep(Duration::from_millis(5)).await;
                     }
                 };
-                // Where no roster change comes in time, it is killed between two flushes.
+                // If not enough table updates follow a roster change in time, the governor is killed between
+                // two flushes.
                 let _ = timeout(duration, stopped).await;
                 governor.kill();
                 sleep(Duration::from_millis(50)).await;
@@ -613,7 +620,7 @@
                     governor.kill();
                     governor.wait_for_exit().await;
                     self.event_log.record(Event::Governor { governor: governor.index, up: false });
-                    // As soon as a supervisor would.
+                    // The restart delay of a process supervisor.
                     sleep(Duration::from_millis(200)).await;
                     governor.start(&self.event_log).await?;
                 }
@@ -659,14 +666,14 @@
                     self.event_log.record(Event::Governor { governor: governor.index, up: false });
                     sleep(Duration::from_millis(500)).await;
                     governor.start(&self.event_log).await?;
-                    // As an operator would: the next once this one is well.
+                    // Like an operator, waits until the governor has recovered before rolling the next one.
                     sleep(Duration::from_secs(3)).await;
                 }
             }
             Trouble::StepBack => {
                 let version = |status: String| -> Result<u64> {
                     let status: serde_json::Value = serde_json::from_str(&status)?;
-                    status["governor"]["version"].as_u64().context("a status without a version")
+                    status["governor"]["version"].as_u64().context("status output has no governor.version")
                 };
                 for governor in governors {
                     let version_before = version(governor.operate(&["status", "--output", "json"]).await?)?;
@@ -689,7 +696,7 @@
     }
 }
 
-/// The real program, as a process of its own.
+/// A governor process with its files and addresses.
 struct GovernorProcess {
     index: usize,
     program: Program,
@@ -697,7 +704,7 @@
     endpoint: wrenthread_client::Governor,
     http: String,
     ports: (u16, u16),
-    /// Where it is heard by others, and where it finds them.
+    /// The address where it receives gossip; `peers` has the addresses for sending to other governors.
     gossip_address: SocketAddr,
     peers: Vec<(usize, SocketAddr)>,
     child: RefCell<Option<Child>>,
@@ -705,8 +712,8 @@
     killed_after: Cell<Option<usize>>,
 }
 
-/// A port below those that the system gives to outgoing connections: one of these must not sit on a
-/// governor's port while the governor is down. Each process begins to look elsewhere.
+/// A port below the system's range for outgoing connections: one of those could otherwise occupy a governor's
+/// port while the governor is down. Each process starts its search at a different port.
 fn free_port() -> Result<u16> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let port = || {
@@ -714,11 +721,11 @@
         15_100 + (offset % 17_000) as u16
     };
     let mut ports = std::iter::repeat_with(port).take(1000);
-    ports.find(|port| is_free(*port)).context("no free port on loopback")
+    ports.find(|port| is_free(*port)).context("no free port on 127.0.0.1 after 1000 attempts")
 }
 
-/// Whether the port is free. Looking does not listen there: whoever waits for a governor at this port would take the look
-/// for it.
+/// Whether the port is free. This binds without listening: otherwise, clients that wait for a governor at
+/// this port would take the check for the governor.
 fn is_free(port: u16) -> bool {
     let address = SocketAddr::from(([127, 0, 0, 1], port));
     tokio::net::TcpSocket::new_v4().is_ok_and(|socket| socket.bind(address).is_ok())
@@ -751,7 +758,7 @@
         })
     }
 
-    /// Writes its settings.
+    /// Writes the settings file.
     fn write_settings(&self, day: &Day) -> Result<()> {
         let GovernorProcess { index, http, ports: (grpc, poll), gossip_address, .. } = self;
         let key = self.folder.join("../fleet.key");
@@ -801,8 +808,8 @@
         Ok(())
     }
 
-    /// Has its settings and its first roster imported from an nginx's configuration of this fleet; what that
-    /// does not say is added as an operator would.
+    /// Imports the settings and the first roster from an nginx configuration of this fleet. Adds the settings
+    /// that the configuration has no equivalent for, as an operator would.
     fn import(&self, day: &Day, replicas: &[Rc<Replica>]) -> Result<()> {
         let server = |replica: &Rc<Replica>| {
             format!("    server {} slow_start={}ms;\n", replica.address, (day.warm_after * 1000.0) as u64)
@@ -835,7 +842,7 @@
             .arg(&conf)
             .output()?;
         if !output.status.success() {
-            bail!("the import failed: {}", String::from_utf8_lossy(&output.stderr));
+            bail!("nginx import failed: {}", String::from_utf8_lossy(&output.stderr));
         }
         let imported = std::fs::read_to_string(self.folder.join("gates/settings.star"))?;
         let key = self.folder.join("../fleet.key");
@@ -883,19 +890,25 @@
         bail!("the governor does not answer on {}; its log is in {}", self.http, self.folder.display())
     }
 
-    /// Sends its process a signal, by its id.
+    /// Sends a signal to the process.
     fn signal(&self, signal: Signal) -> Result<()> {
-        let id = self.child.borrow().as_ref().and_then(Child::id).context("the governor is not up")?;
+        let id = self
+            .child
+            .borrow()
+            .as_ref()
+            .and_then(Child::id)
+            .context("the governor process is not running")?;
         Ok(nix::sys::signal::kill(nix::unistd::Pid::from_raw(id as i32), signal)?)
     }
 
-    /// Has it hand its relays over, as an operator does.
+    /// Hands its proxies over to other governors with the `drain-governor` command.
     async fn drain(&self) -> Result<()> {
-        // An operator would go on, too: what is left comes back by itself.
+        // A failed drain is not an error: the remaining proxies reconnect by themselves, and an operator
+        // would continue too.
         self.operate(&["drain-governor", "--wait", "20"]).await.map(drop)
     }
 
-    /// Does what an operator does at the command line; what it prints.
+    /// Runs a command of the command line against this governor and returns its standard output.
     async fn operate(&self, arguments: &[&str]) -> Result<String> {
         let address = ["--at", &self.http];
         let output = Command::new(&self.program.path).args(arguments).args(address).output().await?;
@@ -905,7 +918,7 @@
         Ok(String::from_utf8(output.stdout)?)
     }
 
-    /// Waits for its end.
+    /// Waits up to 5 seconds for the process to exit.
     async fn wait_for_exit(&self) {
         let child = self.child.borrow_mut().take();
         if let Some(mut child) = child {
@@ -914,7 +927,7 @@
         self.stopped.set(true);
     }
 
-    /// Kills it, as by a power cut.
+    /// Kills the process without a shutdown, as a power failure would.
     fn kill(&self) {
         if let Some(child) = self.child.borrow_mut().as_mut() {
             let _ = child.start_kill();
--- a/crates/rehearsal/src/network_links.rs
+++ b/crates/rehearsal/src/network_links.rs
@@ -1,4 +1,4 @@
-//! The links between governors: each datagram goes through a socket of the kit's, which may drop it.
+//! Simulated links between governors: forwards each datagram through a socket of its own, which can drop it.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -8,15 +8,15 @@
 use anyhow::Result;
 use tokio::net::UdpSocket;
 
-/// Links that are cut: from, to.
+/// Links, with the set of blocked ones as (from, to).
 #[derive(Default)]
 pub struct GossipLinks {
     blocked: RefCell<BTreeSet<(usize, usize)>>,
 }
 
 impl GossipLinks {
-    /// A link by which one governor reaches another, which is heard at `heard_at`; where the first is to
-    /// send.
+    /// Creates a link from one governor to another that receives gossip at `target_address`. Returns the
+    /// address to which the first one has to send.
     pub async fn create_link(
         self: &Rc<Self>,
         from: usize,
@@ -28,7 +28,7 @@
         tokio::task::spawn_local(async move {
             let mut buffer = vec![0; 2048];
             loop {
-                // A governor that is down answers by an error of the socket's: the link stands.
+                // A governor that is down makes the socket return an error; the link stays usable.
                 let Ok((length, _)) = socket.recv_from(&mut buffer).await else { continue };
                 if !this.blocked.borrow().contains(&(from, to)) {
                     let _ = socket.send_to(&buffer[..length], target_address).await;
@@ -38,7 +38,7 @@
         Ok(link_address)
     }
 
-    /// Cuts all links from a governor, and (unless one way) to it; or mends them.
+    /// Blocks or unblocks all links from a governor and, unless `one_way`, to it.
     pub fn set_blocked(&self, governor: usize, governor_count: usize, one_way: bool, blocked: bool) {
         for other in (0..governor_count).filter(|other| *other != governor) {
             for link in [(governor, other), (other, governor)].into_iter().take(if one_way { 1 } else { 2 }) {
--- a/crates/rehearsal/src/proxy.rs
+++ b/crates/rehearsal/src/proxy.rs
@@ -1,5 +1,5 @@
-//! Stand-in relays: plain proxies that follow their tables and nothing more. What makes them proxies is the
-//! client library; here are their flows, and what goes wrong with their streams and reports.
+//! Stand-in proxies, which route requests by their tables only. The client library does the work of a proxy;
+//! this module generates the requests and injects faults into streams and reports.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashMap};
@@ -22,13 +22,13 @@
 use crate::event_log::{CLASS_TRAFFIC, CLASSES, Event, EventLog, RequestOutcome};
 use crate::replica::Replica;
 
-/// A relay keeps away from a worker for so long after so many of its own tries in a row were dropped there.
+/// A proxy ejects a replica after this many consecutive failures of its own attempts there, for this long.
 const EJECTION: (u32, Duration) = (3, Duration::from_secs(3));
-/// A home must answer for so long before relays go there, and they do within so long.
+/// How long the home governor must answer before proxies return to it, and the time within which they do.
 const FAILBACK: (Duration, Duration) = (Duration::from_secs(2), Duration::from_secs(4));
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// By which front a relay follows its governor.
+/// The protocol by which a proxy follows its governor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Front {
     /// gRPC, state of the world.
@@ -41,7 +41,7 @@
 
 /// A stand-in proxy.
 pub struct Proxy {
-    /// Its number.
+    /// Index in the fleet.
     pub index: usize,
     identity: ProxyIdentity,
     front: Front,
@@ -51,13 +51,13 @@
     cache: Rc<RefCell<TableCache>>,
     versions: Rc<RefCell<grpc::Versions>>,
     session: RefCell<Option<Rc<poll::Session>>>,
-    /// Whom it follows now.
+    /// The governor that it currently follows.
     governor: RefCell<Governor>,
     governor_changed: Notify,
     break_requested: Notify,
-    /// Governors that it can't reach, by place.
+    /// Indexes of the governors that it cannot reach.
     unreachable: RefCell<BTreeSet<usize>>,
-    /// Reports come so many seconds late, and twice.
+    /// Delay of load reports in seconds. Delayed reports are sent twice.
     report_delay: Cell<f64>,
     next_report_number: Cell<u64>,
 }
@@ -68,7 +68,7 @@
     Failed,
 }
 
-/// Tapes what the client library sees.
+/// Records in the event log what the client library reports.
 struct EventLogObserver<'a> {
     proxy: &'a Proxy,
     governor: usize,
@@ -98,7 +98,7 @@
                 (entries.iter().map(|(address, _)| replica(address)).collect(), *admission_fraction),
             )
         });
-        // A dial that got no further than its first message found nobody.
+        // A connection attempt counts as successful only after a response from the governor.
         self.got_update.set(true);
         let (proxy, governor, nonce) = (self.proxy.index, self.governor, nonce.to_string());
         self.proxy.event_log.record(Event::TableUpdate {
@@ -120,7 +120,7 @@
 }
 
 impl Proxy {
-    /// `standing`: the workers of the table that it drew from the list at its start, as proxies do.
+    /// `default_table`: the replicas drawn from the roster at start, as proxies do.
     pub fn new(
         index: usize,
         identity: ProxyIdentity,
@@ -156,12 +156,12 @@
         })
     }
 
-    /// Breaks its stream to the governor, if it has one.
+    /// Breaks the stream to the governor, if there is one.
     pub fn break_stream(&self) {
         self.break_requested.notify_waiters();
     }
 
-    /// Governors are out of its reach, or within it again; a stream to one of them breaks.
+    /// Sets whether the proxy can reach a governor. A stream to a governor that becomes unreachable breaks.
     pub fn set_reachable(&self, governor: usize, reachable: bool) {
         match reachable {
             true => drop(self.unreachable.borrow_mut().remove(&governor)),
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Load reports are sent so many seconds late from now on.
+    /// Sets the delay of load reports.
     pub fn set_report_delay(&self, seconds: f64) {
         self.report_delay.set(seconds);
     }
@@ -182,9 +182,9 @@
         Duration::from_secs_f64(self.event_log.now())
     }
 
-    // ---- flows
+    // ---- requests
 
-    /// Brings flows at a rate until the day's end; each is a task of its own.
+    /// Generates requests at a rate until `end`, each in a task of its own.
     pub async fn generate_requests(
         self: Rc<Self>,
         requests_per_second: f64,
@@ -203,7 +203,7 @@
             let this = self.clone();
             tokio::task::spawn_local(async move {
                 this.event_log.record(Event::RequestArrived { request, proxy: this.index, class });
-                // The client has given up by its expiry, and has its answer then.
+                // The client gives up at the request deadline, which counts as a failure.
                 let expiry = Duration::from_secs_f64(CLASS_TRAFFIC[class].1);
                 let outcome =
                     timeout(expiry, this.route(request, class)).await.unwrap_or(RequestOutcome::Failed);
@@ -237,7 +237,7 @@
         let replica = self.replicas.get(&**address).map_or(usize::MAX, |replica| replica.index);
         self.event_log.record(Event::AttemptSent { request, proxy: self.index, replica });
         self.cache.borrow_mut().attempt_started(class, address);
-        // Counted as dropped unless it comes to something: also when the client gives up in the midst of it.
+        // Counts as failed unless an outcome is set, also if the client gives up during the attempt.
         let mut guard = AttemptGuard { proxy: self, class, address, outcome: None };
         let start = self.event_log.now();
         let result = send_attempt(address, request, class).await.unwrap_or(AttemptResult::Failed);
@@ -249,8 +249,8 @@
 
     // ---- the governor
 
-    /// Follows a governor, again and again, over broken streams and dead governors: its home, or the next in
-    /// rank while that can't be had.
+    /// Follows a governor, and reconnects when a stream breaks or the governor dies. Uses the home governor,
+    /// or the next one in rank while that is unavailable.
     #[expect(clippy::too_many_lines, reason = "left for readers: docs/ROADMAP.md")]
     pub async fn follow(self: Rc<Self>, governors: Rc<Vec<Governor>>) {
         let names: Vec<&str> = governors.iter().map(|governor| governor.name.as_str()).collect();
@@ -276,7 +276,7 @@
             };
             let stream = async {
                 if is_unreachable() {
-                    // As a connection that nobody answers, only sooner.
+                    // Simulates a connection attempt without an answer, with a shorter timeout.
                     sleep(Duration::from_millis(200)).await;
                     return Err(Error::Ended);
                 }
@@ -321,7 +321,7 @@
                 Some(Error::Moved(to)) => {
                     selector.redirected(to.and_then(|to| names.iter().position(|name| *name == to)));
                 }
-                // A broken stream is tried again where it was; only who can't be had is passed over.
+                // A broken stream is retried at the same governor. Only an unreachable governor is skipped.
                 _ if !got_update || self.unreachable.borrow().contains(&index) => selector.connection_lost(),
                 _ => {}
             }
@@ -329,7 +329,7 @@
         }
     }
 
-    /// Reports what it met to whichever governor it follows, again and again.
+    /// Sends load reports to the governor that it currently follows.
     pub async fn report(self: Rc<Self>) {
         loop {
             let governor_changed = self.governor_changed.notified();
@@ -348,7 +348,7 @@
         }
     }
 
-    /// Does what a report takes: now, or late and twice.
+    /// Sends a report now; or, with a delay set, late and twice.
     fn send_report<F: Future<Output = ()> + 'static>(&self, send: impl Fn() -> F + 'static) {
         let (report_delay, event_log, proxy) = (self.report_delay.get(), self.event_log.clone(), self.index);
         tokio::task::spawn_local(async move {
@@ -393,7 +393,7 @@
     }
 }
 
-/// Counts a try when it is over, however it ends.
+/// Records the outcome of an attempt when dropped, however the attempt ends.
 struct AttemptGuard<'a> {
     proxy: &'a Proxy,
     class: usize,
--- a/crates/rehearsal/src/replica.rs
+++ b/crates/rehearsal/src/replica.rs
@@ -1,7 +1,7 @@
-//! Stand-in workers: work, a queue, a cold start, and the ways in which they go wrong.
+//! Stand-in replicas with simulated work, a queue, a cold start and fault modes.
 //!
-//! A try is a line `FLOW GROUP` on a connection of its own; the answer is `ok WAITING`, `refused` (it never
-//! ran), or `bad` (it ran, and its effect with it).
+//! An attempt is a line `REQUEST CLASS` on a connection of its own. The answer is `ok QUEUED`, `refused` (the
+//! request was not executed) or `bad` (it failed after it was executed).
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -15,9 +15,9 @@
 
 use crate::event_log::{Event, EventLog, capacity};
 
-/// Flows worked on at once.
+/// Requests executed concurrently.
 const MAX_CONCURRENT_REQUESTS: usize = 2;
-/// Flows that may wait before further ones are refused.
+/// Queued requests beyond which further ones are refused.
 const MAX_QUEUED_REQUESTS: usize = 30;
 
 /// How a replica behaves.
@@ -25,13 +25,13 @@
 pub enum Mode {
     /// It serves requests.
     Healthy,
-    /// It takes requests and never answers.
+    /// It accepts requests and never answers.
     Silent,
     /// It answers each request with an error at once.
     QuickErrors,
 }
 
-/// The process that runs under a worker's name and address; a restart makes a new one.
+/// The process of a replica. A restart replaces it under the same name and address.
 struct Process {
     started: Option<f64>,
     slots: Semaphore,
@@ -40,11 +40,11 @@
 
 /// A stand-in replica.
 pub struct Replica {
-    /// Its number.
+    /// Index in the fleet.
     pub index: usize,
-    /// Its name in roster and tables.
+    /// The name in roster and tables.
     pub id: String,
-    /// Where it listens.
+    /// The address where it listens.
     pub address: String,
     day: Rc<Day>,
     event_log: EventLog,
@@ -53,14 +53,16 @@
 }
 
 impl Replica {
-    /// Starts a worker, warm.
+    /// Starts a replica, already warm.
     ///
-    /// Errors: no socket on loopback.
+    /// Errors: the socket on loopback cannot be bound.
     pub async fn start(index: usize, day: Rc<Day>, event_log: EventLog) -> Result<Rc<Replica>> {
-        // On a day that is imported, zones are told by the networks of addresses.
+        // With an nginx import, zones are derived from the networks of the addresses.
         let host =
             if day.nginx { format!("{}.1", day.halls[index % day.halls.len()]) } else { "127.0.0.1".into() };
-        let listener = TcpListener::bind(format!("{host}:0")).await.context("a worker's socket")?;
+        let listener = TcpListener::bind(format!("{host}:0"))
+            .await
+            .context("cannot bind a replica's listening socket")?;
         let process =
             Process { started: None, slots: Semaphore::new(MAX_CONCURRENT_REQUESTS), queued: Cell::new(0) };
         let address = listener.local_addr()?.to_string();
@@ -78,19 +80,19 @@
         tokio::task::spawn_local(async move {
             while let Ok((connection, _)) = listener.accept().await {
                 let this = this.clone();
-                // A client that goes away takes nothing back: the work is done all the same.
+                // The work goes on if the client disconnects.
                 tokio::task::spawn_local(async move { drop(this.serve(connection).await) });
             }
         });
         Ok(replica)
     }
 
-    /// Has it behave so from now on.
+    /// Sets the mode for later requests.
     pub fn set_mode(&self, mode: Mode) {
         self.mode.set(mode);
     }
 
-    /// A new process under the same name: cold, and without what the old one had in hand.
+    /// Replaces the process with a cold one. Requests in progress are lost.
     pub fn restart(&self) {
         let process = Process {
             started: Some(self.event_log.now()),
@@ -102,7 +104,7 @@
         self.event_log.record(Event::Started { replica: self.index, cold: true });
     }
 
-    /// When its process started, in seconds of the log; none if that is long ago.
+    /// When the process started, in seconds of the event log; none if it was started warm.
     pub fn started(&self) -> Option<f64> {
         self.process.borrow().started
     }
@@ -111,13 +113,14 @@
         let mut connection = BufReader::new(connection);
         let mut line = String::new();
         connection.read_line(&mut line).await?;
-        let (request, class) = line.trim().split_once(' ').context("FLOW GROUP")?;
+        let (request, class) =
+            line.trim().split_once(' ').context("malformed attempt; expected `REQUEST CLASS`")?;
         let (request, class) = (request.parse::<u64>()?, class.parse::<usize>()?);
         self.event_log.record(Event::AttemptReceived { request, replica: self.index });
         let process = self.process.borrow().clone();
         match self.mode.get() {
             Mode::Silent => {
-                // The connection stands, and nothing ever comes.
+                // Keeps the connection open without an answer.
                 tokio::time::sleep(Duration::from_secs(30)).await;
                 return Ok(());
             }
@@ -136,7 +139,7 @@
         process.queued.set(process.queued.get() - 1);
         let Ok(_permit) = permit else { return Ok(()) };
         let age = process.started.map_or(f64::MAX, |at| self.event_log.now() - at);
-        // Somewhat uneven work, the same for a flow wherever it runs.
+        // The work varies between requests, but is the same for a request on every replica.
         let work_factor =
             0.7 + 0.6 * (request.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 40) as f64 / f64::from(1 << 24);
         let duration = MAX_CONCURRENT_REQUESTS as f64 / self.day.worker_flows_per_s * work_factor
