--- a/crates/nginx-importer/benches/import.rs
+++ b/crates/nginx-importer/benches/import.rs
@@ -17,7 +17,7 @@
 use wrenthread_nginx::directive_support::Outcome;
 use wrenthread_nginx::files::{self, Configuration, LocalFiles};
 use wrenthread_nginx::fleet::{ZoneAssignment, import};
-use wrenthread_nginx::syntax::{self, MOST};
+use wrenthread_nginx::syntax::{self, MAX_DIRECTIVES};
 use wrenthread_nginx::{blocks, write};
 
 /// So many lines: upstreams of twenty servers, each with a location of its own.
@@ -38,16 +38,16 @@
 }
 
 /// The most memory that this process ever had, in MiB, as the system tells.
-fn most_memory() -> f64 {
+fn peak_memory_mib() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
     line.and_then(|line| line.trim().trim_end_matches(" kB").trim().parse::<f64>().ok()).unwrap_or(f64::NAN)
         / 1024.0
 }
 
-fn median(mut all: Vec<f64>) -> (f64, f64, f64) {
-    all.sort_by(f64::total_cmp);
-    (all[0], all[all.len() / 2], all[all.len() - 1])
+fn median(mut sorted: Vec<f64>) -> (f64, f64, f64) {
+    sorted.sort_by(f64::total_cmp);
+    (sorted[0], sorted[sorted.len() / 2], sorted[sorted.len() - 1])
 }
 
 fn main() {
@@ -58,31 +58,36 @@
         for _ in 0..7 {
             let ms = |began: Instant| began.elapsed().as_secs_f64() * 1e3;
             let began = Instant::now();
-            let directives = syntax::parse(text.as_bytes(), 0, MOST).expect("it is sound");
+            let directives = syntax::parse(text.as_bytes(), 0, MAX_DIRECTIVES).expect("it is sound");
             parse.push(ms(began));
-            let whole = Configuration { files: vec!["large.conf".into()], directives };
+            let configuration = Configuration { files: vec!["large.conf".into()], directives };
             let began = Instant::now();
-            let imported = import(&whole, ZoneAssignment::One);
+            let imported = import(&configuration, ZoneAssignment::One);
             imports.push(ms(began));
             let began = Instant::now();
             let terms = write::DeploymentTerms::default();
-            for (place, fleet) in imported.fleets.iter().enumerate() {
-                std::hint::black_box((write::settings(fleet, place, &terms), write::roster(fleet)));
+            for (index, fleet) in imported.fleets.iter().enumerate() {
+                std::hint::black_box((write::settings(fleet, index, &terms), write::roster(fleet)));
             }
             writes.push(ms(began));
         }
         let (parse, imports, writes) = (median(parse), median(imports), median(writes));
-        println!("{lines}  {parse:.1?}  {imports:.1?}  {writes:.1?}; {:.0} MiB at the most", most_memory());
+        println!(
+            "{lines}  {parse:.1?}  {imports:.1?}  {writes:.1?}; {:.0} MiB at the most",
+            peak_memory_mib()
+        );
     }
 
     let corpus = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/corpus");
     let mut outcomes: BTreeMap<(Outcome, bool), usize> = BTreeMap::new();
     let mut entries: Vec<_> = std::fs::read_dir(corpus).expect("the corpus").flatten().collect();
     entries.sort_by_key(std::fs::DirEntry::path);
-    for entry in entries.iter().filter(|entry| entry.path().extension().is_some_and(|one| one == "conf")) {
-        let whole = files::read(&LocalFiles, &entry.path()).expect("a sample");
-        for one in import(&whole, ZoneAssignment::One).report.entries(&whole) {
-            *outcomes.entry((one.support.outcome, one.support.affects_routing)).or_default() += 1;
+    for entry in
+        entries.iter().filter(|entry| entry.path().extension().is_some_and(|extension| extension == "conf"))
+    {
+        let configuration = files::read(&LocalFiles, &entry.path()).expect("a sample");
+        for entry in import(&configuration, ZoneAssignment::One).report.entries(&configuration) {
+            *outcomes.entry((entry.support.outcome, entry.support.affects_routing)).or_default() += 1;
         }
     }
     println!("\nin the corpus (outcome, whether it bears on routing): {outcomes:?}");
@@ -96,12 +101,12 @@
     ];
     for (name, weights) in sets {
         let lines: Vec<(String, f64)> = weights.iter().map(|weight| (String::new(), *weight)).collect();
-        let whole = blocks::weights(&lines);
-        let (sum, all): (f64, u64) = (weights.iter().sum(), whole.iter().sum());
-        let error = |(weight, whole): (&f64, &u64)| {
-            (weight / sum - *whole as f64 / all as f64).abs() / (weight / sum)
+        let integers = blocks::integer_weights(&lines);
+        let (sum, integer_sum): (f64, u64) = (weights.iter().sum(), integers.iter().sum());
+        let error = |(weight, integer): (&f64, &u64)| {
+            (weight / sum - *integer as f64 / integer_sum as f64).abs() / (weight / sum)
         };
-        let worst = weights.iter().zip(&whole).map(error).fold(0.0, f64::max);
+        let worst = weights.iter().zip(&integers).map(error).fold(0.0, f64::max);
         println!("{name}: {worst:.2e} of the share itself");
     }
 }
--- a/crates/nginx-importer/src/access_log.rs
+++ b/crates/nginx-importer/src/access_log.rs
@@ -10,13 +10,13 @@
 use std::time::Duration;
 
 /// A line is no longer than this; one that is is passed over.
-pub const LONGEST: usize = 16 << 10;
+pub const MAX_LINE_BYTES: usize = 16 << 10;
 /// Tries of one flow that are read.
-const MOST_TRIES: usize = 16;
+const MAX_ATTEMPTS: usize = 16;
 
 /// One try, as the log has it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Try {
+pub struct Attempt {
     /// The replica's address.
     pub address: String,
     /// How long its answer took; none if there was no good one.
@@ -29,7 +29,7 @@
     /// The traffic class.
     pub group: String,
     /// The attempts, in their order.
-    pub tries: Vec<Try>,
+    pub tries: Vec<Attempt>,
 }
 
 /// Why a line does not count.
@@ -37,16 +37,16 @@
 pub enum Odd {
     /// It has too few fields.
     #[error("it has not the four fields of our format")]
-    Fields,
+    FieldCount,
     /// Its lists of attempts differ in length.
     #[error("its tries have different numbers of addresses, states and times")]
-    Tries,
+    AttemptCount,
     /// A field is no number.
     #[error("a state or a time is no number")]
-    Number,
+    InvalidNumber,
     /// It is too long.
     #[error("it is longer than a line may be")]
-    Long,
+    TooLong,
 }
 
 /// Reads one line; none for a flow of no group of ours.
@@ -54,7 +54,7 @@
 /// Errors: why it does not count.
 pub fn flow(line: &str) -> Result<Option<Flow>, Odd> {
     let fields: Vec<&str> = line.trim_end_matches('\r').split('|').collect();
-    let [group, addresses, states, times] = fields.as_slice() else { return Err(Odd::Fields) };
+    let [group, addresses, statuses, latencies] = fields.as_slice() else { return Err(Odd::FieldCount) };
     if group.is_empty() || *group == "-" {
         return Ok(None);
     }
@@ -66,29 +66,32 @@
     if addresses.is_empty() || *addresses == "-" {
         return Ok(Some(Flow { group, tries: Vec::new() }));
     }
-    let (addresses, states, times) = (split(addresses), split(states), split(times));
-    if addresses.len() != states.len() || addresses.len() != times.len() || addresses.len() > MOST_TRIES {
-        return Err(Odd::Tries);
+    let (addresses, statuses, latencies) = (split(addresses), split(statuses), split(latencies));
+    if addresses.len() != statuses.len()
+        || addresses.len() != latencies.len()
+        || addresses.len() > MAX_ATTEMPTS
+    {
+        return Err(Odd::AttemptCount);
     }
     let mut tries = Vec::new();
-    for ((address, state), time) in addresses.into_iter().zip(states).zip(times) {
-        let state = match state {
+    for ((address, status), latency_text) in addresses.into_iter().zip(statuses).zip(latencies) {
+        let status = match status {
             "-" => None,
-            text => Some(text.parse::<u16>().map_err(|_| Odd::Number)?),
+            text => Some(text.parse::<u16>().map_err(|_| Odd::InvalidNumber)?),
         };
-        let took = match time {
+        let latency = match latency_text {
             "-" => None,
             text => {
-                let seconds = text.parse::<f64>().map_err(|_| Odd::Number)?;
-                Some(Duration::try_from_secs_f64(seconds).map_err(|_| Odd::Number)?)
+                let seconds = text.parse::<f64>().map_err(|_| Odd::InvalidNumber)?;
+                Some(Duration::try_from_secs_f64(seconds).map_err(|_| Odd::InvalidNumber)?)
             }
         };
         // Where no server was live it names the upstream: nothing was tried.
         if address.rsplit_once(':').is_none() {
             continue;
         }
-        let good = state.is_some_and(|state| (100..500).contains(&state));
-        tries.push(Try { address: address.to_string(), answered: took.filter(|_| good) });
+        let succeeded = status.is_some_and(|status| (100..500).contains(&status));
+        tries.push(Attempt { address: address.to_string(), answered: latency.filter(|_| succeeded) });
     }
     Ok(Some(Flow { group, tries }))
 }
@@ -96,10 +99,10 @@
 /// Bytes of a log that grows, as whole lines.
 #[derive(Debug, Default)]
 pub struct Lines {
-    part: Vec<u8>,
+    partial_line: Vec<u8>,
     /// The line that goes on is passed over: it is too long, or its beginning was not seen.
     skipping: bool,
-    long: u64,
+    too_long: u64,
 }
 
 impl Lines {
@@ -110,37 +113,39 @@
 
     /// More of it: the lines that are whole now.
     pub fn more(&mut self, bytes: &[u8]) -> Vec<String> {
-        let mut whole = Vec::new();
-        for piece in bytes.split_inclusive(|byte| *byte == b'\n') {
-            let ends = piece.ends_with(b"\n");
+        let mut lines = Vec::new();
+        for chunk in bytes.split_inclusive(|byte| *byte == b'\n') {
+            let is_complete = chunk.ends_with(b"\n");
             if !self.skipping {
-                self.part.extend(piece);
-                if self.part.len() > LONGEST {
-                    (self.skipping, self.long) = (true, self.long + 1);
-                    self.part.clear();
+                self.partial_line.extend(chunk);
+                if self.partial_line.len() > MAX_LINE_BYTES {
+                    (self.skipping, self.too_long) = (true, self.too_long + 1);
+                    self.partial_line.clear();
                 }
             }
-            if ends {
+            if is_complete {
                 if !self.skipping {
-                    let line = String::from_utf8_lossy(&self.part).trim_end_matches(['\r', '\n']).to_string();
-                    whole.push(line);
+                    let line = String::from_utf8_lossy(&self.partial_line)
+                        .trim_end_matches(['\r', '\n'])
+                        .to_string();
+                    lines.push(line);
                 }
-                self.part.clear();
+                self.partial_line.clear();
                 self.skipping = false;
             }
         }
-        whole
+        lines
     }
 
     /// The log goes on in another file: a line that was cut there has no rest.
     pub fn rotated(&mut self) {
-        self.part.clear();
+        self.partial_line.clear();
         self.skipping = false;
     }
 
     /// Lines that were too long, since the last time.
     pub fn take_long(&mut self) -> u64 {
-        std::mem::take(&mut self.long)
+        std::mem::take(&mut self.too_long)
     }
 }
 
--- a/crates/nginx-importer/src/access_log/tests.rs
+++ b/crates/nginx-importer/src/access_log/tests.rs
@@ -6,22 +6,22 @@
 #[test]
 fn flows_are_read_try_by_try() {
     let read = |line: &str| flow(line).unwrap().unwrap();
-    let one = |address: &str, ms: Option<u64>| Try {
+    let attempt = |address: &str, ms: Option<u64>| Attempt {
         address: address.into(),
         answered: ms.map(Duration::from_millis),
     };
-    assert_eq!(read("entry|10.0.0.1:80|200|0.020").tries, [one("10.0.0.1:80", Some(20))]);
+    assert_eq!(read("entry|10.0.0.1:80|200|0.020").tries, [attempt("10.0.0.1:80", Some(20))]);
     let again = read("entry|10.0.0.1:80, [fd00::1]:80|502, 200|0.001, 0.030");
-    assert_eq!(again.tries, [one("10.0.0.1:80", None), one("[fd00::1]:80", Some(30))]);
+    assert_eq!(again.tries, [attempt("10.0.0.1:80", None), attempt("[fd00::1]:80", Some(30))]);
     let inner = read("entry|10.0.0.1:80 : 10.0.0.2:80|404 : 200|0.001 : 0.002");
-    assert_eq!(inner.tries, [one("10.0.0.1:80", Some(1)), one("10.0.0.2:80", Some(2))]);
-    assert_eq!(read("entry|10.0.0.1:80|-|-").tries, [one("10.0.0.1:80", None)], "the client gave up");
+    assert_eq!(inner.tries, [attempt("10.0.0.1:80", Some(1)), attempt("10.0.0.2:80", Some(2))]);
+    assert_eq!(read("entry|10.0.0.1:80|-|-").tries, [attempt("10.0.0.1:80", None)], "the client gave up");
     assert_eq!((read("entry|-|-|-").tries, read("entry|wrenthread_entry|502|0.000").tries), (vec![], vec![]));
     assert_eq!((flow("-|-|-|-"), flow("|10.0.0.1:80|200|0.1")), (Ok(None), Ok(None)));
-    assert_eq!(flow("entry|10.0.0.1:80|200"), Err(Odd::Fields));
-    assert_eq!(flow("entry|10.0.0.1:80|200, 200|0.1"), Err(Odd::Tries));
-    assert_eq!(flow("entry|10.0.0.1:80|ok|0.1"), Err(Odd::Number));
-    assert_eq!(flow("entry|10.0.0.1:80|200|-5"), Err(Odd::Number));
+    assert_eq!(flow("entry|10.0.0.1:80|200"), Err(Odd::FieldCount));
+    assert_eq!(flow("entry|10.0.0.1:80|200, 200|0.1"), Err(Odd::AttemptCount));
+    assert_eq!(flow("entry|10.0.0.1:80|ok|0.1"), Err(Odd::InvalidNumber));
+    assert_eq!(flow("entry|10.0.0.1:80|200|-5"), Err(Odd::InvalidNumber));
 }
 
 #[test]
@@ -32,7 +32,7 @@
     lines.more(b"lost");
     lines.rotated();
     assert_eq!(lines.more(b"new\n"), ["new"]);
-    let long = vec![b'x'; LONGEST + 1];
+    let long = vec![b'x'; MAX_LINE_BYTES + 1];
     assert!(lines.more(&long).is_empty() && lines.more(&long).is_empty());
     assert_eq!((lines.more(b"x\nnext\n"), lines.take_long(), lines.take_long()), (vec!["next".into()], 1, 0));
 }
--- a/crates/nginx-importer/src/blocks.rs
+++ b/crates/nginx-importer/src/blocks.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use crate::syntax::{self, MOST, SyntaxError};
+use crate::syntax::{self, MAX_DIRECTIVES, SyntaxError};
 
 /// The weights of an upstream come to this together at the most: every whole number up to it is one that
 /// nginx takes and adds up.
-const WEIGHTS: f64 = 1_000_000.0;
+const MAX_WEIGHT_SUM: f64 = 1_000_000.0;
 /// Where a group has no line: nginx takes no empty upstream, and answers at once where all are down.
-const NOWHERE: &str = "127.0.0.1:1";
+const PLACEHOLDER_SERVER: &str = "127.0.0.1:1";
 
 /// What a proxy is to do with the flows of a group.
 #[derive(Debug, Clone, PartialEq)]
@@ -31,10 +31,10 @@
     Syntax(String),
     /// A class would have other servers than it should.
     #[error("group `{0}` would have other lines than it should")]
-    Lines(String),
+    ServerMismatch(String),
     /// An address that nginx does not take.
     #[error("`{0}` is no address that an nginx takes")]
-    Address(String),
+    InvalidAddress(String),
 }
 
 impl From<SyntaxError> for ExportError {
@@ -45,9 +45,9 @@
 
 /// The name of a group's upstream, and of its variable without `$` and `_blocked`. Different groups have
 /// different ones: what is no letter or digit is spelt by its number.
-pub fn upstream(group: &str) -> String {
+pub fn upstream(class: &str) -> String {
     let mut name = String::from("wrenthread_");
-    for byte in group.bytes() {
+    for byte in class.bytes() {
         match byte {
             byte if byte.is_ascii_alphanumeric() => name.push(char::from(byte)),
             byte => drop(write!(name, "_{byte:02x}")),
@@ -57,18 +57,19 @@
 }
 
 /// Weights as whole numbers of at least 1, in the same proportions to within a millionth of all.
-pub fn weights(lines: &[(String, f64)]) -> Vec<u64> {
-    let sound = |weight: f64| weight.is_finite() && weight > 0.0;
-    let sum: f64 = lines.iter().map(|(_, weight)| *weight).filter(|weight| sound(*weight)).sum();
-    let whole =
-        |weight: f64| if sound(weight) { (weight / sum * WEIGHTS).floor().max(1.0) as u64 } else { 1 };
-    let all: Vec<u64> = lines.iter().map(|(_, weight)| whole(*weight)).collect();
-    let common = all.iter().copied().fold(0, divisor).max(1);
-    all.into_iter().map(|weight| weight / common).collect()
+pub fn integer_weights(servers: &[(String, f64)]) -> Vec<u64> {
+    let is_valid = |weight: f64| weight.is_finite() && weight > 0.0;
+    let sum: f64 = servers.iter().map(|(_, weight)| *weight).filter(|weight| is_valid(*weight)).sum();
+    let to_integer = |weight: f64| {
+        if is_valid(weight) { (weight / sum * MAX_WEIGHT_SUM).floor().max(1.0) as u64 } else { 1 }
+    };
+    let integers: Vec<u64> = servers.iter().map(|(_, weight)| to_integer(*weight)).collect();
+    let divisor = integers.iter().copied().fold(0, greatest_common_divisor).max(1);
+    integers.into_iter().map(|weight| weight / divisor).collect()
 }
 
-fn divisor(one: u64, other: u64) -> u64 {
-    if other == 0 { one } else { divisor(other, one % other) }
+fn greatest_common_divisor(a: u64, b: u64) -> u64 {
+    if b == 0 { a } else { greatest_common_divisor(b, a % b) }
 }
 
 /// The file. `says`: what stands in its first line, for people.
@@ -77,36 +78,41 @@
 /// of its processes with every reload, and all of them would send their first flows to the heaviest line.
 ///
 /// Errors: what was written would not be read as what it should say; it is not to be used.
-pub fn write(tables: &Tables, says: &str) -> Result<String, ExportError> {
-    let says: String = says.chars().map(|letter| if letter.is_control() { ' ' } else { letter }).collect();
-    let mut text =
-        format!("# {says}\n# Written by wrenthread, and replaced whole: changes here do not last.\n");
-    for (group, table) in tables {
-        let name = upstream(group);
+pub fn write(tables: &Tables, header_comment: &str) -> Result<String, ExportError> {
+    let header_comment: String = header_comment
+        .chars()
+        .map(|character| if character.is_control() { ' ' } else { character })
+        .collect();
+    let mut text = format!(
+        "# {header_comment}\n# Written by wrenthread, and replaced whole: changes here do not last.\n"
+    );
+    for (class, table) in tables {
+        let name = upstream(class);
         let _ = writeln!(text, "upstream {name} {{\n    random;");
         if table.servers.is_empty() {
-            let _ = writeln!(text, "    server {NOWHERE} down;");
+            let _ = writeln!(text, "    server {PLACEHOLDER_SERVER} down;");
         }
-        for ((address, _), weight) in table.servers.iter().zip(weights(&table.servers)) {
+        for ((address, _), weight) in table.servers.iter().zip(integer_weights(&table.servers)) {
             if !matches!(
-                crate::values::target(address, 80),
+                crate::values::parse_target(address, 80),
                 Some(crate::values::Target::Address(_) | crate::values::Target::Name(_))
             ) {
-                return Err(ExportError::Address(address.clone()));
+                return Err(ExportError::InvalidAddress(address.clone()));
             }
             let _ = writeln!(text, "    server {address} weight={weight};");
         }
         text += "}\n";
-        let level =
+        let admission_fraction =
             if table.admission_fraction.is_finite() { table.admission_fraction.clamp(0.0, 1.0) } else { 1.0 };
-        let blocked = ((1.0 - level) * 10_000.0).round() / 100.0;
-        let entries = match blocked {
+        let blocked = ((1.0 - admission_fraction) * 10_000.0).round() / 100.0;
+        let blocked_entry = match blocked {
             0.0 => String::new(),
             100.0 => "* 1; ".to_string(),
             blocked => format!("{blocked}% 1; "),
         };
-        let rest = if blocked == 100.0 { "" } else { "* \"\"; " };
-        let _ = writeln!(text, "split_clients $request_id ${name}_blocked {{ {entries}{rest}}}");
+        let default_entry = if blocked == 100.0 { "" } else { "* \"\"; " };
+        let _ =
+            writeln!(text, "split_clients $request_id ${name}_blocked {{ {blocked_entry}{default_entry}}}");
     }
     check(&text, tables)?;
     Ok(text)
@@ -114,16 +120,16 @@
 
 /// Reads what was written as nginx would, and compares.
 fn check(text: &str, tables: &Tables) -> Result<(), ExportError> {
-    let said = read(text)?;
-    for (group, table) in tables {
-        let wanted = table
+    let parsed = read(text)?;
+    for (class, table) in tables {
+        let expected = table
             .servers
             .iter()
-            .zip(weights(&table.servers))
-            .map(|((at, _), weight)| (at.clone(), weight as f64));
-        let wanted: Vec<(String, f64)> = wanted.collect();
-        if said.get(&upstream(group)).is_none_or(|(lines, _)| *lines != wanted) {
-            return Err(ExportError::Lines(group.clone()));
+            .zip(integer_weights(&table.servers))
+            .map(|((address, _), weight)| (address.clone(), weight as f64));
+        let expected: Vec<(String, f64)> = expected.collect();
+        if parsed.get(&upstream(class)).is_none_or(|(servers, _)| *servers != expected) {
+            return Err(ExportError::ServerMismatch(class.clone()));
         }
     }
     Ok(())
@@ -136,32 +142,32 @@
 ///
 /// Errors: its syntax.
 pub fn read(text: &str) -> Result<ParsedUpstreams, SyntaxError> {
-    let mut said: ParsedUpstreams = BTreeMap::new();
-    for directive in syntax::parse(text.as_bytes(), 0, MOST)? {
+    let mut parsed: ParsedUpstreams = BTreeMap::new();
+    for directive in syntax::parse(text.as_bytes(), 0, MAX_DIRECTIVES)? {
         if directive.is("upstream") {
-            let servers = directive.block().iter().filter(|one| one.is("server"));
-            let open = servers.filter(|one| !one.words.iter().any(|word| word.is("down")));
-            let line = |server: &syntax::Directive| {
+            let servers = directive.block().iter().filter(|child| child.is("server"));
+            let active = servers.filter(|server| !server.words.iter().any(|word| word.is("down")));
+            let server_entry = |server: &syntax::Directive| {
                 let weight =
                     server.words.iter().find_map(|word| word.text().strip_prefix("weight=")?.parse().ok());
                 Some((server.word(0)?.into_owned(), weight.unwrap_or(1.0)))
             };
-            said.entry(directive.word(0).unwrap_or_default().into_owned()).or_default().0 =
-                open.filter_map(line).collect();
+            parsed.entry(directive.word(0).unwrap_or_default().into_owned()).or_default().0 =
+                active.filter_map(server_entry).collect();
         } else if directive.is("split_clients") {
             let variable = directive.word(1).unwrap_or_default();
             let Some(name) = variable.strip_prefix('$').and_then(|name| name.strip_suffix("_blocked")) else {
                 continue;
             };
-            let part = |entry: &syntax::Directive| match entry.is("*") {
+            let fraction = |entry: &syntax::Directive| match entry.is("*") {
                 true => Some(1.0),
-                false => crate::values::share(&entry.name.text()),
+                false => crate::values::parse_percentage(&entry.name.text()),
             };
             let blocked = directive.block().iter().find(|entry| entry.word(0).as_deref() == Some("1"));
-            said.entry(name.to_string()).or_default().1 = blocked.and_then(part).unwrap_or(0.0);
+            parsed.entry(name.to_string()).or_default().1 = blocked.and_then(fraction).unwrap_or(0.0);
         }
     }
-    Ok(said)
+    Ok(parsed)
 }
 
 #[cfg(test)]
--- a/crates/nginx-importer/src/difference.rs
+++ b/crates/nginx-importer/src/difference.rs
@@ -22,7 +22,8 @@
     /// It is new.
     Added,
     /// It is not there any more.
-    Gone,
+    #[serde(rename = "gone")]
+    Removed,
     /// Which figure, from what to what.
     Changed(&'static str, String, String),
 }
@@ -40,54 +41,57 @@
 
 impl From<&ImportedFleet> for ComparableFleet {
     fn from(fleet: &ImportedFleet) -> Self {
-        let replica = |one: &crate::fleet::ImportedReplica| {
-            let known = [
-                ("address", one.address.clone()),
-                ("zone", one.zone.clone()),
-                ("weight", one.weight.to_string()),
-                ("phase", one.phase.to_string()),
-                ("backup", one.backup.to_string()),
+        let replica = |replica: &crate::fleet::ImportedReplica| {
+            let fields = [
+                ("address", replica.address.clone()),
+                ("zone", replica.zone.clone()),
+                ("weight", replica.weight.to_string()),
+                ("phase", replica.phase.to_string()),
+                ("backup", replica.backup.to_string()),
             ];
-            (one.id.clone(), known.into())
+            (replica.id.clone(), fields.into())
         };
-        let group = |one: &crate::fleet::ImportedClass| {
-            let known = [
-                ("effect", if one.idempotent { "retriable" } else { "non-retriable" }.to_string()),
-                ("latency_budget", one.latency_objective.to_string()),
-                ("expiry", one.request_deadline.to_string()),
+        let class = |class: &crate::fleet::ImportedClass| {
+            let fields = [
+                ("effect", if class.idempotent { "retriable" } else { "non-retriable" }.to_string()),
+                ("latency_budget", class.latency_objective.to_string()),
+                ("expiry", class.request_deadline.to_string()),
                 (
                     "routes",
-                    match &one.routes {
+                    match &class.routes {
                         Routes::Paths(paths) => paths.join(", "),
                         Routes::Header(header) => header.clone(),
                     },
                 ),
             ];
-            (one.name.clone(), known.into())
+            (class.name.clone(), fields.into())
         };
         ComparableFleet {
             replicas: fleet.replicas.iter().map(replica).collect(),
-            classes: fleet.classes.iter().map(group).collect(),
+            classes: fleet.classes.iter().map(class).collect(),
         }
     }
 }
 
 /// What stands differently in the later one.
-pub fn between(now: &ComparableFleet, later: &ComparableFleet) -> Vec<Difference> {
+pub fn between(current: &ComparableFleet, new: &ComparableFleet) -> Vec<Difference> {
     let mut all = Vec::new();
-    for (kind, now, later) in
-        [("group", &now.classes, &later.classes), ("replica", &now.replicas, &later.replicas)]
+    for (kind, current, new) in
+        [("group", &current.classes, &new.classes), ("replica", &current.replicas, &new.replicas)]
     {
         let mut add = |name: &String, what| all.push(Difference { kind, name: name.clone(), what });
-        now.keys().filter(|name| !later.contains_key(*name)).for_each(|name| add(name, ChangeKind::Gone));
-        for (name, known) in later {
-            let Some(before) = now.get(name) else {
+        current
+            .keys()
+            .filter(|name| !new.contains_key(*name))
+            .for_each(|name| add(name, ChangeKind::Removed));
+        for (name, fields) in new {
+            let Some(current_fields) = current.get(name) else {
                 add(name, ChangeKind::Added);
                 continue;
             };
-            for (field, value) in known {
-                if let Some(was) = before.get(field).filter(|was| *was != value) {
-                    add(name, ChangeKind::Changed(field, was.clone(), value.clone()));
+            for (field, value) in fields {
+                if let Some(old_value) = current_fields.get(field).filter(|old_value| *old_value != value) {
+                    add(name, ChangeKind::Changed(field, old_value.clone(), value.clone()));
                 }
             }
         }
--- a/crates/nginx-importer/src/directive_support.rs
+++ b/crates/nginx-importer/src/directive_support.rs
@@ -69,7 +69,7 @@
 use Outcome::{Partial, Supported, Unsupported};
 
 /// What is said of directives that bear on routing, by name.
-pub const RULES: &[KnownDirective] = &[
+pub const KNOWN_DIRECTIVES: &[KnownDirective] = &[
     rule("http", Supported, false, "what is in it is read", ""),
     rule("server", Supported, false, "what is in it is read", ""),
     rule("include", Supported, false, "what it names stands in its place", ""),
@@ -263,7 +263,7 @@
 ];
 
 /// Directives that are the proxy's own business: how it listens, logs, caches, compresses, encrypts, allows.
-const OWN: &[&str] = &[
+const PROXY_DIRECTIVES: &[&str] = &[
     "accept_mutex",
     "access_log",
     "add_header",
@@ -410,7 +410,7 @@
 ];
 
 /// Blocks of entries that are no directives.
-pub const TABLES: &[&str] = &["types", "map", "geo", "split_clients"];
+pub const TABLE_DIRECTIVES: &[&str] = &["types", "map", "geo", "split_clients"];
 
 impl DirectiveSupport {
     /// What becomes of a directive, in so many words.
@@ -424,7 +424,7 @@
     }
 
     /// As its name alone says.
-    pub fn of(name: &str) -> DirectiveSupport {
+    pub fn by_name(name: &str) -> DirectiveSupport {
         match explain(name) {
             Some(rule) => DirectiveSupport::new(rule.outcome, rule.affects_routing, rule.reason, rule.advice),
             None => DirectiveSupport::new(
@@ -439,12 +439,12 @@
 
 /// What is said of a kind of directive; none if it is not known.
 pub fn explain(name: &str) -> Option<KnownDirective> {
-    let own = |_: &&str| {
+    let proxy_directive = |_: &&str| {
         let why = "it is the proxy's own business";
         rule("", Unsupported, false, why, "keep it in the proxy")
     };
-    let known = RULES.iter().find(|rule| rule.name == name).copied();
-    known.or_else(|| OWN.iter().find(|own| **own == name).map(own))
+    let known = KNOWN_DIRECTIVES.iter().find(|rule| rule.name == name).copied();
+    known.or_else(|| PROXY_DIRECTIVES.iter().find(|directive| **directive == name).map(proxy_directive))
 }
 
 /// One entry of the account.
@@ -472,27 +472,27 @@
 impl ImportReport {
     /// A directive ends so. What was said of it before stands unless this is worse: a directive that two
     /// locations inherit is carried over only if both do.
-    pub fn record(&mut self, directive: &Directive, fate: DirectiveSupport) {
+    pub fn record(&mut self, directive: &Directive, support: DirectiveSupport) {
         let name = directive.name.text().into_owned();
-        let told = self.entries.entry(directive.name.at).or_default();
-        match told.iter_mut().find(|(known, _)| *known == name) {
-            Some((_, known)) if known.outcome < fate.outcome => *known = fate,
+        let recorded = self.entries.entry(directive.name.at).or_default();
+        match recorded.iter_mut().find(|(known, _)| *known == name) {
+            Some((_, known)) if known.outcome < support.outcome => *known = support,
             Some(_) => {}
-            None => told.push((name, fate)),
+            None => recorded.push((name, support)),
         }
     }
 
     /// A parameter of a directive ends so, as `weight` of a `server` does.
-    pub fn record_parameter(&mut self, at: Position, name: &str, fate: DirectiveSupport) {
-        self.entries.entry(at).or_default().push((name.to_string(), fate));
+    pub fn record_parameter(&mut self, at: Position, name: &str, support: DirectiveSupport) {
+        self.entries.entry(at).or_default().push((name.to_string(), support));
     }
 
     /// A directive and its words come to nothing after all, whatever was said of them.
     pub fn revoke(&mut self, directive: &Directive, routing: bool, why: &str, advice: &str) {
         let words = directive.words.iter().map(|word| word.at);
         for at in std::iter::once(directive.name.at).chain(words) {
-            for (_, fate) in self.entries.get_mut(&at).into_iter().flatten() {
-                *fate = DirectiveSupport::new(Unsupported, routing, why.to_string(), advice.to_string());
+            for (_, support) in self.entries.get_mut(&at).into_iter().flatten() {
+                *support = DirectiveSupport::new(Unsupported, routing, why.to_string(), advice.to_string());
             }
         }
     }
@@ -502,32 +502,33 @@
         for directive in directives {
             let name = directive.name.text();
             if !self.entries.contains_key(&directive.name.at) {
-                let mut fate = DirectiveSupport::of(&name);
-                if fate.outcome != Unsupported && name != "include" {
+                let mut support = DirectiveSupport::by_name(&name);
+                if support.outcome != Unsupported && name != "include" {
                     let why = "it stands where nothing of it is followed";
-                    fate = DirectiveSupport::new(Unsupported, true, why, fate.advice);
+                    support = DirectiveSupport::new(Unsupported, true, why, support.advice);
                 }
-                self.record(directive, fate);
+                self.record(directive, support);
             }
             // Entries of a table are words, not directives.
-            if TABLES.contains(&&*name) {
+            if TABLE_DIRECTIVES.contains(&&*name) {
                 continue;
             }
-            if let Body::Block(within) | Body::Included(within) = &directive.body {
-                self.complete(within);
+            if let Body::Block(block) | Body::Included(block) = &directive.body {
+                self.complete(block);
             }
         }
     }
 
     /// In the order of files and lines.
-    pub fn entries(&self, whole: &Configuration) -> Vec<ReportEntry> {
-        let each = self.entries.iter().flat_map(|(at, all)| all.iter().map(move |one| (at, one)));
-        each.map(|(at, (directive, fate))| ReportEntry {
-            at: whole.origin(*at),
+    pub fn entries(&self, configuration: &Configuration) -> Vec<ReportEntry> {
+        let each =
+            self.entries.iter().flat_map(|(at, supports)| supports.iter().map(move |support| (at, support)));
+        each.map(|(at, (directive, support))| ReportEntry {
+            at: configuration.origin(*at),
             line: at.line,
             column: at.column,
             directive: directive.clone(),
-            support: fate.clone(),
+            support: support.clone(),
         })
         .collect()
     }
@@ -539,9 +540,12 @@
 
     /// How many ended in each way.
     pub fn outcome_counts(&self) -> BTreeMap<Outcome, usize> {
-        let mut tally = BTreeMap::new();
-        self.entries.values().flatten().for_each(|(_, fate)| *tally.entry(fate.outcome).or_default() += 1);
-        tally
+        let mut counts = BTreeMap::new();
+        self.entries
+            .values()
+            .flatten()
+            .for_each(|(_, support)| *counts.entry(support.outcome).or_default() += 1);
+        counts
     }
 
     /// What bears on routing and is left.
@@ -549,7 +553,7 @@
         self.entries
             .values()
             .flatten()
-            .filter(|(_, fate)| fate.outcome == Unsupported && fate.affects_routing)
+            .filter(|(_, support)| support.outcome == Unsupported && support.affects_routing)
             .count()
     }
 }
--- a/crates/nginx-importer/src/files.rs
+++ b/crates/nginx-importer/src/files.rs
@@ -3,17 +3,17 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-use crate::syntax::{self, Body, DEEPEST, Directive, MOST, Position};
+use crate::syntax::{self, Body, Directive, MAX_DEPTH, MAX_DIRECTIVES, Position};
 
 /// Files of one configuration, at the most, and their bytes together.
-pub const MOST_FILES: usize = 10_000;
+pub const MAX_FILES: usize = 10_000;
 /// Bytes of all files of one configuration together, at the most.
-pub const MOST_BYTES: u64 = 64 << 20;
+pub const MAX_TOTAL_BYTES: u64 = 64 << 20;
 
 /// Where files come from.
 pub trait FileSource {
     /// Errors: why it can't be read, or that it is larger than `most`.
-    fn read(&self, path: &Path, most: u64) -> Result<Vec<u8>, String>;
+    fn read(&self, path: &Path, max_bytes: u64) -> Result<Vec<u8>, String>;
     /// Files that fit a pattern, in the order of their names.
     ///
     /// Errors: a pattern that is none.
@@ -24,14 +24,14 @@
 pub struct LocalFiles;
 
 impl FileSource for LocalFiles {
-    fn read(&self, path: &Path, most: u64) -> Result<Vec<u8>, String> {
+    fn read(&self, path: &Path, max_bytes: u64) -> Result<Vec<u8>, String> {
         use std::io::Read;
         let mut text = Vec::new();
         let file = std::fs::File::open(path).map_err(|error| error.to_string())?;
         // A pipe or a device has no length, and need never end.
-        file.take(most + 1).read_to_end(&mut text).map_err(|error| error.to_string())?;
-        if text.len() as u64 > most {
-            return Err(format!("all files together have more than {MOST_BYTES} bytes"));
+        file.take(max_bytes + 1).read_to_end(&mut text).map_err(|error| error.to_string())?;
+        if text.len() as u64 > max_bytes {
+            return Err(format!("all files together have more than {MAX_TOTAL_BYTES} bytes"));
         }
         Ok(text)
     }
@@ -84,12 +84,12 @@
 }
 
 struct ConfigurationReader<'a> {
-    from: &'a dyn FileSource,
+    source: &'a dyn FileSource,
     /// What relative names are relative to: the folder of the main file.
-    folder: PathBuf,
+    base_folder: PathBuf,
     files: Vec<PathBuf>,
     /// Files that are being read, each within the one before.
-    open: Vec<PathBuf>,
+    open_files: Vec<PathBuf>,
     bytes: u64,
     directives: usize,
 }
@@ -97,71 +97,82 @@
 /// Reads a configuration from its main file.
 ///
 /// Errors: what can't be read or understood, and where.
-pub fn read(from: &dyn FileSource, main: &Path) -> Result<Configuration, ReadError> {
-    let folder = main.parent().map(Path::to_path_buf).unwrap_or_default();
-    let mut reader =
-        ConfigurationReader { from, folder, files: Vec::new(), open: Vec::new(), bytes: 0, directives: 0 };
-    let directives = reader.file(main, None, 0)?;
+pub fn read(source: &dyn FileSource, main: &Path) -> Result<Configuration, ReadError> {
+    let base_folder = main.parent().map(Path::to_path_buf).unwrap_or_default();
+    let mut reader = ConfigurationReader {
+        source,
+        base_folder,
+        files: Vec::new(),
+        open_files: Vec::new(),
+        bytes: 0,
+        directives: 0,
+    };
+    let directives = reader.read_file(main, None, 0)?;
     Ok(Configuration { files: reader.files, directives })
 }
 
 impl ConfigurationReader<'_> {
     /// `by`: where it is included, and in how many blocks.
-    fn file(&mut self, path: &Path, by: Option<Position>, depth: usize) -> Result<Vec<Directive>, ReadError> {
-        let at = |reader: &Self, why: String| match by {
-            Some(by) => reader.fault(by, why),
-            None => ReadError { file: path.to_path_buf(), line: 0, column: 0, reason: why },
+    fn read_file(
+        &mut self,
+        path: &Path,
+        included_at: Option<Position>,
+        depth: usize,
+    ) -> Result<Vec<Directive>, ReadError> {
+        let at = |reader: &Self, message: String| match included_at {
+            Some(included_at) => reader.error(included_at, message),
+            None => ReadError { file: path.to_path_buf(), line: 0, column: 0, reason: message },
         };
-        if self.open.iter().any(|open| open == path) {
+        if self.open_files.iter().any(|file| file == path) {
             return Err(at(self, format!("{} includes itself", path.display())));
         }
-        if self.files.len() >= MOST_FILES {
-            return Err(at(self, format!("more than {MOST_FILES} files")));
+        if self.files.len() >= MAX_FILES {
+            return Err(at(self, format!("more than {MAX_FILES} files")));
         }
-        let text = self.from.read(path, MOST_BYTES - self.bytes);
-        let text = text.map_err(|why| at(self, format!("{}: {why}", path.display())))?;
+        let text = self.source.read(path, MAX_TOTAL_BYTES - self.bytes);
+        let text = text.map_err(|message| at(self, format!("{}: {message}", path.display())))?;
         self.bytes += text.len() as u64;
         let number = self.files.len() as u32;
         self.files.push(path.to_path_buf());
-        let read = syntax::parse(&text, number, MOST - self.directives);
-        let mut read = read.map_err(|fault| self.fault(fault.position, fault.kind.to_string()))?;
-        self.open.push(path.to_path_buf());
-        self.includes(&mut read, depth)?;
-        self.open.pop();
+        let read = syntax::parse(&text, number, MAX_DIRECTIVES - self.directives);
+        let mut read = read.map_err(|error| self.error(error.position, error.kind.to_string()))?;
+        self.open_files.push(path.to_path_buf());
+        self.resolve_includes(&mut read, depth)?;
+        self.open_files.pop();
         Ok(read)
     }
 
-    fn fault(&self, at: Position, why: String) -> ReadError {
+    fn error(&self, at: Position, message: String) -> ReadError {
         let file = self.files.get(at.file as usize).cloned().unwrap_or_default();
-        ReadError { file, line: at.line, column: at.column, reason: why }
+        ReadError { file, line: at.line, column: at.column, reason: message }
     }
 
-    fn includes(&mut self, directives: &mut [Directive], depth: usize) -> Result<(), ReadError> {
+    fn resolve_includes(&mut self, directives: &mut [Directive], depth: usize) -> Result<(), ReadError> {
         for directive in directives {
             self.directives += 1;
             let at = directive.name.at;
-            if depth > DEEPEST || self.directives > MOST {
-                return Err(self.fault(at, "too much, or too deep, with all that is included".to_string()));
+            if depth > MAX_DEPTH || self.directives > MAX_DIRECTIVES {
+                return Err(self.error(at, "too much, or too deep, with all that is included".to_string()));
             }
-            if let Body::Block(within) = &mut directive.body {
-                self.includes(within, depth + 1)?;
+            if let Body::Block(block) = &mut directive.body {
+                self.resolve_includes(block, depth + 1)?;
                 continue;
             }
             if !directive.is("include") {
                 continue;
             }
             let [word] = directive.words.as_slice() else {
-                return Err(self.fault(at, "`include` takes one name or pattern".to_string()));
+                return Err(self.error(at, "`include` takes one name or pattern".to_string()));
             };
-            let path = self.folder.join(&*word.text());
+            let path = self.base_folder.join(&*word.text());
             let pattern = path.to_string_lossy().into_owned();
             let paths = match pattern.contains(['*', '?', '[']) {
-                true => self.from.matching(&pattern).map_err(|why| self.fault(at, why))?,
+                true => self.source.matching(&pattern).map_err(|message| self.error(at, message))?,
                 false => vec![path],
             };
             let mut included = Vec::new();
             for path in paths {
-                included.extend(self.file(&path, Some(at), depth + 1)?);
+                included.extend(self.read_file(&path, Some(at), depth + 1)?);
             }
             directive.body = Body::Included(included);
         }
--- a/crates/nginx-importer/src/files/tests.rs
+++ b/crates/nginx-importer/src/files/tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 use std::collections::BTreeMap;
 
-struct Held(BTreeMap<&'static str, &'static str>);
+struct InMemoryFiles(BTreeMap<&'static str, &'static str>);
 
-impl FileSource for Held {
+impl FileSource for InMemoryFiles {
     fn read(&self, path: &Path, _: u64) -> Result<Vec<u8>, String> {
         let text = self.0.get(&*path.to_string_lossy()).ok_or("no such file")?;
         Ok(text.as_bytes().to_vec())
@@ -17,14 +17,14 @@
     }
 }
 
-fn whole(files: &[(&'static str, &'static str)]) -> Result<Configuration, String> {
-    read(&Held(files.iter().copied().collect()), Path::new("etc/nginx.conf"))
-        .map_err(|unread| unread.to_string())
+fn read_files(files: &[(&'static str, &'static str)]) -> Result<Configuration, String> {
+    read(&InMemoryFiles(files.iter().copied().collect()), Path::new("etc/nginx.conf"))
+        .map_err(|error| error.to_string())
 }
 
 #[test]
 fn includes_stand_where_they_are_written_in_the_order_of_their_names() {
-    let read = whole(&[
+    let read = read_files(&[
         ("etc/nginx.conf", "a;\nhttp { include sites/*.conf; z; }"),
         ("etc/sites/2.conf", "two;"),
         ("etc/sites/1.conf", "one;\nmore;"),
@@ -38,14 +38,17 @@
 
 #[test]
 fn includes_that_fail_are_named_by_where_they_stand() {
-    let gone = whole(&[("etc/nginx.conf", "a;\n include x.conf;")]).unwrap_err();
-    assert_eq!(gone, "etc/nginx.conf:2:2: etc/x.conf: no such file");
-    let none = whole(&[("etc/nginx.conf", "include none/*.conf;")]).unwrap();
-    assert_eq!(none.directives[0].block(), [], "a pattern may fit nothing");
-    let round = [("etc/nginx.conf", "include a.conf;"), ("etc/a.conf", "x { include nginx.conf; }")];
-    assert_eq!(whole(&round).unwrap_err(), "etc/a.conf:1:5: etc/nginx.conf includes itself");
+    let missing = read_files(&[("etc/nginx.conf", "a;\n include x.conf;")]).unwrap_err();
+    assert_eq!(missing, "etc/nginx.conf:2:2: etc/x.conf: no such file");
+    let no_match = read_files(&[("etc/nginx.conf", "include none/*.conf;")]).unwrap();
+    assert_eq!(no_match.directives[0].block(), [], "a pattern may fit nothing");
+    let cycle = [("etc/nginx.conf", "include a.conf;"), ("etc/a.conf", "x { include nginx.conf; }")];
+    assert_eq!(read_files(&cycle).unwrap_err(), "etc/a.conf:1:5: etc/nginx.conf includes itself");
     let broken = [("etc/nginx.conf", "include a.conf;"), ("etc/a.conf", "x {\n y")];
-    assert_eq!(whole(&broken).unwrap_err(), "etc/a.conf:2:2: the file ends within `y`; a `;` is missing");
-    assert!(whole(&[]).unwrap_err().starts_with("etc/nginx.conf: etc/nginx.conf: no such file"));
-    assert!(whole(&[("etc/nginx.conf", "include a b;")]).unwrap_err().contains("takes one name"));
+    assert_eq!(
+        read_files(&broken).unwrap_err(),
+        "etc/a.conf:2:2: the file ends within `y`; a `;` is missing"
+    );
+    assert!(read_files(&[]).unwrap_err().starts_with("etc/nginx.conf: etc/nginx.conf: no such file"));
+    assert!(read_files(&[("etc/nginx.conf", "include a b;")]).unwrap_err().contains("takes one name"));
 }
--- a/crates/nginx-importer/src/fleet.rs
+++ b/crates/nginx-importer/src/fleet.rs
@@ -10,15 +10,15 @@
 use crate::directive_support::{DirectiveSupport, ImportReport, Outcome};
 use crate::files::Configuration;
 use crate::syntax::{Body, Directive, Position, Word};
-use crate::values::{Target, name, seconds, share, target};
+use crate::values::{Target, parse_percentage, parse_seconds, parse_target, slugify};
 
 /// Groups of one governor, at the most.
-const MOST_GROUPS: usize = 64;
+const MAX_CLASSES: usize = 64;
 /// What nginx takes where nothing is said: seconds to connect, and to read.
-const CONNECT: f64 = 60.0;
-const READ: f64 = 60.0;
+const DEFAULT_CONNECT_SECONDS: f64 = 60.0;
+const DEFAULT_READ_SECONDS: f64 = 60.0;
 /// The longest expiry that settings take.
-const LONGEST: f64 = 3600.0;
+const MAX_DEADLINE_SECONDS: f64 = 3600.0;
 
 /// How zones are told, as nginx has none.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -153,7 +153,7 @@
     slow_start: Option<f64>,
     at: Position,
     /// Itself and what stands in it, for their fates.
-    heads: Vec<Directive>,
+    directives: Vec<Directive>,
 }
 
 /// What is said outside a location, and holds within it unless it says otherwise.
@@ -161,10 +161,10 @@
 struct InheritedSettings {
     connect: Option<f64>,
     read: Option<f64>,
-    next: Option<Vec<String>>,
-    tries: Option<u64>,
-    next_within: Option<f64>,
-    reads_only: bool,
+    retry_conditions: Option<Vec<String>>,
+    max_attempts: Option<u64>,
+    retry_timeout: Option<f64>,
+    safe_methods_only: bool,
 }
 
 /// Upstreams, and the part of flows that each gets.
@@ -180,7 +180,7 @@
     retry_policy: ImportedRetryPolicy,
     position: Position,
     /// As it is written.
-    written: String,
+    pattern: String,
     /// The location and what passes its flows on, for their fates.
     directives: [Directive; 2],
 }
@@ -200,21 +200,21 @@
 }
 
 struct Importer<'a> {
-    whole: &'a Configuration,
+    configuration: &'a Configuration,
     zones: ZoneAssignment,
-    account: ImportReport,
+    report: ImportReport,
     upstreams: BTreeMap<String, Upstream>,
     /// By the variable, with the directive that says it.
-    choices: BTreeMap<String, (UpstreamSelector, Directive)>,
-    leads: Vec<RoutedLocation>,
+    selectors: BTreeMap<String, (UpstreamSelector, Directive)>,
+    routed_locations: Vec<RoutedLocation>,
 }
 
 /// Directives with what is included among them in its place.
-fn each(directives: &[Directive]) -> Vec<&Directive> {
+fn flatten_includes(directives: &[Directive]) -> Vec<&Directive> {
     let mut all = Vec::new();
     for directive in directives {
         match &directive.body {
-            Body::Included(within) => all.extend(each(within)),
+            Body::Included(children) => all.extend(flatten_includes(children)),
             _ => all.push(directive),
         }
     }
@@ -222,20 +222,20 @@
 }
 
 /// Imports a configuration.
-pub fn import(whole: &Configuration, zones: ZoneAssignment) -> ImportResult {
+pub fn import(configuration: &Configuration, zones: ZoneAssignment) -> ImportResult {
     let mut importer = Importer {
-        whole,
+        configuration,
         zones,
-        account: ImportReport::default(),
+        report: ImportReport::default(),
         upstreams: BTreeMap::new(),
-        choices: BTreeMap::new(),
-        leads: Vec::new(),
+        selectors: BTreeMap::new(),
+        routed_locations: Vec::new(),
     };
-    let top = each(&whole.directives);
+    let top = flatten_includes(&configuration.directives);
     let mut blocks: Vec<Vec<&Directive>> = Vec::new();
-    for http in top.iter().filter(|one| one.is("http")) {
-        importer.account.record(http, DirectiveSupport::of("http"));
-        blocks.push(each(http.block()));
+    for http in top.iter().filter(|child| child.is("http")) {
+        importer.report.record(http, DirectiveSupport::by_name("http"));
+        blocks.push(flatten_includes(http.block()));
     }
     // A file that is included elsewhere within `http` may be given by itself.
     if blocks.is_empty() {
@@ -243,50 +243,54 @@
     }
     for block in &blocks {
         importer.upstreams(block);
-        importer.choices(block);
+        importer.selectors(block);
     }
     for block in &blocks {
         let inherited = importer.inherited(&InheritedSettings::default(), block);
-        for server in block.iter().filter(|one| one.is("server") && matches!(one.body, Body::Block(_))) {
-            importer.account.record(server, DirectiveSupport::of("server"));
-            let within = each(server.block());
-            let inherited = importer.inherited(&inherited, &within);
-            importer.locations(&within, &inherited, None);
+        for server in block.iter().filter(|child| child.is("server") && matches!(child.body, Body::Block(_)))
+        {
+            importer.report.record(server, DirectiveSupport::by_name("server"));
+            let children = flatten_includes(server.block());
+            let inherited = importer.inherited(&inherited, &children);
+            importer.locations(&children, &inherited, None);
         }
     }
     let fleets = importer.fleets();
-    importer.account.complete(&whole.directives);
-    ImportResult { fleets, report: importer.account }
+    importer.report.complete(&configuration.directives);
+    ImportResult { fleets, report: importer.report }
 }
 
 impl Importer<'_> {
-    fn left(&mut self, directive: &Directive, why: impl Into<String>) {
-        let advice = DirectiveSupport::of(&directive.name.text()).advice;
-        self.account.record(directive, DirectiveSupport::new(Outcome::Unsupported, true, why.into(), advice));
+    fn record_unsupported(&mut self, directive: &Directive, why: impl Into<String>) {
+        let advice = DirectiveSupport::by_name(&directive.name.text()).advice;
+        self.report.record(directive, DirectiveSupport::new(Outcome::Unsupported, true, why.into(), advice));
     }
 
     // ---- upstreams
 
     fn upstreams(&mut self, block: &[&Directive]) {
-        for directive in block.iter().filter(|one| one.is("upstream")) {
+        for directive in block.iter().filter(|child| child.is("upstream")) {
             let (Some(name), Body::Block(_)) = (directive.word(0), &directive.body) else {
-                self.left(directive, "an upstream has a name and a block");
+                self.record_unsupported(directive, "an upstream has a name and a block");
                 continue;
             };
             if self.upstreams.contains_key(&*name) {
-                self.left(directive, format!("`{name}` was said already; nginx takes no second one"));
+                self.record_unsupported(
+                    directive,
+                    format!("`{name}` was said already; nginx takes no second one"),
+                );
                 continue;
             }
-            self.account.record(directive, DirectiveSupport::of("upstream"));
+            self.report.record(directive, DirectiveSupport::by_name("upstream"));
             let mut upstream = Upstream { at: directive.name.at, ..Upstream::default() };
-            upstream.heads.push(directive.head());
-            for one in each(directive.block()) {
-                upstream.heads.push(one.head());
-                if one.is("server") {
-                    self.server(one, &mut upstream);
+            upstream.directives.push(directive.shallow());
+            for child in flatten_includes(directive.block()) {
+                upstream.directives.push(child.shallow());
+                if child.is("server") {
+                    self.server(child, &mut upstream);
                 } else {
                     // Not what an `http` block's directive of the same name is, but its own meaning here.
-                    self.account.record(one, DirectiveSupport::of(&one.name.text()));
+                    self.report.record(child, DirectiveSupport::by_name(&child.name.text()));
                 }
             }
             self.upstreams.insert(name.into_owned(), upstream);
@@ -294,149 +298,152 @@
     }
 
     fn server(&mut self, directive: &Directive, upstream: &mut Upstream) {
-        let Some(said) = directive.word(0) else {
-            return self.left(directive, "a server without an address");
+        let Some(value_text) = directive.word(0) else {
+            return self.record_unsupported(directive, "a server without an address");
         };
-        let mut fate = DirectiveSupport::new(Outcome::Supported, true, "a replica on the roster", "");
-        let address = match target(&said, 80) {
+        let mut support = DirectiveSupport::new(Outcome::Supported, true, "a replica on the roster", "");
+        let address = match parse_target(&value_text, 80) {
             Some(Target::Address(address)) => address,
             Some(Target::Name(address)) => {
                 let why = "the name is handed to proxies as it is, and looked up by nobody here";
                 let advice = "list the addresses: public proxies take nothing else";
-                fate = DirectiveSupport::new(Outcome::Partial, true, why, advice);
+                support = DirectiveSupport::new(Outcome::Partial, true, why, advice);
                 address
             }
             Some(Target::Unix(_)) => {
-                return self.left(directive, "a roster holds hosts and ports, and no local sockets");
+                return self
+                    .record_unsupported(directive, "a roster holds hosts and ports, and no local sockets");
             }
-            None => return self.left(directive, format!("`{said}` is no address")),
+            None => return self.record_unsupported(directive, format!("`{value_text}` is no address")),
         };
         let mut server =
             Server { address, weight: 1.0, phase: "ready", backup: false, at: directive.name.at };
         for word in &directive.words[1..] {
             let text = word.text();
-            let (parameter, value) = text.split_once('=').map_or((&*text, None), |(one, of)| (one, Some(of)));
-            let mut ended = DirectiveSupport::of(parameter);
+            let (parameter, value) =
+                text.split_once('=').map_or((&*text, None), |(name, value)| (name, Some(value)));
+            let mut parameter_support = DirectiveSupport::by_name(parameter);
             match (parameter, value) {
                 ("weight", Some(value)) => match value.parse::<u32>() {
                     Ok(weight) if weight > 0 => server.weight = f64::from(weight),
-                    _ => ended = odd(value, "a whole number above 0"),
+                    _ => parameter_support = invalid_value(value, "a whole number above 0"),
                 },
                 ("down", None) => server.phase = "gone",
                 ("drain", None) if server.phase == "ready" => server.phase = "draining",
                 ("backup", None) => server.backup = true,
-                ("slow_start", Some(value)) => match seconds(value) {
-                    Some(span) => {
-                        let longest = upstream.slow_start.unwrap_or(0.0).max(span.min(LONGEST));
+                ("slow_start", Some(value)) => match parse_seconds(value) {
+                    Some(duration) => {
+                        let longest =
+                            upstream.slow_start.unwrap_or(0.0).max(duration.min(MAX_DEADLINE_SECONDS));
                         upstream.slow_start = Some(longest);
                     }
-                    None => ended = odd(value, "a span"),
+                    None => parameter_support = invalid_value(value, "a span"),
                 },
                 ("max_fails" | "fail_timeout" | "max_conns" | "service" | "route", Some(_)) => {}
                 ("resolve" | "drain", None) => {}
-                _ => ended = odd(&text, "a parameter that this importer knows"),
+                _ => parameter_support = invalid_value(&text, "a parameter that this importer knows"),
             }
-            self.account.record_parameter(word.at, parameter, ended);
+            self.report.record_parameter(word.at, parameter, parameter_support);
         }
-        self.account.record(directive, fate);
+        self.report.record(directive, support);
         match upstream.servers.iter_mut().find(|known| known.address == server.address) {
             // Said twice, it gets twice as much.
             Some(known) if known.backup == server.backup && known.phase == server.phase => {
                 known.weight += server.weight;
             }
-            Some(_) => self.left(directive, "the same address stands there as something else"),
+            Some(_) => self.record_unsupported(directive, "the same address stands there as something else"),
             None => upstream.servers.push(server),
         }
     }
 
     // ---- variables that choose
 
-    fn choices(&mut self, block: &[&Directive]) {
-        for directive in block.iter().filter(|one| one.is("split_clients") || one.is("map")) {
+    fn selectors(&mut self, block: &[&Directive]) {
+        for directive in block.iter().filter(|child| child.is("split_clients") || child.is("map")) {
             let variable = directive.word(1).and_then(|word| Some(word.strip_prefix('$')?.to_string()));
             let (Some(from), Some(variable)) = (directive.word(0), variable) else {
-                self.left(directive, "it takes what it looks at, and a variable");
+                self.record_unsupported(directive, "it takes what it looks at, and a variable");
                 continue;
             };
-            let choice = match directive.is("map") {
-                true => self.header_choice(&from, directive),
-                false => self.split(directive),
+            let selector = match directive.is("map") {
+                true => self.header_selector(&from, directive),
+                false => self.split_selector(directive),
             };
             // Whether it chooses upstreams is known once a location uses it.
-            match choice {
-                Ok(Some(choice)) => drop(self.choices.insert(variable, (choice, directive.head()))),
+            match selector {
+                Ok(Some(selector)) => drop(self.selectors.insert(variable, (selector, directive.shallow()))),
                 Ok(None) => {
                     let why = "it chooses no upstream";
-                    self.account.record(
+                    self.report.record(
                         directive,
                         DirectiveSupport::new(Outcome::Unsupported, false, why, "keep it in the proxy"),
                     );
                 }
-                Err(why) => self.left(directive, why),
+                Err(why) => self.record_unsupported(directive, why),
             }
         }
     }
 
-    fn split(&self, directive: &Directive) -> Result<Option<UpstreamSelector>, String> {
-        let (mut parts, mut rest) = (Vec::new(), 1.0);
-        for entry in each(directive.block()) {
-            let Some(to) = entry.word(0) else { return Err("an entry without its value".to_string()) };
-            if !self.upstreams.contains_key(&*to) {
+    fn split_selector(&self, directive: &Directive) -> Result<Option<UpstreamSelector>, String> {
+        let (mut shares, mut remaining) = (Vec::new(), 1.0);
+        for entry in flatten_includes(directive.block()) {
+            let Some(target) = entry.word(0) else { return Err("an entry without its value".to_string()) };
+            if !self.upstreams.contains_key(&*target) {
                 return Ok(None);
             }
-            let part = match entry.is("*") {
-                true => f64::max(rest, 0.0),
-                false => {
-                    share(&entry.name.text()).ok_or_else(|| format!("`{}` is no part", entry.name.text()))?
-                }
+            let fraction = match entry.is("*") {
+                true => f64::max(remaining, 0.0),
+                false => parse_percentage(&entry.name.text())
+                    .ok_or_else(|| format!("`{}` is no part", entry.name.text()))?,
             };
-            rest -= part;
-            if part > 0.0 {
-                parts.push((to.into_owned(), part));
+            remaining -= fraction;
+            if fraction > 0.0 {
+                shares.push((target.into_owned(), fraction));
             }
         }
-        if rest < -1e-9 {
+        if remaining < -1e-9 {
             return Err("its parts are more than the whole".to_string());
         }
         // Without `*`, what is left goes to an empty value: nowhere.
-        Ok((!parts.is_empty()).then_some(UpstreamSelector::Split(parts)))
+        Ok((!shares.is_empty()).then_some(UpstreamSelector::Split(shares)))
     }
 
-    fn header_choice(&self, from: &str, directive: &Directive) -> Result<Option<UpstreamSelector>, String> {
-        let (mut values, mut otherwise, mut any) = (Vec::new(), None, false);
-        for entry in each(directive.block()) {
+    fn header_selector(&self, from: &str, directive: &Directive) -> Result<Option<UpstreamSelector>, String> {
+        let (mut values, mut default_target, mut has_upstream) = (Vec::new(), None, false);
+        for entry in flatten_includes(directive.block()) {
             let value = entry.name.text().into_owned();
             if entry.words.is_empty() && (entry.is("hostnames") || entry.is("volatile")) {
                 continue;
             }
             let Some(to) = entry.word(0) else { return Err("an entry without its value".to_string()) };
-            any |= self.upstreams.contains_key(&*to);
+            has_upstream |= self.upstreams.contains_key(&*to);
             match &*value {
-                "default" => otherwise = Some(to.into_owned()),
+                "default" => default_target = Some(to.into_owned()),
                 _ => values.push((value.strip_prefix('\\').unwrap_or(&value).to_string(), to.into_owned())),
             }
         }
-        if !any {
+        if !has_upstream {
             return Ok(None);
         }
         let Some(header) = from.strip_prefix("$http_") else {
             return Err(format!("groups are told by paths and headers, and not by `{from}`"));
         };
-        let odd = values
+        let pattern_value = values
             .iter()
             .find(|(value, _)| value.is_empty() || value.starts_with('~') || value.contains('*'));
-        if let Some((value, _)) = odd {
+        if let Some((value, _)) = pattern_value {
             return Err(format!("a group's header has one value, and `{value}` is a pattern or none"));
         }
-        let all = values.iter().map(|(_, to)| to).chain(&otherwise);
-        if let Some(stray) = all.clone().find(|to| !to.is_empty() && !self.upstreams.contains_key(*to)) {
-            return Err(format!("`{stray}` is no upstream"));
+        let targets = values.iter().map(|(_, to)| to).chain(&default_target);
+        if let Some(unknown) = targets.clone().find(|to| !to.is_empty() && !self.upstreams.contains_key(*to))
+        {
+            return Err(format!("`{unknown}` is no upstream"));
         }
         values.retain(|(_, to)| !to.is_empty());
         Ok(Some(UpstreamSelector::Header(
             header.replace('_', "-"),
             values,
-            otherwise.filter(|to| !to.is_empty()),
+            default_target.filter(|to| !to.is_empty()),
         )))
     }
 
@@ -444,140 +451,158 @@
 
     /// What a block says for all within it.
     fn inherited(&mut self, outer: &InheritedSettings, block: &[&Directive]) -> InheritedSettings {
-        let mut here = outer.clone();
+        let mut settings = outer.clone();
         for directive in block {
             let name = directive.name.text();
-            let (text, span) =
-                (directive.word(0).unwrap_or_default(), directive.word(0).and_then(|one| seconds(&one)));
-            let odd_span = || odd(&text, "a span");
-            let mut fate = DirectiveSupport::of(&name);
-            let is_span = span.is_some();
+            let (text, duration) = (
+                directive.word(0).unwrap_or_default(),
+                directive.word(0).and_then(|word| parse_seconds(&word)),
+            );
+            let invalid_duration = || invalid_value(&text, "a span");
+            let mut support = DirectiveSupport::by_name(&name);
+            let valid = duration.is_some();
             match &*name {
-                "proxy_connect_timeout" | "grpc_connect_timeout" if is_span => here.connect = span,
-                "proxy_read_timeout" | "grpc_read_timeout" if is_span => here.read = span,
-                "proxy_next_upstream_timeout" | "grpc_next_upstream_timeout" if is_span => {
-                    here.next_within = span;
+                "proxy_connect_timeout" | "grpc_connect_timeout" if valid => settings.connect = duration,
+                "proxy_read_timeout" | "grpc_read_timeout" if valid => settings.read = duration,
+                "proxy_next_upstream_timeout" | "grpc_next_upstream_timeout" if valid => {
+                    settings.retry_timeout = duration;
                 }
                 "proxy_connect_timeout" | "proxy_read_timeout" | "proxy_next_upstream_timeout" => {
-                    fate = odd_span();
+                    support = invalid_duration();
                 }
                 "grpc_connect_timeout" | "grpc_read_timeout" | "grpc_next_upstream_timeout" => {
-                    fate = odd_span();
+                    support = invalid_duration();
                 }
                 "proxy_next_upstream_tries" | "grpc_next_upstream_tries" => match text.parse() {
-                    Ok(tries) => here.tries = Some(tries),
-                    Err(_) => fate = odd(&text, "a number"),
+                    Ok(count) => settings.max_attempts = Some(count),
+                    Err(_) => support = invalid_value(&text, "a number"),
                 },
                 "proxy_next_upstream" | "grpc_next_upstream" => {
-                    here.next = Some(directive.words.iter().map(|word| word.text().into_owned()).collect());
+                    settings.retry_conditions =
+                        Some(directive.words.iter().map(|word| word.text().into_owned()).collect());
                 }
-                "proxy_method" => here.reads_only = ["GET", "HEAD"].contains(&&*text),
+                "proxy_method" => settings.safe_methods_only = ["GET", "HEAD"].contains(&&*text),
                 "server_name" | "limit_req" | "limit_conn" => {}
                 _ => continue,
             }
-            if let Some(known) = name.strip_prefix("grpc_").filter(|_| fate.reason.contains("does not know"))
+            if let Some(known) =
+                name.strip_prefix("grpc_").filter(|_| support.reason.contains("does not know"))
             {
-                fate = DirectiveSupport::of(&format!("proxy_{known}"));
+                support = DirectiveSupport::by_name(&format!("proxy_{known}"));
             }
-            self.account.record(directive, fate);
+            self.report.record(directive, support);
         }
-        here
+        settings
     }
 
     /// `within`: the path of the location that these stand in.
-    fn locations(&mut self, block: &[&Directive], inherited: &InheritedSettings, within: Option<&str>) {
-        for directive in block.iter().filter(|one| one.is("location")) {
+    fn locations(&mut self, block: &[&Directive], inherited: &InheritedSettings, outer_path: Option<&str>) {
+        for directive in block.iter().filter(|child| child.is("location")) {
             let Body::Block(_) = &directive.body else {
-                self.left(directive, "a location has a block");
+                self.record_unsupported(directive, "a location has a block");
                 continue;
             };
-            let inner = each(directive.block());
+            let inner = flatten_includes(directive.block());
             let path = match path(&directive.words) {
                 Ok(path) => path,
                 Err(why) => {
-                    self.left(directive, why);
+                    self.record_unsupported(directive, why);
                     continue;
                 }
             };
-            let here = self.inherited(inherited, &inner);
+            let settings = self.inherited(inherited, &inner);
             // Not for locations within: nginx does not hand it on.
-            let mut own = here.clone();
-            for except in inner.iter().filter(|one| one.is("limit_except")) {
-                if only_reads(except) {
-                    own.reads_only = true;
-                    self.account.record(except, DirectiveSupport::of("limit_except"));
+            let mut location_settings = settings.clone();
+            for except in inner.iter().filter(|child| child.is("limit_except")) {
+                if allows_safe_methods_only(except) {
+                    location_settings.safe_methods_only = true;
+                    self.report.record(except, DirectiveSupport::by_name("limit_except"));
                 } else {
                     let why =
                         "some flows that write are let in by it, too: the group is not retriable for it";
-                    let fate =
+                    let support =
                         DirectiveSupport::new(Outcome::Unsupported, false, why, "keep it in the proxy");
-                    self.account.record(except, fate);
+                    self.report.record(except, support);
                 }
             }
-            if inner.iter().any(|one| one.is("internal")) {
-                self.left(directive, "no client reaches an internal location: it is no route");
+            if inner.iter().any(|child| child.is("internal")) {
+                self.record_unsupported(directive, "no client reaches an internal location: it is no route");
                 continue;
             }
             let passes: Vec<&&Directive> =
-                inner.iter().filter(|one| one.is("proxy_pass") || one.is("grpc_pass")).collect();
+                inner.iter().filter(|child| child.is("proxy_pass") || child.is("grpc_pass")).collect();
             match passes.as_slice() {
                 [] => {
                     let why = "no flows are passed on from here: the proxy answers by itself";
-                    let fate =
+                    let support =
                         DirectiveSupport::new(Outcome::Unsupported, false, why, "keep it in the proxy");
-                    self.account.record(directive, fate);
+                    self.report.record(directive, support);
                 }
-                [pass] => self.pass(directive, pass, &path, &own),
+                [pass] => self.pass(directive, pass, &path, &location_settings),
                 [first, second, ..] => {
-                    self.left(second, "a second one in one location");
-                    self.nowhere(directive, first, "nginx takes one in a location".to_string());
+                    self.record_unsupported(second, "a second one in one location");
+                    self.record_unsupported_pass(
+                        directive,
+                        first,
+                        "nginx takes one in a location".to_string(),
+                    );
                 }
             }
-            if within.is_some() && path.starts_with('~') {
+            if outer_path.is_some() && path.starts_with('~') {
                 let why = "a pattern within a location counts for all paths, and not only for those there";
-                self.account.record(
+                self.report.record(
                     directive,
                     DirectiveSupport::new(Outcome::Partial, true, why, "begin it with the path"),
                 );
             }
-            self.locations(&inner, &here, Some(&path));
+            self.locations(&inner, &settings, Some(&path));
         }
     }
 
     #[expect(clippy::too_many_lines, reason = "left for readers: docs/ROADMAP.md")]
-    fn pass(&mut self, location: &Directive, pass: &Directive, path: &str, here: &InheritedSettings) {
-        self.account.record(location, DirectiveSupport::of("location"));
-        let said = pass.word(0).unwrap_or_default().into_owned();
-        let (scheme, rest) = said.split_once("://").unwrap_or(("", &said));
-        let at = rest.find('/').unwrap_or(rest.len());
-        let (to, uri) = (&rest[..at], &rest[at..]);
-        let default = match scheme {
+    fn pass(&mut self, location: &Directive, pass: &Directive, path: &str, settings: &InheritedSettings) {
+        self.report.record(location, DirectiveSupport::by_name("location"));
+        let value_text = pass.word(0).unwrap_or_default().into_owned();
+        let (scheme, remaining) = value_text.split_once("://").unwrap_or(("", &value_text));
+        let at = remaining.find('/').unwrap_or(remaining.len());
+        let (target, uri) = (&remaining[..at], &remaining[at..]);
+        let default_port = match scheme {
             "http" | "grpc" => 80,
             "https" | "grpcs" => 443,
             "" if pass.is("grpc_pass") => 80,
-            _ => return self.nowhere(location, pass, format!("`{said}` is neither HTTP nor HTTPS")),
+            _ => {
+                return self.record_unsupported_pass(
+                    location,
+                    pass,
+                    format!("`{value_text}` is neither HTTP nor HTTPS"),
+                );
+            }
         };
-        let mut fate = DirectiveSupport::of("proxy_pass");
-        if default == 443 {
+        let mut support = DirectiveSupport::by_name("proxy_pass");
+        if default_port == 443 {
             let why = "it is followed, and encryption to replicas is the proxy's own";
-            fate = DirectiveSupport::new(Outcome::Partial, true, why, "keep `proxy_ssl_...` in the proxy");
+            support = DirectiveSupport::new(Outcome::Partial, true, why, "keep `proxy_ssl_...` in the proxy");
         }
         if !uri.is_empty() && uri != path.trim_start_matches("^~ ") {
             let why = format!("it replaces the location's path by `{uri}`, and flows keep theirs");
-            fate =
+            support =
                 DirectiveSupport::new(Outcome::Partial, true, why, "have replicas take the path as it comes");
         }
         let path_route = || LocationRoute::Path(path.to_string());
-        let variable = to.strip_prefix("${").and_then(|to| to.strip_suffix('}')).or(to.strip_prefix('$'));
-        let leads: Result<Vec<(Shares, LocationRoute)>, String> = match variable {
-            Some(variable) => match self.choices.get(variable) {
-                Some((UpstreamSelector::Split(parts), _)) => Ok(vec![(parts.clone(), path_route())]),
-                Some((UpstreamSelector::Header(header, values, otherwise), _)) if path == "/" => {
-                    let by_value = |(value, to): &(String, String)| {
-                        (vec![(to.clone(), 1.0)], LocationRoute::Header(format!("{header}: {value}")))
+        let variable = target
+            .strip_prefix("${")
+            .and_then(|target| target.strip_suffix('}'))
+            .or(target.strip_prefix('$'));
+        let targets: Result<Vec<(Shares, LocationRoute)>, String> = match variable {
+            Some(variable) => match self.selectors.get(variable) {
+                Some((UpstreamSelector::Split(shares), _)) => Ok(vec![(shares.clone(), path_route())]),
+                Some((UpstreamSelector::Header(header, values, default_target), _)) if path == "/" => {
+                    let by_value = |(value, target): &(String, String)| {
+                        (vec![(target.clone(), 1.0)], LocationRoute::Header(format!("{header}: {value}")))
                     };
-                    let otherwise = otherwise.iter().map(|to| (vec![(to.clone(), 1.0)], path_route()));
-                    Ok(values.iter().map(by_value).chain(otherwise).collect())
+                    let default_target =
+                        default_target.iter().map(|target| (vec![(target.clone(), 1.0)], path_route()));
+                    Ok(values.iter().map(by_value).chain(default_target).collect())
                 }
                 Some((UpstreamSelector::Header(..), _)) => {
                     Err("a group is told by paths or by a header: with both only the location `/` is"
@@ -585,9 +610,11 @@
                 }
                 None => Err(format!("nothing here says which upstream `${variable}` is")),
             },
-            None if to.contains('$') => Err(format!("nothing here says which upstream `{to}` is")),
-            None if self.upstreams.contains_key(to) => Ok(vec![(vec![(to.to_string(), 1.0)], path_route())]),
-            None => match target(to, default) {
+            None if target.contains('$') => Err(format!("nothing here says which upstream `{target}` is")),
+            None if self.upstreams.contains_key(target) => {
+                Ok(vec![(vec![(target.to_string(), 1.0)], path_route())])
+            }
+            None => match parse_target(target, default_port) {
                 Some(Target::Address(address) | Target::Name(address)) => {
                     let server = Server {
                         address: address.clone(),
@@ -601,57 +628,66 @@
                     self.upstreams.entry(address.clone()).or_insert(upstream);
                     Ok(vec![(vec![(address, 1.0)], path_route())])
                 }
-                _ => Err(format!("`{to}` is no upstream and no address")),
+                _ => Err(format!("`{target}` is no upstream and no address")),
             },
         };
-        let leads = match leads {
-            Ok(leads) => leads,
-            Err(why) => return self.nowhere(location, pass, why),
+        let targets = match targets {
+            Ok(targets) => targets,
+            Err(why) => return self.record_unsupported_pass(location, pass, why),
         };
-        let listed = |(to, _): &(String, f64)| !self.upstreams[to].servers.is_empty();
-        if !leads.iter().all(|(to, _)| to.iter().any(listed)) {
-            return self.nowhere(location, pass, "none of its servers can be listed".to_string());
+        let listed = |(target, _): &(String, f64)| !self.upstreams[target].servers.is_empty();
+        if !targets.iter().all(|(target, _)| target.iter().any(listed)) {
+            return self.record_unsupported_pass(
+                location,
+                pass,
+                "none of its servers can be listed".to_string(),
+            );
         }
-        self.account.record(pass, fate);
-        if let Some((_, said)) = variable.and_then(|variable| self.choices.get(variable)) {
-            self.account.record(said, DirectiveSupport::of(&said.name.text()));
+        self.report.record(pass, support);
+        if let Some((_, selector)) = variable.and_then(|variable| self.selectors.get(variable)) {
+            self.report.record(selector, DirectiveSupport::by_name(&selector.name.text()));
         }
-        let attempt = (here.connect.unwrap_or(CONNECT) + here.read.unwrap_or(READ)).clamp(0.001, LONGEST);
-        let next: Vec<&str> = match &here.next {
-            Some(next) => next.iter().map(String::as_str).collect(),
+        let attempt_seconds = (settings.connect.unwrap_or(DEFAULT_CONNECT_SECONDS)
+            + settings.read.unwrap_or(DEFAULT_READ_SECONDS))
+        .clamp(0.001, MAX_DEADLINE_SECONDS);
+        let retry_conditions: Vec<&str> = match &settings.retry_conditions {
+            Some(retry_conditions) => retry_conditions.iter().map(String::as_str).collect(),
             None => vec!["error", "timeout"],
         };
-        let repeats = next.contains(&"non_idempotent");
-        let tries = match (next.contains(&"off") || here.tries == Some(1), repeats) {
+        let retries_any_failure = retry_conditions.contains(&"non_idempotent");
+        let policy = match (
+            retry_conditions.contains(&"off") || settings.max_attempts == Some(1),
+            retries_any_failure,
+        ) {
             (true, _) => ImportedRetryPolicy::Never,
             (false, false) => ImportedRetryPolicy::IfNotExecuted,
             (false, true) => ImportedRetryPolicy::OnAnyFailure,
         };
-        let expiry = match (tries, here.next_within.unwrap_or(0.0)) {
-            (ImportedRetryPolicy::Never, _) => attempt,
-            (_, 0.0) => 2.0 * attempt,
+        let deadline = match (policy, settings.retry_timeout.unwrap_or(0.0)) {
+            (ImportedRetryPolicy::Never, _) => attempt_seconds,
+            (_, 0.0) => 2.0 * attempt_seconds,
             // The first try is not cut short by it.
-            (_, within) => (2.0 * attempt).min(within.max(attempt)),
+            (_, timeout) => (2.0 * attempt_seconds).min(timeout.max(attempt_seconds)),
         };
-        for (to, route) in leads {
-            let written = location.words.iter().map(Word::text).collect::<Vec<_>>().join(" ");
-            self.leads.push(RoutedLocation {
-                shares: to,
+        for (target, route) in targets {
+            let pattern = location.words.iter().map(Word::text).collect::<Vec<_>>().join(" ");
+            self.routed_locations.push(RoutedLocation {
+                shares: target,
                 route,
-                idempotent: here.reads_only || repeats,
-                latency_objective: attempt,
-                request_deadline: expiry.min(LONGEST),
-                retry_policy: tries,
+                idempotent: settings.safe_methods_only || retries_any_failure,
+                latency_objective: attempt_seconds,
+                request_deadline: deadline.min(MAX_DEADLINE_SECONDS),
+                retry_policy: policy,
                 position: location.name.at,
-                written,
-                directives: [location.head(), pass.head()],
+                pattern,
+                directives: [location.shallow(), pass.shallow()],
             });
         }
     }
 
-    fn nowhere(&mut self, location: &Directive, pass: &Directive, why: String) {
-        self.left(pass, why);
-        self.left(location, "its flows lead nowhere here");
+    fn record_unsupported_pass(&mut self, location: &Directive, pass: &Directive, why: String) {
+        self.record_unsupported(pass, why);
+        self.record_unsupported(location, "its flows lead nowhere here");
     }
 
     // ---- fleets
@@ -659,42 +695,52 @@
     fn fleets(&mut self) -> Vec<ImportedFleet> {
         let mut fleets: Vec<ImportedFleet> = Vec::new();
         let (mut known, mut taken): (BTreeMap<String, usize>, BTreeSet<String>) = Default::default();
-        for place in 0..self.leads.len() {
-            let lead = &self.leads[place];
-            let (replicas, warm_after) = self.pool(&lead.shares);
-            let bare = |one: &ImportedReplica| (one.id.clone(), one.weight, one.phase, one.backup);
+        for index in 0..self.routed_locations.len() {
+            let location = &self.routed_locations[index];
+            let (replicas, slow_start) = self.merge_replicas(&location.shares);
+            let identity = |replica: &ImportedReplica| {
+                (replica.id.clone(), replica.weight, replica.phase, replica.backup)
+            };
             // Upstreams that say the same are one pool.
-            let same = format!("{warm_after:?} {:?}", replicas.iter().map(bare).collect::<Vec<_>>());
-            let at = match known.get(&same) {
+            let pool_key = format!("{slow_start:?} {:?}", replicas.iter().map(identity).collect::<Vec<_>>());
+            let at = match known.get(&pool_key) {
                 Some(at) => *at,
                 None => {
-                    let fleet = self.fleet(lead, replicas, warm_after, &taken);
+                    let fleet = self.fleet(location, replicas, slow_start, &taken);
                     taken.insert(fleet.name.clone());
-                    known.insert(same, fleets.len());
+                    known.insert(pool_key, fleets.len());
                     fleets.push(fleet);
                     fleets.len() - 1
                 }
             };
-            self.group(place, at, &mut fleets);
+            self.assign_class(index, at, &mut fleets);
         }
-        let led: BTreeSet<&String> =
-            self.leads.iter().flat_map(|lead| &lead.shares).map(|(to, _)| to).collect();
-        for (_, upstream) in self.upstreams.iter().filter(|(name, _)| !led.contains(name)) {
+        let used: BTreeSet<&String> = self
+            .routed_locations
+            .iter()
+            .flat_map(|location| &location.shares)
+            .map(|(target, _)| target)
+            .collect();
+        for (_, upstream) in self.upstreams.iter().filter(|(name, _)| !used.contains(name)) {
             if upstream.servers.is_empty() {
                 let why = "none of its servers can be listed";
-                upstream.heads.first().into_iter().for_each(|head| self.account.revoke(head, true, why, ""));
+                upstream
+                    .directives
+                    .first()
+                    .into_iter()
+                    .for_each(|item| self.report.revoke(item, true, why, ""));
                 continue;
             }
             let (why, advice) = ("no location leads to this upstream", "import the file that does, too");
-            upstream.heads.iter().for_each(|head| self.account.revoke(head, false, why, advice));
+            upstream.directives.iter().for_each(|item| self.report.revoke(item, false, why, advice));
         }
-        self.shared(&fleets);
+        self.record_shared_addresses(&fleets);
         fleets.retain(|fleet| !fleet.classes.is_empty());
         for fleet in &mut fleets {
             fleet.retry_policy = fleet
                 .classes
                 .iter()
-                .map(|group| group.retry_policy)
+                .map(|class| class.retry_policy)
                 .min()
                 .unwrap_or(ImportedRetryPolicy::Never);
         }
@@ -702,18 +748,18 @@
     }
 
     /// The replicas of some upstreams together, each with its part.
-    fn pool(&self, to: &[(String, f64)]) -> (Vec<ImportedReplica>, Option<f64>) {
-        let mut all: BTreeMap<String, ImportedReplica> = BTreeMap::new();
-        let mut warm_after: Option<f64> = None;
-        for (name, part) in to {
+    fn merge_replicas(&self, shares: &[(String, f64)]) -> (Vec<ImportedReplica>, Option<f64>) {
+        let mut replicas: BTreeMap<String, ImportedReplica> = BTreeMap::new();
+        let mut slow_start: Option<f64> = None;
+        for (name, fraction) in shares {
             let upstream = &self.upstreams[name];
-            if let Some(span) = upstream.slow_start {
-                warm_after = Some(warm_after.unwrap_or(0.0).max(span));
+            if let Some(duration) = upstream.slow_start {
+                slow_start = Some(slow_start.unwrap_or(0.0).max(duration));
             }
-            let counts = |server: &&Server| !server.backup && server.phase != "gone";
-            let sum: f64 = upstream.servers.iter().filter(counts).map(|server| server.weight).sum();
+            let is_counted = |server: &&Server| !server.backup && server.phase != "gone";
+            let sum: f64 = upstream.servers.iter().filter(is_counted).map(|server| server.weight).sum();
             // One upstream by itself keeps the weights that are written.
-            let scale = if to.len() == 1 { 1.0 } else { part * 100.0 / sum.max(1.0) };
+            let scale = if shares.len() == 1 { 1.0 } else { fraction * 100.0 / sum.max(1.0) };
             for server in &upstream.servers {
                 let weight = (server.weight * scale * 1e6).round().max(1.0) / 1e6;
                 let replica = ImportedReplica {
@@ -723,12 +769,15 @@
                     weight,
                     phase: server.phase,
                     backup: server.backup,
-                    origin: self.whole.origin(server.at),
+                    origin: self.configuration.origin(server.at),
                 };
-                all.entry(server.address.clone()).and_modify(|one| one.weight += weight).or_insert(replica);
+                replicas
+                    .entry(server.address.clone())
+                    .and_modify(|replica| replica.weight += weight)
+                    .or_insert(replica);
             }
         }
-        (all.into_values().collect(), warm_after)
+        (replicas.into_values().collect(), slow_start)
     }
 
     fn zone(&self, address: &str) -> String {
@@ -749,100 +798,109 @@
 
     fn fleet(
         &self,
-        lead: &RoutedLocation,
+        location: &RoutedLocation,
         replicas: Vec<ImportedReplica>,
-        warm_after: Option<f64>,
+        slow_start: Option<f64>,
         taken: &BTreeSet<String>,
     ) -> ImportedFleet {
-        let names: Vec<&str> = lead.shares.iter().map(|(to, _)| to.as_str()).collect();
+        let names: Vec<&str> = location.shares.iter().map(|(target, _)| target.as_str()).collect();
         let first = &self.upstreams[names[0]];
         let zones: BTreeSet<String> = replicas.iter().map(|replica| replica.zone.clone()).collect();
         ImportedFleet {
-            name: unlike(&name(&names.join(" ")), "pool", taken),
-            origin: format!("upstream {} ({})", names.join(" and "), self.whole.origin(first.at)),
+            name: unique_name(&slugify(&names.join(" ")), "pool", taken),
+            origin: format!("upstream {} ({})", names.join(" and "), self.configuration.origin(first.at)),
             zones: zones.into_iter().collect(),
             replicas,
             classes: Vec::new(),
-            slow_start_seconds: warm_after,
+            slow_start_seconds: slow_start,
             retry_policy: ImportedRetryPolicy::Never,
         }
     }
 
     /// Puts a lead into the group of its fleet that is like it, or into a new one.
-    fn group(&mut self, place: usize, at: usize, fleets: &mut [ImportedFleet]) {
-        let lead = &self.leads[place];
-        let origin = format!("location {} ({})", lead.written, self.whole.origin(lead.position));
-        let groups = &mut fleets[at].classes;
-        if let LocationRoute::Path(path) = &lead.route {
-            let holds =
-                |group: &ImportedClass| matches!(&group.routes, Routes::Paths(paths) if paths.contains(path));
-            if let Some(known) = groups.iter_mut().find(|group| holds(group)) {
-                if alike(known, lead) {
+    fn assign_class(&mut self, index: usize, at: usize, fleets: &mut [ImportedFleet]) {
+        let location = &self.routed_locations[index];
+        let origin =
+            format!("location {} ({})", location.pattern, self.configuration.origin(location.position));
+        let classes = &mut fleets[at].classes;
+        if let LocationRoute::Path(path) = &location.route {
+            let has_path =
+                |class: &ImportedClass| matches!(&class.routes, Routes::Paths(paths) if paths.contains(path));
+            if let Some(known) = classes.iter_mut().find(|class| has_path(class)) {
+                if has_same_settings(known, location) {
                     known.origins.push(origin);
                     return;
                 }
                 let why = format!("`{path}` leads to group `{}` already, said otherwise there", known.name);
                 let advice = "governors do not tell hosts apart: run one for each";
-                lead.directives.iter().for_each(|head| self.account.revoke(head, true, &why, advice));
+                location.directives.iter().for_each(|item| self.report.revoke(item, true, &why, advice));
                 return;
             }
-            let joins =
-                |group: &&mut ImportedClass| matches!(group.routes, Routes::Paths(_)) && alike(group, lead);
-            if let Some(group) = groups.iter_mut().find(joins) {
-                if let Routes::Paths(paths) = &mut group.routes {
+            let accepts_path = |class: &&mut ImportedClass| {
+                matches!(class.routes, Routes::Paths(_)) && has_same_settings(class, location)
+            };
+            if let Some(class) = classes.iter_mut().find(accepts_path) {
+                if let Routes::Paths(paths) = &mut class.routes {
                     paths.push(path.clone());
                 }
-                group.origins.push(origin);
+                class.origins.push(origin);
                 return;
             }
         }
-        let same_header = |group: &ImportedClass| match (&group.routes, &lead.route) {
-            (Routes::Header(one), LocationRoute::Header(other)) => one == other,
+        let same_header = |class: &ImportedClass| match (&class.routes, &location.route) {
+            (Routes::Header(known), LocationRoute::Header(header)) => known == header,
             _ => false,
         };
-        let full = groups.len() >= MOST_GROUPS;
-        if full || groups.iter().any(same_header) {
-            let why = match full {
-                true => format!("a governor has {MOST_GROUPS} groups at the most"),
+        let is_full = classes.len() >= MAX_CLASSES;
+        if is_full || classes.iter().any(same_header) {
+            let why = match is_full {
+                true => format!("a governor has {MAX_CLASSES} groups at the most"),
                 false => "the same header leads to a group already".to_string(),
             };
-            lead.directives
+            location
+                .directives
                 .iter()
-                .for_each(|head| self.account.revoke(head, true, &why, "run a governor of its own"));
+                .for_each(|item| self.report.revoke(item, true, &why, "run a governor of its own"));
             return;
         }
-        let (said, routes) = match &lead.route {
-            LocationRoute::Path(path) => (name(path), Routes::Paths(vec![path.clone()])),
-            LocationRoute::Header(header) => (name(header), Routes::Header(header.clone())),
+        let (base_name, routes) = match &location.route {
+            LocationRoute::Path(path) => (slugify(path), Routes::Paths(vec![path.clone()])),
+            LocationRoute::Header(header) => (slugify(header), Routes::Header(header.clone())),
         };
-        let taken = groups.iter().map(|group| group.name.clone()).collect();
-        groups.push(ImportedClass {
-            name: unlike(&said, "root", &taken),
+        let taken = classes.iter().map(|class| class.name.clone()).collect();
+        classes.push(ImportedClass {
+            name: unique_name(&base_name, "root", &taken),
             routes,
-            idempotent: lead.idempotent,
-            latency_objective: lead.latency_objective,
-            request_deadline: lead.request_deadline,
-            retry_policy: lead.retry_policy,
+            idempotent: location.idempotent,
+            latency_objective: location.latency_objective,
+            request_deadline: location.request_deadline,
+            retry_policy: location.retry_policy,
             origins: vec![origin],
         });
     }
 
     /// Says of replicas that several fleets send to.
-    fn shared(&mut self, fleets: &[ImportedFleet]) {
-        let mut of: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
+    fn record_shared_addresses(&mut self, fleets: &[ImportedFleet]) {
+        let mut fleets_by_address: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
         for fleet in fleets {
-            fleet.replicas.iter().for_each(|one| of.entry(&one.address).or_default().push(&fleet.name));
+            fleet
+                .replicas
+                .iter()
+                .for_each(|replica| fleets_by_address.entry(&replica.address).or_default().push(&fleet.name));
         }
         let mut upstreams: Vec<(Position, String)> = Vec::new();
         for upstream in self.upstreams.values() {
             upstreams.extend(upstream.servers.iter().map(|server| (server.at, server.address.clone())));
         }
         for (at, address) in upstreams {
-            let Some(fleets) = of.get(address.as_str()).filter(|fleets| fleets.len() > 1) else { continue };
+            let Some(fleets) = fleets_by_address.get(address.as_str()).filter(|fleets| fleets.len() > 1)
+            else {
+                continue;
+            };
             let why =
                 format!("{} send there, and none of them sees what the others do", fleets.join(" and "));
             let advice = "say in each roster the part of its weight that is meant for it";
-            self.account.record_parameter(
+            self.report.record_parameter(
                 at,
                 "shared address",
                 DirectiveSupport::new(Outcome::Partial, true, why, advice),
@@ -853,71 +911,77 @@
 
 impl Directive {
     /// Itself without its block, to be named later.
-    fn head(&self) -> Directive {
+    fn shallow(&self) -> Directive {
         Directive { name: self.name.clone(), words: self.words.clone(), body: Body::None }
     }
 }
 
-fn odd(said: &str, wanted: &str) -> DirectiveSupport {
+fn invalid_value(value_text: &str, expected: &str) -> DirectiveSupport {
     DirectiveSupport::new(
         Outcome::Unsupported,
         true,
-        format!("`{said}` is not {wanted}"),
+        format!("`{value_text}` is not {expected}"),
         "mend it: nginx takes none of it, either",
     )
 }
 
 /// Whether a `limit_except` lets in nothing but methods that read, from anywhere: its block must turn all
 /// else away, and make no exception.
-fn only_reads(except: &Directive) -> bool {
-    let reads = |word: &Word| ["GET", "HEAD", "OPTIONS"].iter().any(|method| word.is(method));
-    let denies = |one: &&Directive| one.is("deny") && one.words.len() == 1 && one.words[0].is("all");
-    let within = each(except.block());
+fn allows_safe_methods_only(except: &Directive) -> bool {
+    let is_safe_method = |word: &Word| ["GET", "HEAD", "OPTIONS"].iter().any(|method| word.is(method));
+    let denies = |child: &&Directive| child.is("deny") && child.words.len() == 1 && child.words[0].is("all");
+    let children = flatten_includes(except.block());
     !except.words.is_empty()
-        && except.words.iter().all(reads)
-        && !within.is_empty()
-        && within.iter().all(denies)
+        && except.words.iter().all(is_safe_method)
+        && !children.is_empty()
+        && children.iter().all(denies)
 }
 
 /// Whether a lead may be in a group: all that matters is the same.
-fn alike(group: &ImportedClass, lead: &RoutedLocation) -> bool {
-    group.idempotent == lead.idempotent
-        && group.latency_objective == lead.latency_objective
-        && group.request_deadline == lead.request_deadline
-        && group.retry_policy == lead.retry_policy
+fn has_same_settings(class: &ImportedClass, location: &RoutedLocation) -> bool {
+    class.idempotent == location.idempotent
+        && class.latency_objective == location.latency_objective
+        && class.request_deadline == location.request_deadline
+        && class.retry_policy == location.retry_policy
 }
 
 /// A name that none of the taken ones is.
-fn unlike(wanted: &str, otherwise: &str, taken: &BTreeSet<String>) -> String {
-    let wanted = if wanted.is_empty() { otherwise } else { wanted };
-    let numbered = (2..).map(|number| format!("{wanted}-{number}"));
-    std::iter::once(wanted.to_string()).chain(numbered).find(|name| !taken.contains(name)).unwrap_or_default()
+fn unique_name(preferred: &str, fallback: &str, taken: &BTreeSet<String>) -> String {
+    let preferred = if preferred.is_empty() { fallback } else { preferred };
+    let numbered = (2..).map(|number| format!("{preferred}-{number}"));
+    std::iter::once(preferred.to_string())
+        .chain(numbered)
+        .find(|name| !taken.contains(name))
+        .unwrap_or_default()
 }
 
 /// A location's path, as the settings spell it.
 fn path(words: &[Word]) -> Result<String, String> {
     let texts: Vec<String> = words.iter().map(|word| word.text().into_owned()).collect();
-    let (kind, path) = match texts.as_slice() {
-        [kind, path] if ["=", "^~", "~", "~*"].contains(&kind.as_str()) => (kind.as_str(), path.as_str()),
-        [glued] => {
-            let kinds = ["^~", "~*", "~", "="];
-            let kind = kinds.into_iter().find(|kind| glued.starts_with(kind)).unwrap_or("");
-            (kind, &glued[kind.len()..])
+    let (operator, path) = match texts.as_slice() {
+        [operator, path] if ["=", "^~", "~", "~*"].contains(&operator.as_str()) => {
+            (operator.as_str(), path.as_str())
+        }
+        [combined] => {
+            let operators = ["^~", "~*", "~", "="];
+            let operator =
+                operators.into_iter().find(|operator| combined.starts_with(operator)).unwrap_or("");
+            (operator, &combined[operator.len()..])
         }
         _ => return Err("a location has one path".to_string()),
     };
     if path.starts_with('@') {
         return Err("a named location is reached from others only: it is no route".to_string());
     }
-    match kind {
+    match operator {
         "~" | "~*" => match regex::Regex::new(path) {
-            Ok(_) => Ok(format!("{kind} {path}")),
+            Ok(_) => Ok(format!("{operator} {path}")),
             Err(_) => Err(format!("`{path}` is not a pattern that public proxies take (RE2)")),
         },
         _ if !path.starts_with('/') || path.contains('"') => {
             Err(format!("path `{path}` does not begin with `/`"))
         }
         "" => Ok(path.to_string()),
-        kind => Ok(format!("{kind} {path}")),
+        operator => Ok(format!("{operator} {path}")),
     }
 }
--- a/crates/nginx-importer/src/syntax.rs
+++ b/crates/nginx-importer/src/syntax.rs
@@ -8,11 +8,11 @@
 use std::fmt;
 
 /// Blocks within blocks, at the most.
-pub const DEEPEST: usize = 64;
+pub const MAX_DEPTH: usize = 64;
 /// Bytes of a word: nginx itself allows less.
-pub const LONGEST: usize = 64 << 10;
+pub const MAX_WORD_BYTES: usize = 64 << 10;
 /// Directives in all files of a configuration together.
-pub const MOST: usize = 2_000_000;
+pub const MAX_DIRECTIVES: usize = 2_000_000;
 
 /// Where something stands: the file by its number, line and column (in bytes) from 1.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -93,28 +93,28 @@
 pub enum SyntaxErrorKind {
     /// It ends within a quoted word.
     #[error("the file ends within a quoted word")]
-    OpenQuote,
+    UnclosedQuote,
     /// It ends within the block of this directive.
     #[error("the file ends within the block of `{0}`; a `}}` is missing")]
-    OpenBlock(String),
+    UnclosedBlock(String),
     /// It ends within this directive.
     #[error("the file ends within `{0}`; a `;` is missing")]
-    Unended(String),
+    MissingSemicolon(String),
     /// A character stands where none such may.
     #[error("`{0}` does not belong here")]
     Unexpected(char),
     /// Something stands right behind a quoted word.
     #[error("a quoted word must be followed by white space, `;` or `{{`")]
-    AfterQuote,
+    TextAfterQuote,
     /// Blocks within too many blocks.
-    #[error("blocks within more than {DEEPEST} others")]
-    Deep,
+    #[error("blocks within more than {MAX_DEPTH} others")]
+    TooDeep,
     /// A word that is too long.
-    #[error("a word of more than {LONGEST} bytes")]
-    Long,
+    #[error("a word of more than {MAX_WORD_BYTES} bytes")]
+    WordTooLong,
     /// Too many directives.
-    #[error("more than {MOST} directives")]
-    Many,
+    #[error("more than {MAX_DIRECTIVES} directives")]
+    TooManyDirectives,
 }
 
 /// What is wrong with a file's syntax, and where in it.
@@ -127,20 +127,20 @@
 }
 
 impl fmt::Display for SyntaxError {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(to, "{}:{}: {}", self.position.line, self.position.column, self.kind)
+    fn fmt(&self, output: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(output, "{}:{}: {}", self.position.line, self.position.column, self.kind)
     }
 }
 
 enum Token {
     Word(Word),
     /// `;`, `{` or `}`.
-    Mark(u8, Position),
+    Delimiter(u8, Position),
 }
 
-struct Tokens<'a> {
+struct Tokenizer<'a> {
     text: &'a [u8],
-    next: usize,
+    offset: usize,
     at: Position,
 }
 
@@ -148,20 +148,20 @@
     matches!(byte, b' ' | b'\t' | b'\r' | b'\n')
 }
 
-impl<'a> Tokens<'a> {
+impl<'a> Tokenizer<'a> {
     fn new(text: &'a [u8], file: u32) -> Self {
         // A mark of byte order that some editors leave at the beginning.
-        let next = if text.starts_with(b"\xef\xbb\xbf") { 3 } else { 0 };
-        Tokens { text, next, at: Position { file, line: 1, column: 1 } }
+        let offset = if text.starts_with(b"\xef\xbb\xbf") { 3 } else { 0 };
+        Tokenizer { text, offset, at: Position { file, line: 1, column: 1 } }
     }
 
     fn peek(&self) -> Option<u8> {
-        self.text.get(self.next).copied()
+        self.text.get(self.offset).copied()
     }
 
-    fn take(&mut self) -> Option<u8> {
+    fn advance(&mut self) -> Option<u8> {
         let byte = self.peek()?;
-        self.next += 1;
+        self.offset += 1;
         match byte {
             b'\n' => (self.at.line, self.at.column) = (self.at.line.saturating_add(1), 1),
             _ => self.at.column = self.at.column.saturating_add(1),
@@ -170,14 +170,14 @@
     }
 
     /// The byte that a backslash and the next one stand for; both where they stand for themselves.
-    fn escaped(&mut self, word: &mut Vec<u8>) -> bool {
-        let Some(byte) = self.take() else { return false };
+    fn read_escape(&mut self, word: &mut Vec<u8>) -> bool {
+        let Some(byte) = self.advance() else { return false };
         match byte {
             b'"' | b'\'' | b'\\' => word.push(byte),
             b't' => word.push(b'\t'),
             b'r' => word.push(b'\r'),
             b'n' => word.push(b'\n'),
-            other => word.extend([b'\\', other]),
+            byte => word.extend([b'\\', byte]),
         }
         true
     }
@@ -186,38 +186,40 @@
         loop {
             match self.peek() {
                 None => return Ok(None),
-                Some(byte) if is_space(byte) => drop(self.take()),
+                Some(byte) if is_space(byte) => drop(self.advance()),
                 Some(b'#') => {
                     while self.peek().is_some_and(|byte| byte != b'\n') {
-                        self.take();
+                        self.advance();
                     }
                 }
                 Some(_) => break,
             }
         }
         let (at, mut bytes) = (self.at, Vec::new());
-        let fault = |why| Err(SyntaxError { position: at, kind: why });
+        let error = |error_kind| Err(SyntaxError { position: at, kind: error_kind });
         let first = self.peek().unwrap_or_default();
         if matches!(first, b';' | b'{' | b'}') {
-            self.take();
-            return Ok(Some(Token::Mark(first, at)));
+            self.advance();
+            return Ok(Some(Token::Delimiter(first, at)));
         }
         if matches!(first, b'"' | b'\'') {
-            self.take();
+            self.advance();
             loop {
-                match self.take() {
-                    None => return fault(SyntaxErrorKind::OpenQuote),
+                match self.advance() {
+                    None => return error(SyntaxErrorKind::UnclosedQuote),
                     Some(byte) if byte == first => break,
-                    Some(b'\\') if !self.escaped(&mut bytes) => return fault(SyntaxErrorKind::OpenQuote),
+                    Some(b'\\') if !self.read_escape(&mut bytes) => {
+                        return error(SyntaxErrorKind::UnclosedQuote);
+                    }
                     Some(b'\\') => {}
                     Some(byte) => bytes.push(byte),
                 }
-                if bytes.len() > LONGEST {
-                    return fault(SyntaxErrorKind::Long);
+                if bytes.len() > MAX_WORD_BYTES {
+                    return error(SyntaxErrorKind::WordTooLong);
                 }
             }
             if self.peek().is_some_and(|byte| !is_space(byte) && !matches!(byte, b';' | b'{' | b')')) {
-                return Err(SyntaxError { position: self.at, kind: SyntaxErrorKind::AfterQuote });
+                return Err(SyntaxError { position: self.at, kind: SyntaxErrorKind::TextAfterQuote });
             }
             return Ok(Some(Token::Word(Word { bytes, at })));
         }
@@ -225,19 +227,19 @@
             if is_space(byte) || matches!(byte, b';' | b'{') {
                 break;
             }
-            self.take();
+            self.advance();
             match byte {
-                b'\\' if !self.escaped(&mut bytes) => bytes.push(b'\\'),
+                b'\\' if !self.read_escape(&mut bytes) => bytes.push(b'\\'),
                 b'\\' => {}
                 // The brace of a variable opens no block.
                 b'$' if self.peek() == Some(b'{') => {
-                    self.take();
+                    self.advance();
                     bytes.extend(b"${");
                 }
                 byte => bytes.push(byte),
             }
-            if bytes.len() > LONGEST {
-                return fault(SyntaxErrorKind::Long);
+            if bytes.len() > MAX_WORD_BYTES {
+                return error(SyntaxErrorKind::WordTooLong);
             }
         }
         Ok(Some(Token::Word(Word { bytes, at })))
@@ -247,106 +249,111 @@
 /// Reads a file's text. `file`: its number, for places; `most`: how many directives it may have.
 ///
 /// Errors: what is wrong with its syntax, and where.
-pub fn parse(text: &[u8], file: u32, most: usize) -> Result<Vec<Directive>, SyntaxError> {
-    let mut tokens = Tokens::new(text, file);
+pub fn parse(text: &[u8], file: u32, max_directives: usize) -> Result<Vec<Directive>, SyntaxError> {
+    let mut tokenizer = Tokenizer::new(text, file);
     // What is open: the words of each block's directive, and what stands in it so far.
-    let mut open: Vec<(Vec<Word>, Vec<Directive>)> = Vec::new();
-    let (mut here, mut words, mut count): (Vec<Directive>, Vec<Word>, usize) = Default::default();
-    fn made(mut words: Vec<Word>, body: Body) -> Option<Directive> {
+    let mut open_blocks: Vec<(Vec<Word>, Vec<Directive>)> = Vec::new();
+    let (mut block, mut words, mut count): (Vec<Directive>, Vec<Word>, usize) = Default::default();
+    fn make_directive(mut words: Vec<Word>, body: Body) -> Option<Directive> {
         (!words.is_empty()).then(|| Directive { name: words.remove(0), words, body })
     }
-    while let Some(token) = tokens.token()? {
-        let (mark, at) = match token {
+    while let Some(token) = tokenizer.token()? {
+        let (delimiter, at) = match token {
             Token::Word(word) => {
                 words.push(word);
                 continue;
             }
-            Token::Mark(mark, at) => (mark, at),
+            Token::Delimiter(delimiter, at) => (delimiter, at),
         };
-        let unexpected = SyntaxError { position: at, kind: SyntaxErrorKind::Unexpected(char::from(mark)) };
-        if mark != b'}' {
+        let unexpected =
+            SyntaxError { position: at, kind: SyntaxErrorKind::Unexpected(char::from(delimiter)) };
+        if delimiter != b'}' {
             count += 1;
-            if count > most.min(MOST) {
-                return Err(SyntaxError { position: at, kind: SyntaxErrorKind::Many });
+            if count > max_directives.min(MAX_DIRECTIVES) {
+                return Err(SyntaxError { position: at, kind: SyntaxErrorKind::TooManyDirectives });
             }
         }
-        match mark {
-            b';' => here.push(made(std::mem::take(&mut words), Body::None).ok_or(unexpected)?),
+        match delimiter {
+            b';' => block.push(make_directive(std::mem::take(&mut words), Body::None).ok_or(unexpected)?),
             b'{' => {
                 if words.is_empty() {
                     return Err(unexpected);
                 }
-                if open.len() == DEEPEST {
-                    return Err(SyntaxError { position: at, kind: SyntaxErrorKind::Deep });
+                if open_blocks.len() == MAX_DEPTH {
+                    return Err(SyntaxError { position: at, kind: SyntaxErrorKind::TooDeep });
                 }
-                open.push((std::mem::take(&mut words), std::mem::take(&mut here)));
+                open_blocks.push((std::mem::take(&mut words), std::mem::take(&mut block)));
             }
             _ => {
                 if !words.is_empty() {
                     return Err(unexpected);
                 }
-                let (words, outer) = open.pop().ok_or_else(|| unexpected.clone())?;
-                let within = std::mem::replace(&mut here, outer);
-                here.push(made(words, Body::Block(within)).ok_or(unexpected)?);
+                let (words, outer) = open_blocks.pop().ok_or_else(|| unexpected.clone())?;
+                let children = std::mem::replace(&mut block, outer);
+                block.push(make_directive(words, Body::Block(children)).ok_or(unexpected)?);
             }
         }
     }
-    let named = |words: &[Word]| words.first().map_or_else(String::new, |word| word.text().into_owned());
+    let directive_name =
+        |words: &[Word]| words.first().map_or_else(String::new, |word| word.text().into_owned());
     if let Some(word) = words.first() {
-        return Err(SyntaxError { position: word.at, kind: SyntaxErrorKind::Unended(named(&words)) });
+        return Err(SyntaxError {
+            position: word.at,
+            kind: SyntaxErrorKind::MissingSemicolon(directive_name(&words)),
+        });
     }
-    match open.pop() {
+    match open_blocks.pop() {
         Some((words, _)) => {
-            let at = words.first().map_or(tokens.at, |word| word.at);
-            Err(SyntaxError { position: at, kind: SyntaxErrorKind::OpenBlock(named(&words)) })
+            let at = words.first().map_or(tokenizer.at, |word| word.at);
+            Err(SyntaxError { position: at, kind: SyntaxErrorKind::UnclosedBlock(directive_name(&words)) })
         }
-        None => Ok(here),
+        None => Ok(block),
     }
 }
 
 /// A word as it can be written: in quotes where it would be read as something else.
-fn write_word(word: &[u8], to: &mut Vec<u8>) {
-    let plain = |byte: &u8| byte.is_ascii_graphic() && !b"\"'\\;{}#$".contains(byte);
-    if !word.is_empty() && word.iter().all(plain) {
-        return to.extend(word);
+fn write_word(word: &[u8], output: &mut Vec<u8>) {
+    let is_plain = |byte: &u8| byte.is_ascii_graphic() && !b"\"'\\;{}#$".contains(byte);
+    if !word.is_empty() && word.iter().all(is_plain) {
+        return output.extend(word);
     }
-    to.push(b'"');
+    output.push(b'"');
     for byte in word {
         match byte {
-            b'"' | b'\\' => to.extend([b'\\', *byte]),
-            byte => to.push(*byte),
+            b'"' | b'\\' => output.extend([b'\\', *byte]),
+            byte => output.push(*byte),
         }
     }
-    to.push(b'"');
+    output.push(b'"');
 }
 
 /// Directives as text that reads as the same directives. Includes are written as what they included.
 pub fn write(directives: &[Directive]) -> Vec<u8> {
-    fn within(directives: &[Directive], depth: usize, to: &mut Vec<u8>) {
+    fn write_block(directives: &[Directive], depth: usize, output: &mut Vec<u8>) {
         for directive in directives {
             if let Body::Included(included) = &directive.body {
-                within(included, depth, to);
+                write_block(included, depth, output);
                 continue;
             }
-            to.extend(std::iter::repeat_n(b' ', 4 * depth));
-            write_word(&directive.name.bytes, to);
+            output.extend(std::iter::repeat_n(b' ', 4 * depth));
+            write_word(&directive.name.bytes, output);
             for word in &directive.words {
-                to.push(b' ');
-                write_word(&word.bytes, to);
+                output.push(b' ');
+                write_word(&word.bytes, output);
             }
             match &directive.body {
                 Body::Block(block) => {
-                    to.extend(b" {\n");
-                    within(block, depth + 1, to);
-                    to.extend(std::iter::repeat_n(b' ', 4 * depth));
-                    to.extend(b"}\n");
+                    output.extend(b" {\n");
+                    write_block(block, depth + 1, output);
+                    output.extend(std::iter::repeat_n(b' ', 4 * depth));
+                    output.extend(b"}\n");
                 }
-                _ => to.extend(b";\n"),
+                _ => output.extend(b";\n"),
             }
         }
     }
     let mut text = Vec::new();
-    within(directives, 0, &mut text);
+    write_block(directives, 0, &mut text);
     text
 }
 
--- a/crates/nginx-importer/src/syntax/tests.rs
+++ b/crates/nginx-importer/src/syntax/tests.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 fn read(text: &str) -> Result<Vec<Directive>, SyntaxError> {
-    parse(text.as_bytes(), 0, MOST)
+    parse(text.as_bytes(), 0, MAX_DIRECTIVES)
 }
 
 fn words(directive: &Directive) -> Vec<String> {
@@ -14,34 +14,34 @@
 #[test]
 fn words_quotes_escapes_comments_and_variables() {
     let text = "a  b\t'c d' \"e\\\"f\" g\\.h; # no; {\r\nset $x \"${y}z\"; w ${v}x#y {i 1;}j '';";
-    let all = read(text).unwrap();
-    let said: Vec<_> = all.iter().map(words).collect();
-    assert_eq!(said[0], ["a", "b", "c d", "e\"f", "g\\.h"]);
-    assert_eq!(said[1], ["set", "$x", "${y}z"]);
-    assert_eq!(said[2], ["w", "${v}x#y"]);
-    assert_eq!(words(&all[2].block()[0]), ["i", "1"]);
-    assert_eq!(said[3], ["j", ""]);
-    assert_eq!(all[1].name.at, Position { file: 0, line: 2, column: 1 });
-    assert_eq!(all[0].words[1].at, Position { file: 0, line: 1, column: 6 });
+    let directives = read(text).unwrap();
+    let parsed_words: Vec<_> = directives.iter().map(words).collect();
+    assert_eq!(parsed_words[0], ["a", "b", "c d", "e\"f", "g\\.h"]);
+    assert_eq!(parsed_words[1], ["set", "$x", "${y}z"]);
+    assert_eq!(parsed_words[2], ["w", "${v}x#y"]);
+    assert_eq!(words(&directives[2].block()[0]), ["i", "1"]);
+    assert_eq!(parsed_words[3], ["j", ""]);
+    assert_eq!(directives[1].name.at, Position { file: 0, line: 2, column: 1 });
+    assert_eq!(directives[0].words[1].at, Position { file: 0, line: 1, column: 6 });
     assert_eq!(read("\u{feff}a;").unwrap().len(), 1);
-    assert_eq!(parse(b"a \xff\xfe;", 0, MOST).unwrap()[0].words[0].bytes, b"\xff\xfe");
+    assert_eq!(parse(b"a \xff\xfe;", 0, MAX_DIRECTIVES).unwrap()[0].words[0].bytes, b"\xff\xfe");
 }
 
 #[test]
 fn what_is_wrong_is_said_with_its_place() {
-    let wrong = |text: &str| read(text).unwrap_err().to_string();
-    assert_eq!(wrong("a;\n b {\n c;"), "2:2: the file ends within the block of `b`; a `}` is missing");
-    assert_eq!(wrong("a b"), "1:1: the file ends within `a`; a `;` is missing");
-    assert_eq!(wrong("a {\n b }"), "2:4: `}` does not belong here");
-    assert_eq!(wrong("a; }"), "1:4: `}` does not belong here");
-    assert_eq!(wrong(" ;"), "1:2: `;` does not belong here");
-    assert_eq!(wrong("a { { } }"), "1:5: `{` does not belong here");
-    assert_eq!(wrong("a 'b"), "1:3: the file ends within a quoted word");
-    assert_eq!(wrong("a 'b\\"), "1:3: the file ends within a quoted word");
-    assert!(wrong("a 'b'c;").starts_with("1:6: a quoted word must be followed"));
-    assert!(wrong(&format!("a {};", "x".repeat(LONGEST + 1))).contains("a word of more"));
-    assert!(wrong(&"a {".repeat(DEEPEST + 1)).contains("blocks within"));
-    assert_eq!(parse(b"a; b; c;", 0, 2).unwrap_err().kind, SyntaxErrorKind::Many);
+    let error_text = |text: &str| read(text).unwrap_err().to_string();
+    assert_eq!(error_text("a;\n b {\n c;"), "2:2: the file ends within the block of `b`; a `}` is missing");
+    assert_eq!(error_text("a b"), "1:1: the file ends within `a`; a `;` is missing");
+    assert_eq!(error_text("a {\n b }"), "2:4: `}` does not belong here");
+    assert_eq!(error_text("a; }"), "1:4: `}` does not belong here");
+    assert_eq!(error_text(" ;"), "1:2: `;` does not belong here");
+    assert_eq!(error_text("a { { } }"), "1:5: `{` does not belong here");
+    assert_eq!(error_text("a 'b"), "1:3: the file ends within a quoted word");
+    assert_eq!(error_text("a 'b\\"), "1:3: the file ends within a quoted word");
+    assert!(error_text("a 'b'c;").starts_with("1:6: a quoted word must be followed"));
+    assert!(error_text(&format!("a {};", "x".repeat(MAX_WORD_BYTES + 1))).contains("a word of more"));
+    assert!(error_text(&"a {".repeat(MAX_DEPTH + 1)).contains("blocks within"));
+    assert_eq!(parse(b"a; b; c;", 0, 2).unwrap_err().kind, SyntaxErrorKind::TooManyDirectives);
 }
 
 fn any_word() -> impl Strategy<Value = Word> {
@@ -57,22 +57,22 @@
     })
 }
 
-fn without_places(directives: &mut [Directive]) {
+fn clear_positions(directives: &mut [Directive]) {
     for directive in directives {
         directive.name.at = Position::default();
         directive.words.iter_mut().for_each(|word| word.at = Position::default());
         if let Body::Block(block) = &mut directive.body {
-            without_places(block);
+            clear_positions(block);
         }
     }
 }
 
 proptest! {
     #[test]
-    fn what_is_written_reads_as_it_was(all in prop::collection::vec(any_directive(), 0..5)) {
-        let mut read = parse(&write(&all), 0, MOST).unwrap();
-        without_places(&mut read);
-        prop_assert_eq!(read, all);
+    fn what_is_written_reads_as_it_was(directives in prop::collection::vec(any_directive(), 0..5)) {
+        let mut read = parse(&write(&directives), 0, MAX_DIRECTIVES).unwrap();
+        clear_positions(&mut read);
+        prop_assert_eq!(read, directives);
     }
 
     #[test]
@@ -80,8 +80,8 @@
         prop_oneof![Just(b'{'), Just(b'}'), Just(b';'), Just(b'"'), Just(b'\\'), Just(b'$'), Just(b'#'),
             Just(b' '), Just(b'\n'), any::<u8>()], 0..200,
     )) {
-        if let Ok(read) = parse(&text, 0, MOST) {
-            prop_assert!(parse(&write(&read), 0, MOST).is_ok());
+        if let Ok(read) = parse(&text, 0, MAX_DIRECTIVES) {
+            prop_assert!(parse(&write(&read), 0, MAX_DIRECTIVES).is_ok());
         }
     }
 }
--- a/crates/nginx-importer/src/values.rs
+++ b/crates/nginx-importer/src/values.rs
@@ -3,7 +3,7 @@
 use std::net::IpAddr;
 
 /// A span as nginx writes it: `90`, `1m30s`, `500ms`; in seconds.
-pub fn seconds(text: &str) -> Option<f64> {
+pub fn parse_seconds(text: &str) -> Option<f64> {
     const UNITS: [(&str, f64); 8] = [
         ("ms", 0.001),
         ("s", 1.0),
@@ -14,7 +14,7 @@
         ("M", 2_592_000.0),
         ("y", 31_536_000.0),
     ];
-    let (mut rest, mut all, mut any) = (text.trim(), 0.0, false);
+    let (mut rest, mut total, mut has_value) = (text.trim(), 0.0, false);
     while !rest.is_empty() {
         let digits = rest.bytes().take_while(u8::is_ascii_digit).count();
         if digits == 0 || digits > 12 {
@@ -28,9 +28,9 @@
             unit => UNITS.iter().find(|(name, _)| *name == unit)?.1,
         };
         rest = rest[unit..].trim_start();
-        (all, any) = (all + number * scale, true);
+        (total, has_value) = (total + number * scale, true);
     }
-    any.then_some(all)
+    has_value.then_some(total)
 }
 
 /// What a `server` or a `proxy_pass` names.
@@ -45,16 +45,16 @@
 }
 
 /// An address with an optional port; `otherwise`: the port where none is said.
-pub fn target(text: &str, otherwise: u16) -> Option<Target> {
+pub fn parse_target(text: &str, default_port: u16) -> Option<Target> {
     if let Some(path) = text.strip_prefix("unix:") {
         return (!path.is_empty()).then(|| Target::Unix(path.to_string()));
     }
     let (host, port) = match text.rfind(':') {
         Some(at) if !text.ends_with(']') => (&text[..at], text[at + 1..].parse::<u16>().ok()?),
-        _ => (text, otherwise),
+        _ => (text, default_port),
     };
     let address = match host.strip_prefix('[').and_then(|host| host.strip_suffix(']')) {
-        Some(six) => six.parse::<std::net::Ipv6Addr>().is_ok().then_some(true)?,
+        Some(ipv6) => ipv6.parse::<std::net::Ipv6Addr>().is_ok().then_some(true)?,
         None => host.parse::<IpAddr>().is_ok(),
     };
     let name = |byte: u8| byte.is_ascii_alphanumeric() || b".-_".contains(&byte);
@@ -66,13 +66,13 @@
 }
 
 /// `12.5%` as a part of one.
-pub fn share(text: &str) -> Option<f64> {
+pub fn parse_percentage(text: &str) -> Option<f64> {
     let number: f64 = text.strip_suffix('%')?.parse().ok()?;
     (0.0..=100.0).contains(&number).then_some(number / 100.0)
 }
 
 /// Letters, digits and `-`, for names of groups and pools.
-pub fn name(text: &str) -> String {
+pub fn slugify(text: &str) -> String {
     let mut name = String::new();
     for byte in text.bytes() {
         match byte {
--- a/crates/nginx-importer/src/write.rs
+++ b/crates/nginx-importer/src/write.rs
@@ -27,14 +27,14 @@
 /// A text as Starlark spells it.
 fn quoted(text: &str) -> String {
     let mut out = String::from("\"");
-    for letter in text.chars() {
-        match letter {
-            '"' | '\\' => out.extend(['\\', letter]),
+    for character in text.chars() {
+        match character {
+            '"' | '\\' => out.extend(['\\', character]),
             '\n' => out += "\\n",
             '\r' => out += "\\r",
             '\t' => out += "\\t",
-            letter if letter.is_control() => {}
-            letter => out.push(letter),
+            character if character.is_control() => {}
+            character => out.push(character),
         }
     }
     out.push('"');
@@ -42,23 +42,23 @@
 }
 
 /// A text for a comment: on one line.
-fn plain(text: &str) -> String {
-    text.chars().map(|letter| if letter.is_control() { ' ' } else { letter }).collect()
+fn comment_text(text: &str) -> String {
+    text.chars().map(|character| if character.is_control() { ' ' } else { character }).collect()
 }
 
-fn number(value: f64) -> String {
+fn format_number(value: f64) -> String {
     let rounded = (value * 1000.0).round() / 1000.0;
     format!("{rounded}")
 }
 
 /// The settings script. `place`: the fleet's among those of one import.
-pub fn settings(fleet: &ImportedFleet, place: usize, terms: &DeploymentTerms) -> String {
+pub fn settings(fleet: &ImportedFleet, index: usize, terms: &DeploymentTerms) -> String {
     let mut text = String::new();
     let zones: Vec<String> = fleet.zones.iter().map(|zone| quoted(zone)).collect();
-    let ready = |one: &&ImportedReplica| one.phase == "ready" && !one.backup;
+    let ready = |replica: &&ImportedReplica| replica.phase == "ready" && !replica.backup;
     let ready = fleet.replicas.iter().filter(ready).count();
     let lines = ready.clamp(1, 12);
-    let _ = writeln!(text, "# From {}.", plain(&fleet.origin));
+    let _ = writeln!(text, "# From {}.", comment_text(&fleet.origin));
     let _ = writeln!(text, "# Latency budgets are nginx's timeouts: say what clients really have.");
     let _ = writeln!(text, "# Groups are non-retriable unless nginx says that repeats do no harm.");
     let governors = match terms.governors {
@@ -79,10 +79,10 @@
     if let Some(warm_after) = fleet.slow_start_seconds {
         // nginx begins with nothing; a share of 0 could never be seen to be well.
         let _ = writeln!(text, "# slow_start");
-        let _ = writeln!(text, "replicas(cold_share = 0.05, warm_after = {})", number(warm_after));
+        let _ = writeln!(text, "replicas(cold_share = 0.05, warm_after = {})", format_number(warm_after));
     }
     let _ = writeln!(text, "roster(file = \"roster.json\")");
-    let port = |base: u16| base.saturating_add((place as u16).saturating_mul(10));
+    let port = |base: u16| base.saturating_add((index as u16).saturating_mul(10));
     let (grpc, http, poll) = terms.ports;
     let _ = writeln!(
         text,
@@ -91,26 +91,26 @@
         port(http),
         port(poll)
     );
-    for group in &fleet.classes {
+    for class in &fleet.classes {
         text.push('\n');
-        for origin in &group.origins {
-            let _ = writeln!(text, "# {}", plain(origin));
+        for origin in &class.origins {
+            let _ = writeln!(text, "# {}", comment_text(origin));
         }
-        let routes = match &group.routes {
+        let routes = match &class.routes {
             Routes::Header(header) => format!("header = {}", quoted(header)),
             Routes::Paths(paths) => {
                 let paths: Vec<String> = paths.iter().map(|path| quoted(path)).collect();
                 format!("paths = [{}]", paths.join(", "))
             }
         };
-        let effect = if group.idempotent { "retriable" } else { "non-retriable" };
+        let effect = if class.idempotent { "retriable" } else { "non-retriable" };
         let _ = writeln!(
             text,
             "group(\n    {},\n    effect = \"{effect}\",\n    latency_budget = {},\n    expiry = {},\n    \
              {routes},\n)",
-            quoted(&group.name),
-            number(group.latency_objective),
-            number(group.request_deadline),
+            quoted(&class.name),
+            format_number(class.latency_objective),
+            format_number(class.request_deadline),
         );
     }
     text
@@ -118,29 +118,29 @@
 
 /// The roster.
 pub fn roster(fleet: &ImportedFleet) -> String {
-    let entry = |one: &ImportedReplica| -> Value {
+    let entry = |replica: &ImportedReplica| -> Value {
         let mut entry = json!({
-            "id": one.id, "address": one.address, "zone": one.zone, "weight": one.weight, "phase": one.phase,
-            "origin": one.origin,
+            "id": replica.id, "address": replica.address, "zone": replica.zone, "weight": replica.weight,
+            "phase": replica.phase, "origin": replica.origin,
         });
-        if one.backup {
+        if replica.backup {
             entry["backup"] = true.into();
         }
         entry
     };
-    let lines: Vec<String> = fleet.replicas.iter().map(|one| format!("  {}", entry(one))).collect();
+    let lines: Vec<String> = fleet.replicas.iter().map(|replica| format!("  {}", entry(replica))).collect();
     format!("{{\"replicas\": [\n{}\n]}}\n", lines.join(",\n"))
 }
 
-const MARK: &str = "# wrenthread import nginx ";
+const CHECKSUM_PREFIX: &str = "# wrenthread import nginx ";
 
 /// A script with a first line by which it is known later whether somebody has changed it.
 pub fn marked(script: &str) -> String {
-    format!("{MARK}{}\n{script}", &blake3::hash(script.as_bytes()).to_hex()[..16])
+    format!("{CHECKSUM_PREFIX}{}\n{script}", &blake3::hash(script.as_bytes()).to_hex()[..16])
 }
 
 /// Whether a file is an import's as it was written.
 pub fn untouched(file: &str) -> bool {
-    let told = file.strip_prefix(MARK).and_then(|rest| rest.split_once('\n'));
-    told.is_some_and(|(mark, script)| mark == &blake3::hash(script.as_bytes()).to_hex()[..16])
+    let parts = file.strip_prefix(CHECKSUM_PREFIX).and_then(|rest| rest.split_once('\n'));
+    parts.is_some_and(|(checksum, script)| checksum == &blake3::hash(script.as_bytes()).to_hex()[..16])
 }
--- a/crates/nginx-importer/src/write_debouncer.rs
+++ b/crates/nginx-importer/src/write_debouncer.rs
@@ -10,7 +10,7 @@
 use crate::blocks::Tables;
 
 /// After failures in a row the wait doubles, up to this.
-const LONGEST: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
 /// When to write the file of one nginx.
 #[derive(Debug)]
@@ -55,9 +55,9 @@
     }
 
     /// Whether the file was written and nginx reads it. If not, nginx goes on with what it read before.
-    pub fn write_finished(&mut self, well: bool) {
+    pub fn write_finished(&mut self, succeeded: bool) {
         let written = self.writing.take();
-        if well {
+        if succeeded {
             (self.applied, self.failures) = (written, 0);
         } else {
             self.failures = self.failures.saturating_add(1);
@@ -71,12 +71,12 @@
             return None;
         }
         let Some(last) = self.last_write else { return Some(Duration::ZERO) };
-        let shuts = self.applied.as_ref().is_none_or(|reads| shuts(reads, wanted));
-        let wait = if shuts { self.min_drain_interval } else { self.min_interval };
+        let reduces_traffic = self.applied.as_ref().is_none_or(|applied| reduces_traffic(applied, wanted));
+        let wait = if reduces_traffic { self.min_drain_interval } else { self.min_interval };
         // A drain is tried again as often, at first: it is a duty to others. But a command that always fails
         // must not be run every second for ever.
         let doubled = wait.saturating_mul(1 << self.failures.min(16));
-        Some(last + doubled.min(LONGEST.max(wait)))
+        Some(last + doubled.min(MAX_WAIT.max(wait)))
     }
 
     /// Writes that failed since the last that did not.
@@ -86,12 +86,12 @@
 }
 
 /// Whether something that is sent to by one is not by the other, or less is let in.
-fn shuts(now: &Tables, later: &Tables) -> bool {
-    now.iter().any(|(group, table)| {
-        later.get(group).is_none_or(|later| {
-            let stays = |at: &String| later.servers.iter().any(|(known, _)| known == at);
+fn reduces_traffic(now: &Tables, later: &Tables) -> bool {
+    now.iter().any(|(class, table)| {
+        later.get(class).is_none_or(|later| {
+            let is_kept = |address: &String| later.servers.iter().any(|(known, _)| known == address);
             later.admission_fraction < table.admission_fraction
-                || !table.servers.iter().all(|(at, _)| stays(at))
+                || !table.servers.iter().all(|(address, _)| is_kept(address))
         })
     })
 }
--- a/crates/nginx-importer/tests/corpus.rs
+++ b/crates/nginx-importer/tests/corpus.rs
@@ -16,10 +16,10 @@
 
 use proptest::prelude::*;
 use wrenthread_nginx::blocks;
-use wrenthread_nginx::directive_support::{Outcome, TABLES};
+use wrenthread_nginx::directive_support::{Outcome, TABLE_DIRECTIVES};
 use wrenthread_nginx::files::{self, Configuration, LocalFiles};
 use wrenthread_nginx::fleet::{ImportResult, Routes, ZoneAssignment, import};
-use wrenthread_nginx::syntax::{self, Body, Directive, MOST};
+use wrenthread_nginx::syntax::{self, Body, Directive, MAX_DIRECTIVES};
 use wrenthread_nginx::write::{self, DeploymentTerms};
 
 fn folder() -> PathBuf {
@@ -35,17 +35,17 @@
 }
 
 fn read(name: &str) -> (Configuration, ImportResult) {
-    let mut whole = files::read(&LocalFiles, &folder().join(name)).unwrap();
+    let mut configuration = files::read(&LocalFiles, &folder().join(name)).unwrap();
     // Origins are told as in the corpus, wherever that is.
-    for file in &mut whole.files {
+    for file in &mut configuration.files {
         *file = file.strip_prefix(folder()).unwrap().to_path_buf();
     }
     let zones = if name == "zones.conf" { ZoneAssignment::Network } else { ZoneAssignment::One };
-    let imported = import(&whole, zones);
-    (whole, imported)
+    let imported = import(&configuration, zones);
+    (configuration, imported)
 }
 
-fn told(whole: &Configuration, imported: &ImportResult) -> String {
+fn render(configuration: &Configuration, imported: &ImportResult) -> String {
     let mut text = String::new();
     for fleet in &imported.fleets {
         let warm = fleet.slow_start_seconds.map_or(String::new(), |span| format!(", warm after {span}"));
@@ -56,48 +56,56 @@
             fleet.origin,
             fleet.retry_policy.name()
         );
-        for one in &fleet.replicas {
-            let backup = if one.backup { " backup" } else { "" };
-            let _ =
-                writeln!(text, "  {} in {} weight {} {}{backup}", one.id, one.zone, one.weight, one.phase);
+        for replica in &fleet.replicas {
+            let backup = if replica.backup { " backup" } else { "" };
+            let _ = writeln!(
+                text,
+                "  {} in {} weight {} {}{backup}",
+                replica.id, replica.zone, replica.weight, replica.phase
+            );
         }
-        for group in &fleet.classes {
-            let routes = match &group.routes {
+        for class in &fleet.classes {
+            let routes = match &class.routes {
                 Routes::Paths(paths) => paths.join(" | "),
                 Routes::Header(header) => format!("header {header}"),
             };
-            let effect = if group.idempotent { "retriable" } else { "non-retriable" };
+            let effect = if class.idempotent { "retriable" } else { "non-retriable" };
             let _ = writeln!(
                 text,
                 "  group {}: {routes}; {effect}, {} s of {} s, {}",
-                group.name,
-                group.latency_objective,
-                group.request_deadline,
-                group.retry_policy.name()
+                class.name,
+                class.latency_objective,
+                class.request_deadline,
+                class.retry_policy.name()
             );
         }
     }
-    for one in imported.report.entries(whole) {
-        let outcome = match (one.support.outcome, one.support.affects_routing) {
+    for entry in imported.report.entries(configuration) {
+        let outcome = match (entry.support.outcome, entry.support.affects_routing) {
             (Outcome::Supported, _) => "carried",
             (Outcome::Partial, _) => "differs",
             (Outcome::Unsupported, true) => "LEFT",
             (Outcome::Unsupported, false) => "own",
         };
-        let _ =
-            writeln!(text, "{}:{} {}: {outcome}: {}", one.at, one.column, one.directive, one.support.reason);
+        let _ = writeln!(
+            text,
+            "{}:{} {}: {outcome}: {}",
+            entry.at, entry.column, entry.directive, entry.support.reason
+        );
     }
     text
 }
 
 /// Every directive, with what is included, but for entries of tables.
-fn all(directives: &[Directive]) -> Vec<&Directive> {
+fn all_directives(directives: &[Directive]) -> Vec<&Directive> {
     let mut found = Vec::new();
     for directive in directives {
         found.push(directive);
         match &directive.body {
-            Body::Block(within) | Body::Included(within) if !TABLES.contains(&&*directive.name.text()) => {
-                found.extend(all(within));
+            Body::Block(block) | Body::Included(block)
+                if !TABLE_DIRECTIVES.contains(&&*directive.name.text()) =>
+            {
+                found.extend(all_directives(block));
             }
             _ => {}
         }
@@ -108,8 +116,9 @@
 #[test]
 fn every_sample_comes_to_what_is_expected_of_it() {
     for name in names() {
-        let (whole, imported) = read(&name);
-        let (now, path) = (told(&whole, &imported), folder().join(&name).with_extension("expected"));
+        let (configuration, imported) = read(&name);
+        let (now, path) =
+            (render(&configuration, &imported), folder().join(&name).with_extension("expected"));
         if std::env::var_os("WRITE").is_some() {
             std::fs::write(&path, &now).unwrap();
         }
@@ -121,13 +130,13 @@
 #[test]
 fn every_directive_is_accounted_for_and_what_is_written_is_accepted() {
     for name in names() {
-        let (whole, imported) = read(&name);
-        for directive in all(&whole.directives) {
+        let (configuration, imported) = read(&name);
+        for directive in all_directives(&configuration.directives) {
             let (at, name) = (directive.name.at, directive.name.text());
-            assert!(imported.report.covers(at), "{}: `{name}`", whole.origin(at));
+            assert!(imported.report.covers(at), "{}: `{name}`", configuration.origin(at));
         }
-        for (place, fleet) in imported.fleets.iter().enumerate() {
-            let script = write::settings(fleet, place, &DeploymentTerms::default());
+        for (index, fleet) in imported.fleets.iter().enumerate() {
+            let script = write::settings(fleet, index, &DeploymentTerms::default());
             let settings = wrenthread_settings::parse(&name, &script).unwrap();
             assert_eq!(settings.groups.len(), fleet.classes.len(), "{name}");
             let marked = write::marked(&script);
@@ -146,22 +155,23 @@
 #[test]
 fn what_is_printed_imports_as_the_same() {
     for name in names() {
-        let (whole, imported) = read(&name);
-        let text = syntax::write(&whole.directives);
-        let directives = syntax::parse(&text, 0, MOST).unwrap();
+        let (configuration, imported) = read(&name);
+        let text = syntax::write(&configuration.directives);
+        let directives = syntax::parse(&text, 0, MAX_DIRECTIVES).unwrap();
         let printed = Configuration { files: vec![name.clone().into()], directives };
         let zones = if name == "zones.conf" { ZoneAssignment::Network } else { ZoneAssignment::One };
         let again = import(&printed, zones);
-        let bare = |imported: &ImportResult| {
+        let identity = |imported: &ImportResult| {
             let fleets = imported.fleets.iter().map(|fleet| {
-                let groups: Vec<_> =
-                    fleet.classes.iter().map(|one| (one.name.clone(), one.routes.clone())).collect();
-                let replicas = fleet.replicas.iter().map(|one| (one.id.clone(), one.weight, one.phase));
-                (fleet.name.clone(), groups, replicas.collect::<Vec<_>>())
+                let classes: Vec<_> =
+                    fleet.classes.iter().map(|class| (class.name.clone(), class.routes.clone())).collect();
+                let replicas =
+                    fleet.replicas.iter().map(|replica| (replica.id.clone(), replica.weight, replica.phase));
+                (fleet.name.clone(), classes, replicas.collect::<Vec<_>>())
             });
             fleets.collect::<Vec<_>>()
         };
-        assert_eq!(bare(&again), bare(&imported), "{name}");
+        assert_eq!(identity(&again), identity(&imported), "{name}");
     }
 }
 
@@ -171,25 +181,30 @@
     let mut compared = 0;
     for name in names() {
         for fleet in read(&name).1.fleets {
-            let ready = |one: &&wrenthread_nginx::fleet::ImportedReplica| one.phase == "ready" && !one.backup;
-            let lines: Vec<(String, f64)> =
-                fleet.replicas.iter().filter(ready).map(|one| (one.address.clone(), one.weight)).collect();
+            let ready =
+                |item: &&wrenthread_nginx::fleet::ImportedReplica| item.phase == "ready" && !item.backup;
+            let lines: Vec<(String, f64)> = fleet
+                .replicas
+                .iter()
+                .filter(ready)
+                .map(|replica| (replica.address.clone(), replica.weight))
+                .collect();
             let tables: blocks::Tables = fleet
                 .classes
                 .iter()
-                .map(|group| {
+                .map(|class| {
                     (
-                        group.name.clone(),
+                        class.name.clone(),
                         blocks::UpstreamTable { servers: lines.clone(), admission_fraction: 0.75 },
                     )
                 })
                 .collect();
             let mut text = blocks::write(&tables, "a test").unwrap();
-            for group in &fleet.classes {
-                let to = blocks::upstream(&group.name);
-                let _ = writeln!(text, "server {{ location /{} {{ proxy_pass http://{to}; }} }}", group.name);
+            for class in &fleet.classes {
+                let to = blocks::upstream(&class.name);
+                let _ = writeln!(text, "server {{ location /{} {{ proxy_pass http://{to}; }} }}", class.name);
             }
-            let directives = syntax::parse(text.as_bytes(), 0, MOST).unwrap();
+            let directives = syntax::parse(text.as_bytes(), 0, MAX_DIRECTIVES).unwrap();
             let again =
                 import(&Configuration { files: vec!["again.conf".into()], directives }, ZoneAssignment::One);
             if lines.is_empty() {
@@ -198,13 +213,13 @@
             }
             // All groups have the same lines, so that they come to one pool again.
             assert_eq!(again.fleets.len(), 1, "{name}");
-            let all: f64 = lines.iter().map(|(_, weight)| weight).sum();
+            let weight_sum: f64 = lines.iter().map(|(_, weight)| weight).sum();
             let replicas: Vec<_> = again.fleets[0].replicas.iter().filter(ready).collect();
-            let sum: f64 = replicas.iter().map(|one| one.weight).sum();
+            let sum: f64 = replicas.iter().map(|replica| replica.weight).sum();
             assert_eq!(replicas.len(), lines.len(), "{name}");
-            for (one, (address, weight)) in replicas.iter().zip(&lines) {
-                assert_eq!(one.address, *address, "{name}");
-                assert!((one.weight / sum - weight / all).abs() < 1e-4, "{name}: {address}");
+            for (replica, (address, weight)) in replicas.iter().zip(&lines) {
+                assert_eq!(replica.address, *address, "{name}");
+                assert!((replica.weight / sum - weight / weight_sum).abs() < 1e-4, "{name}: {address}");
                 compared += 1;
             }
         }
@@ -220,11 +235,11 @@
             format!("server {{ location /{at} {{ proxy_pass http://gates; proxy_read_timeout {at}s; }} }}\n")
         })
         .collect();
-    let directives = syntax::parse((text + &many).as_bytes(), 0, MOST).unwrap();
-    let whole = Configuration { files: vec!["many.conf".into()], directives };
-    let imported = import(&whole, ZoneAssignment::One);
+    let directives = syntax::parse((text + &many).as_bytes(), 0, MAX_DIRECTIVES).unwrap();
+    let configuration = Configuration { files: vec!["many.conf".into()], directives };
+    let imported = import(&configuration, ZoneAssignment::One);
     assert_eq!((imported.fleets[0].classes.len(), imported.report.routing_losses()), (64, 12));
-    assert!(told(&whole, &imported).contains("a governor has 64 groups at the most"));
+    assert!(render(&configuration, &imported).contains("a governor has 64 groups at the most"));
 }
 
 #[test]
@@ -238,12 +253,12 @@
         let _ = writeln!(text, "}}\nserver {{ location /{upstream} {{ proxy_pass http://u{upstream}; }} }}");
     }
     text += "}\n";
-    let directives = syntax::parse(text.as_bytes(), 0, MOST).unwrap();
+    let directives = syntax::parse(text.as_bytes(), 0, MAX_DIRECTIVES).unwrap();
     let imported =
         import(&Configuration { files: vec!["large.conf".into()], directives }, ZoneAssignment::One);
     assert_eq!((imported.fleets.len(), imported.fleets[499].replicas.len()), (500, 40));
     let replicas: BTreeMap<_, _> =
-        imported.fleets.iter().flat_map(|one| &one.replicas).map(|one| (&one.id, 1)).collect();
+        imported.fleets.iter().flat_map(|fleet| &fleet.replicas).map(|replica| (&replica.id, 1)).collect();
     assert_eq!(replicas.len(), 20_000);
 }
 
@@ -252,11 +267,11 @@
     #[test]
     fn mutated_samples_do_no_harm(
         sample in 0usize..20,
-        cuts in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 0u8..3), 1..6),
+        mutations in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 0u8..3), 1..6),
     ) {
         let names = names();
         let mut text = std::fs::read(folder().join(&names[sample % names.len()])).unwrap();
-        for (at, byte, how) in cuts {
+        for (at, byte, how) in mutations {
             if text.is_empty() {
                 break;
             }
@@ -267,12 +282,12 @@
                 _ => text.insert(at, byte),
             }
         }
-        if let Ok(directives) = syntax::parse(&text, 0, MOST) {
-            let whole = Configuration { files: vec!["x.conf".into()], directives };
-            let imported = import(&whole, ZoneAssignment::Network);
-            prop_assert!(imported.report.entries(&whole).len() >= whole.directives.len());
-            for (place, fleet) in imported.fleets.iter().enumerate() {
-                let script = write::settings(fleet, place, &DeploymentTerms::default());
+        if let Ok(directives) = syntax::parse(&text, 0, MAX_DIRECTIVES) {
+            let configuration = Configuration { files: vec!["x.conf".into()], directives };
+            let imported = import(&configuration, ZoneAssignment::Network);
+            prop_assert!(imported.report.entries(&configuration).len() >= configuration.directives.len());
+            for (index, fleet) in imported.fleets.iter().enumerate() {
+                let script = write::settings(fleet, index, &DeploymentTerms::default());
                 prop_assert!(wrenthread_settings::parse("x", &script).is_ok());
             }
         }
