--- a/crates/nginx-importer/benches/import.rs
+++ b/crates/nginx-importer/benches/import.rs
@@ -1,5 +1,5 @@
-//! What an import costs, what becomes of the corpus' directives, and how far the spread is from nginx's
-//! round. `cargo bench -p wrenthread-nginx --bench import`
+//! Measures the duration of an import, the outcomes for the directives of the corpus, and the error of
+//! integer weights. Run with `cargo bench -p wrenthread-nginx --bench import`.
 
 #![allow(
     clippy::unwrap_used,
@@ -20,7 +20,7 @@
 use wrenthread_nginx::syntax::{self, MAX_DIRECTIVES};
 use wrenthread_nginx::{blocks, write};
 
-/// So many lines: upstreams of twenty servers, each with a location of its own.
+/// A configuration of about `lines` lines: upstreams of twenty servers, each with a location of its own.
 fn large(lines: usize) -> String {
     let mut text = String::from("http {\n");
     for upstream in 0..lines / 24 {
@@ -37,7 +37,7 @@
     text + "}\n"
 }
 
-/// The most memory that this process ever had, in MiB, as the system tells.
+/// Peak memory of this process in MiB, from /proc/self/status.
 fn peak_memory_mib() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
@@ -51,14 +51,15 @@
 }
 
 fn main() {
-    println!("lines  parse ms  import ms  write ms  (least, median, most of 7)");
+    println!("lines  parse ms  import ms  write ms  (minimum, median, maximum of 7)");
     for lines in [500, 5000, 50_000] {
         let text = large(lines);
         let (mut parse, mut imports, mut writes) = (vec![], vec![], vec![]);
         for _ in 0..7 {
             let ms = |began: Instant| began.elapsed().as_secs_f64() * 1e3;
             let began = Instant::now();
-            let directives = syntax::parse(text.as_bytes(), 0, MAX_DIRECTIVES).expect("it is sound");
+            let directives = syntax::parse(text.as_bytes(), 0, MAX_DIRECTIVES)
+                .expect("the generated configuration is valid");
             parse.push(ms(began));
             let configuration = Configuration { files: vec!["large.conf".into()], directives };
             let began = Instant::now();
@@ -73,31 +74,32 @@
         }
         let (parse, imports, writes) = (median(parse), median(imports), median(writes));
         println!(
-            "{lines}  {parse:.1?}  {imports:.1?}  {writes:.1?}; {:.0} MiB at the most",
+            "{lines}  {parse:.1?}  {imports:.1?}  {writes:.1?}; {:.0} MiB peak memory",
             peak_memory_mib()
         );
     }
 
     let corpus = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/corpus");
     let mut outcomes: BTreeMap<(Outcome, bool), usize> = BTreeMap::new();
-    let mut entries: Vec<_> = std::fs::read_dir(corpus).expect("the corpus").flatten().collect();
+    let mut entries: Vec<_> =
+        std::fs::read_dir(corpus).expect("the corpus folder is readable").flatten().collect();
     entries.sort_by_key(std::fs::DirEntry::path);
     for entry in
         entries.iter().filter(|entry| entry.path().extension().is_some_and(|extension| extension == "conf"))
     {
-        let configuration = files::read(&LocalFiles, &entry.path()).expect("a sample");
+        let configuration = files::read(&LocalFiles, &entry.path()).expect("the sample is readable");
         for entry in import(&configuration, ZoneAssignment::One).report.entries(&configuration) {
             *outcomes.entry((entry.support.outcome, entry.support.affects_routing)).or_default() += 1;
         }
     }
-    println!("\nin the corpus (outcome, whether it bears on routing): {outcomes:?}");
+    println!("\ndirectives of the corpus by (outcome, affects routing): {outcomes:?}");
 
-    println!("\nwhole weights of a file for nginx: the largest error of a share, by weight set");
+    println!("\ninteger weights for nginx: largest relative error of a share, by weight set");
     let sets: [(&str, Vec<f64>); 4] = [
         ("5 1 1", vec![5.0, 1.0, 1.0]),
         ("1 to 20", (1..=20).map(f64::from).collect()),
-        ("solved, 60 lines", (0..60).map(|at| 1.0 + (f64::from(at) * 0.618).fract()).collect()),
-        ("a cold one of 24", (0..24).map(|at| if at == 0 { 0.05 } else { 1.0 }).collect()),
+        ("solved, 60 replicas", (0..60).map(|at| 1.0 + (f64::from(at) * 0.618).fract()).collect()),
+        ("one cold replica of 24", (0..24).map(|at| if at == 0 { 0.05 } else { 1.0 }).collect()),
     ];
     for (name, weights) in sets {
         let lines: Vec<(String, f64)> = weights.iter().map(|weight| (String::new(), *weight)).collect();
@@ -107,6 +109,6 @@
             (weight / sum - *integer as f64 / integer_sum as f64).abs() / (weight / sum)
         };
         let worst = weights.iter().zip(&integers).map(error).fold(0.0, f64::max);
-        println!("{name}: {worst:.2e} of the share itself");
+        println!("{name}: {worst:.2e} of the share");
     }
 }
--- a/crates/nginx-importer/src/access_log.rs
+++ b/crates/nginx-importer/src/access_log.rs
@@ -1,47 +1,47 @@
-//! An nginx's access log as load reports: what its flows met, try by try. The log has our format:
+//! Reads the attempts of each request from an nginx access log, for load reports. The required log format:
 //!
 //! ```text
 //! log_format wrenthread '$wrenthread_group|$upstream_addr|$upstream_status|$upstream_response_time';
 //! ```
 //!
-//! No time is read from it: what comes in between two looks counts for that span, so a calendar that steps
-//! changes nothing.
+//! The log's time stamps are not used: lines count for the interval in which they are read, so that steps of
+//! the wall clock have no effect.
 
 use std::time::Duration;
 
-/// A line is no longer than this; one that is is passed over.
+/// Maximum length of a line; longer ones are skipped.
 pub const MAX_LINE_BYTES: usize = 16 << 10;
-/// Tries of one flow that are read.
+/// Maximum number of attempts of one request; lines with more are rejected.
 const MAX_ATTEMPTS: usize = 16;
 
-/// One try, as the log has it.
+/// One attempt of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Attempt {
     /// The replica's address.
     pub address: String,
-    /// How long its answer took; none if there was no good one.
+    /// The latency of the response; none if there was no response or it was an error.
     pub answered: Option<Duration>,
 }
 
-/// One flow: its group, and its tries; none if it was blocked.
+/// One request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Flow {
     /// The traffic class.
     pub group: String,
-    /// The attempts, in their order.
+    /// The attempts in order; empty if the request was not admitted.
     pub tries: Vec<Attempt>,
 }
 
-/// Why a line does not count.
+/// Why a line is rejected. The texts are values of a metric label.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum Odd {
-    /// It has too few fields.
+    /// It does not have four fields.
     #[error("it has not the four fields of our format")]
     FieldCount,
-    /// Its lists of attempts differ in length.
+    /// Its lists of attempts differ in length, or there are too many attempts.
     #[error("its tries have different numbers of addresses, states and times")]
     AttemptCount,
-    /// A field is no number.
+    /// A status or a latency is not a valid number.
     #[error("a state or a time is no number")]
     InvalidNumber,
     /// It is too long.
@@ -49,16 +49,16 @@
     TooLong,
 }
 
-/// Reads one line; none for a flow of no group of ours.
+/// Reads one line; none for a request without a traffic class.
 ///
-/// Errors: why it does not count.
+/// Errors: why the line is rejected.
 pub fn flow(line: &str) -> Result<Option<Flow>, Odd> {
     let fields: Vec<&str> = line.trim_end_matches('\r').split('|').collect();
     let [group, addresses, statuses, latencies] = fields.as_slice() else { return Err(Odd::FieldCount) };
     if group.is_empty() || *group == "-" {
         return Ok(None);
     }
-    // Tries of one upstream stand behind commas, those after a redirect within nginx behind a colon.
+    // nginx separates attempts with commas, and those after an internal redirect with colons.
     fn split(text: &str) -> Vec<&str> {
         text.split(", ").flat_map(|part| part.split(" : ")).map(str::trim).collect()
     }
@@ -86,7 +86,7 @@
                 Some(Duration::try_from_secs_f64(seconds).map_err(|_| Odd::InvalidNumber)?)
             }
         };
-        // Where no server was live it names the upstream: nothing was tried.
+        // Without a live server, nginx logs the upstream's name; no attempt was made.
         if address.rsplit_once(':').is_none() {
             continue;
         }
@@ -96,22 +96,22 @@
     Ok(Some(Flow { group, tries }))
 }
 
-/// Bytes of a log that grows, as whole lines.
+/// Splits a growing log into complete lines.
 #[derive(Debug, Default)]
 pub struct Lines {
     partial_line: Vec<u8>,
-    /// The line that goes on is passed over: it is too long, or its beginning was not seen.
+    /// The current line is skipped: it is too long, or its start was not read.
     skipping: bool,
     too_long: u64,
 }
 
 impl Lines {
-    /// From the midst of a log: what comes up to the next end of a line is passed over.
+    /// For reading from the middle of a log: skips everything up to the next line end.
     pub fn from_the_midst() -> Self {
         Lines { skipping: true, ..Lines::default() }
     }
 
-    /// More of it: the lines that are whole now.
+    /// Adds bytes and returns the lines that are now complete.
     pub fn more(&mut self, bytes: &[u8]) -> Vec<String> {
         let mut lines = Vec::new();
         for chunk in bytes.split_inclusive(|byte| *byte == b'\n') {
@@ -137,13 +137,13 @@
         lines
     }
 
-    /// The log goes on in another file: a line that was cut there has no rest.
+    /// Drops an incomplete line, because the log continues in another file.
     pub fn rotated(&mut self) {
         self.partial_line.clear();
         self.skipping = false;
     }
 
-    /// Lines that were too long, since the last time.
+    /// Number of lines that were too long since the last call.
     pub fn take_long(&mut self) -> u64 {
         std::mem::take(&mut self.too_long)
     }
--- a/crates/nginx-importer/src/access_log/tests.rs
+++ b/crates/nginx-importer/src/access_log/tests.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn flows_are_read_try_by_try() {
+fn reads_the_attempts_of_a_request() {
     let read = |line: &str| flow(line).unwrap().unwrap();
     let attempt = |address: &str, ms: Option<u64>| Attempt {
         address: address.into(),
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn lines_are_whole_over_looks_rotations_and_cuts() {
+fn completes_lines_over_reads_rotations_and_long_lines() {
     let mut lines = Lines::from_the_midst();
     assert_eq!(lines.more(b"cut\nwhole\nbegi"), ["whole"]);
     assert_eq!(lines.more(b"nning\r\n"), ["beginning"]);
@@ -39,7 +39,7 @@
 
 proptest! {
     #[test]
-    fn lines_do_not_depend_on_how_they_are_looked_at(
+    fn lines_do_not_depend_on_the_read_sizes(
         text in "([a-z|]{0,9}\n){0,9}", cuts in prop::collection::vec(1usize..7, 0..40),
     ) {
         let (mut lines, mut rest, mut all) = (Lines::default(), text.as_bytes(), Vec::new());
@@ -53,7 +53,7 @@
     }
 
     #[test]
-    fn no_line_makes_it_panic(line in ".{0,80}") {
+    fn no_line_causes_a_panic(line in ".{0,80}") {
         let _ = flow(&line);
     }
 }
--- a/crates/nginx-importer/src/blocks.rs
+++ b/crates/nginx-importer/src/blocks.rs
@@ -1,39 +1,39 @@
-//! The other way: a proxy's tables as upstream blocks that an nginx includes.
+//! Exports the tables of a proxy as upstream blocks for an nginx to include.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 use crate::syntax::{self, MAX_DIRECTIVES, SyntaxError};
 
-/// The weights of an upstream come to this together at the most: every whole number up to it is one that
-/// nginx takes and adds up.
+/// Maximum sum of the weights of an upstream. nginx accepts and adds up all integers up to it.
 const MAX_WEIGHT_SUM: f64 = 1_000_000.0;
-/// Where a group has no line: nginx takes no empty upstream, and answers at once where all are down.
+/// Server of an upstream without table entries. nginx rejects an empty upstream, and answers at once if all
+/// servers are down.
 const PLACEHOLDER_SERVER: &str = "127.0.0.1:1";
 
-/// What a proxy is to do with the flows of a group.
+/// The servers and the admission fraction of a traffic class.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UpstreamTable {
-    /// Addresses and weights of open lines.
+    /// Addresses and weights of the routable replicas.
     pub servers: Vec<(String, f64)>,
-    /// The share of flows to let in.
+    /// The fraction of requests to admit.
     pub admission_fraction: f64,
 }
 
-/// All groups' lines, by name.
+/// The tables by traffic class.
 pub type Tables = BTreeMap<String, UpstreamTable>;
 
-/// What is wrong with what was written.
+/// Why a generated file is invalid.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum ExportError {
-    /// nginx could not read it.
-    #[error("it can't be read: {0}")]
+    /// nginx could not parse it.
+    #[error("the generated file has invalid syntax: {0}")]
     Syntax(String),
-    /// A class would have other servers than it should.
-    #[error("group `{0}` would have other lines than it should")]
+    /// The servers of a class differ from its table.
+    #[error("the generated servers of group `{0}` differ from its table")]
     ServerMismatch(String),
-    /// An address that nginx does not take.
-    #[error("`{0}` is no address that an nginx takes")]
+    /// An address that nginx does not accept.
+    #[error("`{0}` is not a server address that nginx accepts")]
     InvalidAddress(String),
 }
 
@@ -43,8 +43,8 @@
     }
 }
 
-/// The name of a group's upstream, and of its variable without `$` and `_blocked`. Different groups have
-/// different ones: what is no letter or digit is spelt by its number.
+/// The name of a class's upstream; its variable is `$NAME_blocked`. Bytes other than letters and digits are
+/// written in hexadecimal, so that different classes have different names.
 pub fn upstream(class: &str) -> String {
     let mut name = String::from("wrenthread_");
     for byte in class.bytes() {
@@ -56,7 +56,8 @@
     name
 }
 
-/// Weights as whole numbers of at least 1, in the same proportions to within a millionth of all.
+/// Converts weights to integers of at least 1, with an error in the proportions of at most a millionth of the
+/// sum.
 pub fn integer_weights(servers: &[(String, f64)]) -> Vec<u64> {
     let is_valid = |weight: f64| weight.is_finite() && weight > 0.0;
     let sum: f64 = servers.iter().map(|(_, weight)| *weight).filter(|weight| is_valid(*weight)).sum();
@@ -72,12 +73,13 @@
     if b == 0 { a } else { greatest_common_divisor(b, a % b) }
 }
 
-/// The file. `says`: what stands in its first line, for people.
+/// Writes the file. `header_comment`: the text of its first line.
 ///
-/// Picks are by weight and chance (`random`), as other proxies do: nginx's usual round begins anew in each
-/// of its processes with every reload, and all of them would send their first flows to the heaviest line.
+/// Uses nginx's `random` method, which picks by weight and chance as other proxies do. The default round
+/// robin restarts in each worker process with every reload, so that all of them would send their first
+/// requests to the server with the highest weight.
 ///
-/// Errors: what was written would not be read as what it should say; it is not to be used.
+/// Errors: the file would not be read back as the same tables and must not be used.
 pub fn write(tables: &Tables, header_comment: &str) -> Result<String, ExportError> {
     let header_comment: String = header_comment
         .chars()
@@ -118,7 +120,7 @@
     Ok(text)
 }
 
-/// Reads what was written as nginx would, and compares.
+/// Reads the file back and compares it with the tables.
 fn check(text: &str, tables: &Tables) -> Result<(), ExportError> {
     let parsed = read(text)?;
     for (class, table) in tables {
@@ -135,12 +137,12 @@
     Ok(())
 }
 
-/// Open lines, and the share that is blocked.
+/// By upstream: active servers with weights, and the fraction of requests that is rejected.
 pub type ParsedUpstreams = BTreeMap<String, (Vec<(String, f64)>, f64)>;
 
-/// What a file of upstream blocks says, by upstream.
+/// Reads a file of upstream blocks.
 ///
-/// Errors: its syntax.
+/// Errors: invalid syntax.
 pub fn read(text: &str) -> Result<ParsedUpstreams, SyntaxError> {
     let mut parsed: ParsedUpstreams = BTreeMap::new();
     for directive in syntax::parse(text.as_bytes(), 0, MAX_DIRECTIVES)? {
--- a/crates/nginx-importer/src/blocks/tests.rs
+++ b/crates/nginx-importer/src/blocks/tests.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn a_table_is_written_as_nginx_reads_it() {
+fn writes_tables_as_upstream_blocks() {
     let table = |server_weights: &[(&str, f64)], fraction| UpstreamTable {
         servers: server_weights.iter().map(|(address, weight)| ((*address).to_string(), *weight)).collect(),
         admission_fraction: fraction,
@@ -31,7 +31,7 @@
 
 proptest! {
     #[test]
-    fn shares_are_kept_to_a_millionth(drawn in prop::collection::vec(1e-3f64..1e3, 1..60)) {
+    fn integer_weights_keep_the_shares(drawn in prop::collection::vec(1e-3f64..1e3, 1..60)) {
         let server_weights: Vec<(String, f64)> =
             drawn.iter().enumerate().map(|(index, weight)| (format!("10.0.0.{index}:80"), *weight)).collect();
         let integers = integer_weights(&server_weights);
--- a/crates/nginx-importer/src/difference.rs
+++ b/crates/nginx-importer/src/difference.rs
@@ -1,4 +1,4 @@
-//! What a new import changes against what stands: an earlier one's files, or a governor that runs.
+//! Compares a new import with an earlier one or with a running governor.
 
 use std::collections::BTreeMap;
 
@@ -6,36 +6,37 @@
 
 use crate::fleet::{ImportedFleet, Routes};
 
-/// Replicas and groups by name, each with what is known of it. Only what both sides know is compared.
+/// Replicas and traffic classes by name, each with its known fields. Only fields known on both sides are
+/// compared.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ComparableFleet {
-    /// Replicas by name, and what is known of each by field.
+    /// Replicas by name, with the values of their known fields.
     pub replicas: BTreeMap<String, BTreeMap<&'static str, String>>,
-    /// Traffic classes by name, and what is known of each by field.
+    /// Traffic classes by name, with the values of their known fields.
     pub classes: BTreeMap<String, BTreeMap<&'static str, String>>,
 }
 
-/// What became of a replica or a class.
+/// How a replica or a class changed.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeKind {
-    /// It is new.
+    /// It was added.
     Added,
-    /// It is not there any more.
+    /// It was removed.
     #[serde(rename = "gone")]
     Removed,
-    /// Which figure, from what to what.
+    /// A field changed: its name, the old and the new value.
     Changed(&'static str, String, String),
 }
 
-/// One difference.
+/// A difference between two fleets.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Difference {
     /// `replica` or `group`.
     pub kind: &'static str,
     /// The replica's or the class's name.
     pub name: String,
-    /// What became of it.
+    /// How it changed.
     pub what: ChangeKind,
 }
 
@@ -73,7 +74,7 @@
     }
 }
 
-/// What stands differently in the later one.
+/// Lists the differences from `current` to `new`.
 pub fn between(current: &ComparableFleet, new: &ComparableFleet) -> Vec<Difference> {
     let mut all = Vec::new();
     for (kind, current, new) in
--- a/crates/nginx-importer/src/difference/tests.rs
+++ b/crates/nginx-importer/src/difference/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn what_is_known_on_both_sides_is_compared() {
+fn compares_fields_known_on_both_sides() {
     let replica = |weight: &str| BTreeMap::from([("weight", weight.to_string())]);
     let current = ComparableFleet {
         replicas: [("a".into(), replica("1")), ("b".into(), replica("1"))].into(),
--- a/crates/nginx-importer/src/directive_support.rs
+++ b/crates/nginx-importer/src/directive_support.rs
@@ -1,4 +1,4 @@
-//! What becomes of each directive, and why: the importer's account. None is left out of it.
+//! The import report: for each directive whether it is supported, and why. The report covers every directive.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -8,28 +8,28 @@
 use crate::files::Configuration;
 use crate::syntax::{Body, Directive, Position};
 
-/// Whether a directive is carried over.
+/// How a directive is imported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// It is carried over.
+    /// It is imported.
     #[serde(rename = "carried")]
     Supported,
-    /// Supported over, with a stated difference.
+    /// It is imported with a stated difference.
     #[serde(rename = "differs")]
     Partial,
-    /// Not carried over.
+    /// It is not imported.
     #[serde(rename = "left")]
     Unsupported,
 }
 
-/// What becomes of one directive.
+/// How one directive is imported.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct DirectiveSupport {
-    /// Whether it is carried over.
+    /// Whether it is imported.
     pub outcome: Outcome,
-    /// It bears on where flows go, when they are tried again or how many there are: `--strict` minds if such
-    /// a directive is left. What does not stays the proxy's own business.
+    /// It affects where requests go, when they are retried or how many are admitted. `--strict` fails if such
+    /// a directive is not imported; other directives remain with the proxy.
     #[serde(rename = "routing")]
     pub affects_routing: bool,
     /// Why.
@@ -39,12 +39,12 @@
     pub advice: Cow<'static, str>,
 }
 
-/// One kind of directive, as far as nothing more is known of it than its name.
+/// How directives of a name are imported unless their parameters or context change it.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct KnownDirective {
     /// The directive's name.
     pub name: &'static str,
-    /// Whether directives of this name are carried over.
+    /// Whether directives of this name are imported.
     pub outcome: Outcome,
     /// As in [`DirectiveSupport`].
     #[serde(rename = "routing")]
@@ -68,7 +68,7 @@
 
 use Outcome::{Partial, Supported, Unsupported};
 
-/// What is said of directives that bear on routing, by name.
+/// Directives that affect routing, by name.
 pub const KNOWN_DIRECTIVES: &[KnownDirective] = &[
     rule("http", Supported, false, "what is in it is read", ""),
     rule("server", Supported, false, "what is in it is read", ""),
@@ -262,7 +262,8 @@
     rule("grpc_pass", Supported, true, "leads the location's flows to its pool", ""),
 ];
 
-/// Directives that are the proxy's own business: how it listens, logs, caches, compresses, encrypts, allows.
+/// Directives that remain with the proxy: listening, logging, caching, compression, encryption and access
+/// control.
 const PROXY_DIRECTIVES: &[&str] = &[
     "accept_mutex",
     "access_log",
@@ -409,11 +410,11 @@
     "worker_shutdown_timeout",
 ];
 
-/// Blocks of entries that are no directives.
+/// Directives whose blocks contain table entries instead of directives.
 pub const TABLE_DIRECTIVES: &[&str] = &["types", "map", "geo", "split_clients"];
 
 impl DirectiveSupport {
-    /// What becomes of a directive, in so many words.
+    /// Creates an entry from its parts.
     pub fn new(
         outcome: Outcome,
         routing: bool,
@@ -423,7 +424,7 @@
         DirectiveSupport { outcome, affects_routing: routing, reason: why.into(), advice: advice.into() }
     }
 
-    /// As its name alone says.
+    /// The support for a directive, by its name alone.
     pub fn by_name(name: &str) -> DirectiveSupport {
         match explain(name) {
             Some(rule) => DirectiveSupport::new(rule.outcome, rule.affects_routing, rule.reason, rule.advice),
@@ -437,7 +438,7 @@
     }
 }
 
-/// What is said of a kind of directive; none if it is not known.
+/// The support for a name; none if it is unknown.
 pub fn explain(name: &str) -> Option<KnownDirective> {
     let proxy_directive = |_: &&str| {
         let why = "it is the proxy's own business";
@@ -447,7 +448,7 @@
     known.or_else(|| PROXY_DIRECTIVES.iter().find(|directive| **directive == name).map(proxy_directive))
 }
 
-/// One entry of the account.
+/// An entry of the report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ReportEntry {
     /// `file:line`.
@@ -458,20 +459,20 @@
     pub column: u32,
     /// The directive's or the parameter's name.
     pub directive: String,
-    /// What becomes of it.
+    /// How it is imported.
     #[serde(flatten)]
     pub support: DirectiveSupport,
 }
 
-/// What becomes of each directive, by its place.
+/// The report on all directives, by position.
 #[derive(Debug, Clone, Default)]
 pub struct ImportReport {
     entries: BTreeMap<Position, Vec<(String, DirectiveSupport)>>,
 }
 
 impl ImportReport {
-    /// A directive ends so. What was said of it before stands unless this is worse: a directive that two
-    /// locations inherit is carried over only if both do.
+    /// Records how a directive is imported. The worse of two outcomes for the same directive is kept: a
+    /// directive that two locations inherit is supported only if both support it.
     pub fn record(&mut self, directive: &Directive, support: DirectiveSupport) {
         let name = directive.name.text().into_owned();
         let recorded = self.entries.entry(directive.name.at).or_default();
@@ -482,12 +483,12 @@
         }
     }
 
-    /// A parameter of a directive ends so, as `weight` of a `server` does.
+    /// Records how a parameter of a directive is imported, such as `weight` of a `server`.
     pub fn record_parameter(&mut self, at: Position, name: &str, support: DirectiveSupport) {
         self.entries.entry(at).or_default().push((name.to_string(), support));
     }
 
-    /// A directive and its words come to nothing after all, whatever was said of them.
+    /// Marks a directive and its words as unsupported, whatever was recorded before.
     pub fn revoke(&mut self, directive: &Directive, routing: bool, why: &str, advice: &str) {
         let words = directive.words.iter().map(|word| word.at);
         for at in std::iter::once(directive.name.at).chain(words) {
@@ -497,7 +498,8 @@
         }
     }
 
-    /// Ends all that nothing was said of: what would be carried over elsewhere is not where it stands.
+    /// Records all directives that have no entry yet. Directives that are supported elsewhere are unsupported
+    /// here, as nothing reads them in this context.
     pub fn complete(&mut self, directives: &[Directive]) {
         for directive in directives {
             let name = directive.name.text();
@@ -509,7 +511,7 @@
                 }
                 self.record(directive, support);
             }
-            // Entries of a table are words, not directives.
+            // Entries of a table are not directives.
             if TABLE_DIRECTIVES.contains(&&*name) {
                 continue;
             }
@@ -519,7 +521,7 @@
         }
     }
 
-    /// In the order of files and lines.
+    /// All entries, sorted by file and position.
     pub fn entries(&self, configuration: &Configuration) -> Vec<ReportEntry> {
         let each =
             self.entries.iter().flat_map(|(at, supports)| supports.iter().map(move |support| (at, support)));
@@ -533,12 +535,12 @@
         .collect()
     }
 
-    /// Whether something was said of what stands at a place.
+    /// Whether there is an entry for a position.
     pub fn covers(&self, at: Position) -> bool {
         self.entries.contains_key(&at)
     }
 
-    /// How many ended in each way.
+    /// Number of entries by outcome.
     pub fn outcome_counts(&self) -> BTreeMap<Outcome, usize> {
         let mut counts = BTreeMap::new();
         self.entries
@@ -548,7 +550,7 @@
         counts
     }
 
-    /// What bears on routing and is left.
+    /// Number of entries that affect routing and are unsupported.
     pub fn routing_losses(&self) -> usize {
         self.entries
             .values()
--- a/crates/nginx-importer/src/files.rs
+++ b/crates/nginx-importer/src/files.rs
@@ -1,26 +1,26 @@
-//! A configuration in its files: `include` with patterns, in the places where they stand.
+//! Reads a configuration and resolves its `include` directives, which may have patterns.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 
 use crate::syntax::{self, Body, Directive, MAX_DEPTH, MAX_DIRECTIVES, Position};
 
-/// Files of one configuration, at the most, and their bytes together.
+/// Maximum number of files of one configuration.
 pub const MAX_FILES: usize = 10_000;
-/// Bytes of all files of one configuration together, at the most.
+/// Maximum total size of the files of one configuration.
 pub const MAX_TOTAL_BYTES: u64 = 64 << 20;
 
-/// Where files come from.
+/// Source of configuration files.
 pub trait FileSource {
-    /// Errors: why it can't be read, or that it is larger than `most`.
+    /// Errors: the file cannot be read, or is larger than `max_bytes`.
     fn read(&self, path: &Path, max_bytes: u64) -> Result<Vec<u8>, String>;
-    /// Files that fit a pattern, in the order of their names.
+    /// Files that match a pattern, sorted by name.
     ///
-    /// Errors: a pattern that is none.
+    /// Errors: an invalid pattern.
     fn matching(&self, pattern: &str) -> Result<Vec<PathBuf>, String>;
 }
 
-/// Files of this machine.
+/// Reads files from the local file system.
 pub struct LocalFiles;
 
 impl FileSource for LocalFiles {
@@ -28,7 +28,7 @@
         use std::io::Read;
         let mut text = Vec::new();
         let file = std::fs::File::open(path).map_err(|error| error.to_string())?;
-        // A pipe or a device has no length, and need never end.
+        // Limits the read itself, as a pipe or a device has no length and may be endless.
         file.take(max_bytes + 1).read_to_end(&mut text).map_err(|error| error.to_string())?;
         if text.len() as u64 > max_bytes {
             return Err(format!("all files together have more than {MAX_TOTAL_BYTES} bytes"));
@@ -38,22 +38,22 @@
 
     fn matching(&self, pattern: &str) -> Result<Vec<PathBuf>, String> {
         let paths = glob::glob(pattern).map_err(|error| error.to_string())?;
-        // One that can't be looked at says so when it is read.
+        // A path that cannot be inspected is returned; reading it fails later.
         Ok(paths.map(|path| path.unwrap_or_else(|error| error.path().to_path_buf())).collect())
     }
 }
 
-/// A configuration, with all that it includes.
+/// A configuration with all included files.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Configuration {
-    /// By their number, as they are named in errors and origins.
+    /// The files, indexed by the file number in positions.
     pub files: Vec<PathBuf>,
-    /// The directives of the main file, included ones in their places.
+    /// The directives of the main file, with included ones in place.
     pub directives: Vec<Directive>,
 }
 
 impl Configuration {
-    /// A place as `file:line`.
+    /// Formats a position as `file:line`.
     pub fn origin(&self, at: Position) -> String {
         let file =
             self.files.get(at.file as usize).map_or_else(String::new, |file| file.display().to_string());
@@ -61,12 +61,12 @@
     }
 }
 
-/// Why a configuration can't be read, and where.
+/// Why a configuration cannot be read, with the position.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub struct ReadError {
     /// The file.
     pub file: PathBuf,
-    /// The line, from 1 on; 0 where it is about the file.
+    /// The line, from 1 on; 0 if the error concerns the whole file.
     pub line: u32,
     /// The column, from 1 on.
     pub column: u32,
@@ -85,10 +85,10 @@
 
 struct ConfigurationReader<'a> {
     source: &'a dyn FileSource,
-    /// What relative names are relative to: the folder of the main file.
+    /// The folder of the main file, to which relative paths refer.
     base_folder: PathBuf,
     files: Vec<PathBuf>,
-    /// Files that are being read, each within the one before.
+    /// The files being read, from the main file to the innermost include.
     open_files: Vec<PathBuf>,
     bytes: u64,
     directives: usize,
@@ -96,7 +96,7 @@
 
 /// Reads a configuration from its main file.
 ///
-/// Errors: what can't be read or understood, and where.
+/// Errors: a file that cannot be read or parsed, with its position.
 pub fn read(source: &dyn FileSource, main: &Path) -> Result<Configuration, ReadError> {
     let base_folder = main.parent().map(Path::to_path_buf).unwrap_or_default();
     let mut reader = ConfigurationReader {
@@ -112,7 +112,8 @@
 }
 
 impl ConfigurationReader<'_> {
-    /// `by`: where it is included, and in how many blocks.
+    /// Reads a file and its includes. `included_at`: the position of the `include`; `depth`: the number of
+    /// enclosing blocks and files.
     fn read_file(
         &mut self,
         path: &Path,
@@ -152,7 +153,10 @@
             self.directives += 1;
             let at = directive.name.at;
             if depth > MAX_DEPTH || self.directives > MAX_DIRECTIVES {
-                return Err(self.error(at, "too much, or too deep, with all that is included".to_string()));
+                return Err(self.error(
+                    at,
+                    "too many directives or too deeply nested blocks, including included files".to_string(),
+                ));
             }
             if let Body::Block(block) = &mut directive.body {
                 self.resolve_includes(block, depth + 1)?;
--- a/crates/nginx-importer/src/files/tests.rs
+++ b/crates/nginx-importer/src/files/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn includes_stand_where_they_are_written_in_the_order_of_their_names() {
+fn includes_files_in_place_sorted_by_name() {
     let read = read_files(&[
         ("etc/nginx.conf", "a;\nhttp { include sites/*.conf; z; }"),
         ("etc/sites/2.conf", "two;"),
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn includes_that_fail_are_named_by_where_they_stand() {
+fn include_errors_have_the_position_of_the_include() {
     let missing = read_files(&[("etc/nginx.conf", "a;\n include x.conf;")]).unwrap_err();
     assert_eq!(missing, "etc/nginx.conf:2:2: etc/x.conf: no such file");
     let no_match = read_files(&[("etc/nginx.conf", "include none/*.conf;")]).unwrap();
--- a/crates/nginx-importer/src/fleet.rs
+++ b/crates/nginx-importer/src/fleet.rs
@@ -1,7 +1,7 @@
-//! What a configuration becomes: for each pool of replicas a fleet of its own (a governor's settings and its
-//! roster), with the traffic groups that lead there. See `docs/design/nginx.md`.
+//! Converts a configuration to fleets: one for each pool of replicas (a governor's settings and roster), with
+//! the traffic classes routed to it. See `docs/design/nginx.md`.
 //!
-//! Nothing here reads a file or writes one; the same configuration comes to the same fleets.
+//! Reads and writes no files. The same configuration always gives the same fleets.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,28 +12,29 @@
 use crate::syntax::{Body, Directive, Position, Word};
 use crate::values::{Target, parse_percentage, parse_seconds, parse_target, slugify};
 
-/// Groups of one governor, at the most.
+/// Maximum number of traffic classes of one governor.
 const MAX_CLASSES: usize = 64;
-/// What nginx takes where nothing is said: seconds to connect, and to read.
+/// nginx's defaults of the timeouts, in seconds.
 const DEFAULT_CONNECT_SECONDS: f64 = 60.0;
 const DEFAULT_READ_SECONDS: f64 = 60.0;
-/// The longest expiry that settings take.
+/// The longest request deadline that settings accept, in seconds.
 const MAX_DEADLINE_SECONDS: f64 = 3600.0;
 
-/// How zones are told, as nginx has none.
+/// How zones are assigned, as nginx has none.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ZoneAssignment {
-    /// All in one.
+    /// All replicas are in one zone.
     #[default]
     One,
-    /// By the network of the address: the first three numbers (IPv4), the first four groups (IPv6).
+    /// The zone is the network of the address: the first three numbers (IPv4) or the first four groups
+    /// (IPv6).
     Network,
 }
 
-/// A server of an upstream, as the roster lists it.
+/// A server of an upstream as a roster entry.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ImportedReplica {
-    /// Its address, so that it keeps its name over repeated imports.
+    /// Its address, so that the name stays the same over repeated imports.
     pub id: String,
     /// Its address, `host:port`.
     pub address: String,
@@ -43,38 +44,38 @@
     pub weight: f64,
     /// `ready`, `draining` or `gone`.
     pub phase: &'static str,
-    /// It is listed only while no other is ready.
+    /// Whether it is listed only while no other replica is ready.
     pub backup: bool,
-    /// Where it is written, `file:line`.
+    /// Its position, `file:line`.
     pub origin: String,
 }
 
-/// What leads requests to a class.
+/// How requests are matched to a class.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Routes {
-    /// As the settings spell them.
+    /// Path patterns in the syntax of the settings.
     Paths(Vec<String>),
     /// A header and its value.
     Header(String),
 }
 
-/// What nginx does after a failed attempt, in the terms of the settings.
+/// The retry policy of nginx in terms of the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ImportedRetryPolicy {
-    /// Nothing.
+    /// No retry.
     Never,
-    /// One more attempt if the first was not executed.
+    /// One retry if the first attempt was not executed.
     #[serde(rename = "if-never-ran")]
     IfNotExecuted,
-    /// One more attempt whatever became of the first.
+    /// One retry after any failure.
     #[serde(rename = "once")]
     OnAnyFailure,
 }
 
 impl ImportedRetryPolicy {
-    /// As the settings spell it.
+    /// The name in the settings.
     pub fn name(self) -> &'static str {
         match self {
             ImportedRetryPolicy::Never => "never",
@@ -84,35 +85,35 @@
     }
 }
 
-/// A traffic class: locations that are alike.
+/// A traffic class, made of locations with the same settings.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ImportedClass {
     /// Its name.
     pub name: String,
-    /// What leads requests to it.
+    /// How requests are matched to it.
     pub routes: Routes,
-    /// Repeats do no harm.
+    /// Whether requests may be executed more than once.
     #[serde(rename = "retriable")]
     pub idempotent: bool,
-    /// Seconds.
+    /// In seconds.
     #[serde(rename = "latency_budget")]
     pub latency_objective: f64,
-    /// How long a request may take in all, in seconds.
+    /// Total time limit of a request, in seconds.
     #[serde(rename = "expiry")]
     pub request_deadline: f64,
-    /// What becomes of failed attempts.
+    /// How failed attempts are retried.
     #[serde(rename = "tries")]
     pub retry_policy: ImportedRetryPolicy,
-    /// The locations it comes from: what they are, and `file:line`.
+    /// The locations it was made of, with `file:line`.
     pub origins: Vec<String>,
 }
 
-/// A pool of replicas with the traffic classes that lead there.
+/// A pool of replicas with the traffic classes routed to it.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ImportedFleet {
     /// Its name.
     pub name: String,
-    /// Where it is written.
+    /// The upstreams it comes from, with `file:line`.
     pub origin: String,
     /// The zones' names.
     pub zones: Vec<String>,
@@ -121,7 +122,7 @@
     /// The traffic classes.
     #[serde(rename = "groups")]
     pub classes: Vec<ImportedClass>,
-    /// Seconds; none where nothing is said.
+    /// Slow start time in seconds; none if no server sets one.
     #[serde(rename = "warm_after")]
     pub slow_start_seconds: Option<f64>,
     /// The most cautious retry policy of its classes.
@@ -129,12 +130,12 @@
     pub retry_policy: ImportedRetryPolicy,
 }
 
-/// What a configuration becomes.
+/// The result of an import.
 #[derive(Debug, Clone)]
 pub struct ImportResult {
     /// A fleet for each pool of replicas.
     pub fleets: Vec<ImportedFleet>,
-    /// What becomes of each directive.
+    /// The report on all directives.
     pub report: ImportReport,
 }
 
@@ -152,11 +153,11 @@
     servers: Vec<Server>,
     slow_start: Option<f64>,
     at: Position,
-    /// Itself and what stands in it, for their fates.
+    /// The upstream directive and those in its block, for the report.
     directives: Vec<Directive>,
 }
 
-/// What is said outside a location, and holds within it unless it says otherwise.
+/// Settings of the enclosing blocks that a location inherits unless it sets its own.
 #[derive(Debug, Clone, Default)]
 struct InheritedSettings {
     connect: Option<f64>,
@@ -167,10 +168,10 @@
     safe_methods_only: bool,
 }
 
-/// Upstreams, and the part of flows that each gets.
+/// Upstreams, each with its fraction of the requests.
 type Shares = Vec<(String, f64)>;
 
-/// One location that passes flows on.
+/// A location that passes requests to upstreams.
 struct RoutedLocation {
     shares: Shares,
     route: LocationRoute,
@@ -179,9 +180,9 @@
     request_deadline: f64,
     retry_policy: ImportedRetryPolicy,
     position: Position,
-    /// As it is written.
+    /// The words of the location directive.
     pattern: String,
-    /// The location and what passes its flows on, for their fates.
+    /// The location and its `proxy_pass` or `grpc_pass` directive, for the report.
     directives: [Directive; 2],
 }
 
@@ -191,11 +192,11 @@
     Header(String),
 }
 
-/// A variable that chooses an upstream.
+/// How a variable selects an upstream.
 enum UpstreamSelector {
-    /// By chance: upstreams and their parts.
+    /// At random: upstreams with their fractions.
     Split(Shares),
-    /// By a header: its name, upstreams by value, and by default.
+    /// By a header: its name, the upstreams by value, and the default upstream.
     Header(String, Vec<(String, String)>, Option<String>),
 }
 
@@ -204,12 +205,12 @@
     zones: ZoneAssignment,
     report: ImportReport,
     upstreams: BTreeMap<String, Upstream>,
-    /// By the variable, with the directive that says it.
+    /// By variable name, with the directive that defines it.
     selectors: BTreeMap<String, (UpstreamSelector, Directive)>,
     routed_locations: Vec<RoutedLocation>,
 }
 
-/// Directives with what is included among them in its place.
+/// Lists directives, with included ones in place of their `include`.
 fn flatten_includes(directives: &[Directive]) -> Vec<&Directive> {
     let mut all = Vec::new();
     for directive in directives {
@@ -237,7 +238,7 @@
         importer.report.record(http, DirectiveSupport::by_name("http"));
         blocks.push(flatten_includes(http.block()));
     }
-    // A file that is included elsewhere within `http` may be given by itself.
+    // A file that is normally included in an `http` block may also be imported by itself.
     if blocks.is_empty() {
         blocks.push(top);
     }
@@ -289,7 +290,8 @@
                 if child.is("server") {
                     self.server(child, &mut upstream);
                 } else {
-                    // Not what an `http` block's directive of the same name is, but its own meaning here.
+                    // Reported by name only: in an upstream, a directive may have another meaning than in an
+                    // `http` block.
                     self.report.record(child, DirectiveSupport::by_name(&child.name.text()));
                 }
             }
@@ -347,7 +349,7 @@
         }
         self.report.record(directive, support);
         match upstream.servers.iter_mut().find(|known| known.address == server.address) {
-            // Said twice, it gets twice as much.
+            // A server listed twice gets the sum of its weights, as in nginx.
             Some(known) if known.backup == server.backup && known.phase == server.phase => {
                 known.weight += server.weight;
             }
@@ -356,7 +358,7 @@
         }
     }
 
-    // ---- variables that choose
+    // ---- variables that select upstreams
 
     fn selectors(&mut self, block: &[&Directive]) {
         for directive in block.iter().filter(|child| child.is("split_clients") || child.is("map")) {
@@ -369,7 +371,7 @@
                 true => self.header_selector(&from, directive),
                 false => self.split_selector(directive),
             };
-            // Whether it chooses upstreams is known once a location uses it.
+            // Recorded as supported only when a location uses the variable.
             match selector {
                 Ok(Some(selector)) => drop(self.selectors.insert(variable, (selector, directive.shallow()))),
                 Ok(None) => {
@@ -404,7 +406,7 @@
         if remaining < -1e-9 {
             return Err("its parts are more than the whole".to_string());
         }
-        // Without `*`, what is left goes to an empty value: nowhere.
+        // Without `*`, the rest is mapped to an empty value, that is, to no upstream.
         Ok((!shares.is_empty()).then_some(UpstreamSelector::Split(shares)))
     }
 
@@ -449,7 +451,7 @@
 
     // ---- locations
 
-    /// What a block says for all within it.
+    /// The settings that a block passes on to the blocks within it.
     fn inherited(&mut self, outer: &InheritedSettings, block: &[&Directive]) -> InheritedSettings {
         let mut settings = outer.clone();
         for directive in block {
@@ -495,7 +497,7 @@
         settings
     }
 
-    /// `within`: the path of the location that these stand in.
+    /// Imports the locations of a block. `outer_path`: the path of the enclosing location.
     fn locations(&mut self, block: &[&Directive], inherited: &InheritedSettings, outer_path: Option<&str>) {
         for directive in block.iter().filter(|child| child.is("location")) {
             let Body::Block(_) = &directive.body else {
@@ -511,7 +513,7 @@
                 }
             };
             let settings = self.inherited(inherited, &inner);
-            // Not for locations within: nginx does not hand it on.
+            // `limit_except` applies to this location only: nginx does not pass it on to nested ones.
             let mut location_settings = settings.clone();
             for except in inner.iter().filter(|child| child.is("limit_except")) {
                 if allows_safe_methods_only(except) {
@@ -666,7 +668,7 @@
         let deadline = match (policy, settings.retry_timeout.unwrap_or(0.0)) {
             (ImportedRetryPolicy::Never, _) => attempt_seconds,
             (_, 0.0) => 2.0 * attempt_seconds,
-            // The first try is not cut short by it.
+            // The timeout limits the start of a retry and does not cut the first attempt short.
             (_, timeout) => (2.0 * attempt_seconds).min(timeout.max(attempt_seconds)),
         };
         for (target, route) in targets {
@@ -701,7 +703,7 @@
             let identity = |replica: &ImportedReplica| {
                 (replica.id.clone(), replica.weight, replica.phase, replica.backup)
             };
-            // Upstreams that say the same are one pool.
+            // Upstreams with the same replicas form one pool.
             let pool_key = format!("{slow_start:?} {:?}", replicas.iter().map(identity).collect::<Vec<_>>());
             let at = match known.get(&pool_key) {
                 Some(at) => *at,
@@ -747,7 +749,8 @@
         fleets
     }
 
-    /// The replicas of some upstreams together, each with its part.
+    /// Merges the replicas of upstreams, each weighted by the fraction of its upstream. Also returns the
+    /// longest slow start time.
     fn merge_replicas(&self, shares: &[(String, f64)]) -> (Vec<ImportedReplica>, Option<f64>) {
         let mut replicas: BTreeMap<String, ImportedReplica> = BTreeMap::new();
         let mut slow_start: Option<f64> = None;
@@ -758,7 +761,7 @@
             }
             let is_counted = |server: &&Server| !server.backup && server.phase != "gone";
             let sum: f64 = upstream.servers.iter().filter(is_counted).map(|server| server.weight).sum();
-            // One upstream by itself keeps the weights that are written.
+            // A single upstream keeps its configured weights.
             let scale = if shares.len() == 1 { 1.0 } else { fraction * 100.0 / sum.max(1.0) };
             for server in &upstream.servers {
                 let weight = (server.weight * scale * 1e6).round().max(1.0) / 1e6;
@@ -817,7 +820,7 @@
         }
     }
 
-    /// Puts a lead into the group of its fleet that is like it, or into a new one.
+    /// Adds a location to the class of its fleet with the same settings, or to a new class.
     fn assign_class(&mut self, index: usize, at: usize, fleets: &mut [ImportedFleet]) {
         let location = &self.routed_locations[index];
         let origin =
@@ -879,7 +882,7 @@
         });
     }
 
-    /// Says of replicas that several fleets send to.
+    /// Reports replicas that several fleets send requests to.
     fn record_shared_addresses(&mut self, fleets: &[ImportedFleet]) {
         let mut fleets_by_address: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
         for fleet in fleets {
@@ -910,7 +913,7 @@
 }
 
 impl Directive {
-    /// Itself without its block, to be named later.
+    /// A copy without the block, for the report.
     fn shallow(&self) -> Directive {
         Directive { name: self.name.clone(), words: self.words.clone(), body: Body::None }
     }
@@ -925,8 +928,8 @@
     )
 }
 
-/// Whether a `limit_except` lets in nothing but methods that read, from anywhere: its block must turn all
-/// else away, and make no exception.
+/// Whether a `limit_except` block admits only methods that read: it has to deny everything else, without
+/// exceptions.
 fn allows_safe_methods_only(except: &Directive) -> bool {
     let is_safe_method = |word: &Word| ["GET", "HEAD", "OPTIONS"].iter().any(|method| word.is(method));
     let denies = |child: &&Directive| child.is("deny") && child.words.len() == 1 && child.words[0].is("all");
@@ -937,7 +940,7 @@
         && children.iter().all(denies)
 }
 
-/// Whether a lead may be in a group: all that matters is the same.
+/// Whether a location has the settings of a class and may be added to it.
 fn has_same_settings(class: &ImportedClass, location: &RoutedLocation) -> bool {
     class.idempotent == location.idempotent
         && class.latency_objective == location.latency_objective
@@ -945,7 +948,7 @@
         && class.retry_policy == location.retry_policy
 }
 
-/// A name that none of the taken ones is.
+/// A name that is not taken yet.
 fn unique_name(preferred: &str, fallback: &str, taken: &BTreeSet<String>) -> String {
     let preferred = if preferred.is_empty() { fallback } else { preferred };
     let numbered = (2..).map(|number| format!("{preferred}-{number}"));
@@ -955,7 +958,7 @@
         .unwrap_or_default()
 }
 
-/// A location's path, as the settings spell it.
+/// The path of a location in the syntax of the settings.
 fn path(words: &[Word]) -> Result<String, String> {
     let texts: Vec<String> = words.iter().map(|word| word.text().into_owned()).collect();
     let (operator, path) = match texts.as_slice() {
--- a/crates/nginx-importer/src/lib.rs
+++ b/crates/nginx-importer/src/lib.rs
@@ -1,5 +1,5 @@
-//! nginx's upstream and location blocks as a governor's settings and roster, with an account of what becomes
-//! of each directive; and the other way: a proxy's tables as upstream blocks, for proxies that stay nginx.
+//! Imports nginx upstream and location blocks as a governor's settings and roster, with a report on each
+//! directive. Also exports a proxy's tables as upstream blocks, for proxies that remain nginx.
 //!
 //! ```
 //! use std::path::{Path, PathBuf};
--- a/crates/nginx-importer/src/syntax.rs
+++ b/crates/nginx-importer/src/syntax.rs
@@ -1,20 +1,21 @@
-//! nginx's configuration syntax, as its documentation states it: directives of words, ended by `;` or by a
-//! block in braces; quotes, backslashes, comments, variables. What the words mean is nobody's concern here.
+//! Parser and writer for nginx's configuration syntax as documented: directives of words, ended by `;` or a
+//! block in braces, with quotes, backslashes, comments and variables. The meaning of the words is not handled
+//! here.
 //!
-//! Words are bytes: a configuration need not be UTF-8. Depth, length of words and their number are bounded,
-//! so that no text takes a stack or all memory.
+//! Words are bytes, as a configuration need not be UTF-8. Nesting depth, word length and the number of
+//! directives are limited, so that no text can exhaust the stack or the memory.
 
 use std::borrow::Cow;
 use std::fmt;
 
-/// Blocks within blocks, at the most.
+/// Maximum nesting depth of blocks.
 pub const MAX_DEPTH: usize = 64;
-/// Bytes of a word: nginx itself allows less.
+/// Maximum length of a word; more than nginx itself allows.
 pub const MAX_WORD_BYTES: usize = 64 << 10;
-/// Directives in all files of a configuration together.
+/// Maximum number of directives in all files of a configuration.
 pub const MAX_DIRECTIVES: usize = 2_000_000;
 
-/// Where something stands: the file by its number, line and column (in bytes) from 1.
+/// A position: the index of the file, and line and column (in bytes) from 1.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
     /// The file's number in its configuration.
@@ -25,35 +26,35 @@
     pub column: u32,
 }
 
-/// One word of a directive, without its quotes and with its escapes resolved.
+/// A word of a directive, with quotes removed and escapes resolved.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Word {
-    /// What it says, without quotes and escapes.
+    /// The content, without quotes and escapes.
     pub bytes: Vec<u8>,
-    /// Where it stands.
+    /// Its position.
     pub at: Position,
 }
 
 impl Word {
-    /// As text; bytes that are none are replaced.
+    /// The word as text; invalid UTF-8 is replaced.
     pub fn text(&self) -> Cow<'_, str> {
         String::from_utf8_lossy(&self.bytes)
     }
 
-    /// Whether it says this.
+    /// Whether the word equals a text.
     pub fn is(&self, text: &str) -> bool {
         self.bytes == text.as_bytes()
     }
 }
 
-/// What stands behind a directive's words.
+/// What follows the words of a directive.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Body {
-    /// Ended by `;`.
+    /// Nothing; the directive ends with `;`.
     None,
     /// A block of directives.
     Block(Vec<Directive>),
-    /// An `include`, and what came of it: it stands as if written there.
+    /// An `include` with the directives that it included.
     Included(Vec<Directive>),
 }
 
@@ -64,7 +65,7 @@
     pub name: Word,
     /// Its parameters.
     pub words: Vec<Word>,
-    /// What stands behind them.
+    /// Its block or included directives, if any.
     pub body: Body,
 }
 
@@ -82,13 +83,13 @@
         }
     }
 
-    /// The word at a place behind the name, as text.
+    /// The parameter at an index, as text.
     pub fn word(&self, at: usize) -> Option<Cow<'_, str>> {
         self.words.get(at).map(Word::text)
     }
 }
 
-/// What is wrong with a text.
+/// A kind of syntax error.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SyntaxErrorKind {
     /// It ends within a quoted word.
@@ -100,14 +101,14 @@
     /// It ends within this directive.
     #[error("the file ends within `{0}`; a `;` is missing")]
     MissingSemicolon(String),
-    /// A character stands where none such may.
+    /// An unexpected character.
     #[error("`{0}` does not belong here")]
     Unexpected(char),
-    /// Something stands right behind a quoted word.
+    /// A quoted word is followed directly by other text.
     #[error("a quoted word must be followed by white space, `;` or `{{`")]
     TextAfterQuote,
-    /// Blocks within too many blocks.
-    #[error("blocks within more than {MAX_DEPTH} others")]
+    /// Blocks are nested too deeply.
+    #[error("blocks within more than {MAX_DEPTH} other blocks")]
     TooDeep,
     /// A word that is too long.
     #[error("a word of more than {MAX_WORD_BYTES} bytes")]
@@ -117,12 +118,12 @@
     TooManyDirectives,
 }
 
-/// What is wrong with a file's syntax, and where in it.
+/// A syntax error with its position.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SyntaxError {
-    /// Where.
+    /// Its position.
     pub position: Position,
-    /// What is wrong.
+    /// The kind of error.
     pub kind: SyntaxErrorKind,
 }
 
@@ -150,7 +151,7 @@
 
 impl<'a> Tokenizer<'a> {
     fn new(text: &'a [u8], file: u32) -> Self {
-        // A mark of byte order that some editors leave at the beginning.
+        // Skips a byte order mark, which some editors write.
         let offset = if text.starts_with(b"\xef\xbb\xbf") { 3 } else { 0 };
         Tokenizer { text, offset, at: Position { file, line: 1, column: 1 } }
     }
@@ -169,7 +170,8 @@
         Some(byte)
     }
 
-    /// The byte that a backslash and the next one stand for; both where they stand for themselves.
+    /// Reads the character after a backslash and adds what the escape stands for; unknown escapes are kept as
+    /// they are. Returns false at the end of the text.
     fn read_escape(&mut self, word: &mut Vec<u8>) -> bool {
         let Some(byte) = self.advance() else { return false };
         match byte {
@@ -231,7 +233,7 @@
             match byte {
                 b'\\' if !self.read_escape(&mut bytes) => bytes.push(b'\\'),
                 b'\\' => {}
-                // The brace of a variable opens no block.
+                // The brace in `${` does not open a block.
                 b'$' if self.peek() == Some(b'{') => {
                     self.advance();
                     bytes.extend(b"${");
@@ -246,12 +248,12 @@
     }
 }
 
-/// Reads a file's text. `file`: its number, for places; `most`: how many directives it may have.
+/// Parses the text of a file. `file`: its index, for positions.
 ///
-/// Errors: what is wrong with its syntax, and where.
+/// Errors: a syntax error with its position, also if there are more than `max_directives` directives.
 pub fn parse(text: &[u8], file: u32, max_directives: usize) -> Result<Vec<Directive>, SyntaxError> {
     let mut tokenizer = Tokenizer::new(text, file);
-    // What is open: the words of each block's directive, and what stands in it so far.
+    // For each open block: the words of its directive, and the directives of the enclosing block so far.
     let mut open_blocks: Vec<(Vec<Word>, Vec<Directive>)> = Vec::new();
     let (mut block, mut words, mut count): (Vec<Directive>, Vec<Word>, usize) = Default::default();
     fn make_directive(mut words: Vec<Word>, body: Body) -> Option<Directive> {
@@ -311,7 +313,7 @@
     }
 }
 
-/// A word as it can be written: in quotes where it would be read as something else.
+/// Writes a word, with quotes if it needs them.
 fn write_word(word: &[u8], output: &mut Vec<u8>) {
     let is_plain = |byte: &u8| byte.is_ascii_graphic() && !b"\"'\\;{}#$".contains(byte);
     if !word.is_empty() && word.iter().all(is_plain) {
@@ -327,7 +329,7 @@
     output.push(b'"');
 }
 
-/// Directives as text that reads as the same directives. Includes are written as what they included.
+/// Writes directives as text that parses to the same directives. Included directives replace their `include`.
 pub fn write(directives: &[Directive]) -> Vec<u8> {
     fn write_block(directives: &[Directive], depth: usize, output: &mut Vec<u8>) {
         for directive in directives {
--- a/crates/nginx-importer/src/syntax/tests.rs
+++ b/crates/nginx-importer/src/syntax/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn words_quotes_escapes_comments_and_variables() {
+fn parses_words_quotes_escapes_comments_and_variables() {
     let text = "a  b\t'c d' \"e\\\"f\" g\\.h; # no; {\r\nset $x \"${y}z\"; w ${v}x#y {i 1;}j '';";
     let directives = read(text).unwrap();
     let parsed_words: Vec<_> = directives.iter().map(words).collect();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_said_with_its_place() {
+fn syntax_errors_have_their_position() {
     let error_text = |text: &str| read(text).unwrap_err().to_string();
     assert_eq!(error_text("a;\n b {\n c;"), "2:2: the file ends within the block of `b`; a `}` is missing");
     assert_eq!(error_text("a b"), "1:1: the file ends within `a`; a `;` is missing");
@@ -69,14 +69,14 @@
 
 proptest! {
     #[test]
-    fn what_is_written_reads_as_it_was(directives in prop::collection::vec(any_directive(), 0..5)) {
+    fn written_directives_parse_to_the_same_directives(directives in prop::collection::vec(any_directive(), 0..5)) {
         let mut read = parse(&write(&directives), 0, MAX_DIRECTIVES).unwrap();
         clear_positions(&mut read);
         prop_assert_eq!(read, directives);
     }
 
     #[test]
-    fn no_text_makes_it_panic(text in prop::collection::vec(
+    fn no_text_causes_a_panic(text in prop::collection::vec(
         prop_oneof![Just(b'{'), Just(b'}'), Just(b';'), Just(b'"'), Just(b'\\'), Just(b'$'), Just(b'#'),
             Just(b' '), Just(b'\n'), any::<u8>()], 0..200,
     )) {
--- a/crates/nginx-importer/src/values.rs
+++ b/crates/nginx-importer/src/values.rs
@@ -1,8 +1,8 @@
-//! What single words of directives mean: spans, addresses, shares.
+//! Parsers for values in directives: durations, addresses and percentages.
 
 use std::net::IpAddr;
 
-/// A span as nginx writes it: `90`, `1m30s`, `500ms`; in seconds.
+/// Parses an nginx duration such as `90`, `1m30s` or `500ms`, in seconds.
 pub fn parse_seconds(text: &str) -> Option<f64> {
     const UNITS: [(&str, f64); 8] = [
         ("ms", 0.001),
@@ -33,18 +33,18 @@
     has_value.then_some(total)
 }
 
-/// What a `server` or a `proxy_pass` names.
+/// The target of a `server` or `proxy_pass` directive.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Target {
     /// An address, `host:port`.
     Address(String),
-    /// A name that has to be looked up, `host:port`.
+    /// A host name that has to be resolved, `host:port`.
     Name(String),
-    /// A local socket, by its path.
+    /// The path of a Unix domain socket.
     Unix(String),
 }
 
-/// An address with an optional port; `otherwise`: the port where none is said.
+/// Parses an address with an optional port.
 pub fn parse_target(text: &str, default_port: u16) -> Option<Target> {
     if let Some(path) = text.strip_prefix("unix:") {
         return (!path.is_empty()).then(|| Target::Unix(path.to_string()));
@@ -65,13 +65,13 @@
     Some(if address { Target::Address(text) } else { Target::Name(text) })
 }
 
-/// `12.5%` as a part of one.
+/// Parses a percentage such as `12.5%` as a fraction.
 pub fn parse_percentage(text: &str) -> Option<f64> {
     let number: f64 = text.strip_suffix('%')?.parse().ok()?;
     (0.0..=100.0).contains(&number).then_some(number / 100.0)
 }
 
-/// Letters, digits and `-`, for names of groups and pools.
+/// Reduces a text to lower-case letters, digits and `-`, for names of classes and fleets.
 pub fn slugify(text: &str) -> String {
     let mut name = String::new();
     for byte in text.bytes() {
--- a/crates/nginx-importer/src/values/tests.rs
+++ b/crates/nginx-importer/src/values/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn spans_addresses_and_shares_as_nginx_writes_them() {
+fn parses_durations_addresses_and_percentages() {
     let durations = ["60", "500ms", "1m30s", "1h 5m", "2d", "", "x", "5q", "-1", "s"].map(parse_seconds);
     let expected = [Some(60.0), Some(0.5), Some(90.0), Some(3900.0), Some(172_800.0)];
     assert_eq!(durations[..5], expected);
--- a/crates/nginx-importer/src/write.rs
+++ b/crates/nginx-importer/src/write.rs
@@ -1,5 +1,4 @@
-//! Fleets as files: the settings script and the roster, each part with the line that it comes from. The same
-//! fleet is written the same.
+//! Writes fleets as settings scripts and rosters, with the origin of each part. The output is deterministic.
 
 use std::fmt::Write;
 
@@ -7,14 +6,14 @@
 
 use crate::fleet::{ImportedFleet, ImportedReplica, Routes};
 
-/// What a configuration of proxies does not say.
+/// Deployment parameters that a proxy configuration does not contain.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DeploymentTerms {
-    /// Proxies that will follow, of all governors together.
+    /// Number of proxies of all governors together.
     pub proxies: u64,
-    /// Governors that share the fleet.
+    /// Number of governors that share the fleet.
     pub governors: u64,
-    /// Ports of the first fleet (gRPC, HTTP, long-poll); each further one has those ten higher.
+    /// Ports of the first fleet (gRPC, HTTP, long-poll); those of each further fleet are 10 higher.
     pub ports: (u16, u16, u16),
 }
 
@@ -24,7 +23,7 @@
     }
 }
 
-/// A text as Starlark spells it.
+/// A text as a Starlark string literal.
 fn quoted(text: &str) -> String {
     let mut out = String::from("\"");
     for character in text.chars() {
@@ -41,7 +40,7 @@
     out
 }
 
-/// A text for a comment: on one line.
+/// A text as one line for a comment.
 fn comment_text(text: &str) -> String {
     text.chars().map(|character| if character.is_control() { ' ' } else { character }).collect()
 }
@@ -51,7 +50,7 @@
     format!("{rounded}")
 }
 
-/// The settings script. `place`: the fleet's among those of one import.
+/// The settings script. `index`: the fleet's index in the import.
 pub fn settings(fleet: &ImportedFleet, index: usize, terms: &DeploymentTerms) -> String {
     let mut text = String::new();
     let zones: Vec<String> = fleet.zones.iter().map(|zone| quoted(zone)).collect();
@@ -77,7 +76,7 @@
         let _ = writeln!(text, "governor(name = {})", quoted(&fleet.name));
     }
     if let Some(warm_after) = fleet.slow_start_seconds {
-        // nginx begins with nothing; a share of 0 could never be seen to be well.
+        // nginx starts at weight 0. The governor needs a share above 0 to observe that the replica works.
         let _ = writeln!(text, "# slow_start");
         let _ = writeln!(text, "replicas(cold_share = 0.05, warm_after = {})", format_number(warm_after));
     }
@@ -116,7 +115,7 @@
     text
 }
 
-/// The roster.
+/// The roster file.
 pub fn roster(fleet: &ImportedFleet) -> String {
     let entry = |replica: &ImportedReplica| -> Value {
         let mut entry = json!({
@@ -134,12 +133,12 @@
 
 const CHECKSUM_PREFIX: &str = "# wrenthread import nginx ";
 
-/// A script with a first line by which it is known later whether somebody has changed it.
+/// Adds a first line with a checksum, which shows later whether the script was edited.
 pub fn marked(script: &str) -> String {
     format!("{CHECKSUM_PREFIX}{}\n{script}", &blake3::hash(script.as_bytes()).to_hex()[..16])
 }
 
-/// Whether a file is an import's as it was written.
+/// Whether a file has a checksum line and was not edited since.
 pub fn untouched(file: &str) -> bool {
     let parts = file.strip_prefix(CHECKSUM_PREFIX).and_then(|rest| rest.split_once('\n'));
     parts.is_some_and(|(checksum, script)| checksum == &blake3::hash(script.as_bytes()).to_hex()[..16])
--- a/crates/nginx-importer/src/write_debouncer.rs
+++ b/crates/nginx-importer/src/write_debouncer.rs
@@ -1,33 +1,34 @@
-//! When a file is written for an nginx and it is told to read it: drains soon, the rest seldom, and what
-//! fails again after longer and longer waits. No file is touched here and no clock read.
+//! Decides when an nginx include file is written and nginx reloaded: soon for drains, seldom for other
+//! changes, and with increasing delays after failures. Does no input or output and reads no clock.
 //!
-//! Each reload starts new processes beside the old ones, which go on until their last flow ends: a reload
-//! with every change would fill the machine with them. So changes are merged, and what is written is always
-//! the newest state.
+//! Each reload starts new worker processes next to the old ones, which run until their last request ends; a
+//! reload for every change would fill the machine with them. Changes are therefore merged, and the newest
+//! state is written.
 
 use std::time::Duration;
 
 use crate::blocks::Tables;
 
-/// After failures in a row the wait doubles, up to this.
+/// Upper limit of the delay, which doubles with each consecutive failure.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// When to write the file of one nginx.
+/// Schedules the writes of the file of one nginx.
 #[derive(Debug)]
 pub struct WriteDebouncer {
     min_interval: Duration,
     min_drain_interval: Duration,
-    /// What nginx was last told to read.
+    /// The tables that nginx last loaded.
     applied: Option<Tables>,
     wanted: Option<Tables>,
-    /// What is being written.
+    /// The tables being written.
     writing: Option<Tables>,
     last_write: Option<Duration>,
     failures: u32,
 }
 
 impl WriteDebouncer {
-    /// `every`: from one file to the next, at the least; `drains_every`: the same for one that shuts a line.
+    /// `every`: the minimum interval between two writes; `drains_every`: the same for a write that reduces
+    /// traffic to a replica or the admission.
     pub fn new(every: Duration, drains_every: Duration) -> Self {
         let drains_every = drains_every.min(every);
         WriteDebouncer {
@@ -41,12 +42,12 @@
         }
     }
 
-    /// What the governor says now.
+    /// Sets the current tables of the governor.
     pub fn set_wanted(&mut self, tables: Tables) {
         self.wanted = Some(tables);
     }
 
-    /// What to write, if it is time; then [`WriteDebouncer::write_finished`] is to be called.
+    /// The tables to write if a write is due. The caller must then call [`WriteDebouncer::write_finished`].
     pub fn start_write(&mut self, now: Duration) -> Option<Tables> {
         self.next_deadline().filter(|due| now >= *due)?;
         self.writing = self.wanted.clone();
@@ -54,7 +55,8 @@
         self.writing.clone()
     }
 
-    /// Whether the file was written and nginx reads it. If not, nginx goes on with what it read before.
+    /// Reports whether the file was written and nginx loaded it. If not, nginx continues with the tables that
+    /// it loaded before.
     pub fn write_finished(&mut self, succeeded: bool) {
         let written = self.writing.take();
         if succeeded {
@@ -64,7 +66,7 @@
         }
     }
 
-    /// When [`WriteDebouncer::start_write`] is next to be called; none if there is nothing to write.
+    /// When to call [`WriteDebouncer::start_write`] next; none if there is nothing to write.
     pub fn next_deadline(&self) -> Option<Duration> {
         let wanted = self.wanted.as_ref()?;
         if self.writing.is_some() || self.applied.as_ref() == Some(wanted) {
@@ -73,19 +75,19 @@
         let Some(last) = self.last_write else { return Some(Duration::ZERO) };
         let reduces_traffic = self.applied.as_ref().is_none_or(|applied| reduces_traffic(applied, wanted));
         let wait = if reduces_traffic { self.min_drain_interval } else { self.min_interval };
-        // A drain is tried again as often, at first: it is a duty to others. But a command that always fails
-        // must not be run every second for ever.
+        // A failed drain is first retried at its short interval, as others depend on it. The doubling keeps a
+        // command that always fails from running every second.
         let doubled = wait.saturating_mul(1 << self.failures.min(16));
         Some(last + doubled.min(MAX_WAIT.max(wait)))
     }
 
-    /// Writes that failed since the last that did not.
+    /// Number of consecutive failed writes.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 }
 
-/// Whether something that is sent to by one is not by the other, or less is let in.
+/// Whether a server of one set of tables is missing in the other, or an admission fraction is lower.
 fn reduces_traffic(now: &Tables, later: &Tables) -> bool {
     now.iter().any(|(class, table)| {
         later.get(class).is_none_or(|later| {
--- a/crates/nginx-importer/src/write_debouncer/tests.rs
+++ b/crates/nginx-importer/src/write_debouncer/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn drains_go_soon_the_rest_seldom_and_states_between_are_merged() {
+fn writes_drains_early_and_merges_other_changes() {
     let mut debouncer = WriteDebouncer::new(s(10), s(2));
     assert_eq!((debouncer.next_deadline(), debouncer.start_write(s(1))), (None, None));
     debouncer.set_wanted(tables(&[("a:1", 1.0), ("b:1", 1.0)]));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_fails_is_tried_again_after_longer_and_longer() {
+fn retries_failed_writes_with_increasing_delays() {
     let mut debouncer = WriteDebouncer::new(s(4), s(1));
     debouncer.set_wanted(tables(&[("a:1", 1.0)]));
     let (mut now, mut waits) = (s(0), Vec::new());
@@ -58,9 +58,9 @@
 }
 
 proptest! {
-    /// Whatever is told, files are no closer than they may be, and the last state is written in the end.
+    /// For any sequence of states, writes keep the minimum interval and the last state is written in the end.
     #[test]
-    fn files_keep_their_distance_and_the_last_state_wins(
+    fn writes_keep_their_interval_and_the_last_state_wins(
         steps in prop::collection::vec((0u64..3000, 0usize..4, any::<bool>()), 1..60),
     ) {
         let states = [&[("a:1", 1.0)][..], &[("a:1", 2.0)], &[("a:1", 1.0), ("b:1", 1.0)], &[]];
--- a/crates/nginx-importer/tests/corpus.rs
+++ b/crates/nginx-importer/tests/corpus.rs
@@ -1,6 +1,6 @@
-//! Sample configurations, realistic and hostile, each with what it comes to and what becomes of every
-//! directive. `WRITE=1 cargo test -p wrenthread-nginx --test corpus` writes the expected results anew, to be
-//! read before they are committed.
+//! Sample configurations, realistic and hostile, each with its expected fleets and the report on every
+//! directive. `WRITE=1 cargo test -p wrenthread-nginx --test corpus` rewrites the expected results, which
+//! must be reviewed before they are committed.
 
 #![allow(
     clippy::unwrap_used,
@@ -36,7 +36,7 @@
 
 fn read(name: &str) -> (Configuration, ImportResult) {
     let mut configuration = files::read(&LocalFiles, &folder().join(name)).unwrap();
-    // Origins are told as in the corpus, wherever that is.
+    // Makes origins relative to the corpus, so that they do not depend on its location.
     for file in &mut configuration.files {
         *file = file.strip_prefix(folder()).unwrap().to_path_buf();
     }
@@ -96,7 +96,7 @@
     text
 }
 
-/// Every directive, with what is included, but for entries of tables.
+/// Every directive, including included ones, without entries of tables.
 fn all_directives(directives: &[Directive]) -> Vec<&Directive> {
     let mut found = Vec::new();
     for directive in directives {
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn every_sample_comes_to_what_is_expected_of_it() {
+fn samples_import_as_expected() {
     for name in names() {
         let (configuration, imported) = read(&name);
         let (now, path) =
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn every_directive_is_accounted_for_and_what_is_written_is_accepted() {
+fn reports_every_directive_and_writes_valid_settings() {
     for name in names() {
         let (configuration, imported) = read(&name);
         for directive in all_directives(&configuration.directives) {
@@ -146,14 +146,14 @@
             );
             assert!(serde_json::from_str::<serde_json::Value>(&write::roster(fleet)).is_ok());
         }
-        // Again: the same.
+        // A second import gives the same result.
         let again = read(&name).1;
         assert_eq!(again.fleets, imported.fleets, "{name}");
     }
 }
 
 #[test]
-fn what_is_printed_imports_as_the_same() {
+fn written_directives_import_as_the_same_fleets() {
     for name in names() {
         let (configuration, imported) = read(&name);
         let text = syntax::write(&configuration.directives);
@@ -175,9 +175,9 @@
     }
 }
 
-/// What is imported, exported and imported again has the same replicas and shares.
+/// An import of exported upstream blocks has the same replicas and shares.
 #[test]
-fn an_export_imports_as_what_it_was_made_of() {
+fn exported_blocks_import_as_the_same_shares() {
     let mut compared = 0;
     for name in names() {
         for fleet in read(&name).1.fleets {
@@ -211,7 +211,7 @@
                 assert_eq!(again.fleets[0].replicas.iter().filter(ready).count(), 0, "{name}");
                 continue;
             }
-            // All groups have the same lines, so that they come to one pool again.
+            // All classes have the same replicas, so that they form one pool again.
             assert_eq!(again.fleets.len(), 1, "{name}");
             let weight_sum: f64 = lines.iter().map(|(_, weight)| weight).sum();
             let replicas: Vec<_> = again.fleets[0].replicas.iter().filter(ready).collect();
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn groups_beyond_a_governors_are_named_and_left() {
+fn reports_classes_beyond_the_limit_of_a_governor() {
     let text = std::fs::read_to_string(folder().join("many-groups.conf")).unwrap();
     let many: String = (1..70)
         .map(|at| {
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn a_large_configuration_is_read_and_bounds_hold() {
+fn imports_a_large_configuration() {
     let mut text = String::from("http {\n");
     for upstream in 0..500 {
         let _ = writeln!(text, "upstream u{upstream} {{");
@@ -263,9 +263,9 @@
 }
 
 proptest! {
-    /// A sample with bytes changed, cut or doubled is imported or refused with its place, and never a panic.
+    /// A sample with bytes changed, inserted or cut off is imported or rejected, and never causes a panic.
     #[test]
-    fn mutated_samples_do_no_harm(
+    fn mutated_samples_never_panic(
         sample in 0usize..20,
         mutations in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 0u8..3), 1..6),
     ) {
