--- a/crates/nginx-importer/src/difference.rs
+++ b/crates/nginx-importer/src/difference.rs
@@ -37,7 +37,8 @@
     /// The replica's or the class's name.
     pub name: String,
     /// How it changed.
-    pub what: ChangeKind,
+    #[serde(rename = "what")]
+    pub change: ChangeKind,
 }
 
 impl From<&ImportedFleet> for ComparableFleet {
@@ -80,7 +81,7 @@
     for (kind, current, new) in
         [("group", &current.classes, &new.classes), ("replica", &current.replicas, &new.replicas)]
     {
-        let mut add = |name: &String, what| all.push(Difference { kind, name: name.clone(), what });
+        let mut add = |name: &String, change| all.push(Difference { kind, name: name.clone(), change });
         current
             .keys()
             .filter(|name| !new.contains_key(*name))
--- a/crates/nginx-importer/src/difference/tests.rs
+++ b/crates/nginx-importer/src/difference/tests.rs
@@ -14,7 +14,7 @@
         classes: [("entry".into(), BTreeMap::from([("expiry", "3".to_string())]))].into(),
     };
     let differences: Vec<_> =
-        between(&current, &new).into_iter().map(|difference| (difference.name, difference.what)).collect();
+        between(&current, &new).into_iter().map(|difference| (difference.name, difference.change)).collect();
     let changed = ChangeKind::Changed("weight", "1".into(), "2".into());
     assert_eq!(
         differences,
