--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,13 +1,13 @@
-//! The host's time: the one place that reads clocks.
+//! The host's clock: the only source of time for the state machines, with conversions to and from Unix time.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use tokio::time::Instant;
 
-/// The zero of the host's time lies this long before its start, so that replicas that started earlier have a time, too.
+/// The host's time at startup. It is not zero, so that the start of a replica before the host's own can be represented.
 const TIME_BEFORE_START: Duration = Duration::from_secs(86_400);
 
-/// A monotonic clock, and the system's time at its start.
+/// A monotonic clock with the Unix time at which it was started.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -23,37 +23,37 @@
         Clock { start: Instant::now(), unix_start }
     }
 
-    /// The host's time.
+    /// The current host time.
     pub fn now(&self) -> Duration {
         TIME_BEFORE_START + self.start.elapsed()
     }
 
-    /// An instant in the host's time.
+    /// Converts an instant to host time.
     pub fn since(&self, at: Instant) -> Duration {
         TIME_BEFORE_START + at.saturating_duration_since(self.start)
     }
 
-    /// The time since the start.
+    /// The time since startup.
     pub fn up(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// Unix time in seconds as the host's time; none for what lies before its zero.
+    /// Converts Unix time in seconds to host time; `None` if that would be negative.
     pub fn at(&self, unix_time: f64) -> Option<Duration> {
         Duration::try_from_secs_f64(unix_time - self.unix_start + TIME_BEFORE_START.as_secs_f64()).ok()
     }
 
-    /// The host's time as Unix time in seconds.
+    /// Converts host time to Unix time in seconds.
     pub fn calendar(&self, at: Duration) -> f64 {
         self.unix_start + at.as_secs_f64() - TIME_BEFORE_START.as_secs_f64()
     }
 
-    /// The host's time as an instant; the start for what lies before it.
+    /// Converts host time to an instant; times before startup become the startup instant.
     pub fn instant(&self, at: Duration) -> Instant {
         self.start + at.saturating_sub(TIME_BEFORE_START)
     }
 
-    /// The incarnation of this process: its start in Unix time, in microseconds.
+    /// The epoch that identifies this run of the process: its start in Unix time, in microseconds.
     pub fn epoch(&self) -> u64 {
         (self.unix_start * 1e6) as u64
     }
--- a/crates/daemon/src/platform/config.rs
+++ b/crates/daemon/src/platform/config.rs
@@ -1,4 +1,5 @@
-//! What the platform gives a governor: four environment variables, and the configuration file that one of them names.
+//! The governor's configuration on the platform: four environment variables, and the configuration file that one of
+//! them names.
 
 #[cfg(test)]
 mod tests;
@@ -16,7 +17,7 @@
 const DISCOVERY_VARIABLE: &str = "RELAY_DISCOVERY";
 const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
 
-/// The configuration's fields, and those of its sections that are read here.
+/// Names of the fields of the configuration and of its sections.
 const DISCOVERY: &str = "discovery";
 const KNOWN_ENDPOINTS: &str = "known";
 const SETTINGS: &str = "settings";
@@ -26,24 +27,24 @@
 const MEMORY_MEGABYTES: &str = "memory_mb";
 const SOCKETS: &str = "sockets";
 
-/// A complete configuration is some hundred KB, and several times as much in memory.
+/// A complete configuration is some hundred KB, and takes several times as much memory once parsed.
 const MAX_FILE_BYTES: u64 = 2 << 20;
 const DEFAULT_MEMORY_MEGABYTES: f64 = 2048.0;
 const DEFAULT_SOCKETS: f64 = 4096.0;
-/// Limits from here on are invalid.
+/// Limits of this value or more are invalid.
 const MAX_LIMIT: f64 = 1e9;
 
 /// Why a governor can't start.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// A variable is missing.
+    /// A variable is missing or empty.
     #[error("{0} is not set")]
     Missing(&'static str),
-    /// A variable's value can't be used, or not be listened on.
-    #[error("{variable} is not an address and a port: `{value}`")]
+    /// A variable's value is not an address, or the address can't be listened on.
+    #[error("{variable} is not a usable address and port: `{value}`")]
     InvalidAddress { variable: &'static str, value: String },
     /// The configuration file can't be used.
-    #[error("the configuration {}: {error}", path.display())]
+    #[error("cannot use the configuration file {}: {error}", path.display())]
     File { path: PathBuf, error: ConfigFileError },
 }
 
@@ -52,29 +53,29 @@
 pub enum ConfigFileError {
     #[error("{0}")]
     Unreadable(#[from] std::io::Error),
-    #[error("{bytes} bytes are too many")]
+    #[error("the file is too large: {bytes} bytes")]
     TooLarge { bytes: u64 },
     #[error("{0}")]
     InvalidJson(#[from] serde_json::Error),
-    #[error("it is no object")]
+    #[error("the file is not a JSON object")]
     NotAnObject,
     #[error("`discovery` is not an address and a port: {0}")]
     InvalidDiscovery(Value),
-    #[error("`settings` is no object")]
+    #[error("`settings` is missing or not an object")]
     NoSettings,
     #[error("{0}")]
     InvalidField(#[from] FieldError),
-    /// The simulator takes an absent number for one proxy; here the governor would be ready and serve nobody.
+    /// The simulator reads a missing count as one proxy; a governor here would become ready and serve no proxy.
     #[error("`settings.extra.agents` is missing or 0: no proxy could join")]
     NoProxies,
-    /// Names that messages use are missing, empty or not unique.
-    #[error("`{0}` are none, without names, or alike in name")]
+    /// Zones or classes, which messages refer to by name, are missing, unnamed or not unique.
+    #[error("`{0}` must be a non-empty list with unique, non-empty names")]
     InvalidNames(&'static str),
     #[error("`limits.{0}` is out of range")]
     InvalidLimit(&'static str),
 }
 
-/// The environment variables, checked.
+/// The validated environment variables.
 #[derive(Debug, Clone)]
 pub struct Variables {
     pub name: String,
@@ -109,26 +110,26 @@
     value.parse().map_err(|_| ConfigError::InvalidAddress { variable: name, value })
 }
 
-/// The configuration, as far as a governor uses it.
+/// The parts of the configuration that a governor uses.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// Discovery's address, if the file states one.
+    /// Discovery's address, if the file contains one.
     pub discovery: Option<SocketAddr>,
     /// The memory limit, in bytes.
     pub memory_bytes: usize,
-    /// The limit of file descriptors.
+    /// The limit on file descriptors.
     pub sockets: usize,
-    /// The endpoint list as this governor last had it; it may be old.
+    /// The endpoint list that this governor last received; it may be outdated.
     pub known_endpoints: Value,
     pub deployment: DeploymentConfig,
 }
 
 impl Config {
-    /// Reads the file.
+    /// Reads and validates the file.
     ///
     /// # Errors
     ///
-    /// The file can't be used.
+    /// The file can't be read, or a field is missing or invalid.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         Config::read_file(path).map_err(|error| ConfigError::File { path: path.to_path_buf(), error })
     }
@@ -187,7 +188,7 @@
     }
 }
 
-/// What messages refer to must have a name, and one of its own.
+/// Checks that names that messages refer to are present, non-empty and unique.
 fn check_names(field: &'static str, names: &[String]) -> Result<(), ConfigFileError> {
     let mut unique: Vec<&String> = names.iter().collect();
     unique.sort();
--- a/crates/daemon/src/platform/config/tests.rs
+++ b/crates/daemon/src/platform/config/tests.rs
@@ -9,9 +9,9 @@
 
 #[test]
 fn names_what_is_wrong() {
-    let config = Config::from_value(complete()).expect("it is complete");
+    let config = Config::from_value(complete()).expect("the configuration is complete");
     assert_eq!((config.memory_bytes, config.sockets), (64 << 20, 256));
-    assert_eq!(config.deployment.settings.proxy_count, 20, "a count may come as 20.0");
+    assert_eq!(config.deployment.settings.proxy_count, 20, "a count may be written as 20.0");
     for (at, wrong, why) in [
         ("/discovery", json!("nowhere"), "`discovery`"),
         ("/limits/sockets", json!(-3), "`limits.sockets`"),
@@ -26,7 +26,7 @@
         ("/settings", json!(3), "`settings`"),
     ] {
         let mut broken = complete();
-        *broken.pointer_mut(at).expect("it is there") = wrong;
+        *broken.pointer_mut(at).expect("the field exists") = wrong;
         let error = Config::from_value(broken).expect_err(at).to_string();
         assert!(error.contains(why), "{at}: {error}");
     }
--- a/crates/daemon/src/platform/connection.rs
+++ b/crates/daemon/src/platform/connection.rs
@@ -1,7 +1,8 @@
-//! One connection at the governor's address: an unidentified peer, then a collector or a proxy's stream.
+//! One accepted connection. It starts as an unidentified peer and becomes a collector's or a proxy's stream.
 //!
-//! An unidentified peer has two seconds and a small buffer to identify itself. Whatever can't be read, or comes out of
-//! order, ends the connection with a `NACK`; an invalid message of an identified peer is discarded and counted.
+//! An unidentified peer has two seconds and a small buffer to identify itself. Input that can't be parsed, or a message
+//! before identification, closes the connection with a `NACK`; an invalid message from an identified peer is discarded
+//! and counted.
 
 use std::cell::{Cell, OnceCell};
 use std::io::{ErrorKind, Read};
@@ -24,48 +25,48 @@
 use super::connections::{Connections, UnidentifiedPeer};
 use super::send_queue::{SendQueue, StreamHandle};
 
-/// The platform's bound for a message.
+/// The platform's limit on the size of a message.
 pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// What a connection has to identify itself. It may be closed from 1 s on and must be by 3 s: a proxy, and this governor,
-/// may each be held off the processor for as long as lies between.
+/// How long a peer has to identify itself. The platform allows closing the connection after 1 s and requires it by 3 s;
+/// 2 s leaves a second each way for a proxy or this governor that is not scheduled.
 const IDENTIFY_TIMEOUT: Duration = Duration::from_millis(2000);
 /// A message that identifies a peer is under 200 bytes.
 const MAX_UNIDENTIFIED_BYTES: usize = 4 << 10;
 const NACK: &[u8] = b"{\"@type\":\"NACK\"}\n";
 const PONG: &[u8] = b"{\"@type\":\"PONG\"}\n";
 
-/// What connections tell the one task that owns all state.
+/// Events that connections send to the task that owns all state.
 pub enum ConnectionEvent {
-    /// A connection is a proxy's stream.
+    /// A peer identified itself as a proxy.
     ProxyConnected { connection: ConnectionId, proxy: ProxyConnection, handle: StreamHandle },
-    /// A message came on a proxy's stream.
+    /// A proxy sent a message on its stream.
     ProxyMessage { connection: ConnectionId, proxy: ProxyId, message: Message },
-    /// A collector forwarded a report, of whichever proxies.
+    /// A collector forwarded a report; it may concern any proxy.
     CollectorMessage(Message),
     /// A proxy's stream has ended.
     Ended { connection: ConnectionId, proxy: ProxyId },
 }
 
-/// Why a connection is closed. The text is what is logged, with a count.
+/// Why the governor closes a connection. The text is logged, and is the key under which closed connections are counted.
 #[derive(Debug, Clone, Error)]
 enum CloseReason {
     #[error("unidentified: evicted for others")]
     Evicted,
     #[error("unidentified: timed out")]
     IdentifyTimeout,
-    /// An unidentified peer has no earlier message that might be good.
+    /// The first message was invalid. It closes the connection, as the peer has sent no valid message before.
     #[error("unidentified: {0}")]
     InvalidIdentification(DecodeError),
-    #[error("unidentified: a message before it identified itself")]
+    #[error("unidentified: message before identification")]
     UnexpectedMessage,
-    /// The parser's reason without the place, so that those of a kind count together.
+    /// The parser's error without its line and column, so that equal errors are counted together.
     #[error("unreadable: {0}")]
     Unreadable(String),
     #[error("{0}")]
     FrameTooLong(#[from] FrameTooLongError),
     #[error("receive buffers full")]
     ReceiveBuffersFull,
-    #[error("send buffer full: answers to PING")]
+    #[error("send buffer full: PONG messages")]
     SendBufferFull,
 }
 
@@ -76,12 +77,12 @@
     Closed(#[from] CloseReason),
     #[error("ended by the peer")]
     EndedByPeer,
-    /// The kind alone, so that those of a kind count together.
+    /// Only the kind of the I/O error, so that equal errors are counted together.
     #[error("failed: {}", .0.kind())]
     Failed(#[from] std::io::Error),
 }
 
-/// Who the peer is.
+/// What the peer has identified itself as.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum PeerRole {
     Unidentified,
@@ -89,19 +90,19 @@
     Proxy(ProxyId),
 }
 
-/// What was read at once: messages, and what closes the connection after them.
+/// The result of one read: complete messages, and why the connection is to be closed after them, if it is.
 #[derive(Default)]
 struct Received {
     messages: Vec<Message>,
     close: Option<CloseReason>,
 }
 
-/// One connection, as the task that reads it has it.
+/// One connection, owned by the task that reads it.
 pub struct Connection {
     id: ConnectionId,
     role: PeerRole,
     read: OwnedReadHalf,
-    /// Until a proxy's stream has a queue.
+    /// Writes directly to the socket; `None` once a proxy's stream has a send queue.
     write: Option<OwnedWriteHalf>,
     queue: Option<SendQueue>,
     connections: Rc<Connections>,
@@ -110,7 +111,7 @@
     reader: Rc<OnceCell<AbortHandle>>,
     peer: Rc<UnidentifiedPeer>,
     frames: FrameBuffer,
-    /// The bytes in `frames`, as the connections' sum counts them.
+    /// The number of bytes in `frames` that is included in the total of all connections.
     incomplete_bytes: usize,
     accepted_at: Instant,
     received_bytes: u64,
@@ -131,7 +132,7 @@
         events: mpsc::Sender<ConnectionEvent>,
         reader: Rc<OnceCell<AbortHandle>>,
     ) -> Self {
-        // Messages are small, and each is waited for.
+        // Messages are small, and the peer waits for each of them.
         let _ = stream.set_nodelay(true);
         let (read, write) = stream.into_split();
         Connection {
@@ -152,12 +153,12 @@
         }
     }
 
-    /// The place that it takes while it is unidentified.
+    /// The entry to register while the peer is unidentified.
     pub fn unidentified_peer(&self) -> Rc<UnidentifiedPeer> {
         self.peer.clone()
     }
 
-    /// Reads until the connection ends or is to be closed.
+    /// Reads until the peer ends the connection or there is a reason to close it.
     pub async fn serve(mut self) {
         let end = self.read_until_ended().await;
         if let ConnectionEnd::Closed(reason) = &end {
@@ -190,7 +191,7 @@
             let is_unidentified = self.role == PeerRole::Unidentified;
             let expired = tokio::select! {
                 biased;
-                // First, so that bytes that came are read as those of a peer that has lost its place.
+                // Checked before the socket, so that bytes that have arrived are read as an evicted peer's last ones.
                 () = peer.evicted.notified(), if is_unidentified => Some(CloseReason::Evicted),
                 ready = self.read.readable() => match ready {
                     Ok(()) => None,
@@ -217,7 +218,8 @@
         }
     }
 
-    /// Why the connection is closed after its last bytes were read, if it was to be closed and they don't identify it.
+    /// The reason to close the connection, if it was evicted or timed out and the last bytes read did not identify the
+    /// peer.
     fn still_unidentified(
         &self,
         peer: &Rc<UnidentifiedPeer>,
@@ -227,14 +229,15 @@
         let had_begun = peer.has_begun.replace(has_begun);
         let reason = expired.filter(|_| self.role == PeerRole::Unidentified)?;
         if matches!(reason, CloseReason::Evicted) && has_begun && !had_begun {
-            // It had begun, unread: it takes a place again, and those that sent nothing go first.
+            // Its first bytes were still unread when it was evicted: registers it again, so that peers that sent
+            // nothing are evicted first.
             self.connections.add_unidentified(self.id, peer.clone());
             return None;
         }
         Some(reason)
     }
 
-    /// Reads and decodes what is there; none at the connection's end.
+    /// Reads and decodes the available bytes; `None` at the end of the connection.
     fn receive(&mut self) -> std::io::Result<Option<Received>> {
         let connections = self.connections.clone();
         let mut buffer = connections.read_buffer.borrow_mut();
@@ -242,8 +245,8 @@
         Ok(self.received(&buffer[..count]))
     }
 
-    /// As [`Connection::receive`], whether or not the runtime knows that there is something: a governor that stood still
-    /// has a timer run out before it has heard of the bytes that came meanwhile.
+    /// Like [`Connection::receive`], but reads the socket even if the runtime has not reported it as readable: after a
+    /// stall of the governor, a timer fires before the runtime has polled for bytes that arrived during the stall.
     fn receive_unnotified(&mut self) -> std::io::Result<Option<Received>> {
         let connections = self.connections.clone();
         let mut buffer = connections.read_buffer.borrow_mut();
@@ -252,7 +255,7 @@
         Ok(self.received(&buffer[..count]))
     }
 
-    /// Decodes what was read; none if that is the connection's end.
+    /// Decodes the bytes of one read; `None` if there are none, which is the end of the connection.
     fn received(&mut self, bytes: &[u8]) -> Option<Received> {
         if bytes.is_empty() {
             return None;
@@ -290,11 +293,11 @@
         received
     }
 
-    /// Counts the bytes that wait for the end of their frame. Gives why they are not waited for, if they are not.
+    /// Counts the bytes of the incomplete frame. Returns why the connection is closed instead of waiting for the rest.
     fn check_incomplete(&mut self) -> Option<CloseReason> {
         let incomplete = self.frames.incomplete();
         let incomplete_bytes = incomplete.len();
-        // All messages are objects: what begins otherwise need not be waited for.
+        // Every message is a JSON object: a frame that starts differently is rejected before it is complete.
         let first = incomplete.trim_ascii_start().first();
         let is_no_object = first.is_some_and(|first| *first != b'{');
         let is_within_limit =
@@ -335,8 +338,8 @@
                 self.emit(ConnectionEvent::ProxyMessage { connection: self.id, proxy, message }).await;
             }
             (_, PeerRole::Unidentified) => return Err(CloseReason::UnexpectedMessage),
-            // A damaged message may name what it does not mean; those before and after it count.
-            _ => self.connections.count_discard("invalid: a message of another peer's kind"),
+            // A corrupted message may carry a wrong type or proxy; the connection stays open, and other messages count.
+            _ => self.connections.count_discard("invalid: message type or proxy does not match the peer"),
         }
         Ok(())
     }
@@ -365,11 +368,11 @@
     }
 
     async fn emit(&self, event: ConnectionEvent) {
-        // Nobody receives only as the program ends.
+        // Sending fails only during shutdown, when the receiver is gone.
         let _ = self.events.send(event).await;
     }
 
-    /// Whether the bytes could be sent or queued.
+    /// Sends or queues the bytes. Returns whether that succeeded.
     fn write(&self, bytes: &[u8]) -> bool {
         match (&self.queue, &self.write) {
             (Some(queue), _) => queue.send(bytes.to_vec()).is_ok(),
--- a/crates/daemon/src/platform/connections.rs
+++ b/crates/daemon/src/platform/connections.rs
@@ -1,4 +1,5 @@
-//! What all connections share, on the one thread: limits, places of unidentified peers, collectors, counts.
+//! State shared by all connections, on a single thread: limits, unidentified peers, collectors, counts of discarded
+//! input.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,37 +17,38 @@
 
 use super::connection::{Connection, ConnectionEvent, MAX_MESSAGE_BYTES};
 
-/// Descriptors for what is not a connection at the address: standard streams, polls, signals, discovery.
+/// File descriptors reserved for anything but accepted connections: standard streams, polling, signals, discovery.
 const RESERVED_SOCKETS: usize = 24;
-/// Collectors of a zone at once: one that vanished may linger beside its successor.
+/// Collectors per zone: the connection of one that failed may remain open beside its successor's.
 const MAX_COLLECTORS: usize = 3;
 const COLLECTOR_REPLACED: &str = "collector: replaced by newer ones";
-/// The fewest and the most unidentified peers there may be at once.
+/// The range of the limit on unidentified peers.
 const MIN_UNIDENTIFIED: usize = 16;
 const MAX_UNIDENTIFIED: usize = 512;
-/// The fraction of memory that incomplete frames may take, as a divisor.
+/// Incomplete frames may take the memory limit divided by this.
 const INCOMPLETE_MEMORY_DIVISOR: usize = 8;
-/// The limit of incomplete frames before the platform's limits are known.
+/// The limit on incomplete frames until the platform's limits are known.
 const INITIAL_MAX_INCOMPLETE_BYTES: usize = 1 << 20;
 const READ_BUFFER_BYTES: usize = 16 << 10;
-/// Of an invalid message, so much is logged.
+/// How much of an invalid message is logged.
 const SAMPLE_BYTES: usize = 200;
-/// Unidentified peers that are evicted where accepting fails, most likely for want of descriptors.
+/// How many unidentified peers are evicted when accepting a connection fails, most likely for lack of descriptors.
 const EVICTED_AT_ACCEPT_ERROR: usize = 8;
-/// So many closed connections of a kind are logged one by one between two logs of counts.
+/// How many closed connections with the same reason are logged individually between two logs of counts.
 const MAX_LOGGED_CLOSINGS: u64 = 8;
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// The place that an unidentified peer takes.
+/// The registration of an unidentified peer.
 #[derive(Default)]
 pub struct UnidentifiedPeer {
-    /// Others want the place: the reader looks at its socket once more, and goes if nothing is there.
+    /// Notified when the peer is evicted: the reader checks its socket once more and closes the connection if it is
+    /// empty.
     pub evicted: Notify,
-    /// It has begun to identify itself.
+    /// Whether part of the first message has arrived.
     pub has_begun: Cell<bool>,
 }
 
-/// The platform's limits, and how many connections are expected.
+/// The platform's limits, and the numbers of proxies and zones, from which the expected connections follow.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionLimits {
     pub sockets: usize,
@@ -55,26 +57,26 @@
     pub zones: usize,
 }
 
-/// A collector's connection.
+/// A registered collector.
 struct Collector {
     connection: ConnectionId,
     reader: AbortHandle,
 }
 
-/// What all connections share.
+/// State shared by all connections.
 pub struct Connections {
     pub decoder: Decoder,
-    /// Replicas by name, as the list has them or lately had them.
+    /// The names of replicas that are in the endpoint list or were until recently.
     pub replica_names: RefCell<BTreeSet<ReplicaId>>,
-    /// Bytes are read into it, by one connection at a time.
+    /// The read buffer, used by one connection at a time.
     pub read_buffer: RefCell<Vec<u8>>,
-    /// Inputs that were discarded and connections that were closed, by reason, since the last log.
+    /// Discarded messages and closed connections since the last log of counts, by reason.
     discarded: RefCell<BTreeMap<String, u64>>,
-    /// Closed connections, by reason, since the last log.
+    /// Closed connections since the last log of counts, by reason; limits how many are logged individually.
     closings: RefCell<BTreeMap<String, u64>>,
     max_unidentified: Cell<usize>,
     max_incomplete_bytes: Cell<usize>,
-    /// Bytes that wait for the end of their frames, in all connections together.
+    /// Bytes of incomplete frames, in all connections together.
     incomplete_bytes: Cell<usize>,
     unidentified: RefCell<BTreeMap<ConnectionId, Rc<UnidentifiedPeer>>>,
     collectors: RefCell<BTreeMap<usize, Vec<Collector>>>,
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Sets how many unidentified peers and incomplete bytes there may be.
+    /// Sets the limits on unidentified peers and on bytes of incomplete frames.
     pub fn set_limits(&self, limits: ConnectionLimits) {
         let proxies = usize::try_from(limits.proxies).unwrap_or(usize::MAX);
         let expected = proxies.saturating_add(MAX_COLLECTORS * limits.zones + RESERVED_SOCKETS);
@@ -106,25 +108,25 @@
         self.max_incomplete_bytes.set(incomplete.max(2 * MAX_MESSAGE_BYTES));
     }
 
-    /// Bytes that wait for the end of their frames, in all connections together.
+    /// Bytes of incomplete frames, in all connections together.
     #[cfg(test)]
     pub fn incomplete_bytes(&self) -> usize {
         self.incomplete_bytes.get()
     }
 
-    /// A connection holds other bytes than before. Gives whether all of them together are within the limit.
+    /// Updates the total after a connection's incomplete bytes changed. Returns whether it is within the limit.
     pub fn update_incomplete_bytes(&self, before: usize, now: usize) -> bool {
         let incomplete_bytes = self.incomplete_bytes.get() - before + now;
         self.incomplete_bytes.set(incomplete_bytes);
         incomplete_bytes <= self.max_incomplete_bytes.get()
     }
 
-    /// Counts a discarded input or a closed connection.
+    /// Counts a discarded message or a closed connection.
     pub fn count_discard(&self, reason: impl Display) {
         *self.discarded.borrow_mut().entry(reason.to_string()).or_insert(0) += 1;
     }
 
-    /// Counts an invalid message, and logs the first of its kind between two logs of counts.
+    /// Counts an invalid message, and logs the first one with each reason between two logs of counts.
     pub fn count_invalid_message(&self, error: &DecodeError, frame: &[u8]) {
         let reason = format!("invalid: {error}");
         if !self.discarded.borrow().contains_key(&reason) {
@@ -134,7 +136,8 @@
         self.count_discard(reason);
     }
 
-    /// Logs a closed connection at the time, unless many of its kind were logged since the last log of counts.
+    /// Logs a closed connection, unless [`MAX_LOGGED_CLOSINGS`] with the same reason were logged since the last log of
+    /// counts.
     pub fn log_closing(&self, reason: impl Display, log: impl FnOnce(&str)) {
         let reason = reason.to_string();
         let mut closings = self.closings.borrow_mut();
@@ -145,30 +148,31 @@
         }
     }
 
-    /// What was discarded, by reason, since the last call.
+    /// Returns and resets the counts by reason.
     pub fn take_discard_counts(&self) -> BTreeMap<String, u64> {
         self.closings.borrow_mut().clear();
         std::mem::take(&mut *self.discarded.borrow_mut())
     }
 
-    /// What was discarded, by reason.
+    /// The counts by reason since the last reset.
     #[cfg(test)]
     pub fn discard_counts(&self) -> BTreeMap<String, u64> {
         self.discarded.borrow().clone()
     }
 
-    /// Gives an unidentified peer a place, at the cost of another one where there are too many.
+    /// Registers an unidentified peer, and evicts others above the limit.
     pub fn add_unidentified(&self, connection: ConnectionId, peer: Rc<UnidentifiedPeer>) {
         self.unidentified.borrow_mut().insert(connection, peer);
         self.evict_unidentified(self.max_unidentified.get());
     }
 
-    /// The peer has identified itself, or its connection has ended.
+    /// Removes a peer that has identified itself, or whose connection has ended.
     pub fn remove_unidentified(&self, connection: ConnectionId) {
         self.unidentified.borrow_mut().remove(&connection);
     }
 
-    /// Evicts peers until no more than `max` are left: first those that have sent nothing, the oldest first.
+    /// Evicts unidentified peers until at most `max` are left: those that have sent nothing first, each group oldest
+    /// first.
     fn evict_unidentified(&self, max: usize) {
         let mut unidentified = self.unidentified.borrow_mut();
         while unidentified.len() > max {
@@ -183,7 +187,7 @@
         }
     }
 
-    /// A connection is a collector's; the oldest of too many in its zone is closed.
+    /// Registers a collector; closes the oldest one in its zone if there are too many.
     pub fn add_collector(&self, zone: usize, connection: ConnectionId, reader: AbortHandle) {
         let mut collectors = self.collectors.borrow_mut();
         let zone_collectors = collectors.entry(zone).or_default();
@@ -198,7 +202,7 @@
         }
     }
 
-    /// A connection has ended.
+    /// Removes a connection that has ended.
     pub fn remove(&self, connection: ConnectionId, incomplete_bytes: usize) {
         self.remove_unidentified(connection);
         self.update_incomplete_bytes(incomplete_bytes, 0);
@@ -208,7 +212,7 @@
     }
 }
 
-/// Accepts connections for as long as it runs.
+/// Accepts connections until the task is dropped.
 pub async fn accept(
     listener: TcpListener,
     connections: Rc<Connections>,
@@ -224,7 +228,7 @@
                 let connection =
                     Connection::new(stream, id, connections.clone(), events.clone(), reader.clone());
                 let peer = connection.unidentified_peer();
-                // It does not run before this task waits.
+                // The spawned task first runs when this one yields, so both cells are set before it needs them.
                 let _ = reader.set(spawn_local(connection.serve()).abort_handle());
                 connections.add_unidentified(id, peer);
             }
@@ -232,7 +236,7 @@
                 connections.count_discard(format_args!("accept failed: {error}"));
                 let unidentified = connections.unidentified.borrow().len();
                 connections.evict_unidentified(unidentified.saturating_sub(EVICTED_AT_ACCEPT_ERROR));
-                sleep(ACCEPT_BACKOFF).await; // so that it does not spin
+                sleep(ACCEPT_BACKOFF).await; // avoids a busy loop
             }
         }
     }
--- a/crates/daemon/src/platform/send_queue.rs
+++ b/crates/daemon/src/platform/send_queue.rs
@@ -1,4 +1,4 @@
-//! The sending side of a proxy's stream: reading never waits for writing.
+//! The send queue of a proxy's stream, which keeps reading from waiting for writing.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,15 +10,15 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::Instant;
 
-/// A proxy that leaves this much unread has been gone for long: all messages of a minute are a fraction of it.
+/// A proxy with this much unsent data has stopped reading long ago: the messages of a minute are a fraction of it.
 const MAX_UNSENT_BYTES: usize = 256 << 10;
 
-/// The peer reads nothing, or the connection has ended.
+/// The peer has stopped reading, or the connection has ended.
 #[derive(Debug, Error)]
 #[error("send buffer full")]
 pub struct SendBufferFullError;
 
-/// Bytes that wait for a connection's writer.
+/// Messages queued for a connection's writer task.
 #[derive(Clone)]
 pub struct SendQueue {
     messages: mpsc::UnboundedSender<Vec<u8>>,
@@ -26,7 +26,7 @@
 }
 
 impl SendQueue {
-    /// Starts the writer of a connection. Its task ends with the last queue, or as writing fails.
+    /// Starts a connection's writer task. It ends when the last clone of the queue is dropped or a write fails.
     pub fn start(write: OwnedWriteHalf) -> (SendQueue, AbortHandle) {
         let (messages, unsent_messages) = mpsc::unbounded_channel();
         let unsent_bytes = Rc::new(Cell::new(0));
@@ -34,11 +34,11 @@
         (SendQueue { messages, unsent_bytes }, writer.abort_handle())
     }
 
-    /// Queues bytes behind those queued before.
+    /// Appends bytes to the queue.
     ///
     /// # Errors
     ///
-    /// The peer has left too much unread, or the writer has ended.
+    /// Too many bytes are unsent, or the writer task has ended.
     pub fn send(&self, bytes: Vec<u8>) -> Result<(), SendBufferFullError> {
         let unsent_bytes = self.unsent_bytes.get() + bytes.len();
         if unsent_bytes > MAX_UNSENT_BYTES {
@@ -56,13 +56,13 @@
 ) {
     while let Some(bytes) = messages.recv().await {
         if write.write_all(&bytes).await.is_err() {
-            return; // the reader notices, too
+            return; // the reader sees the error, too
         }
         unsent_bytes.set(unsent_bytes.get() - bytes.len());
     }
 }
 
-/// What the governor holds of a proxy's stream. Dropping it ends the connection.
+/// The governor's handle to a proxy's stream. Dropping it closes the connection.
 pub struct StreamHandle {
     pub(super) queue: SendQueue,
     pub(super) last_received: Rc<Cell<Instant>>,
@@ -76,7 +76,7 @@
         self.queue.send(bytes)
     }
 
-    /// When bytes last came, valid or not.
+    /// When bytes were last received, valid or not.
     pub fn last_received(&self) -> Instant {
         self.last_received.get()
     }
--- a/crates/daemon/src/platform/service.rs
+++ b/crates/daemon/src/platform/service.rs
@@ -1,4 +1,4 @@
-//! The one task that owns the state machine: takes in what comes, and carries out its actions.
+//! The task that owns the state machine: passes events to it and executes its actions.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,40 +19,40 @@
 use super::send_queue::StreamHandle;
 use crate::clock::Clock;
 
-/// Events of connections that may wait; what comes beyond it waits in its socket.
+/// Capacity of the connection event queue; beyond it, readers wait and data stays in the sockets.
 const MAX_CONNECTION_EVENTS: usize = 1024;
-/// Events of discovery that may wait.
+/// Capacity of the discovery event queue.
 const MAX_WATCH_EVENTS: usize = 4;
-/// Events taken in before decisions are pulled, so that a burst is one pull.
+/// Connection events handled before the governor advances, so that a burst is answered at once.
 const MAX_EVENTS_PER_PULL: usize = 512;
-/// A governor that is this late for its own deadline has stood still, or was kept from the processor.
+/// A governor that is this late for its own deadline was paused or not scheduled; this is logged as a stall.
 const STANDSTILL: Duration = Duration::from_millis(400);
-/// How often the state estimate and the discarded inputs are logged.
+/// How often the state estimate and the counts of discarded input are logged.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
-/// How long a watcher at discovery's former address goes on: what was written to it counts, and the new address may be
-/// silent yet.
+/// How long the watcher of discovery's former address keeps running: events written to it are still valid, and the new
+/// address may not send any yet.
 pub(super) const FORMER_WATCHER_TIME: Duration = Duration::from_millis(2500);
-/// A file that is being written is read again after this time,
+/// The delay before an invalid configuration file, which may be partly written, is read again.
 const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(300);
-/// and so often.
+/// How often an invalid configuration file is read again.
 const MAX_RELOAD_RETRIES: u32 = 40;
 
-/// A configuration that could not be used, and is to be read again.
+/// A scheduled retry after a configuration file that could not be used.
 #[derive(Debug, Clone, Copy)]
 struct ReloadRetry {
     at: Instant,
-    /// How often it is read yet again if it can't be used then.
+    /// Retries left after this one.
     retries_left: u32,
 }
 
-/// The governor, what comes to it, and what it has the host do.
+/// The governor's state machine, its event queues and the resources that its actions use.
 pub(super) struct Service {
     pub(super) clock: Clock,
     variables: Variables,
     config: Config,
     discovery: SocketAddr,
     pub(super) governor: PlatformGovernor,
-    /// The sending side of each proxy's stream.
+    /// The handle to each proxy's stream.
     pub(super) streams: BTreeMap<ConnectionId, StreamHandle>,
     pub(super) connections: Rc<Connections>,
     pub(super) connection_events: mpsc::Receiver<ConnectionEvent>,
@@ -73,7 +73,7 @@
         let loaded =
             governor.load_known_endpoints(clock.now(), &config.known_endpoints, |unix| clock.at(unix));
         if let Err(error) = loaded {
-            tracing::warn!(%error, "invalid endpoint list in the configuration");
+            tracing::warn!(%error, "ignoring the invalid endpoint list in the configuration");
         }
         governor.start_watch();
         let connections = Rc::new(Connections::new(Decoder::new(&config.deployment)));
@@ -109,7 +109,7 @@
         });
     }
 
-    /// Waits for what comes next, and takes it in.
+    /// Waits for the next events or deadline, and handles the events.
     pub(super) async fn receive(&mut self) {
         let deadline = self.next_deadline().max(Instant::now());
         tokio::select! {
@@ -126,7 +126,7 @@
         }
         let late = deadline.elapsed();
         if late >= STANDSTILL {
-            tracing::warn!(late_ms = late.as_millis() as u64, "governor stood still");
+            tracing::warn!(late_ms = late.as_millis() as u64, "governor stalled");
         }
     }
 
@@ -143,7 +143,7 @@
         let watcher = WatcherId(event.watcher);
         let known_version =
             self.governor.watch_event(clock.now(), watcher, &event.bytes, |unix| clock.at(unix));
-        // The watcher may be gone; its event counts all the same.
+        // The watcher may have ended; its event is handled anyway.
         let _ = event.known_version.send(known_version);
     }
 
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Has what has become due done, and carries out the governor's actions.
+    /// Handles expired deadlines, and executes the governor's actions.
     pub(super) fn advance(&mut self) {
         let now = Instant::now();
         if let Some(retry) = self.reload_retry.filter(|retry| now >= retry.at) {
@@ -201,7 +201,7 @@
                         tracing::info!(connection = connection.0, proxy, "proxy disconnected: {reason}");
                     });
                 }
-                // Dropping the handle ends the connection.
+                // Dropping the handle closes the connection.
                 drop(self.streams.remove(&connection));
             }
             Action::Watch { watcher, from_version } => self.start_watcher(watcher, from_version),
@@ -239,11 +239,12 @@
             discarded.insert(reason.to_string(), count);
         }
         if !discarded.is_empty() {
-            tracing::info!(?discarded, "inputs discarded");
+            tracing::info!(?discarded, "input discarded");
         }
     }
 
-    /// Reads the configuration again. An invalid one leaves the present one in force, and is read again for a while.
+    /// Reloads the configuration. If it is invalid, the current one stays in effect and the file is read again up to
+    /// [`MAX_RELOAD_RETRIES`] times.
     pub(super) fn reload_config(&mut self) {
         self.try_reload(MAX_RELOAD_RETRIES);
     }
@@ -262,10 +263,10 @@
         }
     }
 
-    /// Puts discovery's address and the limits in force; the settings stay until the next start.
+    /// Applies discovery's address and the limits; changed settings apply at the next start.
     fn apply_config(&mut self, config: Config) {
         if config.deployment != self.config.deployment {
-            tracing::warn!("settings changed, restart to apply them");
+            tracing::warn!("settings changed; restart the governor to apply them");
         }
         let deployment = self.config.deployment.clone();
         self.config = Config { deployment, ..config };
--- a/crates/daemon/src/platform/tests.rs
+++ b/crates/daemon/src/platform/tests.rs
@@ -1,6 +1,6 @@
-//! The governor in this process, over real connections, on paused time: a test decides what comes, and when.
+//! The governor service in the test process, with real connections and paused time.
 //!
-//! The governor takes nothing in unless a test has it do so ([`Harness::step`]).
+//! The governor handles events only when a test calls [`Harness::step`].
 
 use std::cell::RefCell;
 use std::io::ErrorKind;
@@ -21,12 +21,12 @@
 mod peers;
 mod silence;
 
-/// Runs a test on one thread, with time standing still.
+/// Runs a test on one thread with paused time.
 fn run_paused(test: impl AsyncFnOnce()) {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
     LocalSet::new().block_on(&runtime, async {
-        // Time that stands still would yet move on by itself while all wait; not while something blocks.
+        // The runtime advances paused time when all tasks are idle, but not while a blocking task is running.
         let (release, held) = std::sync::mpsc::channel::<()>();
         let holder = spawn_blocking(move || held.recv().is_err());
         test().await;
@@ -43,10 +43,10 @@
 
 const UP: [(&str, &str); 4] = [("r1", "up"), ("r2", "up"), ("r3", "up"), ("r4", "up")];
 
-/// A stand-in for discovery at one address: it accepts connections, and sends what a test has it send.
+/// A fake discovery agent: accepts connections and sends what a test passes to it.
 struct Agent {
     address: SocketAddr,
-    /// What was asked for, in order, and the connections on which it was asked.
+    /// The requested paths in order, each with its connection.
     requests: Rc<RefCell<Vec<(String, TcpStream)>>>,
 }
 
@@ -74,20 +74,20 @@
         self.requests.borrow().iter().filter(|(requested, _)| requested == path).count()
     }
 
-    /// Answers the newest request for this path, as a watch that stays open.
+    /// Answers the latest request for this path as a watch that stays open.
     async fn answer_watch(&self, path: &str, events: &[Value]) {
         let lines: String = events.iter().map(|event| format!("{event}\n")).collect();
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         self.write(path, &format!("{head}{:x}\r\n{lines}\r\n", lines.len())).await;
     }
 
-    /// Sends another event on the newest watch for this path.
+    /// Sends another event on the latest watch of this path.
     async fn send_event(&self, path: &str, event: &Value) {
         let line = format!("{event}\n");
         self.write(path, &format!("{:x}\r\n{line}\r\n", line.len())).await;
     }
 
-    /// Answers the newest request for a snapshot.
+    /// Answers the latest request for a snapshot.
     async fn send_snapshot(&self, list: &Value) {
         let list = list.to_string();
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
@@ -97,7 +97,7 @@
     async fn write(&self, path: &str, text: &str) {
         let mut requests = self.requests.borrow_mut();
         let (_, stream) =
-            requests.iter_mut().rfind(|(requested, _)| requested == path).expect("it was asked for");
+            requests.iter_mut().rfind(|(requested, _)| requested == path).expect("the path was requested");
         stream.try_write(text.as_bytes()).unwrap();
     }
 }
@@ -134,7 +134,7 @@
 }
 
 impl Harness {
-    /// A governor that watches `agent`, with its configuration changed by `change`.
+    /// Starts a governor that watches `agent`, with its configuration modified by `change`.
     async fn start(name: &str, agent: &Agent, change: impl FnOnce(&mut Value)) -> Harness {
         Harness::on(name, agent, change, listen("127.0.0.1:0".parse().unwrap()).unwrap())
     }
@@ -152,7 +152,7 @@
         Harness { service: Service::start(variables, config, listener), address, folder }
     }
 
-    /// Has the governor take in all that waits for it, and send what comes of it.
+    /// Lets the governor handle all queued events and execute the resulting actions.
     fn step(&mut self) {
         while let Ok(event) = self.service.watch_events.try_recv() {
             self.service.handle_watch_event(event);
@@ -163,16 +163,16 @@
         self.service.advance();
     }
 
-    /// Lets connections go on, but not the governor, until a condition holds.
+    /// Runs the connections' tasks, but not the governor, until a condition holds.
     async fn wait_without_governor(&mut self, what: &str, mut so: impl FnMut(&Service) -> bool) {
         let began = std::time::Instant::now();
         while !so(&self.service) {
-            assert!(began.elapsed() < Duration::from_secs(20), "never: {what}");
+            assert!(began.elapsed() < Duration::from_secs(20), "timed out waiting until {what}");
             yield_now().await;
         }
     }
 
-    /// Lets all go on, and a little time pass with each check, until a condition holds.
+    /// Runs everything, advancing time a little with each check, until a condition holds.
     async fn until(&mut self, what: &str, mut so: impl FnMut(&Service) -> bool) {
         let began = std::time::Instant::now();
         loop {
@@ -180,12 +180,12 @@
             if so(&self.service) {
                 return;
             }
-            assert!(began.elapsed() < Duration::from_secs(20), "never: {what}");
+            assert!(began.elapsed() < Duration::from_secs(20), "timed out waiting until {what}");
             advance(Duration::from_millis(5)).await;
         }
     }
 
-    /// Lets a time pass, and the governor take in what comes meanwhile.
+    /// Advances time by `span`, with the governor handling events meanwhile.
     async fn pass(&mut self, span: Duration) {
         let until = Instant::now() + span;
         while Instant::now() < until {
@@ -198,7 +198,7 @@
         Peer { stream: TcpStream::connect(self.address).await.unwrap(), unread: Vec::new() }
     }
 
-    /// A peer that has identified itself as this proxy, and has its table.
+    /// Connects a peer that identifies itself as this proxy, and waits for its table.
     async fn connect_proxy(&mut self, proxy: u16) -> Peer {
         let mut peer = self.connect().await;
         peer.send(&subscribe(proxy));
@@ -206,13 +206,13 @@
         peer
     }
 
-    /// Writes another configuration, and has it read.
+    /// Writes a new configuration and reloads it.
     fn reload(&mut self, config: &Value) {
         std::fs::write(self.folder.join("config.json"), config.to_string()).unwrap();
         self.service.reload_config();
     }
 
-    /// How many inputs were discarded for a reason that begins so, since this was last asked.
+    /// How many inputs were discarded since the last call, for reasons that start with `reason`.
     fn discarded(&mut self, reason: &str) -> u64 {
         let mut counts = self.service.connections.discard_counts();
         for (reason, count) in self.service.governor.take_discard_counts() {
@@ -234,7 +234,7 @@
     json!({"@type": "RATE", "node": proxy, "route": "find", "total": total, "errors": 0, "interval": 500.0})
 }
 
-/// Whoever connects to the governor's address.
+/// A client connection to the governor.
 struct Peer {
     stream: TcpStream,
     unread: Vec<u8>,
@@ -249,7 +249,7 @@
         assert_eq!(self.stream.try_write(bytes).unwrap(), bytes.len());
     }
 
-    /// What has come: complete messages, and whether the connection has ended.
+    /// Returns the complete messages received so far, and whether the connection has ended.
     fn read(&mut self) -> (Vec<Value>, bool) {
         let (mut bytes, mut ended) = ([0; 4096], false);
         loop {
@@ -270,15 +270,15 @@
         (lines.map(|line| serde_json::from_slice(line).unwrap()).collect(), ended)
     }
 
-    /// Reads until a message comes that fits.
+    /// Reads until a message arrives for which `fits` holds, and returns it.
     async fn until_message(&mut self, harness: &mut Harness, fits: impl Fn(&Value) -> bool) -> Value {
         let mut found = None;
-        let what = "the message comes";
+        let what = "the message arrives";
         harness
             .until(what, |_| {
                 let (messages, ended) = self.read();
                 found = found.take().or_else(|| messages.into_iter().find(&fits));
-                assert!(found.is_some() || !ended, "the stream stays until {what}");
+                assert!(found.is_some() || !ended, "the stream ended before {what}");
                 found.is_some()
             })
             .await;
@@ -290,7 +290,7 @@
     }
 }
 
-/// Whether a message takes a replica out of the table.
+/// Whether a message removes a replica from the table.
 fn removes(message: &Value, name: &str) -> bool {
     message["lines"].as_array().is_some_and(|lines| lines.contains(&json!([name, 0.0])))
 }
--- a/crates/daemon/src/platform/tests/peers.rs
+++ b/crates/daemon/src/platform/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Connections: a whole fleet at once, messages in pieces, two streams of one proxy.
+//! Connections: many at once, messages in fragments, two streams of one proxy.
 
 #![allow(
     clippy::unwrap_used,
@@ -10,7 +10,7 @@
 
 use super::*;
 
-/// Places for sixteen unidentified peers, the fewest there are.
+/// Limits the governor to sixteen unidentified peers, the minimum.
 fn crowded(config: &mut Value) {
     config["limits"]["sockets"] = json!(256);
 }
@@ -20,7 +20,7 @@
     run_paused(async || {
         let agent = Agent::start().await;
         let mut harness = Harness::start("stampede", &agent, crowded).await;
-        // Nothing runs between these: all have sent their first message before the first of them is accepted.
+        // Nothing else runs here: all peers have sent their first message before the first connection is accepted.
         let dial =
             |_| std::net::TcpStream::connect_timeout(&harness.address, Duration::from_secs(5)).unwrap();
         let mut peers: Vec<std::net::TcpStream> = (0..300).map(dial).collect();
@@ -28,7 +28,7 @@
             use std::io::Write;
             peer.write_all(format!("{}\n", subscribe(proxy as u16)).as_bytes()).unwrap();
         }
-        harness.until("all are served", |service| service.streams.len() == 300).await;
+        harness.until("all proxies are served", |service| service.streams.len() == 300).await;
         assert_eq!(harness.discarded("unidentified"), 0);
     });
 }
@@ -43,7 +43,7 @@
         let mut slow = harness.connect().await;
         slow.write(first.as_bytes());
         harness
-            .wait_without_governor("it is read", |service| {
+            .wait_without_governor("its bytes are read", |service| {
                 service.connections.incomplete_bytes() == first.len()
             })
             .await;
@@ -55,13 +55,13 @@
             let counts = service.connections.discard_counts();
             counts.get("unidentified: evicted for others").is_some_and(|count| *count >= 49)
         };
-        harness.until("the others are sent away", sent_away).await;
-        // One whose first bytes are there, but not yet read, is not silent either.
+        harness.until("the silent peers are evicted", sent_away).await;
+        // A peer whose first bytes have arrived but are unread does not count as silent either.
         let mut unread = std::net::TcpStream::connect(harness.address).unwrap();
         std::io::Write::write_all(&mut unread, b"{\"@type\":").unwrap();
         let more: Vec<_> = (0..64).map(|_| std::net::TcpStream::connect(harness.address).unwrap()).collect();
         harness
-            .wait_without_governor("it is read", |service| {
+            .wait_without_governor("its bytes are read", |service| {
                 service.connections.incomplete_bytes() == first.len() + 9
             })
             .await;
@@ -73,7 +73,7 @@
     });
 }
 
-/// Guards against a live proxy on a busy machine that loses its stream though nobody wants its place.
+/// Guards against closing the stream of a proxy on a busy machine although no other peer needs its slot.
 #[test]
 fn a_peer_that_identifies_itself_late_is_served() {
     run_paused(async || {
@@ -112,18 +112,26 @@
             let mut peer = harness.connect().await;
             peer.write(&message.as_bytes()[..cut]);
             harness
-                .wait_without_governor("it is read", |service| service.connections.incomplete_bytes() == cut)
+                .wait_without_governor("its bytes are read", |service| {
+                    service.connections.incomplete_bytes() == cut
+                })
                 .await;
             peer.write(&message.as_bytes()[cut..]);
-            harness.wait_without_governor("it joins", |service| service.connection_events.len() == 1).await;
+            harness
+                .wait_without_governor("the proxy connects", |service| service.connection_events.len() == 1)
+                .await;
             peer.until_message(&mut harness, |message| message["whole"] == true).await;
         }
-        // Two messages in one segment, and an end of line by itself.
+        // Two messages in one segment, the second one's newline and an empty line sent separately.
         let mut peer = harness.connect().await;
         peer.write(format!("{}\n{}", subscribe(101), rate(101, 3)).as_bytes());
-        harness.wait_without_governor("it joins", |service| service.connection_events.len() == 2).await;
+        harness
+            .wait_without_governor("the proxy connects", |service| service.connection_events.len() == 2)
+            .await;
         peer.write(b"\n");
-        harness.wait_without_governor("it reports", |service| service.connection_events.len() == 3).await;
+        harness
+            .wait_without_governor("the report arrives", |service| service.connection_events.len() == 3)
+            .await;
         peer.write(b"\n");
         peer.until_message(&mut harness, |message| message["whole"] == true).await;
         assert_eq!(harness.discarded("unreadable"), 0);
@@ -136,12 +144,12 @@
         let agent = Agent::start().await;
         let mut harness = Harness::start("older", &agent, |_| {}).await;
         let mut older = harness.connect().await;
-        // Its first message is held up while the proxy reconnects.
+        // The older stream's first message is delayed while the proxy reconnects.
         let mut newer = harness.connect_proxy(17).await;
         older.send(&subscribe(17));
         older.until_closed(&mut harness).await;
         assert_eq!(harness.discarded("stale: a proxy connected"), 1);
-        harness.until("it watches", |_| agent.request_count(&watch_from(1)) == 1).await;
+        harness.until("discovery is watched", |_| agent.request_count(&watch_from(1)) == 1).await;
         agent.answer_watch(&watch_from(1), &[event(2, false, &[("r3", "draining")])]).await;
         newer.until_message(&mut harness, |message| removes(message, "r3")).await;
     });
@@ -154,11 +162,15 @@
         let mut harness = Harness::start("replaced", &agent, |_| {}).await;
         let mut older = harness.connect_proxy(17).await;
         let mut newer = harness.connect().await;
-        // The governor takes in neither until both are there: the report comes after the newer stream's first message.
+        // The governor handles neither event until both are queued: the report after the newer stream's first message.
         newer.send(&subscribe(17));
-        harness.wait_without_governor("it joins", |service| service.connection_events.len() == 1).await;
+        harness
+            .wait_without_governor("the proxy connects", |service| service.connection_events.len() == 1)
+            .await;
         older.send(&rate(17, 40_000));
-        harness.wait_without_governor("it reports", |service| service.connection_events.len() == 2).await;
+        harness
+            .wait_without_governor("the report arrives", |service| service.connection_events.len() == 2)
+            .await;
         let offered = harness.service.governor.state_estimate().offered_per_second;
         harness.step();
         assert_eq!(harness.service.governor.state_estimate().offered_per_second, offered);
@@ -168,7 +180,7 @@
     });
 }
 
-/// What a message counts for in the channel, as the platform counts, where a message has ten lines of its own.
+/// The cost of a message in the channel, in the platform's units: ten lines per message plus its rows.
 fn channel_lines(message: &Value) -> usize {
     let rows = |field: &str| message[field].as_array().map_or(0, Vec::len);
     let marks = ["whole", "level", "ticket"].iter().filter(|field| message.get(**field).is_some()).count();
@@ -192,9 +204,11 @@
             peers[usize::from(proxy)].send(&subscribe(proxy));
         }
         harness
-            .wait_without_governor("all have joined", |service| service.connection_events.len() == 300)
+            .wait_without_governor("all proxies are connected", |service| {
+                service.connection_events.len() == 300
+            })
             .await;
-        // The channel sends as slowly as one in trouble does: a fifth of what it should.
+        // The channel is degraded: it sends at a fifth of its configured rate.
         let (mut waiting, mut served, mut began) = (0.0, 0, Instant::now());
         while served < 300 {
             harness.pass(Duration::from_millis(20)).await;
@@ -205,8 +219,8 @@
                 served += usize::from(message["whole"] == true);
                 waiting += channel_lines(&message) as f64;
             }
-            assert!(waiting <= MOST as f64, "{waiting} lines wait as {served} are served");
-            assert!(harness.service.clock.up() < Duration::from_secs(60), "{served} are served");
+            assert!(waiting <= MOST as f64, "{waiting} lines queued with {served} proxies served");
+            assert!(harness.service.clock.up() < Duration::from_secs(60), "only {served} proxies are served");
         }
     });
 }
--- a/crates/daemon/src/platform/tests/silence.rs
+++ b/crates/daemon/src/platform/tests/silence.rs
@@ -1,4 +1,4 @@
-//! Streams that fall silent.
+//! Streams of proxies that stop sending.
 
 #![allow(
     clippy::unwrap_used,
@@ -25,10 +25,10 @@
         let mut stuck = Peer { stream: socket.connect(harness.address).await.unwrap(), unread: Vec::new() };
         stuck.send(&subscribe(1));
         let (mut second, mut third) = (harness.connect_proxy(2).await, harness.connect_proxy(3).await);
-        // More than the sockets hold, and less than a party may leave unread: it reads nothing from here on.
+        // More than the socket buffers hold and less than the send queue's limit: the proxy reads nothing from here on.
         let handle = &harness.service.streams[&harness.service.governor.connection_of(1).unwrap()];
         assert!(handle.send([vec![b' '; 200 << 10], vec![b'\n']].concat()).is_ok());
-        harness.until("it watches", |_| agent.request_count(&watch_from(1)) == 1).await;
+        harness.until("discovery is watched", |_| agent.request_count(&watch_from(1)) == 1).await;
         agent.answer_watch(&watch_from(1), &[event(2, false, &[("r3", "draining")])]).await;
         for _ in 0..30 {
             assert!(harness.serves(2) && harness.serves(3));
@@ -38,6 +38,6 @@
             }
             harness.pass(Duration::from_millis(500)).await;
         }
-        assert!(!harness.serves(1), "it sent nothing for fifteen seconds");
+        assert!(!harness.serves(1), "the proxy sent nothing for fifteen seconds");
     });
 }
