--- a/crates/daemon/src/platform/config/tests.rs
+++ b/crates/daemon/src/platform/config/tests.rs
@@ -8,11 +8,11 @@
 }
 
 #[test]
-fn names_what_is_wrong() {
+fn errors_name_the_invalid_field() {
     let config = Config::from_value(complete()).expect("the configuration is complete");
     assert_eq!((config.memory_bytes, config.sockets), (64 << 20, 256));
     assert_eq!(config.deployment.settings.proxy_count, 20, "a count may be written as 20.0");
-    for (at, wrong, why) in [
+    for (at, invalid, expected) in [
         ("/discovery", json!("nowhere"), "`discovery`"),
         ("/limits/sockets", json!(-3), "`limits.sockets`"),
         ("/settings/zones", json!([]), "`settings.zones`"),
@@ -26,8 +26,8 @@
         ("/settings", json!(3), "`settings`"),
     ] {
         let mut broken = complete();
-        *broken.pointer_mut(at).expect("the field exists") = wrong;
+        *broken.pointer_mut(at).expect("the field exists") = invalid;
         let error = Config::from_value(broken).expect_err(at).to_string();
-        assert!(error.contains(why), "{at}: {error}");
+        assert!(error.contains(expected), "{at}: {error}");
     }
 }
--- a/crates/daemon/src/platform/connection.rs
+++ b/crates/daemon/src/platform/connection.rs
@@ -199,7 +199,7 @@
                 },
                 () = sleep_until(identify_by), if is_unidentified => Some(CloseReason::IdentifyTimeout),
             };
-            let read = if expired.is_some() { self.receive_unnotified() } else { self.receive() };
+            let read = if expired.is_some() { self.receive_ignoring_readiness() } else { self.receive() };
             let received = match read {
                 Ok(Some(received)) => received,
                 Ok(None) => return ConnectionEnd::EndedByPeer,
@@ -212,7 +212,7 @@
             if let Err(reason) = self.handle(received).await {
                 return reason.into();
             }
-            if let Some(reason) = self.still_unidentified(&peer, expired) {
+            if let Some(reason) = self.unidentified_close_reason(&peer, expired) {
                 return reason.into();
             }
         }
@@ -220,7 +220,7 @@
 
     /// The reason to close the connection, if it was evicted or timed out and the last bytes read did not identify the
     /// peer.
-    fn still_unidentified(
+    fn unidentified_close_reason(
         &self,
         peer: &Rc<UnidentifiedPeer>,
         expired: Option<CloseReason>,
@@ -242,21 +242,21 @@
         let connections = self.connections.clone();
         let mut buffer = connections.read_buffer.borrow_mut();
         let count = self.read.try_read(&mut buffer)?;
-        Ok(self.received(&buffer[..count]))
+        Ok(self.process_bytes(&buffer[..count]))
     }
 
     /// Like [`Connection::receive`], but reads the socket even if the runtime has not reported it as readable: after a
     /// stall of the governor, a timer fires before the runtime has polled for bytes that arrived during the stall.
-    fn receive_unnotified(&mut self) -> std::io::Result<Option<Received>> {
+    fn receive_ignoring_readiness(&mut self) -> std::io::Result<Option<Received>> {
         let connections = self.connections.clone();
         let mut buffer = connections.read_buffer.borrow_mut();
         let socket = SockRef::from(self.read.as_ref());
         let count = (&*socket).read(&mut buffer)?;
-        Ok(self.received(&buffer[..count]))
+        Ok(self.process_bytes(&buffer[..count]))
     }
 
     /// Decodes the bytes of one read; `None` if there are none, which is the end of the connection.
-    fn received(&mut self, bytes: &[u8]) -> Option<Received> {
+    fn process_bytes(&mut self, bytes: &[u8]) -> Option<Received> {
         if bytes.is_empty() {
             return None;
         }
@@ -278,7 +278,7 @@
             match connections.decoder.decode(frame, |name| replica_names.get(name).cloned()) {
                 Ok(message) => received.messages.push(message),
                 Err(DecodeError::Unreadable(reason)) => {
-                    received.close = Some(CloseReason::Unreadable(without_place(&reason)));
+                    received.close = Some(CloseReason::Unreadable(without_position(&reason)));
                 }
                 Err(error) if is_unidentified && received.messages.is_empty() => {
                     received.close = Some(CloseReason::InvalidIdentification(error));
@@ -299,11 +299,11 @@
         let incomplete_bytes = incomplete.len();
         // Every message is a JSON object: a frame that starts differently is rejected before it is complete.
         let first = incomplete.trim_ascii_start().first();
-        let is_no_object = first.is_some_and(|first| *first != b'{');
+        let is_not_object = first.is_some_and(|first| *first != b'{');
         let is_within_limit =
             self.connections.update_incomplete_bytes(self.incomplete_bytes, incomplete_bytes);
         self.incomplete_bytes = incomplete_bytes;
-        if is_no_object {
+        if is_not_object {
             return Some(CloseReason::Unreadable("not an object".into()));
         }
         if incomplete_bytes > MAX_UNIDENTIFIED_BYTES && !is_within_limit {
@@ -382,6 +382,6 @@
     }
 }
 
-fn without_place(reason: &str) -> String {
+fn without_position(reason: &str) -> String {
     reason.split(" at line ").next().unwrap_or(reason).to_string()
 }
--- a/crates/daemon/src/platform/service.rs
+++ b/crates/daemon/src/platform/service.rs
@@ -26,12 +26,12 @@
 /// Connection events handled before the governor advances, so that a burst is answered at once.
 const MAX_EVENTS_PER_PULL: usize = 512;
 /// A governor that is this late for its own deadline was paused or not scheduled; this is logged as a stall.
-const STANDSTILL: Duration = Duration::from_millis(400);
+const STALL_THRESHOLD: Duration = Duration::from_millis(400);
 /// How often the state estimate and the counts of discarded input are logged.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 /// How long the watcher of discovery's former address keeps running: events written to it are still valid, and the new
 /// address may not send any yet.
-pub(super) const FORMER_WATCHER_TIME: Duration = Duration::from_millis(2500);
+pub(super) const FORMER_WATCHER_LIFETIME: Duration = Duration::from_millis(2500);
 /// The delay before an invalid configuration file, which may be partly written, is read again.
 const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 /// How often an invalid configuration file is read again.
@@ -125,7 +125,7 @@
             () = sleep_until(deadline) => {}
         }
         let late = deadline.elapsed();
-        if late >= STANDSTILL {
+        if late >= STALL_THRESHOLD {
             tracing::warn!(late_ms = late.as_millis() as u64, "governor stalled");
         }
     }
@@ -178,7 +178,7 @@
             None => clock.now(),
         });
         while let Some(action) = self.governor.next_action() {
-            self.carry_out(action);
+            self.execute(action);
         }
         if now >= self.log_at {
             self.log_at = now + LOG_INTERVAL;
@@ -186,7 +186,7 @@
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send { connection, bytes } => {
                 if let Some(stream) = self.streams.get(&connection)
@@ -216,7 +216,7 @@
         let task = spawn_local(watch_endpoints(self.discovery.to_string(), from_version, sender));
         if let Some(former) = self.watcher.replace(task) {
             spawn_local(async move {
-                sleep(FORMER_WATCHER_TIME).await;
+                sleep(FORMER_WATCHER_LIFETIME).await;
                 former.abort();
             });
         }
--- a/crates/daemon/src/platform/tests.rs
+++ b/crates/daemon/src/platform/tests.rs
@@ -14,7 +14,7 @@
 use tokio::task::{spawn_blocking, spawn_local, yield_now};
 use tokio::time::{Instant, advance};
 
-use super::service::{FORMER_WATCHER_TIME, Service};
+use super::service::{FORMER_WATCHER_LIFETIME, Service};
 use super::*;
 
 mod discovery;
@@ -27,11 +27,11 @@
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
     LocalSet::new().block_on(&runtime, async {
         // The runtime advances paused time when all tasks are idle, but not while a blocking task is running.
-        let (release, held) = std::sync::mpsc::channel::<()>();
-        let holder = spawn_blocking(move || held.recv().is_err());
+        let (release, released) = std::sync::mpsc::channel::<()>();
+        let blocker = spawn_blocking(move || released.recv().is_err());
         test().await;
         drop(release);
-        assert!(holder.await.unwrap());
+        assert!(blocker.await.unwrap());
     });
 }
 
@@ -41,7 +41,7 @@
     json!({"index": version, "snapshot": is_snapshot, "endpoints": rows.iter().map(row).collect::<Vec<_>>()})
 }
 
-const UP: [(&str, &str); 4] = [("r1", "up"), ("r2", "up"), ("r3", "up"), ("r4", "up")];
+const ALL_UP: [(&str, &str); 4] = [("r1", "up"), ("r2", "up"), ("r3", "up"), ("r4", "up")];
 
 /// A fake discovery agent: accepts connections and sends what a test passes to it.
 struct Agent {
@@ -122,7 +122,7 @@
 
 fn config(discovery: SocketAddr) -> Value {
     json!({"discovery": discovery.to_string(), "limits": {"memory_mb": 32, "sockets": 512},
-    "known": event(1, true, &UP),
+    "known": event(1, true, &ALL_UP),
     "settings": {
         "categories": [{"name": "find", "deadline_us": 5000000, "effect": "retryable",
             "objective_us": 2000000}],
@@ -164,20 +164,20 @@
     }
 
     /// Runs the connections' tasks, but not the governor, until a condition holds.
-    async fn wait_without_governor(&mut self, what: &str, mut so: impl FnMut(&Service) -> bool) {
+    async fn wait_without_governor(&mut self, what: &str, mut condition: impl FnMut(&Service) -> bool) {
         let began = std::time::Instant::now();
-        while !so(&self.service) {
+        while !condition(&self.service) {
             assert!(began.elapsed() < Duration::from_secs(20), "timed out waiting until {what}");
             yield_now().await;
         }
     }
 
     /// Runs everything, advancing time a little with each check, until a condition holds.
-    async fn until(&mut self, what: &str, mut so: impl FnMut(&Service) -> bool) {
+    async fn wait_until(&mut self, what: &str, mut condition: impl FnMut(&Service) -> bool) {
         let began = std::time::Instant::now();
         loop {
             self.step();
-            if so(&self.service) {
+            if condition(&self.service) {
                 return;
             }
             assert!(began.elapsed() < Duration::from_secs(20), "timed out waiting until {what}");
@@ -186,7 +186,7 @@
     }
 
     /// Advances time by `span`, with the governor handling events meanwhile.
-    async fn pass(&mut self, span: Duration) {
+    async fn run_for(&mut self, span: Duration) {
         let until = Instant::now() + span;
         while Instant::now() < until {
             advance(Duration::from_millis(20)).await;
@@ -202,7 +202,7 @@
     async fn connect_proxy(&mut self, proxy: u16) -> Peer {
         let mut peer = self.connect().await;
         peer.send(&subscribe(proxy));
-        peer.until_message(self, |message| message["whole"] == true).await;
+        peer.receive_matching(self, |message| message["whole"] == true).await;
         peer
     }
 
@@ -271,11 +271,11 @@
     }
 
     /// Reads until a message arrives for which `fits` holds, and returns it.
-    async fn until_message(&mut self, harness: &mut Harness, fits: impl Fn(&Value) -> bool) -> Value {
+    async fn receive_matching(&mut self, harness: &mut Harness, fits: impl Fn(&Value) -> bool) -> Value {
         let mut found = None;
         let what = "the message arrives";
         harness
-            .until(what, |_| {
+            .wait_until(what, |_| {
                 let (messages, ended) = self.read();
                 found = found.take().or_else(|| messages.into_iter().find(&fits));
                 assert!(found.is_some() || !ended, "the stream ended before {what}");
@@ -285,8 +285,8 @@
         found.unwrap()
     }
 
-    async fn until_closed(&mut self, harness: &mut Harness) {
-        harness.until("the connection ends", |_| self.read().1).await;
+    async fn wait_until_closed(&mut self, harness: &mut Harness) {
+        harness.wait_until("the connection ends", |_| self.read().1).await;
     }
 }
 
--- a/crates/daemon/src/platform/tests/peers.rs
+++ b/crates/daemon/src/platform/tests/peers.rs
@@ -11,7 +11,7 @@
 use super::*;
 
 /// Limits the governor to sixteen unidentified peers, the minimum.
-fn crowded(config: &mut Value) {
+fn few_unidentified_slots(config: &mut Value) {
     config["limits"]["sockets"] = json!(256);
 }
 
@@ -19,7 +19,7 @@
 fn a_fleet_that_connects_at_once_is_read_before_any_peer_is_evicted() {
     run_paused(async || {
         let agent = Agent::start().await;
-        let mut harness = Harness::start("stampede", &agent, crowded).await;
+        let mut harness = Harness::start("stampede", &agent, few_unidentified_slots).await;
         // Nothing else runs here: all peers have sent their first message before the first connection is accepted.
         let dial =
             |_| std::net::TcpStream::connect_timeout(&harness.address, Duration::from_secs(5)).unwrap();
@@ -28,7 +28,7 @@
             use std::io::Write;
             peer.write_all(format!("{}\n", subscribe(proxy as u16)).as_bytes()).unwrap();
         }
-        harness.until("all proxies are served", |service| service.streams.len() == 300).await;
+        harness.wait_until("all proxies are served", |service| service.streams.len() == 300).await;
         assert_eq!(harness.discarded("unidentified"), 0);
     });
 }
@@ -37,7 +37,7 @@
 fn evicts_peers_that_sent_nothing_before_one_that_has_begun() {
     run_paused(async || {
         let agent = Agent::start().await;
-        let mut harness = Harness::start("begun", &agent, crowded).await;
+        let mut harness = Harness::start("begun", &agent, few_unidentified_slots).await;
         let message = format!("{}\n", subscribe(7));
         let (first, rest) = message.split_at(40);
         let mut slow = harness.connect().await;
@@ -51,11 +51,11 @@
         for _ in 0..64 {
             silent.push(harness.connect().await);
         }
-        let sent_away = |service: &Service| {
+        let evicted = |service: &Service| {
             let counts = service.connections.discard_counts();
             counts.get("unidentified: evicted for others").is_some_and(|count| *count >= 49)
         };
-        harness.until("the silent peers are evicted", sent_away).await;
+        harness.wait_until("the silent peers are evicted", evicted).await;
         // A peer whose first bytes have arrived but are unread does not count as silent either.
         let mut unread = std::net::TcpStream::connect(harness.address).unwrap();
         std::io::Write::write_all(&mut unread, b"{\"@type\":").unwrap();
@@ -67,7 +67,7 @@
             .await;
         std::io::Write::write_all(&mut unread, &format!("{}\n", subscribe(8)).as_bytes()[9..]).unwrap();
         slow.write(rest.as_bytes());
-        harness.until("both are served", |service| service.streams.len() == 2).await;
+        harness.wait_until("both are served", |service| service.streams.len() == 2).await;
         assert!(harness.serves(7) && harness.serves(8));
         drop(more);
     });
@@ -80,14 +80,14 @@
         let agent = Agent::start().await;
         let mut harness = Harness::start("late", &agent, |_| {}).await;
         let mut late = harness.connect().await;
-        harness.pass(Duration::from_millis(1800)).await;
+        harness.run_for(Duration::from_millis(1800)).await;
         late.send(&subscribe(5));
-        late.until_message(&mut harness, |message| message["whole"] == true).await;
+        late.receive_matching(&mut harness, |message| message["whole"] == true).await;
     });
 }
 
 #[test]
-fn silent_and_half_identified_peers_are_closed_before_the_platform_is_owed_it() {
+fn silent_and_half_identified_peers_are_closed_within_the_platforms_limits() {
     run_paused(async || {
         let agent = Agent::start().await;
         let mut harness = Harness::start("owed", &agent, |_| {}).await;
@@ -95,10 +95,10 @@
         let mut half = harness.connect().await;
         half.write(b"{\"@type\":\"SUBSCRIBE\",");
         let connected_at = Instant::now();
-        harness.until("both are closed", |_| silent.read().1 && half.read().1).await;
+        harness.wait_until("both are closed", |_| silent.read().1 && half.read().1).await;
         let open = connected_at.elapsed();
-        let (soonest, owed) = (Duration::from_secs(1), Duration::from_secs(3));
-        assert!(open >= soonest && open < owed - Duration::from_millis(500), "closed after {open:?}");
+        let (earliest, latest) = (Duration::from_secs(1), Duration::from_secs(3));
+        assert!(open >= earliest && open < latest - Duration::from_millis(500), "closed after {open:?}");
     });
 }
 
@@ -120,7 +120,7 @@
             harness
                 .wait_without_governor("the proxy connects", |service| service.connection_events.len() == 1)
                 .await;
-            peer.until_message(&mut harness, |message| message["whole"] == true).await;
+            peer.receive_matching(&mut harness, |message| message["whole"] == true).await;
         }
         // Two messages in one segment, the second one's newline and an empty line sent separately.
         let mut peer = harness.connect().await;
@@ -133,7 +133,7 @@
             .wait_without_governor("the report arrives", |service| service.connection_events.len() == 3)
             .await;
         peer.write(b"\n");
-        peer.until_message(&mut harness, |message| message["whole"] == true).await;
+        peer.receive_matching(&mut harness, |message| message["whole"] == true).await;
         assert_eq!(harness.discarded("unreadable"), 0);
     });
 }
@@ -147,11 +147,11 @@
         // The older stream's first message is delayed while the proxy reconnects.
         let mut newer = harness.connect_proxy(17).await;
         older.send(&subscribe(17));
-        older.until_closed(&mut harness).await;
+        older.wait_until_closed(&mut harness).await;
         assert_eq!(harness.discarded("stale: a proxy connected"), 1);
-        harness.until("discovery is watched", |_| agent.request_count(&watch_from(1)) == 1).await;
+        harness.wait_until("discovery is watched", |_| agent.request_count(&watch_from(1)) == 1).await;
         agent.answer_watch(&watch_from(1), &[event(2, false, &[("r3", "draining")])]).await;
-        newer.until_message(&mut harness, |message| removes(message, "r3")).await;
+        newer.receive_matching(&mut harness, |message| removes(message, "r3")).await;
     });
 }
 
@@ -175,8 +175,8 @@
         harness.step();
         assert_eq!(harness.service.governor.state_estimate().offered_per_second, offered);
         assert_eq!(harness.discarded("stale: a message"), 1);
-        older.until_closed(&mut harness).await;
-        newer.until_message(&mut harness, |message| message["whole"] == true).await;
+        older.wait_until_closed(&mut harness).await;
+        newer.receive_matching(&mut harness, |message| message["whole"] == true).await;
     });
 }
 
@@ -190,14 +190,14 @@
 
 #[test]
 fn a_storm_of_connections_stays_within_the_channel_and_all_are_served() {
-    const MOST: usize = 5000;
+    const MAX_QUEUED_LINES: usize = 5000;
     run_paused(async || {
         let agent = Agent::start().await;
-        let narrow = |config: &mut Value| {
+        let limit_channel = |config: &mut Value| {
             let extra = &mut config["settings"]["extra"];
-            (extra["channel_rate"], extra["most_waiting"]) = (json!(1000.0), json!(MOST));
+            (extra["channel_rate"], extra["most_waiting"]) = (json!(1000.0), json!(MAX_QUEUED_LINES));
         };
-        let mut harness = Harness::start("storm", &agent, narrow).await;
+        let mut harness = Harness::start("storm", &agent, limit_channel).await;
         let mut peers = Vec::new();
         for proxy in 0..300 {
             peers.push(harness.connect().await);
@@ -211,7 +211,7 @@
         // The channel is degraded: it sends at a fifth of its configured rate.
         let (mut waiting, mut served, mut began) = (0.0, 0, Instant::now());
         while served < 300 {
-            harness.pass(Duration::from_millis(20)).await;
+            harness.run_for(Duration::from_millis(20)).await;
             yield_now().await;
             waiting = f64::max(0.0, waiting - 200.0 * began.elapsed().as_secs_f64());
             began = Instant::now();
@@ -219,7 +219,10 @@
                 served += usize::from(message["whole"] == true);
                 waiting += channel_lines(&message) as f64;
             }
-            assert!(waiting <= MOST as f64, "{waiting} lines queued with {served} proxies served");
+            assert!(
+                waiting <= MAX_QUEUED_LINES as f64,
+                "{waiting} lines queued with {served} proxies served"
+            );
             assert!(harness.service.clock.up() < Duration::from_secs(60), "only {served} proxies are served");
         }
     });
--- a/crates/daemon/src/platform/tests/silence.rs
+++ b/crates/daemon/src/platform/tests/silence.rs
@@ -28,7 +28,7 @@
         // More than the socket buffers hold and less than the send queue's limit: the proxy reads nothing from here on.
         let handle = &harness.service.streams[&harness.service.governor.connection_of(1).unwrap()];
         assert!(handle.send([vec![b' '; 200 << 10], vec![b'\n']].concat()).is_ok());
-        harness.until("discovery is watched", |_| agent.request_count(&watch_from(1)) == 1).await;
+        harness.wait_until("discovery is watched", |_| agent.request_count(&watch_from(1)) == 1).await;
         agent.answer_watch(&watch_from(1), &[event(2, false, &[("r3", "draining")])]).await;
         for _ in 0..30 {
             assert!(harness.serves(2) && harness.serves(3));
@@ -36,7 +36,7 @@
                 peer.read();
                 peer.send(&rate(proxy, 1));
             }
-            harness.pass(Duration::from_millis(500)).await;
+            harness.run_for(Duration::from_millis(500)).await;
         }
         assert!(!harness.serves(1), "the proxy sent nothing for fifteen seconds");
     });
