--- a/crates/daemon/src/export.rs
+++ b/crates/daemon/src/export.rs
@@ -1,6 +1,7 @@
-//! `wrenthread export nginx`: an agent beside an nginx. It follows a governor as a proxy does, by long-poll,
-//! and puts what it is told into a file that nginx includes; it has nginx read the file, and reads nginx's
-//! access log as load reports.
+//! `wrenthread export nginx`: an agent that runs beside nginx and connects it to a governor as a proxy.
+//!
+//! The agent receives tables over long-poll, writes them to a file that nginx includes and reloads nginx. It also reads
+//! nginx's access log and sends load reports computed from it.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -24,30 +25,33 @@
 use wrenthread_nginx::write_debouncer::WriteDebouncer;
 use wrenthread_settings::{Nginx, Settings};
 
-/// How long until a governor is asked again that could not be had.
+/// The delay before joining again after a failed join or an ended session.
 const AGAIN: Duration = Duration::from_millis(500);
-/// How often the log is looked at, and how much of it is read in one go.
+/// How often the access log is checked for new lines.
 const LOOK: Duration = Duration::from_millis(100);
+/// About how much of the access log is read at once.
 const GULP: usize = 1 << 20;
 
-/// Who the nginx is among proxies, and where its governor is.
+/// The proxy that the agent joins as, and the governor that it joins.
 pub struct Place {
     pub who: ProxyIdentity,
-    /// `http://host:port` of the governor's long-poll front.
+    /// `http://host:port` of the governor's long-poll interface.
     pub at: String,
 }
 
-/// Prints a proxy's present tables, as a running governor tells them, as upstream blocks.
+/// Formats a proxy's current tables, as returned by a running governor, as upstream blocks.
 ///
-/// Errors: no such proxy; tables that can't be written as such.
+/// Errors: a table has no name, the proxy uses its default table, or the tables can't be written as upstream blocks.
 pub fn print(tables: &Value) -> Result<String> {
     let mut all = Tables::new();
     for group in tables["groups"].as_array().into_iter().flatten() {
-        let name = group["group"].as_str().context("a group without its name")?;
+        let name = group["group"].as_str().context("a group in the governor's answer has no name")?;
         let open = |line: &&Value| line["open"].as_bool() == Some(true);
         let line = |line: &Value| Some((line["address"].as_str()?.to_string(), line["weight"].as_f64()?));
         let Some(lines) = group["lines"].as_array() else {
-            bail!("the proxy stands on its own table for `{name}`: there is nothing to write");
+            bail!(
+                "the proxy uses its default table for group `{name}`: there are no upstream servers to write"
+            );
         };
         let lines = lines.iter().filter(open).filter_map(line).collect();
         all.insert(
@@ -56,23 +60,27 @@
         );
     }
     let name = tables["name"].as_str().unwrap_or_default();
-    Ok(blocks::write(&all, &format!("what `{name}` holds, at version {}", tables["sent"]))?)
+    Ok(blocks::write(&all, &format!("tables of proxy `{name}`, version {}", tables["sent"]))?)
 }
 
-/// Follows until a signal to stop. The file stays as it is then, and nginx goes on with it.
+/// Runs the agent until SIGTERM or SIGINT. The last written file remains, and nginx continues to use it.
 ///
-/// Errors: sockets, signals or the folder of the file can't be had.
+/// Errors: the include file's folder does not exist, or the runtime or signal handlers can't be set up.
 pub fn run(settings: &Settings, place: Place, once: bool) -> Result<()> {
     let folder = settings.nginx.include_file.parent().unwrap_or(Path::new("."));
     let folder = if folder.as_os_str().is_empty() { Path::new(".") } else { folder };
-    std::fs::metadata(folder).with_context(|| format!("the folder {}", folder.display()))?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().context("tokio")?;
+    std::fs::metadata(folder)
+        .with_context(|| format!("cannot access the folder {} of the include file", folder.display()))?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .context("cannot start the tokio runtime")?;
     LocalSet::new().block_on(&runtime, agent(settings, place, once))
 }
 
 struct Told {
     began: Instant,
-    /// The newest state only: those between are of no use to a file.
+    /// Version and tables; only the latest are kept, as the file needs no intermediate ones.
     tables: watch::Sender<(String, Tables)>,
 }
 
@@ -84,7 +92,7 @@
         };
         let tables: Tables = tables.iter().map(|(group, one)| (group.clone(), lines(one))).collect();
         if !tables.is_empty() {
-            tracing::debug!(mark, at = self.began.elapsed().as_secs_f64(), "told");
+            tracing::debug!(mark, at = self.began.elapsed().as_secs_f64(), "tables received");
             self.tables.send_replace((mark.to_string(), tables));
         }
     }
@@ -96,7 +104,7 @@
     let groups: Vec<String> = settings.groups.iter().map(|group| group.name.clone()).collect();
     let cache = Rc::new(RefCell::new(TableCache::new(groups, Vec::new(), None)));
     let (told, mut tables) = watch::channel((String::new(), Tables::new()));
-    // The session that reports go to, while there is one.
+    // The current session, which reports are sent to.
     let (session, sessions) = watch::channel::<Option<poll::Session>>(None);
     let place = Rc::new(place);
     {
@@ -105,15 +113,17 @@
             loop {
                 match poll::Session::join(&place.at, &place.who, &cache).await {
                     Ok(joined) => {
-                        tracing::info!(at = place.at, "the governor is followed");
+                        tracing::info!(at = place.at, "joined the governor");
                         session.send_replace(Some(joined.clone()));
                         let ended = poll::follow(&joined, &cache, &told).await;
                         session.send_replace(None);
                         if let Err(why) = ended {
-                            tracing::warn!(%why, "the session is over; nginx keeps what it has");
+                            tracing::warn!(%why, "session with the governor ended; nginx keeps its current file");
                         }
                     }
-                    Err(why) => tracing::warn!(%why, "no governor is followed; nginx keeps what it has"),
+                    Err(why) => {
+                        tracing::warn!(%why, "cannot join the governor; nginx keeps its current file")
+                    }
                 }
                 tokio::time::sleep(AGAIN).await;
             }
@@ -123,8 +133,8 @@
         tokio::task::spawn_local(read_log(log, began, cache.clone()));
         tokio::task::spawn_local(report(settings.report_interval, cache.clone(), sessions));
     }
-    let mut terminate =
-        tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()).context("signals")?;
+    let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
+        .context("cannot handle SIGTERM")?;
     let span = |seconds: f64| Duration::try_from_secs_f64(seconds).unwrap_or_default();
     let mut pacer =
         WriteDebouncer::new(span(settings.nginx.min_interval), span(settings.nginx.min_drain_interval));
@@ -157,23 +167,27 @@
         running = Some(tokio::task::spawn_local(async move {
             let done = put(&nginx, &tables, &says).await;
             match &done {
-                Ok(()) => tracing::info!(says, groups = tables.len(), "the file is written"),
-                Err(why) => tracing::error!(why = format!("{why:#}"), failures, "nginx keeps what it had"),
+                Ok(()) => tracing::info!(says, groups = tables.len(), "include file written"),
+                Err(why) => tracing::error!(
+                    why = format!("{why:#}"),
+                    failures,
+                    "cannot update the include file; nginx keeps its previous one"
+                ),
             }
             let _ = ends.send(done.is_ok()).await;
         }));
     }
-    // A reload in the midst is let come to its end: half of one would leave a file that nobody reads.
+    // Waits for a running reload: interrupting it could leave a file that nginx has not loaded.
     if let Some(running) = running.filter(|running| !running.is_finished()) {
         let _ = tokio::time::timeout(span(settings.nginx.reload_timeout), running).await;
     }
-    tracing::info!("the agent stops; nginx keeps what it has");
+    tracing::info!("agent stopping; nginx keeps its current file");
     Ok(())
 }
 
-/// Replaces the file whole, and has nginx read it. Where it does not, the file is as it was before.
+/// Replaces the include file and reloads nginx. If the reload fails, the previous file is restored.
 async fn put(nginx: &Nginx, tables: &Tables, says: &str) -> Result<()> {
-    let text = blocks::write(tables, says).context("what is told can't be written as upstream blocks")?;
+    let text = blocks::write(tables, says).context("cannot write the received tables as upstream blocks")?;
     let before = match tokio::fs::read(&nginx.include_file).await {
         Ok(before) => Some(before),
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => None,
@@ -181,13 +195,13 @@
     };
     replace(&nginx.include_file, text.as_bytes()).await?;
     let Err(why) = reload(nginx).await else { return Ok(()) };
-    // nginx may be started anew at any time, and must not find there what it would not take.
+    // nginx may be restarted at any time and would then fail on a file that it has rejected.
     match before {
         Some(before) => replace(&nginx.include_file, &before).await?,
         None => {
             tokio::fs::remove_file(&nginx.include_file)
                 .await
-                .context("the file that nginx would not take")?;
+                .context("cannot remove the include file that nginx rejected")?;
         }
     }
     Err(why)
@@ -212,16 +226,18 @@
         .output();
     let within = Duration::try_from_secs_f64(nginx.reload_timeout).unwrap_or_default();
     let ran = tokio::time::timeout(within, command).await;
-    let ran = ran.with_context(|| format!("`{program}` takes more than {} s", nginx.reload_timeout))?;
-    let ran = ran.with_context(|| format!("`{program}` can't be run"))?;
+    let ran = ran.with_context(|| {
+        format!("reload command `{program}` did not finish within {} s", nginx.reload_timeout)
+    })?;
+    let ran = ran.with_context(|| format!("cannot run the reload command `{program}`"))?;
     if !ran.status.success() {
         let said: String = String::from_utf8_lossy(&ran.stderr).chars().take(500).collect();
-        bail!("`{program}` ended with {}: {}", ran.status, said.trim());
+        bail!("reload command `{program}` failed with {}: {}", ran.status, said.trim());
     }
     Ok(())
 }
 
-/// Reads what is added to the log, from its present end on, over rotations.
+/// Follows the access log from its current end, across rotations, and counts the requests in the cache.
 async fn read_log(path: PathBuf, began: Instant, cache: Rc<RefCell<TableCache>>) {
     let mut tail = Tail::default();
     let (mut odd, mut said) = (BTreeMap::<access_log::Odd, u64>::new(), false);
@@ -239,16 +255,16 @@
                             let times = odd.entry(why).or_default();
                             *times += 1;
                             if times.is_power_of_two() {
-                                tracing::warn!(%why, times, "lines of the access log do not count");
+                                tracing::warn!(%why, times, "ignoring access log lines");
                             }
                         }
                     }
                 }
             }
-            // Said once, not at every look.
+            // Logged only once until reading succeeds again.
             Err(error) if !said => {
                 said = true;
-                tracing::warn!(%error, path = %path.display(), "the access log can't be read");
+                tracing::warn!(%error, path = %path.display(), "cannot read the access log");
             }
             Err(_) => {}
         }
@@ -256,7 +272,7 @@
     }
 }
 
-/// A flow as a report has it.
+/// Adds a logged request to the counters that reports are built from.
 fn count(cache: &mut TableCache, now: Duration, flow: &access_log::Flow) {
     let Some(group) = cache.class_index(&flow.group) else { return };
     if flow.tries.is_empty() {
@@ -264,7 +280,7 @@
     }
     for one in &flow.tries {
         let at: Arc<str> = one.address.as_str().into();
-        // A table before the present one may have told it; one that never was told is none of ours.
+        // Skips servers that have not been in any table received so far; earlier tables count, too.
         if cache.replica_at(&at).is_none() {
             continue;
         }
@@ -277,10 +293,10 @@
     }
 }
 
-/// A log that grows, and is replaced now and then.
+/// Reads new lines of a log file that is rotated from time to time.
 #[derive(Default)]
 struct Tail {
-    /// The file, which it is (device and number), and how far it is read.
+    /// The open file, its device and inode numbers, and the offset read so far.
     open: Option<(tokio::fs::File, (u64, u64), u64)>,
     lines: LogLines,
     ever: bool,
@@ -297,25 +313,25 @@
             if same && !cut {
                 return Ok(lines);
             }
-            // Another file has its name, or it was cut to nothing: what nginx still wrote into the old one
-            // until now is read, the rest is its next file's.
+            // The path refers to another file, or the file was truncated. What nginx had written to the old file
+            // has been read above; continues with the new one.
             self.lines.rotated();
             self.open = None;
         }
         let mut file = match tokio::fs::File::open(path).await {
             Ok(file) => file,
-            // Between a rotation and nginx's opening it anew there is none.
+            // After a rotation, the file does not exist until nginx reopens its log.
             Err(error) if error.kind() == std::io::ErrorKind::NotFound && self.ever => return Ok(lines),
             Err(error) => return Err(error),
         };
         let there = file.metadata().await?;
         let mut read = 0;
         if !self.ever {
-            // What was before the agent is nobody's report.
+            // Lines written before the agent started are not reported.
             read = file.seek(SeekFrom::End(0)).await?;
             if read > 0 {
                 self.lines = LogLines::from_the_midst();
-                // At the end of a line there is nothing to pass over.
+                // Starts at the last byte: if it is a newline, the next line is complete and is not skipped.
                 file.seek(SeekFrom::Start(read - 1)).await?;
                 read -= 1;
             }
@@ -327,7 +343,7 @@
     }
 }
 
-/// What was added to a file, in bounded parts.
+/// Reads the lines that were added to a file, up to about [`GULP`] bytes.
 async fn drain(
     file: &mut tokio::fs::File,
     read: &mut u64,
@@ -347,12 +363,12 @@
     }
     let long = from.take_long();
     if long > 0 {
-        tracing::warn!(long, "lines of the access log are too long and do not count");
+        tracing::warn!(long, "ignoring access log lines that are too long");
     }
     Ok(())
 }
 
-/// Reports what the log told, to whichever session there is.
+/// Sends load reports at intervals while there is a session.
 async fn report(
     every: f64,
     cache: Rc<RefCell<TableCache>>,
@@ -369,8 +385,8 @@
         number += 1;
         match session.report(number, &report).await {
             Ok(true) => {}
-            Ok(false) => tracing::debug!(number, "a report does not count"),
-            Err(why) => tracing::debug!(%why, number, "a report did not get there"),
+            Ok(false) => tracing::debug!(number, "the governor did not count a report"),
+            Err(why) => tracing::debug!(%why, number, "cannot send a report"),
         }
     }
 }
--- a/crates/daemon/src/nginx.rs
+++ b/crates/daemon/src/nginx.rs
@@ -1,5 +1,5 @@
-//! `wrenthread import nginx`: a configuration in, settings and rosters out, and what became of each
-//! directive.
+//! `wrenthread import nginx`: converts an nginx configuration to settings and rosters, and reports how each directive
+//! was handled.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -15,7 +15,7 @@
 
 use crate::{dry_run, render};
 
-/// An import: the configuration as it was read, and what it came to.
+/// An imported configuration and the result of the import.
 pub struct Import {
     whole: Configuration,
     imported: ImportResult,
@@ -24,19 +24,19 @@
 
 /// Reads and imports a configuration.
 ///
-/// Errors: it can't be read, with file, line and column; what it came to would not be taken as settings.
+/// Errors: the configuration can't be read (with file, line and column), or the generated settings are invalid.
 pub fn import(file: &Path, zones: ZoneAssignment, terms: DeploymentTerms) -> Result<Import> {
     let whole = files::read(&LocalFiles, file)?;
     let imported = fleet::import(&whole, zones);
     for (place, fleet) in imported.fleets.iter().enumerate() {
         let script = write::settings(fleet, place, &terms);
         wrenthread_settings::parse(&format!("{}/settings.star", fleet.name), &script)
-            .with_context(|| format!("what `{}` came to is not taken as settings", fleet.name))?;
+            .with_context(|| format!("the settings generated for fleet `{}` are invalid", fleet.name))?;
     }
     Ok(Import { whole, imported, terms })
 }
 
-/// Replaces a file whole.
+/// Replaces a file atomically.
 fn replace(path: &Path, text: &str) -> Result<()> {
     let new = path.with_extension("new~");
     std::fs::write(&new, text).with_context(|| new.display().to_string())?;
@@ -44,13 +44,13 @@
 }
 
 impl Import {
-    /// Directives that bear on routing and are not carried over.
+    /// The number of directives that affect routing and are not carried over.
     pub fn losses(&self) -> usize {
         self.imported.report.routing_losses()
     }
 
-    /// Writes a folder for each fleet. Settings that somebody has changed since they were imported stay, and
-    /// the new ones are put beside them.
+    /// Writes a folder for each fleet, and returns the written files. Settings that were edited after an earlier import
+    /// are kept; the new ones are then written to `settings.imported.star`.
     ///
     /// Errors: a file or folder can't be written.
     pub fn write(&self, folder: &Path) -> Result<Vec<PathBuf>> {
@@ -84,7 +84,7 @@
         })
     }
 
-    /// For people: fleets, and what is not carried over as it is, but for the proxy's own business.
+    /// A summary as text: the fleets, and the directives that affect routing and are not fully carried over.
     pub fn summary(&self) -> String {
         let ImportResult { fleets, report: account } = &self.imported;
         let rows: Vec<Vec<String>> = fleets
@@ -125,8 +125,8 @@
             .filter(|one| one.support.outcome == Outcome::Unsupported && !one.support.affects_routing)
             .count();
         text += &format!(
-            "\n{} carried over, {} with a difference, {} not: {} bear on routing, {own} are the proxy's own \
-             business\n",
+            "\ndirectives: {} carried over, {} carried over with a difference, {} not carried over ({} of these affect \
+             routing, {own} do not)\n",
             count(Outcome::Supported),
             count(Outcome::Partial),
             count(Outcome::Unsupported),
@@ -135,24 +135,24 @@
         text
     }
 
-    /// What it would change against an earlier import's folder, or the governor at an address.
+    /// The differences from the folder of an earlier import, or from the governor at an address.
     ///
-    /// Errors: neither is there, or can't be read.
+    /// Errors: the folder or the governor's recording can't be read, or no fleet was imported.
     pub fn difference(&self, against: &str) -> Result<Value> {
         let folder = Path::new(against);
         let mut all = Vec::new();
         if !folder.is_dir() {
             let recording = dry_run::recording(against)?;
             let known = running(&recording);
-            // A governor runs one of the fleets: the one with most of its groups and replicas.
+            // A governor runs a single fleet: compares the one that shares most groups and replicas with it.
             let shared = |fleet: &&ImportedFleet| {
                 let later = ComparableFleet::from(*fleet);
                 let groups = later.classes.keys().filter(|name| known.classes.contains_key(*name)).count();
                 groups + later.replicas.keys().filter(|name| known.replicas.contains_key(*name)).count()
             };
-            let fleet = self.imported.fleets.iter().max_by_key(shared).context("nothing was imported")?;
+            let fleet = self.imported.fleets.iter().max_by_key(shared).context("no fleet was imported")?;
             let mut later = ComparableFleet::from(fleet);
-            // What is listed as gone, or as a backup that is not called, a governor does not hold.
+            // A governor does not keep replicas in phase `gone` or unused backups.
             let held =
                 |figures: &BTreeMap<_, String>| figures["phase"] != "gone" && figures["backup"] != "true";
             later.replicas.retain(|id, figures| known.replicas.contains_key(id) || held(figures));
@@ -180,7 +180,7 @@
     }
 }
 
-/// What a governor that runs knows.
+/// The fleet in a running governor's recording, for comparison.
 fn running(recording: &wrenthread_core::recording::Recording) -> ComparableFleet {
     let replica = |one: &wrenthread_core::recording::RecordedReplica| {
         let zone = recording.zones.get(one.zone).cloned().unwrap_or_default();
@@ -197,7 +197,7 @@
     ComparableFleet { replicas: recording.replicas.iter().map(replica).collect(), classes: groups.collect() }
 }
 
-/// What a folder of an import says; nothing where it is not there.
+/// The fleet in the folder of an earlier import, for comparison; empty if there are no files.
 fn written(folder: &Path) -> Result<ComparableFleet> {
     let mut known = ComparableFleet::default();
     let settings = folder.join("settings.star");
@@ -230,7 +230,7 @@
         let text = std::fs::read_to_string(&roster).with_context(|| name.clone())?;
         let list: Value = serde_json::from_str(&text).with_context(|| name.clone())?;
         for one in list["replicas"].as_array().with_context(|| format!("{name} has no `replicas`"))? {
-            let id = one["id"].as_str().with_context(|| format!("{name}: a replica without its `id`"))?;
+            let id = one["id"].as_str().with_context(|| format!("{name}: a replica has no `id`"))?;
             let text = |field: &str, otherwise: &str| one[field].as_str().unwrap_or(otherwise).to_string();
             let figures = [
                 ("address", text("address", "")),
@@ -245,7 +245,7 @@
     Ok(known)
 }
 
-/// For people: what differs.
+/// Formats the differences as text.
 pub fn differences(value: &Value) -> String {
     let mut rows = Vec::new();
     for fleet in value["fleets"].as_array().into_iter().flatten() {
@@ -267,24 +267,24 @@
     }
 }
 
-/// What becomes of a kind of directive.
+/// Explains how a directive is handled, as JSON and as text.
 ///
-/// Errors: it is not known.
+/// Errors: the directive is unknown.
 pub fn explain(name: &str) -> Result<(Value, String)> {
     let Some(rule) = directive_support::explain(name) else {
-        bail!("this importer does not know `{name}`: where it stands it is not carried over");
+        bail!("unknown directive `{name}`: it would not be carried over");
     };
     let outcome = match (rule.outcome, rule.affects_routing) {
         (Outcome::Supported, _) => "carried over",
         (Outcome::Partial, _) => "carried over, with a difference",
-        (Outcome::Unsupported, true) => "not carried over, though it bears on routing",
+        (Outcome::Unsupported, true) => "not carried over, although it affects routing",
         (Outcome::Unsupported, false) => "not carried over",
     };
     let advice = if rule.advice.is_empty() { String::new() } else { format!("\nadvice: {}", rule.advice) };
     Ok((serde_json::to_value(rule)?, format!("{name}: {outcome}: {}{advice}\n", rule.reason)))
 }
 
-/// Whether anything differs.
+/// Whether there are any differences.
 pub fn any(value: &Value) -> bool {
     let fleets = value["fleets"].as_array().into_iter().flatten();
     fleets.flat_map(|fleet| fleet["differences"].as_array()).any(|all| !all.is_empty())
