--- a/crates/daemon/src/nginx.rs
+++ b/crates/daemon/src/nginx.rs
@@ -17,7 +17,7 @@
 
 /// An imported configuration and the result of the import.
 pub struct Import {
-    whole: Configuration,
+    configuration: Configuration,
     imported: ImportResult,
     terms: DeploymentTerms,
 }
@@ -26,21 +26,21 @@
 ///
 /// Errors: the configuration can't be read (with file, line and column), or the generated settings are invalid.
 pub fn import(file: &Path, zones: ZoneAssignment, terms: DeploymentTerms) -> Result<Import> {
-    let whole = files::read(&LocalFiles, file)?;
-    let imported = fleet::import(&whole, zones);
-    for (place, fleet) in imported.fleets.iter().enumerate() {
-        let script = write::settings(fleet, place, &terms);
+    let configuration = files::read(&LocalFiles, file)?;
+    let imported = fleet::import(&configuration, zones);
+    for (index, fleet) in imported.fleets.iter().enumerate() {
+        let script = write::settings(fleet, index, &terms);
         wrenthread_settings::parse(&format!("{}/settings.star", fleet.name), &script)
             .with_context(|| format!("the settings generated for fleet `{}` are invalid", fleet.name))?;
     }
-    Ok(Import { whole, imported, terms })
+    Ok(Import { configuration, imported, terms })
 }
 
 /// Replaces a file atomically.
-fn replace(path: &Path, text: &str) -> Result<()> {
-    let new = path.with_extension("new~");
-    std::fs::write(&new, text).with_context(|| new.display().to_string())?;
-    std::fs::rename(&new, path).with_context(|| path.display().to_string())
+fn replace_file(path: &Path, text: &str) -> Result<()> {
+    let temporary = path.with_extension("new~");
+    std::fs::write(&temporary, text).with_context(|| temporary.display().to_string())?;
+    std::fs::rename(&temporary, path).with_context(|| path.display().to_string())
 }
 
 impl Import {
@@ -55,45 +55,49 @@
     /// Errors: a file or folder can't be written.
     pub fn write(&self, folder: &Path) -> Result<Vec<PathBuf>> {
         let mut written = Vec::new();
-        for (place, fleet) in self.imported.fleets.iter().enumerate() {
+        for (index, fleet) in self.imported.fleets.iter().enumerate() {
             let folder = folder.join(&fleet.name);
             std::fs::create_dir_all(&folder).with_context(|| folder.display().to_string())?;
             let roster = folder.join("roster.json");
-            replace(&roster, &write::roster(fleet))?;
-            let script = write::marked(&write::settings(fleet, place, &self.terms));
+            replace_file(&roster, &write::roster(fleet))?;
+            let script = write::marked(&write::settings(fleet, index, &self.terms));
             let mut settings = folder.join("settings.star");
-            let own = std::fs::read_to_string(&settings).is_ok_and(|text| !write::untouched(&text));
-            if own {
+            let is_edited = std::fs::read_to_string(&settings).is_ok_and(|text| !write::untouched(&text));
+            if is_edited {
                 settings = folder.join("settings.imported.star");
             }
-            replace(&settings, &script)?;
+            replace_file(&settings, &script)?;
             written.extend([settings, roster]);
         }
         Ok(written)
     }
 
     pub fn report(&self) -> Value {
-        let ImportResult { fleets, report: account } = &self.imported;
-        let count = |outcome| account.outcome_counts().get(&outcome).copied().unwrap_or(0);
+        let ImportResult { fleets, report } = &self.imported;
+        let count = |outcome| report.outcome_counts().get(&outcome).copied().unwrap_or(0);
         json!({
             "fleets": fleets,
-            "directives": account.entries(&self.whole),
+            "directives": report.entries(&self.configuration),
             "carried": count(Outcome::Supported), "differs": count(Outcome::Partial),
             "left": count(Outcome::Unsupported),
-            "losses": account.routing_losses(),
+            "losses": report.routing_losses(),
         })
     }
 
     /// A summary as text: the fleets, and the directives that affect routing and are not fully carried over.
     pub fn summary(&self) -> String {
-        let ImportResult { fleets, report: account } = &self.imported;
+        let ImportResult { fleets, report } = &self.imported;
         let rows: Vec<Vec<String>> = fleets
             .iter()
             .map(|fleet| {
-                let ready = fleet.replicas.iter().filter(|one| one.phase == "ready" && !one.backup).count();
+                let ready = fleet
+                    .replicas
+                    .iter()
+                    .filter(|replica| replica.phase == "ready" && !replica.backup)
+                    .count();
                 vec![
                     fleet.name.clone(),
-                    fleet.classes.iter().map(|group| group.name.as_str()).collect::<Vec<_>>().join(" "),
+                    fleet.classes.iter().map(|class| class.name.as_str()).collect::<Vec<_>>().join(" "),
                     format!("{ready} of {}", fleet.replicas.len()),
                     fleet.zones.join(" "),
                     fleet.origin.clone(),
@@ -101,36 +105,41 @@
             })
             .collect();
         let mut text = render::columns(&["fleet", "groups", "ready", "zones", "from"], &rows);
-        let told = account.entries(&self.whole);
-        let rows: Vec<Vec<String>> = told
+        let entries = report.entries(&self.configuration);
+        let rows: Vec<Vec<String>> = entries
             .iter()
-            .filter(|one| one.support.affects_routing && one.support.outcome != Outcome::Supported)
-            .map(|one| {
-                let outcome = match one.support.outcome {
+            .filter(|entry| entry.support.affects_routing && entry.support.outcome != Outcome::Supported)
+            .map(|entry| {
+                let outcome = match entry.support.outcome {
                     Outcome::Unsupported => "NOT CARRIED OVER",
                     _ => "differs",
                 };
-                let advice = if one.support.advice.is_empty() { "" } else { "; " };
-                let why = format!("{}{advice}{}", one.support.reason, one.support.advice);
-                vec![format!("{}:{}", one.at, one.column), one.directive.clone(), outcome.to_string(), why]
+                let separator = if entry.support.advice.is_empty() { "" } else { "; " };
+                let reason = format!("{}{separator}{}", entry.support.reason, entry.support.advice);
+                vec![
+                    format!("{}:{}", entry.at, entry.column),
+                    entry.directive.clone(),
+                    outcome.to_string(),
+                    reason,
+                ]
             })
             .collect();
         if !rows.is_empty() {
             text += &format!("\n{}", render::columns(&["at", "directive", "outcome", "why"], &rows));
         }
-        let tally = account.outcome_counts();
-        let count = |outcome| tally.get(&outcome).copied().unwrap_or(0);
-        let own = told
+        let counts = report.outcome_counts();
+        let count = |outcome| counts.get(&outcome).copied().unwrap_or(0);
+        let unrelated = entries
             .iter()
-            .filter(|one| one.support.outcome == Outcome::Unsupported && !one.support.affects_routing)
+            .filter(|entry| entry.support.outcome == Outcome::Unsupported && !entry.support.affects_routing)
             .count();
         text += &format!(
             "\ndirectives: {} carried over, {} carried over with a difference, {} not carried over ({} of these affect \
-             routing, {own} do not)\n",
+             routing, {unrelated} do not)\n",
             count(Outcome::Supported),
             count(Outcome::Partial),
             count(Outcome::Unsupported),
-            account.routing_losses(),
+            report.routing_losses(),
         );
         text
     }
@@ -140,69 +149,70 @@
     /// Errors: the folder or the governor's recording can't be read, or no fleet was imported.
     pub fn difference(&self, against: &str) -> Result<Value> {
         let folder = Path::new(against);
-        let mut all = Vec::new();
+        let mut fleets = Vec::new();
         if !folder.is_dir() {
             let recording = dry_run::recording(against)?;
-            let known = running(&recording);
+            let earlier = recorded_fleet(&recording);
             // A governor runs a single fleet: compares the one that shares most groups and replicas with it.
             let shared = |fleet: &&ImportedFleet| {
                 let later = ComparableFleet::from(*fleet);
-                let groups = later.classes.keys().filter(|name| known.classes.contains_key(*name)).count();
-                groups + later.replicas.keys().filter(|name| known.replicas.contains_key(*name)).count()
+                let classes = later.classes.keys().filter(|name| earlier.classes.contains_key(*name)).count();
+                classes + later.replicas.keys().filter(|name| earlier.replicas.contains_key(*name)).count()
             };
             let fleet = self.imported.fleets.iter().max_by_key(shared).context("no fleet was imported")?;
             let mut later = ComparableFleet::from(fleet);
             // A governor does not keep replicas in phase `gone` or unused backups.
-            let held =
-                |figures: &BTreeMap<_, String>| figures["phase"] != "gone" && figures["backup"] != "true";
-            later.replicas.retain(|id, figures| known.replicas.contains_key(id) || held(figures));
-            all.push((fleet.name.clone(), difference::between(&known, &later)));
+            let is_kept = |attributes: &BTreeMap<_, String>| {
+                attributes["phase"] != "gone" && attributes["backup"] != "true"
+            };
+            later.replicas.retain(|id, attributes| earlier.replicas.contains_key(id) || is_kept(attributes));
+            fleets.push((fleet.name.clone(), difference::between(&earlier, &later)));
         } else {
             for fleet in &self.imported.fleets {
-                let known = written(&folder.join(&fleet.name))?;
-                all.push((fleet.name.clone(), difference::between(&known, &fleet.into())));
+                let earlier = imported_fleet(&folder.join(&fleet.name))?;
+                fleets.push((fleet.name.clone(), difference::between(&earlier, &fleet.into())));
             }
             for entry in std::fs::read_dir(folder).with_context(|| against.to_string())? {
                 let entry = entry.with_context(|| against.to_string())?;
                 let name = entry.file_name().to_string_lossy().into_owned();
                 let is_fleet = entry.path().join("roster.json").exists();
                 if is_fleet && self.imported.fleets.iter().all(|fleet| fleet.name != name) {
-                    all.push((
+                    fleets.push((
                         name,
-                        difference::between(&written(&entry.path())?, &ComparableFleet::default()),
+                        difference::between(&imported_fleet(&entry.path())?, &ComparableFleet::default()),
                     ));
                 }
             }
         }
         type Row = (String, Vec<difference::Difference>);
-        let row = |(fleet, all): &Row| json!({"fleet": fleet, "differences": all});
-        Ok(json!({"against": against, "fleets": all.iter().map(row).collect::<Vec<_>>()}))
+        let row = |(fleet, differences): &Row| json!({"fleet": fleet, "differences": differences});
+        Ok(json!({"against": against, "fleets": fleets.iter().map(row).collect::<Vec<_>>()}))
     }
 }
 
 /// The fleet in a running governor's recording, for comparison.
-fn running(recording: &wrenthread_core::recording::Recording) -> ComparableFleet {
-    let replica = |one: &wrenthread_core::recording::RecordedReplica| {
-        let zone = recording.zones.get(one.zone).cloned().unwrap_or_default();
-        let phase = crate::labels::replica_phase(one.phase).to_string();
-        let known = [
-            ("address", one.address.to_string()),
+fn recorded_fleet(recording: &wrenthread_core::recording::Recording) -> ComparableFleet {
+    let replica = |recorded: &wrenthread_core::recording::RecordedReplica| {
+        let zone = recording.zones.get(recorded.zone).cloned().unwrap_or_default();
+        let phase = crate::labels::replica_phase(recorded.phase).to_string();
+        let attributes = [
+            ("address", recorded.address.to_string()),
             ("zone", zone),
-            ("weight", one.weight.to_string()),
+            ("weight", recorded.weight.to_string()),
             ("phase", phase),
         ];
-        (one.id.to_string(), known.into())
+        (recorded.id.to_string(), attributes.into())
     };
-    let groups = recording.groups.iter().map(|name| (name.clone(), BTreeMap::new()));
-    ComparableFleet { replicas: recording.replicas.iter().map(replica).collect(), classes: groups.collect() }
+    let classes = recording.groups.iter().map(|name| (name.clone(), BTreeMap::new()));
+    ComparableFleet { replicas: recording.replicas.iter().map(replica).collect(), classes: classes.collect() }
 }
 
 /// The fleet in the folder of an earlier import, for comparison; empty if there are no files.
-fn written(folder: &Path) -> Result<ComparableFleet> {
-    let mut known = ComparableFleet::default();
+fn imported_fleet(folder: &Path) -> Result<ComparableFleet> {
+    let mut fleet = ComparableFleet::default();
     let settings = folder.join("settings.star");
     if settings.exists() {
-        for group in crate::run::load(&settings)?.groups {
+        for class in crate::run::load(&settings)?.groups {
             let path = |path: &PathRoute| match path {
                 PathRoute::Prefix(path) => path.clone(),
                 PathRoute::Exact(path) => format!("= {path}"),
@@ -210,18 +220,18 @@
                 PathRoute::Pattern(path) => format!("~ {path}"),
                 PathRoute::AnyCase(path) => format!("~* {path}"),
             };
-            let routes = match &group.route {
+            let routes = match &class.route {
                 Route::Prefix(prefix) => prefix.clone(),
                 Route::Header(name, value) => format!("{name}: {value}"),
                 Route::Paths(paths) => paths.iter().map(path).collect::<Vec<_>>().join(", "),
             };
-            let figures = [
-                ("effect", group.idempotency),
-                ("latency_budget", group.latency_objective.to_string()),
-                ("expiry", group.request_deadline.to_string()),
+            let attributes = [
+                ("effect", class.idempotency),
+                ("latency_budget", class.latency_objective.to_string()),
+                ("expiry", class.request_deadline.to_string()),
                 ("routes", routes),
             ];
-            known.classes.insert(group.name, figures.into());
+            fleet.classes.insert(class.name, attributes.into());
         }
     }
     let roster = folder.join("roster.json");
@@ -229,36 +239,44 @@
         let name = roster.display().to_string();
         let text = std::fs::read_to_string(&roster).with_context(|| name.clone())?;
         let list: Value = serde_json::from_str(&text).with_context(|| name.clone())?;
-        for one in list["replicas"].as_array().with_context(|| format!("{name} has no `replicas`"))? {
-            let id = one["id"].as_str().with_context(|| format!("{name}: a replica has no `id`"))?;
-            let text = |field: &str, otherwise: &str| one[field].as_str().unwrap_or(otherwise).to_string();
-            let figures = [
+        for replica in list["replicas"].as_array().with_context(|| format!("{name} has no `replicas`"))? {
+            let id = replica["id"].as_str().with_context(|| format!("{name}: a replica has no `id`"))?;
+            let text = |field: &str, default: &str| replica[field].as_str().unwrap_or(default).to_string();
+            let attributes = [
                 ("address", text("address", "")),
                 ("zone", text("zone", "")),
-                ("weight", one["weight"].as_f64().unwrap_or(1.0).to_string()),
+                ("weight", replica["weight"].as_f64().unwrap_or(1.0).to_string()),
                 ("phase", text("phase", "ready")),
-                ("backup", one["backup"].as_bool().unwrap_or(false).to_string()),
+                ("backup", replica["backup"].as_bool().unwrap_or(false).to_string()),
             ];
-            known.replicas.insert(id.to_string(), figures.into());
+            fleet.replicas.insert(id.to_string(), attributes.into());
         }
     }
-    Ok(known)
+    Ok(fleet)
 }
 
 /// Formats the differences as text.
 pub fn differences(value: &Value) -> String {
     let mut rows = Vec::new();
     for fleet in value["fleets"].as_array().into_iter().flatten() {
-        for one in fleet["differences"].as_array().into_iter().flatten() {
-            let (what, from, to) = match &one["what"]["changed"] {
+        for difference in fleet["differences"].as_array().into_iter().flatten() {
+            let (what, from, to) = match &difference["what"]["changed"] {
                 Value::Array(changed) => {
-                    let text = |at: usize| changed.get(at).and_then(Value::as_str).unwrap_or("").to_string();
+                    let text =
+                        |index: usize| changed.get(index).and_then(Value::as_str).unwrap_or("").to_string();
                     (text(0), text(1), text(2))
                 }
-                _ => (one["what"].as_str().unwrap_or("").to_string(), String::new(), String::new()),
+                _ => (difference["what"].as_str().unwrap_or("").to_string(), String::new(), String::new()),
             };
             let text = |value: &Value| value.as_str().unwrap_or("").to_string();
-            rows.push(vec![text(&fleet["fleet"]), text(&one["kind"]), text(&one["name"]), what, from, to]);
+            rows.push(vec![
+                text(&fleet["fleet"]),
+                text(&difference["kind"]),
+                text(&difference["name"]),
+                what,
+                from,
+                to,
+            ]);
         }
     }
     match rows.is_empty() {
@@ -287,5 +305,5 @@
 /// Whether there are any differences.
 pub fn any(value: &Value) -> bool {
     let fleets = value["fleets"].as_array().into_iter().flatten();
-    fleets.flat_map(|fleet| fleet["differences"].as_array()).any(|all| !all.is_empty())
+    fleets.flat_map(|fleet| fleet["differences"].as_array()).any(|differences| !differences.is_empty())
 }
