--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The real program on loopback, for tests that meet it from outside.
+//! Runs the real `wrenthread` program on loopback for tests.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::fs::File;
@@ -21,7 +21,7 @@
     pub joined_most: u32,
 }
 
-/// What a governor answers on its HTTP port.
+/// The body of the answer on the governor's HTTP port.
 fn get(port: u16, path: &str) -> Option<String> {
     let agent: ureq::Agent = ureq::Agent::config_builder().http_status_as_error(false).build().into();
     let answered = agent.get(format!("http://127.0.0.1:{port}{path}")).call();
@@ -36,9 +36,9 @@
     }
 }
 
-/// A port below those that the system gives to outgoing connections: one of these must not sit on a governor's port while
-/// the governor is down. It is this process's for as long as it runs, by a locked file: tests of other checkouts leave it
-/// alone. Each process begins to look elsewhere.
+/// Reserves a free port below the system's ephemeral range, so that no outgoing connection takes it while the governor
+/// is down. A locked file reserves it for the life of this process, also against tests of other checkouts. Each process
+/// starts searching at a different port.
 pub fn port() -> u16 {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let port = || {
@@ -48,8 +48,8 @@
     std::iter::repeat_with(port).take(1000).find(|port| reserve(*port)).expect("a free port on loopback")
 }
 
-/// Whether the port is free, and no other test's. Looking does not listen there: whoever waits for a governor at this port
-/// would take the look for it.
+/// Reserves a port if it is free and not reserved by another test. The check binds without listening: a listener would
+/// be mistaken for the governor by a client that waits for it at this port.
 fn reserve(port: u16) -> bool {
     static RESERVED: Mutex<Vec<File>> = Mutex::new(Vec::new());
     let folder = std::env::temp_dir().join("wrenthread-test-ports");
@@ -73,18 +73,18 @@
         if let Some(found) = found() {
             return found;
         }
-        assert!(began.elapsed() < Duration::from_secs(20), "never: {what}");
+        assert!(began.elapsed() < Duration::from_secs(20), "timed out waiting for: {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
 impl Governor {
-    /// A governor with four workers on its list.
+    /// Starts a governor with four replicas in its roster.
     pub async fn start(name: &str, joined_most: u32) -> Governor {
         let folder = std::env::temp_dir().join(format!("wrenthread-test-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let (grpc, http, poll) = (port(), port(), port());
-        // A program that ends at once stands in until the settings are there.
+        // A placeholder process, until the settings are written and the governor is started.
         let child = Command::new("true").spawn().unwrap();
         let mut governor = Governor { child, folder, grpc, http, poll, joined_most };
         governor.settings(16);
@@ -110,7 +110,7 @@
         std::fs::write(self.folder.join("settings.star"), script).unwrap();
     }
 
-    /// A governor whose roster is another one's table of a group.
+    /// Starts a governor whose roster is another governor's table of a group.
     pub async fn downstream(name: &str, of: &Governor) -> Governor {
         let folder = std::env::temp_dir().join(format!("wrenthread-test-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
@@ -126,7 +126,7 @@
         governor
     }
 
-    /// Starts it anew, and waits until it is ready.
+    /// Starts the governor process, and waits until it is ready.
     pub async fn spawn(&mut self) {
         let folder: &Path = &self.folder;
         let log = File::options().create(true).append(true).open(folder.join("log")).unwrap();
@@ -140,7 +140,7 @@
         let (child, http) = (&mut self.child, self.http);
         until("ready", || {
             let ended = child.try_wait().unwrap();
-            assert!(ended.is_none(), "it ended before it was ready: {ended:?}");
+            assert!(ended.is_none(), "the governor ended before it was ready: {ended:?}");
             get(http, "/readyz").filter(|text| text == "ready\n")
         })
         .await;
@@ -164,7 +164,7 @@
         get(self.http, path)
     }
 
-    /// Has an operator exclude a replica.
+    /// Excludes a replica as an operator would.
     pub fn exclude(&self, replica: &str, reason: &str) {
         let at = format!("127.0.0.1:{}", self.http);
         let mut program = Command::new(env!("CARGO_BIN_EXE_wrenthread"));
@@ -186,12 +186,12 @@
     }
 }
 
-/// The bit of a signal in the masks that the system states of a process.
+/// The bit of a signal in the masks of `/proc/PID/status`.
 fn signal_bit(signal: u32) -> u64 {
     1 << (signal - 1)
 }
 
-/// Waits until a process handles SIGHUP and SIGTERM itself.
+/// Waits until a process has installed handlers for SIGHUP and SIGTERM.
 pub fn until_signals_are_handled(child: &mut Child) {
     const SIGHUP: u32 = 1;
     const SIGTERM: u32 = 15;
@@ -203,19 +203,22 @@
         if u64::from_str_radix(caught.trim(), 16).unwrap() & wanted == wanted {
             return;
         }
-        assert!(child.try_wait().unwrap().is_none(), "it ended");
-        assert!(began.elapsed() < Duration::from_secs(10), "signals still have the system's own effect");
+        assert!(child.try_wait().unwrap().is_none(), "the process ended");
+        assert!(
+            began.elapsed() < Duration::from_secs(10),
+            "the process installed no signal handlers in time"
+        );
         std::thread::yield_now();
     }
 }
 
-/// Puts a pipe in a file's place: whoever reads the file waits for [`write_pipe`].
+/// Replaces a file with a named pipe: reading it blocks until [`write_pipe`].
 pub fn make_pipe(path: &Path) {
     let _ = std::fs::remove_file(path);
     assert!(Command::new("mkfifo").arg(path).status().unwrap().success());
 }
 
-/// Hands a text to whoever reads the pipe, once.
+/// Writes a text to the pipe, for one reader.
 pub fn write_pipe(path: &Path, text: &str) {
     std::fs::write(path, text).unwrap();
 }
--- a/crates/daemon/tests/node/discovery_agent.rs
+++ b/crates/daemon/tests/node/discovery_agent.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery's agent.
+//! A fake discovery agent.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,7 +7,7 @@
 
 use serde_json::{Value, json};
 
-/// What an agent sends, one event after the other, each with its version.
+/// The events that an agent sends, in order, each with its version.
 pub type Events = Arc<Mutex<Vec<(u64, Value)>>>;
 
 pub fn event(version: u64, is_snapshot: bool, rows: &[(&str, &str)]) -> (u64, Value) {
@@ -19,8 +19,8 @@
     (version, json!({"index": version, "snapshot": is_snapshot, "endpoints": rows}))
 }
 
-/// Answers a watch with the events after its version, in pieces of a few bytes, and any other request with the last
-/// snapshot.
+/// Answers a watch with the events after the requested version, in chunks of a few bytes, and any other request with
+/// the latest snapshot.
 pub fn serve_discovery(mut stream: TcpStream, events: &Events) -> std::io::Result<()> {
     let mut request = String::new();
     let mut reader = BufReader::new(stream.try_clone()?);
--- a/crates/daemon/tests/node/governor_process.rs
+++ b/crates/daemon/tests/node/governor_process.rs
@@ -1,4 +1,4 @@
-//! The program as a process, and peers that connect to it.
+//! Runs `wrenthread node` as a process, and provides peers that connect to it.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,16 +11,16 @@
 use super::common;
 use super::discovery_agent::{Events, event, start_discovery};
 
-/// Ports that are tried for one governor.
+/// How many ports are tried for a governor.
 const MAX_PORTS: usize = 5;
-/// How the system's error says that another process has a port.
+/// The system's error text for a port that another process listens on.
 const ADDRESS_IN_USE: &str = "Address already in use";
 
 pub struct GovernorProcess {
     pub child: Child,
     pub folder: PathBuf,
     listen: String,
-    /// What its discovery sends.
+    /// The events that its discovery agent sends.
     pub events: Events,
 }
 
@@ -65,7 +65,7 @@
         GovernorProcess::start_with(name, |_| {})
     }
 
-    /// Starts one with its configuration changed.
+    /// Starts a governor with its configuration modified by `change`.
     pub fn start_with(name: &str, change: impl FnOnce(&mut Value)) -> GovernorProcess {
         let folder =
             std::env::temp_dir().join(format!("wrenthread-platform-governor-{}-{name}", std::process::id()));
@@ -81,38 +81,41 @@
             let mut governor =
                 GovernorProcess { child, folder: folder.clone(), listen, events: events.clone() };
             let Some(ended) = governor.wait_until_listening_or_ended() else { return governor };
-            // A process that knows nothing of these tests may have taken the port meanwhile.
-            assert!(governor.log().contains(ADDRESS_IN_USE), "it ended before it listened: {ended:?}");
-            // Whose folder the next one takes over.
+            // An unrelated process may have taken the port meanwhile.
+            assert!(
+                governor.log().contains(ADDRESS_IN_USE),
+                "the governor ended before it listened: {ended:?}"
+            );
+            // The next attempt uses the same folder, so dropping this one must not remove it.
             governor.folder = PathBuf::new();
         }
-        panic!("each port was taken by another process")
+        panic!("all {MAX_PORTS} ports were taken by other processes")
     }
 
-    /// Waits until this process listens, by its own log: another process may answer at its port. Gives how it ended, if
-    /// it did.
+    /// Waits until this process has logged that it listens; connecting is no proof, as another process may answer at
+    /// its port. Returns the exit status if the process ends first.
     fn wait_until_listening_or_ended(&mut self) -> Option<ExitStatus> {
         let began = Instant::now();
         while !self.log().contains("governor listening") {
             if let Some(ended) = self.child.try_wait().unwrap() {
                 return Some(ended);
             }
-            assert!(began.elapsed() < Duration::from_secs(20), "it never listened");
+            assert!(began.elapsed() < Duration::from_secs(20), "the governor did not listen in time");
             std::thread::sleep(Duration::from_millis(20));
         }
         None
     }
 
-    /// What the process has logged since it was started last.
+    /// The log since the last start.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 
-    /// Starts again under the same name and address, with the list that it was first started with.
+    /// Starts the governor again with the same name, address and configuration, including the original endpoint list.
     pub fn restart(&mut self) {
         self.child = spawn_governor(&self.folder, &self.listen, start_discovery(self.events.clone()));
         let ended = self.wait_until_listening_or_ended();
-        assert!(ended.is_none(), "it ended before it listened: {ended:?}");
+        assert!(ended.is_none(), "the governor ended before it listened: {ended:?}");
     }
 
     pub fn connect(&self) -> Peer {
@@ -146,28 +149,28 @@
         self.reader.get_mut().write_all(bytes)
     }
 
-    /// The next message; none once the stream has ended.
+    /// The next message; `None` once the stream has ended.
     pub fn next_message(&mut self) -> Option<Value> {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
             Ok(0) => None,
             Ok(_) => Some(serde_json::from_str(&line).unwrap()),
             Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => None,
-            Err(error) => panic!("never: {error}"),
+            Err(error) => panic!("no message: {error}"),
         }
     }
 
-    /// Reads until a message comes that fits.
+    /// Reads until a message arrives for which `fits` holds, and returns it.
     pub fn wait_for(&mut self, fits: impl Fn(&Value) -> bool) -> Value {
         loop {
-            let message = self.next_message().expect("the stream stays");
+            let message = self.next_message().expect("the stream is open");
             if fits(&message) {
                 return message;
             }
         }
     }
 
-    /// Whether it is sent a `NACK`, or its connection closed, within a time.
+    /// Whether the peer receives a `NACK`, or its connection is closed, within `span`.
     pub fn is_rejected_or_closed_within(&mut self, span: Duration) -> bool {
         self.reader.get_mut().set_read_timeout(Some(span)).unwrap();
         let mut rest = [0; 256];
--- a/crates/daemon/tests/node/main.rs
+++ b/crates/daemon/tests/node/main.rs
@@ -1,4 +1,4 @@
-//! The program on the platform's protocol: a discovery agent, proxies and unidentified peers on loopback.
+//! Tests of `wrenthread node` as a process, with a discovery agent, proxies and unidentified peers on loopback.
 
 #![allow(
     clippy::unwrap_used,
@@ -39,9 +39,9 @@
     assert_eq!(
         replica_names(&whole, "back"),
         ["r1", "r2", "r3", "r4"],
-        "ejections of other governors no longer count"
+        "ejections by other governors are lifted"
     );
-    // Reports and acknowledgements, in pieces and with an invalid one among them.
+    // A report in fragments, followed by an invalid one.
     let load =
         json!({"@type": "LOAD", "locality": "a", "endpoint": "r1", "total": 9, "errors": 1, "rtt": 41.5,
         "interval": 500.0})
@@ -62,12 +62,12 @@
     proxy.send(&json!({"@type": "ACK", "node": 17, "nonce": last["ticket"], "latency": 3.5}));
     proxy.send(&json!({"@type": "PING"}));
     assert_eq!(proxy.wait_for(|message| message["@type"] == "PONG")["@type"], "PONG");
-    // A newer stream of the same proxy: the end of the older one does not disconnect it.
+    // A newer stream of the same proxy stays connected when the older one ends.
     let mut newer = governor.connect_proxy(17);
     let whole = newer.wait_for(|message| message["whole"] == true);
     assert_eq!(replica_names(&whole, "lines"), ["r1", "r3", "r4"]);
     assert!(proxy.is_rejected_or_closed_within(Duration::from_secs(5)));
-    // A drain whose event is invalid comes with the snapshot.
+    // A drain whose event is invalid is learned from the snapshot.
     let whole = event(3, true, &[("r1", "up"), ("r3", "draining"), ("r4", "up")]);
     governor.events.lock().unwrap().extend([event(3, false, &[("r3", "drained")]), whole]);
     newer.wait_for(|message| replica_names(message, "lines").contains(&"r3".into()));
@@ -103,7 +103,7 @@
     let mut endless = governor.connect();
     let began = Instant::now();
     while endless.write(&[b'{'; 512]).is_ok() {
-        assert!(began.elapsed() < Duration::from_secs(3), "it may go on for ever");
+        assert!(began.elapsed() < Duration::from_secs(3), "the governor accepts an endless first message");
         std::thread::sleep(Duration::from_millis(5));
     }
     for peer in &mut silent {
@@ -124,7 +124,7 @@
     std::thread::sleep(Duration::from_millis(200));
     proxy.send(&json!({"@type": "PING"}));
     proxy.wait_for(|message| message["@type"] == "PONG");
-    // It is read again without another signal.
+    // The governor reads the file again without another signal.
     let moved = Events::default();
     moved.lock().unwrap().push(event(2, false, &[("r4", "removed")]));
     std::fs::write(&path, config(start_discovery(moved)).to_string()).unwrap();
@@ -154,7 +154,7 @@
     }
 }
 
-/// Guards against a valid configuration that ends the governor as its first proxy joins.
+/// Guards against a valid configuration with which the governor ends when its first proxy joins.
 #[test]
 fn serves_and_drains_where_the_platform_allows_one_two_or_three_messages() {
     for messages in 1..=3 {
@@ -184,7 +184,8 @@
     for (signal, code) in [("-TERM", Some(0)), ("-KILL", None)] {
         let mut reading = governor.connect_proxy(17);
         reading.wait_for(|message| message["whole"] == true);
-        // One reads nothing, one is in the middle of its first message, one sends nothing: all are open as it stops.
+        // Connections that are open when the governor stops: a proxy that reads nothing, a peer that has sent half of
+        // its first message, and a peer that sends nothing.
         let _reads_nothing = governor.connect_proxy(3);
         let mut half = governor.connect();
         half.write(b"{\"@type\":\"SUBSCRIBE\",").unwrap();
@@ -195,7 +196,7 @@
         governor.events.lock().unwrap().push(event(9, false, &[("r2", "draining")]));
         governor.restart();
     }
-    // It starts from its old list, and learns of the drain that was meanwhile.
+    // The governor starts with its old list, and learns of the drain that happened since.
     let mut proxy = governor.connect_proxy(17);
     let message = proxy.wait_for(|message| message["whole"] == true);
     if replica_names(&message, "lines").contains(&"r2".into()) {
--- a/crates/daemon/tests/node/outages.rs
+++ b/crates/daemon/tests/node/outages.rs
@@ -1,4 +1,4 @@
-//! What is not there yet: the configuration as signals come, any list of replicas, discovery itself.
+//! Missing inputs: a configuration that is still being read when signals arrive, no endpoint list, no discovery.
 
 use std::net::TcpListener;
 use std::path::Path;
@@ -12,10 +12,10 @@
 use super::replica_names;
 
 const REPLICAS: [(&str, &str); 4] = [("r1", "up"), ("r2", "up"), ("r3", "up"), ("r4", "up")];
-/// More than a watch may be silent for: it has been given up once.
+/// Longer than a watch may be silent: the governor has given it up once by then.
 const GIVEN_UP: Duration = Duration::from_millis(3200);
 
-/// Reads until a message comes that takes a replica out of the table.
+/// Reads until a message removes a replica from the table.
 fn wait_for_removal(proxy: &mut Peer, name: &str) {
     proxy.wait_for(|message| {
         replica_names(message, "out").contains(&name.to_string())
@@ -47,7 +47,8 @@
     }
 }
 
-/// Without a list nobody can be sent a table; a complete one without replicas would take away what a proxy holds.
+/// Without an endpoint list no table can be published; an empty complete table would remove the replicas that a proxy
+/// uses.
 #[test]
 fn a_governor_without_any_list_is_ready_and_leaves_proxies_what_they_hold_until_it_has_one() {
     let refused = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
@@ -58,7 +59,7 @@
     let mut proxy = governor.connect_proxy(3);
     proxy.send(&json!({"@type": "PING"}));
     let pong = proxy.wait_for(|message| message["@type"] == "PONG" || message.get("lines").is_some());
-    assert_eq!(pong["@type"], "PONG", "the first message is no table");
+    assert_eq!(pong["@type"], "PONG", "the first message is not a table");
     let events = Events::default();
     events.lock().unwrap().push(event(2, true, &REPLICAS));
     let mut found = config(start_discovery(events));
@@ -68,7 +69,8 @@
     assert_eq!(replica_names(&first, "lines"), ["r1", "r2", "r3", "r4"], "{first}");
 }
 
-/// Serves from the list that it was started with while discovery is not to be had, and follows it as it moves.
+/// Checks that a governor serves its initial list while discovery is unavailable, and follows discovery to a new
+/// address.
 fn serves_and_moves(name: &str, unavailable: &str, outage: Duration) {
     let mut governor = GovernorProcess::start_with(name, |config| config["discovery"] = json!(unavailable));
     let mut proxy = governor.connect_proxy(3);
@@ -100,7 +102,7 @@
     serves_and_moves("silent", &silent.local_addr().unwrap().to_string(), GIVEN_UP);
 }
 
-/// A full backlog: connections to it never come up.
+/// The listener's backlog is full, so connections to it are never established.
 #[test]
 fn serves_while_connections_to_discovery_never_come_up_and_follows_it_as_it_moves() {
     let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
--- a/crates/daemon/tests/node/standstill.rs
+++ b/crates/daemon/tests/node/standstill.rs
@@ -1,4 +1,4 @@
-//! A governor that is stopped for longer than its timeouts while its peers go on.
+//! A governor process that is paused for longer than its timeouts while its peers continue.
 
 use std::time::Duration;
 
@@ -6,11 +6,11 @@
 
 use super::governor_process::{GovernorProcess, Peer};
 
-/// Longer than a peer has to identify itself. The program goes by the system's clock: no test can move that.
+/// Longer than the time a peer has to identify itself. It is real time, as the process uses the system's clock.
 const STANDSTILL: Duration = Duration::from_millis(2400);
 const PEERS: u16 = 8;
 
-/// A peer that the governor reads, and that has sent this many bytes of its first message.
+/// Connects a peer that the governor has accepted and that has sent this many bytes of its first message.
 fn begin(governor: &GovernorProcess, message: &str, sent: usize) -> Peer {
     let mut peer = governor.connect();
     peer.write(format!("{}\n{}", json!({"@type": "PING"}), &message[..sent]).as_bytes()).unwrap();
@@ -18,8 +18,8 @@
     peer
 }
 
-/// Guards against a stream that ends before its first table: the timer ran out while the governor stood still, and what
-/// had come meanwhile was not read.
+/// Guards against closing a stream before its first table: after the pause the identification timer has expired, and
+/// bytes that arrived during the pause must be read before it is checked.
 #[test]
 fn what_came_while_the_governor_stood_still_counts_before_a_timeout() {
     let governor = GovernorProcess::start("standstill");
--- a/crates/daemon/tests/soak/check.rs
+++ b/crates/daemon/tests/soak/check.rs
@@ -1,5 +1,5 @@
-//! Judges a log by the platform's rules. It knows what went over the sockets, signals, exit codes and logs; nothing of a
-//! governor's memory.
+//! Checks an event log against the platform's rules. It uses only what is visible from outside a governor: messages,
+//! signals, exit codes and logs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,16 +14,16 @@
 use super::table::ProxyTable;
 
 const READY_WITHIN: Duration = Duration::from_secs(10);
-/// No time limit of the rules begins sooner after a governor first answered.
+/// Time limits start this long after a governor first answered, at the earliest.
 const RULES_BEGIN_AFTER: Duration = Duration::from_secs(1);
-/// A drain, and a first table, with the slack of a busy machine.
+/// Time limits for a drain and for a first table, with an allowance for a busy machine.
 const DRAIN_WITHIN: Duration = Duration::from_millis(2500);
 const TABLE_WITHIN: Duration = Duration::from_millis(3000);
-/// A paused governor has this much more, to catch up.
+/// Additional time for a governor to catch up after a pause.
 const CATCH_UP: Duration = Duration::from_millis(500);
-/// A connection ends within this time of its governor.
+/// A connection ends within this time after its governor does.
 const END_WITHIN: Duration = Duration::from_millis(500);
-/// Up to so many replicas are in every table; of more, tables hold a part.
+/// Up to this many replicas, every table contains all of them; with more, tables contain a subset.
 const DEFAULT_TABLE_SIZE: usize = 8;
 
 #[derive(Default)]
@@ -48,7 +48,7 @@
     until: Duration,
 }
 
-/// Replays a log, and collects what is wrong with it.
+/// Replays an event log and collects violations of the rules.
 struct Checker {
     pauses: Vec<Pause>,
     governors: BTreeMap<GovernorIndex, GovernorState>,
@@ -56,12 +56,12 @@
     tables: BTreeMap<u16, ProxyTable>,
     default_table: Vec<String>,
     statuses: BTreeMap<String, ReplicaStatus>,
-    /// When replicas were listed first.
+    /// When each replica was first listed.
     listed_at: BTreeMap<String, Duration>,
     faults: BTreeSet<String>,
 }
 
-/// What is wrong with what happened; nothing if all rules were kept.
+/// The violations of the rules in a scenario's outcome; empty if there are none.
 pub fn check(outcome: &Outcome) -> Vec<String> {
     let mut checker = Checker {
         pauses: pauses(&outcome.entries),
@@ -78,7 +78,7 @@
         checker.take(entry);
     }
     if let Some(panic) = outcome.governor_logs.lines().find(|line| line.contains("panicked")) {
-        checker.faults.insert(format!("a panic: {panic}"));
+        checker.faults.insert(format!("a governor panicked: {panic}"));
     }
     checker.faults.into_iter().collect()
 }
@@ -101,7 +101,7 @@
 }
 
 impl Checker {
-    /// The time between, less what a governor was paused for.
+    /// The time between two points, without the governor's pauses.
     fn active(&self, governor: GovernorIndex, from: Duration, until: Duration) -> Duration {
         let overlap = |pause: &Pause| pause.until.min(until).saturating_sub(pause.from.max(from));
         let pauses = self.pauses.iter().filter(|pause| pause.governor == governor);
@@ -126,7 +126,7 @@
             Event::Exited { governor, code } => self.exited(at, *governor, *code),
             Event::PeakMemory { governor, bytes } => {
                 if *bytes > MEMORY_MEGABYTES << 20 {
-                    self.fault(format!("governor {governor} had {bytes} bytes of memory"));
+                    self.fault(format!("governor {governor} used {bytes} bytes of memory"));
                 }
             }
             Event::Changed { replica, status } => {
@@ -160,7 +160,7 @@
             Event::Ended { stream, end } => self.ended(at, *stream, *end),
             Event::Crowd { governor, outcome } => {
                 if *outcome == PeerOutcome::LeftOpen {
-                    self.fault(format!("governor {governor} left a peer of a crowd without an end"));
+                    self.fault(format!("governor {governor} left a peer of a crowd open"));
                 }
             }
         }
@@ -180,9 +180,9 @@
         let had = |wanted: Signal| signals.iter().any(|(_, signal)| *signal == wanted);
         let fault = match (had(Signal::Terminate), had(Signal::Kill), code) {
             (true, false, Some(0)) | (false, true, None) => return,
-            (true, true, _) => "did not end within the time between SIGTERM and SIGKILL".to_string(),
-            (false, false, code) => format!("ended without being asked to, with {code:?}"),
-            (.., code) => format!("ended with {code:?}, of {signals:?}"),
+            (true, true, _) => "did not exit between SIGTERM and SIGKILL".to_string(),
+            (false, false, code) => format!("exited without a signal, with code {code:?}"),
+            (.., code) => format!("exited with code {code:?} after signals {signals:?}"),
         };
         self.fault(format!("{at:?}: governor {governor} {fault}"));
     }
@@ -207,17 +207,17 @@
         for name in removed {
             let is_up = self.statuses.get(&name) == Some(&ReplicaStatus::Up);
             let is_ejected = self.tables[&proxy].ejected.contains(&name);
-            // A complete table may be of a list that a restarted governor had before the replica was added.
+            // A restarted governor's complete table may be based on a list from before the replica was added.
             let is_change = message["whole"] != true;
             if is_up && (is_ejected || (are_all_in_tables && is_change)) {
                 self.fault(format!(
-                    "{at:?}: {name} is up, and was taken from proxy {proxy} on stream {number}"
+                    "{at:?}: {name} is up but was removed from the table of proxy {proxy} on stream {number}"
                 ));
             }
         }
     }
 
-    /// A complete table holds all replicas that are up and were listed when its governor's own list was made.
+    /// Checks that a complete table contains all replicas that are up and were in the governor's initial list.
     fn check_complete_table(&mut self, at: Duration, number: StreamNumber) {
         let stream = &self.streams[&number];
         let (proxy, governor) = (stream.proxy, stream.governor);
@@ -236,7 +236,7 @@
             .collect();
         for name in missing {
             self.fault(format!(
-                "{at:?}: {name} is up, and not in the first table of proxy {proxy} on stream {number}"
+                "{at:?}: {name} is up but not in the first table of proxy {proxy} on stream {number}"
             ));
         }
     }
@@ -249,7 +249,7 @@
         let state = self.governors.entry(stream.governor).or_default();
         let is_stop = |signal: &Signal| matches!(signal, Signal::Terminate | Signal::Kill);
         let was_stopped = state.signals.iter().any(|(_, signal)| is_stop(signal));
-        // Its governor has ended and was started again since.
+        // The governor was restarted after the stream connected.
         let is_of_former = stream.connected_at < state.started_at;
         let is_before_start = state.ready_at.is_none_or(|ready| stream.connected_at < ready);
         if !was_stopped && !is_of_former && !is_before_start {
@@ -258,7 +258,7 @@
         }
     }
 
-    /// What is due by now, on the streams that are open.
+    /// Checks the time limits of all open streams.
     fn check_limits(&mut self, now: Duration) {
         let mut faults = Vec::new();
         for (number, stream) in &self.streams {
@@ -278,11 +278,11 @@
             let proxy = stream.proxy;
             if joined_for > TABLE_WITHIN {
                 if !stream.holds_default_table && !stream.has_complete_table {
-                    faults.push(format!("proxy {proxy} got no first table on stream {number}"));
+                    faults.push(format!("proxy {proxy} received no first table on stream {number}"));
                 }
                 let is_up = |name: &&String| self.statuses.get(*name) == Some(&ReplicaStatus::Up);
                 if !table.usable().iter().any(is_up) {
-                    faults.push(format!("proxy {proxy} had no replica on stream {number}"));
+                    faults.push(format!("proxy {proxy} has no usable replica on stream {number}"));
                 }
             }
             for (replica, (status, since)) in &state.told {
@@ -290,7 +290,7 @@
                 if *status != ReplicaStatus::Up && due_for > DRAIN_WITHIN && table.usable().contains(replica)
                 {
                     faults.push(format!(
-                        "{replica} is {status:?}, and still in use by proxy {proxy} on stream {number}"
+                        "{replica} is {status:?} but still in use by proxy {proxy} on stream {number}"
                     ));
                 }
             }
--- a/crates/daemon/tests/soak/discovery.rs
+++ b/crates/daemon/tests/soak/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery, and an agent of it for each governor, which may fall silent, be late or move.
+//! A fake discovery service with an agent for each governor; an agent may stop writing, be delayed or be replaced.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,14 +10,14 @@
 
 use super::event_log::{Event, EventLog, GovernorIndex, ReplicaStatus};
 
-/// How often an agent looks for changes to write.
+/// How often an agent checks for changes to write.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// An empty line comes as long as nothing changes.
+/// How often an agent writes an empty line while nothing changes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// How long an agent that was moved from keeps its watches.
+/// How long an agent keeps its watches open after it was replaced.
 const FORMER_AGENT_TIME: Duration = Duration::from_millis(1500);
 
-/// A change of the list.
+/// A change of a replica's status.
 #[derive(Debug, Clone)]
 struct Change {
     version: u64,
@@ -26,7 +26,7 @@
     made_at: Instant,
 }
 
-/// The true list, shared by all agents.
+/// The endpoint list, shared by all agents.
 #[derive(Clone)]
 pub struct Discovery {
     changes: Arc<Mutex<Vec<Change>>>,
@@ -55,7 +55,7 @@
         changes.push(Change { version, replica: replica.into(), status, made_at: Instant::now() });
     }
 
-    /// The replicas that are listed, with their newest status.
+    /// The listed replicas with their current status.
     pub fn listed(&self) -> Vec<(String, ReplicaStatus)> {
         self.listed_before(Duration::ZERO).1
     }
@@ -65,7 +65,7 @@
         listed.filter(|(_, status)| *status == wanted).map(|(name, _)| name).collect()
     }
 
-    /// The version, and the list, of so long ago.
+    /// The list as it was `age` ago, with its version.
     fn listed_before(&self, age: Duration) -> (u64, Vec<(String, ReplicaStatus)>) {
         let mut version = 0;
         let mut listed: Vec<(String, ReplicaStatus)> = Vec::new();
@@ -85,7 +85,7 @@
         newer.take_while(|change| change.made_at.elapsed() >= age).cloned().collect()
     }
 
-    /// The list in discovery's form, as it was so long ago; the newest if there was none.
+    /// A snapshot event with the list as it was `age` ago, or with the current one if it was empty then.
     pub fn snapshot_before(&self, age: Duration) -> Value {
         let (version, listed) = match self.listed_before(age) {
             (0, _) => self.listed_before(Duration::ZERO),
@@ -109,7 +109,7 @@
     delay: Duration,
 }
 
-/// The agent of one governor, at one address.
+/// A governor's discovery agent.
 #[derive(Clone)]
 pub struct Agent {
     pub address: SocketAddr,
@@ -148,7 +148,7 @@
         self.state.lock().unwrap().delay = delay;
     }
 
-    /// Takes no new connection, and closes the open ones after a while.
+    /// Stops accepting connections, and closes the open ones after [`FORMER_AGENT_TIME`].
     pub fn retire(&self) {
         *self.ends_at.lock().unwrap() = Some(Instant::now() + FORMER_AGENT_TIME);
         self.stop();
--- a/crates/daemon/tests/soak/event_log.rs
+++ b/crates/daemon/tests/soak/event_log.rs
@@ -1,4 +1,4 @@
-//! What went over the sockets, which signals were sent and how processes ended, with times.
+//! The event log of a scenario: messages, signals and process exits, with times.
 
 use std::fmt;
 use std::sync::{Arc, Mutex};
@@ -6,12 +6,12 @@
 
 use serde_json::Value;
 
-/// One of the governors, by its place.
+/// The index of a governor.
 pub type GovernorIndex = usize;
-/// A connection, by the order of connecting.
+/// The number of a connection, in order of connecting.
 pub type StreamNumber = u64;
 
-/// What discovery says of a replica.
+/// A replica's status in discovery's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplicaStatus {
     Up,
@@ -20,7 +20,7 @@
 }
 
 impl ReplicaStatus {
-    /// The platform's word.
+    /// The status on the wire.
     pub fn wire(self) -> &'static str {
         match self {
             ReplicaStatus::Up => "up",
@@ -30,7 +30,7 @@
     }
 }
 
-/// The signals of a history.
+/// The signals that are sent to governors.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Signal {
     Hangup,
@@ -41,7 +41,7 @@
 }
 
 impl Signal {
-    /// As `kill` takes it.
+    /// The flag of the `kill` command.
     pub fn flag(self) -> &'static str {
         match self {
             Signal::Hangup => "-HUP",
@@ -62,7 +62,7 @@
     ByProxy,
 }
 
-/// What a crowd's peer was owed, and had.
+/// Whether a peer of a crowd was closed or rejected in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerOutcome {
     ClosedOrRejected,
@@ -89,12 +89,12 @@
         governor: GovernorIndex,
         bytes: u64,
     },
-    /// The true list changed.
+    /// A replica's status changed in discovery.
     Changed {
         replica: String,
         status: ReplicaStatus,
     },
-    /// Discovery wrote this to the governor.
+    /// A discovery agent wrote this status to the governor.
     Told {
         governor: GovernorIndex,
         replica: String,
@@ -120,7 +120,7 @@
     },
 }
 
-/// An event and its time since the log began.
+/// An event, with its time since the start of the log.
 #[derive(Debug, Clone)]
 pub struct Entry {
     pub at: Duration,
@@ -133,7 +133,7 @@
     }
 }
 
-/// The log, shared by all that act.
+/// The event log, shared by all threads.
 #[derive(Clone)]
 pub struct EventLog {
     start: Instant,
--- a/crates/daemon/tests/soak/governor.rs
+++ b/crates/daemon/tests/soak/governor.rs
@@ -1,4 +1,4 @@
-//! The governors' processes: started, signalled, paused, and looked at from outside.
+//! Governor processes: starting, signalling, pausing and observing them.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -14,14 +14,14 @@
 use super::discovery::{Agent, Discovery};
 use super::event_log::{Event, EventLog, GovernorIndex, Signal};
 
-/// The program that is soaked, if it is not the one that was built beside this test.
+/// The environment variable for a program to test instead of the one built with this test.
 const PROGRAM_VARIABLE: &str = "WRENTHREAD_SOAK_PROGRAM";
-/// The platform kills no sooner after SIGTERM.
+/// The platform sends SIGKILL this long after SIGTERM at the earliest.
 const KILL_AFTER_TERMINATE: Duration = Duration::from_millis(700);
-/// The platform sends no SIGHUP sooner after a start.
+/// The platform sends SIGHUP this long after a start at the earliest.
 const FIRST_HANGUP_AFTER: Duration = Duration::from_secs(1);
 const READY_WITHIN: Duration = Duration::from_secs(30);
-/// The list that a governor is started with is that old.
+/// The age of the endpoint list that a governor is started with.
 pub const KNOWN_LIST_AGE: Duration = Duration::from_secs(2);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 pub const MEMORY_MEGABYTES: u64 = 64;
@@ -101,7 +101,7 @@
         self.folder.join(format!("log.{start}"))
     }
 
-    /// Starts it, and waits until it answers.
+    /// Starts the process, and waits until it answers a PING or the time is over.
     fn spawn(&mut self) {
         self.write_config();
         self.starts += 1;
@@ -136,11 +136,11 @@
         }
         self.log.push(Event::Signalled { governor: self.index, signal });
         let id = self.child.id().to_string();
-        // It may have ended already, as signals come in series.
+        // The process may already have ended from an earlier signal of a series.
         let _ = Command::new("kill").args([signal.flag(), &id]).stderr(Stdio::null()).status();
     }
 
-    /// The most memory that it had.
+    /// Records the process's peak memory use.
     pub fn record_peak_memory(&self) {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap_or_default();
         let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
@@ -150,7 +150,8 @@
         }
     }
 
-    /// Sends SIGTERM so many times; SIGKILL, at the platform's earliest, if it has not ended by then. Starts it again.
+    /// Sends SIGTERM `times` times, and SIGKILL if the process has not ended after [`KILL_AFTER_TERMINATE`]. Restarts
+    /// it.
     pub fn terminate(&mut self, times: u32) {
         for _ in 0..times {
             self.signal(Signal::Terminate);
@@ -177,7 +178,7 @@
         self.spawn();
     }
 
-    /// Has it read its configuration again.
+    /// Sends SIGHUP, on which the governor reloads its configuration.
     pub fn hang_up(&mut self, times: u32) {
         let soonest = self.started_at + FIRST_HANGUP_AFTER;
         std::thread::sleep(soonest.saturating_duration_since(Instant::now()));
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Names another agent in its configuration, and has that read.
+    /// Writes a configuration with another agent and reloads it.
     pub fn move_agent(&mut self, hangups: u32) {
         let former = std::mem::replace(&mut self.agent, Agent::start(self.discovery.clone(), self.index));
         self.write_config();
@@ -202,14 +203,14 @@
         self.is_paused.store(false, Ordering::Relaxed);
     }
 
-    /// An end that nobody asked for.
+    /// Records an unexpected exit, and restarts the process.
     pub fn check_it_runs(&mut self) {
         if let Some(status) = self.child.try_wait().unwrap() {
             self.ended(status.code());
         }
     }
 
-    /// Ends it for good.
+    /// Terminates the process without restarting it.
     pub fn finish(&mut self) {
         self.signal(Signal::Terminate);
         let status = self.child.wait().unwrap();
--- a/crates/daemon/tests/soak/history.rs
+++ b/crates/daemon/tests/soak/history.rs
@@ -1,37 +1,37 @@
-//! The history that a seed draws.
+//! Scenarios that are generated from a seed.
 
 use std::time::Duration;
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 
-/// What happens next, to the governor by this place where one is concerned.
+/// One step of a scenario; a `usize` that comes first is the index of the governor concerned.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
     DrainReplica,
     RemoveDrained,
     AddReplica,
-    /// The governor's agent accepts and reads, and writes nothing.
+    /// The governor's agent accepts connections and reads requests, but writes nothing.
     SilenceAgent(usize, Duration),
-    /// Changes reach the governor's agent that much later.
+    /// Changes reach the governor's agent with this delay.
     DelayAgent(usize, Duration),
-    /// A new configuration names another agent; SIGHUP once or twice.
+    /// A new configuration names another agent; SIGHUP is sent this many times.
     MoveAgent(usize, u32),
     HangupThenTerminate(usize),
     TerminateTwice(usize),
-    /// SIGTERM, and SIGKILL at the platform's earliest.
+    /// SIGTERM, then SIGKILL at the earliest time that the platform may send it.
     TerminateThenKill(usize),
     Kill(usize),
-    /// SIGKILL just after the replica began to drain, so that the drain is on its way.
+    /// A replica starts draining and SIGKILL follows at once, with the drain still in flight.
     DrainThenKill(usize),
     Pause(usize, Duration),
-    /// A proxy connects and has sent half of its first message as the governor is paused.
+    /// The governor is paused when a proxy has sent half of its first message.
     PauseAmidJoin(usize, Duration),
     ReconnectProxy(u16),
     Crowd(usize, usize),
 }
 
-/// A history: what there is, and what happens to it, with the time until the next step.
+/// A scenario: the number of participants, and the steps, each with the time until the next one.
 #[derive(Debug, Clone, PartialEq)]
 pub struct History {
     pub governors: usize,
@@ -42,11 +42,11 @@
 
 const MAX_GOVERNORS: u64 = 2;
 const STEPS: u64 = 6;
-/// Longer than a peer has to identify itself, and less than any stream may be silent for.
+/// Up to more than the time a peer has to identify itself, and less than any stream may be silent for.
 const PAUSES_MILLIS: [u64; 3] = [300, 1200, 2400];
 
 impl History {
-    /// The history of a seed: the same each time.
+    /// Generates the scenario of a seed; the same seed always gives the same scenario.
     pub fn draw(seed: u64) -> History {
         let mut draw = Draw(ChaCha8Rng::seed_from_u64(seed));
         let governors = 1 + draw.below(MAX_GOVERNORS) as usize;
--- a/crates/daemon/tests/soak/main.rs
+++ b/crates/daemon/tests/soak/main.rs
@@ -1,7 +1,7 @@
-//! A soak of real processes: histories that a seed draws, judged by what went over the sockets.
+//! A soak test of real processes: random scenarios, generated from a seed and checked by the traffic on the sockets.
 //!
-//! `SOAK_SEEDS=1-50 cargo test -p wrenthread-daemon --test soak -- --nocapture` plays other seeds than CI does, and
-//! prints what they came to; `WRENTHREAD_SOAK_PROGRAM` names another program than the one built beside the test.
+//! `SOAK_SEEDS=1-50 cargo test -p wrenthread-daemon --test soak -- --nocapture` runs other seeds than CI does, and
+//! prints a summary; `WRENTHREAD_SOAK_PROGRAM` names a program to test instead of the one built with the test.
 
 #![allow(
     clippy::unwrap_used,
@@ -31,17 +31,17 @@
 use history::History;
 use summary::Summary;
 
-/// Names other seeds, as `FIRST-LAST`.
+/// The environment variable for other seeds, as `FIRST-LAST`.
 const SEEDS_VARIABLE: &str = "SOAK_SEEDS";
-/// The seeds that CI plays.
+/// The seeds that CI runs.
 const FIXED_SEEDS: std::ops::RangeInclusive<u64> = 1..=16;
-/// Histories that are played beside one another.
+/// How many scenarios run in parallel.
 const LANES: usize = 4;
 
 fn seeds() -> Vec<u64> {
     let Ok(text) = std::env::var(SEEDS_VARIABLE) else { return FIXED_SEEDS.collect() };
-    let (first, last) = text.split_once('-').expect("FIRST-LAST");
-    (first.parse().expect("a number")..=last.parse().expect("a number")).collect()
+    let (first, last) = text.split_once('-').expect("SOAK_SEEDS is FIRST-LAST");
+    (first.parse().expect("FIRST is a number")..=last.parse().expect("LAST is a number")).collect()
 }
 
 fn folder(name: &str) -> PathBuf {
@@ -50,7 +50,7 @@
     folder
 }
 
-/// Plays a seed. Gives what it came to, or all that is needed to understand its failure.
+/// Runs the scenario of a seed. Returns its summary, or the violations with everything needed to analyse them.
 fn soak(seed: u64) -> Result<Summary, String> {
     let history = History::draw(seed);
     let folder = folder(&seed.to_string());
--- a/crates/daemon/tests/soak/play.rs
+++ b/crates/daemon/tests/soak/play.rs
@@ -1,4 +1,4 @@
-//! Plays a history on real processes, and gives the log of what happened.
+//! Runs a scenario with real processes, and returns its event log.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -15,14 +15,14 @@
 use super::history::{History, Step};
 use super::proxy::{Fleet, Proxy, run_crowd};
 
-/// Fewer than this are not left up.
+/// At least this many replicas stay up.
 const MIN_UP: usize = 3;
-/// After the last step, so that what is due is due.
+/// The time after the last step, in which all time limits expire.
 const SETTLING_TIME: Duration = Duration::from_millis(3500);
-/// How long all proxies may take to be connected before a step.
+/// How long to wait for all proxies to be connected before a step.
 const CONNECTED_WITHIN: Duration = Duration::from_secs(10);
 
-/// What happened, and what the governors logged.
+/// The event log, and the governors' own logs.
 pub struct Outcome {
     pub entries: Vec<Entry>,
     pub governor_logs: String,
@@ -64,7 +64,7 @@
         Play { log, discovery, governors, proxies, crowds: Vec::new(), fleet }
     }
 
-    /// Waits until as many connections are open as there are proxies.
+    /// Waits until as many connections are open as there are proxies, or the time is over.
     fn wait_until_connected(&self) {
         let until = Instant::now() + CONNECTED_WITHIN;
         while Instant::now() < until {
@@ -115,7 +115,7 @@
         Some(name.clone())
     }
 
-    /// A peer has sent half of its first message before the pause, and sends the rest in it: it must be served.
+    /// A peer sends half of its first message before the pause and the rest during it, and must be served.
     fn pause_amid_join(&mut self, governor: usize, span: Duration) {
         let proxy = PROXY_COUNT - 1;
         let message = format!(
@@ -125,7 +125,7 @@
         let (first, rest) = message.as_bytes().split_at(message.len() / 2);
         let Ok(mut stream) = TcpStream::connect(self.governors[governor].address) else { return };
         let number = self.fleet.streams.fetch_add(1, Ordering::Relaxed);
-        // The answer shows that it is accepted, and that the half has been read.
+        // The answer to the PING shows that the governor has accepted the connection and read the first half.
         let _ = stream.write_all(&[b"{\"@type\":\"PING\"}\n", first].concat());
         super::proxy::read_line(&stream);
         let mut writer = stream.try_clone().unwrap();
--- a/crates/daemon/tests/soak/proxy.rs
+++ b/crates/daemon/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! Proxies that keep their connections open and go on using them until they end, and crowds of other peers.
+//! Proxies that reconnect whenever a connection ends, and crowds of peers that never identify themselves.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -12,27 +12,28 @@
 
 /// How often a proxy reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a proxy waits before it dials again.
+/// How long a proxy waits before it reconnects.
 const REDIAL_INTERVAL: Duration = Duration::from_millis(30);
-/// How often a crowd's peers are looked at.
+/// How often a crowd's peers are checked.
 const CROWD_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// What a peer that says nothing is owed its end within.
+/// The platform's time limit for closing a peer that does not identify itself.
 pub const OWED_WITHIN: Duration = Duration::from_secs(3);
 
 /// The governors' addresses.
 pub type Addresses = Arc<Vec<SocketAddr>>;
 
-/// What all proxies share.
+/// State shared by all proxies.
 #[derive(Clone)]
 pub struct Fleet {
     pub addresses: Addresses,
     pub log: EventLog,
     pub streams: Arc<AtomicU64>,
-    /// All proxies end.
+    /// Set when all proxies should end.
     pub over: Arc<AtomicBool>,
 }
 
-/// One proxy: its thread connects to a governor, to the next one where that fails, and again as a connection ends.
+/// A proxy with its own thread, which connects to a governor, or to the next one if that fails, and reconnects when the
+/// connection ends.
 pub struct Proxy {
     connection: Arc<Mutex<Option<TcpStream>>>,
     closing: Arc<AtomicBool>,
@@ -54,7 +55,7 @@
         Proxy { connection, closing, thread }
     }
 
-    /// Ends its connection, as if it had been broken; the proxy connects anew.
+    /// Closes the proxy's connection; the proxy then reconnects.
     pub fn reconnect(&self) {
         if let Some(stream) = self.connection.lock().unwrap().as_ref() {
             self.closing.store(true, Ordering::Relaxed);
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Waits for its end, once all are over.
+    /// Closes the connection and waits for the thread to end, once [`Fleet::over`] is set.
     pub fn join(self) {
         self.reconnect();
         self.thread.join().unwrap();
@@ -74,7 +75,8 @@
     fleet: Fleet,
     connection: Arc<Mutex<Option<TcpStream>>>,
     closing: Arc<AtomicBool>,
-    /// It holds a table that a governor sent; half of all do from the start, of a governor that is no more.
+    /// Whether the proxy has a table from a governor. Half of the proxies do from the start, as from an earlier
+    /// governor.
     holds_tables: bool,
 }
 
@@ -104,7 +106,7 @@
         *self.connection.lock().unwrap() = None;
     }
 
-    /// Until the connection ends.
+    /// Subscribes, acknowledges tables and sends reports until the connection ends.
     fn exchange(&mut self, stream: TcpStream, number: u64, holds_default_table: bool) -> std::io::Result<()> {
         let _ = stream.set_nodelay(true);
         stream.set_read_timeout(Some(REPORT_INTERVAL))?;
@@ -148,7 +150,7 @@
     stream.write_all(format!("{message}\n").as_bytes())
 }
 
-/// What the peers of a crowd send, one after the other.
+/// The messages that the peers of a crowd send in turn.
 const CROWD_MESSAGES: [&[u8]; 5] = [
     b"",
     b"{\"@type\":\"SUBSCRIBE\",\"node\":1,",
@@ -157,8 +159,8 @@
     b"{\"@type\":\"PING\"}\n",
 ];
 
-/// Hundreds that connect at once and never join. Each is followed until it is closed or rejected, or the time it is owed
-/// that within is over, not counting the time for which `is_paused`.
+/// Connects many peers at once that never join, and waits until each is closed or rejected, or the time limit for that
+/// has expired. Time during which `is_excused` holds does not count.
 pub fn run_crowd(
     governor: GovernorIndex,
     address: SocketAddr,
@@ -198,7 +200,7 @@
     }
 }
 
-/// The next line of a connection on which nothing else is under way; none at its end.
+/// Reads one line without buffering beyond it; `None` at the end of the connection or on a timeout.
 pub fn read_line(stream: &TcpStream) -> Option<Vec<u8>> {
     let _ = stream.set_read_timeout(Some(Duration::from_secs(5)));
     let mut line = Vec::new();
@@ -206,7 +208,7 @@
     (read.is_ok() && line.ends_with(b"\n")).then_some(line)
 }
 
-/// Reads one message on a connection, and ends it.
+/// Reads one message, and logs the end of the stream.
 pub fn read_first_message(stream: &TcpStream, number: u64, log: &EventLog) {
     let end = match read_line(stream) {
         Some(line) => {
--- a/crates/daemon/tests/soak/stored_state.rs
+++ b/crates/daemon/tests/soak/stored_state.rs
@@ -1,5 +1,5 @@
-//! The daemon's other fronts: a governor with a state folder is restarted by series of signals while a proxy of each front
-//! keeps following it. What an operator said is in force after each start.
+//! The daemon's gRPC and long-poll interfaces: a governor with a state folder is restarted by series of signals while a
+//! proxy on each interface keeps reconnecting. An operator's override must be in effect after each start.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 const RESTARTS: usize = 5;
 const REDIAL_INTERVAL: Duration = Duration::from_millis(50);
 const KILL_AFTER_TERMINATE: Duration = Duration::from_millis(700);
-/// Series of signals that end a governor; the last of each does.
+/// Series of signals; the last one of each ends the governor.
 const SERIES: [&[&str]; 6] = [
     &["-KILL"],
     &["-TERM"],
@@ -38,7 +38,7 @@
     ProxyIdentity { name: name.into(), zone: "north".into(), requests_per_second: 1.0 }
 }
 
-/// Whether the proxy has a table, and the replica is not in it.
+/// Whether the proxy has a table that does not contain the replica.
 fn avoids(cache: &Cache, address: &str) -> bool {
     let tables = cache.borrow().updated_tables();
     let Some((lines, _)) = tables.get("match") else { return false };
@@ -66,16 +66,20 @@
     }
 }
 
-/// Ends it as the series says: with 0 on SIGTERM, within the platform's time until SIGKILL.
+/// Sends a series of signals and checks the exit: code 0 after SIGTERM, before the platform would send SIGKILL.
 async fn end(governor: &mut Governor, series: &[&str]) {
     series.iter().for_each(|signal| governor.signal(signal));
     let began = Instant::now();
-    let status = until("it ends", || governor.child.try_wait().unwrap()).await;
+    let status = until("the governor ends", || governor.child.try_wait().unwrap()).await;
     if series.contains(&"-KILL") {
         assert_eq!(status.code(), None, "{series:?}");
     } else {
         assert_eq!(status.code(), Some(0), "{series:?}: {}", governor.log());
-        assert!(began.elapsed() < KILL_AFTER_TERMINATE, "{series:?}: it ended after {:?}", began.elapsed());
+        assert!(
+            began.elapsed() < KILL_AFTER_TERMINATE,
+            "{series:?}: the governor ended after {:?}",
+            began.elapsed()
+        );
     }
 }
 
@@ -122,7 +126,7 @@
             governor.log()
         );
         assert!(!governor.log().contains("panicked"), "{}", governor.log());
-        // Half of the time it is ended again as soon as it is ready.
+        // Half of the time, the governor is killed again as soon as it is ready.
         if rng.next_u64() % 2 == 0 {
             end(&mut governor, &["-KILL"]).await;
             governor.spawn().await;
--- a/crates/daemon/tests/soak/summary.rs
+++ b/crates/daemon/tests/soak/summary.rs
@@ -1,4 +1,4 @@
-//! Counts of what was played.
+//! Counts of what happened in scenarios.
 
 use std::fmt;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 }
 
 impl Summary {
-    /// Of one history.
+    /// The summary of one scenario.
     pub fn of(entries: &[Entry]) -> Summary {
         let mut summary = Summary { seeds: 1, ..Summary::default() };
         let mut started_at = std::collections::BTreeMap::new();
@@ -42,7 +42,7 @@
         summary
     }
 
-    /// Of many.
+    /// The sum of several summaries.
     pub fn total<'a>(summaries: impl Iterator<Item = &'a Summary>) -> Summary {
         let mut total = Summary::default();
         for summary in summaries {
@@ -68,9 +68,9 @@
         let megabytes = self.peak_memory_bytes >> 20;
         write!(
             formatter,
-            "soak: {seeds} seeds kept the rules: {starts} starts, {signals} signals, {streams} streams, \
-             {messages} messages, {crowds} crowds, peak memory {megabytes} MiB, ready after {median:?} in the median, \
-             {worst:?} at the worst"
+            "soak: {seeds} seeds passed: {starts} starts, {signals} signals, {streams} streams, \
+             {messages} messages, {crowds} crowds, peak memory {megabytes} MiB, time to ready {median:?} (median), \
+             {worst:?} (maximum)"
         )
     }
 }
--- a/crates/daemon/tests/soak/table.rs
+++ b/crates/daemon/tests/soak/table.rs
@@ -1,10 +1,10 @@
-//! What a proxy holds, by the messages it was sent, as the platform's page says.
+//! A proxy's table, computed from the messages it received by the rules of the platform's protocol.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde_json::Value;
 
-/// A proxy's table and the replicas that it is to send nothing to.
+/// A proxy's table, and the replicas that are ejected for it.
 #[derive(Debug, Clone, Default)]
 pub struct ProxyTable {
     pub weights: BTreeMap<String, f64>,
@@ -12,7 +12,7 @@
 }
 
 impl ProxyTable {
-    /// A default table of these replicas.
+    /// A default table with these replicas, all with the same weight.
     pub fn of(replicas: &[String]) -> ProxyTable {
         let weights = replicas.iter().map(|name| (name.clone(), 1.0)).collect();
         ProxyTable { weights, ejected: BTreeSet::new() }
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The replicas that it may pick.
+    /// The replicas that the proxy may send requests to.
     pub fn usable(&self) -> BTreeSet<&String> {
         self.weights.keys().filter(|name| !self.ejected.contains(*name)).collect()
     }
