--- a/crates/daemon/benches/common/mod.rs
+++ b/crates/daemon/benches/common/mod.rs
@@ -1,4 +1,4 @@
-//! The real program for benchmarks, with a roster of two dozen replicas in three zones.
+//! Runs the real program for benchmarks, with a roster of 24 replicas in three zones.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::path::Path;
@@ -41,7 +41,7 @@
         Governor::start_with(relays, "alone", "").await
     }
 
-    /// With more settings besides; `tag` tells it from others of the same run.
+    /// Starts a governor with additional settings; `tag` distinguishes the governors of a run.
     pub async fn start_with(relays: usize, tag: &str, more: &str) -> Governor {
         let folder =
             std::env::temp_dir().join(format!("wrenthread-bench-{}-{relays}-{tag}", std::process::id()));
@@ -65,7 +65,7 @@
         governor
     }
 
-    /// Starts it (anew), and waits until it answers.
+    /// Starts the process, and waits until it accepts connections.
     pub async fn spawn(&mut self) {
         self.child = Command::new(env!("CARGO_BIN_EXE_wrenthread"))
             .arg("run")
@@ -80,12 +80,12 @@
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
 
-    /// Processor seconds used so far, and resident mebibytes.
+    /// CPU seconds used so far, and resident memory in MiB.
     pub fn used(&self) -> (f64, f64) {
         let read = |name: &str| std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id())).unwrap();
         let stat = read("stat");
         let fields: Vec<&str> = stat.rsplit(") ").next().unwrap().split(' ').collect();
-        // Fields 14 and 15 of the whole, in ticks of a hundredth of a second.
+        // Fields 14 and 15 of the line: user and system time in ticks of a hundredth of a second.
         let ticks: f64 = fields[11].parse::<f64>().unwrap() + fields[12].parse::<f64>().unwrap();
         let status = read("status");
         let resident = status.lines().find(|line| line.starts_with("VmRSS")).unwrap();
--- a/crates/daemon/benches/fronts.rs
+++ b/crates/daemon/benches/fronts.rs
@@ -1,7 +1,6 @@
-//! What a change costs by each front: bytes, processor time, and the time of a step back.
+//! Measures the cost of a change over each interface in bytes and CPU time, and the duration of a rollback.
 //!
-//! `cargo bench -p wrenthread-daemon --bench fronts [-- RELAYS]`; figures of one run are to be compared with
-//! each other only.
+//! `cargo bench -p wrenthread-daemon --bench fronts [-- RELAYS]`; figures are comparable only within a run.
 
 #![allow(
     clippy::unwrap_used,
@@ -38,7 +37,7 @@
     Poll,
 }
 
-/// Bytes of answers, and how many came.
+/// The number and total size of the responses received.
 #[derive(Default)]
 struct Heard {
     bytes: Cell<usize>,
@@ -105,7 +104,7 @@
     }
 }
 
-/// Asks by hand, so that the bytes of bodies are seen.
+/// Polls without the client library, to count the bytes of response bodies.
 async fn by_poll(place: usize, at: String, heard: Rc<Heard>) {
     let client = reqwest::Client::new();
     let base = format!("{at}/v1/proxies/relay-{place}");
@@ -171,7 +170,7 @@
     }
     let (cpu, resident) = (governor.used().0 - cpu, governor.used().1);
     let (bytes, answers) = (heard.bytes.get() - bytes, heard.answers.get() - answers);
-    // A step back to before a replica came back for good: the last drain's tables are told again.
+    // A rollback to the version before the last replica returned: the tables of the last drain are sent again.
     roster(&governor.folder, Some(1));
     tokio::time::sleep(Duration::from_secs(2)).await;
     let out = status(&governor).await["governor"]["version"].as_u64().unwrap();
@@ -221,9 +220,9 @@
 fn main() {
     let relays = std::env::args().find_map(|one| one.parse().ok()).unwrap_or(1000);
     println!(
-        "| front | relays | bytes of a whole | bytes an answer | bytes a change and relay | \
-        cpu a change and relay, us | \
-        step back to last ack, ms | history, lines | resident, MiB |"
+        "| front | relays | bytes per complete table | bytes per response | bytes per change and relay | \
+        CPU per change and relay, us | \
+        rollback to last ACK, ms | history, lines | resident, MiB |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
--- a/crates/daemon/benches/scale.rs
+++ b/crates/daemon/benches/scale.rs
@@ -1,7 +1,6 @@
-//! How the governor grows with its fleet: scripted relays on loopback against the real program.
+//! Measures how the governor's cost grows with its fleet, with scripted relays on loopback and the real program.
 //!
-//! `cargo bench -p wrenthread-daemon --bench scale [-- RELAYS ...]`; figures of one run are to be compared
-//! with each other only.
+//! `cargo bench -p wrenthread-daemon --bench scale [-- RELAYS ...]`; figures are comparable only within a run.
 
 #![allow(
     clippy::unwrap_used,
@@ -37,7 +36,7 @@
 
 const DRAINS: usize = 12;
 
-/// What a relay tells: it was given so many tables, at a time.
+/// Responses received: the relay, the number of tables, and the time.
 type Given = mpsc::UnboundedSender<(usize, usize, Instant)>;
 
 fn node(place: usize) -> Node {
@@ -79,7 +78,7 @@
 async fn measure(relays: usize) {
     let governor = Governor::start(relays).await;
     let endpoint = tonic::transport::Endpoint::from_shared(governor.uri.clone()).unwrap();
-    // As many connections as relays would have, within what one process may open.
+    // One connection per relay, up to 200 because of the process's limit on open files.
     let mut channels = Vec::new();
     for _ in 0..relays.min(200) {
         channels.push(endpoint.connect().await.unwrap());
@@ -109,7 +108,7 @@
     for drain in 0..DRAINS {
         let began = Instant::now();
         roster(&governor.folder, Some(drain));
-        // Every relay of the zone holds the replica; others may.
+        // Every relay of the zone has the replica in its table; others may.
         let holds = (0..relays).filter(|place| place % 3 == drain % 3).count();
         let mut heard = std::collections::BTreeSet::new();
         let mut newest = began;
@@ -128,7 +127,7 @@
     }
     let (drained_cpu, rss) = governor.used();
 
-    // Reports: as fast as the governor takes them, for three seconds.
+    // Sends reports as fast as the governor accepts them, for three seconds.
     let mut client = LoadReportingServiceClient::new(channels[0].clone());
     let (requests, stream) = mpsc::channel(64);
     requests.send(LoadStatsRequest { node: Some(node(0)), cluster_stats: vec![] }).await.unwrap();
@@ -179,8 +178,7 @@
     );
 }
 
-/// Seconds that the engine alone takes for a drain and the return of the replica, with all their beats
-/// between.
+/// Seconds that the engine alone takes for a drain and the return of the replica, including all steps in between.
 fn engine_drain(relays: usize) -> f64 {
     let mut now = Duration::from_secs(1000);
     let mut setup = EngineSettings::example(3);
@@ -244,9 +242,9 @@
     let asked: Vec<usize> = std::env::args().filter_map(|one| one.parse().ok()).collect();
     let asked = if asked.is_empty() { vec![24, 200, 1000] } else { asked };
     println!(
-        "| relays | join p50 / all, ms | drain heard p50 / p99 / last, ms | join cpu, ms a relay | \
-         memory, KiB a relay | resident, MiB | reports a second | cpu a report, us | \
-         engine / whole cpu a drain and return, ms |"
+        "| relays | join p50 / all, ms | drain received p50 / p99 / last, ms | join CPU per relay, ms | \
+         memory per relay, KiB | resident, MiB | reports per second | CPU per report, us | \
+         engine / process CPU per drain and return, ms |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
--- a/crates/daemon/benches/takeover.rs
+++ b/crates/daemon/benches/takeover.rs
@@ -1,8 +1,8 @@
-//! How long relays are without a governor after one of three is killed, or drained; how evenly the others
-//! have them then; how many move on its return. Beside it, in the same run, relays that redial by chance.
+//! Measures failover: how long relays have no governor after one of three is killed or drained, how evenly they are
+//! distributed over the others, and how many move when it returns. For comparison, also measures relays that reconnect
+//! to a random governor.
 //!
-//! Relays follow by the client library (gRPC, delta) and pause for 0.1 to 0.3 s between two dials, either
-//! way.
+//! Relays use the client library (gRPC, delta) and wait 0.1 to 0.3 s before reconnecting, in both cases.
 
 #![allow(
     clippy::unwrap_used,
@@ -30,11 +30,11 @@
 
 #[derive(Default)]
 struct Relay {
-    /// Where its stream is, and since when.
+    /// The governor that the stream is connected to, and since when.
     at: Cell<Option<(usize, Instant)>>,
-    /// When its last stream ended.
+    /// When the last stream ended.
     lost: Cell<Option<Instant>>,
-    /// The time from the last stream's end to the next one.
+    /// The time between the end of the last stream and the next one.
     gap: Cell<Option<Duration>>,
     joins: Cell<usize>,
 }
@@ -42,7 +42,7 @@
 struct Watched<'a>(&'a Relay, usize);
 
 impl Observer for Watched<'_> {
-    // Not its first order: who holds to the letter what the next governor would tell is told nothing.
+    // Counts the connection, not the first tables: a relay whose tables are up to date receives none.
     fn connected(&self) {
         if self.0.at.get().is_none() {
             self.0.at.set(Some((self.1, Instant::now())));
@@ -171,7 +171,7 @@
     for (number, relay) in relays.iter().enumerate() {
         tokio::task::spawn_local(follow(number, relay.clone(), dialled.clone(), by_chance));
     }
-    assert!(all_there(&relays, Duration::from_secs(60)).await, "not all have joined");
+    assert!(all_there(&relays, Duration::from_secs(60)).await, "not all relays have joined");
     tokio::time::sleep(Duration::from_secs(4)).await;
     let theirs: Vec<Rc<Relay>> =
         relays.iter().filter(|one| one.at.get().is_some_and(|(at, _)| at == 0)).cloned().collect();
@@ -182,19 +182,19 @@
         let drain = reqwest::Client::new().post(url).header("content-type", "application/json");
         drain.body("{\"draining\": true}").send().await.unwrap();
         while counts(&relays)[0] > 0 || relays.iter().any(|one| one.at.get().is_none()) {
-            assert!(began.elapsed() < Duration::from_secs(120), "the drain does not end");
+            assert!(began.elapsed() < Duration::from_secs(120), "the drain takes too long");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     } else {
         governors[0].child.kill().unwrap();
         governors[0].child.wait().unwrap();
         tokio::time::sleep(Duration::from_millis(300)).await;
-        assert!(all_there(&relays, Duration::from_secs(60)).await, "some found nobody");
+        assert!(all_there(&relays, Duration::from_secs(60)).await, "some relays found no governor");
     }
     let all = began.elapsed();
     let mut gaps: Vec<Duration> = theirs.iter().filter_map(|one| one.gap.get()).collect();
     let after = counts(&relays);
-    // Its return, or its end: what the drain left is stopped and started again.
+    // The governor returns; a drained one is stopped first.
     let joins = |relays: &[Rc<Relay>]| relays.iter().map(|one| one.joins.get()).sum::<usize>();
     let joined = joins(&relays);
     if talks {
@@ -214,8 +214,8 @@
 
 fn main() {
     println!(
-        "| way | relays | at each before | without, p50, s | p99, s | worst, s | until all have another, s | \
-        at each after | moves on return | at each then |"
+        "| case | relays | per governor before | outage p50, s | p99, s | max, s | until all reconnected, s | \
+        per governor after | moves on return | per governor then |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
--- a/crates/daemon/tests/governor.rs
+++ b/crates/daemon/tests/governor.rs
@@ -1,4 +1,4 @@
-//! The real program on loopback, met by scripted peers that speak the public protocol.
+//! Tests of the real program on loopback, with scripted peers that use the xDS protocol.
 
 #![allow(
     clippy::unwrap_used,
@@ -67,7 +67,8 @@
     }
 
     async fn hear(&mut self) -> Result<DiscoveryResponse, Status> {
-        let next = timeout(Duration::from_secs(10), self.responses.next()).await.expect("nothing came");
+        let next =
+            timeout(Duration::from_secs(10), self.responses.next()).await.expect("no response in time");
         next.expect("the stream ended")
     }
 
@@ -100,7 +101,7 @@
     assert_eq!(lines(&tables), [3, 3]);
     assert_eq!(governor.status()["replicas"][2]["state"], "draining");
     peer.ask(Kind::Endpoints, &["match", "charge", "unknown"], &tables.nonce, None).await;
-    until("acknowledged", || {
+    until("the newest version is acknowledged", || {
         let status = governor.status();
         let proxy = &status["proxies"][0];
         (proxy["acked"] == proxy["newest"] && proxy["kind"] == "default").then_some(())
@@ -110,7 +111,7 @@
     let mut client = ClientStatusDiscoveryServiceClient::new(dial(&governor).await);
     let status = client.fetch_client_status(ClientStatusRequest::default()).await.unwrap().into_inner();
     let synced = status.config[0].generic_xds_configs.iter().filter(|one| one.config_status == 1).count();
-    assert_eq!(synced, 4, "two clusters, two tables");
+    assert_eq!(synced, 4, "two clusters and two tables are in sync");
     let tables: Value = serde_json::from_str(&governor.get("/tables/p").unwrap()).unwrap();
     let lines = tables["groups"][0]["lines"].as_array().unwrap();
     assert_eq!(lines.iter().filter(|line| line["open"] == true).count(), 3);
@@ -124,11 +125,11 @@
     peer.ask(Kind::Endpoints, &["match"], "", None).await;
     let tables = peer.hear().await.unwrap();
     peer.ask(Kind::Endpoints, &["match"], &tables.nonce, Some("no such locality")).await;
-    assert!(peer.quiet(Duration::from_millis(1500)).await, "no loop");
+    assert!(peer.quiet(Duration::from_millis(1500)).await, "the rejected version is not resent");
     assert_eq!(governor.status()["proxies"][0]["nacked"]["words"], "no such locality");
     assert!(governor.log().contains("no such locality"));
     governor.list(3, &[]);
-    assert_eq!(lines(&peer.hear().await.unwrap()), [3], "what changes is sent again");
+    assert_eq!(lines(&peer.hear().await.unwrap()), [3], "a later change is sent");
 }
 
 #[tokio::test]
@@ -149,7 +150,7 @@
     let mut late = self::peer(&governor, "late", "north").await;
     late.ask(Kind::Clusters, &[], "", None).await;
     assert_eq!(late.hear().await.unwrap_err().code(), Code::ResourceExhausted);
-    // The same name again is no newcomer: the later stream takes over, and the earlier one is told.
+    // A second stream with a joined proxy's name replaces the first one, which is closed with a status.
     let mut again = self::peer(&governor, "p0", "north").await;
     again.ask(Kind::Clusters, &[], "", None).await;
     again.hear().await.unwrap();
@@ -164,12 +165,18 @@
     let tables = peer.hear().await.unwrap();
     peer.ask(Kind::Endpoints, &["match"], &tables.nonce, None).await;
     governor.roster("{\"replicas\": [\n{\"id\": \"w0\", \"addr");
-    until("refused", || governor.log().contains("roster.json:2:").then_some(())).await;
+    until("the roster is refused", || governor.log().contains("roster.json:2:").then_some(())).await;
     governor.roster("{\"replicas\": []}");
-    until("doubted", || (governor.status()["governor"]["roster_doubted"] == true).then_some(())).await;
+    until("the empty roster is doubted", || {
+        (governor.status()["governor"]["roster_doubted"] == true).then_some(())
+    })
+    .await;
     assert!(peer.quiet(Duration::from_millis(1000)).await);
     governor.list(4, &[]);
-    until("believed", || (governor.status()["governor"]["roster_doubted"] == false).then_some(())).await;
+    until("the roster is accepted", || {
+        (governor.status()["governor"]["roster_doubted"] == false).then_some(())
+    })
+    .await;
     assert!(peer.quiet(Duration::from_millis(1000)).await);
 }
 
@@ -188,7 +195,7 @@
         nonce = peer.hear().await.unwrap().nonce;
         assert!(began.elapsed() < Duration::from_secs(5));
     }
-    // It reads at last, and comes to the newest state.
+    // When the peer reads again, it reaches the latest state.
     governor.list(3, &[]);
     let mut newest = Vec::new();
     while newest != [3] {
@@ -208,14 +215,18 @@
     governor.list(4, &[0]);
     governor.settings(17);
     governor.signal("-HUP");
-    until("refused", || governor.log().contains("`proxies`: 16 runs, 17 is asked for").then_some(())).await;
+    until("the changed setting is refused", || {
+        governor.log().contains("`proxies`: 16 runs, 17 is asked for").then_some(())
+    })
+    .await;
     std::fs::write(governor.folder.join("settings.star"), "fleet(").unwrap();
     governor.signal("-HUP");
-    until("refused", || governor.log().contains("settings not taken").then_some(())).await;
+    until("the invalid settings are refused", || governor.log().contains("settings not taken").then_some(()))
+        .await;
     governor.settings(16);
     governor.signal("-HUP");
-    until("reloaded", || governor.log().contains("settings reloaded").then_some(())).await;
-    // In the midst of it all the drain got through.
+    until("the settings are reloaded", || governor.log().contains("settings reloaded").then_some(())).await;
+    // The drain was delivered despite the failed reloads.
     assert_eq!(lines(&peer.hear().await.unwrap()), [3]);
     governor.signal("-TERM");
     let why = loop {
@@ -249,8 +260,12 @@
     };
     back.requests.send(request).await.unwrap();
     let tables = back.hear().await.unwrap();
-    assert_eq!(lines(&tables), [3], "whole, and without what drains by now");
-    assert_ne!(tables.version_info.split('.').next(), before.version_info.split('.').next(), "another life");
+    assert_eq!(lines(&tables), [3], "the complete table, without the replica that drains");
+    assert_ne!(
+        tables.version_info.split('.').next(),
+        before.version_info.split('.').next(),
+        "the epoch has changed"
+    );
 }
 
 #[test]
@@ -276,7 +291,7 @@
     assert_eq!(bad.status.code(), Some(2));
     assert!(
         String::from_utf8_lossy(&bad.stderr).contains("1 GiB"),
-        "a script that takes all memory is stopped"
+        "a script that uses too much memory is stopped"
     );
     std::fs::write(&path, "fleet(zone = [])").unwrap();
     assert!(String::from_utf8_lossy(&check(&[]).stderr).contains("settings.star:1: `fleet` has no `zone`"));
@@ -292,18 +307,18 @@
         let replicas = status["replicas"].as_array().unwrap().clone();
         replicas.iter().filter(|one| one["state"] == "open").count()
     };
-    until("all are there", || (open() == 4).then_some(())).await;
+    until("all replicas are listed", || (open() == 4).then_some(())).await;
     assert_eq!(governor.status()["replicas"][0]["address"], "10.0.0.0:80");
     upstream.list(4, &[0]);
-    until("one is gone", || (open() == 3).then_some(())).await;
-    // The upstream dies and comes back: its last list stays meanwhile.
+    until("one replica is removed", || (open() == 3).then_some(())).await;
+    // While the upstream is down, its last list stays in use.
     upstream.child.kill().unwrap();
     upstream.child.wait().unwrap();
-    until("it is noticed", || governor.log().contains("can't be followed").then_some(())).await;
+    until("the outage is logged", || governor.log().contains("can't be followed").then_some(())).await;
     assert_eq!(open(), 3);
     upstream.list(4, &[]);
     upstream.spawn().await;
-    until("all are back", || (open() == 4).then_some(())).await;
+    until("all replicas are listed again", || (open() == 4).then_some(())).await;
 }
 
 #[tokio::test]
@@ -318,11 +333,11 @@
     let other = wrenthread_client::Governor { name: "g9".into(), grpc: uri, poll: String::new() };
     let end = grpc::follow(&other, &who, true, &cache, &versions, &NoObserver).await;
     assert!(matches!(end, Err(Error::Fenced(_))), "{end:?}");
-    assert!(cache.borrow().updated_tables().is_empty(), "nothing of it took effect");
+    assert!(cache.borrow().updated_tables().is_empty(), "no table of the other governor was applied");
 }
 
-/// Guards against a governor that a reload signal ends while it reads its settings, and that a stop signal ends without
-/// its own exit code.
+/// Guards against signals that arrive while the settings are read: a reload signal must not end the governor, and a
+/// stop signal must end it with its regular exit code.
 #[tokio::test]
 async fn signals_that_come_while_settings_are_read_wait() {
     let mut governor = Governor::start("early-signals", 4).await;
--- a/crates/daemon/tests/nginx.rs
+++ b/crates/daemon/tests/nginx.rs
@@ -1,4 +1,4 @@
-//! The importer and the export at the command line, with a stand-in that follows nginx's file format.
+//! `wrenthread import nginx` and `wrenthread export nginx`, with a fake nginx that reads the generated file.
 
 #![allow(
     clippy::unwrap_used,
@@ -32,8 +32,8 @@
     (ran.status.code(), String::from_utf8([ran.stdout, ran.stderr].concat()).unwrap())
 }
 
-/// nginx's round, as its documentation has it: of as many flows as the weights come to, each server gets its
-/// weight, and those of one server are spread among the others'.
+/// nginx's smooth weighted round robin, as documented: of as many requests as the sum of the weights, each server
+/// receives its weight, interleaved with the others.
 fn round(weights: &[(String, f64)], flows: usize) -> BTreeMap<String, usize> {
     let (mut owed, all) = (vec![0.0; weights.len()], weights.iter().map(|(_, weight)| weight).sum::<f64>());
     let mut got = BTreeMap::new();
@@ -84,7 +84,7 @@
     assert_eq!(
         (code, said.as_str()),
         (Some(0), "nothing differs\n"),
-        "neither `down` nor a backup is listed"
+        "`down` servers and backups are not listed by the governor"
     );
     std::fs::write(&conf, std::fs::read_to_string(&conf).unwrap().replace("weight=5", "weight=4")).unwrap();
     let (code, said) = import(&["--diff", &format!("127.0.0.1:{http}")]);
@@ -109,14 +109,14 @@
     }
     for (at, wanted) in reference {
         let part = wanted as f64 / flows as f64;
-        // Four standard deviations of what chance does: our proxies draw, and nginx goes round.
+        // Four standard deviations: the proxies pick at random, and nginx in turn.
         let bound = 4.0 * (part * (1.0 - part) / flows as f64).sqrt();
         let seen = got[&at] as f64 / flows as f64;
         assert!((seen - part).abs() < bound, "{at}: {seen} of {part}");
     }
 }
 
-/// What stands for an nginx: it reads the file when it is told to, spreads flows by it, and logs them.
+/// A fake nginx: loads the file on reload, distributes requests by it, and writes an access log.
 struct Nginx {
     folder: PathBuf,
     rng: ChaCha8Rng,
@@ -124,7 +124,7 @@
 
 impl Nginx {
     fn new(folder: &Path) -> Self {
-        // The command that has it read the file: it fails while `refuse` is there.
+        // The reload command; it fails while the file `refuse` exists.
         let script = format!(
             "#!/bin/sh\ncd '{}'\nif [ -e refuse ]; then echo 'no such host in upstream' >&2; exit 1; fi\n\
              cp wrenthread.conf loaded.new && mv loaded.new loaded.conf\n",
@@ -150,7 +150,7 @@
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// So many flows, of which those at one address are answered badly.
+    /// Logs this many requests; those sent to the address `bad` fail.
     fn flows(&mut self, flows: usize, bad: &str) {
         let said = self.said();
         let (lines, blocked) = said[&blocks::upstream("match")].clone();
@@ -221,7 +221,7 @@
     let (code, printed) = wrenthread(&["export", "nginx", settings.to_str().unwrap(), "--print", "nginx-1"]);
     assert!(code == Some(0) && blocks::read(&printed).unwrap() == nginx.said(), "{printed}");
 
-    // A drain reaches it, and what nginx would not take is not left where it may find it.
+    // A drain reaches nginx, and a file that nginx rejects is replaced by the previous one.
     governor.list(4, &[1]);
     until("three servers", || (nginx.servers().len() == 3).then_some(())).await;
     assert!(!nginx.servers().contains(&"10.0.0.1:80".to_string()));
@@ -231,8 +231,8 @@
         let text = std::fs::read_to_string(folder.join("agent.log")).unwrap();
         text.contains("no such host in upstream").then_some(())
     };
-    until("a reload that fails", failed).await;
-    until("the file as it was", || {
+    until("the reload fails", failed).await;
+    until("the previous file is restored", || {
         let file = std::fs::read_to_string(folder.join("wrenthread.conf")).unwrap();
         (file == std::fs::read_to_string(folder.join("loaded.conf")).unwrap()).then_some(())
     })
@@ -243,13 +243,14 @@
     governor.list(4, &[]);
     until("all four again", || (nginx.servers().len() == 4).then_some(())).await;
 
-    // Its log is heard: a worker that answers badly is held back. Old lines and half ones don't count.
+    // The access log is reported: a replica that fails is ejected. Lines from before the start and partial lines don't
+    // count.
     let bad = "10.0.0.3:80";
     let held_back = |nginx: &Nginx| !nginx.servers().contains(&bad.to_string());
     let began = std::time::Instant::now();
     let mut rotated = false;
     while !held_back(&nginx) {
-        assert!(began.elapsed() < Duration::from_secs(30), "it is never held back");
+        assert!(began.elapsed() < Duration::from_secs(30), "the failing replica is not ejected in time");
         nginx.flows(20, bad);
         if !rotated && began.elapsed() > Duration::from_millis(700) {
             rotated = true;
@@ -262,15 +263,15 @@
     assert_eq!(worker["state"], "withdrawn", "{worker}");
     assert!(governor.get("/metrics").unwrap().contains("wrenthread_reports_total"));
 
-    // Without a governor it goes on with what it has; the agent ends when it is asked to.
+    // Without a governor, nginx keeps its file; the agent keeps running and ends on SIGTERM.
     let before = nginx.servers();
     governor.child.kill().unwrap();
     governor.child.wait().unwrap();
     tokio::time::sleep(Duration::from_millis(700)).await;
     assert_eq!(nginx.servers(), before);
-    assert!(agent.0.try_wait().unwrap().is_none(), "it waits for the governor");
+    assert!(agent.0.try_wait().unwrap().is_none(), "the agent ended instead of waiting for the governor");
     let id = agent.0.id().to_string();
     assert!(Command::new("kill").args(["-TERM", &id]).status().unwrap().success());
-    let ended = until("its end", || agent.0.try_wait().unwrap()).await;
+    let ended = until("the agent ends", || agent.0.try_wait().unwrap()).await;
     assert_eq!(ended.code(), Some(0));
 }
