--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -24,8 +24,8 @@
 /// The body of the answer on the governor's HTTP port.
 fn get(port: u16, path: &str) -> Option<String> {
     let agent: ureq::Agent = ureq::Agent::config_builder().http_status_as_error(false).build().into();
-    let answered = agent.get(format!("http://127.0.0.1:{port}{path}")).call();
-    answered.ok()?.body_mut().read_to_string().ok()
+    let response = agent.get(format!("http://127.0.0.1:{port}{path}")).call();
+    response.ok()?.body_mut().read_to_string().ok()
 }
 
 impl Drop for Governor {
@@ -41,11 +41,11 @@
 /// starts searching at a different port.
 pub fn port() -> u16 {
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    let port = || {
-        let place = std::process::id().wrapping_mul(97).wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed));
-        15_100 + (place % 17_000) as u16
+    let candidate = || {
+        let offset = std::process::id().wrapping_mul(97).wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed));
+        15_100 + (offset % 17_000) as u16
     };
-    std::iter::repeat_with(port).take(1000).find(|port| reserve(*port)).expect("a free port on loopback")
+    std::iter::repeat_with(candidate).take(1000).find(|port| reserve(*port)).expect("a free port on loopback")
 }
 
 /// Reserves a port if it is free and not reserved by another test. The check binds without listening: a listener would
@@ -111,7 +111,7 @@
     }
 
     /// Starts a governor whose roster is another governor's table of a group.
-    pub async fn downstream(name: &str, of: &Governor) -> Governor {
+    pub async fn downstream(name: &str, upstream: &Governor) -> Governor {
         let folder = std::env::temp_dir().join(format!("wrenthread-test-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let (grpc, http, poll) = (port(), port(), port());
@@ -119,8 +119,8 @@
         let mut governor = Governor { child, folder, grpc, http, poll, joined_most: 4 };
         governor.settings(16);
         let path = governor.folder.join("settings.star");
-        let upstream = format!("upstream = \"http://127.0.0.1:{}\", clusters = [\"match\"]", of.grpc);
-        let script = std::fs::read_to_string(&path).unwrap().replace("file = \"roster.json\"", &upstream);
+        let roster = format!("upstream = \"http://127.0.0.1:{}\", clusters = [\"match\"]", upstream.grpc);
+        let script = std::fs::read_to_string(&path).unwrap().replace("file = \"roster.json\"", &roster);
         std::fs::write(&path, script).unwrap();
         governor.spawn().await;
         governor
@@ -139,8 +139,8 @@
             .unwrap();
         let (child, http) = (&mut self.child, self.http);
         until("ready", || {
-            let ended = child.try_wait().unwrap();
-            assert!(ended.is_none(), "the governor ended before it was ready: {ended:?}");
+            let status = child.try_wait().unwrap();
+            assert!(status.is_none(), "the governor ended before it was ready: {status:?}");
             get(http, "/readyz").filter(|text| text == "ready\n")
         })
         .await;
@@ -152,11 +152,11 @@
     }
 
     pub fn list(&self, workers: usize, draining: &[usize]) {
-        let one = |n: usize| {
+        let replica = |n: usize| {
             let phase = if draining.contains(&n) { "draining" } else { "ready" };
             format!(r#"{{"id": "w{n}", "address": "10.0.0.{n}:80", "zone": "north", "phase": "{phase}"}}"#)
         };
-        let list: Vec<String> = (0..workers).map(one).collect();
+        let list: Vec<String> = (0..workers).map(replica).collect();
         self.roster(&format!("{{\"replicas\": [\n{}\n]}}", list.join(",\n")));
     }
 
@@ -195,12 +195,12 @@
 pub fn until_signals_are_handled(child: &mut Child) {
     const SIGHUP: u32 = 1;
     const SIGTERM: u32 = 15;
-    let wanted = signal_bit(SIGHUP) | signal_bit(SIGTERM);
+    let expected = signal_bit(SIGHUP) | signal_bit(SIGTERM);
     let began = Instant::now();
     loop {
         let status = std::fs::read_to_string(format!("/proc/{}/status", child.id())).unwrap();
         let caught = status.lines().find_map(|line| line.strip_prefix("SigCgt:")).unwrap();
-        if u64::from_str_radix(caught.trim(), 16).unwrap() & wanted == wanted {
+        if u64::from_str_radix(caught.trim(), 16).unwrap() & expected == expected {
             return;
         }
         assert!(child.try_wait().unwrap().is_none(), "the process ended");
--- a/crates/daemon/tests/node/governor_process.rs
+++ b/crates/daemon/tests/node/governor_process.rs
@@ -80,11 +80,11 @@
             let child = spawn_governor(&folder, &listen, discovery);
             let mut governor =
                 GovernorProcess { child, folder: folder.clone(), listen, events: events.clone() };
-            let Some(ended) = governor.wait_until_listening_or_ended() else { return governor };
+            let Some(status) = governor.wait_until_listening_or_exited() else { return governor };
             // An unrelated process may have taken the port meanwhile.
             assert!(
                 governor.log().contains(ADDRESS_IN_USE),
-                "the governor ended before it listened: {ended:?}"
+                "the governor ended before it listened: {status:?}"
             );
             // The next attempt uses the same folder, so dropping this one must not remove it.
             governor.folder = PathBuf::new();
@@ -94,13 +94,13 @@
 
     /// Waits until this process has logged that it listens; connecting is no proof, as another process may answer at
     /// its port. Returns the exit status if the process ends first.
-    fn wait_until_listening_or_ended(&mut self) -> Option<ExitStatus> {
-        let began = Instant::now();
+    fn wait_until_listening_or_exited(&mut self) -> Option<ExitStatus> {
+        let started_at = Instant::now();
         while !self.log().contains("governor listening") {
-            if let Some(ended) = self.child.try_wait().unwrap() {
-                return Some(ended);
+            if let Some(status) = self.child.try_wait().unwrap() {
+                return Some(status);
             }
-            assert!(began.elapsed() < Duration::from_secs(20), "the governor did not listen in time");
+            assert!(started_at.elapsed() < Duration::from_secs(20), "the governor did not listen in time");
             std::thread::sleep(Duration::from_millis(20));
         }
         None
@@ -114,8 +114,8 @@
     /// Starts the governor again with the same name, address and configuration, including the original endpoint list.
     pub fn restart(&mut self) {
         self.child = spawn_governor(&self.folder, &self.listen, start_discovery(self.events.clone()));
-        let ended = self.wait_until_listening_or_ended();
-        assert!(ended.is_none(), "the governor ended before it listened: {ended:?}");
+        let status = self.wait_until_listening_or_exited();
+        assert!(status.is_none(), "the governor ended before it listened: {status:?}");
     }
 
     pub fn connect(&self) -> Peer {
@@ -173,11 +173,11 @@
     /// Whether the peer receives a `NACK`, or its connection is closed, within `span`.
     pub fn is_rejected_or_closed_within(&mut self, span: Duration) -> bool {
         self.reader.get_mut().set_read_timeout(Some(span)).unwrap();
-        let mut rest = [0; 256];
+        let mut buffer = [0; 256];
         loop {
-            match self.reader.read(&mut rest) {
+            match self.reader.read(&mut buffer) {
                 Ok(0) => return true,
-                Ok(count) if rest[..count].windows(4).any(|it| it == b"NACK") => return true,
+                Ok(count) if buffer[..count].windows(4).any(|window| window == b"NACK") => return true,
                 Ok(_) => {}
                 Err(error) => return error.kind() == std::io::ErrorKind::ConnectionReset,
             }
--- a/crates/daemon/tests/node/main.rs
+++ b/crates/daemon/tests/node/main.rs
@@ -76,12 +76,12 @@
 }
 
 #[test]
-fn unidentified_peers_are_disconnected_and_keep_no_proxy_out() {
+fn unidentified_peers_are_disconnected_and_do_not_block_a_proxy() {
     let governor = GovernorProcess::start("unidentified");
-    let mut silent: Vec<Peer> = (0..300).map(|_| governor.connect()).collect();
+    let mut silent_peers: Vec<Peer> = (0..300).map(|_| governor.connect()).collect();
     let mut proxy = governor.connect_proxy(3);
     proxy.wait_for(|message| message["whole"] == true);
-    let strange: [&[u8]; 8] = [
+    let invalid_inputs: [&[u8]; 8] = [
         b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
         b"{\"@type\":\"SUBSCRIBE\",\"node\":1,",
         b"\xff\xff\xff\xff\x00\x01",
@@ -91,7 +91,7 @@
         b"{\"@type\":\"CONFIG\",\"lines\":[]}\n",
         b"{\"@type\":\"PING\"}\n",
     ];
-    for bytes in strange {
+    for bytes in invalid_inputs {
         let mut peer = governor.connect();
         let _ = peer.write(bytes);
         assert!(
@@ -100,13 +100,13 @@
             String::from_utf8_lossy(bytes)
         );
     }
-    let mut endless = governor.connect();
+    let mut endless_peer = governor.connect();
     let began = Instant::now();
-    while endless.write(&[b'{'; 512]).is_ok() {
+    while endless_peer.write(&[b'{'; 512]).is_ok() {
         assert!(began.elapsed() < Duration::from_secs(3), "the governor accepts an endless first message");
         std::thread::sleep(Duration::from_millis(5));
     }
-    for peer in &mut silent {
+    for peer in &mut silent_peers {
         assert!(peer.is_rejected_or_closed_within(Duration::from_secs(3)));
     }
     proxy.send(&json!({"@type": "PING"}));
@@ -133,24 +133,24 @@
 }
 
 #[test]
-fn names_missing_and_invalid_variables_at_startup() {
+fn errors_name_missing_and_invalid_variables_at_startup() {
     let start = |variables: &[(&str, &str)]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_wrenthread"));
         command.arg("node").envs(variables.iter().copied());
-        let ran = command.output().unwrap();
-        (ran.status.code(), String::from_utf8(ran.stderr).unwrap())
+        let output = command.output().unwrap();
+        (output.status.code(), String::from_utf8(output.stderr).unwrap())
     };
     let mut variables = vec![("RELAY_NAME", "n0")];
-    for (name, wrong, right) in [
+    for (name, invalid, valid) in [
         ("RELAY_LISTEN", "here", "127.0.0.1:0"),
         ("RELAY_DISCOVERY", "127.0.0.1", "127.0.0.1:1"),
         ("RELAY_CONFIG", "/nowhere/at/all", ""),
     ] {
         let (code, message) = start(&variables);
         assert!(code == Some(2) && message.contains(name), "{message}");
-        let (code, message) = start(&[variables.as_slice(), &[(name, wrong)]].concat());
-        assert!(code == Some(2) && (message.contains(name) || message.contains(wrong)), "{message}");
-        variables.push((name, right));
+        let (code, message) = start(&[variables.as_slice(), &[(name, invalid)]].concat());
+        assert!(code == Some(2) && (message.contains(name) || message.contains(invalid)), "{message}");
+        variables.push((name, valid));
     }
 }
 
@@ -187,8 +187,8 @@
         // Connections that are open when the governor stops: a proxy that reads nothing, a peer that has sent half of
         // its first message, and a peer that sends nothing.
         let _reads_nothing = governor.connect_proxy(3);
-        let mut half = governor.connect();
-        half.write(b"{\"@type\":\"SUBSCRIBE\",").unwrap();
+        let mut half_identified = governor.connect();
+        half_identified.write(b"{\"@type\":\"SUBSCRIBE\",").unwrap();
         let _sends_nothing = governor.connect();
         governor.signal(signal);
         assert_eq!(governor.child.wait().unwrap().code(), code);
--- a/crates/daemon/tests/node/outages.rs
+++ b/crates/daemon/tests/node/outages.rs
@@ -13,7 +13,7 @@
 
 const REPLICAS: [(&str, &str); 4] = [("r1", "up"), ("r2", "up"), ("r3", "up"), ("r4", "up")];
 /// Longer than a watch may be silent: the governor has given it up once by then.
-const GIVEN_UP: Duration = Duration::from_millis(3200);
+const LONGER_THAN_WATCH_TIMEOUT: Duration = Duration::from_millis(3200);
 
 /// Reads until a message removes a replica from the table.
 fn wait_for_removal(proxy: &mut Peer, name: &str) {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn signals_that_come_while_the_configuration_is_read_wait() {
+fn signals_during_startup_wait_until_the_configuration_is_read() {
     let mut governor = GovernorProcess::start("early");
     let path = governor.folder.join("config.json");
     let text = std::fs::read_to_string(&path).unwrap();
@@ -50,7 +50,7 @@
 /// Without an endpoint list no table can be published; an empty complete table would remove the replicas that a proxy
 /// uses.
 #[test]
-fn a_governor_without_any_list_is_ready_and_leaves_proxies_what_they_hold_until_it_has_one() {
+fn a_governor_without_an_endpoint_list_is_ready_and_publishes_no_table_until_it_has_one() {
     let refused = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let governor = GovernorProcess::start_with("no-list", |config| {
         config["discovery"] = json!(refused.to_string());
@@ -71,7 +71,7 @@
 
 /// Checks that a governor serves its initial list while discovery is unavailable, and follows discovery to a new
 /// address.
-fn serves_and_moves(name: &str, unavailable: &str, outage: Duration) {
+fn check_serves_and_follows_discovery(name: &str, unavailable: &str, outage: Duration) {
     let mut governor = GovernorProcess::start_with(name, |config| config["discovery"] = json!(unavailable));
     let mut proxy = governor.connect_proxy(3);
     let whole = proxy.wait_for(|message| message["whole"] == true);
@@ -91,24 +91,28 @@
 }
 
 #[test]
-fn serves_while_discovery_refuses_connections_and_follows_it_as_it_moves() {
+fn serves_while_discovery_refuses_connections_and_follows_it_to_a_new_address() {
     let refused = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    serves_and_moves("refused", &refused.to_string(), Duration::from_millis(600));
+    check_serves_and_follows_discovery("refused", &refused.to_string(), Duration::from_millis(600));
 }
 
 #[test]
-fn serves_while_discovery_accepts_and_says_nothing_and_follows_it_as_it_moves() {
+fn serves_while_discovery_is_silent_and_follows_it_to_a_new_address() {
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
-    serves_and_moves("silent", &silent.local_addr().unwrap().to_string(), GIVEN_UP);
+    check_serves_and_follows_discovery(
+        "silent",
+        &silent.local_addr().unwrap().to_string(),
+        LONGER_THAN_WATCH_TIMEOUT,
+    );
 }
 
 /// The listener's backlog is full, so connections to it are never established.
 #[test]
-fn serves_while_connections_to_discovery_never_come_up_and_follows_it_as_it_moves() {
+fn serves_while_discovery_is_unreachable_and_follows_it_to_a_new_address() {
     let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     listener.bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     listener.listen(0).unwrap();
     let address = listener.local_addr().unwrap().as_socket().unwrap();
     let _fills_the_backlog = std::net::TcpStream::connect(address).unwrap();
-    serves_and_moves("unreachable", &address.to_string(), Duration::from_millis(1500));
+    check_serves_and_follows_discovery("unreachable", &address.to_string(), Duration::from_millis(1500));
 }
--- a/crates/daemon/tests/node/standstill.rs
+++ b/crates/daemon/tests/node/standstill.rs
@@ -7,11 +7,11 @@
 use super::governor_process::{GovernorProcess, Peer};
 
 /// Longer than the time a peer has to identify itself. It is real time, as the process uses the system's clock.
-const STANDSTILL: Duration = Duration::from_millis(2400);
+const PAUSE: Duration = Duration::from_millis(2400);
 const PEERS: u16 = 8;
 
 /// Connects a peer that the governor has accepted and that has sent this many bytes of its first message.
-fn begin(governor: &GovernorProcess, message: &str, sent: usize) -> Peer {
+fn connect_partly_identified(governor: &GovernorProcess, message: &str, sent: usize) -> Peer {
     let mut peer = governor.connect();
     peer.write(format!("{}\n{}", json!({"@type": "PING"}), &message[..sent]).as_bytes()).unwrap();
     peer.wait_for(|message| message["@type"] == "PONG");
@@ -21,7 +21,7 @@
 /// Guards against closing a stream before its first table: after the pause the identification timer has expired, and
 /// bytes that arrived during the pause must be read before it is checked.
 #[test]
-fn what_came_while_the_governor_stood_still_counts_before_a_timeout() {
+fn bytes_that_arrived_during_a_pause_are_read_before_a_timeout() {
     let governor = GovernorProcess::start("standstill");
     let mut peers = Vec::new();
     for proxy in 0..PEERS {
@@ -29,13 +29,13 @@
             json!({"@type": "SUBSCRIBE", "node": proxy, "locality": "a", "w": 2.0, "cold": false});
         let message = format!("{subscribe}\n");
         let sent = if proxy % 2 == 0 { 0 } else { message.len() / 2 };
-        peers.push((begin(&governor, &message, sent), message, sent));
+        peers.push((connect_partly_identified(&governor, &message, sent), message, sent));
     }
     governor.signal("-STOP");
     for (peer, message, sent) in &mut peers {
         peer.write(&message.as_bytes()[*sent..]).unwrap();
     }
-    std::thread::sleep(STANDSTILL);
+    std::thread::sleep(PAUSE);
     governor.signal("-CONT");
     for (peer, ..) in &mut peers {
         peer.wait_for(|message| message["whole"] == true);
--- a/crates/daemon/tests/soak/check.rs
+++ b/crates/daemon/tests/soak/check.rs
@@ -10,7 +10,7 @@
     Entry, Event, GovernorIndex, PeerOutcome, ReplicaStatus, Signal, StreamEnd, StreamNumber,
 };
 use super::governor::{KNOWN_LIST_AGE, MEMORY_MEGABYTES};
-use super::play::Outcome;
+use super::runner::Outcome;
 use super::table::ProxyTable;
 
 const READY_WITHIN: Duration = Duration::from_secs(10);
@@ -31,7 +31,7 @@
     started_at: Duration,
     ready_at: Option<Duration>,
     signals: Vec<(Duration, Signal)>,
-    told: BTreeMap<String, (ReplicaStatus, Duration)>,
+    agent_statuses: BTreeMap<String, (ReplicaStatus, Duration)>,
 }
 
 struct StreamState {
@@ -58,7 +58,7 @@
     statuses: BTreeMap<String, ReplicaStatus>,
     /// When each replica was first listed.
     listed_at: BTreeMap<String, Duration>,
-    faults: BTreeSet<String>,
+    violations: BTreeSet<String>,
 }
 
 /// The violations of the rules in a scenario's outcome; empty if there are none.
@@ -71,16 +71,16 @@
         default_table: Vec::new(),
         statuses: BTreeMap::new(),
         listed_at: BTreeMap::new(),
-        faults: BTreeSet::new(),
+        violations: BTreeSet::new(),
     };
     for entry in &outcome.entries {
         checker.check_limits(entry.at);
-        checker.take(entry);
+        checker.handle_event(entry);
     }
     if let Some(panic) = outcome.governor_logs.lines().find(|line| line.contains("panicked")) {
-        checker.faults.insert(format!("a governor panicked: {panic}"));
+        checker.violations.insert(format!("a governor panicked: {panic}"));
     }
-    checker.faults.into_iter().collect()
+    checker.violations.into_iter().collect()
 }
 
 fn pauses(entries: &[Entry]) -> Vec<Pause> {
@@ -102,47 +102,48 @@
 
 impl Checker {
     /// The time between two points, without the governor's pauses.
-    fn active(&self, governor: GovernorIndex, from: Duration, until: Duration) -> Duration {
+    fn unpaused_time(&self, governor: GovernorIndex, from: Duration, until: Duration) -> Duration {
         let overlap = |pause: &Pause| pause.until.min(until).saturating_sub(pause.from.max(from));
         let pauses = self.pauses.iter().filter(|pause| pause.governor == governor);
         until.saturating_sub(from).saturating_sub(pauses.map(overlap).sum())
     }
 
-    fn fault(&mut self, text: String) {
-        self.faults.insert(text);
+    fn add_violation(&mut self, text: String) {
+        self.violations.insert(text);
     }
 
-    fn take(&mut self, entry: &Entry) {
+    fn handle_event(&mut self, entry: &Entry) {
         let at = entry.at;
         match &entry.event {
             Event::Started { governor } => {
                 let state = GovernorState { started_at: at, ..GovernorState::default() };
                 self.governors.insert(*governor, state);
             }
-            Event::Ready { governor } => self.ready(at, *governor),
+            Event::Ready { governor } => self.handle_ready(at, *governor),
             Event::Signalled { governor, signal } => {
                 self.governors.entry(*governor).or_default().signals.push((at, *signal));
             }
-            Event::Exited { governor, code } => self.exited(at, *governor, *code),
+            Event::Exited { governor, code } => self.handle_exit(at, *governor, *code),
             Event::PeakMemory { governor, bytes } => {
                 if *bytes > MEMORY_MEGABYTES << 20 {
-                    self.fault(format!("governor {governor} used {bytes} bytes of memory"));
+                    self.add_violation(format!("governor {governor} used {bytes} bytes of memory"));
                 }
             }
-            Event::Changed { replica, status } => {
+            Event::StatusChanged { replica, status } => {
                 if self.governors.is_empty() {
                     self.default_table.push(replica.clone());
                 }
                 self.statuses.insert(replica.clone(), *status);
                 self.listed_at.entry(replica.clone()).or_insert(at);
             }
-            Event::Told { governor, replica, status } => {
-                let told = &mut self.governors.entry(*governor).or_default().told;
-                let since =
-                    told.get(replica).filter(|(_, since)| *since <= at && *status != ReplicaStatus::Up);
+            Event::StatusWritten { governor, replica, status } => {
+                let agent_statuses = &mut self.governors.entry(*governor).or_default().agent_statuses;
+                let since = agent_statuses
+                    .get(replica)
+                    .filter(|(_, since)| *since <= at && *status != ReplicaStatus::Up);
                 let since =
                     since.filter(|(former, _)| *former != ReplicaStatus::Up).map_or(at, |(_, since)| *since);
-                told.insert(replica.clone(), (*status, since));
+                agent_statuses.insert(replica.clone(), (*status, since));
             }
             Event::Connected { stream, proxy, governor, holds_default_table } => {
                 let default_table = &self.default_table;
@@ -156,42 +157,42 @@
                 };
                 self.streams.insert(*stream, state);
             }
-            Event::Received { stream, message } => self.received(at, *stream, message),
-            Event::Ended { stream, end } => self.ended(at, *stream, *end),
+            Event::Received { stream, message } => self.handle_message(at, *stream, message),
+            Event::Ended { stream, end } => self.handle_end(at, *stream, *end),
             Event::Crowd { governor, outcome } => {
                 if *outcome == PeerOutcome::LeftOpen {
-                    self.fault(format!("governor {governor} left a peer of a crowd open"));
+                    self.add_violation(format!("governor {governor} left a peer of a crowd open"));
                 }
             }
         }
     }
 
-    fn ready(&mut self, at: Duration, governor: GovernorIndex) {
+    fn handle_ready(&mut self, at: Duration, governor: GovernorIndex) {
         let state = self.governors.entry(governor).or_default();
         state.ready_at = Some(at);
-        let took = at - state.started_at;
-        if took > READY_WITHIN {
-            self.fault(format!("governor {governor} was ready after {took:?}"));
+        let startup_time = at - state.started_at;
+        if startup_time > READY_WITHIN {
+            self.add_violation(format!("governor {governor} was ready after {startup_time:?}"));
         }
     }
 
-    fn exited(&mut self, at: Duration, governor: GovernorIndex, code: Option<i32>) {
+    fn handle_exit(&mut self, at: Duration, governor: GovernorIndex, code: Option<i32>) {
         let signals = &self.governors.entry(governor).or_default().signals;
-        let had = |wanted: Signal| signals.iter().any(|(_, signal)| *signal == wanted);
-        let fault = match (had(Signal::Terminate), had(Signal::Kill), code) {
+        let was_sent = |wanted: Signal| signals.iter().any(|(_, signal)| *signal == wanted);
+        let violation = match (was_sent(Signal::Terminate), was_sent(Signal::Kill), code) {
             (true, false, Some(0)) | (false, true, None) => return,
             (true, true, _) => "did not exit between SIGTERM and SIGKILL".to_string(),
             (false, false, code) => format!("exited without a signal, with code {code:?}"),
             (.., code) => format!("exited with code {code:?} after signals {signals:?}"),
         };
-        self.fault(format!("{at:?}: governor {governor} {fault}"));
+        self.add_violation(format!("{at:?}: governor {governor} {violation}"));
     }
 
-    fn received(&mut self, at: Duration, number: StreamNumber, message: &Value) {
+    fn handle_message(&mut self, at: Duration, number: StreamNumber, message: &Value) {
         let Some(stream) = self.streams.get_mut(&number) else { return };
         let proxy = stream.proxy;
         if message["@type"] == "NACK" {
-            self.fault(format!("{at:?}: proxy {proxy} was rejected on stream {number}"));
+            self.add_violation(format!("{at:?}: proxy {proxy} was rejected on stream {number}"));
             return;
         }
         stream.has_complete_table |= message["whole"] == true;
@@ -210,7 +211,7 @@
             // A restarted governor's complete table may be based on a list from before the replica was added.
             let is_change = message["whole"] != true;
             if is_up && (is_ejected || (are_all_in_tables && is_change)) {
-                self.fault(format!(
+                self.add_violation(format!(
                     "{at:?}: {name} is up but was removed from the table of proxy {proxy} on stream {number}"
                 ));
             }
@@ -235,13 +236,13 @@
             .filter(|name| was_listed(name) && !self.tables[&proxy].weights.contains_key(name))
             .collect();
         for name in missing {
-            self.fault(format!(
+            self.add_violation(format!(
                 "{at:?}: {name} is up but not in the first table of proxy {proxy} on stream {number}"
             ));
         }
     }
 
-    fn ended(&mut self, at: Duration, number: StreamNumber, end: StreamEnd) {
+    fn handle_end(&mut self, at: Duration, number: StreamNumber, end: StreamEnd) {
         let Some(stream) = self.streams.remove(&number) else { return };
         if end == StreamEnd::ByProxy {
             return;
@@ -250,17 +251,19 @@
         let is_stop = |signal: &Signal| matches!(signal, Signal::Terminate | Signal::Kill);
         let was_stopped = state.signals.iter().any(|(_, signal)| is_stop(signal));
         // The governor was restarted after the stream connected.
-        let is_of_former = stream.connected_at < state.started_at;
+        let is_from_earlier_start = stream.connected_at < state.started_at;
         let is_before_start = state.ready_at.is_none_or(|ready| stream.connected_at < ready);
-        if !was_stopped && !is_of_former && !is_before_start {
+        if !was_stopped && !is_from_earlier_start && !is_before_start {
             let (proxy, governor) = (stream.proxy, stream.governor);
-            self.fault(format!("{at:?}: stream {number} of proxy {proxy} was ended by governor {governor}"));
+            self.add_violation(format!(
+                "{at:?}: stream {number} of proxy {proxy} was ended by governor {governor}"
+            ));
         }
     }
 
     /// Checks the time limits of all open streams.
     fn check_limits(&mut self, now: Duration) {
-        let mut faults = Vec::new();
+        let mut violations = Vec::new();
         for (number, stream) in &self.streams {
             let Some(state) = self.governors.get(&stream.governor) else { continue };
             let Some(ready_at) = state.ready_at.filter(|ready| *ready <= stream.connected_at + END_WITHIN)
@@ -273,28 +276,30 @@
                 continue;
             }
             let began = stream.connected_at.max(ready_at + RULES_BEGIN_AFTER);
-            let joined_for = self.active(stream.governor, began, now);
+            let joined_for = self.unpaused_time(stream.governor, began, now);
             let table = &self.tables[&stream.proxy];
             let proxy = stream.proxy;
             if joined_for > TABLE_WITHIN {
                 if !stream.holds_default_table && !stream.has_complete_table {
-                    faults.push(format!("proxy {proxy} received no first table on stream {number}"));
+                    violations.push(format!("proxy {proxy} received no first table on stream {number}"));
                 }
                 let is_up = |name: &&String| self.statuses.get(*name) == Some(&ReplicaStatus::Up);
                 if !table.usable().iter().any(is_up) {
-                    faults.push(format!("proxy {proxy} has no usable replica on stream {number}"));
+                    violations.push(format!("proxy {proxy} has no usable replica on stream {number}"));
                 }
             }
-            for (replica, (status, since)) in &state.told {
-                let due_for = self.active(stream.governor, began.max(*since), now);
-                if *status != ReplicaStatus::Up && due_for > DRAIN_WITHIN && table.usable().contains(replica)
+            for (replica, (status, since)) in &state.agent_statuses {
+                let overdue_for = self.unpaused_time(stream.governor, began.max(*since), now);
+                if *status != ReplicaStatus::Up
+                    && overdue_for > DRAIN_WITHIN
+                    && table.usable().contains(replica)
                 {
-                    faults.push(format!(
+                    violations.push(format!(
                         "{replica} is {status:?} but still in use by proxy {proxy} on stream {number}"
                     ));
                 }
             }
         }
-        self.faults.extend(faults);
+        self.violations.extend(violations);
     }
 }
--- a/crates/daemon/tests/soak/discovery.rs
+++ b/crates/daemon/tests/soak/discovery.rs
@@ -51,7 +51,7 @@
     pub fn set(&self, replica: &str, status: ReplicaStatus) {
         let mut changes = self.changes.lock().unwrap();
         let version = changes.len() as u64 + 1;
-        self.log.push(Event::Changed { replica: replica.into(), status });
+        self.log.push(Event::StatusChanged { replica: replica.into(), status });
         changes.push(Change { version, replica: replica.into(), status, made_at: Instant::now() });
     }
 
@@ -140,7 +140,7 @@
         agent
     }
 
-    pub fn fall_silent(&self, span: Duration) {
+    pub fn stop_writing(&self, span: Duration) {
         self.state.lock().unwrap().silent_until = Some(Instant::now() + span);
     }
 
@@ -164,8 +164,8 @@
     }
 
     fn has_ended(&self) -> bool {
-        let is_over = self.ends_at.lock().unwrap().is_some_and(|at| Instant::now() >= at);
-        is_over || (self.stopped.load(Ordering::Relaxed) && self.ends_at.lock().unwrap().is_none())
+        let is_expired = self.ends_at.lock().unwrap().is_some_and(|at| Instant::now() >= at);
+        is_expired || (self.stopped.load(Ordering::Relaxed) && self.ends_at.lock().unwrap().is_none())
     }
 }
 
@@ -186,7 +186,7 @@
             let (version, listed) = self.discovery.listed_before(delay);
             let text = event(version, true, &listed).to_string();
             write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len())?;
-            self.tell(&listed);
+            self.log_statuses(&listed);
             return Ok(());
         }
         let from = request.split("from=").nth(1).and_then(|rest| rest.split(' ').next());
@@ -215,17 +215,17 @@
                     if rows.is_empty() { "\n".into() } else { format!("{}\n", event(version, false, &rows)) };
                 write!(stream, "{:x}\r\n{line}\r\n", line.len())?;
                 written_at = Instant::now();
-                self.tell(&rows);
+                self.log_statuses(&rows);
             }
             std::thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
 
-    fn tell(&self, rows: &[(String, ReplicaStatus)]) {
+    fn log_statuses(&self, rows: &[(String, ReplicaStatus)]) {
         for (replica, status) in rows {
             let (governor, replica) = (self.governor, replica.clone());
-            self.discovery.log.push(Event::Told { governor, replica, status: *status });
+            self.discovery.log.push(Event::StatusWritten { governor, replica, status: *status });
         }
     }
 }
--- a/crates/daemon/tests/soak/event_log.rs
+++ b/crates/daemon/tests/soak/event_log.rs
@@ -90,12 +90,12 @@
         bytes: u64,
     },
     /// A replica's status changed in discovery.
-    Changed {
+    StatusChanged {
         replica: String,
         status: ReplicaStatus,
     },
     /// A discovery agent wrote this status to the governor.
-    Told {
+    StatusWritten {
         governor: GovernorIndex,
         replica: String,
         status: ReplicaStatus,
--- a/crates/daemon/tests/soak/governor.rs
+++ b/crates/daemon/tests/soak/governor.rs
@@ -136,7 +136,7 @@
         }
         self.log.push(Event::Signalled { governor: self.index, signal });
         let id = self.child.id().to_string();
-        // The process may already have ended from an earlier signal of a series.
+        // The process may already have exited after an earlier signal of a series.
         let _ = Command::new("kill").args([signal.flag(), &id]).stderr(Stdio::null()).status();
     }
 
@@ -150,16 +150,16 @@
         }
     }
 
-    /// Sends SIGTERM `times` times, and SIGKILL if the process has not ended after [`KILL_AFTER_TERMINATE`]. Restarts
+    /// Sends SIGTERM `times` times, and SIGKILL if the process has not exited after [`KILL_AFTER_TERMINATE`]. Restarts
     /// it.
     pub fn terminate(&mut self, times: u32) {
         for _ in 0..times {
             self.signal(Signal::Terminate);
         }
-        let killed_at = Instant::now() + KILL_AFTER_TERMINATE;
-        while Instant::now() < killed_at {
+        let kill_at = Instant::now() + KILL_AFTER_TERMINATE;
+        while Instant::now() < kill_at {
             if let Some(status) = self.child.try_wait().unwrap() {
-                self.ended(status.code());
+                self.handle_exit(status.code());
                 return;
             }
             std::thread::sleep(POLL_INTERVAL);
@@ -170,18 +170,18 @@
     pub fn kill(&mut self) {
         self.signal(Signal::Kill);
         let status = self.child.wait().unwrap();
-        self.ended(status.code());
+        self.handle_exit(status.code());
     }
 
-    fn ended(&mut self, code: Option<i32>) {
+    fn handle_exit(&mut self, code: Option<i32>) {
         self.log.push(Event::Exited { governor: self.index, code });
         self.spawn();
     }
 
     /// Sends SIGHUP, on which the governor reloads its configuration.
-    pub fn hang_up(&mut self, times: u32) {
-        let soonest = self.started_at + FIRST_HANGUP_AFTER;
-        std::thread::sleep(soonest.saturating_duration_since(Instant::now()));
+    pub fn reload(&mut self, times: u32) {
+        let earliest = self.started_at + FIRST_HANGUP_AFTER;
+        std::thread::sleep(earliest.saturating_duration_since(Instant::now()));
         for _ in 0..times {
             self.signal(Signal::Hangup);
         }
@@ -191,7 +191,7 @@
     pub fn move_agent(&mut self, hangups: u32) {
         let former = std::mem::replace(&mut self.agent, Agent::start(self.discovery.clone(), self.index));
         self.write_config();
-        self.hang_up(hangups);
+        self.reload(hangups);
         former.retire();
     }
 
@@ -204,9 +204,9 @@
     }
 
     /// Records an unexpected exit, and restarts the process.
-    pub fn check_it_runs(&mut self) {
+    pub fn check_running(&mut self) {
         if let Some(status) = self.child.try_wait().unwrap() {
-            self.ended(status.code());
+            self.handle_exit(status.code());
         }
     }
 
--- a/crates/daemon/tests/soak/main.rs
+++ b/crates/daemon/tests/soak/main.rs
@@ -18,9 +18,9 @@
 mod discovery;
 mod event_log;
 mod governor;
-mod history;
-mod play;
 mod proxy;
+mod runner;
+mod scenario;
 mod stored_state;
 mod summary;
 mod table;
@@ -28,18 +28,18 @@
 use std::path::PathBuf;
 use std::sync::Mutex;
 
-use history::History;
+use scenario::Scenario;
 use summary::Summary;
 
 /// The environment variable for other seeds, as `FIRST-LAST`.
 const SEEDS_VARIABLE: &str = "SOAK_SEEDS";
 /// The seeds that CI runs.
-const FIXED_SEEDS: std::ops::RangeInclusive<u64> = 1..=16;
+const DEFAULT_SEEDS: std::ops::RangeInclusive<u64> = 1..=16;
 /// How many scenarios run in parallel.
-const LANES: usize = 4;
+const PARALLEL_SCENARIOS: usize = 4;
 
 fn seeds() -> Vec<u64> {
-    let Ok(text) = std::env::var(SEEDS_VARIABLE) else { return FIXED_SEEDS.collect() };
+    let Ok(text) = std::env::var(SEEDS_VARIABLE) else { return DEFAULT_SEEDS.collect() };
     let (first, last) = text.split_once('-').expect("SOAK_SEEDS is FIRST-LAST");
     (first.parse().expect("FIRST is a number")..=last.parse().expect("LAST is a number")).collect()
 }
@@ -51,38 +51,38 @@
 }
 
 /// Runs the scenario of a seed. Returns its summary, or the violations with everything needed to analyse them.
-fn soak(seed: u64) -> Result<Summary, String> {
-    let history = History::draw(seed);
+fn run_scenario(seed: u64) -> Result<Summary, String> {
+    let scenario = Scenario::generate(seed);
     let folder = folder(&seed.to_string());
-    let outcome = play::play(&history, &folder);
+    let outcome = runner::run(&scenario, &folder);
     let _ = std::fs::remove_dir_all(&folder);
-    let faults = check::check(&outcome);
-    if faults.is_empty() {
+    let violations = check::check(&outcome);
+    if violations.is_empty() {
         return Ok(Summary::of(&outcome.entries));
     }
     let entries: String = outcome.entries.iter().map(|entry| format!("{entry}\n")).collect();
     Err(format!(
-        "seed {seed}: {faults:#?}\n{history:#?}\n--- events\n{entries}{}\nseed {seed}: {faults:#?}",
+        "seed {seed}: {violations:#?}\n{scenario:#?}\n--- events\n{entries}{}\nseed {seed}: {violations:#?}",
         outcome.governor_logs
     ))
 }
 
 #[test]
-fn the_same_seed_draws_the_same_history() {
-    assert_eq!(History::draw(5), History::draw(5));
-    assert_ne!(History::draw(5), History::draw(6));
+fn the_same_seed_generates_the_same_scenario() {
+    assert_eq!(Scenario::generate(5), Scenario::generate(5));
+    assert_ne!(Scenario::generate(5), Scenario::generate(6));
 }
 
 #[test]
-fn histories_of_restarts_signals_outages_and_crowds_keep_the_rules() {
+fn governors_keep_the_rules_in_scenarios_of_restarts_signals_outages_and_crowds() {
     let seeds = Mutex::new(seeds());
     let results = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
-        for _ in 0..LANES {
+        for _ in 0..PARALLEL_SCENARIOS {
             scope.spawn(|| {
                 loop {
                     let Some(seed) = seeds.lock().unwrap().pop() else { return };
-                    let result = soak(seed);
+                    let result = run_scenario(seed);
                     results.lock().unwrap().push(result);
                 }
             });
--- a/crates/daemon/tests/soak/proxy.rs
+++ b/crates/daemon/tests/soak/proxy.rs
@@ -13,11 +13,11 @@
 /// How often a proxy reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 /// How long a proxy waits before it reconnects.
-const REDIAL_INTERVAL: Duration = Duration::from_millis(30);
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(30);
 /// How often a crowd's peers are checked.
 const CROWD_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// The platform's time limit for closing a peer that does not identify itself.
-pub const OWED_WITHIN: Duration = Duration::from_secs(3);
+pub const CLOSE_WITHIN: Duration = Duration::from_secs(3);
 
 /// The governors' addresses.
 pub type Addresses = Arc<Vec<SocketAddr>>;
@@ -29,7 +29,7 @@
     pub log: EventLog,
     pub streams: Arc<AtomicU64>,
     /// Set when all proxies should end.
-    pub over: Arc<AtomicBool>,
+    pub stopping: Arc<AtomicBool>,
 }
 
 /// A proxy with its own thread, which connects to a governor, or to the next one if that fails, and reconnects when the
@@ -44,14 +44,14 @@
     pub fn start(number: u16, fleet: Fleet) -> Proxy {
         let connection: Arc<Mutex<Option<TcpStream>>> = Arc::default();
         let closing: Arc<AtomicBool> = Arc::default();
-        let runner = Runner {
+        let proxy_thread = ProxyThread {
             number,
             fleet,
             connection: connection.clone(),
             closing: closing.clone(),
             holds_tables: number.is_multiple_of(2),
         };
-        let thread = std::thread::spawn(move || runner.run());
+        let thread = std::thread::spawn(move || proxy_thread.run());
         Proxy { connection, closing, thread }
     }
 
@@ -63,14 +63,14 @@
         }
     }
 
-    /// Closes the connection and waits for the thread to end, once [`Fleet::over`] is set.
+    /// Closes the connection and waits for the thread to end, once [`Fleet::stopping`] is set.
     pub fn join(self) {
         self.reconnect();
         self.thread.join().unwrap();
     }
 }
 
-struct Runner {
+struct ProxyThread {
     number: u16,
     fleet: Fleet,
     connection: Arc<Mutex<Option<TcpStream>>>,
@@ -80,16 +80,16 @@
     holds_tables: bool,
 }
 
-impl Runner {
+impl ProxyThread {
     fn run(mut self) {
         let count = self.fleet.addresses.len();
         let mut governor = usize::from(self.number) % count;
-        while !self.fleet.over.load(Ordering::Relaxed) {
+        while !self.fleet.stopping.load(Ordering::Relaxed) {
             match TcpStream::connect(self.fleet.addresses[governor]) {
                 Ok(stream) => self.follow(stream, governor),
                 Err(_) => governor = (governor + 1) % count,
             }
-            std::thread::sleep(REDIAL_INTERVAL);
+            std::thread::sleep(RECONNECT_INTERVAL);
         }
     }
 
@@ -100,7 +100,8 @@
         log.push(Event::Connected { stream: number, proxy: self.number, governor, holds_default_table });
         *self.connection.lock().unwrap() = stream.try_clone().ok();
         let _ = self.exchange(stream, number, holds_default_table);
-        let by_proxy = self.closing.swap(false, Ordering::Relaxed) || self.fleet.over.load(Ordering::Relaxed);
+        let by_proxy =
+            self.closing.swap(false, Ordering::Relaxed) || self.fleet.stopping.load(Ordering::Relaxed);
         let end = if by_proxy { StreamEnd::ByProxy } else { StreamEnd::ByGovernor };
         log.push(Event::Ended { stream: number, end });
         *self.connection.lock().unwrap() = None;
@@ -122,7 +123,7 @@
                 Ok(_) if line.ends_with(b"\n") => {
                     let message: Value = serde_json::from_slice(&line).unwrap();
                     line.clear();
-                    self.take(reader.get_mut(), number, message)?;
+                    self.handle_message(reader.get_mut(), number, message)?;
                 }
                 Ok(_) => {}
                 Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
@@ -137,7 +138,7 @@
         }
     }
 
-    fn take(&mut self, stream: &mut TcpStream, number: u64, message: Value) -> std::io::Result<()> {
+    fn handle_message(&mut self, stream: &mut TcpStream, number: u64, message: Value) -> std::io::Result<()> {
         let ticket = message["ticket"].as_u64();
         self.holds_tables |= message["whole"] == true;
         self.fleet.log.push(Event::Received { stream: number, message });
@@ -175,13 +176,13 @@
         let _ = stream.set_nonblocking(true);
         peers.push(stream);
     }
-    let mut left = OWED_WITHIN;
-    while !peers.is_empty() && !left.is_zero() {
+    let mut remaining = CLOSE_WITHIN;
+    while !peers.is_empty() && !remaining.is_zero() {
         peers.retain_mut(|peer| !is_closed_or_rejected(peer));
-        let looked_at = Instant::now();
+        let checked_at = Instant::now();
         std::thread::sleep(CROWD_POLL_INTERVAL);
         if !is_excused() {
-            left = left.saturating_sub(looked_at.elapsed());
+            remaining = remaining.saturating_sub(checked_at.elapsed());
         }
     }
     peers.retain_mut(|peer| !is_closed_or_rejected(peer));
@@ -195,7 +196,7 @@
     let mut bytes = [0; 256];
     match peer.read(&mut bytes) {
         Ok(0) => true,
-        Ok(count) => bytes[..count].windows(4).any(|word| word == b"NACK"),
+        Ok(count) => bytes[..count].windows(4).any(|window| window == b"NACK"),
         Err(error) => error.kind() != ErrorKind::WouldBlock,
     }
 }
--- a/crates/daemon/tests/soak/play.rs
+++ b/crates/daemon/tests/soak/runner.rs
@@ -12,8 +12,8 @@
 use super::discovery::Discovery;
 use super::event_log::{Entry, Event, EventLog, ReplicaStatus};
 use super::governor::{Governor, PROXY_COUNT};
-use super::history::{History, Step};
 use super::proxy::{Fleet, Proxy, run_crowd};
+use super::scenario::{Scenario, Step};
 
 /// At least this many replicas stay up.
 const MIN_UP: usize = 3;
@@ -28,7 +28,7 @@
     pub governor_logs: String,
 }
 
-struct Play {
+struct Runner {
     log: EventLog,
     discovery: Discovery,
     governors: Vec<Governor>,
@@ -37,31 +37,31 @@
     fleet: Fleet,
 }
 
-pub fn play(history: &History, folder: &Path) -> Outcome {
-    let mut play = Play::start(history, folder);
-    for (step, gap) in &history.steps {
-        play.wait_until_connected();
-        play.carry_out(step);
+pub fn run(scenario: &Scenario, folder: &Path) -> Outcome {
+    let mut runner = Runner::start(scenario, folder);
+    for (step, gap) in &scenario.steps {
+        runner.wait_until_connected();
+        runner.execute(step);
         std::thread::sleep(*gap);
-        play.governors.iter_mut().for_each(Governor::check_it_runs);
+        runner.governors.iter_mut().for_each(Governor::check_running);
     }
-    play.finish()
+    runner.finish()
 }
 
-impl Play {
-    fn start(history: &History, folder: &Path) -> Play {
+impl Runner {
+    fn start(scenario: &Scenario, folder: &Path) -> Runner {
         let log = EventLog::start();
-        let discovery = Discovery::new(history.replicas, log.clone());
+        let discovery = Discovery::new(scenario.replicas, log.clone());
         let start = |index| Governor::start(index, folder, &discovery, &log);
-        let governors: Vec<Governor> = (0..history.governors).map(start).collect();
+        let governors: Vec<Governor> = (0..scenario.governors).map(start).collect();
         let fleet = Fleet {
             addresses: Arc::new(governors.iter().map(|governor| governor.address).collect()),
             log: log.clone(),
             streams: Arc::new(AtomicU64::new(1)),
-            over: Arc::new(AtomicBool::new(false)),
+            stopping: Arc::new(AtomicBool::new(false)),
         };
-        let proxies = (0..history.proxies).map(|number| Proxy::start(number, fleet.clone())).collect();
-        Play { log, discovery, governors, proxies, crowds: Vec::new(), fleet }
+        let proxies = (0..scenario.proxies).map(|number| Proxy::start(number, fleet.clone())).collect();
+        Runner { log, discovery, governors, proxies, crowds: Vec::new(), fleet }
     }
 
     /// Waits until as many connections are open as there are proxies, or the time is over.
@@ -69,16 +69,17 @@
         let until = Instant::now() + CONNECTED_WITHIN;
         while Instant::now() < until {
             let entries = self.log.entries();
-            let begun = entries.iter().filter(|entry| matches!(entry.event, Event::Connected { .. })).count();
+            let connected =
+                entries.iter().filter(|entry| matches!(entry.event, Event::Connected { .. })).count();
             let ended = entries.iter().filter(|entry| matches!(entry.event, Event::Ended { .. })).count();
-            if begun - ended == self.proxies.len() {
+            if connected - ended == self.proxies.len() {
                 return;
             }
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    fn carry_out(&mut self, step: &Step) {
+    fn execute(&mut self, step: &Step) {
         match step {
             Step::DrainReplica => drop(self.drain()),
             Step::RemoveDrained => {
@@ -87,11 +88,11 @@
                 }
             }
             Step::AddReplica => drop(self.discovery.add()),
-            Step::SilenceAgent(governor, span) => self.governors[*governor].agent.fall_silent(*span),
+            Step::SilenceAgent(governor, span) => self.governors[*governor].agent.stop_writing(*span),
             Step::DelayAgent(governor, delay) => self.governors[*governor].agent.delay(*delay),
             Step::MoveAgent(governor, hangups) => self.governors[*governor].move_agent(*hangups),
             Step::HangupThenTerminate(governor) => {
-                self.governors[*governor].hang_up(1);
+                self.governors[*governor].reload(1);
                 self.governors[*governor].terminate(1);
             }
             Step::TerminateTwice(governor) => self.governors[*governor].terminate(2),
@@ -131,7 +132,7 @@
         let mut writer = stream.try_clone().unwrap();
         let rest = rest.to_vec();
         let is_paused = self.governors[governor].is_paused.clone();
-        let writing = std::thread::spawn(move || {
+        let writer_thread = std::thread::spawn(move || {
             while !is_paused.load(Ordering::Relaxed) {
                 std::thread::yield_now();
             }
@@ -139,7 +140,7 @@
         });
         self.log.push(Event::Connected { stream: number, proxy, governor, holds_default_table: false });
         self.governors[governor].pause(span);
-        writing.join().unwrap();
+        writer_thread.join().unwrap();
         super::proxy::read_first_message(&stream, number, &self.log);
     }
 
@@ -157,15 +158,15 @@
         for crowd in self.crowds {
             crowd.join().unwrap();
         }
-        self.governors.iter_mut().for_each(Governor::check_it_runs);
+        self.governors.iter_mut().for_each(Governor::check_running);
         let entries_before_end = self.log.entries();
-        self.fleet.over.store(true, Ordering::Relaxed);
+        self.fleet.stopping.store(true, Ordering::Relaxed);
         self.proxies.into_iter().for_each(Proxy::join);
         self.governors.iter_mut().for_each(Governor::finish);
         let mut entries = entries_before_end;
-        let exits = self.log.entries().into_iter().skip(entries.len());
+        let final_events = self.log.entries().into_iter().skip(entries.len());
         entries.extend(
-            exits.filter(|entry| !matches!(entry.event, Event::Ended { .. } | Event::Received { .. })),
+            final_events.filter(|entry| !matches!(entry.event, Event::Ended { .. } | Event::Received { .. })),
         );
         let governor_logs = self.governors.iter().map(Governor::log_text).collect();
         Outcome { entries, governor_logs }
--- a/crates/daemon/tests/soak/history.rs
+++ b/crates/daemon/tests/soak/scenario.rs
@@ -33,7 +33,7 @@
 
 /// A scenario: the number of participants, and the steps, each with the time until the next one.
 #[derive(Debug, Clone, PartialEq)]
-pub struct History {
+pub struct Scenario {
     pub governors: usize,
     pub proxies: u16,
     pub replicas: usize,
@@ -45,22 +45,22 @@
 /// Up to more than the time a peer has to identify itself, and less than any stream may be silent for.
 const PAUSES_MILLIS: [u64; 3] = [300, 1200, 2400];
 
-impl History {
+impl Scenario {
     /// Generates the scenario of a seed; the same seed always gives the same scenario.
-    pub fn draw(seed: u64) -> History {
-        let mut draw = Draw(ChaCha8Rng::seed_from_u64(seed));
-        let governors = 1 + draw.below(MAX_GOVERNORS) as usize;
-        let proxies = 3 + draw.below(8) as u16;
-        let replicas = 4 + draw.below(4) as usize;
-        let count = STEPS + draw.below(5);
-        let steps = (0..count).map(|_| (draw.step(governors, proxies), draw.gap())).collect();
-        History { governors, proxies, replicas, steps }
+    pub fn generate(seed: u64) -> Scenario {
+        let mut generator = Generator(ChaCha8Rng::seed_from_u64(seed));
+        let governors = 1 + generator.below(MAX_GOVERNORS) as usize;
+        let proxies = 3 + generator.below(8) as u16;
+        let replicas = 4 + generator.below(4) as usize;
+        let count = STEPS + generator.below(5);
+        let steps = (0..count).map(|_| (generator.step(governors, proxies), generator.gap())).collect();
+        Scenario { governors, proxies, replicas, steps }
     }
 }
 
-struct Draw(ChaCha8Rng);
+struct Generator(ChaCha8Rng);
 
-impl Draw {
+impl Generator {
     fn below(&mut self, limit: u64) -> u64 {
         self.0.next_u64() % limit
     }
--- a/crates/daemon/tests/soak/stored_state.rs
+++ b/crates/daemon/tests/soak/stored_state.rs
@@ -16,10 +16,10 @@
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=4;
 const RESTARTS: usize = 5;
-const REDIAL_INTERVAL: Duration = Duration::from_millis(50);
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(50);
 const KILL_AFTER_TERMINATE: Duration = Duration::from_millis(700);
 /// Series of signals; the last one of each ends the governor.
-const SERIES: [&[&str]; 6] = [
+const SIGNAL_SERIES: [&[&str]; 6] = [
     &["-KILL"],
     &["-TERM"],
     &["-TERM", "-TERM"],
@@ -52,7 +52,7 @@
         {
             while session.ask(&cache, &NoObserver).await.is_ok() {}
         }
-        tokio::time::sleep(REDIAL_INTERVAL).await;
+        tokio::time::sleep(RECONNECT_INTERVAL).await;
     }
 }
 
@@ -62,12 +62,12 @@
     let versions = Rc::new(RefCell::new(grpc::Versions::default()));
     loop {
         let _ = grpc::follow(&governor, &identity("streams"), false, &cache, &versions, &NoObserver).await;
-        tokio::time::sleep(REDIAL_INTERVAL).await;
+        tokio::time::sleep(RECONNECT_INTERVAL).await;
     }
 }
 
 /// Sends a series of signals and checks the exit: code 0 after SIGTERM, before the platform would send SIGKILL.
-async fn end(governor: &mut Governor, series: &[&str]) {
+async fn stop(governor: &mut Governor, series: &[&str]) {
     series.iter().for_each(|signal| governor.signal(signal));
     let began = Instant::now();
     let status = until("the governor ends", || governor.child.try_wait().unwrap()).await;
@@ -83,7 +83,7 @@
     }
 }
 
-async fn soak(seed: u64) {
+async fn run_seed(seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut governor = Governor::start(&format!("soak-{seed}"), 8).await;
     governor.child.kill().unwrap();
@@ -111,12 +111,12 @@
     })
     .await;
     for restart in 0..RESTARTS {
-        let series = SERIES[(rng.next_u64() % SERIES.len() as u64) as usize];
+        let series = SIGNAL_SERIES[(rng.next_u64() % SIGNAL_SERIES.len() as u64) as usize];
         until("both proxies have their tables", || {
             (avoids(&polled, &address) && avoids(&streamed, &address)).then_some(())
         })
         .await;
-        end(&mut governor, series).await;
+        stop(&mut governor, series).await;
         governor.spawn().await;
         let overrides = governor.status()["overrides"].clone();
         assert_eq!(
@@ -128,7 +128,7 @@
         assert!(!governor.log().contains("panicked"), "{}", governor.log());
         // Half of the time, the governor is killed again as soon as it is ready.
         if rng.next_u64() % 2 == 0 {
-            end(&mut governor, &["-KILL"]).await;
+            stop(&mut governor, &["-KILL"]).await;
             governor.spawn().await;
         }
     }
@@ -136,11 +136,11 @@
 }
 
 #[tokio::test]
-async fn restarts_by_series_of_signals_keep_what_operators_said_on_both_fronts() {
+async fn overrides_survive_restarts_by_series_of_signals_on_both_interfaces() {
     LocalSet::new()
         .run_until(async {
             for seed in SEEDS {
-                soak(seed).await;
+                run_seed(seed).await;
             }
         })
         .await;
