--- a/crates/daemon/benches/common/mod.rs
+++ b/crates/daemon/benches/common/mod.rs
@@ -26,12 +26,12 @@
 }
 
 pub fn roster(folder: &Path, draining: Option<usize>) {
-    let one = |n: usize| {
+    let entry = |n: usize| {
         let phase = if draining == Some(n) { "draining" } else { "ready" };
         let zone = ZONES[n % 3];
         format!(r#"{{"id": "r{n:02}", "address": "10.0.0.{n}:80", "zone": "{zone}", "phase": "{phase}"}}"#)
     };
-    let list: Vec<String> = (0..REPLICAS).map(one).collect();
+    let list: Vec<String> = (0..REPLICAS).map(entry).collect();
     std::fs::write(folder.join("new"), format!("{{\"replicas\": [{}]}}", list.join(",\n"))).unwrap();
     std::fs::rename(folder.join("new"), folder.join("roster.json")).unwrap();
 }
@@ -81,7 +81,7 @@
     }
 
     /// CPU seconds used so far, and resident memory in MiB.
-    pub fn used(&self) -> (f64, f64) {
+    pub fn resource_usage(&self) -> (f64, f64) {
         let read = |name: &str| std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id())).unwrap();
         let stat = read("stat");
         let fields: Vec<&str> = stat.rsplit(") ").next().unwrap().split(' ').collect();
--- a/crates/daemon/benches/fronts.rs
+++ b/crates/daemon/benches/fronts.rs
@@ -39,64 +39,68 @@
 
 /// The number and total size of the responses received.
 #[derive(Default)]
-struct Heard {
+struct ResponseCounter {
     bytes: Cell<usize>,
-    answers: Cell<usize>,
+    responses: Cell<usize>,
     last: Cell<Option<Instant>>,
 }
 
-impl Heard {
+impl ResponseCounter {
     fn add(&self, bytes: usize) {
         self.bytes.set(self.bytes.get() + bytes);
-        self.answers.set(self.answers.get() + 1);
+        self.responses.set(self.responses.get() + 1);
         self.last.set(Some(Instant::now()));
     }
 }
 
-fn node(place: usize) -> Node {
+fn node(index: usize) -> Node {
     Node {
-        id: format!("relay-{place}"),
-        locality: Some(Locality { zone: ZONES[place % 3].into(), ..Locality::default() }),
+        id: format!("relay-{index}"),
+        locality: Some(Locality { zone: ZONES[index % 3].into(), ..Locality::default() }),
         ..Node::default()
     }
 }
 
-async fn by_state(place: usize, channel: tonic::transport::Channel, heard: Rc<Heard>) {
+async fn follow_state_of_the_world(
+    index: usize,
+    channel: tonic::transport::Channel,
+    counter: Rc<ResponseCounter>,
+) {
     let (requests, stream) = mpsc::channel(8);
-    let ask = |nonce: String, node: Option<Node>| DiscoveryRequest {
+    let request = |nonce: String, node: Option<Node>| DiscoveryRequest {
         node,
         type_url: Kind::Endpoints.url(),
         resource_names: GROUPS.map(String::from).to_vec(),
         response_nonce: nonce,
         ..DiscoveryRequest::default()
     };
-    requests.send(ask(String::new(), Some(node(place)))).await.unwrap();
+    requests.send(request(String::new(), Some(node(index)))).await.unwrap();
     let mut client = AggregatedDiscoveryServiceClient::new(channel);
-    let mut answers =
+    let mut responses =
         client.stream_aggregated_resources(ReceiverStream::new(stream)).await.unwrap().into_inner();
-    while let Some(Ok(answer)) = answers.next().await {
-        heard.add(answer.encoded_len());
-        if requests.send(ask(answer.nonce, None)).await.is_err() {
+    while let Some(Ok(response)) = responses.next().await {
+        counter.add(response.encoded_len());
+        if requests.send(request(response.nonce, None)).await.is_err() {
             return;
         }
     }
 }
 
-async fn by_delta(place: usize, channel: tonic::transport::Channel, heard: Rc<Heard>) {
+async fn follow_delta(index: usize, channel: tonic::transport::Channel, counter: Rc<ResponseCounter>) {
     let (requests, stream) = mpsc::channel(8);
     let first = DeltaDiscoveryRequest {
-        node: Some(node(place)),
+        node: Some(node(index)),
         type_url: Kind::Endpoints.url(),
         resource_names_subscribe: GROUPS.map(String::from).to_vec(),
         ..DeltaDiscoveryRequest::default()
     };
     requests.send(first).await.unwrap();
     let mut client = AggregatedDiscoveryServiceClient::new(channel);
-    let mut answers =
+    let mut responses =
         client.delta_aggregated_resources(ReceiverStream::new(stream)).await.unwrap().into_inner();
-    while let Some(Ok(answer)) = answers.next().await {
-        heard.add(answer.encoded_len());
-        let (response_nonce, type_url) = (answer.nonce, answer.type_url);
+    while let Some(Ok(response)) = responses.next().await {
+        counter.add(response.encoded_len());
+        let (response_nonce, type_url) = (response.nonce, response.type_url);
         let ack = DeltaDiscoveryRequest { response_nonce, type_url, ..DeltaDiscoveryRequest::default() };
         if requests.send(ack).await.is_err() {
             return;
@@ -105,11 +109,11 @@
 }
 
 /// Polls without the client library, to count the bytes of response bodies.
-async fn by_poll(place: usize, at: String, heard: Rc<Heard>) {
+async fn follow_long_poll(index: usize, at: String, counter: Rc<ResponseCounter>) {
     let client = reqwest::Client::new();
-    let base = format!("{at}/v1/proxies/relay-{place}");
+    let base = format!("{at}/v1/proxies/relay-{index}");
     let join = JoinRequest {
-        zone: ZONES[place % 3].into(),
+        zone: ZONES[index % 3].into(),
         requests_per_second: None,
         default_table: vec![],
         holds_tables: false,
@@ -122,70 +126,74 @@
         client.post(&base).header("content-type", cbor).header("accept", cbor).body(body).send().await;
     let joined: JoinResponse =
         ciborium::from_reader(joined.unwrap().bytes().await.unwrap().as_ref()).unwrap();
-    let mut held: Option<(String, String)> = None;
+    let mut current: Option<(String, String)> = None;
     loop {
         let mut url = format!("{base}/tables?session={}&wait=30", joined.session);
-        if let Some((version, digest)) = &held {
+        if let Some((version, digest)) = &current {
             url += &format!("&version={version}&digest={digest}");
         }
-        let Ok(answer) = client.get(url).header("accept", cbor).send().await else { return };
-        if answer.status() != 200 {
+        let Ok(response) = client.get(url).header("accept", cbor).send().await else { return };
+        if response.status() != 200 {
             continue;
         }
-        let Ok(body) = answer.bytes().await else { return };
-        heard.add(body.len());
-        let told: TablesResponse = ciborium::from_reader(body.as_ref()).unwrap();
-        held = Some((told.version, told.digest));
+        let Ok(body) = response.bytes().await else { return };
+        counter.add(body.len());
+        let tables: TablesResponse = ciborium::from_reader(body.as_ref()).unwrap();
+        current = Some((tables.version, tables.digest));
     }
 }
 
 async fn measure(front: Front, relays: usize) {
     let governor = Governor::start(relays).await;
-    let heard = Rc::new(Heard::default());
+    let counter = Rc::new(ResponseCounter::default());
     let endpoint = tonic::transport::Endpoint::from_shared(governor.uri.clone()).unwrap();
     let mut channels = Vec::new();
     for _ in 0..200 {
         channels.push(endpoint.connect().await.unwrap());
     }
-    for place in 0..relays {
-        let (channel, heard) = (channels[place % channels.len()].clone(), heard.clone());
+    for index in 0..relays {
+        let (channel, counter) = (channels[index % channels.len()].clone(), counter.clone());
         match front {
-            Front::State => drop(tokio::task::spawn_local(by_state(place, channel, heard))),
-            Front::Delta => drop(tokio::task::spawn_local(by_delta(place, channel, heard))),
-            Front::Poll => drop(tokio::task::spawn_local(by_poll(place, governor.poll.clone(), heard))),
+            Front::State => {
+                drop(tokio::task::spawn_local(follow_state_of_the_world(index, channel, counter)))
+            }
+            Front::Delta => drop(tokio::task::spawn_local(follow_delta(index, channel, counter))),
+            Front::Poll => {
+                drop(tokio::task::spawn_local(follow_long_poll(index, governor.poll.clone(), counter)))
+            }
         }
     }
-    while heard.answers.get() < relays {
+    while counter.responses.get() < relays {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    let whole = heard.bytes.get() as f64 / heard.answers.get() as f64;
+    let complete_bytes = counter.bytes.get() as f64 / counter.responses.get() as f64;
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let (cpu, _) = governor.used();
-    let (bytes, answers) = (heard.bytes.get(), heard.answers.get());
+    let (cpu, _) = governor.resource_usage();
+    let (bytes, responses) = (counter.bytes.get(), counter.responses.get());
     for change in 0..CHANGES {
         roster(&governor.folder, Some(change));
         tokio::time::sleep(Duration::from_millis(1500)).await;
         roster(&governor.folder, None);
         tokio::time::sleep(Duration::from_millis(1500)).await;
     }
-    let (cpu, resident) = (governor.used().0 - cpu, governor.used().1);
-    let (bytes, answers) = (heard.bytes.get() - bytes, heard.answers.get() - answers);
+    let (cpu, resident) = (governor.resource_usage().0 - cpu, governor.resource_usage().1);
+    let (bytes, responses) = (counter.bytes.get() - bytes, counter.responses.get() - responses);
     // A rollback to the version before the last replica returned: the tables of the last drain are sent again.
     roster(&governor.folder, Some(1));
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let out = status(&governor).await["governor"]["version"].as_u64().unwrap();
+    let drained_version = status(&governor).await["governor"]["version"].as_u64().unwrap();
     roster(&governor.folder, None);
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let began = Instant::now();
-    let asked = format!(r#"{{"all": true, "version": {out}, "why": "measured", "for_s": 60}}"#);
+    let started_at = Instant::now();
+    let body = format!(r#"{{"all": true, "version": {drained_version}, "why": "measured", "for_s": 60}}"#);
     let url = format!("http://127.0.0.1:{}/rollback", governor.http);
-    let rolled = reqwest::Client::new().post(url).header("content-type", "application/json").body(asked);
-    assert!(rolled.send().await.unwrap().status().is_success());
-    let acked = loop {
+    let rollback = reqwest::Client::new().post(url).header("content-type", "application/json").body(body);
+    assert!(rollback.send().await.unwrap().status().is_success());
+    let time_to_ack = loop {
         let status = status(&governor).await;
         let proxies = status["proxies"].as_array().unwrap();
-        if proxies.iter().all(|one| one["acked"] == one["newest"]) {
-            break began.elapsed();
+        if proxies.iter().all(|proxy| proxy["acked"] == proxy["newest"]) {
+            break started_at.elapsed();
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     };
@@ -196,11 +204,11 @@
         Front::Poll => "long-poll (CBOR)",
     };
     println!(
-        "| {name} | {relays} | {whole:.0} | {:.0} | {:.0} | {:.0} | {:.0} | {lines} | {resident:.0} |",
-        bytes as f64 / answers.max(1) as f64,
+        "| {name} | {relays} | {complete_bytes:.0} | {:.0} | {:.0} | {:.0} | {:.0} | {lines} | {resident:.0} |",
+        bytes as f64 / responses.max(1) as f64,
         bytes as f64 / (2 * CHANGES * relays) as f64,
         cpu * 1e6 / (2 * CHANGES * relays) as f64,
-        acked.as_secs_f64() * 1000.0,
+        time_to_ack.as_secs_f64() * 1000.0,
     );
 }
 
@@ -218,7 +226,7 @@
 }
 
 fn main() {
-    let relays = std::env::args().find_map(|one| one.parse().ok()).unwrap_or(1000);
+    let relays = std::env::args().find_map(|argument| argument.parse().ok()).unwrap_or(1000);
     println!(
         "| front | relays | bytes per complete table | bytes per response | bytes per change and relay | \
         CPU per change and relay, us | \
--- a/crates/daemon/benches/scale.rs
+++ b/crates/daemon/benches/scale.rs
@@ -37,34 +37,34 @@
 const DRAINS: usize = 12;
 
 /// Responses received: the relay, the number of tables, and the time.
-type Given = mpsc::UnboundedSender<(usize, usize, Instant)>;
+type ResponseSender = mpsc::UnboundedSender<(usize, usize, Instant)>;
 
-fn node(place: usize) -> Node {
+fn node(index: usize) -> Node {
     Node {
-        id: format!("relay-{place}"),
-        locality: Some(Locality { zone: ZONES[place % 3].into(), ..Locality::default() }),
+        id: format!("relay-{index}"),
+        locality: Some(Locality { zone: ZONES[index % 3].into(), ..Locality::default() }),
         ..Node::default()
     }
 }
 
-async fn relay(place: usize, channel: tonic::transport::Channel, given: Given) {
+async fn relay(index: usize, channel: tonic::transport::Channel, received: ResponseSender) {
     let mut client = AggregatedDiscoveryServiceClient::new(channel);
     let (requests, stream) = mpsc::channel(8);
     let first = DeltaDiscoveryRequest {
-        node: Some(node(place)),
+        node: Some(node(index)),
         type_url: Kind::Endpoints.url(),
         resource_names_subscribe: GROUPS.map(String::from).to_vec(),
         ..DeltaDiscoveryRequest::default()
     };
     requests.send(first).await.unwrap();
-    let answers = client.delta_aggregated_resources(ReceiverStream::new(stream)).await;
-    let mut answers = answers.unwrap().into_inner();
-    while let Some(Ok(answer)) = answers.next().await {
-        let (nonce, type_url) = (answer.nonce, answer.type_url);
+    let response_stream = client.delta_aggregated_resources(ReceiverStream::new(stream)).await;
+    let mut response_stream = response_stream.unwrap().into_inner();
+    while let Some(Ok(response)) = response_stream.next().await {
+        let (nonce, type_url) = (response.nonce, response.type_url);
         let ack =
             DeltaDiscoveryRequest { response_nonce: nonce, type_url, ..DeltaDiscoveryRequest::default() };
         if requests.send(ack).await.is_err()
-            || given.send((place, answer.resources.len(), Instant::now())).is_err()
+            || received.send((index, response.resources.len(), Instant::now())).is_err()
         {
             return;
         }
@@ -83,38 +83,38 @@
     for _ in 0..relays.min(200) {
         channels.push(endpoint.connect().await.unwrap());
     }
-    let (given, mut told) = mpsc::unbounded_channel();
-    let (idle_cpu, idle_rss) = governor.used();
+    let (received, mut responses) = mpsc::unbounded_channel();
+    let (idle_cpu, idle_rss) = governor.resource_usage();
     let began = Instant::now();
-    for place in 0..relays {
-        tokio::task::spawn_local(relay(place, channels[place % channels.len()].clone(), given.clone()));
+    for index in 0..relays {
+        tokio::task::spawn_local(relay(index, channels[index % channels.len()].clone(), received.clone()));
     }
     let mut joins: Histogram<u64> = Histogram::new(3).unwrap();
-    let mut have = vec![0; relays];
-    while have.iter().any(|tables| *tables < 3) {
-        let (place, tables, at) = told.recv().await.unwrap();
-        have[place] += tables;
-        if have[place] >= 3 {
+    let mut tables_received = vec![0; relays];
+    while tables_received.iter().any(|tables| *tables < 3) {
+        let (index, tables, at) = responses.recv().await.unwrap();
+        tables_received[index] += tables;
+        if tables_received[index] >= 3 {
             joins.record((at - began).as_micros() as u64).unwrap();
         }
     }
-    let (join_cpu, join_rss) = governor.used();
+    let (join_cpu, join_rss) = governor.resource_usage();
     tokio::time::sleep(Duration::from_secs(3)).await;
-    while told.try_recv().is_ok() {}
+    while responses.try_recv().is_ok() {}
 
-    let (settled_cpu, _) = governor.used();
+    let (settled_cpu, _) = governor.resource_usage();
     let (mut first, mut last): (Histogram<u64>, Histogram<u64>) =
         (Histogram::new(3).unwrap(), Histogram::new(3).unwrap());
     for drain in 0..DRAINS {
         let began = Instant::now();
         roster(&governor.folder, Some(drain));
         // Every relay of the zone has the replica in its table; others may.
-        let holds = (0..relays).filter(|place| place % 3 == drain % 3).count();
-        let mut heard = std::collections::BTreeSet::new();
+        let affected = (0..relays).filter(|index| index % 3 == drain % 3).count();
+        let mut informed = std::collections::BTreeSet::new();
         let mut newest = began;
-        while heard.len() < holds {
-            let (place, _, at) = told.recv().await.unwrap();
-            if place % 3 == drain % 3 && heard.insert(place) {
+        while informed.len() < affected {
+            let (index, _, at) = responses.recv().await.unwrap();
+            if index % 3 == drain % 3 && informed.insert(index) {
                 first.record((at - began).as_micros() as u64).unwrap();
                 newest = at;
             }
@@ -123,16 +123,16 @@
         tokio::time::sleep(Duration::from_millis(500)).await;
         roster(&governor.folder, None);
         tokio::time::sleep(Duration::from_millis(1500)).await;
-        while told.try_recv().is_ok() {}
+        while responses.try_recv().is_ok() {}
     }
-    let (drained_cpu, rss) = governor.used();
+    let (drained_cpu, rss) = governor.resource_usage();
 
     // Sends reports as fast as the governor accepts them, for three seconds.
     let mut client = LoadReportingServiceClient::new(channels[0].clone());
     let (requests, stream) = mpsc::channel(64);
     requests.send(LoadStatsRequest { node: Some(node(0)), cluster_stats: vec![] }).await.unwrap();
     let _answers = client.stream_load_stats(ReceiverStream::new(stream)).await.unwrap();
-    let (before, began) = (governor.used().0, Instant::now());
+    let (before, began) = (governor.resource_usage().0, Instant::now());
     let mut reports = 0u64;
     while began.elapsed() < Duration::from_secs(3) {
         let endpoint = |n: usize| UpstreamEndpointStats {
@@ -156,8 +156,8 @@
         requests.send(LoadStatsRequest { node: None, cluster_stats: vec![stats] }).await.unwrap();
         reports += 1;
     }
-    let took = began.elapsed().as_secs_f64();
-    let report_cpu = governor.used().0 - before;
+    let elapsed = began.elapsed().as_secs_f64();
+    let report_cpu = governor.resource_usage().0 - before;
     let engine = engine_drain(relays);
     let drain_cpu = (drained_cpu - settled_cpu) / DRAINS as f64;
     println!(
@@ -171,7 +171,7 @@
         (join_cpu - idle_cpu) * 1000.0 / relays as f64,
         (rss.max(join_rss) - idle_rss) * 1024.0 / relays as f64,
         rss,
-        reports as f64 / took,
+        reports as f64 / elapsed,
         report_cpu * 1e6 / reports as f64,
         engine * 1000.0,
         drain_cpu * 1000.0,
@@ -181,11 +181,11 @@
 /// Seconds that the engine alone takes for a drain and the return of the replica, including all steps in between.
 fn engine_drain(relays: usize) -> f64 {
     let mut now = Duration::from_secs(1000);
-    let mut setup = EngineSettings::example(3);
-    (setup.governor.entries_per_second, setup.governor.max_queued_entries) = (200_000.0, 400_000.0);
-    (setup.governor.proxy_count, setup.max_proxies) = (relays as u64, relays);
-    let mut engine = Engine::new(setup, now);
-    let list = |draining: Option<usize>| -> Vec<RosterEntry> {
+    let mut settings = EngineSettings::example(3);
+    (settings.governor.entries_per_second, settings.governor.max_queued_entries) = (200_000.0, 400_000.0);
+    (settings.governor.proxy_count, settings.max_proxies) = (relays as u64, relays);
+    let mut engine = Engine::new(settings, now);
+    let roster = |draining: Option<usize>| -> Vec<RosterEntry> {
         let entry = |n: usize| RosterEntry {
             id: format!("r{n:02}").into(),
             address: format!("10.0.0.{n}:80").into(),
@@ -197,9 +197,9 @@
         };
         (0..REPLICAS).map(entry).collect()
     };
-    let pass = |engine: &mut Engine, now: Duration| {
-        while let Some(step) = engine.next_action(now) {
-            if let Action::Flush(number) = step {
+    let process = |engine: &mut Engine, now: Duration| {
+        while let Some(action) = engine.next_action(now) {
+            if let Action::Flush(number) = action {
                 engine.tables_sent(now, number, 12, 1);
                 let proxy = engine.proxy(number).unwrap();
                 let (stream, newest) = (proxy.stream, proxy.newest());
@@ -207,31 +207,31 @@
             }
         }
     };
-    engine.update_roster(now, list(None));
-    for place in 0..relays {
+    engine.update_roster(now, roster(None));
+    for index in 0..relays {
         let join = JoinRequest {
-            name: format!("relay-{place}").into(),
-            zone: place % 3,
+            name: format!("relay-{index}").into(),
+            zone: index % 3,
             requests_per_second: 1.0,
             default_table: vec![],
             holds_governor_tables: false,
             ownership_proof: None,
             proven_version: None,
         };
-        engine.proxy_connected(now, place as u64, &join).unwrap();
+        engine.proxy_connected(now, index as u64, &join).unwrap();
     }
     for _ in 0..40 {
         now += Duration::from_millis(100);
-        pass(&mut engine, now);
+        process(&mut engine, now);
     }
     let began = Instant::now();
     for drain in 0..DRAINS {
-        engine.update_roster(now, list(Some(drain)));
-        for beat in 0..8 {
+        engine.update_roster(now, roster(Some(drain)));
+        for round in 0..8 {
             now += Duration::from_millis(250);
-            pass(&mut engine, now);
-            if beat == 2 {
-                engine.update_roster(now, list(None));
+            process(&mut engine, now);
+            if round == 2 {
+                engine.update_roster(now, roster(None));
             }
         }
     }
@@ -239,8 +239,8 @@
 }
 
 fn main() {
-    let asked: Vec<usize> = std::env::args().filter_map(|one| one.parse().ok()).collect();
-    let asked = if asked.is_empty() { vec![24, 200, 1000] } else { asked };
+    let relay_counts: Vec<usize> = std::env::args().filter_map(|argument| argument.parse().ok()).collect();
+    let relay_counts = if relay_counts.is_empty() { vec![24, 200, 1000] } else { relay_counts };
     println!(
         "| relays | join p50 / all, ms | drain received p50 / p99 / last, ms | join CPU per relay, ms | \
          memory per relay, KiB | resident, MiB | reports per second | CPU per report, us | \
@@ -248,7 +248,7 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    for relays in asked {
+    for relays in relay_counts {
         LocalSet::new().block_on(&runtime, measure(relays));
     }
 }
--- a/crates/daemon/tests/governor.rs
+++ b/crates/daemon/tests/governor.rs
@@ -56,9 +56,9 @@
             resource_names: names.iter().map(|name| (*name).into()).collect(),
             type_url: kind.url(),
             response_nonce: nonce.into(),
-            error_detail: error.map(|words| wrenthread_xds::pb::google::rpc::Status {
+            error_detail: error.map(|message| wrenthread_xds::pb::google::rpc::Status {
                 code: 3,
-                message: words.into(),
+                message: message.into(),
                 ..Default::default()
             }),
             ..DiscoveryRequest::default()
@@ -79,12 +79,12 @@
 
 fn lines(response: &DiscoveryResponse) -> Vec<usize> {
     let tables = response.resources.iter();
-    let tables = tables.map(|one| ClusterLoadAssignment::decode(one.value.as_slice()).unwrap());
+    let tables = tables.map(|resource| ClusterLoadAssignment::decode(resource.value.as_slice()).unwrap());
     tables.map(|table| table.endpoints.iter().map(|zone| zone.lb_endpoints.len()).sum()).collect()
 }
 
 #[tokio::test]
-async fn a_plain_proxy_is_given_its_tables_hears_of_a_drain_and_is_seen_to_have_it() {
+async fn a_proxy_receives_its_tables_and_a_drain_and_its_acknowledgement_is_reported() {
     let governor = Governor::start("plain", 4).await;
     let mut peer = self::peer(&governor, "p", "north").await;
     peer.ask(Kind::Clusters, &[], "", None).await;
@@ -110,7 +110,8 @@
 
     let mut client = ClientStatusDiscoveryServiceClient::new(dial(&governor).await);
     let status = client.fetch_client_status(ClientStatusRequest::default()).await.unwrap().into_inner();
-    let synced = status.config[0].generic_xds_configs.iter().filter(|one| one.config_status == 1).count();
+    let synced =
+        status.config[0].generic_xds_configs.iter().filter(|config| config.config_status == 1).count();
     assert_eq!(synced, 4, "two clusters and two tables are in sync");
     let tables: Value = serde_json::from_str(&governor.get("/tables/p").unwrap()).unwrap();
     let lines = tables["groups"][0]["lines"].as_array().unwrap();
@@ -119,7 +120,7 @@
 }
 
 #[tokio::test]
-async fn a_nack_is_logged_and_answered_by_holding_still() {
+async fn a_nack_is_logged_and_the_rejected_version_is_not_resent() {
     let governor = Governor::start("nack", 4).await;
     let mut peer = self::peer(&governor, "p", "north").await;
     peer.ask(Kind::Endpoints, &["match"], "", None).await;
@@ -133,13 +134,13 @@
 }
 
 #[tokio::test]
-async fn who_can_not_be_let_in_is_told_why() {
+async fn rejected_and_replaced_streams_end_with_a_status() {
     let governor = Governor::start("refused", 4).await;
     let mut peer = self::peer(&governor, "p", "west").await;
     peer.ask(Kind::Clusters, &[], "", None).await;
-    let why = peer.hear().await.unwrap_err();
-    assert_eq!(why.code(), Code::InvalidArgument);
-    assert!(why.message().contains("zone `west`") && why.message().contains("`north`"), "{why}");
+    let status = peer.hear().await.unwrap_err();
+    assert_eq!(status.code(), Code::InvalidArgument);
+    assert!(status.message().contains("zone `west`") && status.message().contains("`north`"), "{status}");
     let mut joined = Vec::new();
     for n in 0..4 {
         let mut peer = self::peer(&governor, &format!("p{n}"), "north").await;
@@ -151,14 +152,14 @@
     late.ask(Kind::Clusters, &[], "", None).await;
     assert_eq!(late.hear().await.unwrap_err().code(), Code::ResourceExhausted);
     // A second stream with a joined proxy's name replaces the first one, which is closed with a status.
-    let mut again = self::peer(&governor, "p0", "north").await;
-    again.ask(Kind::Clusters, &[], "", None).await;
-    again.hear().await.unwrap();
+    let mut replacement = self::peer(&governor, "p0", "north").await;
+    replacement.ask(Kind::Clusters, &[], "", None).await;
+    replacement.hear().await.unwrap();
     assert_eq!(joined[0].hear().await.unwrap_err().code(), Code::Aborted);
 }
 
 #[tokio::test]
-async fn a_broken_roster_an_empty_one_and_one_that_is_back_bare_nobody() {
+async fn an_invalid_or_empty_roster_and_its_recovery_change_no_tables() {
     let governor = Governor::start("roster", 4).await;
     let mut peer = self::peer(&governor, "p", "north").await;
     peer.ask(Kind::Endpoints, &["match"], "", None).await;
@@ -181,10 +182,10 @@
 }
 
 #[tokio::test]
-async fn a_peer_that_never_reads_does_not_hold_up_another() {
+async fn a_peer_that_does_not_read_does_not_delay_others() {
     let governor = Governor::start("mute", 4).await;
-    let mut mute = self::peer(&governor, "mute", "north").await;
-    mute.ask(Kind::Endpoints, &["match"], "", None).await;
+    let mut silent = self::peer(&governor, "mute", "north").await;
+    silent.ask(Kind::Endpoints, &["match"], "", None).await;
     let mut peer = self::peer(&governor, "p", "north").await;
     peer.ask(Kind::Endpoints, &["match"], "", None).await;
     let mut nonce = peer.hear().await.unwrap().nonce;
@@ -199,14 +200,14 @@
     governor.list(3, &[]);
     let mut newest = Vec::new();
     while newest != [3] {
-        let tables = mute.hear().await.unwrap();
+        let tables = silent.hear().await.unwrap();
         newest = lines(&tables);
-        mute.ask(Kind::Endpoints, &["match"], &tables.nonce, None).await;
+        silent.ask(Kind::Endpoints, &["match"], &tables.nonce, None).await;
     }
 }
 
 #[tokio::test]
-async fn signals_reload_what_can_change_refuse_what_can_not_and_stop_with_a_word() {
+async fn signals_reload_valid_settings_refuse_others_and_stop_with_a_status() {
     let mut governor = Governor::start("signals", 4).await;
     let mut peer = self::peer(&governor, "p", "north").await;
     peer.ask(Kind::Endpoints, &["match"], "", None).await;
@@ -229,18 +230,18 @@
     // The drain was delivered despite the failed reloads.
     assert_eq!(lines(&peer.hear().await.unwrap()), [3]);
     governor.signal("-TERM");
-    let why = loop {
+    let status = loop {
         match peer.hear().await {
             Ok(_) => {}
-            Err(why) => break why,
+            Err(status) => break status,
         }
     };
-    assert_eq!(why.code(), Code::Unavailable);
+    assert_eq!(status.code(), Code::Unavailable);
     assert!(governor.child.wait().unwrap().success());
 }
 
 #[tokio::test]
-async fn a_killed_governors_successor_takes_its_proxies_up_again() {
+async fn a_proxy_rejoins_after_its_governor_was_killed_and_restarted() {
     let mut governor = Governor::start("killed", 4).await;
     let mut peer = self::peer(&governor, "p", "north").await;
     peer.ask(Kind::Endpoints, &["match"], "", None).await;
@@ -249,8 +250,8 @@
     governor.child.wait().unwrap();
     governor.list(4, &[3]);
     governor.spawn().await;
-    let mut back = self::peer(&governor, "p", "north").await;
-    let node = back.node.take();
+    let mut rejoined = self::peer(&governor, "p", "north").await;
+    let node = rejoined.node.take();
     let request = DiscoveryRequest {
         node,
         version_info: before.version_info.clone(),
@@ -258,8 +259,8 @@
         type_url: Kind::Endpoints.url(),
         ..DiscoveryRequest::default()
     };
-    back.requests.send(request).await.unwrap();
-    let tables = back.hear().await.unwrap();
+    rejoined.requests.send(request).await.unwrap();
+    let tables = rejoined.hear().await.unwrap();
     assert_eq!(lines(&tables), [3], "the complete table, without the replica that drains");
     assert_ne!(
         tables.version_info.split('.').next(),
@@ -269,28 +270,28 @@
 }
 
 #[test]
-fn check_says_what_settings_come_to_or_all_that_is_wrong() {
+fn check_prints_the_settings_or_their_errors() {
     let folder = std::env::temp_dir().join(format!("wrenthread-test-{}-check", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("settings.star");
-    let check = |more: &[&str]| {
+    let check = |arguments: &[&str]| {
         let program = env!("CARGO_BIN_EXE_wrenthread");
-        Command::new(program).arg("check").arg(&path).args(more).output().unwrap()
+        Command::new(program).arg("check").arg(&path).args(arguments).output().unwrap()
     };
-    let good = "fleet(zones = ['north'], proxies = 16)\nroster(file = 'roster.json')\n\
+    let valid = "fleet(zones = ['north'], proxies = 16)\nroster(file = 'roster.json')\n\
                 group('match', latency_budget = 1, expiry = 3, prefix = '/m')\n\
                 group('charge', latency_budget = 1, expiry = 3, prefix = '/c')";
-    std::fs::write(&path, good).unwrap();
-    let good = check(&["--output", "json"]);
-    let value: Value = serde_json::from_slice(&good.stdout).unwrap();
-    assert_eq!((good.status.code(), value["groups"][1]["name"].as_str()), (Some(0), Some("charge")));
+    std::fs::write(&path, valid).unwrap();
+    let accepted = check(&["--output", "json"]);
+    let value: Value = serde_json::from_slice(&accepted.stdout).unwrap();
+    assert_eq!((accepted.status.code(), value["groups"][1]["name"].as_str()), (Some(0), Some("charge")));
     assert!(String::from_utf8_lossy(&check(&[]).stdout).contains("LATENCY_BUDGET"));
     std::fs::write(&path, "fleet(zone = [])\nx = 'a' * (1 << 30)\ny = [x + str(i) for i in range(99)]")
         .unwrap();
-    let bad = check(&[]);
-    assert_eq!(bad.status.code(), Some(2));
+    let rejected = check(&[]);
+    assert_eq!(rejected.status.code(), Some(2));
     assert!(
-        String::from_utf8_lossy(&bad.stderr).contains("1 GiB"),
+        String::from_utf8_lossy(&rejected.stderr).contains("1 GiB"),
         "a script that uses too much memory is stopped"
     );
     std::fs::write(&path, "fleet(zone = [])").unwrap();
@@ -302,36 +303,36 @@
 async fn a_governor_follows_another_control_planes_endpoints_as_its_roster() {
     let mut upstream = Governor::start("upstream", 4).await;
     let governor = Governor::downstream("downstream", &upstream).await;
-    let open = || {
+    let open_replicas = || {
         let status = governor.status();
         let replicas = status["replicas"].as_array().unwrap().clone();
-        replicas.iter().filter(|one| one["state"] == "open").count()
+        replicas.iter().filter(|replica| replica["state"] == "open").count()
     };
-    until("all replicas are listed", || (open() == 4).then_some(())).await;
+    until("all replicas are listed", || (open_replicas() == 4).then_some(())).await;
     assert_eq!(governor.status()["replicas"][0]["address"], "10.0.0.0:80");
     upstream.list(4, &[0]);
-    until("one replica is removed", || (open() == 3).then_some(())).await;
+    until("one replica is removed", || (open_replicas() == 3).then_some(())).await;
     // While the upstream is down, its last list stays in use.
     upstream.child.kill().unwrap();
     upstream.child.wait().unwrap();
     until("the outage is logged", || governor.log().contains("can't be followed").then_some(())).await;
-    assert_eq!(open(), 3);
+    assert_eq!(open_replicas(), 3);
     upstream.list(4, &[]);
     upstream.spawn().await;
-    until("all replicas are listed again", || (open() == 4).then_some(())).await;
+    until("all replicas are listed again", || (open_replicas() == 4).then_some(())).await;
 }
 
 #[tokio::test]
-async fn a_client_that_follows_one_governor_heeds_no_other_at_its_address() {
+async fn a_client_ignores_another_governor_at_the_expected_address() {
     use std::{cell::RefCell, rc::Rc};
     use wrenthread_client::table_cache::TableCache;
     use wrenthread_client::{Error, NoObserver, ProxyIdentity, grpc};
     let governor = Governor::start("fence", 4).await;
     let cache = Rc::new(RefCell::new(TableCache::new(vec!["match".into()], vec![], None)));
     let (versions, uri) = (Rc::default(), format!("http://127.0.0.1:{}", governor.grpc));
-    let who = ProxyIdentity { name: "p".into(), zone: "north".into(), requests_per_second: 1.0 };
+    let identity = ProxyIdentity { name: "p".into(), zone: "north".into(), requests_per_second: 1.0 };
     let other = wrenthread_client::Governor { name: "g9".into(), grpc: uri, poll: String::new() };
-    let end = grpc::follow(&other, &who, true, &cache, &versions, &NoObserver).await;
+    let end = grpc::follow(&other, &identity, true, &cache, &versions, &NoObserver).await;
     assert!(matches!(end, Err(Error::Fenced(_))), "{end:?}");
     assert!(cache.borrow().updated_tables().is_empty(), "no table of the other governor was applied");
 }
@@ -339,7 +340,7 @@
 /// Guards against signals that arrive while the settings are read: a reload signal must not end the governor, and a
 /// stop signal must end it with its regular exit code.
 #[tokio::test]
-async fn signals_that_come_while_settings_are_read_wait() {
+async fn signals_during_startup_wait_until_the_settings_are_read() {
     let mut governor = Governor::start("early-signals", 4).await;
     governor.child.kill().unwrap();
     governor.child.wait().unwrap();
--- a/crates/daemon/tests/nginx.rs
+++ b/crates/daemon/tests/nginx.rs
@@ -28,26 +28,27 @@
 use wrenthread_nginx::blocks;
 
 fn wrenthread(arguments: &[&str]) -> (Option<i32>, String) {
-    let ran = Command::new(env!("CARGO_BIN_EXE_wrenthread")).args(arguments).output().unwrap();
-    (ran.status.code(), String::from_utf8([ran.stdout, ran.stderr].concat()).unwrap())
+    let output = Command::new(env!("CARGO_BIN_EXE_wrenthread")).args(arguments).output().unwrap();
+    (output.status.code(), String::from_utf8([output.stdout, output.stderr].concat()).unwrap())
 }
 
 /// nginx's smooth weighted round robin, as documented: of as many requests as the sum of the weights, each server
 /// receives its weight, interleaved with the others.
-fn round(weights: &[(String, f64)], flows: usize) -> BTreeMap<String, usize> {
-    let (mut owed, all) = (vec![0.0; weights.len()], weights.iter().map(|(_, weight)| weight).sum::<f64>());
-    let mut got = BTreeMap::new();
-    for _ in 0..flows {
-        owed.iter_mut().zip(weights).for_each(|(owed, (_, weight))| *owed += weight);
-        let most = (0..owed.len()).max_by(|one, other| owed[*one].total_cmp(&owed[*other])).unwrap();
-        owed[most] -= all;
-        *got.entry(weights[most].0.clone()).or_default() += 1;
+fn smooth_weighted_round_robin(weights: &[(String, f64)], requests: usize) -> BTreeMap<String, usize> {
+    let (mut credits, total) =
+        (vec![0.0; weights.len()], weights.iter().map(|(_, weight)| weight).sum::<f64>());
+    let mut counts = BTreeMap::new();
+    for _ in 0..requests {
+        credits.iter_mut().zip(weights).for_each(|(credit, (_, weight))| *credit += weight);
+        let next = (0..credits.len()).max_by(|a, b| credits[*a].total_cmp(&credits[*b])).unwrap();
+        credits[next] -= total;
+        *counts.entry(weights[next].0.clone()).or_default() += 1;
     }
-    got
+    counts
 }
 
 #[tokio::test]
-async fn an_imported_fleet_runs_and_spreads_flows_as_nginx_would() {
+async fn an_imported_fleet_distributes_requests_like_nginx() {
     let folder = std::env::temp_dir().join(format!("wrenthread-test-{}-import", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let conf = folder.join("nginx.conf");
@@ -61,10 +62,11 @@
     let (grpc, http, poll) = (port(), port(), port());
     let (file, output, ports) =
         (conf.to_str().unwrap(), folder.to_str().unwrap(), format!("{grpc},{http},{poll}"));
-    let import = |more: &[&str]| wrenthread(&[&["import", "nginx", file, "--ports", &ports], more].concat());
-    let (code, said) = import(&["--output", output]);
-    assert!(code == Some(0) && said.contains("upstream gates") && said.contains("backup"), "{said}");
-    assert!(said.contains("NOT CARRIED OVER"), "{said}");
+    let import =
+        |arguments: &[&str]| wrenthread(&[&["import", "nginx", file, "--ports", &ports], arguments].concat());
+    let (code, text) = import(&["--output", output]);
+    assert!(code == Some(0) && text.contains("upstream gates") && text.contains("backup"), "{text}");
+    assert!(text.contains("NOT CARRIED OVER"), "{text}");
     assert_eq!(import(&["--strict"]).0, Some(3));
     assert_eq!(import(&["--diff", output]), (Some(0), "nothing differs\n".to_string()));
     let report: serde_json::Value = serde_json::from_str(&import(&["--report", "json"]).1).unwrap();
@@ -80,39 +82,39 @@
     let checked = governor.folder.join("settings.star");
     assert_eq!(wrenthread(&["check", checked.to_str().unwrap()]).0, Some(0));
     governor.spawn().await;
-    let (code, said) = import(&["--diff", &format!("127.0.0.1:{http}")]);
+    let (code, text) = import(&["--diff", &format!("127.0.0.1:{http}")]);
     assert_eq!(
-        (code, said.as_str()),
+        (code, text.as_str()),
         (Some(0), "nothing differs\n"),
         "`down` servers and backups are not listed by the governor"
     );
     std::fs::write(&conf, std::fs::read_to_string(&conf).unwrap().replace("weight=5", "weight=4")).unwrap();
-    let (code, said) = import(&["--diff", &format!("127.0.0.1:{http}")]);
-    assert!(code == Some(3) && said.contains("10.0.0.1:80  weight"), "{said}");
+    let (code, text) = import(&["--diff", &format!("127.0.0.1:{http}")]);
+    assert!(code == Some(3) && text.contains("10.0.0.1:80  weight"), "{text}");
 
     let cache = Rc::new(RefCell::new(TableCache::new(vec!["entry".into()], vec![], None)));
-    let who = ProxyIdentity { name: "relay".into(), zone: "all".into(), requests_per_second: 1.0 };
-    let session = Session::join(&format!("http://127.0.0.1:{poll}"), &who, &cache).await.unwrap();
+    let identity = ProxyIdentity { name: "relay".into(), zone: "all".into(), requests_per_second: 1.0 };
+    let session = Session::join(&format!("http://127.0.0.1:{poll}"), &identity, &cache).await.unwrap();
     while cache.borrow().updated_tables().get("entry").is_none_or(|(lines, _)| lines.len() != 3) {
         session.ask(&cache, &NoObserver).await.unwrap();
     }
     let weights = [("10.0.0.1:80", 5.0), ("10.0.0.2:80", 1.0), ("10.0.0.3:80", 3.0)];
-    let weights = weights.map(|(at, weight)| (at.to_string(), weight));
-    let flows = 9 * 2000;
-    let reference = round(&weights, flows);
+    let weights = weights.map(|(address, weight)| (address.to_string(), weight));
+    let requests = 9 * 2000;
+    let reference = smooth_weighted_round_robin(&weights, requests);
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    let mut chance = || (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
-    let mut got: BTreeMap<String, usize> = BTreeMap::new();
-    for _ in 0..flows {
-        let at = cache.borrow_mut().pick(Duration::ZERO, 0, (0.0, chance()), None).unwrap();
-        *got.entry(at.to_string()).or_default() += 1;
+    let mut random = || (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
+    let mut counts: BTreeMap<String, usize> = BTreeMap::new();
+    for _ in 0..requests {
+        let address = cache.borrow_mut().pick(Duration::ZERO, 0, (0.0, random()), None).unwrap();
+        *counts.entry(address.to_string()).or_default() += 1;
     }
-    for (at, wanted) in reference {
-        let part = wanted as f64 / flows as f64;
+    for (address, expected) in reference {
+        let fraction = expected as f64 / requests as f64;
         // Four standard deviations: the proxies pick at random, and nginx in turn.
-        let bound = 4.0 * (part * (1.0 - part) / flows as f64).sqrt();
-        let seen = got[&at] as f64 / flows as f64;
-        assert!((seen - part).abs() < bound, "{at}: {seen} of {part}");
+        let bound = 4.0 * (fraction * (1.0 - fraction) / requests as f64).sqrt();
+        let measured = counts[&address] as f64 / requests as f64;
+        assert!((measured - fraction).abs() < bound, "{address}: {measured} of {fraction}");
     }
 }
 
@@ -135,41 +137,42 @@
         Nginx { folder: folder.to_path_buf(), rng: ChaCha8Rng::seed_from_u64(3) }
     }
 
-    fn said(&self) -> blocks::ParsedUpstreams {
+    fn loaded_upstreams(&self) -> blocks::ParsedUpstreams {
         let text = std::fs::read_to_string(self.folder.join("loaded.conf")).unwrap_or_default();
         blocks::read(&text).unwrap()
     }
 
     fn servers(&self) -> Vec<String> {
-        let said = self.said();
-        said.get(&blocks::upstream("match"))
-            .map_or(vec![], |(lines, _)| lines.iter().map(|one| one.0.clone()).collect())
+        let upstreams = self.loaded_upstreams();
+        upstreams
+            .get(&blocks::upstream("match"))
+            .map_or(vec![], |(lines, _)| lines.iter().map(|line| line.0.clone()).collect())
     }
 
-    fn chance(&mut self) -> f64 {
+    fn random(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Logs this many requests; those sent to the address `bad` fail.
-    fn flows(&mut self, flows: usize, bad: &str) {
-        let said = self.said();
-        let (lines, blocked) = said[&blocks::upstream("match")].clone();
-        let all: f64 = lines.iter().map(|(_, weight)| weight).sum();
+    /// Logs this many requests; those sent to the address `failing` fail.
+    fn log_requests(&mut self, requests: usize, failing: &str) {
+        let upstreams = self.loaded_upstreams();
+        let (lines, rejected_fraction) = upstreams[&blocks::upstream("match")].clone();
+        let total: f64 = lines.iter().map(|(_, weight)| weight).sum();
         let mut text = String::new();
-        for _ in 0..flows {
-            if self.chance() < blocked {
+        for _ in 0..requests {
+            if self.random() < rejected_fraction {
                 text += "match|-|-|-\n";
                 continue;
             }
-            let mut left = self.chance() * all;
-            let at = lines.iter().find(|(_, weight)| {
-                left -= weight;
-                left < 0.0
+            let mut rest = self.random() * total;
+            let line = lines.iter().find(|(_, weight)| {
+                rest -= weight;
+                rest < 0.0
             });
-            let at = &at.or(lines.last()).unwrap().0;
-            let _ = match at == bad {
-                true => writeln!(text, "match|{at}|502|0.001"),
-                false => writeln!(text, "match|{at}|200|0.020"),
+            let address = &line.or(lines.last()).unwrap().0;
+            let _ = match address == failing {
+                true => writeln!(text, "match|{address}|502|0.001"),
+                false => writeln!(text, "match|{address}|200|0.020"),
             };
         }
         let mut log =
@@ -188,7 +191,7 @@
 }
 
 #[tokio::test]
-async fn an_nginx_follows_by_files_and_its_log_is_heard() {
+async fn nginx_follows_the_exported_file_and_its_access_log_is_reported() {
     let mut governor = Governor::start("export", 4).await;
     let folder = governor.folder.clone();
     let mut nginx = Nginx::new(&folder);
@@ -217,9 +220,9 @@
             .unwrap(),
     );
     until("four servers", || (nginx.servers().len() == 4).then_some(())).await;
-    assert_eq!(nginx.said()[&blocks::upstream("charge")].0.len(), 4);
+    assert_eq!(nginx.loaded_upstreams()[&blocks::upstream("charge")].0.len(), 4);
     let (code, printed) = wrenthread(&["export", "nginx", settings.to_str().unwrap(), "--print", "nginx-1"]);
-    assert!(code == Some(0) && blocks::read(&printed).unwrap() == nginx.said(), "{printed}");
+    assert!(code == Some(0) && blocks::read(&printed).unwrap() == nginx.loaded_upstreams(), "{printed}");
 
     // A drain reaches nginx, and a file that nginx rejects is replaced by the previous one.
     governor.list(4, &[1]);
@@ -227,11 +230,11 @@
     assert!(!nginx.servers().contains(&"10.0.0.1:80".to_string()));
     std::fs::write(folder.join("refuse"), "").unwrap();
     governor.list(4, &[1, 2]);
-    let failed = || {
+    let reload_failed = || {
         let text = std::fs::read_to_string(folder.join("agent.log")).unwrap();
         text.contains("no such host in upstream").then_some(())
     };
-    until("the reload fails", failed).await;
+    until("the reload fails", reload_failed).await;
     until("the previous file is restored", || {
         let file = std::fs::read_to_string(folder.join("wrenthread.conf")).unwrap();
         (file == std::fs::read_to_string(folder.join("loaded.conf")).unwrap()).then_some(())
@@ -245,13 +248,13 @@
 
     // The access log is reported: a replica that fails is ejected. Lines from before the start and partial lines don't
     // count.
-    let bad = "10.0.0.3:80";
-    let held_back = |nginx: &Nginx| !nginx.servers().contains(&bad.to_string());
+    let failing = "10.0.0.3:80";
+    let is_ejected = |nginx: &Nginx| !nginx.servers().contains(&failing.to_string());
     let began = std::time::Instant::now();
     let mut rotated = false;
-    while !held_back(&nginx) {
+    while !is_ejected(&nginx) {
         assert!(began.elapsed() < Duration::from_secs(30), "the failing replica is not ejected in time");
-        nginx.flows(20, bad);
+        nginx.log_requests(20, failing);
         if !rotated && began.elapsed() > Duration::from_millis(700) {
             rotated = true;
             std::fs::rename(folder.join("access.log"), folder.join("access.log.1")).unwrap();
@@ -259,8 +262,9 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     let status = governor.status();
-    let worker = status["replicas"].as_array().unwrap().iter().find(|one| one["id"] == "w3").unwrap().clone();
-    assert_eq!(worker["state"], "withdrawn", "{worker}");
+    let replica =
+        status["replicas"].as_array().unwrap().iter().find(|replica| replica["id"] == "w3").unwrap().clone();
+    assert_eq!(replica["state"], "withdrawn", "{replica}");
     assert!(governor.get("/metrics").unwrap().contains("wrenthread_reports_total"));
 
     // Without a governor, nginx keeps its file; the agent keeps running and ends on SIGTERM.
@@ -272,6 +276,6 @@
     assert!(agent.0.try_wait().unwrap().is_none(), "the agent ended instead of waiting for the governor");
     let id = agent.0.id().to_string();
     assert!(Command::new("kill").args(["-TERM", &id]).status().unwrap().success());
-    let ended = until("the agent ends", || agent.0.try_wait().unwrap()).await;
-    assert_eq!(ended.code(), Some(0));
+    let status = until("the agent ends", || agent.0.try_wait().unwrap()).await;
+    assert_eq!(status.code(), Some(0));
 }
