--- a/crates/daemon/benches/fronts.rs
+++ b/crates/daemon/benches/fronts.rs
@@ -61,11 +61,7 @@
     }
 }
 
-async fn follow_state_of_the_world(
-    index: usize,
-    channel: tonic::transport::Channel,
-    counter: Rc<ResponseCounter>,
-) {
+async fn follow_state(index: usize, channel: tonic::transport::Channel, counter: Rc<ResponseCounter>) {
     let (requests, stream) = mpsc::channel(8);
     let request = |nonce: String, node: Option<Node>| DiscoveryRequest {
         node,
@@ -109,7 +105,7 @@
 }
 
 /// Polls without the client library, to count the bytes of response bodies.
-async fn follow_long_poll(index: usize, at: String, counter: Rc<ResponseCounter>) {
+async fn follow_poll(index: usize, at: String, counter: Rc<ResponseCounter>) {
     let client = reqwest::Client::new();
     let base = format!("{at}/v1/proxies/relay-{index}");
     let join = JoinRequest {
@@ -154,13 +150,9 @@
     for index in 0..relays {
         let (channel, counter) = (channels[index % channels.len()].clone(), counter.clone());
         match front {
-            Front::State => {
-                drop(tokio::task::spawn_local(follow_state_of_the_world(index, channel, counter)))
-            }
+            Front::State => drop(tokio::task::spawn_local(follow_state(index, channel, counter))),
             Front::Delta => drop(tokio::task::spawn_local(follow_delta(index, channel, counter))),
-            Front::Poll => {
-                drop(tokio::task::spawn_local(follow_long_poll(index, governor.poll.clone(), counter)))
-            }
+            Front::Poll => drop(tokio::task::spawn_local(follow_poll(index, governor.poll.clone(), counter))),
         }
     }
     while counter.responses.get() < relays {
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -29,7 +29,7 @@
     }
 
     /// Converts an instant to host time.
-    pub fn since(&self, at: Instant) -> Duration {
+    pub fn host_time(&self, at: Instant) -> Duration {
         TIME_BEFORE_START + at.saturating_duration_since(self.start)
     }
 
--- a/crates/daemon/src/export.rs
+++ b/crates/daemon/src/export.rs
@@ -122,9 +122,7 @@
                             tracing::warn!(%why, "session with the governor ended; nginx keeps its current file");
                         }
                     }
-                    Err(why) => {
-                        tracing::warn!(%why, "cannot join the governor; nginx keeps its current file")
-                    }
+                    Err(why) => tracing::warn!(%why, "cannot join the governor; nginx keeps its file"),
                 }
                 tokio::time::sleep(REJOIN_DELAY).await;
             }
@@ -252,9 +250,7 @@
                 error_logged = false;
                 for line in lines {
                     match access_log::flow(&line) {
-                        Ok(Some(flow)) => {
-                            record_request(&mut cache.borrow_mut(), started_at.elapsed(), &flow)
-                        }
+                        Ok(Some(flow)) => count_request(&mut cache.borrow_mut(), started_at.elapsed(), &flow),
                         Ok(None) => {}
                         Err(why) => {
                             metrics::counter!("wrenthread_log_lines_odd_total", "why" => why.to_string())
@@ -280,7 +276,7 @@
 }
 
 /// Adds a logged request to the counters that reports are built from.
-fn record_request(cache: &mut TableCache, now: Duration, request: &access_log::Flow) {
+fn count_request(cache: &mut TableCache, now: Duration, request: &access_log::Flow) {
     let Some(group) = cache.class_index(&request.group) else { return };
     if request.tries.is_empty() {
         return cache.request_rejected(group);
--- a/crates/daemon/src/platform/connection.rs
+++ b/crates/daemon/src/platform/connection.rs
@@ -28,7 +28,7 @@
 /// The platform's limit on the size of a message.
 pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
 /// How long a peer has to identify itself. The platform allows closing the connection after 1 s and requires it by 3 s;
-/// 2 s leaves a second each way for a proxy or this governor that is not scheduled.
+/// 2 s leaves 1 s either way, in which the proxy or this governor may not be scheduled.
 const IDENTIFY_TIMEOUT: Duration = Duration::from_millis(2000);
 /// A message that identifies a peer is under 200 bytes.
 const MAX_UNIDENTIFIED_BYTES: usize = 4 << 10;
--- a/crates/daemon/src/platform/connections.rs
+++ b/crates/daemon/src/platform/connections.rs
@@ -228,7 +228,7 @@
                 let connection =
                     Connection::new(stream, id, connections.clone(), events.clone(), reader.clone());
                 let peer = connection.unidentified_peer();
-                // The spawned task first runs when this one yields, so both cells are set before it needs them.
+                // The spawned task first runs when this one yields: `reader` is set and the peer registered by then.
                 let _ = reader.set(spawn_local(connection.serve()).abort_handle());
                 connections.add_unidentified(id, peer);
             }
--- a/crates/daemon/src/platform/service.rs
+++ b/crates/daemon/src/platform/service.rs
@@ -174,7 +174,7 @@
         let clock = self.clock;
         let streams = &self.streams;
         self.governor.advance(clock.now(), |connection| match streams.get(&connection) {
-            Some(stream) => clock.since(stream.last_received()),
+            Some(stream) => clock.host_time(stream.last_received()),
             None => clock.now(),
         });
         while let Some(action) = self.governor.next_action() {
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -18,7 +18,7 @@
     pub grpc: u16,
     pub http: u16,
     pub poll: u16,
-    pub joined_most: u32,
+    pub max_joined: u32,
 }
 
 /// The body of the answer on the governor's HTTP port.
@@ -80,13 +80,13 @@
 
 impl Governor {
     /// Starts a governor with four replicas in its roster.
-    pub async fn start(name: &str, joined_most: u32) -> Governor {
+    pub async fn start(name: &str, max_joined: u32) -> Governor {
         let folder = std::env::temp_dir().join(format!("wrenthread-test-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let (grpc, http, poll) = (port(), port(), port());
         // A placeholder process, until the settings are written and the governor is started.
         let child = Command::new("true").spawn().unwrap();
-        let mut governor = Governor { child, folder, grpc, http, poll, joined_most };
+        let mut governor = Governor { child, folder, grpc, http, poll, max_joined };
         governor.settings(16);
         governor.list(4, &[]);
         governor.spawn().await;
@@ -94,9 +94,9 @@
     }
 
     pub fn settings(&self, proxies: u32) {
-        let Governor { grpc, http, poll, joined_most, .. } = self;
+        let Governor { grpc, http, poll, max_joined, .. } = self;
         let script = format!(
-            "fleet(zones = [\"north\"], proxies = {proxies}, joined_most = {joined_most})
+            "fleet(zones = [\"north\"], proxies = {proxies}, joined_most = {max_joined})
 \
              roster(file = \"roster.json\", look_every = 0.02)
 \
@@ -116,7 +116,7 @@
         std::fs::create_dir_all(&folder).unwrap();
         let (grpc, http, poll) = (port(), port(), port());
         let child = Command::new("true").spawn().unwrap();
-        let mut governor = Governor { child, folder, grpc, http, poll, joined_most: 4 };
+        let mut governor = Governor { child, folder, grpc, http, poll, max_joined: 4 };
         governor.settings(16);
         let path = governor.folder.join("settings.star");
         let roster = format!("upstream = \"http://127.0.0.1:{}\", clusters = [\"match\"]", upstream.grpc);
@@ -146,7 +146,7 @@
         .await;
     }
 
-    pub fn roster(&self, text: &str) {
+    pub fn write_roster_text(&self, text: &str) {
         std::fs::write(self.folder.join("new"), text).unwrap();
         std::fs::rename(self.folder.join("new"), self.folder.join("roster.json")).unwrap();
     }
@@ -157,7 +157,7 @@
             format!(r#"{{"id": "w{n}", "address": "10.0.0.{n}:80", "zone": "north", "phase": "{phase}"}}"#)
         };
         let list: Vec<String> = (0..workers).map(replica).collect();
-        self.roster(&format!("{{\"replicas\": [\n{}\n]}}", list.join(",\n")));
+        self.write_roster_text(&format!("{{\"replicas\": [\n{}\n]}}", list.join(",\n")));
     }
 
     pub fn get(&self, path: &str) -> Option<String> {
--- a/crates/daemon/tests/governor.rs
+++ b/crates/daemon/tests/governor.rs
@@ -165,9 +165,9 @@
     peer.ask(Kind::Endpoints, &["match"], "", None).await;
     let tables = peer.hear().await.unwrap();
     peer.ask(Kind::Endpoints, &["match"], &tables.nonce, None).await;
-    governor.roster("{\"replicas\": [\n{\"id\": \"w0\", \"addr");
+    governor.write_roster_text("{\"replicas\": [\n{\"id\": \"w0\", \"addr");
     until("the roster is refused", || governor.log().contains("roster.json:2:").then_some(())).await;
-    governor.roster("{\"replicas\": []}");
+    governor.write_roster_text("{\"replicas\": []}");
     until("the empty roster is doubted", || {
         (governor.status()["governor"]["roster_doubted"] == true).then_some(())
     })
--- a/crates/daemon/tests/nginx.rs
+++ b/crates/daemon/tests/nginx.rs
@@ -77,7 +77,7 @@
         grpc,
         http,
         poll,
-        joined_most: 4,
+        max_joined: 4,
     };
     let checked = governor.folder.join("settings.star");
     assert_eq!(wrenthread(&["check", checked.to_str().unwrap()]).0, Some(0));
