--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The real program on loopback, for tests that meet it from outside.
+//! Runs the real `wrenthread` program on loopback for tests.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::fs::File;
@@ -18,14 +18,14 @@
     pub grpc: u16,
     pub http: u16,
     pub poll: u16,
-    pub joined_most: u32,
+    pub max_joined: u32,
 }
 
-/// What a governor answers on its HTTP port.
+/// The body of the answer on the governor's HTTP port.
 fn get(port: u16, path: &str) -> Option<String> {
     let agent: ureq::Agent = ureq::Agent::config_builder().http_status_as_error(false).build().into();
-    let answered = agent.get(format!("http://127.0.0.1:{port}{path}")).call();
-    answered.ok()?.body_mut().read_to_string().ok()
+    let response = agent.get(format!("http://127.0.0.1:{port}{path}")).call();
+    response.ok()?.body_mut().read_to_string().ok()
 }
 
 impl Drop for Governor {
@@ -36,20 +36,20 @@
     }
 }
 
-/// A port below those that the system gives to outgoing connections: one of these must not sit on a governor's port while
-/// the governor is down. It is this process's for as long as it runs, by a locked file: tests of other checkouts leave it
-/// alone. Each process begins to look elsewhere.
+/// Reserves a free port below the system's ephemeral range, so that no outgoing connection takes it while the governor
+/// is down. A locked file reserves it for the life of this process, also against tests of other checkouts. Each process
+/// starts searching at a different port.
 pub fn port() -> u16 {
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    let port = || {
-        let place = std::process::id().wrapping_mul(97).wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed));
-        15_100 + (place % 17_000) as u16
+    let candidate = || {
+        let offset = std::process::id().wrapping_mul(97).wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed));
+        15_100 + (offset % 17_000) as u16
     };
-    std::iter::repeat_with(port).take(1000).find(|port| reserve(*port)).expect("a free port on loopback")
+    std::iter::repeat_with(candidate).take(1000).find(|port| reserve(*port)).expect("a free port on loopback")
 }
 
-/// Whether the port is free, and no other test's. Looking does not listen there: whoever waits for a governor at this port
-/// would take the look for it.
+/// Reserves a port if it is free and not reserved by another test. The check binds without listening: a listener would
+/// be mistaken for the governor by a client that waits for it at this port.
 fn reserve(port: u16) -> bool {
     static RESERVED: Mutex<Vec<File>> = Mutex::new(Vec::new());
     let folder = std::env::temp_dir().join("wrenthread-test-ports");
@@ -73,20 +73,20 @@
         if let Some(found) = found() {
             return found;
         }
-        assert!(began.elapsed() < Duration::from_secs(20), "never: {what}");
+        assert!(began.elapsed() < Duration::from_secs(20), "timed out waiting for: {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
 impl Governor {
-    /// A governor with four workers on its list.
-    pub async fn start(name: &str, joined_most: u32) -> Governor {
+    /// Starts a governor with four replicas in its roster.
+    pub async fn start(name: &str, max_joined: u32) -> Governor {
         let folder = std::env::temp_dir().join(format!("wrenthread-test-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let (grpc, http, poll) = (port(), port(), port());
-        // A program that ends at once stands in until the settings are there.
+        // A placeholder process, until the settings are written and the governor is started.
         let child = Command::new("true").spawn().unwrap();
-        let mut governor = Governor { child, folder, grpc, http, poll, joined_most };
+        let mut governor = Governor { child, folder, grpc, http, poll, max_joined };
         governor.settings(16);
         governor.list(4, &[]);
         governor.spawn().await;
@@ -94,9 +94,9 @@
     }
 
     pub fn settings(&self, proxies: u32) {
-        let Governor { grpc, http, poll, joined_most, .. } = self;
+        let Governor { grpc, http, poll, max_joined, .. } = self;
         let script = format!(
-            "fleet(zones = [\"north\"], proxies = {proxies}, joined_most = {joined_most})
+            "fleet(zones = [\"north\"], proxies = {proxies}, joined_most = {max_joined})
 \
              roster(file = \"roster.json\", look_every = 0.02)
 \
@@ -110,23 +110,23 @@
         std::fs::write(self.folder.join("settings.star"), script).unwrap();
     }
 
-    /// A governor whose roster is another one's table of a group.
-    pub async fn downstream(name: &str, of: &Governor) -> Governor {
+    /// Starts a governor whose roster is another governor's table of a group.
+    pub async fn downstream(name: &str, upstream: &Governor) -> Governor {
         let folder = std::env::temp_dir().join(format!("wrenthread-test-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let (grpc, http, poll) = (port(), port(), port());
         let child = Command::new("true").spawn().unwrap();
-        let mut governor = Governor { child, folder, grpc, http, poll, joined_most: 4 };
+        let mut governor = Governor { child, folder, grpc, http, poll, max_joined: 4 };
         governor.settings(16);
         let path = governor.folder.join("settings.star");
-        let upstream = format!("upstream = \"http://127.0.0.1:{}\", clusters = [\"match\"]", of.grpc);
-        let script = std::fs::read_to_string(&path).unwrap().replace("file = \"roster.json\"", &upstream);
+        let roster = format!("upstream = \"http://127.0.0.1:{}\", clusters = [\"match\"]", upstream.grpc);
+        let script = std::fs::read_to_string(&path).unwrap().replace("file = \"roster.json\"", &roster);
         std::fs::write(&path, script).unwrap();
         governor.spawn().await;
         governor
     }
 
-    /// Starts it anew, and waits until it is ready.
+    /// Starts the governor process, and waits until it is ready.
     pub async fn spawn(&mut self) {
         let folder: &Path = &self.folder;
         let log = File::options().create(true).append(true).open(folder.join("log")).unwrap();
@@ -139,32 +139,32 @@
             .unwrap();
         let (child, http) = (&mut self.child, self.http);
         until("ready", || {
-            let ended = child.try_wait().unwrap();
-            assert!(ended.is_none(), "it ended before it was ready: {ended:?}");
+            let status = child.try_wait().unwrap();
+            assert!(status.is_none(), "the governor ended before it was ready: {status:?}");
             get(http, "/readyz").filter(|text| text == "ready\n")
         })
         .await;
     }
 
-    pub fn roster(&self, text: &str) {
+    pub fn write_roster_text(&self, text: &str) {
         std::fs::write(self.folder.join("new"), text).unwrap();
         std::fs::rename(self.folder.join("new"), self.folder.join("roster.json")).unwrap();
     }
 
     pub fn list(&self, workers: usize, draining: &[usize]) {
-        let one = |n: usize| {
+        let replica = |n: usize| {
             let phase = if draining.contains(&n) { "draining" } else { "ready" };
             format!(r#"{{"id": "w{n}", "address": "10.0.0.{n}:80", "zone": "north", "phase": "{phase}"}}"#)
         };
-        let list: Vec<String> = (0..workers).map(one).collect();
-        self.roster(&format!("{{\"replicas\": [\n{}\n]}}", list.join(",\n")));
+        let list: Vec<String> = (0..workers).map(replica).collect();
+        self.write_roster_text(&format!("{{\"replicas\": [\n{}\n]}}", list.join(",\n")));
     }
 
     pub fn get(&self, path: &str) -> Option<String> {
         get(self.http, path)
     }
 
-    /// Has an operator exclude a replica.
+    /// Excludes a replica as an operator would.
     pub fn exclude(&self, replica: &str, reason: &str) {
         let at = format!("127.0.0.1:{}", self.http);
         let mut program = Command::new(env!("CARGO_BIN_EXE_wrenthread"));
@@ -186,36 +186,39 @@
     }
 }
 
-/// The bit of a signal in the masks that the system states of a process.
+/// The bit of a signal in the masks of `/proc/PID/status`.
 fn signal_bit(signal: u32) -> u64 {
     1 << (signal - 1)
 }
 
-/// Waits until a process handles SIGHUP and SIGTERM itself.
+/// Waits until a process has installed handlers for SIGHUP and SIGTERM.
 pub fn until_signals_are_handled(child: &mut Child) {
     const SIGHUP: u32 = 1;
     const SIGTERM: u32 = 15;
-    let wanted = signal_bit(SIGHUP) | signal_bit(SIGTERM);
+    let expected = signal_bit(SIGHUP) | signal_bit(SIGTERM);
     let began = Instant::now();
     loop {
         let status = std::fs::read_to_string(format!("/proc/{}/status", child.id())).unwrap();
         let caught = status.lines().find_map(|line| line.strip_prefix("SigCgt:")).unwrap();
-        if u64::from_str_radix(caught.trim(), 16).unwrap() & wanted == wanted {
+        if u64::from_str_radix(caught.trim(), 16).unwrap() & expected == expected {
             return;
         }
-        assert!(child.try_wait().unwrap().is_none(), "it ended");
-        assert!(began.elapsed() < Duration::from_secs(10), "signals still have the system's own effect");
+        assert!(child.try_wait().unwrap().is_none(), "the process ended");
+        assert!(
+            began.elapsed() < Duration::from_secs(10),
+            "the process installed no signal handlers in time"
+        );
         std::thread::yield_now();
     }
 }
 
-/// Puts a pipe in a file's place: whoever reads the file waits for [`write_pipe`].
+/// Replaces a file with a named pipe: reading it blocks until [`write_pipe`].
 pub fn make_pipe(path: &Path) {
     let _ = std::fs::remove_file(path);
     assert!(Command::new("mkfifo").arg(path).status().unwrap().success());
 }
 
-/// Hands a text to whoever reads the pipe, once.
+/// Writes a text to the pipe, for one reader.
 pub fn write_pipe(path: &Path, text: &str) {
     std::fs::write(path, text).unwrap();
 }
--- a/crates/daemon/tests/soak/proxy.rs
+++ b/crates/daemon/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! Proxies that keep their connections open and go on using them until they end, and crowds of other peers.
+//! Proxies that reconnect whenever a connection ends, and crowds of peers that never identify themselves.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -12,27 +12,28 @@
 
 /// How often a proxy reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a proxy waits before it dials again.
-const REDIAL_INTERVAL: Duration = Duration::from_millis(30);
-/// How often a crowd's peers are looked at.
+/// How long a proxy waits before it reconnects.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(30);
+/// How often a crowd's peers are checked.
 const CROWD_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// What a peer that says nothing is owed its end within.
-pub const OWED_WITHIN: Duration = Duration::from_secs(3);
+/// The platform's time limit for closing a peer that does not identify itself.
+pub const CLOSE_WITHIN: Duration = Duration::from_secs(3);
 
 /// The governors' addresses.
 pub type Addresses = Arc<Vec<SocketAddr>>;
 
-/// What all proxies share.
+/// State shared by all proxies.
 #[derive(Clone)]
 pub struct Fleet {
     pub addresses: Addresses,
     pub log: EventLog,
     pub streams: Arc<AtomicU64>,
-    /// All proxies end.
-    pub over: Arc<AtomicBool>,
+    /// Set when all proxies should end.
+    pub stopping: Arc<AtomicBool>,
 }
 
-/// One proxy: its thread connects to a governor, to the next one where that fails, and again as a connection ends.
+/// A proxy with its own thread, which connects to a governor, or to the next one if that fails, and reconnects when the
+/// connection ends.
 pub struct Proxy {
     connection: Arc<Mutex<Option<TcpStream>>>,
     closing: Arc<AtomicBool>,
@@ -43,18 +44,18 @@
     pub fn start(number: u16, fleet: Fleet) -> Proxy {
         let connection: Arc<Mutex<Option<TcpStream>>> = Arc::default();
         let closing: Arc<AtomicBool> = Arc::default();
-        let runner = Runner {
+        let proxy_thread = ProxyThread {
             number,
             fleet,
             connection: connection.clone(),
             closing: closing.clone(),
             holds_tables: number.is_multiple_of(2),
         };
-        let thread = std::thread::spawn(move || runner.run());
+        let thread = std::thread::spawn(move || proxy_thread.run());
         Proxy { connection, closing, thread }
     }
 
-    /// Ends its connection, as if it had been broken; the proxy connects anew.
+    /// Closes the proxy's connection; the proxy then reconnects.
     pub fn reconnect(&self) {
         if let Some(stream) = self.connection.lock().unwrap().as_ref() {
             self.closing.store(true, Ordering::Relaxed);
@@ -62,32 +63,33 @@
         }
     }
 
-    /// Waits for its end, once all are over.
+    /// Closes the connection and waits for the thread to end, once [`Fleet::stopping`] is set.
     pub fn join(self) {
         self.reconnect();
         self.thread.join().unwrap();
     }
 }
 
-struct Runner {
+struct ProxyThread {
     number: u16,
     fleet: Fleet,
     connection: Arc<Mutex<Option<TcpStream>>>,
     closing: Arc<AtomicBool>,
-    /// It holds a table that a governor sent; half of all do from the start, of a governor that is no more.
+    /// Whether the proxy has a table from a governor. Half of the proxies do from the start, as from an earlier
+    /// governor.
     holds_tables: bool,
 }
 
-impl Runner {
+impl ProxyThread {
     fn run(mut self) {
         let count = self.fleet.addresses.len();
         let mut governor = usize::from(self.number) % count;
-        while !self.fleet.over.load(Ordering::Relaxed) {
+        while !self.fleet.stopping.load(Ordering::Relaxed) {
             match TcpStream::connect(self.fleet.addresses[governor]) {
                 Ok(stream) => self.follow(stream, governor),
                 Err(_) => governor = (governor + 1) % count,
             }
-            std::thread::sleep(REDIAL_INTERVAL);
+            std::thread::sleep(RECONNECT_INTERVAL);
         }
     }
 
@@ -98,13 +100,14 @@
         log.push(Event::Connected { stream: number, proxy: self.number, governor, holds_default_table });
         *self.connection.lock().unwrap() = stream.try_clone().ok();
         let _ = self.exchange(stream, number, holds_default_table);
-        let by_proxy = self.closing.swap(false, Ordering::Relaxed) || self.fleet.over.load(Ordering::Relaxed);
+        let by_proxy =
+            self.closing.swap(false, Ordering::Relaxed) || self.fleet.stopping.load(Ordering::Relaxed);
         let end = if by_proxy { StreamEnd::ByProxy } else { StreamEnd::ByGovernor };
         log.push(Event::Ended { stream: number, end });
         *self.connection.lock().unwrap() = None;
     }
 
-    /// Until the connection ends.
+    /// Subscribes, acknowledges tables and sends reports until the connection ends.
     fn exchange(&mut self, stream: TcpStream, number: u64, holds_default_table: bool) -> std::io::Result<()> {
         let _ = stream.set_nodelay(true);
         stream.set_read_timeout(Some(REPORT_INTERVAL))?;
@@ -120,7 +123,7 @@
                 Ok(_) if line.ends_with(b"\n") => {
                     let message: Value = serde_json::from_slice(&line).unwrap();
                     line.clear();
-                    self.take(reader.get_mut(), number, message)?;
+                    self.handle_message(reader.get_mut(), number, message)?;
                 }
                 Ok(_) => {}
                 Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
@@ -135,7 +138,7 @@
         }
     }
 
-    fn take(&mut self, stream: &mut TcpStream, number: u64, message: Value) -> std::io::Result<()> {
+    fn handle_message(&mut self, stream: &mut TcpStream, number: u64, message: Value) -> std::io::Result<()> {
         let ticket = message["ticket"].as_u64();
         self.holds_tables |= message["whole"] == true;
         self.fleet.log.push(Event::Received { stream: number, message });
@@ -148,7 +151,7 @@
     stream.write_all(format!("{message}\n").as_bytes())
 }
 
-/// What the peers of a crowd send, one after the other.
+/// The messages that the peers of a crowd send in turn.
 const CROWD_MESSAGES: [&[u8]; 5] = [
     b"",
     b"{\"@type\":\"SUBSCRIBE\",\"node\":1,",
@@ -157,8 +160,8 @@
     b"{\"@type\":\"PING\"}\n",
 ];
 
-/// Hundreds that connect at once and never join. Each is followed until it is closed or rejected, or the time it is owed
-/// that within is over, not counting the time for which `is_paused`.
+/// Connects many peers at once that never join, and waits until each is closed or rejected, or the time limit for that
+/// has expired. Time during which `is_excused` holds does not count.
 pub fn run_crowd(
     governor: GovernorIndex,
     address: SocketAddr,
@@ -173,13 +176,13 @@
         let _ = stream.set_nonblocking(true);
         peers.push(stream);
     }
-    let mut left = OWED_WITHIN;
-    while !peers.is_empty() && !left.is_zero() {
+    let mut remaining = CLOSE_WITHIN;
+    while !peers.is_empty() && !remaining.is_zero() {
         peers.retain_mut(|peer| !is_closed_or_rejected(peer));
-        let looked_at = Instant::now();
+        let checked_at = Instant::now();
         std::thread::sleep(CROWD_POLL_INTERVAL);
         if !is_excused() {
-            left = left.saturating_sub(looked_at.elapsed());
+            remaining = remaining.saturating_sub(checked_at.elapsed());
         }
     }
     peers.retain_mut(|peer| !is_closed_or_rejected(peer));
@@ -193,12 +196,12 @@
     let mut bytes = [0; 256];
     match peer.read(&mut bytes) {
         Ok(0) => true,
-        Ok(count) => bytes[..count].windows(4).any(|word| word == b"NACK"),
+        Ok(count) => bytes[..count].windows(4).any(|window| window == b"NACK"),
         Err(error) => error.kind() != ErrorKind::WouldBlock,
     }
 }
 
-/// The next line of a connection on which nothing else is under way; none at its end.
+/// Reads one line without buffering beyond it; `None` at the end of the connection or on a timeout.
 pub fn read_line(stream: &TcpStream) -> Option<Vec<u8>> {
     let _ = stream.set_read_timeout(Some(Duration::from_secs(5)));
     let mut line = Vec::new();
@@ -206,7 +209,7 @@
     (read.is_ok() && line.ends_with(b"\n")).then_some(line)
 }
 
-/// Reads one message on a connection, and ends it.
+/// Reads one message, and logs the end of the stream.
 pub fn read_first_message(stream: &TcpStream, number: u64, log: &EventLog) {
     let end = match read_line(stream) {
         Some(line) => {
