--- a/crates/rehearsal/src/check.rs
+++ b/crates/rehearsal/src/check.rs
@@ -96,14 +96,16 @@
             _ => {}
         }
         let warm = |replica: &usize| {
-            started.get(replica).copied().flatten().is_none_or(|at| entry.at - at >= day.warm_after)
+            started.get(replica).copied().flatten().is_none_or(|at| entry.at - at >= day.slow_start_duration)
         };
         let replica_available = ready.iter().any(warm);
         for ((proxy, class), (since, reported)) in &mut empty {
             match joined.0.get(proxy) {
                 Some((_, governor)) if delivery.since(*governor).is_none() => *since = entry.at,
                 Some((at, _))
-                    if replica_available && entry.at - since.max(*at) > day.bare_for && !*reported =>
+                    if replica_available
+                        && entry.at - since.max(*at) > day.max_time_without_entry
+                        && !*reported =>
                 {
                     *reported = true;
                     violations.push(format!(
@@ -188,20 +190,20 @@
             }
             Event::AttemptReceived { replica, .. } => {
                 let Some(since) = started.get(&replica) else { continue };
-                if entry.at - since > day.warm_after {
+                if entry.at - since > day.slow_start_duration {
                     continue;
                 }
                 let times = attempt_times.entry(replica).or_default();
                 times.push(entry.at);
-                times.retain(|at| entry.at - at <= day.overload_for);
+                times.retain(|at| entry.at - at <= day.overload_duration);
                 // Uses the capacity at the end of the span, which is the highest within it, so that the
                 // overload is certain.
-                let per_second = day.worker_flows_per_s * capacity(day, entry.at - since);
-                if times.len() as f64 > day.fall_multiple * per_second * day.overload_for {
+                let per_second = day.worker_capacity * capacity(day, entry.at - since);
+                if times.len() as f64 > day.overload_multiple * per_second * day.overload_duration {
                     let (count, at) = (times.len(), entry.at);
                     violations.push(format!(
                         "{at:.2} s: worker {replica} got {count} flows in {} s; it can do {per_second:.1} a second",
-                        day.overload_for
+                        day.overload_duration
                     ));
                     times.clear();
                 }
@@ -326,7 +328,7 @@
         for (proxy, (since, reported)) in &mut unattended {
             if joined.0.contains_key(proxy) || up.is_empty() {
                 (*since, *reported) = (entry.at, false);
-            } else if entry.at - *since > day.care_for && !*reported {
+            } else if entry.at - *since > day.max_time_without_governor && !*reported {
                 *reported = true;
                 violations
                     .push(format!("{:.2} s: relay {proxy} is with no governor since {since:.2} s", entry.at));
--- a/crates/rehearsal/src/event_log.rs
+++ b/crates/rehearsal/src/event_log.rs
@@ -265,5 +265,6 @@
 
 /// Capacity of a replica at an age in seconds, as a fraction of its capacity once warm.
 pub fn capacity(day: &Day, age: f64) -> f64 {
-    (day.cold_share + (1.0 - day.cold_share) * age / day.warm_after).min(1.0)
+    (day.initial_capacity_fraction + (1.0 - day.initial_capacity_fraction) * age / day.slow_start_duration)
+        .min(1.0)
 }
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -30,7 +30,7 @@
 use tokio::process::{Child, Command};
 use tokio::task::LocalSet;
 use tokio::time::{sleep, timeout};
-use wrenthread_settings::day::{self, Day, Planned, Trouble};
+use wrenthread_settings::day::{self, Day, Fault, ScheduledFault};
 
 use check::RuleResult;
 use event_log::{CLASS_TRAFFIC, CLASSES, Entry, Event, EventLog, RequestOutcome, RosterEntry};
@@ -231,7 +231,7 @@
         }
     };
     let parsed = Rc::new(day::parse(&file, &text)?);
-    if parsed.halls.len() > parsed.workers || parsed.halls.is_empty() {
+    if parsed.zones.len() > parsed.replicas || parsed.zones.is_empty() {
         bail!("{file}: every hall needs a worker");
     }
     let folder = std::env::temp_dir().join(format!("wrenthread-rehearsal-{}-{seed}", std::process::id()));
@@ -326,25 +326,25 @@
 impl SimulatedFleet {
     async fn new(day: Rc<Day>, seed: u64, fronts: Fronts) -> Result<Rc<SimulatedFleet>> {
         let event_log = EventLog::new();
-        let zone_count = day.halls.len();
+        let zone_count = day.zones.len();
         let mut replicas = Vec::new();
-        for index in 0..day.workers {
+        for index in 0..day.replicas {
             replicas.push(Replica::start(index, day.clone(), event_log.clone()).await?);
         }
         let by_address: HashMap<String, Rc<Replica>> =
             replicas.iter().map(|replica| (replica.address.clone(), replica.clone())).collect();
         let (replicas, by_address) = (Rc::new(replicas), Rc::new(by_address));
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let rate_per_proxy = day.flows_per_s / day.relays as f64;
-        let proxies: Vec<Rc<Proxy>> = (0..day.relays)
+        let rate_per_proxy = day.requests_per_second / day.proxies as f64;
+        let proxies: Vec<Rc<Proxy>> = (0..day.proxies)
             .map(|index| {
                 // Each proxy draws its default table from the replicas of its zone.
                 let mut default_replicas: Vec<usize> =
-                    (0..day.workers).filter(|replica| replica % zone_count == index % zone_count).collect();
+                    (0..day.replicas).filter(|replica| replica % zone_count == index % zone_count).collect();
                 while default_replicas.len() > DEFAULT_TABLE_SIZE {
                     default_replicas.remove(rng.next_u64() as usize % default_replicas.len());
                 }
-                let zone = day.halls[index % zone_count].clone();
+                let zone = day.zones[index % zone_count].clone();
                 let identity = ProxyIdentity {
                     name: format!("relay-{index}"),
                     zone,
@@ -392,7 +392,7 @@
             for index in 0..self.day.governors {
                 governors.push(GovernorProcess::new(program.clone(), folder.clone(), index)?);
             }
-            if self.day.talk {
+            if self.day.gossip {
                 let gossip_addresses: Vec<SocketAddr> =
                     governors.iter().map(|governor| governor.gossip_address).collect();
                 for governor in &mut governors {
@@ -416,9 +416,9 @@
             }
         }
         let governors: Vec<Rc<GovernorProcess>> = governors.into_iter().map(Rc::new).collect();
-        let zone_count = self.day.halls.len();
+        let zone_count = self.day.zones.len();
         self.event_log.record(Event::Fleet {
-            replicas: (0..self.day.workers).map(|replica| replica % zone_count).collect(),
+            replicas: (0..self.day.replicas).map(|replica| replica % zone_count).collect(),
             proxies: self.proxies.iter().map(|proxy| (proxy.index % zone_count, Vec::new())).collect(),
         });
         let mut tasks = Vec::new();
@@ -442,18 +442,18 @@
         let start = self.event_log.now();
         for proxy in &self.proxies {
             let (requests_per_second, end) =
-                (self.day.flows_per_s / self.day.relays as f64, start + self.day.seconds);
+                (self.day.requests_per_second / self.day.proxies as f64, start + self.day.seconds);
             tasks.push(tokio::task::spawn_local(proxy.clone().generate_requests(
                 requests_per_second,
                 end,
                 next_request_id.clone(),
             )));
         }
-        for planned in self.day.troubles.clone() {
+        for scheduled in self.day.faults.clone() {
             let (this, governors) = (self.clone(), governors.clone());
             tasks.push(tokio::task::spawn_local(async move {
-                sleep(Duration::from_secs_f64(planned.at)).await;
-                if let Err(error) = this.inject_fault(&planned, &governors).await {
+                sleep(Duration::from_secs_f64(scheduled.at)).await;
+                if let Err(error) = this.inject_fault(&scheduled, &governors).await {
                     eprintln!("fault injection failed: {error:#}");
                 }
             }));
@@ -488,7 +488,7 @@
             let phase = if draining.contains(&replica.index) { "draining" } else { "ready" };
             json!({
                 "id": replica.id, "address": replica.address, "phase": phase, "weight": 1.0,
-                "zone": self.day.halls[replica.index % self.day.halls.len()],
+                "zone": self.day.zones[replica.index % self.day.zones.len()],
                 "started": replica.started().map(|at| self.log_start_unix_seconds + at),
             })
         };
@@ -529,58 +529,63 @@
     }
 
     async fn write_rosters_delayed(&self, governors: &[Rc<GovernorProcess>]) -> Result<()> {
-        sleep(Duration::from_secs_f64(self.day.roster_late)).await;
+        sleep(Duration::from_secs_f64(self.day.roster_delay)).await;
         if governors.is_empty() { Ok(()) } else { self.write_rosters(governors) }
     }
 
     #[expect(clippy::too_many_lines, reason = "left for readers: docs/ROADMAP.md")]
-    async fn inject_fault(&self, planned: &Planned, governors: &[Rc<GovernorProcess>]) -> Result<()> {
-        let duration = Duration::from_secs_f64(planned.lasts);
-        let zone_count = self.day.halls.len();
+    async fn inject_fault(
+        &self,
+        scheduled: &ScheduledFault,
+        governors: &[Rc<GovernorProcess>],
+    ) -> Result<()> {
+        let duration = Duration::from_secs_f64(scheduled.duration);
+        let zone_count = self.day.zones.len();
         let pick_replicas = |count: usize| {
             // Takes replicas of the first zone, starting at an offset from the seed. The built-in days deploy
             // to other zones.
             let replicas = self.replicas.iter().filter(|replica| replica.index % zone_count == 0);
-            let skip = self.seed as usize % (self.day.workers / zone_count).max(1);
+            let skip = self.seed as usize % (self.day.replicas / zone_count).max(1);
             replicas.cycle().skip(skip).take(count).cloned().collect::<Vec<_>>()
         };
         let proxies = |fraction: f64| {
             let count = (fraction * self.proxies.len() as f64).round() as usize;
             self.proxies.iter().cycle().skip(self.seed as usize % self.proxies.len()).take(count)
         };
-        match &planned.trouble {
-            Trouble::Silent { count } | Trouble::QuickErrors { count } => {
-                let silent = matches!(planned.trouble, Trouble::Silent { .. });
+        match &scheduled.fault {
+            Fault::Silent { count } | Fault::QuickErrors { count } => {
+                let silent = matches!(scheduled.fault, Fault::Silent { .. });
                 let replicas = pick_replicas(*count);
                 let mode = if silent { Mode::Silent } else { Mode::QuickErrors };
                 replicas.iter().for_each(|replica| replica.set_mode(mode));
                 sleep(duration).await;
                 replicas.iter().for_each(|replica| replica.set_mode(Mode::Healthy));
             }
-            Trouble::Deploy { hall, step } => {
-                let replicas = self.replicas.iter().filter(|replica| replica.index % zone_count == *hall);
-                for replica in replicas.take((planned.lasts / step).ceil() as usize) {
+            Fault::Deploy { zone, step } => {
+                let replicas = self.replicas.iter().filter(|replica| replica.index % zone_count == *zone);
+                for replica in replicas.take((scheduled.duration / step).ceil() as usize) {
                     self.draining.borrow_mut().insert(replica.index);
                     self.write_rosters_delayed(governors).await?;
-                    sleep(Duration::from_secs_f64((step - 2.0 * self.day.roster_late).max(0.5))).await;
+                    sleep(Duration::from_secs_f64((step - 2.0 * self.day.roster_delay).max(0.5))).await;
                     replica.restart();
                     self.draining.borrow_mut().remove(&replica.index);
                     self.write_rosters_delayed(governors).await?;
                 }
             }
-            Trouble::BrokenStreams { share: part } => proxies(*part).for_each(|proxy| proxy.break_stream()),
-            Trouble::LateReports { share: part, late } => {
-                proxies(*part).for_each(|proxy| proxy.set_report_delay(*late));
+            Fault::BrokenStreams { share: part } => proxies(*part).for_each(|proxy| proxy.break_stream()),
+            Fault::LateReports { share: part, delay } => {
+                proxies(*part).for_each(|proxy| proxy.set_report_delay(*delay));
                 sleep(duration).await;
                 proxies(*part).for_each(|proxy| proxy.set_report_delay(0.0));
             }
-            Trouble::Kill { governor, after_orders } => {
+            Fault::Kill { governor, messages_before_kill } => {
                 let Some(governor) = governors.get(*governor).cloned() else { return Ok(()) };
                 let index = governor.index;
-                if *after_orders == 0 {
+                if *messages_before_kill == 0 {
                     governor.kill();
                 }
-                let (after, roster_changed, updates_seen) = (*after_orders, Cell::new(false), Cell::new(0));
+                let (after, roster_changed, updates_seen) =
+                    (*messages_before_kill, Cell::new(false), Cell::new(0));
                 let target = governor.clone();
                 self.event_log.set_observer(move |entry| match &entry.event {
                     Event::Roster { .. } => roster_changed.set(true),
@@ -610,10 +615,10 @@
                 sleep(duration).await;
                 governor.start(&self.event_log).await?;
             }
-            Trouble::Storm { governor, count } => {
+            Fault::RepeatedKills { governor, count } => {
                 let Some(governor) = governors.get(*governor) else { return Ok(()) };
                 let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ 0x5707);
-                let interval = planned.lasts / *count as f64;
+                let interval = scheduled.duration / *count as f64;
                 for _ in 0..*count {
                     let random = (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
                     sleep(Duration::from_secs_f64(interval * (0.1 + 0.8 * random))).await;
@@ -625,7 +630,7 @@
                     governor.start(&self.event_log).await?;
                 }
             }
-            Trouble::Stall { governor } => {
+            Fault::Stall { governor } => {
                 let Some(governor) = governors.get(*governor) else { return Ok(()) };
                 governor.signal(Signal::SIGSTOP)?;
                 self.event_log.record(Event::Governor { governor: governor.index, up: false });
@@ -633,7 +638,7 @@
                 governor.signal(Signal::SIGCONT)?;
                 self.event_log.record(Event::Governor { governor: governor.index, up: true });
             }
-            Trouble::Cut { governor } if !governors.is_empty() => {
+            Fault::Partition { governor } if !governors.is_empty() => {
                 let (isolated, count) = (*governor, governors.len());
                 let set_reachable = |reachable: bool| {
                     for proxy in &self.proxies {
@@ -648,17 +653,17 @@
                 sleep(duration).await;
                 set_reachable(true)?;
             }
-            Trouble::OneWay { governor } => {
+            Fault::OutboundLoss { governor } => {
                 self.gossip_links.set_blocked(*governor, governors.len(), true, true);
                 sleep(duration).await;
                 self.gossip_links.set_blocked(*governor, governors.len(), true, false);
             }
-            Trouble::Stale { governor } if !governors.is_empty() => {
+            Fault::StaleRoster { governor } if !governors.is_empty() => {
                 self.set_stale_roster(governors, *governor, true)?;
                 sleep(duration).await;
                 self.set_stale_roster(governors, *governor, false)?;
             }
-            Trouble::Roll => {
+            Fault::RollingRestart => {
                 for governor in governors {
                     governor.drain().await?;
                     governor.signal(Signal::SIGTERM)?;
@@ -670,7 +675,7 @@
                     sleep(Duration::from_secs(3)).await;
                 }
             }
-            Trouble::StepBack => {
+            Fault::Rollback => {
                 let version = |status: String| -> Result<u64> {
                     let status: serde_json::Value = serde_json::from_str(&status)?;
                     status["governor"]["version"].as_u64().context("status output has no governor.version")
@@ -690,7 +695,7 @@
                     governor.operate(&rollback).await?;
                 }
             }
-            Trouble::Cut { .. } | Trouble::Stale { .. } => {}
+            Fault::Partition { .. } | Fault::StaleRoster { .. } => {}
         }
         Ok(())
     }
@@ -781,7 +786,7 @@
                 )
             })
             .collect();
-        let state = if day.state { "state(folder = \"state\", every = 0.2)\n" } else { "" };
+        let state = if day.durable_store { "state(folder = \"state\", every = 0.2)\n" } else { "" };
         let settings = format!(
             "{state}fleet(zones = {:?}, proxies = {}, governors = {}, \
              standing_lines = {DEFAULT_TABLE_SIZE}, proxies_avoid = True)\n\
@@ -793,11 +798,11 @@
              roster(file = \"roster.json\", look_every = 0.05)\n\
              listen(grpc = \"127.0.0.1:{grpc}\", http = \"{http}\", \
              poll = \"127.0.0.1:{poll}\")\n{classes}",
-            day.halls,
-            day.relays,
+            day.zones,
+            day.proxies,
             day.governors,
-            day.cold_share,
-            day.warm_after,
+            day.initial_capacity_fraction,
+            day.slow_start_duration,
             event_log::ENTRIES_PER_SECOND,
             event_log::MESSAGE_OVERHEAD_ENTRIES,
             event_log::MAX_QUEUED_ENTRIES,
@@ -812,7 +817,11 @@
     /// that the configuration has no equivalent for, as an operator would.
     fn import(&self, day: &Day, replicas: &[Rc<Replica>]) -> Result<()> {
         let server = |replica: &Rc<Replica>| {
-            format!("    server {} slow_start={}ms;\n", replica.address, (day.warm_after * 1000.0) as u64)
+            format!(
+                "    server {} slow_start={}ms;\n",
+                replica.address,
+                (day.slow_start_duration * 1000.0) as u64
+            )
         };
         let servers: String = replicas.iter().map(server).collect();
         let location = |(index, (class, (objective, _, _))): (usize, (&&str, (f64, f64, f64)))| {
@@ -836,7 +845,7 @@
         let http = self.http.rsplit_once(':').map_or("", |(_, port)| port);
         let output = std::process::Command::new(&self.program.path)
             .args(["import", "nginx", "--zones", "network", "--strict"])
-            .args(["--proxies", &day.relays.to_string(), "--ports", &format!("{grpc},{http},{poll}")])
+            .args(["--proxies", &day.proxies.to_string(), "--ports", &format!("{grpc},{http},{poll}")])
             .arg("--output")
             .arg(&self.folder)
             .arg(&conf)
--- a/crates/rehearsal/src/replica.rs
+++ b/crates/rehearsal/src/replica.rs
@@ -59,7 +59,7 @@
     pub async fn start(index: usize, day: Rc<Day>, event_log: EventLog) -> Result<Rc<Replica>> {
         // With an nginx import, zones are derived from the networks of the addresses.
         let host =
-            if day.nginx { format!("{}.1", day.halls[index % day.halls.len()]) } else { "127.0.0.1".into() };
+            if day.nginx { format!("{}.1", day.zones[index % day.zones.len()]) } else { "127.0.0.1".into() };
         let listener = TcpListener::bind(format!("{host}:0"))
             .await
             .context("cannot bind a replica's listening socket")?;
@@ -142,7 +142,7 @@
         // The work varies between requests, but is the same for a request on every replica.
         let work_factor =
             0.7 + 0.6 * (request.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 40) as f64 / f64::from(1 << 24);
-        let duration = MAX_CONCURRENT_REQUESTS as f64 / self.day.worker_flows_per_s * work_factor
+        let duration = MAX_CONCURRENT_REQUESTS as f64 / self.day.worker_capacity * work_factor
             / capacity(&self.day, age);
         tokio::time::sleep(Duration::from_secs_f64(duration)).await;
         if process.slots.is_closed() {
