--- a/crates/daemon/src/export.rs
+++ b/crates/daemon/src/export.rs
@@ -20,7 +20,7 @@
 use tokio::task::LocalSet;
 use wrenthread_client::table_cache::{Outcome, TableCache};
 use wrenthread_client::{Observer, ProxyIdentity, UpdatedTables, poll};
-use wrenthread_nginx::access_log::{self, Lines as LogLines};
+use wrenthread_nginx::access_log::{self, LineSplitter};
 use wrenthread_nginx::blocks::{self, Tables, UpstreamTable};
 use wrenthread_nginx::write_debouncer::WriteDebouncer;
 use wrenthread_settings::{Nginx, Settings};
@@ -243,14 +243,16 @@
 /// Follows the access log from its current end, across rotations, and counts the requests in the cache.
 async fn follow_log(path: PathBuf, started_at: Instant, cache: Rc<RefCell<TableCache>>) {
     let mut tail = LogTail::default();
-    let (mut ignored_counts, mut error_logged) = (BTreeMap::<access_log::Odd, u64>::new(), false);
+    let (mut ignored_counts, mut error_logged) = (BTreeMap::<access_log::LineError, u64>::new(), false);
     loop {
         match tail.read_new_lines(&path).await {
             Ok(lines) => {
                 error_logged = false;
                 for line in lines {
-                    match access_log::flow(&line) {
-                        Ok(Some(flow)) => count_request(&mut cache.borrow_mut(), started_at.elapsed(), &flow),
+                    match access_log::parse_line(&line) {
+                        Ok(Some(request)) => {
+                            count_request(&mut cache.borrow_mut(), started_at.elapsed(), &request)
+                        }
                         Ok(None) => {}
                         Err(why) => {
                             metrics::counter!("wrenthread_log_lines_odd_total", "why" => why.to_string())
@@ -276,23 +278,23 @@
 }
 
 /// Adds a logged request to the counters that reports are built from.
-fn count_request(cache: &mut TableCache, now: Duration, request: &access_log::Flow) {
-    let Some(group) = cache.class_index(&request.group) else { return };
-    if request.tries.is_empty() {
-        return cache.request_rejected(group);
+fn count_request(cache: &mut TableCache, now: Duration, request: &access_log::LoggedRequest) {
+    let Some(class) = cache.class_index(&request.class) else { return };
+    if request.attempts.is_empty() {
+        return cache.request_rejected(class);
     }
-    for attempt in &request.tries {
+    for attempt in &request.attempts {
         let address: Arc<str> = attempt.address.as_str().into();
         // Skips servers that have not been in any table received so far; earlier tables count, too.
         if cache.replica_at(&address).is_none() {
             continue;
         }
-        cache.attempt_started(group, &address);
-        let outcome = match attempt.answered {
+        cache.attempt_started(class, &address);
+        let outcome = match attempt.latency {
             Some(latency) => Outcome::Succeeded { latency, load: &[] },
             None => Outcome::Failed,
         };
-        cache.attempt_ended(now, group, &address, outcome);
+        cache.attempt_ended(now, class, &address, outcome);
     }
 }
 
@@ -301,7 +303,7 @@
 struct LogTail {
     /// The open file, its device and inode numbers, and the offset read so far.
     open: Option<(tokio::fs::File, (u64, u64), u64)>,
-    lines: LogLines,
+    splitter: LineSplitter,
     /// Whether the file has been opened before.
     has_opened: bool,
 }
@@ -310,7 +312,7 @@
     async fn read_new_lines(&mut self, path: &Path) -> std::io::Result<Vec<String>> {
         let mut lines = Vec::new();
         if let Some((file, id, offset)) = &mut self.open {
-            read_lines(file, offset, &mut self.lines, &mut lines).await?;
+            read_lines(file, offset, &mut self.splitter, &mut lines).await?;
             let metadata = tokio::fs::metadata(path).await;
             let is_same_file =
                 metadata.as_ref().is_ok_and(|metadata| (metadata.dev(), metadata.ino()) == *id);
@@ -320,7 +322,7 @@
             }
             // The path refers to another file, or the file was truncated. What nginx had written to the old file
             // has been read above; continues with the new one.
-            self.lines.rotated();
+            self.splitter.rotated();
             self.open = None;
         }
         let mut file = match tokio::fs::File::open(path).await {
@@ -337,14 +339,14 @@
             // Lines written before the agent started are not reported.
             offset = file.seek(SeekFrom::End(0)).await?;
             if offset > 0 {
-                self.lines = LogLines::from_the_midst();
+                self.splitter = LineSplitter::from_mid_line();
                 // Starts at the last byte: if it is a newline, the next line is complete and is not skipped.
                 file.seek(SeekFrom::Start(offset - 1)).await?;
                 offset -= 1;
             }
         }
         self.has_opened = true;
-        read_lines(&mut file, &mut offset, &mut self.lines, &mut lines).await?;
+        read_lines(&mut file, &mut offset, &mut self.splitter, &mut lines).await?;
         self.open = Some((file, (metadata.dev(), metadata.ino()), offset));
         Ok(lines)
     }
@@ -354,7 +356,7 @@
 async fn read_lines(
     file: &mut tokio::fs::File,
     offset: &mut u64,
-    splitter: &mut LogLines,
+    splitter: &mut LineSplitter,
     lines: &mut Vec<String>,
 ) -> std::io::Result<()> {
     let mut buffer = vec![0; 64 << 10];
@@ -366,9 +368,9 @@
         }
         *offset += count as u64;
         remaining = remaining.saturating_sub(count);
-        lines.extend(splitter.more(&buffer[..count]));
+        lines.extend(splitter.push(&buffer[..count]));
     }
-    let long = splitter.take_long();
+    let long = splitter.take_too_long_count();
     if long > 0 {
         tracing::warn!(long, "ignoring access log lines that are too long");
     }
--- a/crates/daemon/src/nginx.rs
+++ b/crates/daemon/src/nginx.rs
@@ -60,9 +60,9 @@
             std::fs::create_dir_all(&folder).with_context(|| folder.display().to_string())?;
             let roster = folder.join("roster.json");
             replace_file(&roster, &write::roster(fleet))?;
-            let script = write::marked(&write::settings(fleet, index, &self.terms));
+            let script = write::with_checksum(&write::settings(fleet, index, &self.terms));
             let mut settings = folder.join("settings.star");
-            let is_edited = std::fs::read_to_string(&settings).is_ok_and(|text| !write::untouched(&text));
+            let is_edited = std::fs::read_to_string(&settings).is_ok_and(|text| !write::is_unedited(&text));
             if is_edited {
                 settings = folder.join("settings.imported.star");
             }
@@ -166,11 +166,11 @@
                 attributes["phase"] != "gone" && attributes["backup"] != "true"
             };
             later.replicas.retain(|id, attributes| earlier.replicas.contains_key(id) || is_kept(attributes));
-            fleets.push((fleet.name.clone(), difference::between(&earlier, &later)));
+            fleets.push((fleet.name.clone(), difference::compare(&earlier, &later)));
         } else {
             for fleet in &self.imported.fleets {
                 let earlier = imported_fleet(&folder.join(&fleet.name))?;
-                fleets.push((fleet.name.clone(), difference::between(&earlier, &fleet.into())));
+                fleets.push((fleet.name.clone(), difference::compare(&earlier, &fleet.into())));
             }
             for entry in std::fs::read_dir(folder).with_context(|| against.to_string())? {
                 let entry = entry.with_context(|| against.to_string())?;
@@ -179,7 +179,7 @@
                 if is_fleet && self.imported.fleets.iter().all(|fleet| fleet.name != name) {
                     fleets.push((
                         name,
-                        difference::between(&imported_fleet(&entry.path())?, &ComparableFleet::default()),
+                        difference::compare(&imported_fleet(&entry.path())?, &ComparableFleet::default()),
                     ));
                 }
             }
--- a/crates/daemon/tests/nginx.rs
+++ b/crates/daemon/tests/nginx.rs
@@ -145,7 +145,7 @@
     fn servers(&self) -> Vec<String> {
         let upstreams = self.loaded_upstreams();
         upstreams
-            .get(&blocks::upstream("match"))
+            .get(&blocks::upstream_name("match"))
             .map_or(vec![], |(lines, _)| lines.iter().map(|line| line.0.clone()).collect())
     }
 
@@ -156,7 +156,7 @@
     /// Logs this many requests; those sent to the address `failing` fail.
     fn log_requests(&mut self, requests: usize, failing: &str) {
         let upstreams = self.loaded_upstreams();
-        let (lines, rejected_fraction) = upstreams[&blocks::upstream("match")].clone();
+        let (lines, rejected_fraction) = upstreams[&blocks::upstream_name("match")].clone();
         let total: f64 = lines.iter().map(|(_, weight)| weight).sum();
         let mut text = String::new();
         for _ in 0..requests {
@@ -220,7 +220,7 @@
             .unwrap(),
     );
     until("four servers", || (nginx.servers().len() == 4).then_some(())).await;
-    assert_eq!(nginx.loaded_upstreams()[&blocks::upstream("charge")].0.len(), 4);
+    assert_eq!(nginx.loaded_upstreams()[&blocks::upstream_name("charge")].0.len(), 4);
     let (code, printed) = wrenthread(&["export", "nginx", settings.to_str().unwrap(), "--print", "nginx-1"]);
     assert!(code == Some(0) && blocks::read(&printed).unwrap() == nginx.loaded_upstreams(), "{printed}");
 
--- a/crates/nginx-importer/src/access_log.rs
+++ b/crates/nginx-importer/src/access_log.rs
@@ -20,21 +20,21 @@
     /// The replica's address.
     pub address: String,
     /// The latency of the response; none if there was no response or it was an error.
-    pub answered: Option<Duration>,
+    pub latency: Option<Duration>,
 }
 
 /// One request.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Flow {
+pub struct LoggedRequest {
     /// The traffic class.
-    pub group: String,
+    pub class: String,
     /// The attempts in order; empty if the request was not admitted.
-    pub tries: Vec<Attempt>,
+    pub attempts: Vec<Attempt>,
 }
 
 /// Why a line is rejected. The texts are values of a metric label.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
-pub enum Odd {
+pub enum LineError {
     /// It does not have four fields.
     #[error("it has not the four fields of our format")]
     FieldCount,
@@ -52,38 +52,40 @@
 /// Reads one line; none for a request without a traffic class.
 ///
 /// Errors: why the line is rejected.
-pub fn flow(line: &str) -> Result<Option<Flow>, Odd> {
+pub fn parse_line(line: &str) -> Result<Option<LoggedRequest>, LineError> {
     let fields: Vec<&str> = line.trim_end_matches('\r').split('|').collect();
-    let [group, addresses, statuses, latencies] = fields.as_slice() else { return Err(Odd::FieldCount) };
-    if group.is_empty() || *group == "-" {
+    let [class, addresses, statuses, latencies] = fields.as_slice() else {
+        return Err(LineError::FieldCount);
+    };
+    if class.is_empty() || *class == "-" {
         return Ok(None);
     }
     // nginx separates attempts with commas, and those after an internal redirect with colons.
     fn split(text: &str) -> Vec<&str> {
         text.split(", ").flat_map(|part| part.split(" : ")).map(str::trim).collect()
     }
-    let group = (*group).to_string();
+    let class = (*class).to_string();
     if addresses.is_empty() || *addresses == "-" {
-        return Ok(Some(Flow { group, tries: Vec::new() }));
+        return Ok(Some(LoggedRequest { class, attempts: Vec::new() }));
     }
     let (addresses, statuses, latencies) = (split(addresses), split(statuses), split(latencies));
     if addresses.len() != statuses.len()
         || addresses.len() != latencies.len()
         || addresses.len() > MAX_ATTEMPTS
     {
-        return Err(Odd::AttemptCount);
+        return Err(LineError::AttemptCount);
     }
-    let mut tries = Vec::new();
+    let mut attempts = Vec::new();
     for ((address, status), latency_text) in addresses.into_iter().zip(statuses).zip(latencies) {
         let status = match status {
             "-" => None,
-            text => Some(text.parse::<u16>().map_err(|_| Odd::InvalidNumber)?),
+            text => Some(text.parse::<u16>().map_err(|_| LineError::InvalidNumber)?),
         };
         let latency = match latency_text {
             "-" => None,
             text => {
-                let seconds = text.parse::<f64>().map_err(|_| Odd::InvalidNumber)?;
-                Some(Duration::try_from_secs_f64(seconds).map_err(|_| Odd::InvalidNumber)?)
+                let seconds = text.parse::<f64>().map_err(|_| LineError::InvalidNumber)?;
+                Some(Duration::try_from_secs_f64(seconds).map_err(|_| LineError::InvalidNumber)?)
             }
         };
         // Without a live server, nginx logs the upstream's name; no attempt was made.
@@ -91,28 +93,28 @@
             continue;
         }
         let succeeded = status.is_some_and(|status| (100..500).contains(&status));
-        tries.push(Attempt { address: address.to_string(), answered: latency.filter(|_| succeeded) });
+        attempts.push(Attempt { address: address.to_string(), latency: latency.filter(|_| succeeded) });
     }
-    Ok(Some(Flow { group, tries }))
+    Ok(Some(LoggedRequest { class, attempts }))
 }
 
 /// Splits a growing log into complete lines.
 #[derive(Debug, Default)]
-pub struct Lines {
+pub struct LineSplitter {
     partial_line: Vec<u8>,
     /// The current line is skipped: it is too long, or its start was not read.
     skipping: bool,
     too_long: u64,
 }
 
-impl Lines {
+impl LineSplitter {
     /// For reading from the middle of a log: skips everything up to the next line end.
-    pub fn from_the_midst() -> Self {
-        Lines { skipping: true, ..Lines::default() }
+    pub fn from_mid_line() -> Self {
+        LineSplitter { skipping: true, ..LineSplitter::default() }
     }
 
     /// Adds bytes and returns the lines that are now complete.
-    pub fn more(&mut self, bytes: &[u8]) -> Vec<String> {
+    pub fn push(&mut self, bytes: &[u8]) -> Vec<String> {
         let mut lines = Vec::new();
         for chunk in bytes.split_inclusive(|byte| *byte == b'\n') {
             let is_complete = chunk.ends_with(b"\n");
@@ -143,8 +145,8 @@
         self.skipping = false;
     }
 
-    /// Number of lines that were too long since the last call.
-    pub fn take_long(&mut self) -> u64 {
+    /// The number of lines since the last call that were too long.
+    pub fn take_too_long_count(&mut self) -> u64 {
         std::mem::take(&mut self.too_long)
     }
 }
--- a/crates/nginx-importer/src/access_log/tests.rs
+++ b/crates/nginx-importer/src/access_log/tests.rs
@@ -5,36 +5,42 @@
 
 #[test]
 fn reads_the_attempts_of_a_request() {
-    let read = |line: &str| flow(line).unwrap().unwrap();
+    let read = |line: &str| parse_line(line).unwrap().unwrap();
     let attempt = |address: &str, ms: Option<u64>| Attempt {
         address: address.into(),
-        answered: ms.map(Duration::from_millis),
+        latency: ms.map(Duration::from_millis),
     };
-    assert_eq!(read("entry|10.0.0.1:80|200|0.020").tries, [attempt("10.0.0.1:80", Some(20))]);
+    assert_eq!(read("entry|10.0.0.1:80|200|0.020").attempts, [attempt("10.0.0.1:80", Some(20))]);
     let again = read("entry|10.0.0.1:80, [fd00::1]:80|502, 200|0.001, 0.030");
-    assert_eq!(again.tries, [attempt("10.0.0.1:80", None), attempt("[fd00::1]:80", Some(30))]);
+    assert_eq!(again.attempts, [attempt("10.0.0.1:80", None), attempt("[fd00::1]:80", Some(30))]);
     let inner = read("entry|10.0.0.1:80 : 10.0.0.2:80|404 : 200|0.001 : 0.002");
-    assert_eq!(inner.tries, [attempt("10.0.0.1:80", Some(1)), attempt("10.0.0.2:80", Some(2))]);
-    assert_eq!(read("entry|10.0.0.1:80|-|-").tries, [attempt("10.0.0.1:80", None)], "the client gave up");
-    assert_eq!((read("entry|-|-|-").tries, read("entry|wrenthread_entry|502|0.000").tries), (vec![], vec![]));
-    assert_eq!((flow("-|-|-|-"), flow("|10.0.0.1:80|200|0.1")), (Ok(None), Ok(None)));
-    assert_eq!(flow("entry|10.0.0.1:80|200"), Err(Odd::FieldCount));
-    assert_eq!(flow("entry|10.0.0.1:80|200, 200|0.1"), Err(Odd::AttemptCount));
-    assert_eq!(flow("entry|10.0.0.1:80|ok|0.1"), Err(Odd::InvalidNumber));
-    assert_eq!(flow("entry|10.0.0.1:80|200|-5"), Err(Odd::InvalidNumber));
+    assert_eq!(inner.attempts, [attempt("10.0.0.1:80", Some(1)), attempt("10.0.0.2:80", Some(2))]);
+    assert_eq!(read("entry|10.0.0.1:80|-|-").attempts, [attempt("10.0.0.1:80", None)], "the client gave up");
+    assert_eq!(
+        (read("entry|-|-|-").attempts, read("entry|wrenthread_entry|502|0.000").attempts),
+        (vec![], vec![])
+    );
+    assert_eq!((parse_line("-|-|-|-"), parse_line("|10.0.0.1:80|200|0.1")), (Ok(None), Ok(None)));
+    assert_eq!(parse_line("entry|10.0.0.1:80|200"), Err(LineError::FieldCount));
+    assert_eq!(parse_line("entry|10.0.0.1:80|200, 200|0.1"), Err(LineError::AttemptCount));
+    assert_eq!(parse_line("entry|10.0.0.1:80|ok|0.1"), Err(LineError::InvalidNumber));
+    assert_eq!(parse_line("entry|10.0.0.1:80|200|-5"), Err(LineError::InvalidNumber));
 }
 
 #[test]
 fn completes_lines_over_reads_rotations_and_long_lines() {
-    let mut lines = Lines::from_the_midst();
-    assert_eq!(lines.more(b"cut\nwhole\nbegi"), ["whole"]);
-    assert_eq!(lines.more(b"nning\r\n"), ["beginning"]);
-    lines.more(b"lost");
-    lines.rotated();
-    assert_eq!(lines.more(b"new\n"), ["new"]);
+    let mut splitter = LineSplitter::from_mid_line();
+    assert_eq!(splitter.push(b"cut\nwhole\nbegi"), ["whole"]);
+    assert_eq!(splitter.push(b"nning\r\n"), ["beginning"]);
+    splitter.push(b"lost");
+    splitter.rotated();
+    assert_eq!(splitter.push(b"new\n"), ["new"]);
     let long = vec![b'x'; MAX_LINE_BYTES + 1];
-    assert!(lines.more(&long).is_empty() && lines.more(&long).is_empty());
-    assert_eq!((lines.more(b"x\nnext\n"), lines.take_long(), lines.take_long()), (vec!["next".into()], 1, 0));
+    assert!(splitter.push(&long).is_empty() && splitter.push(&long).is_empty());
+    assert_eq!(
+        (splitter.push(b"x\nnext\n"), splitter.take_too_long_count(), splitter.take_too_long_count()),
+        (vec!["next".into()], 1, 0)
+    );
 }
 
 proptest! {
@@ -42,18 +48,18 @@
     fn lines_do_not_depend_on_the_read_sizes(
         text in "([a-z|]{0,9}\n){0,9}", cuts in prop::collection::vec(1usize..7, 0..40),
     ) {
-        let (mut lines, mut rest, mut all) = (Lines::default(), text.as_bytes(), Vec::new());
+        let (mut splitter, mut rest, mut all) = (LineSplitter::default(), text.as_bytes(), Vec::new());
         for cut in cuts {
             let (now, later) = rest.split_at(cut.min(rest.len()));
-            all.extend(lines.more(now));
+            all.extend(splitter.push(now));
             rest = later;
         }
-        all.extend(lines.more(rest));
+        all.extend(splitter.push(rest));
         prop_assert_eq!(all, text.lines().map(str::to_string).collect::<Vec<_>>());
     }
 
     #[test]
     fn no_line_causes_a_panic(line in ".{0,80}") {
-        let _ = flow(&line);
+        let _ = parse_line(&line);
     }
 }
--- a/crates/nginx-importer/src/blocks.rs
+++ b/crates/nginx-importer/src/blocks.rs
@@ -45,7 +45,7 @@
 
 /// The name of a class's upstream; its variable is `$NAME_blocked`. Bytes other than letters and digits are
 /// written in hexadecimal, so that different classes have different names.
-pub fn upstream(class: &str) -> String {
+pub fn upstream_name(class: &str) -> String {
     let mut name = String::from("wrenthread_");
     for byte in class.bytes() {
         match byte {
@@ -89,7 +89,7 @@
         "# {header_comment}\n# Written by wrenthread, and replaced whole: changes here do not last.\n"
     );
     for (class, table) in tables {
-        let name = upstream(class);
+        let name = upstream_name(class);
         let _ = writeln!(text, "upstream {name} {{\n    random;");
         if table.servers.is_empty() {
             let _ = writeln!(text, "    server {PLACEHOLDER_SERVER} down;");
@@ -130,7 +130,7 @@
             .zip(integer_weights(&table.servers))
             .map(|((address, _), weight)| (address.clone(), weight as f64));
         let expected: Vec<(String, f64)> = expected.collect();
-        if parsed.get(&upstream(class)).is_none_or(|(servers, _)| *servers != expected) {
+        if parsed.get(&upstream_name(class)).is_none_or(|(servers, _)| *servers != expected) {
             return Err(ExportError::ServerMismatch(class.clone()));
         }
     }
--- a/crates/nginx-importer/src/blocks/tests.rs
+++ b/crates/nginx-importer/src/blocks/tests.rs
@@ -26,7 +26,7 @@
         let tables = [("g".to_string(), table(&[(address, 1.0)], 1.0))].into();
         assert_eq!(write(&tables, ""), Err(ExportError::InvalidAddress(address.to_string())));
     }
-    assert_ne!(upstream("a-b"), upstream("a_b"));
+    assert_ne!(upstream_name("a-b"), upstream_name("a_b"));
 }
 
 proptest! {
--- a/crates/nginx-importer/src/difference.rs
+++ b/crates/nginx-importer/src/difference.rs
@@ -76,7 +76,7 @@
 }
 
 /// Lists the differences from `current` to `new`.
-pub fn between(current: &ComparableFleet, new: &ComparableFleet) -> Vec<Difference> {
+pub fn compare(current: &ComparableFleet, new: &ComparableFleet) -> Vec<Difference> {
     let mut all = Vec::new();
     for (kind, current, new) in
         [("group", &current.classes, &new.classes), ("replica", &current.replicas, &new.replicas)]
--- a/crates/nginx-importer/src/difference/tests.rs
+++ b/crates/nginx-importer/src/difference/tests.rs
@@ -14,11 +14,11 @@
         classes: [("entry".into(), BTreeMap::from([("expiry", "3".to_string())]))].into(),
     };
     let differences: Vec<_> =
-        between(&current, &new).into_iter().map(|difference| (difference.name, difference.change)).collect();
+        compare(&current, &new).into_iter().map(|difference| (difference.name, difference.change)).collect();
     let changed = ChangeKind::Changed("weight", "1".into(), "2".into());
     assert_eq!(
         differences,
         [("a".into(), ChangeKind::Removed), ("b".into(), changed), ("c".into(), ChangeKind::Added)]
     );
-    assert_eq!(between(&current, &current), []);
+    assert_eq!(compare(&current, &current), []);
 }
--- a/crates/nginx-importer/src/write.rs
+++ b/crates/nginx-importer/src/write.rs
@@ -134,12 +134,12 @@
 const CHECKSUM_PREFIX: &str = "# wrenthread import nginx ";
 
 /// Adds a first line with a checksum, which shows later whether the script was edited.
-pub fn marked(script: &str) -> String {
+pub fn with_checksum(script: &str) -> String {
     format!("{CHECKSUM_PREFIX}{}\n{script}", &blake3::hash(script.as_bytes()).to_hex()[..16])
 }
 
 /// Whether a file has a checksum line and was not edited since.
-pub fn untouched(file: &str) -> bool {
+pub fn is_unedited(file: &str) -> bool {
     let parts = file.strip_prefix(CHECKSUM_PREFIX).and_then(|rest| rest.split_once('\n'));
     parts.is_some_and(|(checksum, script)| checksum == &blake3::hash(script.as_bytes()).to_hex()[..16])
 }
--- a/crates/nginx-importer/tests/corpus.rs
+++ b/crates/nginx-importer/tests/corpus.rs
@@ -139,10 +139,10 @@
             let script = write::settings(fleet, index, &DeploymentTerms::default());
             let settings = wrenthread_settings::parse(&name, &script).unwrap();
             assert_eq!(settings.groups.len(), fleet.classes.len(), "{name}");
-            let marked = write::marked(&script);
+            let marked = write::with_checksum(&script);
             assert!(
-                write::untouched(&marked)
-                    && !write::untouched(&marked.replace("proxies = 16", "proxies = 9"))
+                write::is_unedited(&marked)
+                    && !write::is_unedited(&marked.replace("proxies = 16", "proxies = 9"))
             );
             assert!(serde_json::from_str::<serde_json::Value>(&write::roster(fleet)).is_ok());
         }
@@ -201,7 +201,7 @@
                 .collect();
             let mut text = blocks::write(&tables, "a test").unwrap();
             for class in &fleet.classes {
-                let to = blocks::upstream(&class.name);
+                let to = blocks::upstream_name(&class.name);
                 let _ = writeln!(text, "server {{ location /{} {{ proxy_pass http://{to}; }} }}", class.name);
             }
             let directives = syntax::parse(text.as_bytes(), 0, MAX_DIRECTIVES).unwrap();
