--- a/crates/client/examples/follow_grpc.rs
+++ b/crates/client/examples/follow_grpc.rs
@@ -32,9 +32,9 @@
         reports.wait().await?;
         let stats = cache.borrow_mut().take_counters();
         let groups = cache.borrow().classes().to_vec();
-        let request = grpc::request(&groups, last_report.elapsed(), &stats, &["waiting"]);
+        let request = grpc::load_stats_request(&groups, last_report.elapsed(), &stats, &["waiting"]);
         last_report = Instant::now();
-        reports.sender().send(request).await.map_err(|_| Error::Ended)?;
+        reports.sender().send(request).await.map_err(|_| Error::StreamEnded)?;
     }
 }
 
--- a/crates/client/src/grpc.rs
+++ b/crates/client/src/grpc.rs
@@ -16,7 +16,7 @@
 use wrenthread_xds::clients::ads::AggregatedDiscoveryServiceClient;
 use wrenthread_xds::clients::lrs::LoadReportingServiceClient;
 use wrenthread_xds::decode::{METADATA_KEY, host_port};
-use wrenthread_xds::encode::{self, Kind};
+use wrenthread_xds::encode::{self, ResourceType};
 use wrenthread_xds::parse_identifier;
 use wrenthread_xds::pb::envoy::config::core::v3::{ControlPlane, Locality, Node};
 use wrenthread_xds::pb::envoy::config::endpoint::v3::lb_endpoint::HostIdentifier;
@@ -38,7 +38,7 @@
 /// The versions that a proxy holds, by type and resource name; an empty name stands for the whole type. They are kept
 /// across streams.
 #[derive(Debug, Clone, Default)]
-pub struct Versions(BTreeMap<(Kind, String), String>);
+pub struct Versions(BTreeMap<(ResourceType, String), String>);
 
 fn decode_error(error: impl ToString) -> Error {
     Error::Decode(error.to_string())
@@ -101,9 +101,13 @@
 
 /// The subscriptions by type. Endpoints come first, as their request states whether the proxy holds a governor's
 /// tables.
-fn subscriptions(cache: &TableCache) -> [(Kind, Vec<String>); 3] {
+fn subscriptions(cache: &TableCache) -> [(ResourceType, Vec<String>); 3] {
     let routes = vec![encode::ROUTE_CONFIG_NAME.to_string()];
-    [(Kind::Endpoints, cache.classes().to_vec()), (Kind::Clusters, vec![]), (Kind::Routes, routes)]
+    [
+        (ResourceType::Endpoints, cache.classes().to_vec()),
+        (ResourceType::Clusters, vec![]),
+        (ResourceType::Routes, routes),
+    ]
 }
 
 /// Checks by governor, epoch and version whether a response may be applied. A governor
@@ -155,16 +159,17 @@
 ) -> Result<(), Error> {
     let (requests, stream) = mpsc::channel(16);
     let kinds = subscriptions(&cache.borrow());
-    let names: BTreeMap<Kind, Vec<String>> = kinds.clone().into();
-    let request_for = |kind: Kind, nonce: &str, error: Option<String>, node: Option<Node>| DiscoveryRequest {
-        version_info: versions.borrow().0.get(&(kind, String::new())).cloned().unwrap_or_default(),
-        node,
-        resource_names: names[&kind].clone(),
-        type_url: kind.url(),
-        response_nonce: nonce.into(),
-        error_detail: error.map(|message| Status { code: 3, message, ..Status::default() }),
-        ..DiscoveryRequest::default()
-    };
+    let names: BTreeMap<ResourceType, Vec<String>> = kinds.clone().into();
+    let request_for =
+        |kind: ResourceType, nonce: &str, error: Option<String>, node: Option<Node>| DiscoveryRequest {
+            version_info: versions.borrow().0.get(&(kind, String::new())).cloned().unwrap_or_default(),
+            node,
+            resource_names: names[&kind].clone(),
+            type_url: kind.url(),
+            response_nonce: nonce.into(),
+            error_detail: error.map(|message| Status { code: 3, message, ..Status::default() }),
+            ..DiscoveryRequest::default()
+        };
     for (index, (kind, _)) in kinds.into_iter().enumerate() {
         let node = (index == 0).then(|| node(identity, &cache.borrow()));
         requests.send(request_for(kind, "", None, node)).await.map_err(decode_error)?;
@@ -176,7 +181,7 @@
         let response = response.map_err(status(&governor.grpc))?;
         check_ownership(governor, cache, response.control_plane.as_ref(), &response.version_info)?;
         let DiscoveryResponse { version_info, resources, type_url, nonce, .. } = response;
-        let Some(kind) = Kind::of(&type_url) else { continue };
+        let Some(kind) = ResourceType::from_type_url(&type_url) else { continue };
         let error = match apply_response(kind, &nonce, &resources, cache, observer) {
             Ok(()) => {
                 versions.borrow_mut().0.insert((kind, String::new()), version_info);
@@ -185,10 +190,10 @@
             Err(error) => Some(error.to_string()),
         };
         let accepted = error.is_none();
-        requests.send(request_for(kind, &nonce, error, None)).await.map_err(|_| Error::Ended)?;
+        requests.send(request_for(kind, &nonce, error, None)).await.map_err(|_| Error::StreamEnded)?;
         observer.update_answered(&nonce, accepted);
     }
-    Err(Error::Ended)
+    Err(Error::StreamEnded)
 }
 
 async fn follow_delta(
@@ -222,7 +227,7 @@
         let response = response.map_err(status(&governor.grpc))?;
         check_ownership(governor, cache, response.control_plane.as_ref(), &response.system_version_info)?;
         let DeltaDiscoveryResponse { resources, type_url, removed_resources, nonce, .. } = response;
-        let Some(kind) = Kind::of(&type_url) else { continue };
+        let Some(kind) = ResourceType::from_type_url(&type_url) else { continue };
         let contents: Vec<Any> = resources.iter().filter_map(|resource| resource.resource.clone()).collect();
         let error =
             apply_response(kind, &nonce, &contents, cache, observer).err().map(|error| error.to_string());
@@ -232,7 +237,7 @@
             held_versions
                 .extend(resources.into_iter().map(|resource| ((kind, resource.name), resource.version)));
             for name in removed_resources {
-                if kind == Kind::Endpoints {
+                if kind == ResourceType::Endpoints {
                     cache.borrow_mut().use_default_table(&name);
                 }
                 held_versions.remove(&(kind, name));
@@ -244,15 +249,15 @@
             error_detail: error.map(|message| Status { code: 3, message, ..Status::default() }),
             ..DeltaDiscoveryRequest::default()
         };
-        requests.send(answer).await.map_err(|_| Error::Ended)?;
+        requests.send(answer).await.map_err(|_| Error::StreamEnded)?;
         observer.update_answered(&nonce, accepted);
     }
-    Err(Error::Ended)
+    Err(Error::StreamEnded)
 }
 
 /// Applies a response completely, or not at all if a part of it does not decode.
 fn apply_response(
-    kind: Kind,
+    kind: ResourceType,
     nonce: &str,
     resources: &[Any],
     cache: &Rc<RefCell<TableCache>>,
@@ -262,14 +267,14 @@
     let mut decode_all = || {
         for resource in resources {
             match kind {
-                Kind::Endpoints => {
+                ResourceType::Endpoints => {
                     let table =
                         ClusterLoadAssignment::decode(resource.value.as_slice()).map_err(decode_error)?;
                     let (name, entries, admission_fraction) = decode_table(&table)?;
                     entry_count += entries.len().max(1);
                     tables.insert(name, (entries, admission_fraction));
                 }
-                Kind::Routes => {
+                ResourceType::Routes => {
                     let routes =
                         RouteConfiguration::decode(resource.value.as_slice()).map_err(decode_error)?;
                     for route in routes.virtual_hosts.iter().flat_map(|host| &host.routes) {
@@ -284,7 +289,7 @@
                         entry_count += 1;
                     }
                 }
-                Kind::Clusters | Kind::Listeners => entry_count += 1,
+                ResourceType::Clusters | ResourceType::Listeners => entry_count += 1,
             }
         }
         Ok(())
@@ -343,7 +348,7 @@
         requests.send(first).await.map_err(decode_error)?;
         let answers = client.stream_load_stats(ReceiverStream::new(stream));
         let mut answers = with_answer_timeout(uri, answers).await?.into_inner();
-        let first_response = answers.next().await.ok_or(Error::Ended)?.map_err(status(uri))?;
+        let first_response = answers.next().await.ok_or(Error::StreamEnded)?.map_err(status(uri))?;
         let every = first_response
             .load_reporting_interval
             .ok_or_else(|| decode_error("a response without a load reporting interval"))?;
@@ -358,7 +363,7 @@
     pub async fn wait(&mut self) -> Result<(), Error> {
         tokio::select! {
             () = tokio::time::sleep(self.every) => Ok(()),
-            _ = self.answers.next() => Err(Error::Ended),
+            _ = self.answers.next() => Err(Error::StreamEnded),
         }
     }
 
@@ -369,7 +374,7 @@
 }
 
 /// Encodes a report as an LRS request. `metrics` are the names of the load metrics, in order.
-pub fn request(
+pub fn load_stats_request(
     groups: &[String],
     interval: Duration,
     stats: &ReportCounters,
@@ -383,7 +388,7 @@
     let group = |(index, name): (usize, &String)| {
         let attempted = stats.replicas.iter().filter(|((group, _), _)| *group == index);
         let endpoints = attempted.map(|((_, address), counters)| UpstreamEndpointStats {
-            address: Some(encode::address(address)),
+            address: Some(encode::socket_address(address)),
             total_successful_requests: counters.succeeded,
             total_error_requests: counters.failed,
             total_issued_requests: counters.attempts,
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -104,5 +104,5 @@
     Decode(String),
     /// The stream ended.
     #[error("the stream ended")]
-    Ended,
+    StreamEnded,
 }
--- a/crates/client/src/poll.rs
+++ b/crates/client/src/poll.rs
@@ -172,7 +172,7 @@
 
 /// Encodes a report as a long-poll message. Replicas have the names from the tables; addresses without a known replica
 /// are omitted.
-pub fn report(cache: &TableCache, interval: Duration, stats: &ReportCounters) -> ReportRequest {
+pub fn report_request(cache: &TableCache, interval: Duration, stats: &ReportCounters) -> ReportRequest {
     let groups = cache.classes();
     let replicas = stats.replicas.iter().filter_map(|((group, address), counters)| {
         let successes = counters.succeeded.max(1) as f64;
--- a/crates/client/tests/model.rs
+++ b/crates/client/tests/model.rs
@@ -23,7 +23,7 @@
 use wrenthread_long_poll::conversion::DecodedTables;
 use wrenthread_long_poll::messages::SessionParameters;
 use wrenthread_long_poll::sessions::{HeldVersion, Poll, PollOutcome, Sessions};
-use wrenthread_xds::encode::Kind;
+use wrenthread_xds::encode::ResourceType;
 use wrenthread_xds::pb::envoy::config::endpoint::v3::ClusterLoadAssignment;
 use wrenthread_xds::pb::envoy::config::endpoint::v3::lb_endpoint::HostIdentifier;
 use wrenthread_xds::pb::envoy::service::discovery::v3::{DeltaDiscoveryRequest, DiscoveryRequest};
@@ -128,7 +128,7 @@
                 let names = vec!["match".to_string()];
                 let first = match delta {
                     true => Request::Delta(DeltaDiscoveryRequest {
-                        type_url: Kind::Endpoints.url(),
+                        type_url: ResourceType::Endpoints.url(),
                         resource_names_subscribe: names,
                         initial_resource_versions: held_version
                             .map(|version| ("match".into(), version))
@@ -137,7 +137,7 @@
                         ..DeltaDiscoveryRequest::default()
                     }),
                     false => Request::Sotw(DiscoveryRequest {
-                        type_url: Kind::Endpoints.url(),
+                        type_url: ResourceType::Endpoints.url(),
                         resource_names: names,
                         ..DiscoveryRequest::default()
                     }),
@@ -291,7 +291,7 @@
         cut in 0usize..300, offset in 0usize..300, byte in any::<u8>(), second in any::<u8>(),
     ) {
         let request = DeltaDiscoveryRequest {
-            type_url: Kind::Endpoints.url(),
+            type_url: ResourceType::Endpoints.url(),
             resource_names_subscribe: vec!["match".into(), "*".into()],
             resource_names_unsubscribe: vec!["charge".into()],
             initial_resource_versions: [("match".to_string(), "00".to_string())].into(),
@@ -314,7 +314,7 @@
             }
         }
         use wrenthread_xds::pb::envoy::service::load_stats::v3::LoadStatsRequest;
-        let stats = wrenthread_client::grpc::request(
+        let stats = wrenthread_client::grpc::load_stats_request(
             &["match".to_string()], Duration::from_millis(500), &Default::default(), &["waiting"],
         );
         let mut bytes = stats.encode_to_vec();
--- a/crates/daemon/benches/fronts.rs
+++ b/crates/daemon/benches/fronts.rs
@@ -24,7 +24,7 @@
 use tokio_stream::wrappers::ReceiverStream;
 use wrenthread_long_poll::messages::{JoinRequest, JoinResponse, TablesResponse};
 use wrenthread_xds::clients::ads::AggregatedDiscoveryServiceClient;
-use wrenthread_xds::encode::Kind;
+use wrenthread_xds::encode::ResourceType;
 use wrenthread_xds::pb::envoy::config::core::v3::{Locality, Node};
 use wrenthread_xds::pb::envoy::service::discovery::v3::{DeltaDiscoveryRequest, DiscoveryRequest};
 
@@ -65,7 +65,7 @@
     let (requests, stream) = mpsc::channel(8);
     let request = |nonce: String, node: Option<Node>| DiscoveryRequest {
         node,
-        type_url: Kind::Endpoints.url(),
+        type_url: ResourceType::Endpoints.url(),
         resource_names: GROUPS.map(String::from).to_vec(),
         response_nonce: nonce,
         ..DiscoveryRequest::default()
@@ -86,7 +86,7 @@
     let (requests, stream) = mpsc::channel(8);
     let first = DeltaDiscoveryRequest {
         node: Some(node(index)),
-        type_url: Kind::Endpoints.url(),
+        type_url: ResourceType::Endpoints.url(),
         resource_names_subscribe: GROUPS.map(String::from).to_vec(),
         ..DeltaDiscoveryRequest::default()
     };
--- a/crates/daemon/benches/scale.rs
+++ b/crates/daemon/benches/scale.rs
@@ -26,7 +26,7 @@
 use wrenthread_core::roster::RosterEntry;
 use wrenthread_xds::clients::ads::AggregatedDiscoveryServiceClient;
 use wrenthread_xds::clients::lrs::LoadReportingServiceClient;
-use wrenthread_xds::encode::{self, Kind};
+use wrenthread_xds::encode::{self, ResourceType};
 use wrenthread_xds::pb::envoy::config::core::v3::{Locality, Node};
 use wrenthread_xds::pb::envoy::config::endpoint::v3::{
     ClusterStats, UpstreamEndpointStats, UpstreamLocalityStats,
@@ -52,7 +52,7 @@
     let (requests, stream) = mpsc::channel(8);
     let first = DeltaDiscoveryRequest {
         node: Some(node(index)),
-        type_url: Kind::Endpoints.url(),
+        type_url: ResourceType::Endpoints.url(),
         resource_names_subscribe: GROUPS.map(String::from).to_vec(),
         ..DeltaDiscoveryRequest::default()
     };
@@ -136,7 +136,7 @@
     let mut reports = 0u64;
     while began.elapsed() < Duration::from_secs(3) {
         let endpoint = |n: usize| UpstreamEndpointStats {
-            address: Some(encode::address(&format!("10.0.0.{n}:80"))),
+            address: Some(encode::socket_address(&format!("10.0.0.{n}:80"))),
             total_successful_requests: reports % 100,
             total_issued_requests: 100,
             ..UpstreamEndpointStats::default()
--- a/crates/daemon/src/export.rs
+++ b/crates/daemon/src/export.rs
@@ -389,7 +389,7 @@
         tokio::time::sleep(interval).await;
         let Some(session) = sessions.borrow().clone() else { continue };
         let stats = cache.borrow_mut().take_counters();
-        let report = poll::report(&cache.borrow(), reported_at.elapsed(), &stats);
+        let report = poll::report_request(&cache.borrow(), reported_at.elapsed(), &stats);
         reported_at = Instant::now();
         number += 1;
         match session.report(number, &report).await {
--- a/crates/daemon/tests/governor.rs
+++ b/crates/daemon/tests/governor.rs
@@ -23,7 +23,7 @@
 use tonic::{Code, Status, Streaming};
 use wrenthread_xds::clients::ads::AggregatedDiscoveryServiceClient;
 use wrenthread_xds::clients::csds::ClientStatusDiscoveryServiceClient;
-use wrenthread_xds::encode::Kind;
+use wrenthread_xds::encode::ResourceType as Kind;
 use wrenthread_xds::pb::envoy::config::core::v3::{Locality, Node};
 use wrenthread_xds::pb::envoy::config::endpoint::v3::ClusterLoadAssignment;
 use wrenthread_xds::pb::envoy::service::discovery::v3::{DiscoveryRequest, DiscoveryResponse};
@@ -89,7 +89,10 @@
     let mut peer = self::peer(&governor, "p", "north").await;
     peer.ask(Kind::Clusters, &[], "", None).await;
     let clusters = peer.hear().await.unwrap();
-    assert_eq!((clusters.resources.len(), Kind::of(&clusters.type_url)), (2, Some(Kind::Clusters)));
+    assert_eq!(
+        (clusters.resources.len(), Kind::from_type_url(&clusters.type_url)),
+        (2, Some(Kind::Clusters))
+    );
     peer.ask(Kind::Clusters, &[], &clusters.nonce, None).await;
     peer.ask(Kind::Endpoints, &["match", "charge", "unknown"], "", None).await;
     let tables = peer.hear().await.unwrap();
--- a/crates/rehearsal/src/proxy.rs
+++ b/crates/rehearsal/src/proxy.rs
@@ -278,7 +278,7 @@
                 if is_unreachable() {
                     // Simulates a connection attempt without an answer, with a shorter timeout.
                     sleep(Duration::from_millis(200)).await;
-                    return Err(Error::Ended);
+                    return Err(Error::StreamEnded);
                 }
                 match self.front {
                     Front::StateOfTheWorld => {
@@ -311,7 +311,7 @@
                 result = stream => result.err(),
                 () = break_requested => None,
                 () = home_available => Some(Error::Moved(Some(names[selector.home()].to_string()))),
-                () = became_unreachable => Some(Error::Ended),
+                () = became_unreachable => Some(Error::StreamEnded),
             };
             *self.session.borrow_mut() = None;
             let got_update = observer.got_update.get();
@@ -366,7 +366,8 @@
         loop {
             stream.wait().await?;
             let (now, counters) = (self.now(), self.cache.borrow_mut().take_counters());
-            let request = grpc::request(&CLASSES.map(str::to_string), now - last, &counters, &["waiting"]);
+            let request =
+                grpc::load_stats_request(&CLASSES.map(str::to_string), now - last, &counters, &["waiting"]);
             last = now;
             let sender = stream.sender();
             self.send_report(move || {
@@ -382,7 +383,7 @@
             sleep(Duration::from_millis(500)).await;
             let Some(session) = self.session.borrow().clone() else { continue };
             let (now, counters) = (self.now(), self.cache.borrow_mut().take_counters());
-            let report = poll::report(&self.cache.borrow(), now - last, &counters);
+            let report = poll::report_request(&self.cache.borrow(), now - last, &counters);
             last = now;
             let number = self.next_report_number.replace(self.next_report_number.get() + 1);
             self.send_report(move || {
--- a/crates/xds/src/decode/tests.rs
+++ b/crates/xds/src/decode/tests.rs
@@ -66,7 +66,7 @@
 #[test]
 fn groups_load_statistics_by_interval() {
     let endpoint = |port: u32| UpstreamEndpointStats {
-        address: Some(encode::address(&format!("10.0.0.1:{port}"))),
+        address: Some(encode::socket_address(&format!("10.0.0.1:{port}"))),
         total_successful_requests: 8,
         total_error_requests: 2,
         total_issued_requests: 11,
@@ -110,6 +110,6 @@
 #[test]
 fn addresses_round_trip() {
     for address in ["10.0.0.1:80", "[::1]:8080", "worker.local:1"] {
-        assert_eq!(host_port(Some(&encode::address(address))).as_deref(), Some(address));
+        assert_eq!(host_port(Some(&encode::socket_address(address))).as_deref(), Some(address));
     }
 }
--- a/crates/xds/src/encode.rs
+++ b/crates/xds/src/encode.rs
@@ -54,7 +54,7 @@
 
 /// The resource types, ordered so that a resource is sent before those that refer to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum ResourceType {
     /// CDS: one cluster per traffic class.
     Clusters,
     /// EDS: the endpoints of a cluster, from the table of its class.
@@ -65,59 +65,60 @@
     Routes,
 }
 
-impl Kind {
+impl ResourceType {
     /// All types, in the order in which they are sent.
-    pub const ALL: [Kind; 4] = [Kind::Clusters, Kind::Endpoints, Kind::Listeners, Kind::Routes];
+    pub const ALL: [ResourceType; 4] =
+        [ResourceType::Clusters, ResourceType::Endpoints, ResourceType::Listeners, ResourceType::Routes];
 
     /// The type URL.
     pub fn url(self) -> String {
         match self {
-            Kind::Clusters => Cluster::type_url(),
-            Kind::Endpoints => ClusterLoadAssignment::type_url(),
-            Kind::Listeners => Listener::type_url(),
-            Kind::Routes => RouteConfiguration::type_url(),
+            ResourceType::Clusters => Cluster::type_url(),
+            ResourceType::Endpoints => ClusterLoadAssignment::type_url(),
+            ResourceType::Listeners => Listener::type_url(),
+            ResourceType::Routes => RouteConfiguration::type_url(),
         }
     }
 
     /// The type with this URL; none if it is not supported.
-    pub fn of(url: &str) -> Option<Kind> {
-        Kind::ALL.into_iter().find(|kind| kind.url() == url)
+    pub fn from_type_url(type_url: &str) -> Option<ResourceType> {
+        ResourceType::ALL.into_iter().find(|kind| kind.url() == type_url)
     }
 
     /// Whether state-of-the-world responses of this type must contain all resources, and an initial subscription
     /// without names is a wildcard.
     pub fn requires_full_state(self) -> bool {
-        matches!(self, Kind::Clusters | Kind::Listeners)
+        matches!(self, ResourceType::Clusters | ResourceType::Listeners)
     }
 }
 
 /// The resources of one type that exist for a proxy: the version of the last change, by name.
-pub fn resource_versions(wire: &Wire, proxy: &Proxy, kind: Kind) -> BTreeMap<String, u64> {
+pub fn resource_versions(wire: &Wire, proxy: &Proxy, kind: ResourceType) -> BTreeMap<String, u64> {
     let groups = wire.groups.iter().zip(&proxy.tables);
     match kind {
-        Kind::Clusters => groups.map(|(group, _)| (group.name.clone(), 1)).collect(),
-        Kind::Endpoints => {
+        ResourceType::Clusters => groups.map(|(group, _)| (group.name.clone(), 1)).collect(),
+        ResourceType::Endpoints => {
             groups.filter_map(|(group, table)| Some((group.name.clone(), table.as_ref()?.version))).collect()
         }
-        Kind::Listeners => BTreeMap::from([(LISTENER_NAME.to_string(), 1)]),
-        Kind::Routes => BTreeMap::from([(ROUTE_CONFIG_NAME.to_string(), proxy.retry_policies.0)]),
+        ResourceType::Listeners => BTreeMap::from([(LISTENER_NAME.to_string(), 1)]),
+        ResourceType::Routes => BTreeMap::from([(ROUTE_CONFIG_NAME.to_string(), proxy.retry_policies.0)]),
     }
 }
 
 /// Encodes a resource; also returns its number of entries. None if no resource has this name.
-pub fn resource(wire: &Wire, proxy: &Proxy, kind: Kind, name: &str) -> Option<(Any, usize)> {
+pub fn resource(wire: &Wire, proxy: &Proxy, kind: ResourceType, name: &str) -> Option<(Any, usize)> {
     let class_index = || wire.groups.iter().position(|group| group.name == name);
     Some(match kind {
-        Kind::Clusters => (to_any(&cluster(&wire.groups[class_index()?])), 1),
-        Kind::Endpoints => {
+        ResourceType::Clusters => (to_any(&cluster(&wire.groups[class_index()?])), 1),
+        ResourceType::Endpoints => {
             let table = &proxy.tables.get(class_index()?)?.as_ref()?.table;
             (to_any(&assignment(wire, name, table)), table.entries.len().max(1))
         }
-        Kind::Listeners if name == LISTENER_NAME => (to_any(&listener()), 1),
-        Kind::Routes if name == ROUTE_CONFIG_NAME => {
+        ResourceType::Listeners if name == LISTENER_NAME => (to_any(&listener()), 1),
+        ResourceType::Routes if name == ROUTE_CONFIG_NAME => {
             (to_any(&route_configuration(wire, &proxy.retry_policies.1)), wire.groups.len())
         }
-        Kind::Listeners | Kind::Routes => return None,
+        ResourceType::Listeners | ResourceType::Routes => return None,
     })
 }
 
@@ -172,7 +173,7 @@
 }
 
 /// Encodes `host:port` as a socket address. Other text becomes the host, with port 0.
-pub fn address(host_port: &str) -> Address {
+pub fn socket_address(host_port: &str) -> Address {
     let (host, port) = host_port
         .rsplit_once(':')
         .and_then(|(host, port)| Some((host, port.parse::<u16>().ok()?)))
@@ -199,7 +200,7 @@
             health_status: HealthStatus::Healthy as i32,
             load_balancing_weight: Some(UInt32Value { value: weight }),
             host_identifier: Some(HostIdentifier::Endpoint(Endpoint {
-                address: Some(address(&entry.address)),
+                address: Some(socket_address(&entry.address)),
                 ..Endpoint::default()
             })),
             ..LbEndpoint::default()
--- a/crates/xds/src/session.rs
+++ b/crates/xds/src/session.rs
@@ -13,7 +13,7 @@
 use wrenthread_core::fleet::Proxy;
 
 use crate::Wire;
-use crate::encode::{self, Kind};
+use crate::encode::{self, ResourceType};
 use crate::pb::envoy::config::core::v3::ControlPlane;
 use crate::pb::envoy::service::discovery::v3::{
     DeltaDiscoveryRequest, DeltaDiscoveryResponse, DiscoveryRequest, DiscoveryResponse, Resource,
@@ -117,7 +117,7 @@
 pub struct Session {
     delta: bool,
     epoch: u64,
-    subscriptions: BTreeMap<Kind, Subscription>,
+    subscriptions: BTreeMap<ResourceType, Subscription>,
     last_nonce_number: u64,
     /// The newest version that was flushed to this stream.
     flushed_version: u64,
@@ -186,7 +186,7 @@
     }
 
     fn sotw_request(&mut self, request: DiscoveryRequest) -> Result<Vec<Heard>, SessionError> {
-        let Some(kind) = Kind::of(&request.type_url) else {
+        let Some(kind) = ResourceType::from_type_url(&request.type_url) else {
             return Ok(vec![Heard::Unserved(request.type_url)]);
         };
         if request.resource_names.len() > MAX_NAMES_PER_TYPE {
@@ -218,7 +218,7 @@
     }
 
     fn delta_request(&mut self, request: DeltaDiscoveryRequest) -> Result<Vec<Heard>, SessionError> {
-        let Some(kind) = Kind::of(&request.type_url) else {
+        let Some(kind) = ResourceType::from_type_url(&request.type_url) else {
             return Ok(vec![Heard::Unserved(request.type_url)]);
         };
         let first = !self.subscriptions.contains_key(&kind);
@@ -269,7 +269,7 @@
 
     /// Processes the ACK or NACK of the response with this nonce. Also returns whether the names in the request
     /// apply: it has no nonce, answers the newest response, or no response is outstanding.
-    fn acknowledge(&mut self, kind: Kind, nonce: &str, error: Option<String>) -> (Vec<Heard>, bool) {
+    fn acknowledge(&mut self, kind: ResourceType, nonce: &str, error: Option<String>) -> (Vec<Heard>, bool) {
         let subscription = self.subscriptions.entry(kind).or_default();
         if nonce.is_empty() {
             return (Vec::new(), true);
@@ -323,15 +323,20 @@
         let mut flushed = FlushOutcome::default();
         let newest = proxy.newest();
         let has_update = |subscription: &Subscription| {
-            let available = encode::resource_versions(wire, proxy, Kind::Endpoints);
+            let available = encode::resource_versions(wire, proxy, ResourceType::Endpoints);
             available
                 .iter()
                 .any(|(name, version)| subscription.sent.get(name).is_some_and(|(sent, _)| sent < version))
         };
-        let endpoints_first = self.subscriptions.get(&Kind::Endpoints).is_some_and(has_update);
+        let endpoints_first = self.subscriptions.get(&ResourceType::Endpoints).is_some_and(has_update);
         let order = match endpoints_first {
-            true => [Kind::Endpoints, Kind::Clusters, Kind::Listeners, Kind::Routes],
-            false => Kind::ALL,
+            true => [
+                ResourceType::Endpoints,
+                ResourceType::Clusters,
+                ResourceType::Listeners,
+                ResourceType::Routes,
+            ],
+            false => ResourceType::ALL,
         };
         for kind in order {
             let Some((response, count)) = self.next_response(wire, proxy, kind, newest) else { continue };
@@ -340,7 +345,7 @@
         }
         let endpoints_subscribed = self
             .subscriptions
-            .get(&Kind::Endpoints)
+            .get(&ResourceType::Endpoints)
             .is_some_and(|subscription| subscription.wildcard || !subscription.names.is_empty());
         if endpoints_subscribed {
             if self.flushed_version == 0 {
@@ -358,7 +363,7 @@
         &mut self,
         wire: &Wire,
         proxy: &Proxy,
-        kind: Kind,
+        kind: ResourceType,
         newest: u64,
     ) -> Option<(Response, usize)> {
         let subscription = self.subscriptions.get_mut(&kind)?;
@@ -397,7 +402,7 @@
             // A table that is not published yet must not be reported as removed: a proxy that holds an older
             // one keeps it until then.
             let undecided = |name: &String| {
-                kind == Kind::Endpoints
+                kind == ResourceType::Endpoints
                     && !proxy.has_known_tables()
                     && wire.groups.iter().any(|group| group.name == *name)
             };
@@ -475,7 +480,7 @@
     }
 
     /// The subscribed resources: type, name, version last sent (0 if none), and status.
-    pub fn status(&self, wire: &Wire, proxy: &Proxy) -> Vec<(Kind, String, u64, Standing)> {
+    pub fn status(&self, wire: &Wire, proxy: &Proxy) -> Vec<(ResourceType, String, u64, Standing)> {
         let mut status = Vec::new();
         for (kind, subscription) in &self.subscriptions {
             for (name, version) in encode::resource_versions(wire, proxy, *kind) {
--- a/crates/xds/src/session/tests.rs
+++ b/crates/xds/src/session/tests.rs
@@ -93,7 +93,7 @@
     }
 }
 
-fn sotw(kind: Kind, names: &[&str], nonce: &str, error: Option<&str>) -> Request {
+fn sotw(kind: ResourceType, names: &[&str], nonce: &str, error: Option<&str>) -> Request {
     Request::Sotw(DiscoveryRequest {
         type_url: kind.url(),
         resource_names: names.iter().map(|name| (*name).into()).collect(),
@@ -103,7 +103,7 @@
     })
 }
 
-fn delta(kind: Kind, subscribe: &[&str], unsubscribe: &[&str], nonce: &str) -> DeltaDiscoveryRequest {
+fn delta(kind: ResourceType, subscribe: &[&str], unsubscribe: &[&str], nonce: &str) -> DeltaDiscoveryRequest {
     DeltaDiscoveryRequest {
         type_url: kind.url(),
         resource_names_subscribe: subscribe.iter().map(|name| (*name).into()).collect(),
@@ -114,148 +114,162 @@
 }
 
 /// The types, nonces and numbers of resources of a flush.
-fn summary(flushed: &FlushOutcome) -> Vec<(Kind, String, usize)> {
+fn summary(flushed: &FlushOutcome) -> Vec<(ResourceType, String, usize)> {
     let summarize = |response: &Response| match response {
-        Response::Sotw(sotw) => (Kind::of(&sotw.type_url).unwrap(), sotw.nonce.clone(), sotw.resources.len()),
-        Response::Delta(delta) => {
-            (Kind::of(&delta.type_url).unwrap(), delta.nonce.clone(), delta.resources.len())
+        Response::Sotw(sotw) => {
+            (ResourceType::from_type_url(&sotw.type_url).unwrap(), sotw.nonce.clone(), sotw.resources.len())
         }
+        Response::Delta(delta) => (
+            ResourceType::from_type_url(&delta.type_url).unwrap(),
+            delta.nonce.clone(),
+            delta.resources.len(),
+        ),
     };
     flushed.responses.iter().map(summarize).collect()
 }
 
 #[test]
 fn sends_types_in_dependency_order_and_endpoint_updates_first() {
-    let kinds = |fixture: &mut Fixture| -> Vec<Kind> {
+    let kinds = |fixture: &mut Fixture| -> Vec<ResourceType> {
         summary(&fixture.flush()).into_iter().map(|(kind, ..)| kind).collect()
     };
-    let first = sotw(Kind::Endpoints, &["charge", "match"], "", None);
+    let first = sotw(ResourceType::Endpoints, &["charge", "match"], "", None);
     let mut fixture = Fixture::new(first.clone());
-    fixture.session.request(sotw(Kind::Routes, &[encode::ROUTE_CONFIG_NAME], "", None)).unwrap();
-    fixture.session.request(sotw(Kind::Clusters, &[], "", None)).unwrap();
-    assert_eq!(kinds(&mut fixture), [Kind::Clusters, Kind::Endpoints, Kind::Routes]);
+    fixture.session.request(sotw(ResourceType::Routes, &[encode::ROUTE_CONFIG_NAME], "", None)).unwrap();
+    fixture.session.request(sotw(ResourceType::Clusters, &[], "", None)).unwrap();
+    assert_eq!(kinds(&mut fixture), [ResourceType::Clusters, ResourceType::Endpoints, ResourceType::Routes]);
     let mut fixture = Fixture::new(first);
-    assert_eq!(kinds(&mut fixture), [Kind::Endpoints]);
-    fixture.session.request(sotw(Kind::Clusters, &[], "", None)).unwrap();
+    assert_eq!(kinds(&mut fixture), [ResourceType::Endpoints]);
+    fixture.session.request(sotw(ResourceType::Clusters, &[], "", None)).unwrap();
     fixture.roster(&["a", "b"]);
-    assert_eq!(kinds(&mut fixture), [Kind::Endpoints, Kind::Clusters]);
+    assert_eq!(kinds(&mut fixture), [ResourceType::Endpoints, ResourceType::Clusters]);
     assert!(fixture.flush().responses.is_empty(), "sent only once");
 }
 
 #[test]
 fn reports_an_ack_once_all_types_of_a_change_are_acked() {
-    let mut fixture = Fixture::new(sotw(Kind::Endpoints, &["charge", "match"], "", None));
-    fixture.session.request(sotw(Kind::Routes, &[encode::ROUTE_CONFIG_NAME], "", None)).unwrap();
+    let mut fixture = Fixture::new(sotw(ResourceType::Endpoints, &["charge", "match"], "", None));
+    fixture.session.request(sotw(ResourceType::Routes, &[encode::ROUTE_CONFIG_NAME], "", None)).unwrap();
     let sent = summary(&fixture.flush());
-    let routes =
-        fixture.session.request(sotw(Kind::Routes, &[encode::ROUTE_CONFIG_NAME], &sent[1].1, None)).unwrap();
+    let routes = fixture
+        .session
+        .request(sotw(ResourceType::Routes, &[encode::ROUTE_CONFIG_NAME], &sent[1].1, None))
+        .unwrap();
     assert_eq!(routes, []);
-    let endpoints = sotw(Kind::Endpoints, &["charge", "match"], &sent[0].1, None);
+    let endpoints = sotw(ResourceType::Endpoints, &["charge", "match"], &sent[0].1, None);
     assert_eq!(fixture.session.request(endpoints.clone()).unwrap(), [Heard::Acked(fixture.newest())]);
     assert_eq!(fixture.session.request(endpoints).unwrap(), [], "a repeated ACK has no effect");
 }
 
 #[test]
 fn an_ack_with_an_older_nonce_acks_only_its_version_and_its_names_are_ignored() {
-    let mut fixture = Fixture::new(sotw(Kind::Endpoints, &["charge", "match"], "", None));
+    let mut fixture = Fixture::new(sotw(ResourceType::Endpoints, &["charge", "match"], "", None));
     let first = summary(&fixture.flush())[0].1.clone();
     let before = fixture.newest();
     fixture.roster(&["a", "b"]);
     let second = summary(&fixture.flush())[0].1.clone();
-    let effects = fixture.session.request(sotw(Kind::Endpoints, &["charge"], &first, None)).unwrap();
+    let effects = fixture.session.request(sotw(ResourceType::Endpoints, &["charge"], &first, None)).unwrap();
     let [Heard::Acked(version)] = effects[..] else { panic!("{effects:?}") };
     assert!(before <= version && version < fixture.newest());
     fixture.roster(&["b", "c"]);
     assert_eq!(summary(&fixture.flush())[0].2, 2, "both names are still subscribed");
-    let effects = fixture.session.request(sotw(Kind::Endpoints, &["charge"], &second, None)).unwrap();
+    let effects = fixture.session.request(sotw(ResourceType::Endpoints, &["charge"], &second, None)).unwrap();
     assert!(matches!(effects[..], [Heard::Acked(_)]));
-    assert_eq!(fixture.session.request(sotw(Kind::Endpoints, &["charge"], "abc.77", None)).unwrap(), []);
+    assert_eq!(
+        fixture.session.request(sotw(ResourceType::Endpoints, &["charge"], "abc.77", None)).unwrap(),
+        []
+    );
     assert_eq!(fixture.session.stale(), 3);
 }
 
 #[test]
 fn sends_nothing_after_a_nack_until_a_new_version() {
-    let mut fixture = Fixture::new(sotw(Kind::Endpoints, &["charge", "match"], "", None));
+    let mut fixture = Fixture::new(sotw(ResourceType::Endpoints, &["charge", "match"], "", None));
     let (nonce, version) = (summary(&fixture.flush())[0].1.clone(), fixture.newest());
     let names = ["charge", "match"];
-    let effects = fixture.session.request(sotw(Kind::Endpoints, &names, &nonce, Some("bad"))).unwrap();
+    let effects =
+        fixture.session.request(sotw(ResourceType::Endpoints, &names, &nonce, Some("bad"))).unwrap();
     assert_eq!(effects, [Heard::Nacked(version, "bad".into())]);
     assert_eq!(fixture.flush(), FlushOutcome::default());
     fixture.roster(&["a", "b"]);
     let nonce = summary(&fixture.flush())[0].1.clone();
-    let effects = fixture.session.request(sotw(Kind::Endpoints, &names, &nonce, None)).unwrap();
+    let effects = fixture.session.request(sotw(ResourceType::Endpoints, &names, &nonce, None)).unwrap();
     assert_eq!(effects, [Heard::Acked(fixture.newest())]);
 }
 
 #[test]
 fn handles_growing_and_shrinking_subscriptions_and_unknown_names() {
-    let mut fixture = Fixture::new(sotw(Kind::Endpoints, &["match", "nobody"], "", None));
+    let mut fixture = Fixture::new(sotw(ResourceType::Endpoints, &["match", "nobody"], "", None));
     let sent = summary(&fixture.flush());
     assert_eq!(sent[0].2, 1);
-    let subscribe = sotw(Kind::Endpoints, &["match", "charge"], &sent[0].1, None);
+    let subscribe = sotw(ResourceType::Endpoints, &["match", "charge"], &sent[0].1, None);
     assert!(fixture.session.request(subscribe).unwrap().contains(&Heard::Wants));
     let sent = summary(&fixture.flush());
     assert_eq!(sent[0].2, 1, "only the resource that was not sent yet");
-    fixture.session.request(sotw(Kind::Endpoints, &[], &sent[0].1, None)).unwrap();
+    fixture.session.request(sotw(ResourceType::Endpoints, &[], &sent[0].1, None)).unwrap();
     fixture.roster(&["a", "b"]);
     assert!(fixture.flush().responses.is_empty(), "nothing for unsubscribed names");
-    let again = fixture.session.request(sotw(Kind::Endpoints, &["match"], &sent[0].1, None)).unwrap();
+    let again = fixture.session.request(sotw(ResourceType::Endpoints, &["match"], &sent[0].1, None)).unwrap();
     assert_eq!(again, [Heard::Wants]);
     assert_eq!(summary(&fixture.flush())[0].2, 1);
 }
 
 #[test]
 fn sends_and_acks_nothing_without_a_subscription() {
-    let mut fixture = Fixture::new(sotw(Kind::Endpoints, &[], "", None));
+    let mut fixture = Fixture::new(sotw(ResourceType::Endpoints, &[], "", None));
     assert_eq!(fixture.flush(), FlushOutcome::default());
     let unsupported =
         Request::Sotw(DiscoveryRequest { type_url: "x/y".into(), ..DiscoveryRequest::default() });
     assert_eq!(fixture.session.request(unsupported).unwrap(), [Heard::Unserved("x/y".into())]);
-    let mixed = fixture.session.request(Request::Delta(delta(Kind::Endpoints, &["a"], &[], "")));
+    let mixed = fixture.session.request(Request::Delta(delta(ResourceType::Endpoints, &["a"], &[], "")));
     assert_eq!(mixed, Err(SessionError::MixedVariants));
 }
 
 #[test]
 fn a_wildcard_selects_all_clusters_and_an_emptied_list_selects_none() {
-    let mut fixture = Fixture::new(sotw(Kind::Clusters, &[], "", None));
+    let mut fixture = Fixture::new(sotw(ResourceType::Clusters, &[], "", None));
     let sent = summary(&fixture.flush());
     assert_eq!(sent[0].2, 2);
-    fixture.session.request(sotw(Kind::Clusters, &["match"], &sent[0].1, None)).unwrap();
+    fixture.session.request(sotw(ResourceType::Clusters, &["match"], &sent[0].1, None)).unwrap();
     let sent = summary(&fixture.flush());
     assert_eq!(sent[0].2, 1);
-    fixture.session.request(sotw(Kind::Clusters, &[], &sent[0].1, None)).unwrap();
+    fixture.session.request(sotw(ResourceType::Clusters, &[], &sent[0].1, None)).unwrap();
     let sent = summary(&fixture.flush());
     assert_eq!(sent[0].2, 0, "an empty response, as nothing is subscribed");
-    fixture.session.request(sotw(Kind::Clusters, &["*"], &sent[0].1, None)).unwrap();
+    fixture.session.request(sotw(ResourceType::Clusters, &["*"], &sent[0].1, None)).unwrap();
     assert_eq!(summary(&fixture.flush())[0].2, 2);
 }
 
 #[test]
 fn delta_sends_changes_reports_missing_names_and_resends_on_request() {
-    let mut fixture = Fixture::new(Request::Delta(delta(Kind::Endpoints, &["match", "nobody"], &[], "")));
+    let mut fixture =
+        Fixture::new(Request::Delta(delta(ResourceType::Endpoints, &["match", "nobody"], &[], "")));
     let flushed = fixture.flush();
     let Response::Delta(first) = &flushed.responses[0] else { panic!() };
     assert_eq!(
         (first.resources.len(), first.removed_resources.as_slice()),
         (1, ["nobody".to_string()].as_slice())
     );
-    let effects =
-        fixture.session.request(Request::Delta(delta(Kind::Endpoints, &[], &[], &first.nonce))).unwrap();
+    let effects = fixture
+        .session
+        .request(Request::Delta(delta(ResourceType::Endpoints, &[], &[], &first.nonce)))
+        .unwrap();
     assert_eq!(effects, [Heard::Acked(fixture.newest())]);
     assert!(fixture.flush().responses.is_empty());
-    fixture.session.request(Request::Delta(delta(Kind::Endpoints, &["match"], &[], ""))).unwrap();
+    fixture.session.request(Request::Delta(delta(ResourceType::Endpoints, &["match"], &[], ""))).unwrap();
     assert_eq!(summary(&fixture.flush())[0].2, 1, "requested again");
-    fixture.session.request(Request::Delta(delta(Kind::Endpoints, &[], &["match"], ""))).unwrap();
+    fixture.session.request(Request::Delta(delta(ResourceType::Endpoints, &[], &["match"], ""))).unwrap();
     fixture.roster(&["a", "b"]);
     assert!(fixture.flush().responses.is_empty());
 }
 
 #[test]
 fn does_not_resend_content_that_a_reconnecting_proxy_holds() {
-    let mut fixture = Fixture::new(Request::Delta(delta(Kind::Endpoints, &["match", "charge"], &[], "")));
+    let mut fixture =
+        Fixture::new(Request::Delta(delta(ResourceType::Endpoints, &["match", "charge"], &[], "")));
     let flushed = fixture.flush();
     let Response::Delta(first) = &flushed.responses[0] else { panic!() };
-    let mut reconnect = delta(Kind::Endpoints, &["match", "charge"], &[], "");
+    let mut reconnect = delta(ResourceType::Endpoints, &["match", "charge"], &[], "");
     reconnect.initial_resource_versions =
         first.resources.iter().map(|resource| (resource.name.clone(), resource.version.clone())).collect();
     reconnect.initial_resource_versions.insert("match".into(), "0123".into());
@@ -274,13 +288,16 @@
 
 #[test]
 fn a_stream_broken_between_two_types_of_a_change_acks_nothing() {
-    let mut fixture = Fixture::new(sotw(Kind::Endpoints, &["charge", "match"], "", None));
-    fixture.session.request(sotw(Kind::Routes, &[encode::ROUTE_CONFIG_NAME], "", None)).unwrap();
+    let mut fixture = Fixture::new(sotw(ResourceType::Endpoints, &["charge", "match"], "", None));
+    fixture.session.request(sotw(ResourceType::Routes, &[encode::ROUTE_CONFIG_NAME], "", None)).unwrap();
     let sent = summary(&fixture.flush());
-    fixture.session.request(sotw(Kind::Routes, &[encode::ROUTE_CONFIG_NAME], &sent[1].1, None)).unwrap();
+    fixture
+        .session
+        .request(sotw(ResourceType::Routes, &[encode::ROUTE_CONFIG_NAME], &sent[1].1, None))
+        .unwrap();
     // The endpoints are never acknowledged; the proxy reconnects on a new stream, which starts without state.
-    let mut new_session = Session::new(0xabc, &sotw(Kind::Endpoints, &[], "", None));
-    new_session.request(sotw(Kind::Endpoints, &["charge", "match"], &sent[0].1, None)).unwrap();
+    let mut new_session = Session::new(0xabc, &sotw(ResourceType::Endpoints, &[], "", None));
+    new_session.request(sotw(ResourceType::Endpoints, &["charge", "match"], &sent[0].1, None)).unwrap();
     let flushed = new_session.flush(&wire(), fixture.engine.proxy(0).unwrap());
     assert_eq!((summary(&flushed)[0].2, flushed.acked), (2, None));
 }
@@ -299,11 +316,11 @@
             let nonce = if nonce == 0 { String::new() } else { format!("abc.{nonce}") };
             match deltas {
                 true => {
-                    let mut request = delta(Kind::ALL[kind], names[names_at], names[3 - names_at], &nonce);
+                    let mut request = delta(ResourceType::ALL[kind], names[names_at], names[3 - names_at], &nonce);
                     request.error_detail = error.then(Status::default);
                     Request::Delta(request)
                 }
-                false => sotw(Kind::ALL[kind], names[names_at], &nonce, error.then_some("no")),
+                false => sotw(ResourceType::ALL[kind], names[names_at], &nonce, error.then_some("no")),
             }
         };
         let mut fixture = Fixture::new(make(steps[0]));
@@ -337,7 +354,7 @@
         proven_version: None,
     };
     engine.proxy_connected(now, 1, &join).unwrap();
-    let mut first = delta(Kind::Endpoints, &["match", "nobody"], &[], "");
+    let mut first = delta(ResourceType::Endpoints, &["match", "nobody"], &[], "");
     first.initial_resource_versions = [("match".to_string(), "0123".to_string())].into();
     let mut session = Session::new(0xabc, &Request::Delta(first.clone()));
     session.request(Request::Delta(first)).unwrap();
--- a/crates/xds/src/upstream.rs
+++ b/crates/xds/src/upstream.rs
@@ -13,7 +13,7 @@
 use crate::Wire;
 use crate::clients::ads::AggregatedDiscoveryServiceClient;
 use crate::decode;
-use crate::encode::Kind;
+use crate::encode::ResourceType;
 use crate::pb::envoy::config::core::v3::Node;
 use crate::pb::envoy::config::endpoint::v3::ClusterLoadAssignment;
 use crate::pb::envoy::service::discovery::v3::{DiscoveryRequest, DiscoveryResponse};
@@ -95,7 +95,7 @@
         version_info: version.to_string(),
         node: node.then(|| Node { id: format!("wrenthread-{:x}", wire.epoch), ..Node::default() }),
         resource_names: clusters.to_vec(),
-        type_url: Kind::Endpoints.url(),
+        type_url: ResourceType::Endpoints.url(),
         response_nonce: nonce.to_string(),
         error_detail: error.map(|message| Status { code: 3, message, ..Status::default() }),
         ..DiscoveryRequest::default()
--- a/crates/xds/src/upstream/tests.rs
+++ b/crates/xds/src/upstream/tests.rs
@@ -10,7 +10,7 @@
     let endpoint = |(address, health): &(&str, HealthStatus)| LbEndpoint {
         health_status: *health as i32,
         host_identifier: Some(HostIdentifier::Endpoint(Endpoint {
-            address: Some(encode::address(address)),
+            address: Some(encode::socket_address(address)),
             ..Endpoint::default()
         })),
         ..LbEndpoint::default()
@@ -24,7 +24,7 @@
         }],
         ..ClusterLoadAssignment::default()
     };
-    let any = Any { type_url: Kind::Endpoints.url(), value: assignment.encode_to_vec() };
+    let any = Any { type_url: ResourceType::Endpoints.url(), value: assignment.encode_to_vec() };
     DiscoveryResponse { resources: vec![any], ..DiscoveryResponse::default() }
 }
 
