--- a/crates/rehearsal/src/check/tests.rs
+++ b/crates/rehearsal/src/check/tests.rs
@@ -26,7 +26,7 @@
 fn finds_empty_tables_of_joined_proxies_while_a_warm_replica_is_ready() {
     let arrived = || Event::RequestArrived { request: 1, proxy: 0, class: 0 };
     let day = day();
-    let bare_for = |extra: Event| {
+    let violations = |extra: Event| {
         empty_tables(
             &day,
             &event_log(vec![
@@ -38,11 +38,11 @@
             ]),
         )
     };
-    assert_eq!(bare_for(arrived()).len(), 1);
-    assert!(bare_for(table_update(0, vec![0])).is_empty());
-    assert!(bare_for(Event::StreamBroken { proxy: 0 }).is_empty());
-    assert!(bare_for(roster(&[false])).is_empty());
-    assert!(bare_for(Event::Started { replica: 0, cold: true }).is_empty());
+    assert_eq!(violations(arrived()).len(), 1);
+    assert!(violations(table_update(0, vec![0])).is_empty());
+    assert!(violations(Event::StreamBroken { proxy: 0 }).is_empty());
+    assert!(violations(roster(&[false])).is_empty());
+    assert!(violations(Event::Started { replica: 0, cold: true }).is_empty());
 }
 
 #[test]
