--- a/crates/daemon/src/export.rs
+++ b/crates/daemon/src/export.rs
@@ -251,7 +251,7 @@
                 for line in lines {
                     match access_log::parse_line(&line) {
                         Ok(Some(request)) => {
-                            count_request(&mut cache.borrow_mut(), started_at.elapsed(), &request)
+                            count_request(&mut cache.borrow_mut(), started_at.elapsed(), &request);
                         }
                         Ok(None) => {}
                         Err(why) => {
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -87,13 +87,13 @@
         // A placeholder process, until the settings are written and the governor is started.
         let child = Command::new("true").spawn().unwrap();
         let mut governor = Governor { child, folder, grpc, http, poll, max_joined };
-        governor.settings(16);
+        governor.write_settings(16);
         governor.list(4, &[]);
         governor.spawn().await;
         governor
     }
 
-    pub fn settings(&self, proxies: u32) {
+    pub fn write_settings(&self, proxies: u32) {
         let Governor { grpc, http, poll, max_joined, .. } = self;
         let script = format!(
             "fleet(zones = [\"north\"], proxies = {proxies}, joined_most = {max_joined})
@@ -117,7 +117,7 @@
         let (grpc, http, poll) = (port(), port(), port());
         let child = Command::new("true").spawn().unwrap();
         let mut governor = Governor { child, folder, grpc, http, poll, max_joined: 4 };
-        governor.settings(16);
+        governor.write_settings(16);
         let path = governor.folder.join("settings.star");
         let roster = format!("upstream = \"http://127.0.0.1:{}\", clusters = [\"match\"]", upstream.grpc);
         let script = std::fs::read_to_string(&path).unwrap().replace("file = \"roster.json\"", &roster);
--- a/crates/daemon/tests/governor.rs
+++ b/crates/daemon/tests/governor.rs
@@ -217,7 +217,7 @@
     let tables = peer.hear().await.unwrap();
     peer.ask(Kind::Endpoints, &["match"], &tables.nonce, None).await;
     governor.list(4, &[0]);
-    governor.settings(17);
+    governor.write_settings(17);
     governor.signal("-HUP");
     until("the changed setting is refused", || {
         governor.log().contains("`proxies`: 16 runs, 17 is asked for").then_some(())
@@ -227,7 +227,7 @@
     governor.signal("-HUP");
     until("the invalid settings are refused", || governor.log().contains("settings not taken").then_some(()))
         .await;
-    governor.settings(16);
+    governor.write_settings(16);
     governor.signal("-HUP");
     until("the settings are reloaded", || governor.log().contains("settings reloaded").then_some(())).await;
     // The drain was delivered despite the failed reloads.
