--- a/crates/daemon/tests/governor.rs
+++ b/crates/daemon/tests/governor.rs
@@ -318,7 +318,10 @@
     // While the upstream is down, its last list stays in use.
     upstream.child.kill().unwrap();
     upstream.child.wait().unwrap();
-    until("the outage is logged", || governor.log().contains("can't be followed").then_some(())).await;
+    until("the outage is logged", || {
+        governor.log().contains("following the upstream control plane failed").then_some(())
+    })
+    .await;
     assert_eq!(open_replicas(), 3);
     upstream.list(4, &[]);
     upstream.spawn().await;
