--- a/crates/client/src/table_cache.rs
+++ b/crates/client/src/table_cache.rs
@@ -1,5 +1,5 @@
-//! A proxy's table cache: the tables that its governor published last, or its default table; statistics for the next
-//! report; and the addresses that it ejected.
+//! A proxy's table cache: the last tables that its governor published, or its default table; statistics for the next
+//! report; and ejected addresses.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,8 +11,8 @@
     self, Delta, Digest, MILLION, Mismatch, PublishedState, PublishedTable,
 };
 
-/// Limit of the remembered replicas; beyond it they are forgotten, and learnt again from the next tables.
-const MAX_NAMES: usize = 100_000;
+/// Maximum number of remembered replicas. Beyond it all are forgotten, and learnt again from the next tables.
+const MAX_KNOWN_REPLICAS: usize = 100_000;
 
 /// An entry of the default table.
 #[derive(Debug, Clone, PartialEq)]
@@ -34,7 +34,7 @@
     pub succeeded: u64,
     /// Attempts that failed.
     pub failed: u64,
-    /// Sum of the answer times of those that succeeded.
+    /// Sum of the answer times of successful attempts.
     pub latency_sum: Duration,
     /// Sum of the load metrics over the successful attempts that reported them.
     pub load: Vec<f64>,
@@ -64,50 +64,54 @@
 }
 
 #[derive(Debug, Clone, Default, PartialEq)]
-struct Lines {
-    lines: Vec<(Arc<str>, f64)>,
-    level: f64,
+struct CachedTable {
+    entries: Vec<(Arc<str>, f64)>,
+    admission_fraction: f64,
 }
 
-/// The table cache of one proxy. No I/O, no clock.
+/// The table cache of one proxy. It does no I/O and reads no clock.
 #[derive(Debug)]
 pub struct TableCache {
     classes: Vec<String>,
     default_table: Vec<DefaultEntry>,
-    told: Vec<Option<Lines>>,
+    tables: Vec<Option<CachedTable>>,
     retry_policy: Vec<RetryPolicy>,
     /// Long poll: the state that deltas apply to.
-    whole: PublishedState,
+    state: PublishedState,
     held_version: Option<(String, Digest)>,
-    /// Which governor is followed, and the ownership proof of the tables that are held.
-    fence: FencingState,
+    /// Which governor is followed, and in which version.
+    fencing: FencingState,
     ownership_proof: Option<String>,
-    /// Replicas by the addresses that tables named.
-    names: BTreeMap<Arc<str>, String>,
-    avoid: Option<(u32, Duration)>,
-    failing: BTreeMap<Arc<str>, u32>,
-    avoided: BTreeMap<Arc<str>, Duration>,
-    stats: ReportCounters,
+    /// Replicas by address, from the tables.
+    replica_by_address: BTreeMap<Arc<str>, String>,
+    ejection: Option<(u32, Duration)>,
+    consecutive_failures: BTreeMap<Arc<str>, u32>,
+    ejected_until: BTreeMap<Arc<str>, Duration>,
+    counters: ReportCounters,
 }
 
 impl TableCache {
-    /// `avoid`: after so many failures in a row an address is ejected for so long.
-    pub fn new(groups: Vec<String>, standing: Vec<DefaultEntry>, avoid: Option<(u32, Duration)>) -> Self {
+    /// `ejection`: the number of consecutive failures after which an address is ejected, and for how long.
+    pub fn new(
+        groups: Vec<String>,
+        default_entries: Vec<DefaultEntry>,
+        ejection: Option<(u32, Duration)>,
+    ) -> Self {
         let count = groups.len();
         TableCache {
             classes: groups,
-            default_table: standing,
-            told: vec![None; count],
+            default_table: default_entries,
+            tables: vec![None; count],
             retry_policy: vec![RetryPolicy::Never; count],
-            whole: PublishedState { classes: vec![None; count] },
+            state: PublishedState { classes: vec![None; count] },
             held_version: None,
-            fence: FencingState::default(),
+            fencing: FencingState::default(),
             ownership_proof: None,
-            names: BTreeMap::new(),
-            avoid,
-            failing: BTreeMap::new(),
-            avoided: BTreeMap::new(),
-            stats: ReportCounters { replicas: BTreeMap::new(), rejected: vec![0; count] },
+            replica_by_address: BTreeMap::new(),
+            ejection,
+            consecutive_failures: BTreeMap::new(),
+            ejected_until: BTreeMap::new(),
+            counters: ReportCounters { replicas: BTreeMap::new(), rejected: vec![0; count] },
         }
     }
 
@@ -123,57 +127,57 @@
 
     // ---- ownership
 
-    /// From now on only this governor's tables are accepted.
+    /// Accepts only this governor's tables from now on.
     pub fn follow_governor(&mut self, governor: &str) {
-        self.fence.follow(governor);
+        self.fencing.follow(governor);
     }
 
     /// Checks whether tables of a governor's epoch and version may be applied, and keeps their ownership proof.
     ///
     /// # Errors
-    /// They come from another governor, or are outdated.
+    /// The tables come from another governor, or are outdated.
     pub fn accept(
         &mut self,
         governor: &str,
         epoch: u64,
         version: u64,
-        claim: Option<&str>,
+        ownership_proof: Option<&str>,
     ) -> Result<(), FencingError> {
-        self.fence.accept(governor, epoch, version)?;
-        self.ownership_proof = claim.map(str::to_string);
+        self.fencing.accept(governor, epoch, version)?;
+        self.ownership_proof = ownership_proof.map(str::to_string);
         Ok(())
     }
 
-    /// The ownership proof, for the governor that is joined next.
+    /// The ownership proof of the cached tables, for the governor that is joined next.
     pub fn ownership_proof(&self) -> Option<&str> {
         self.ownership_proof.as_deref()
     }
 
     // ---- tables
 
-    /// The index of a group; none for an unknown one.
+    /// The index of a group; none if it is unknown.
     pub fn class_index(&self, group: &str) -> Option<usize> {
         self.classes.iter().position(|known| known == group)
     }
 
     /// Sets a group's table and admission fraction. An unknown group is ignored.
-    pub fn set_table(&mut self, group: &str, lines: Vec<(Arc<str>, f64)>, level: f64) {
-        if let Some(place) = self.class_index(group) {
-            self.told[place] = Some(Lines { lines, level });
+    pub fn set_table(&mut self, group: &str, entries: Vec<(Arc<str>, f64)>, admission_fraction: f64) {
+        if let Some(index) = self.class_index(group) {
+            self.tables[index] = Some(CachedTable { entries, admission_fraction });
         }
     }
 
-    /// Removes a group's table: the default table is used again.
+    /// Removes a group's table, so that the default table is used again.
     pub fn use_default_table(&mut self, group: &str) {
-        if let Some(place) = self.class_index(group) {
-            self.told[place] = None;
+        if let Some(index) = self.class_index(group) {
+            self.tables[index] = None;
         }
     }
 
     /// Sets the retry policy of a group.
-    pub fn set_retry_policy(&mut self, group: &str, tries: RetryPolicy) {
-        if let Some(place) = self.class_index(group) {
-            self.retry_policy[place] = tries;
+    pub fn set_retry_policy(&mut self, group: &str, retry_policy: RetryPolicy) {
+        if let Some(index) = self.class_index(group) {
+            self.retry_policy[index] = retry_policy;
         }
     }
 
@@ -182,47 +186,50 @@
         self.held_version.as_ref()
     }
 
-    /// Whether it holds anything but its default table: also where a delta did not apply and the next poll requests a
-    /// snapshot.
+    /// Whether it holds any table besides the default table. This stays true if a delta did not apply and the next poll
+    /// requests a snapshot.
     pub fn holds_governor_tables(&self) -> bool {
-        self.told.iter().any(Option::is_some)
+        self.tables.iter().any(Option::is_some)
     }
 
-    /// Sets a snapshot, which was validated already.
-    pub fn set_state(&mut self, version: String, whole: PublishedState) {
-        self.held_version = Some((version, whole.digest()));
-        if self.names.len() > MAX_NAMES {
-            self.names.clear();
+    /// Applies a snapshot, which must be valid.
+    pub fn set_state(&mut self, version: String, state: PublishedState) {
+        self.held_version = Some((version, state.digest()));
+        if self.replica_by_address.len() > MAX_KNOWN_REPLICAS {
+            self.replica_by_address.clear();
         }
-        for (id, line) in whole.classes.iter().flatten().flat_map(|said| &said.entries) {
-            self.names.insert(line.address.clone(), id.to_string());
+        for (id, entry) in state.classes.iter().flatten().flat_map(|table| &table.entries) {
+            self.replica_by_address.insert(entry.address.clone(), id.to_string());
         }
-        for (place, said) in whole.classes.iter().enumerate().take(self.told.len()) {
-            self.told[place] = said.as_ref().map(|said| {
-                let PublishedTable { entries: lines, admission_millionths: level, retry_policy: tries } =
-                    said;
-                self.retry_policy[place] = *tries;
-                Lines {
-                    lines: lines
+        for (index, table) in state.classes.iter().enumerate().take(self.tables.len()) {
+            self.tables[index] = table.as_ref().map(|table| {
+                let PublishedTable {
+                    entries: published,
+                    admission_millionths: millionths,
+                    retry_policy: policy,
+                } = table;
+                self.retry_policy[index] = *policy;
+                CachedTable {
+                    entries: published
                         .values()
-                        .map(|line| (line.address.clone(), f64::from(line.weight)))
+                        .map(|entry| (entry.address.clone(), f64::from(entry.weight)))
                         .collect(),
-                    level: f64::from(*level) / f64::from(MILLION),
+                    admission_fraction: f64::from(*millionths) / f64::from(MILLION),
                 }
             });
         }
-        self.whole = whole;
+        self.state = state;
     }
 
     /// Applies a delta, if it starts from the state that is held and results in the one that it names.
     ///
     /// # Errors
-    /// It does not; the tables stay, and the next poll requests a snapshot.
+    /// The delta does not apply; the tables are kept, and the next poll requests a snapshot.
     pub fn apply_delta(&mut self, version: String, delta: &Delta) -> Result<(), Mismatch> {
-        let held = self.held_version.as_ref().map_or([0; 32], |(_, digest)| *digest);
-        match table_versions::apply(&self.whole, held, delta) {
-            Ok(whole) => {
-                self.set_state(version, whole);
+        let held_digest = self.held_version.as_ref().map_or([0; 32], |(_, digest)| *digest);
+        match table_versions::apply(&self.state, held_digest, delta) {
+            Ok(state) => {
+                self.set_state(version, state);
                 Ok(())
             }
             Err(mismatch) => {
@@ -232,52 +239,62 @@
         }
     }
 
-    /// All tables that were received, for observers.
+    /// All published tables that are held, for observers.
     pub fn updated_tables(&self) -> crate::UpdatedTables {
-        let told = self.classes.iter().zip(&self.told);
-        let told = told.filter_map(|(group, told)| Some((group, told.as_ref()?)));
-        told.map(|(group, told)| (group.clone(), (told.lines.clone(), told.level))).collect()
+        let tables = self.classes.iter().zip(&self.tables);
+        let tables = tables.filter_map(|(group, table)| Some((group, table.as_ref()?)));
+        tables
+            .map(|(group, table)| (group.clone(), (table.entries.clone(), table.admission_fraction)))
+            .collect()
     }
 
-    /// The replica at an address. Replicas are remembered for as long as their attempts may be reported.
-    pub fn replica_at(&self, at: &str) -> Option<String> {
-        let standing = self.default_table.iter().find(|line| &*line.address == at);
-        standing.map(|line| line.replica.clone()).or_else(|| self.names.get(at).cloned())
+    /// The replica at an address. Replicas are remembered after they leave the tables, as their attempts may still be
+    /// reported.
+    pub fn replica_at(&self, address: &str) -> Option<String> {
+        let default_entry = self.default_table.iter().find(|entry| &*entry.address == address);
+        default_entry
+            .map(|entry| entry.replica.clone())
+            .or_else(|| self.replica_by_address.get(address).cloned())
     }
 
     // ---- requests
 
-    /// Picks the address for an attempt, by two random numbers from 0 up to 1. `but`: the address of the attempt before,
-    /// which is excluded. None: the request is rejected, by the admission fraction or for want of an entry; it is counted
-    /// if this is its first attempt.
+    /// Picks the address for an attempt, by two random numbers from 0 (included) to 1 (excluded). `excluded` is the
+    /// address of the previous attempt. None: the request is rejected, by the admission fraction or because no entry
+    /// is available; it is counted if this is its first attempt.
     pub fn pick(
         &mut self,
         now: Duration,
         group: usize,
-        chance: (f64, f64),
-        but: Option<&Arc<str>>,
+        random: (f64, f64),
+        excluded: Option<&Arc<str>>,
     ) -> Option<Arc<str>> {
-        self.avoided.retain(|_, until| now < *until);
-        let told = self.told.get(group)?.as_ref();
-        let level = told.map_or(1.0, |told| told.level);
-        let standing = || self.default_table.iter().map(|line| (&line.address, line.weight)).collect();
-        let lines: Vec<(&Arc<str>, f64)> =
-            told.map_or_else(standing, |told| told.lines.iter().map(|(at, weight)| (at, *weight)).collect());
-        let picked = (but.is_some() || chance.0 < level).then(|| {
-            let elsewhere = lines.iter().filter(|(at, _)| Some(*at) != but);
-            let near: Vec<_> = elsewhere.clone().filter(|(at, _)| !self.avoided.contains_key(*at)).collect();
-            // Where all are ejected, one that fails is better than none.
-            let open: Vec<_> = if near.is_empty() { elsewhere.collect() } else { near };
-            let mut left = chance.1 * open.iter().map(|(_, weight)| weight).sum::<f64>();
-            let passed = |(_, weight): &&&(&Arc<str>, f64)| {
-                left -= weight;
-                left < 0.0
+        self.ejected_until.retain(|_, until| now < *until);
+        let table = self.tables.get(group)?.as_ref();
+        let admission_fraction = table.map_or(1.0, |table| table.admission_fraction);
+        let default_entries =
+            || self.default_table.iter().map(|entry| (&entry.address, entry.weight)).collect();
+        let entries: Vec<(&Arc<str>, f64)> = table.map_or_else(default_entries, |table| {
+            table.entries.iter().map(|(address, weight)| (address, *weight)).collect()
+        });
+        let picked = (excluded.is_some() || random.0 < admission_fraction).then(|| {
+            let candidates = entries.iter().filter(|(address, _)| Some(*address) != excluded);
+            let not_ejected: Vec<_> = candidates
+                .clone()
+                .filter(|(address, _)| !self.ejected_until.contains_key(*address))
+                .collect();
+            // If all are ejected, an address that fails is better than none.
+            let eligible: Vec<_> = if not_ejected.is_empty() { candidates.collect() } else { not_ejected };
+            let mut remaining = random.1 * eligible.iter().map(|(_, weight)| weight).sum::<f64>();
+            let reached = |(_, weight): &&&(&Arc<str>, f64)| {
+                remaining -= weight;
+                remaining < 0.0
             };
-            open.iter().find(passed).or(open.last()).map(|(at, _)| (*at).clone())
+            eligible.iter().find(reached).or(eligible.last()).map(|(address, _)| (*address).clone())
         });
         let picked = picked.flatten();
-        if picked.is_none() && but.is_none() {
-            self.stats.rejected[group] += 1;
+        if picked.is_none() && excluded.is_none() {
+            self.counters.rejected[group] += 1;
         }
         picked
     }
@@ -287,46 +304,49 @@
         self.retry_policy.get(group).copied().unwrap_or_default()
     }
 
-    /// Counts a request that was rejected before any attempt by other than [`TableCache::pick`].
+    /// Counts a request that was rejected before any attempt, other than by [`TableCache::pick`].
     pub fn request_rejected(&mut self, group: usize) {
-        if let Some(blocked) = self.stats.rejected.get_mut(group) {
-            *blocked += 1;
+        if let Some(rejected) = self.counters.rejected.get_mut(group) {
+            *rejected += 1;
         }
     }
 
-    /// An attempt starts.
-    pub fn attempt_started(&mut self, group: usize, at: &Arc<str>) {
-        self.stats.replicas.entry((group, at.clone())).or_default().attempts += 1;
+    /// Counts the start of an attempt.
+    pub fn attempt_started(&mut self, group: usize, address: &Arc<str>) {
+        self.counters.replicas.entry((group, address.clone())).or_default().attempts += 1;
     }
 
-    /// An attempt ended.
-    pub fn attempt_ended(&mut self, now: Duration, group: usize, at: &Arc<str>, outcome: Outcome) {
-        let met = self.stats.replicas.entry((group, at.clone())).or_default();
+    /// Counts the outcome of an attempt, and ejects the address after too many consecutive failures.
+    pub fn attempt_ended(&mut self, now: Duration, group: usize, address: &Arc<str>, outcome: Outcome) {
+        let replica = self.counters.replicas.entry((group, address.clone())).or_default();
         match outcome {
-            Outcome::Succeeded { latency: took, load } => {
-                met.succeeded += 1;
-                met.latency_sum += took;
-                met.load.resize(load.len(), 0.0);
-                met.load.iter_mut().zip(load).for_each(|(sum, one)| *sum += one);
-                self.failing.remove(at);
+            Outcome::Succeeded { latency: answer_time, load } => {
+                replica.succeeded += 1;
+                replica.latency_sum += answer_time;
+                replica.load.resize(load.len(), 0.0);
+                replica.load.iter_mut().zip(load).for_each(|(sum, value)| *sum += value);
+                self.consecutive_failures.remove(address);
             }
             Outcome::Failed => {
-                met.failed += 1;
-                let Some((most, span)) = self.avoid else { return };
-                let in_a_row = self.failing.entry(at.clone()).or_default();
-                *in_a_row += 1;
-                if *in_a_row >= most {
-                    self.failing.remove(at);
-                    self.avoided.insert(at.clone(), now + span);
+                replica.failed += 1;
+                let Some((max_failures, ejection_time)) = self.ejection else { return };
+                let failures = self.consecutive_failures.entry(address.clone()).or_default();
+                *failures += 1;
+                if *failures >= max_failures {
+                    self.consecutive_failures.remove(address);
+                    self.ejected_until.insert(address.clone(), now + ejection_time);
                 }
             }
         }
     }
 
-    /// Takes the statistics since the last time.
+    /// Returns the statistics since the last call, and resets them.
     pub fn take_counters(&mut self) -> ReportCounters {
-        let blocked = vec![0; self.classes.len()];
-        std::mem::replace(&mut self.stats, ReportCounters { replicas: BTreeMap::new(), rejected: blocked })
+        let no_rejections = vec![0; self.classes.len()];
+        std::mem::replace(
+            &mut self.counters,
+            ReportCounters { replicas: BTreeMap::new(), rejected: no_rejections },
+        )
     }
 }
 
--- a/crates/rehearsal/src/event_log.rs
+++ b/crates/rehearsal/src/event_log.rs
@@ -1,4 +1,5 @@
-//! Everything that crossed a socket, with its time and both ends. Checkers read this and nothing else.
+//! The event log of a rehearsal: everything that crossed a socket, with its time and both ends. The rule
+//! checks use this log only.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,23 +9,27 @@
 use serde::Serialize;
 use wrenthread_settings::day::Day;
 
-/// How a flow ended for its client.
+/// The outcome of a request for its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum End {
-    /// It succeeded.
-    Delivered,
-    /// It was not admitted.
-    Blocked,
-    /// It failed.
-    Dropped,
+pub enum RequestOutcome {
+    /// The request succeeded.
+    #[serde(rename = "delivered")]
+    Succeeded,
+    /// The request was not admitted.
+    #[serde(rename = "blocked")]
+    Rejected,
+    /// The request failed.
+    #[serde(rename = "dropped")]
+    Failed,
 }
 
-/// A worker as the roster file says it.
+/// A replica as listed in the roster file.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Listed {
+pub struct RosterEntry {
     /// The replica's number.
-    pub worker: usize,
+    #[serde(rename = "worker")]
+    pub replica: usize,
     /// Whether it is listed as ready.
     pub ready: bool,
 }
@@ -32,121 +37,155 @@
 /// What happened.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
-    /// The fleet, at the head of the tape: each worker's hall, each relay's hall and standing table.
+pub enum Event {
+    /// The fleet; the first entry of the log.
     Fleet {
         /// Each replica's zone.
-        workers: Vec<usize>,
+        #[serde(rename = "workers")]
+        replicas: Vec<usize>,
         /// Each proxy's zone and default table.
-        relays: Vec<(usize, Vec<usize>)>,
+        #[serde(rename = "relays")]
+        proxies: Vec<(usize, Vec<usize>)>,
     },
     /// The roster file was replaced.
     Roster {
-        /// The list.
-        listed: Vec<Listed>,
+        /// The new roster.
+        #[serde(rename = "listed")]
+        roster_entries: Vec<RosterEntry>,
     },
-    /// A governor started or ended.
+    /// A governor process started or stopped.
     Governor {
         /// The governor's number.
         governor: usize,
-        /// Whether it runs from now on.
+        /// Whether it is running from now on.
         up: bool,
     },
-    /// A governor's roster file is not replaced any more, or is again.
-    Stale {
+    /// Updates of a governor's roster file stopped or resumed.
+    #[serde(rename = "stale")]
+    StaleRoster {
         /// The governor's number.
         governor: usize,
-        /// Whether it is not replaced any more.
+        /// Whether updates stopped.
         stale: bool,
     },
-    /// A worker's process began, cold (or, at the day's start, warm).
+    /// A replica process started: cold, or warm at the start of the day.
     Started {
         /// The replica's number.
-        worker: usize,
-        /// Whether it has just started.
+        #[serde(rename = "worker")]
+        replica: usize,
+        /// Whether it is cold.
         cold: bool,
     },
-    /// A relay's first message on a stream of the governor's.
+    /// A proxy sent its first message on a stream to a governor.
     Joined {
         /// The proxy's number.
-        relay: usize,
+        #[serde(rename = "relay")]
+        proxy: usize,
         /// The governor's number.
         governor: usize,
     },
     /// A proxy's stream broke.
-    Broken {
+    #[serde(rename = "broken")]
+    StreamBroken {
         /// The proxy's number.
-        relay: usize,
+        #[serde(rename = "relay")]
+        proxy: usize,
     },
-    /// A response of the governor's: its nonce, and for tables the open lines by group, and the levels.
-    Order {
+    /// A proxy received a response of a governor.
+    #[serde(rename = "order")]
+    TableUpdate {
         /// The proxy's number.
-        relay: usize,
+        #[serde(rename = "relay")]
+        proxy: usize,
         /// The governor's number.
         governor: usize,
         /// The message's nonce.
         nonce: String,
-        /// Table entries in it.
-        lines: usize,
-        /// By class: the replicas that may be sent to, and the admission fraction.
+        /// Number of table entries in the message.
+        #[serde(rename = "lines")]
+        entries: usize,
+        /// The tables it updates, by traffic class: the routable replicas and the admission fraction.
         tables: BTreeMap<String, (Vec<usize>, f64)>,
     },
-    /// What the relay said to it.
-    Answer {
+    /// A proxy accepted or rejected a governor's response.
+    #[serde(rename = "answer")]
+    UpdateAnswered {
         /// The proxy's number.
-        relay: usize,
+        #[serde(rename = "relay")]
+        proxy: usize,
         /// The message's nonce.
         nonce: String,
-        /// Whether the proxy took it.
-        taken: bool,
+        /// Whether the proxy accepted it.
+        #[serde(rename = "taken")]
+        accepted: bool,
     },
     /// A proxy sent a load report.
     Report {
         /// The proxy's number.
-        relay: usize,
-        /// Whether it was held back.
-        late: bool,
+        #[serde(rename = "relay")]
+        proxy: usize,
+        /// Whether a fault delayed it.
+        #[serde(rename = "late")]
+        delayed: bool,
     },
-    /// A request came to a proxy.
-    Came {
+    /// A request arrived at a proxy.
+    #[serde(rename = "came")]
+    RequestArrived {
         /// The request's number.
-        flow: u64,
+        #[serde(rename = "flow")]
+        request: u64,
         /// The proxy's number.
-        relay: usize,
+        #[serde(rename = "relay")]
+        proxy: usize,
         /// Its traffic class.
-        group: usize,
+        #[serde(rename = "group")]
+        class: usize,
     },
-    /// A proxy sent it to a replica.
-    Try {
+    /// A proxy sent a request to a replica.
+    #[serde(rename = "try")]
+    AttemptSent {
         /// The request's number.
-        flow: u64,
+        #[serde(rename = "flow")]
+        request: u64,
         /// The proxy's number.
-        relay: usize,
+        #[serde(rename = "relay")]
+        proxy: usize,
         /// The replica's number.
-        worker: usize,
+        #[serde(rename = "worker")]
+        replica: usize,
     },
-    /// A worker took a try in.
-    Got {
+    /// A replica received an attempt.
+    #[serde(rename = "got")]
+    AttemptReceived {
         /// The request's number.
-        flow: u64,
+        #[serde(rename = "flow")]
+        request: u64,
         /// The replica's number.
-        worker: usize,
+        #[serde(rename = "worker")]
+        replica: usize,
     },
-    /// A worker has done the flow's work: what it does to the world is done.
-    Effect {
+    /// A replica executed a request: its side effects have happened.
+    #[serde(rename = "effect")]
+    EffectApplied {
         /// The request's number.
-        flow: u64,
+        #[serde(rename = "flow")]
+        request: u64,
         /// The replica's number.
-        worker: usize,
+        #[serde(rename = "worker")]
+        replica: usize,
         /// Its traffic class.
-        group: usize,
+        #[serde(rename = "group")]
+        class: usize,
     },
-    /// It ended.
-    Ended {
+    /// A request ended.
+    #[serde(rename = "ended")]
+    RequestEnded {
         /// The request's number.
-        flow: u64,
-        /// How.
-        end: End,
+        #[serde(rename = "flow")]
+        request: u64,
+        /// The outcome.
+        #[serde(rename = "end")]
+        outcome: RequestOutcome,
     },
 }
 
@@ -157,72 +196,75 @@
     pub at: f64,
     /// What happened.
     #[serde(flatten)]
-    pub what: What,
+    pub event: Event,
 }
 
-type Watcher = Box<dyn FnMut(&Entry)>;
+type LogObserver = Box<dyn FnMut(&Entry)>;
 
-/// The tape of a running day. All that writes to it runs on one thread.
+/// The event log of a running day. All its writers run on one thread.
 #[derive(Clone)]
-pub struct Tape {
+pub struct EventLog {
     start: Instant,
     entries: Rc<RefCell<Vec<Entry>>>,
-    watcher: Rc<RefCell<Option<Watcher>>>,
+    observer: Rc<RefCell<Option<LogObserver>>>,
 }
 
-impl Tape {
-    /// An empty log that begins now.
+impl EventLog {
+    /// Creates an empty log that starts now.
     pub fn new() -> Self {
-        Tape { start: Instant::now(), entries: Rc::default(), watcher: Rc::default() }
+        EventLog { start: Instant::now(), entries: Rc::default(), observer: Rc::default() }
     }
 
-    /// Seconds since it began.
+    /// Seconds since the log started.
     pub fn now(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
 
-    /// Adds an entry, at the present time.
-    pub fn add(&self, what: What) {
-        let entry = Entry { at: self.now(), what };
-        if let Some(watcher) = self.watcher.borrow_mut().as_mut() {
-            watcher(&entry);
+    /// Adds an entry with the current time.
+    pub fn record(&self, event: Event) {
+        let entry = Entry { at: self.now(), event };
+        if let Some(observer) = self.observer.borrow_mut().as_mut() {
+            observer(&entry);
         }
         self.entries.borrow_mut().push(entry);
     }
 
-    /// Has every later entry seen by a watcher, as it is written. It must not write itself.
-    pub fn watch(&self, watcher: impl FnMut(&Entry) + 'static) {
-        *self.watcher.borrow_mut() = Some(Box::new(watcher));
+    /// Sets a function that is called with every later entry when it is recorded. It must not record entries
+    /// itself.
+    pub fn set_observer(&self, observer: impl FnMut(&Entry) + 'static) {
+        *self.observer.borrow_mut() = Some(Box::new(observer));
     }
 
-    /// All entries so far; the log is empty from then on.
+    /// Takes all entries so far and leaves the log empty.
     pub fn take(&self) -> Vec<Entry> {
         self.entries.take()
     }
 }
 
-impl Default for Tape {
+impl Default for EventLog {
     fn default() -> Self {
-        Tape::new()
+        EventLog::new()
     }
 }
 
-/// The names of the day's three traffic groups, in order, as orders spell them.
-pub const GROUPS: [&str; 3] = ["plate-match", "space-count", "exit-charge"];
-/// By group: latency budget and expiry in seconds, share of the flows.
-pub const FLOWS: [(f64, f64, f64); 3] = [(2.0, 5.0, 0.5), (1.0, 2.5, 0.3), (2.0, 5.0, 0.2)];
-/// The group whose effect must never happen twice.
+/// Names of the three traffic classes, in order, as table updates spell them.
+pub const CLASSES: [&str; 3] = ["plate-match", "space-count", "exit-charge"];
+/// By traffic class: latency objective and request deadline in seconds, and share of the requests.
+pub const CLASS_TRAFFIC: [(f64, f64, f64); 3] = [(2.0, 5.0, 0.5), (1.0, 2.5, 0.3), (2.0, 5.0, 0.2)];
+/// Index of the class whose requests must never be executed twice.
 pub const NON_RETRIABLE: usize = 2;
-/// What the governor is told of its channel, for settings and checker alike.
-pub const LINES_PER_S: f64 = 4000.0;
-/// Table entries that a message costs beside its own.
-pub const HEAD_LINES: f64 = 10.0;
+/// Table entries per second that a governor may send. This limit and those below are both written to the
+/// settings and checked.
+pub const ENTRIES_PER_SECOND: f64 = 4000.0;
+/// Overhead of a message, counted in table entries.
+pub const MESSAGE_OVERHEAD_ENTRIES: f64 = 10.0;
 /// Table entries that may be queued.
-pub const WAITING_MOST: f64 = 4000.0;
-/// Messages to one proxy within so many seconds.
-pub const MESSAGES: (usize, f64) = (40, 10.0);
+pub const MAX_QUEUED_ENTRIES: f64 = 4000.0;
+/// Maximum number of messages to one proxy, and the span in seconds for which it holds.
+pub const MESSAGE_LIMIT: (usize, f64) = (40, 10.0);
 
-/// What a cold worker can do, as a share of what it can once warm.
+/// Capacity of a replica at an age in seconds, as a fraction of its capacity once warm.
 pub fn capacity(day: &Day, age: f64) -> f64 {
-    (day.cold_share + (1.0 - day.cold_share) * age / day.warm_after).min(1.0)
+    (day.initial_capacity_fraction + (1.0 - day.initial_capacity_fraction) * age / day.slow_start_duration)
+        .min(1.0)
 }
--- a/crates/xds/src/encode.rs
+++ b/crates/xds/src/encode.rs
@@ -1,8 +1,8 @@
-//! From what a proxy should hold to the specification's resources.
+//! Encodes the tables and retry policies that a proxy should hold as xDS resources.
 //!
-//! Shut lines leave the resource. They could stand as DRAINING instead, but proxies that pick a locality
-//! first scale its weight by the part of its hosts that is healthy, and so would come to other shares than
-//! those that pick among all lines.
+//! Entries that are not routable are omitted. They could be sent as DRAINING instead, but proxies that pick a
+//! locality first scale its weight by its fraction of healthy hosts, and would get other shares than proxies
+//! that pick among all entries.
 
 use std::collections::BTreeMap;
 
@@ -44,20 +44,20 @@
 use crate::pb::google::protobuf::{Any, Duration, UInt32Value};
 use crate::{Path, Route, Wire, WireGroup};
 
-/// The one listener and the one route configuration that all proxies are given.
-pub const LISTENER: &str = "wrenthread";
-/// The name of the one route configuration.
-pub const ROUTES: &str = "wrenthread-routes";
-/// The category under which proxies report flows that a level blocked.
-pub const LEVEL: &str = "level";
+/// Name of the one listener, which all proxies get.
+pub const LISTENER_NAME: &str = "wrenthread";
+/// Name of the one route configuration, which all proxies get.
+pub const ROUTE_CONFIG_NAME: &str = "wrenthread-routes";
+/// Drop category under which proxies report the requests that the admission fraction rejected.
+pub const OVERLOAD_CATEGORY: &str = "level";
 const MILLION: f64 = 1_000_000.0;
 
-/// The resource types, in the order in which they are made before what names them.
+/// The resource types, ordered so that a resource is sent before those that refer to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
-    /// CDS: a cluster for each traffic class.
+pub enum ResourceType {
+    /// CDS: one cluster per traffic class.
     Clusters,
-    /// EDS: a cluster's endpoints, the table of a class.
+    /// EDS: the endpoints of a cluster, from the table of its class.
     Endpoints,
     /// LDS: the one listener.
     Listeners,
@@ -65,73 +65,80 @@
     Routes,
 }
 
-impl Kind {
+impl ResourceType {
     /// All types, in the order in which they are sent.
-    pub const ALL: [Kind; 4] = [Kind::Clusters, Kind::Endpoints, Kind::Listeners, Kind::Routes];
+    pub const ALL: [ResourceType; 4] =
+        [ResourceType::Clusters, ResourceType::Endpoints, ResourceType::Listeners, ResourceType::Routes];
 
     /// The type URL.
     pub fn url(self) -> String {
         match self {
-            Kind::Clusters => Cluster::type_url(),
-            Kind::Endpoints => ClusterLoadAssignment::type_url(),
-            Kind::Listeners => Listener::type_url(),
-            Kind::Routes => RouteConfiguration::type_url(),
+            ResourceType::Clusters => Cluster::type_url(),
+            ResourceType::Endpoints => ClusterLoadAssignment::type_url(),
+            ResourceType::Listeners => Listener::type_url(),
+            ResourceType::Routes => RouteConfiguration::type_url(),
         }
     }
 
-    /// The type with this URL; none if it is not served.
-    pub fn of(url: &str) -> Option<Kind> {
-        Kind::ALL.into_iter().find(|kind| kind.url() == url)
+    /// The type with this URL; none if it is not supported.
+    pub fn from_type_url(type_url: &str) -> Option<ResourceType> {
+        ResourceType::ALL.into_iter().find(|kind| kind.url() == type_url)
     }
 
-    /// Types of which a response must hold all that there is, and whose empty subscription means everything.
-    pub fn whole(self) -> bool {
-        matches!(self, Kind::Clusters | Kind::Listeners)
+    /// Whether state-of-the-world responses of this type must contain all resources, and an initial subscription
+    /// without names is a wildcard.
+    pub fn requires_full_state(self) -> bool {
+        matches!(self, ResourceType::Clusters | ResourceType::Listeners)
     }
 }
 
-/// All that there is to be had for one proxy: names and the versions of their last change.
-pub fn catalogue(wire: &Wire, proxy: &Proxy, kind: Kind) -> BTreeMap<String, u64> {
+/// The resources of one type that exist for a proxy: the version of the last change, by name.
+pub fn resource_versions(wire: &Wire, proxy: &Proxy, kind: ResourceType) -> BTreeMap<String, u64> {
     let groups = wire.groups.iter().zip(&proxy.tables);
     match kind {
-        Kind::Clusters => groups.map(|(group, _)| (group.name.clone(), 1)).collect(),
-        Kind::Endpoints => {
-            groups.filter_map(|(group, kept)| Some((group.name.clone(), kept.as_ref()?.version))).collect()
+        ResourceType::Clusters => groups.map(|(group, _)| (group.name.clone(), 1)).collect(),
+        ResourceType::Endpoints => {
+            groups.filter_map(|(group, table)| Some((group.name.clone(), table.as_ref()?.version))).collect()
         }
-        Kind::Listeners => BTreeMap::from([(LISTENER.to_string(), 1)]),
-        Kind::Routes => BTreeMap::from([(ROUTES.to_string(), proxy.retry_policies.0)]),
+        ResourceType::Listeners => BTreeMap::from([(LISTENER_NAME.to_string(), 1)]),
+        ResourceType::Routes => BTreeMap::from([(ROUTE_CONFIG_NAME.to_string(), proxy.retry_policies.0)]),
     }
 }
 
-/// One resource of the catalogue, and how many lines it has. None for a name that is not in it.
-pub fn resource(wire: &Wire, proxy: &Proxy, kind: Kind, name: &str) -> Option<(Any, usize)> {
-    let place = || wire.groups.iter().position(|group| group.name == name);
+/// Encodes a resource; also returns its number of entries. None if no resource has this name.
+pub fn resource(wire: &Wire, proxy: &Proxy, kind: ResourceType, name: &str) -> Option<(Any, usize)> {
+    let class_index = || wire.groups.iter().position(|group| group.name == name);
     Some(match kind {
-        Kind::Clusters => (packed(&cluster(&wire.groups[place()?])), 1),
-        Kind::Endpoints => {
-            let table = &proxy.tables.get(place()?)?.as_ref()?.table;
-            (packed(&assignment(wire, name, table)), table.entries.len().max(1))
+        ResourceType::Clusters => (to_any(&cluster(&wire.groups[class_index()?])), 1),
+        ResourceType::Endpoints => {
+            let table = &proxy.tables.get(class_index()?)?.as_ref()?.table;
+            (to_any(&assignment(wire, name, table)), table.entries.len().max(1))
         }
-        Kind::Listeners if name == LISTENER => (packed(&listener()), 1),
-        Kind::Routes if name == ROUTES => (packed(&routes(wire, &proxy.retry_policies.1)), wire.groups.len()),
-        Kind::Listeners | Kind::Routes => return None,
+        ResourceType::Listeners if name == LISTENER_NAME => (to_any(&listener()), 1),
+        ResourceType::Routes if name == ROUTE_CONFIG_NAME => {
+            (to_any(&route_configuration(wire, &proxy.retry_policies.1)), wire.groups.len())
+        }
+        ResourceType::Listeners | ResourceType::Routes => return None,
     })
 }
 
-/// What a resource's content comes to: the same content has the same mark, whoever gave it and when.
+/// A digest of a resource's content, independent of the governor and the version that it was sent with.
 pub fn digest(resource: &Any) -> String {
     blake3::hash(&resource.value).to_hex()[..16].to_string()
 }
 
-fn packed<M: Message + Name>(message: &M) -> Any {
+fn to_any<M: Message + Name>(message: &M) -> Any {
     Any { type_url: M::type_url(), value: message.encode_to_vec() }
 }
 
-fn span(span: std::time::Duration) -> Duration {
-    Duration { seconds: span.as_secs().min(i64::MAX as u64) as i64, nanos: span.subsec_nanos() as i32 }
+fn proto_duration(duration: std::time::Duration) -> Duration {
+    Duration {
+        seconds: duration.as_secs().min(i64::MAX as u64) as i64,
+        nanos: duration.subsec_nanos() as i32,
+    }
 }
 
-fn ads() -> ConfigSource {
+fn ads_source() -> ConfigSource {
     ConfigSource {
         resource_api_version: ApiVersion::V3 as i32,
         config_source_specifier: Some(ConfigSourceSpecifier::Ads(AggregatedConfigSource {})),
@@ -143,10 +150,13 @@
     Cluster {
         name: group.name.clone(),
         cluster_discovery_type: Some(ClusterDiscoveryType::Type(DiscoveryType::Eds as i32)),
-        eds_cluster_config: Some(EdsClusterConfig { eds_config: Some(ads()), service_name: String::new() }),
+        eds_cluster_config: Some(EdsClusterConfig {
+            eds_config: Some(ads_source()),
+            service_name: String::new(),
+        }),
         lb_policy: LbPolicy::RoundRobin as i32,
         common_lb_config: Some(CommonLbConfig {
-            // A proxy must not fall back on lines that are shut because few are open.
+            // Disables panic mode: a proxy must not fall back on unhealthy hosts because few are healthy.
             healthy_panic_threshold: Some(Percent { value: 0.0 }),
             locality_config_specifier: Some(LocalityConfigSpecifier::LocalityWeightedLbConfig(
                 LocalityWeightedLbConfig {},
@@ -162,12 +172,12 @@
     }
 }
 
-/// `host:port` as the specification's address; anything else stays whole, with port 0.
-pub fn address(at: &str) -> Address {
-    let (host, port) = at
+/// Encodes `host:port` as a socket address. Other text becomes the host, with port 0.
+pub fn socket_address(host_port: &str) -> Address {
+    let (host, port) = host_port
         .rsplit_once(':')
         .and_then(|(host, port)| Some((host, port.parse::<u16>().ok()?)))
-        .unwrap_or((at, 0));
+        .unwrap_or((host_port, 0));
     let host = host.strip_prefix('[').and_then(|host| host.strip_suffix(']')).unwrap_or(host);
     Address {
         address: Some(address::Address::SocketAddress(SocketAddress {
@@ -178,19 +188,19 @@
     }
 }
 
-/// A table: its open lines by zone, the weight of a zone the sum of theirs.
+/// Encodes a table: its routable entries by zone. The weight of a zone is the sum of its entries' weights.
 pub fn assignment(wire: &Wire, name: &str, table: &Table) -> ClusterLoadAssignment {
-    let open: Vec<_> = table.entries.iter().filter(|line| line.routable).collect();
-    let weights = weights::to_integers(&open.iter().map(|line| line.weight).collect::<Vec<_>>());
+    let routable: Vec<_> = table.entries.iter().filter(|entry| entry.routable).collect();
+    let weights = weights::to_integers(&routable.iter().map(|entry| entry.weight).collect::<Vec<_>>());
     let mut zones: BTreeMap<usize, (u32, Vec<LbEndpoint>)> = BTreeMap::new();
-    for (line, weight) in open.into_iter().zip(weights) {
-        let (sum, endpoints) = zones.entry(line.zone).or_default();
+    for (entry, weight) in routable.into_iter().zip(weights) {
+        let (sum, endpoints) = zones.entry(entry.zone).or_default();
         *sum += weight;
         endpoints.push(LbEndpoint {
             health_status: HealthStatus::Healthy as i32,
             load_balancing_weight: Some(UInt32Value { value: weight }),
             host_identifier: Some(HostIdentifier::Endpoint(Endpoint {
-                address: Some(address(&line.address)),
+                address: Some(socket_address(&entry.address)),
                 ..Endpoint::default()
             })),
             ..LbEndpoint::default()
@@ -205,87 +215,88 @@
         load_balancing_weight: Some(UInt32Value { value: sum }),
         ..LocalityLbEndpoints::default()
     });
-    let blocked = ((1.0 - table.admission_fraction.clamp(0.0, 1.0)) * MILLION).round() as u32;
+    let rejected = ((1.0 - table.admission_fraction.clamp(0.0, 1.0)) * MILLION).round() as u32;
     let overload = DropOverload {
-        category: LEVEL.to_string(),
+        category: OVERLOAD_CATEGORY.to_string(),
         drop_percentage: Some(FractionalPercent {
-            numerator: blocked,
+            numerator: rejected,
             denominator: DenominatorType::Million as i32,
         }),
     };
     ClusterLoadAssignment {
         cluster_name: name.to_string(),
         endpoints: endpoints.collect(),
-        policy: (blocked > 0).then(|| Policy { drop_overloads: vec![overload], ..Policy::default() }),
+        policy: (rejected > 0).then(|| Policy { drop_overloads: vec![overload], ..Policy::default() }),
         ..ClusterLoadAssignment::default()
     }
 }
 
 fn listener() -> Listener {
     let manager = HttpConnectionManager {
-        stat_prefix: LISTENER.to_string(),
+        stat_prefix: LISTENER_NAME.to_string(),
         route_specifier: Some(RouteSpecifier::Rds(Rds {
-            config_source: Some(ads()),
-            route_config_name: ROUTES.to_string(),
+            config_source: Some(ads_source()),
+            route_config_name: ROUTE_CONFIG_NAME.to_string(),
         })),
         http_filters: vec![HttpFilter {
             name: "envoy.filters.http.router".to_string(),
-            config_type: Some(http_filter::ConfigType::TypedConfig(packed(&Router::default()))),
+            config_type: Some(http_filter::ConfigType::TypedConfig(to_any(&Router::default()))),
             ..HttpFilter::default()
         }],
         ..HttpConnectionManager::default()
     };
     Listener {
-        name: LISTENER.to_string(),
-        api_listener: Some(ApiListener { api_listener: Some(packed(&manager)) }),
+        name: LISTENER_NAME.to_string(),
+        api_listener: Some(ApiListener { api_listener: Some(to_any(&manager)) }),
         ..Listener::default()
     }
 }
 
-/// What a proxy may do after a try without a good answer, as a route's policy.
-fn retries(tries: RetryPolicy) -> Option<WireRetryPolicy> {
-    let on = match tries {
+/// Encodes a retry policy for a route; none if retries are not allowed.
+fn route_retry_policy(policy: RetryPolicy) -> Option<WireRetryPolicy> {
+    let retry_on = match policy {
         RetryPolicy::Never => return None,
-        // Both prove that the first try never ran.
+        // Both conditions prove that the first attempt was not executed.
         RetryPolicy::IfNotExecuted => "connect-failure,refused-stream",
         RetryPolicy::OnAnyFailure => "5xx,reset,connect-failure,refused-stream",
     };
     Some(WireRetryPolicy {
-        retry_on: on.to_string(),
+        retry_on: retry_on.to_string(),
         num_retries: Some(UInt32Value { value: 1 }),
         host_selection_retry_max_attempts: 3,
         ..WireRetryPolicy::default()
     })
 }
 
-/// A group's place, and the path and header that lead to it.
-type Matched<'a> = (usize, PathSpecifier, Option<(&'a str, &'a str)>);
+/// The index of a traffic class, with the path and header that requests to it match.
+type OrderedRoute<'a> = (usize, PathSpecifier, Option<(&'a str, &'a str)>);
 
-/// Routes in the order in which proxies are to try them: the first that fits counts.
+/// Orders routes as proxies evaluate them: the first match wins.
 ///
-/// Groups said by one prefix or header each stand as they were said. Where any has several paths, headers go
-/// first, and paths by [`Path`]'s rule. Under a firm prefix a longer one that is not firm goes before
-/// patterns, too: one list can't say that it should only for flows that no pattern fits.
-fn ordered(groups: &[WireGroup]) -> Vec<Matched<'_>> {
-    let whole = || PathSpecifier::Prefix("/".to_string());
-    let several = groups.iter().any(|group| matches!(group.route, Route::Paths(_)));
+/// If every class has a single prefix or header, routes keep the order of the settings. If any class has several
+/// paths, headers come first, then paths by the precedence that [`Path`] defines. A longer plain prefix under a
+/// firm one also precedes patterns: an ordered list can't express that it applies only to requests that match no
+/// pattern.
+fn ordered_routes(groups: &[WireGroup]) -> Vec<OrderedRoute<'_>> {
+    let any_path = || PathSpecifier::Prefix("/".to_string());
+    let has_lists = groups.iter().any(|group| matches!(group.route, Route::Paths(_)));
     let mut paths: Vec<(usize, Path)> = Vec::new();
     let mut routes = Vec::new();
-    for (place, group) in groups.iter().enumerate() {
+    for (class_index, group) in groups.iter().enumerate() {
         match &group.route {
             Route::Header(name, value) => {
-                routes.push((place, whole(), Some((name.as_str(), value.as_str()))));
+                routes.push((class_index, any_path(), Some((name.as_str(), value.as_str()))));
             }
-            Route::Prefix(prefix) if several => paths.push((place, Path::Prefix(prefix.clone()))),
-            Route::Prefix(prefix) => routes.push((place, PathSpecifier::Prefix(prefix.clone()), None)),
-            Route::Paths(all) => paths.extend(all.iter().map(|path| (place, path.clone()))),
+            Route::Prefix(prefix) if has_lists => paths.push((class_index, Path::Prefix(prefix.clone()))),
+            Route::Prefix(prefix) => routes.push((class_index, PathSpecifier::Prefix(prefix.clone()), None)),
+            Route::Paths(several) => paths.extend(several.iter().map(|path| (class_index, path.clone()))),
         }
     }
-    let firm: Vec<String> = paths
+    let firm_prefixes: Vec<String> = paths
         .iter()
         .filter_map(|(_, path)| if let Path::Firm(prefix) = path { Some(prefix.clone()) } else { None })
         .collect();
-    let under_firm = |prefix: &String| firm.iter().any(|firm| prefix.starts_with(firm));
+    let under_firm = |prefix: &String| firm_prefixes.iter().any(|firm| prefix.starts_with(firm));
     let rank = |(_, path): &(usize, Path)| match path {
         Path::Exact(_) => (0, 0),
         Path::Firm(prefix) => (1, usize::MAX - prefix.len()),
@@ -293,27 +304,27 @@
         Path::Pattern(..) => (2, 0),
         Path::Prefix(prefix) => (3, usize::MAX - prefix.len()),
     };
-    // Stable: patterns stay as they were said.
+    // The sort is stable: patterns keep the order of the settings.
     paths.sort_by_key(rank);
-    routes.extend(paths.into_iter().map(|(place, path)| {
+    routes.extend(paths.into_iter().map(|(class_index, path)| {
         let path = match path {
             Path::Exact(path) => PathSpecifier::Path(path),
             Path::Firm(prefix) | Path::Prefix(prefix) => PathSpecifier::Prefix(prefix),
-            Path::Pattern(pattern, any_case) => {
-                // The wire's pattern has to fit the whole path.
-                let case = if any_case { "i" } else { "" };
-                let regex = format!("(?s{case}).*(?:{pattern}).*");
+            Path::Pattern(pattern, ignore_case) => {
+                // xDS patterns have to match the whole path.
+                let case_flag = if ignore_case { "i" } else { "" };
+                let regex = format!("(?s{case_flag}).*(?:{pattern}).*");
                 PathSpecifier::SafeRegex(RegexMatcher { regex, ..RegexMatcher::default() })
             }
         };
-        (place, path, None)
+        (class_index, path, None)
     }));
     routes
 }
 
-fn routes(wire: &Wire, tries: &[RetryPolicy]) -> RouteConfiguration {
-    let routes = ordered(&wire.groups).into_iter().filter_map(|(place, path, header)| {
-        let (group, tries) = (&wire.groups[place], tries.get(place)?);
+fn route_configuration(wire: &Wire, retry_policies: &[RetryPolicy]) -> RouteConfiguration {
+    let routes = ordered_routes(&wire.groups).into_iter().filter_map(|(class_index, path, header)| {
+        let (group, retry_policy) = (&wire.groups[class_index], retry_policies.get(class_index)?);
         let header = header.map(|(name, value)| {
             let exact = StringMatcher {
                 match_pattern: Some(MatchPattern::Exact(value.to_string())),
@@ -334,15 +345,15 @@
             }),
             action: Some(route::Action::Route(RouteAction {
                 cluster_specifier: Some(route_action::ClusterSpecifier::Cluster(group.name.clone())),
-                timeout: Some(span(group.expiry)),
-                retry_policy: retries(*tries),
+                timeout: Some(proto_duration(group.expiry)),
+                retry_policy: route_retry_policy(*retry_policy),
                 ..RouteAction::default()
             })),
             ..WireRoute::default()
         })
     });
     RouteConfiguration {
-        name: ROUTES.to_string(),
+        name: ROUTE_CONFIG_NAME.to_string(),
         virtual_hosts: vec![VirtualHost {
             name: "all".to_string(),
             domains: vec!["*".to_string()],
