--- a/crates/daemon/src/admin_client.rs
+++ b/crates/daemon/src/admin_client.rs
@@ -1,27 +1,27 @@
-//! The command line's client of a running governor's HTTP port.
+//! The command line's client for the HTTP port of a running governor.
 
 use std::time::Duration;
 
 use anyhow::{Context, Result, bail};
 use serde_json::Value;
 
-/// No answer is larger: a recording of a thousand proxies is some ten million bytes.
+/// The size limit of a response. A recording of a thousand proxies is some ten million bytes.
 const MAX_ANSWER_BYTES: u64 = 512 << 20;
-/// A governor that takes longer is not there.
+/// A governor that takes longer to respond is considered unreachable.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Asks the governor whose HTTP port is at this address.
+/// Sends a GET request to the governor whose HTTP port is at this address.
 ///
 /// # Errors
-/// Nobody answers there, or says that there is no such thing.
+/// No governor answers at the address, or it responds with an error.
 pub fn get(at: &str, path: &str) -> Result<Value> {
     request(at, path, None)
 }
 
-/// Has the governor whose HTTP port is at this address do something.
+/// Sends a POST request to the governor whose HTTP port is at this address.
 ///
 /// # Errors
-/// Nobody answers there, or says why it does not do it.
+/// No governor answers at the address, or it responds with an error.
 pub fn post(at: &str, path: &str, body: &Value) -> Result<Value> {
     request(at, path, Some(body))
 }
@@ -39,9 +39,9 @@
     };
     let mut answer = answer.with_context(|| format!("no governor answers at {at}"))?;
     let body = answer.body_mut().with_config().limit(MAX_ANSWER_BYTES);
-    let text = body.read_to_string().with_context(|| format!("the answer of {url}"))?;
-    let value: Value =
-        serde_json::from_str(&text).with_context(|| format!("{url} answered: {}", text.trim()))?;
+    let text = body.read_to_string().with_context(|| format!("reading the response of {url}"))?;
+    let value: Value = serde_json::from_str(&text)
+        .with_context(|| format!("{url} returned invalid JSON: {}", text.trim()))?;
     match value.get("error").and_then(Value::as_str) {
         Some(error) => bail!("{error}"),
         None => Ok(value),
--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: its verbs and flags, and what each verb does. Doc comments of arguments are what `--help` prints.
+//! The command line: subcommands, flags and their dispatch. `--help` prints the doc comments of the arguments.
 
 mod check;
 mod export;
@@ -25,21 +25,21 @@
 use rehearse::RehearseArgs;
 use state::StateVerb;
 
-/// The exit code of a check, a rehearsal or a strict import that did not pass, and of something that differs.
+/// The exit code for a check, a rehearsal or a strict import that did not pass, and for differences that were found.
 const EXIT_NOT_PASSED: u8 = 3;
-/// What is logged unless the environment says otherwise.
+/// The log filter used unless the environment sets one.
 const DEFAULT_LOG_FILTER: &str = "info";
 
 #[derive(Parser)]
 #[command(
     version,
     about,
-    after_help = "Exit codes: 0 done; 1 it failed, with the reason on standard error; \
-    2 the command line or the settings are wrong; 3 a rehearsal, a check of tables or of state, or a strict \
-    import did not pass, or something differs."
+    after_help = "Exit codes: 0 success; 1 failure, with the reason on standard error; \
+    2 invalid command line or settings; 3 a rehearsal, a check of tables or of state, or a strict \
+    import did not pass, or differences were found."
 )]
 pub struct Cli {
-    /// How logs are written
+    /// Format of the log
     #[arg(long, global = true, value_enum, default_value = "text")]
     log: LogFormat,
     #[command(subcommand)]
@@ -59,7 +59,7 @@
 }
 
 impl OutputFormat {
-    /// Prints a value as JSON, or as the text for people.
+    /// Prints a value as JSON, or as human-readable text.
     fn print(self, value: &Value, text: impl FnOnce(&Value) -> String) {
         match self {
             OutputFormat::Json => println!("{value:#}"),
@@ -74,50 +74,50 @@
     #[command(after_help = "Example: wrenthread run deploy/settings.star")]
     Run {
         settings: PathBuf,
-        /// Put a decider that has gone wrong in the module's place, or (`none`) switch the guard off
+        /// Replace the decision module by this faulty decider, or (`none`) switch the guard off
         #[cfg(feature = "suspect")]
         #[arg(long)]
         suspect: Vec<String>,
     },
-    /// Run a governor by the platform's protocol, as its variables RELAY_NAME, RELAY_LISTEN, RELAY_DISCOVERY
-    /// and RELAY_CONFIG say: SIGHUP reads the configuration again, SIGTERM stops it
+    /// Run a governor that speaks the platform's protocol, configured by the environment variables RELAY_NAME,
+    /// RELAY_LISTEN, RELAY_DISCOVERY and RELAY_CONFIG: SIGHUP reloads the configuration, SIGTERM stops it
     Node,
-    /// Say what a settings script comes to, or all that is wrong with it
+    /// Evaluate a settings script and print the settings, or all errors in it
     #[command(after_help = "Example: wrenthread check deploy/settings.star --output json")]
     Check {
         settings: PathBuf,
         #[arg(long, value_enum, default_value = "text")]
         output: OutputFormat,
     },
-    /// Ask a running governor who holds what: proxies, replicas, levels
+    /// Show the status of a running governor: its proxies, replicas and admission levels
     #[command(after_help = "Example: wrenthread status --at 127.0.0.1:15011")]
     Status {
         /// The governor's HTTP port
         #[arg(long, default_value = "127.0.0.1:15011")]
         at: String,
-        /// Say which governors it sees instead
+        /// Show the governors that it is connected to instead
         #[arg(long)]
         governors: bool,
         #[arg(long, value_enum, default_value = "text")]
         output: OutputFormat,
     },
-    /// Hand all proxies of a governor over to the others, ahead of its end; it runs on until stopped
+    /// Move all proxies of a governor to the other governors before it is stopped; it keeps running until then
     #[command(after_help = "Example: wrenthread drain-governor --at 127.0.0.1:15011 --wait 60")]
     DrainGovernor {
         /// The governor's HTTP port
         #[arg(long, default_value = "127.0.0.1:15011")]
         at: String,
-        /// How long it may take, in seconds; the drain goes on behind it
+        /// How long to wait for the drain to complete, in seconds; it continues after that
         #[arg(long, default_value = "60")]
         wait: f64,
-        /// Take proxies again
+        /// End the drain and accept proxies again
         #[arg(long)]
         undo: bool,
     },
-    /// Ask a running governor why a proxy or a replica is told, or sent, what it is: refusals of the guard
+    /// Show what a running governor's guard refused for a proxy or a replica
     #[command(after_help = "Example: wrenthread why relay-3")]
     Why {
-        /// A proxy's or a replica's name
+        /// Name of a proxy or a replica
         name: String,
         /// The governor's HTTP port
         #[arg(long, default_value = "127.0.0.1:15011")]
@@ -125,13 +125,13 @@
         #[arg(long, value_enum, default_value = "text")]
         output: OutputFormat,
     },
-    /// Ask a running governor for one proxy's tables, their versions, and what differs between two
+    /// Show one proxy's tables, their versions, or the differences between two versions
     #[command(subcommand_precedence_over_arg = true)]
     #[command(after_help = "Examples:\n  wrenthread tables relay-3\n  wrenthread tables relay-3 history\n  \
         wrenthread tables relay-3 diff 41 57\n  wrenthread tables relay-3 check wanted.json\n  \
         wrenthread tables check all.json --against friday.json")]
     Tables {
-        /// Left out only before `check`, where the file names them
+        /// The proxy; may be omitted only before `check`, where the file names the proxies
         proxy: Option<String>,
         #[command(subcommand)]
         verb: Option<TablesVerb>,
@@ -141,14 +141,14 @@
         #[arg(long, global = true, value_enum, default_value = "text")]
         output: OutputFormat,
     },
-    /// Write what a running governor knows as one line of JSON, for tables to be tried against later
+    /// Write a recording of a running governor's state as one line of JSON; `tables check` can check tables against it
     #[command(after_help = "Example: wrenthread record > friday.json")]
     Record {
         /// The governor's HTTP port
         #[arg(long, default_value = "127.0.0.1:15011")]
         at: String,
     },
-    /// Step back: have proxies told what they were told as of a version, less what the rules forbid now
+    /// Roll proxies' tables back to a version, less the entries that the rules forbid now
     #[command(after_help = "Example: wrenthread rollback 41 --all --why 'hall north is overrun' --for 900")]
     Rollback {
         version: u64,
@@ -156,7 +156,7 @@
         scope: ScopeArgs,
         #[arg(long)]
         why: String,
-        /// How long, in seconds
+        /// Duration in seconds
         #[arg(long = "for", value_name = "LASTS", default_value = "900")]
         seconds: f64,
         /// The governor's HTTP port
@@ -165,37 +165,37 @@
         #[arg(long, value_enum, default_value = "text")]
         output: OutputFormat,
     },
-    /// Have proxies keep the tables of now for a while, less what the rules forbid
+    /// Freeze proxies' present tables for a while, less the entries that the rules forbid
     #[command(after_help = "Example: wrenthread pin --proxy relay-3 --why 'its link is measured' --for 300")]
     Pin {
         #[command(flatten)]
         scope: ScopeArgs,
         #[arg(long)]
         why: String,
-        /// How long, in seconds
+        /// Duration in seconds
         #[arg(long = "for", value_name = "LASTS", default_value = "900")]
         seconds: f64,
         /// The governor's HTTP port
         #[arg(long, default_value = "127.0.0.1:15011")]
         at: String,
     },
-    /// Have all proxies told here send nothing to a replica for a while
+    /// Exclude a replica from the tables of all proxies of this governor for a while
     #[command(after_help = "Example: wrenthread exclude worker-07 --why 'its disk is full' --for 600")]
     Exclude {
         replica: String,
         #[command(flatten)]
         terms: OverrideTerms,
     },
-    /// Have a replica's weights multiplied for a while, in whatever the module decides
+    /// Multiply a replica's weights by a factor for a while, in all tables that the module decides
     #[command(after_help = "Example: wrenthread weight worker-07 0.5 --why 'half its cores are gone'")]
     Weight {
         replica: String,
-        /// From 0.01 to 100
+        /// The factor, from 0.01 to 100
         factor: f64,
         #[command(flatten)]
         terms: OverrideTerms,
     },
-    /// End holds: the governor's present tables are told again
+    /// Release frozen tables: the governor's present tables are sent again
     #[command(after_help = "Example: wrenthread release --proxy relay-3")]
     Release {
         #[command(flatten)]
@@ -204,33 +204,33 @@
         #[arg(long, default_value = "127.0.0.1:15011")]
         at: String,
     },
-    /// Turn the configuration of other proxies into settings and a roster, and say what could not be carried
-    /// over
+    /// Convert the configuration of other proxies into settings and a roster, and list what could not be
+    /// converted
     Import {
         #[command(subcommand)]
         source: ImportSource,
     },
-    /// What a governor keeps beyond its life, in the folder that its settings name
+    /// Show, verify, export, import or compact the state that a governor stores across restarts
     State {
         #[command(subcommand)]
         verb: StateVerb,
     },
-    /// Have proxies follow that can't by themselves
+    /// Run an agent for a proxy that can't fetch tables from a governor by itself
     Export {
         #[command(subcommand)]
         target: ExportTarget,
     },
-    /// Read settings within bounds, and write what they came to as JSON
+    /// Read settings with limits on memory and time, and write them, or the errors, as JSON
     #[command(hide = true)]
     ReadSettings { settings: PathBuf },
-    /// Rehearse a bad day on stand-in relays and workers, and judge it by what crossed the sockets
+    /// Rehearse a day of failures with simulated proxies and replicas, and judge it by their network traffic
     #[command(after_help = "Example: wrenthread rehearse bad-day --seed 3\nDays: bad-day, short, takeover, \
         split, stall, roll, dark, friday, imported, storms, storms-bare")]
     Rehearse(RehearseArgs),
 }
 
 impl Cli {
-    /// Has logs written to standard error.
+    /// Initializes logging to standard error.
     pub fn init_logging(&self) {
         let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| DEFAULT_LOG_FILTER.into());
         let logs = tracing_subscriber::fmt()
@@ -243,10 +243,10 @@
         }
     }
 
-    /// Does what the verb says.
+    /// Runs the subcommand.
     ///
     /// # Errors
-    /// Why it failed.
+    /// The subcommand failed.
     pub fn run(self) -> Result<ExitCode> {
         match self.command {
             #[cfg(not(feature = "suspect"))]
--- a/crates/daemon/src/cli/check.rs
+++ b/crates/daemon/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `check` and the hidden `read-settings`: what a settings script comes to.
+//! `check` and the hidden `read-settings`: evaluate a settings script.
 
 use std::path::Path;
 
@@ -14,8 +14,8 @@
     Ok(())
 }
 
-/// Reads settings in this process, within bounds on its memory and time, for the process that started it: that reads the
-/// settings or the faults as JSON (`wrenthread_settings::load_apart`).
+/// Reads settings in this process, with limits on its memory and time. Prints the settings or the errors as JSON for
+/// the parent process (`wrenthread_settings::load_apart`).
 pub fn read_settings(path: &Path) -> Result<()> {
     wrenthread_settings::bound_process()?;
     let settings_or_faults = wrenthread_settings::load(path);
--- a/crates/daemon/src/cli/export.rs
+++ b/crates/daemon/src/cli/export.rs
@@ -1,4 +1,4 @@
-//! `export`: agents beside proxies that can't follow a governor by themselves.
+//! `export`: runs agents for proxies that can't fetch tables from a governor by themselves.
 
 use std::path::PathBuf;
 
@@ -11,7 +11,8 @@
 
 #[derive(Subcommand)]
 pub enum ExportTarget {
-    /// An nginx: upstream blocks in a file that it includes, replaced whole (`nginx(...)` in the settings)
+    /// Write upstream blocks to a file that nginx includes; each update replaces the whole file (`nginx(...)` in the
+    /// settings)
     #[command(after_help = "Examples:\n  \
         wrenthread export nginx deploy/settings.star --name nginx-1 --zone north\n  \
         wrenthread export nginx deploy/settings.star --print relay-3")]
@@ -30,22 +31,22 @@
 #[derive(clap::Args)]
 pub struct NginxExport {
     settings: PathBuf,
-    /// The nginx's name among proxies
+    /// The proxy name of this nginx
     #[arg(long, required_unless_present = "print")]
     name: Option<String>,
-    /// Its zone; the only one, where there is one
+    /// Its zone; may be omitted if there is only one
     #[arg(long)]
     zone: Option<String>,
-    /// Flows a second that it ordinarily receives
+    /// Requests per second that it usually receives
     #[arg(long, default_value = "1")]
     usual: f64,
-    /// The governor's long-poll port, as http://HOST:PORT; else as the settings say
+    /// The governor's long-poll port, as http://HOST:PORT; default: the one in the settings
     #[arg(long)]
     at: Option<String>,
-    /// End once the file is written and read
+    /// Exit once the file is written and nginx has loaded it
     #[arg(long)]
     once: bool,
-    /// Print the blocks of a joined proxy's present tables instead, and follow nobody
+    /// Print the blocks for a connected proxy's present tables and exit
     #[arg(long)]
     print: Option<String>,
 }
@@ -72,7 +73,7 @@
         match (&self.zone, settings.zones.as_slice()) {
             (Some(zone), _) => Ok(zone.clone()),
             (None, [only]) => Ok(only.clone()),
-            (None, zones) => bail!("which zone? `--zone`, of {}", zones.join(", ")),
+            (None, zones) => bail!("no zone given; set `--zone` to one of {}", zones.join(", ")),
         }
     }
 
@@ -80,7 +81,7 @@
         match (&self.at, settings.long_poll_address) {
             (Some(at), _) => Ok(at.trim_end_matches('/').to_string()),
             (None, Some(at)) => Ok(format!("http://{at}")),
-            (None, None) => bail!("the settings have no `poll` to listen on: say `--at`"),
+            (None, None) => bail!("the settings have no `poll` address; set `--at`"),
         }
     }
 }
--- a/crates/daemon/src/cli/import.rs
+++ b/crates/daemon/src/cli/import.rs
@@ -1,4 +1,4 @@
-//! `import`: the configuration of other proxies, as settings and a roster.
+//! `import`: converts the configuration of other proxies into settings and a roster.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -11,7 +11,7 @@
 
 #[derive(Subcommand)]
 pub enum ImportSource {
-    /// nginx's upstream and location blocks; a folder for each pool of replicas
+    /// Import nginx's upstream and location blocks; each pool of replicas gets a folder of its own
     #[command(after_help = "Examples:\n  wrenthread import nginx /etc/nginx/nginx.conf --output fleets/\n  \
         wrenthread import nginx nginx.conf --diff fleets/\n  wrenthread import nginx --explain slow_start")]
     Nginx(NginxImport),
@@ -27,9 +27,9 @@
 
 #[derive(Clone, Copy, ValueEnum)]
 enum ZoneRule {
-    /// All in one zone
+    /// All replicas are in one zone
     One,
-    /// By the network of the address: the first three numbers, or four groups
+    /// A zone per network: the first three numbers of an IPv4 address, or the first four groups of an IPv6 address
     Network,
 }
 
@@ -38,30 +38,30 @@
 pub struct NginxImport {
     #[arg(required_unless_present = "explain")]
     file: Option<PathBuf>,
-    /// Write settings and rosters here; nothing is written without it
+    /// Folder for settings and rosters; nothing is written without it
     #[arg(long)]
     output: Option<PathBuf>,
-    /// How the account of all directives is given
+    /// Format of the report on all directives
     #[arg(long, value_enum, default_value = "text")]
     report: OutputFormat,
-    /// Fail where something that bears on routing is not carried over
+    /// Fail if a directive that affects routing can't be converted
     #[arg(long)]
     strict: bool,
-    /// Say what becomes of a kind of directive
+    /// Explain how a kind of directive is converted
     #[arg(long)]
     explain: Option<String>,
-    /// Say what differs from an earlier import's folder, or from the governor at an address
+    /// Show the differences from an earlier import's folder or from the governor at an address
     #[arg(long)]
     diff: Option<String>,
-    /// How zones are told
+    /// How replicas are assigned to zones
     #[arg(long, value_enum, default_value = "one")]
     zones: ZoneRule,
-    /// Proxies that will follow, of all governors together
+    /// Number of proxies that will connect, over all governors
     #[arg(long, default_value = "16")]
     proxies: u64,
     #[arg(long, default_value = "1")]
     governors: u64,
-    /// Ports of the first fleet, as gRPC,HTTP,long-poll; each further one has those ten higher
+    /// Ports of the first fleet, as gRPC,HTTP,long-poll; each further fleet's ports are ten higher
     #[arg(long, value_delimiter = ',', default_value = "15010,15011,15012")]
     ports: Vec<u16>,
 }
@@ -79,7 +79,7 @@
         }
         self.report.print(&import.report(), |_| import.summary());
         if self.strict && import.losses() > 0 {
-            eprintln!("{} directives that bear on routing are not carried over", import.losses());
+            eprintln!("{} directives that affect routing can't be converted", import.losses());
             return Ok(ExitCode::from(EXIT_NOT_PASSED));
         }
         if let Some(folder) = &self.output {
@@ -95,13 +95,15 @@
             ZoneRule::One => wrenthread_nginx::fleet::ZoneAssignment::One,
             ZoneRule::Network => wrenthread_nginx::fleet::ZoneAssignment::Network,
         };
-        let [grpc, http, long_poll] = self.ports[..] else { bail!("`--ports` takes three") };
+        let [grpc, http, long_poll] = self.ports[..] else {
+            bail!("`--ports` takes three ports: gRPC,HTTP,long-poll")
+        };
         let terms = wrenthread_nginx::write::DeploymentTerms {
             proxies: self.proxies,
             governors: self.governors,
             ports: (grpc, http, long_poll),
         };
-        let file = self.file.as_deref().context("which file?")?;
+        let file = self.file.as_deref().context("no configuration file given")?;
         nginx::import(file, zones, terms)
     }
 
--- a/crates/daemon/src/cli/inspect.rs
+++ b/crates/daemon/src/cli/inspect.rs
@@ -1,4 +1,4 @@
-//! The verbs that ask a running governor: `status`, `why`, `tables`, `record`.
+//! The subcommands that query a running governor: `status`, `why`, `tables`, `record`.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -12,15 +12,15 @@
 
 #[derive(Subcommand)]
 pub enum TablesVerb {
-    /// The versions that are kept
+    /// List the retained versions
     History,
-    /// What differs between two of them
+    /// Show the differences between two versions
     Diff { one: u64, other: u64 },
-    /// What the guard would refuse of tables in a file, as `--output json` tells them (one proxy's, or a
-    /// list of such); nothing takes effect
+    /// Show what the guard would refuse of the tables in a file, without applying them; the format is that of
+    /// `--output json`, for one proxy or a list of proxies
     Check {
         file: PathBuf,
-        /// A governor's HTTP port, or a recording's file; the governor of `--at` otherwise
+        /// A governor's HTTP port or the file of a recording; default: the governor at `--at`
         #[arg(long)]
         against: Option<String>,
     },
@@ -55,7 +55,7 @@
     if let Some(TablesVerb::Check { file, against }) = verb {
         return check_tables(&file, proxy, against.as_deref().unwrap_or(at), output);
     }
-    let proxy = proxy.context("whose tables? `wrenthread tables PROXY`")?;
+    let proxy = proxy.context("no proxy given; usage: `wrenthread tables PROXY`")?;
     match verb {
         Some(TablesVerb::History) => {
             output.print(&get(at, &format!("/tables/{proxy}/history"))?, render::history);
--- a/crates/daemon/src/cli/operate.rs
+++ b/crates/daemon/src/cli/operate.rs
@@ -1,4 +1,4 @@
-//! The verbs that have a running governor do something: `drain-governor`, `rollback`, `pin`, `release`, `exclude`,
+//! The subcommands that change a running governor: `drain-governor`, `rollback`, `pin`, `release`, `exclude`,
 //! `weight`.
 
 use std::time::{Duration, Instant};
@@ -10,10 +10,10 @@
 use crate::admin_client::{get, post};
 use crate::render;
 
-/// How often a drain is looked at until it is complete.
+/// How often the progress of a drain is polled.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-// Whose tables are meant. (No doc comment: `--help` would print it as that of the verb.)
+// The tables that an operation applies to. (No doc comment: `--help` would print it as that of the verb.)
 #[derive(clap::Args)]
 #[group(required = true, multiple = false)]
 pub struct ScopeArgs {
@@ -26,7 +26,7 @@
 }
 
 impl ScopeArgs {
-    /// The fields of a request that say whose tables are meant.
+    /// The request fields that select the tables.
     fn request(self) -> Value {
         json!({"proxy": self.proxy, "group": self.group, "all": self.all.then_some(true)})
     }
@@ -43,10 +43,10 @@
 pub struct OverrideTerms {
     #[arg(long, required_unless_present = "undo")]
     why: Option<String>,
-    /// How long, in seconds
+    /// Duration in seconds
     #[arg(long = "for", value_name = "LASTS", default_value = "900")]
     seconds: f64,
-    /// End what was said of it
+    /// End the override
     #[arg(long)]
     undo: bool,
     /// The governor's HTTP port
@@ -55,7 +55,7 @@
 }
 
 impl OverrideTerms {
-    /// Overrides a replica, or ends that. `weight`: the factor of its weights; none excludes it.
+    /// Sets or ends an override of a replica. `weight` is the factor for its weights; `None` excludes the replica.
     pub fn apply(&self, replica: &str, weight: Option<f64>) -> Result<()> {
         let request = json!({
             "replica": replica, "weight": weight, "why": self.why, "for_s": self.seconds, "undo": self.undo,
@@ -63,11 +63,11 @@
         let outcome = post(&self.at, "/override", &request)?;
         let seconds = self.seconds;
         match (outcome["ended"].as_bool(), outcome["refused"].as_u64()) {
-            (Some(false), _) => println!("nothing was said of {replica}"),
-            (Some(true), _) => println!("{replica} is as the module has it again"),
+            (Some(false), _) => println!("{replica} has no override"),
+            (Some(true), _) => println!("override of {replica} ended"),
             (None, Some(0) | None) => println!("{replica} is overridden for {seconds} s"),
             (None, Some(refused)) => println!(
-                "{replica} is overridden for {seconds} s, but the guard refuses {refused} of what follows \
+                "{replica} is overridden for {seconds} s, but the guard refused {refused} of the resulting changes \
                  (see `why`)"
             ),
         }
@@ -87,7 +87,7 @@
     Ok(())
 }
 
-/// Rolls back to the version of now.
+/// Freezes tables by rolling back to the current version.
 pub fn pin(at: &str, scope: ScopeArgs, freeze: Freeze) -> Result<()> {
     let mut status = get(at, "/status")?;
     let version = status["governor"]["version"].take();
@@ -110,10 +110,10 @@
     Ok(())
 }
 
-/// Has a governor hand its proxies over, and waits until it has none.
+/// Drains a governor and waits until it has no proxies left.
 ///
 /// # Errors
-/// No governor answers there; proxies are left after the time.
+/// No governor answers at the address, or proxies are left after `max_seconds`.
 pub fn drain(at: &str, max_seconds: f64) -> Result<()> {
     let began = Instant::now();
     let mut governors = post(at, "/drain", &json!({"draining": true}))?;
@@ -122,7 +122,7 @@
         if began.elapsed().as_secs_f64() > max_seconds {
             let left = &governors["joined"];
             bail!(
-                "{left} of {joined_before} proxies are still there after {max_seconds} s; the drain goes on"
+                "{left} of {joined_before} proxies are still connected after {max_seconds} s; the drain continues"
             );
         }
         std::thread::sleep(DRAIN_POLL_INTERVAL);
@@ -134,12 +134,12 @@
     Ok(())
 }
 
-/// Has a governor take proxies again.
+/// Ends the drain of a governor.
 ///
 /// # Errors
-/// No governor answers there.
+/// No governor answers at the address.
 pub fn end_drain(at: &str) -> Result<()> {
     let governors = post(at, "/drain", &json!({"draining": false}))?;
-    println!("governor {} takes proxies again", render::cell(&governors["name"]));
+    println!("governor {} accepts proxies again", render::cell(&governors["name"]));
     Ok(())
 }
--- a/crates/daemon/src/cli/rehearse.rs
+++ b/crates/daemon/src/cli/rehearse.rs
@@ -1,4 +1,4 @@
-//! `rehearse`: a bad day on stand-in proxies and replicas.
+//! `rehearse`: runs a day of failures with simulated proxies and replicas.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -30,23 +30,23 @@
 #[derive(clap::Args)]
 pub struct RehearseArgs {
     day: String,
-    /// Seeds; each is a day of its own
+    /// Seed of the rehearsal; may be repeated, each seed is a rehearsal of its own
     #[arg(long = "seed", value_name = "SEEDS", default_value = "1")]
     seeds: Vec<u64>,
-    /// By which fronts the relays follow
+    /// The front that the proxies connect by
     #[arg(long, value_enum, default_value = "grpc")]
     front: Fronts,
-    /// Have the governors decide wrongly; the program must have been built with the feature `suspect`
+    /// Inject this fault into the governors' decisions; needs a program built with the feature `suspect`
     #[arg(long, hide = !cfg!(feature = "suspect"))]
     suspect: Vec<String>,
-    /// Fail where the guard refused anything: with the module as it is, on a day that it can bear,
-    /// nothing is
+    /// Fail if the guard refused anything: the unmodified module has nothing refused on a day within its
+    /// capacity
     #[arg(long)]
     no_refusals: bool,
-    /// Fail where the guard refused more than so many tables
+    /// Fail if the guard refused more tables than this
     #[arg(long = "refusals-most", value_name = "REFUSALS_MOST", conflicts_with = "no_refusals")]
     max_refusals: Option<u64>,
-    /// Keep the tape, one JSON line a message, in this folder
+    /// Write a log of all messages to this folder, one JSON line per message
     #[arg(long)]
     tape: Option<PathBuf>,
     #[arg(long, value_enum, default_value = "text")]
@@ -67,14 +67,17 @@
         }
     }
 
-    /// Whether the day with this seed passed.
+    /// Runs the rehearsal with this seed and returns whether it passed.
     fn rehearse(&self, program: &Program, seed: u64) -> Result<bool> {
         let (day, fronts) = (&self.day, self.front.into());
         let verdict = wrenthread_rehearsal::rehearse(program, day, seed, fronts, self.tape.as_deref())?;
         let mut passed = verdict.passed();
         let max_refusals = self.max_refusals.or(self.no_refusals.then_some(0));
         if let Some(max) = max_refusals.filter(|max| verdict.refused() > *max) {
-            eprintln!("{day}, seed {seed}: {} tables were refused; {max} may be", verdict.refused());
+            eprintln!(
+                "{day}, seed {seed}: the guard refused {} tables; the limit is {max}",
+                verdict.refused()
+            );
             passed = false;
         }
         self.output.print(&serde_json::to_value(&verdict)?, |_| verdict.to_string());
--- a/crates/daemon/src/cli/state.rs
+++ b/crates/daemon/src/cli/state.rs
@@ -1,4 +1,4 @@
-//! `state`: what a governor stores in the folder that its settings name.
+//! `state`: inspects and maintains the state folder that a governor's settings name.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -11,19 +11,19 @@
 
 #[derive(Subcommand)]
 pub enum StateVerb {
-    /// What is there; the governor may run on
+    /// Show what is stored; the governor may be running
     Show {
         folder: PathBuf,
         #[arg(long, value_enum, default_value = "text")]
         output: OutputFormat,
     },
-    /// Whether all of it is whole
+    /// Check that the stored state is complete and undamaged
     Verify { folder: PathBuf },
-    /// Write all of it as JSON, as a copy to keep; the governor may run on
+    /// Write all of it as JSON, for a backup; the governor may be running
     Export { folder: PathBuf },
-    /// Put an export in the place of all that is there; no governor may have the folder
+    /// Replace everything stored by an export; no governor may be using the folder
     Import { folder: PathBuf, file: PathBuf },
-    /// Fold the journal into a new snapshot; no governor may have the folder
+    /// Merge the journal into a new snapshot; no governor may be using the folder
     Compact { folder: PathBuf },
 }
 
@@ -42,7 +42,7 @@
             StateVerb::Import { folder, file } => println!("{} entries", state::import(&folder, &file)?),
             StateVerb::Compact { folder } => {
                 let sizes = state::compact(&folder)?;
-                println!("{} bytes, and {} in the journal", sizes.entry_bytes, sizes.journal_bytes);
+                println!("entries: {} bytes, journal: {} bytes", sizes.entry_bytes, sizes.journal_bytes);
             }
         }
         Ok(ExitCode::SUCCESS)
--- a/crates/daemon/src/datagrams.rs
+++ b/crates/daemon/src/datagrams.rs
@@ -1,5 +1,5 @@
-//! The UDP socket to other governors. What comes faster than it is taken, or does not fit the socket's buffer, is lost,
-//! as datagrams may be.
+//! The UDP socket to other governors. Datagrams that arrive faster than they are processed, or that don't fit the
+//! socket's buffer, are dropped; the protocol tolerates lost datagrams.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -8,15 +8,15 @@
 use tokio::sync::mpsc;
 use wrenthread_membership::messages::MAX_DATAGRAM_BYTES;
 
-/// Carries datagrams to the task that owns all state.
+/// Forwards received datagrams to the task that owns all state.
 pub async fn receive(socket: Rc<UdpSocket>, received: mpsc::Sender<Vec<u8>>) {
-    // One byte more than the largest: what fills it is too large.
+    // One byte more than the limit, so that a datagram over the limit is recognized by its length.
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, _)) => drop(received.try_send(buffer[..length].to_vec())),
-            // An earlier datagram was undeliverable: that is not this one's fault.
-            Err(error) => tracing::debug!(%error, "socket to other governors"),
+            // The error may concern an earlier datagram that could not be delivered; receiving continues.
+            Err(error) => tracing::debug!(%error, "error on the membership socket"),
         }
     }
 }
@@ -26,6 +26,6 @@
     if let Some(socket) = socket
         && let Err(error) = socket.try_send_to(datagram, to)
     {
-        tracing::debug!(%error, %to, "datagram lost");
+        tracing::debug!(%error, %to, "datagram not sent");
     }
 }
--- a/crates/daemon/src/dry_run.rs
+++ b/crates/daemon/src/dry_run.rs
@@ -1,4 +1,5 @@
-//! `wrenthread tables check`: tables in a file, checked by the guard against what a governor or a recording of one holds.
+//! `wrenthread tables check`: checks the tables in a file with the guard, against the state of a running governor or of
+//! a recording.
 
 use std::path::Path;
 
@@ -12,13 +13,13 @@
 /// What the guard would refuse, and what would be published instead.
 #[derive(Debug, Serialize)]
 struct Outcome {
-    /// How many tables were checked.
+    /// The number of tables that were checked.
     #[serde(rename = "tried")]
     checked: usize,
-    /// The governor that they were checked against.
+    /// The name of the governor that they were checked against.
     against: String,
     refused: Vec<RefusedChange>,
-    /// What would be published of the tables that something was refused of.
+    /// What would be published in place of the tables with a refused change.
     #[serde(rename = "told")]
     published: Vec<PublishedTable>,
 }
@@ -54,11 +55,11 @@
     weight: f64,
 }
 
-/// What would be refused of the tables in a file, and what would be published instead of those, as JSON. `proxy`: whose
-/// tables they are, whatever the file says. `against`: a governor's HTTP port, or the file of a recording.
+/// Returns as JSON what the guard would refuse of the tables in a file, and what would be published instead. `proxy`
+/// overrides the proxy name in the file. `against` is a governor's HTTP port or the file of a recording.
 ///
 /// # Errors
-/// A file or a recording that can't be read, or tables that the recording has no proxy or class for.
+/// The file or the recording can't be read, or the recording lacks a proxy or class that the tables name.
 pub fn check(file: &Path, proxy: Option<&str>, against: &str) -> Result<Value> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).with_context(|| name.clone())?;
@@ -66,37 +67,39 @@
     let recording = recording(against)?;
     let candidates = candidates(&recording, &tables, proxy).with_context(|| name.clone())?;
     let dry_run =
-        recording.check_candidates(&candidates).with_context(|| format!("what is told by {against}"))?;
+        recording.check_candidates(&candidates).with_context(|| format!("the recording of {against}"))?;
     let dry_run = dry_run.with_context(|| name)?;
     Ok(serde_json::to_value(outcome(&recording, &candidates, &dry_run))?)
 }
 
-/// The recording in a file, or of the governor that answers at an address.
+/// Reads a recording from a file, or requests one from the governor at an address.
 ///
 /// # Errors
-/// Neither is there, or it is none; with the place of what is wrong.
+/// There is no such file and no governor answers, or the content is not a recording; the error gives the position.
 pub fn recording(against: &str) -> Result<Recording> {
     if Path::new(against).exists() {
-        let text = std::fs::read_to_string(against).with_context(|| format!("the recording {against}"))?;
-        return serde_json::from_str(&text).with_context(|| format!("{against} is no recording"));
+        let text =
+            std::fs::read_to_string(against).with_context(|| format!("reading the recording {against}"))?;
+        return serde_json::from_str(&text).with_context(|| format!("{against} is not a recording"));
     }
-    let answer = admin_client::get(against, "/recording")
-        .with_context(|| format!("no file `{against}` is there to try against, nor a governor"))?;
-    serde_json::from_value(answer).with_context(|| format!("what {against} tells is no recording"))
+    let answer = admin_client::get(against, "/recording").with_context(|| {
+        format!("`{against}` is neither a file nor the address of a governor that answers")
+    })?;
+    serde_json::from_value(answer).with_context(|| format!("the response of {against} is not a recording"))
 }
 
-/// The tables of a file, in the form of `tables PROXY --output json`: one proxy's, or a list of such.
+/// The tables in a file, in the format of `tables PROXY --output json`: those of one proxy, or a list of proxies.
 fn candidates(recording: &Recording, file: &Value, proxy: Option<&str>) -> Result<Vec<CandidateTable>> {
     let proxies = match file {
         Value::Array(proxies) => proxies.iter().collect(),
         one => vec![one],
     };
     if proxy.is_some() && proxies.len() != 1 {
-        bail!("tables of {} proxies, and not of one", proxies.len());
+        bail!("the file has tables of {} proxies; a proxy name needs a file with one", proxies.len());
     }
     let mut candidates = Vec::new();
     for tables in proxies {
-        let name = proxy.or(tables["name"].as_str()).context("tables without their proxy's `name`")?;
+        let name = proxy.or(tables["name"].as_str()).context("tables without the `name` of their proxy")?;
         let classes = tables["groups"].as_array();
         let classes = classes.with_context(|| format!("`groups` of `{name}` is not a list"))?;
         for class in classes.iter().filter(|class| !class["lines"].is_null()) {
@@ -109,16 +112,16 @@
 /// A proxy's table for one traffic class.
 fn candidate(recording: &Recording, proxy: &str, table: &Value) -> Result<CandidateTable> {
     let name = table["group"].as_str();
-    let name = name.with_context(|| format!("a group of `{proxy}` has no `group`"))?;
+    let name = name.with_context(|| format!("a table of `{proxy}` has no `group`"))?;
     let class = recording.groups.iter().position(|known| known == name);
-    let class = class.with_context(|| format!("no group `{name}` is there"))?;
+    let class = class.with_context(|| format!("the recording has no group `{name}`"))?;
     let lines = table["lines"].as_array();
     let lines = lines.with_context(|| format!("`lines` of `{proxy}` for `{name}` is not a list"))?;
     let mut entries = Vec::new();
     for line in lines {
         let replica = line["replica"].as_str();
-        let replica =
-            replica.with_context(|| format!("a line of `{proxy}` for `{name}` without its `replica`"))?;
+        let replica = replica
+            .with_context(|| format!("an entry in `lines` of `{proxy}` for `{name}` has no `replica`"))?;
         entries.push((replica.into(), line["weight"].as_f64().unwrap_or(f64::NAN)));
     }
     let admission_fraction = table["level"].as_f64().unwrap_or(1.0);
@@ -157,7 +160,7 @@
     Outcome { checked: candidates.len(), against: recording.governor.clone(), refused, published }
 }
 
-/// Whether something of a table was refused.
+/// Whether any change to a table was refused.
 fn is_concerned(dry_run: &DryRun, candidate: &CandidateTable) -> bool {
     dry_run.refusals.iter().any(|one| {
         let of_proxy = one.proxy.as_ref().is_none_or(|proxy| *proxy == candidate.proxy);
--- a/crates/daemon/src/host.rs
+++ b/crates/daemon/src/host.rs
@@ -1,5 +1,5 @@
-//! The state of one governor and its reaction to each event: the engine, the streams and the sessions, owned by one
-//! task. Nothing here waits: sockets, files and timers belong to the event loop in [`crate::run`].
+//! The state of one governor and its handling of each event: the engine, the streams and the sessions, owned by one
+//! task. Nothing here blocks or awaits: sockets, files and timers belong to the event loop in [`crate::run`].
 
 mod client_status;
 mod engine_events;
@@ -38,10 +38,10 @@
 pub use operations::{OperatorError, OverrideOutcome, ReleaseOutcome, RollbackOutcome};
 pub use status::GovernorStatus;
 
-/// The longest that a poll of the long-poll front waits for a change.
+/// The longest time that a long-poll request waits for a change.
 pub const MAX_POLL_WAIT: Duration = Duration::from_secs(60);
 
-/// Work that has to wait for a socket, handed to the event loop.
+/// Socket operations that the event loop carries out for the host.
 pub enum WorkItem {
     /// Wait until the stream has capacity, then call [`Host::stream_has_capacity`].
     AwaitCapacity { stream: StreamId, answers: Answers },
@@ -49,36 +49,36 @@
     SendDatagram { to: SocketAddr, datagram: Vec<u8> },
 }
 
-/// What a host is made of.
+/// The parts that a [`Host`] is built from.
 pub struct HostParts {
     /// The settings of the engine.
     pub engine_settings: EngineSettings,
-    /// What the xDS resources are made from.
+    /// The parameters of the xDS resources.
     pub wire: Wire,
-    /// Keys for ownership proofs; the first signs.
+    /// Keys for ownership proofs: the first one signs, all of them verify.
     pub signing_keys: Vec<SigningKey>,
-    /// The load of a proxy that does not say its own.
+    /// The load assumed for a proxy that does not report its own.
     pub default_requests_per_second: f64,
-    /// This governor's part among the governors.
+    /// The group of governors that this one belongs to.
     pub membership: Membership,
 }
 
-/// One governor: the engine, its fronts' streams and sessions, and its part among the governors.
+/// One governor: the engine, its fronts' streams and sessions, and its membership in the group of governors.
 pub struct Host {
     /// The engine that drives the decision module.
     pub engine: Engine,
     wire: Wire,
     signing_keys: Vec<SigningKey>,
-    /// Proxies that came with tables of another governor.
+    /// The number of proxies that connected with tables of another governor.
     takeovers: u64,
-    /// Whether the epoch was raised beyond that of an earlier life with a later clock.
+    /// Whether the epoch was raised above that of an earlier run whose clock was ahead.
     epoch_raised: bool,
     membership: Membership,
-    /// Closed long-poll sessions whose proxies have yet to hear which governor to go to.
+    /// Closed long-poll sessions whose proxies have not been told yet which governor to connect to.
     pending_redirects: BTreeMap<StreamId, Option<String>>,
     default_requests_per_second: f64,
     streams: BTreeMap<StreamId, AdsStream>,
-    /// Load report streams, by the name that their node gave.
+    /// Load report streams, with the proxy name in the node that opened them.
     report_streams: BTreeMap<StreamId, Arc<str>>,
     sessions: Sessions<Reply<PollResponse>>,
     session_parameters: SessionParameters,
@@ -86,7 +86,7 @@
 }
 
 impl Host {
-    /// A host without proxies or replicas.
+    /// Creates a host without proxies or replicas.
     pub fn new(parts: HostParts, now: Duration) -> Self {
         let HostParts { engine_settings, wire, signing_keys, default_requests_per_second, membership } =
             parts;
@@ -112,7 +112,7 @@
         self.roster_received
     }
 
-    /// Takes a complete roster.
+    /// Replaces the roster.
     pub fn update_roster(&mut self, now: Duration, entries: Vec<RosterEntry>) {
         tracing::info!(replicas = entries.len(), "roster received");
         ::metrics::counter!(metrics::ROSTERS).increment(1);
@@ -120,18 +120,18 @@
         self.engine.update_roster(now, entries);
     }
 
-    /// When [`Host::process`] is to be called at the latest.
+    /// The time by which [`Host::process`] must be called next.
     pub fn next_deadline(&self, now: Duration) -> Duration {
         let sessions = self.sessions.next_deadline().unwrap_or(Duration::MAX);
         self.engine.next_deadline(now).min(sessions).min(self.membership.next_deadline())
     }
 
-    /// A stream that was full has capacity again.
+    /// Called when a stream that was full has capacity again.
     pub fn stream_has_capacity(&mut self, stream: StreamId) {
         self.engine.stream_has_capacity(stream);
     }
 
-    /// Carries out everything that is due. Work that has to wait is handed to `work`.
+    /// Carries out everything that is due. Socket operations are passed to `work`.
     pub fn process(&mut self, now: Duration, mut work: impl FnMut(WorkItem)) {
         self.expire_polls(now);
         self.process_membership(now, &mut work);
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Sends a proxy what it has not been sent yet, through the front that it is connected by.
+    /// Sends a proxy its pending updates, through the front that it is connected by.
     fn flush(&mut self, now: Duration, proxy: ProxyId) -> Option<WorkItem> {
         let stream = self.engine.proxy(proxy).map(|proxy| proxy.stream);
         match stream {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// A proxy's stream or session is over.
+    /// Called when a proxy's stream or session has ended.
     fn disconnected(&mut self, now: Duration, stream: StreamId) {
         let proxy = self.engine.id_on_stream(stream).and_then(|number| self.engine.proxy(number));
         if let Some(name) = proxy.map(|proxy| proxy.name.clone()) {
@@ -179,8 +179,8 @@
         self.engine.stream_closed(now, stream);
     }
 
-    /// Ends all streams and sessions, with a reason; proxies keep their tables. Other governors are notified by
-    /// datagrams that are handed to `send`.
+    /// Ends all streams and sessions with a reason that makes proxies keep their tables. Notifies the other governors
+    /// by datagrams that are passed to `send`.
     pub fn stop(&mut self, now: Duration, mut send: impl FnMut(SocketAddr, &[u8])) {
         self.membership.leave();
         while let Some(action) = self.membership.next_action(now) {
@@ -196,7 +196,7 @@
         }
     }
 
-    /// What is to be stored beyond this life. `previous`: what was stored last.
+    /// The state to store across restarts. `previous` is the state that was stored last.
     pub fn stored_items(&self, now: Duration, unix_seconds: f64, previous: &StoredItems) -> StoredItems {
         let classes = &self.session_parameters.classes;
         self.engine.stored_items(now, previous, unix_seconds, self.wire.epoch, classes)
@@ -207,13 +207,13 @@
         self.wire.zones.get(zone).map_or("?", String::as_str)
     }
 
-    /// The name of a traffic class, if there is such a class.
+    /// The name of a traffic class; `None` if the class does not exist.
     fn class_name(&self, class: usize) -> Option<String> {
         self.wire.groups.get(class).map(|class| class.name.clone())
     }
 }
 
-/// What proxies of the long-poll front learn when they join.
+/// The parameters that the long-poll front sends to proxies when they join.
 fn session_parameters(wire: &Wire) -> SessionParameters {
     SessionParameters {
         epoch: format!("{:x}", wire.epoch),
--- a/crates/daemon/src/host/client_status.rs
+++ b/crates/daemon/src/host/client_status.rs
@@ -1,4 +1,4 @@
-//! CSDS: what each proxy has acknowledged of its xDS resources.
+//! The client status discovery service (CSDS): which xDS resources each proxy has acknowledged.
 
 use wrenthread_core::fleet::Proxy;
 use wrenthread_xds::encode;
@@ -22,7 +22,7 @@
         ClientStatusResponse { config }
     }
 
-    /// The configuration of one proxy; none if it has no ADS stream.
+    /// The configuration of one proxy; `None` if it has no ADS stream.
     fn client_config(&self, request: &ClientStatusRequest, proxy: &Proxy) -> Option<ClientConfig> {
         let session = self.streams.get(&proxy.stream)?.session.as_ref()?;
         let mut configs = Vec::new();
@@ -47,7 +47,8 @@
     }
 }
 
-/// The node ids that a request names exactly. Matchers of other kinds match all: too much is better than nothing here.
+/// The node ids that a request matches exactly. If there are none, because only other kinds of matchers are used, all
+/// proxies are returned rather than none.
 fn exact_node_ids(request: &ClientStatusRequest) -> Vec<&str> {
     let mut ids = Vec::new();
     for matcher in &request.node_matchers {
--- a/crates/daemon/src/host/engine_events.rs
+++ b/crates/daemon/src/host/engine_events.rs
@@ -1,4 +1,4 @@
-//! The engine's events, as log lines and counters.
+//! Logs the engine's events and counts them in metrics.
 
 use wrenthread_core::engine::{Cause, DecisionSummary, EngineEvent};
 use wrenthread_core::guard::Refusal;
@@ -12,7 +12,7 @@
         match event {
             EngineEvent::Decided { summary, version, causes } => self.log_decision(summary, *version, causes),
             EngineEvent::EmptyRosterUnconfirmed(_) => {
-                tracing::warn!("the roster is empty; the last one stays until it has been so for long");
+                tracing::warn!("roster is empty; keeping the last one until the empty roster is confirmed");
             }
             EngineEvent::VersionRejected { proxy, version, reason } => {
                 tracing::warn!(%proxy, version, reason, "tables rejected by proxy");
@@ -24,7 +24,7 @@
             EngineEvent::OverrideExpired(replica) => tracing::warn!(%replica, "override expired"),
             EngineEvent::TableRefused(refusal) => self.log_refusal(refusal),
             EngineEvent::JoinsQueued(queued) => {
-                tracing::info!(queued, "joins queued: the channel is full");
+                tracing::info!(queued, "joins queued because the send channel is full");
             }
         }
     }
@@ -68,7 +68,7 @@
             asked = refusal.asked,
             allowed = refusal.allowed,
             outcome = labels::refusal_outcome(refusal.outcome),
-            "the guard refuses"
+            "change refused by the guard"
         );
     }
 
--- a/crates/daemon/src/host/grpc.rs
+++ b/crates/daemon/src/host/grpc.rs
@@ -1,4 +1,4 @@
-//! The gRPC front: ADS streams of proxies, load report streams, and what is sent on them.
+//! The gRPC front: handles proxies' ADS and load report streams and sends tables on them.
 
 use std::time::Duration;
 
@@ -16,12 +16,12 @@
 /// An ADS stream.
 pub(super) struct AdsStream {
     pub(super) answers: Answers,
-    /// None until its first request.
+    /// `None` until the first request arrives.
     pub(super) session: Option<Session>,
 }
 
 impl Host {
-    /// An event on one of the gRPC front's streams.
+    /// Handles an event on one of the gRPC front's streams.
     pub fn grpc_event(&mut self, now: Duration, event: Event) {
         match event {
             Event::Opened { stream, answers } => {
@@ -34,7 +34,7 @@
             Event::ReportsClosed { stream } => {
                 self.report_streams.remove(&stream);
             }
-            // Whoever asked may be gone.
+            // The client may have disconnected.
             Event::Status { request, reply } => drop(reply.send(self.client_status(&request))),
         }
     }
@@ -58,7 +58,7 @@
             self.end_stream(stream, status);
             return;
         }
-        // The stream may have been ended for a later epoch while its proxy joined.
+        // Joining may have raised the epoch, which ends all streams.
         let Some(open) = self.streams.get_mut(&stream) else { return };
         let session = open.session.get_or_insert_with(|| Session::new(self.wire.epoch, &request));
         match session.request(request) {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The first request of a stream says which proxy it is.
+    /// Connects the proxy that the first request of a stream identifies.
     fn join_by_stream(&mut self, now: Duration, stream: StreamId, request: &Request) -> Result<(), Status> {
         let holds_tables = request.holds_orders();
         let join = decode::join(&self.wire, request.node(), self.default_requests_per_second, holds_tables);
@@ -115,7 +115,7 @@
     fn report_stream_opened(&mut self, stream: StreamId, node: &Node) {
         match decode::name(Some(node)) {
             Ok(name) => drop(self.report_streams.insert(stream, name.into())),
-            Err(error) => tracing::warn!(%error, stream, "load report stream without a proxy"),
+            Err(error) => tracing::warn!(%error, stream, "load report stream does not identify a proxy"),
         }
     }
 
@@ -128,12 +128,12 @@
             ::metrics::counter!(metrics::REPORT_ENTRIES_UNKNOWN).increment(unknown_entries as u64);
         }
         for report in reports {
-            // Its reason is counted and logged there.
+            // `record_report` counts and logs the reason of a discarded report.
             let _ = self.record_report(now, &proxy, stream, &report);
         }
     }
 
-    /// Sends what a proxy's stream has not been sent yet, if the stream has capacity.
+    /// Sends the pending updates of a proxy on its stream, if the stream has capacity.
     pub(super) fn flush_stream(
         &mut self,
         now: Duration,
@@ -173,7 +173,7 @@
     }
 }
 
-/// The gRPC status that tells a proxy why it could not join.
+/// The gRPC status for a join that was refused.
 fn join_status(error: JoinError) -> Status {
     match error {
         JoinError::Full { .. } => Status::resource_exhausted(error.to_string()),
--- a/crates/daemon/src/host/inspection.rs
+++ b/crates/daemon/src/host/inspection.rs
@@ -1,4 +1,4 @@
-//! What operators ask about one proxy or replica: tables, their versions and what differs, refusals, a recording.
+//! Operators' queries about a proxy or a replica: tables, their versions and differences, refusals, recordings.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,12 +16,12 @@
 use super::Host;
 use crate::labels;
 
-/// Refusals that `why` lists.
+/// The maximum number of refusals that `why` lists.
 const MAX_REFUSALS_LISTED: usize = 50;
-/// Hexadecimal digits of a digest that the history shows.
+/// The number of hexadecimal digits of a digest that the history shows.
 const DIGEST_DIGITS_SHOWN: usize = 16;
 
-/// Why nothing can be said of a proxy's versions.
+/// Why a query about a proxy's versions fails.
 #[derive(Debug, thiserror::Error)]
 pub enum InspectionError {
     #[error("no proxy `{0}` is joined")]
@@ -30,7 +30,7 @@
     VersionNotRetained { proxy: String, version: u64 },
 }
 
-/// What one proxy should hold.
+/// The tables that one proxy should have.
 #[derive(Debug, Serialize)]
 pub struct ProxyTables {
     name: String,
@@ -50,7 +50,7 @@
     weight: f64,
 }
 
-/// The table of a traffic class; without entries the proxy stays on its default table.
+/// The table of a traffic class. `entries` is `None` while the proxy uses its default table.
 #[derive(Debug, Serialize)]
 struct ClassTable {
     #[serde(rename = "group")]
@@ -72,7 +72,7 @@
     routable: bool,
 }
 
-/// The versions of a proxy's tables that are retained.
+/// The retained versions of a proxy's tables.
 #[derive(Debug, Serialize)]
 pub struct TableHistory {
     name: String,
@@ -91,7 +91,7 @@
     acknowledged: bool,
 }
 
-/// What differs between two versions of a proxy's tables.
+/// The differences between two versions of a proxy's tables.
 #[derive(Debug, Serialize)]
 pub struct TableDiff {
     name: String,
@@ -101,7 +101,7 @@
     classes: BTreeMap<String, ClassUpdate>,
 }
 
-/// What the guard refused about a proxy or a replica, newest first.
+/// The guard's refusals that concern a proxy or a replica, newest first.
 #[derive(Debug, Serialize)]
 pub struct Refusals {
     name: String,
@@ -131,7 +131,7 @@
 }
 
 impl Host {
-    /// What one proxy should hold; none if it is not connected.
+    /// The tables that one proxy should have; `None` if it is not connected.
     pub fn tables(&self, name: &str) -> Option<ProxyTables> {
         let (number, proxy) = self.engine.fleet().named(name)?;
         let default_table = proxy.default_table.iter();
@@ -172,7 +172,8 @@
         }
     }
 
-    /// What was refused about a proxy or a replica, and where it stands; none if neither is known by this name.
+    /// The refusals that concern a proxy or a replica, with the replica's load and ejection reason; `None` if neither
+    /// has this name.
     pub fn refusals(&self, now: Duration, name: &str) -> Option<Refusals> {
         let proxy = self.engine.fleet().named(name).map(|(number, _)| number);
         let replica = self.engine.replicas().map(|(id, _)| id).find(|id| &***id == name);
@@ -208,7 +209,7 @@
         }
     }
 
-    /// What is known now, for tables to be checked against later. `unix_seconds`: what time it is.
+    /// Records the present state, so that tables can be checked against it later. `unix_seconds` is the current time.
     pub fn record(&self, now: Duration, unix_seconds: f64) -> Recording {
         Recording {
             governor: self.wire.governor.clone(),
@@ -219,7 +220,7 @@
         }
     }
 
-    /// The retained versions of a proxy's tables; none if it is not connected.
+    /// The retained versions of a proxy's tables; `None` if it is not connected.
     pub fn history(&self, now: Duration, name: &str) -> Option<TableHistory> {
         let (number, proxy) = self.engine.fleet().named(name)?;
         let retained = self.engine.history().of(number);
@@ -233,7 +234,7 @@
         Some(TableHistory { name: name.to_string(), versions: versions.collect() })
     }
 
-    /// What differs between two retained versions of a proxy's tables.
+    /// The differences between two retained versions of a proxy's tables.
     ///
     /// # Errors
     /// The proxy is not connected, or a version is older than those retained.
@@ -256,7 +257,7 @@
     }
 }
 
-/// Whether a refusal is about the proxy or the replica.
+/// Whether a refusal concerns the proxy or the replica.
 fn concerns(refusal: &Refusal, proxy: Option<ProxyId>, replica: Option<&ReplicaId>) -> bool {
     let of_proxy = proxy.is_some() && refusal.proxy == proxy;
     let of_replica = replica.is_some() && refusal.replica.as_ref() == replica;
--- a/crates/daemon/src/host/joining.rs
+++ b/crates/daemon/src/host/joining.rs
@@ -1,5 +1,5 @@
-//! What both fronts do when a proxy connects: check whose tables it holds, count takeovers, and use what its former
-//! governor sent ahead.
+//! Handling of newly connected proxies, for both fronts: verifies which governor's tables a proxy has, counts takeovers,
+//! and adopts the state that its former governor sent.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,20 +15,21 @@
 use crate::migration;
 
 impl Host {
-    /// The epoch and version that an ownership proof names, if it proves tables of this governor, of any epoch.
+    /// The epoch and version in an ownership proof, if it is valid and of this governor in any epoch.
     pub(super) fn proven_version(&self, proxy: &str, proof: Option<&str>) -> Option<(u64, u64)> {
         let claim = ownership::verify(&self.signing_keys, proxy, proof?).ok()?;
         (claim.governor == self.wire.governor).then_some((claim.epoch, claim.version))
     }
 
-    /// A proxy has connected. Its proof is checked first: it may raise the epoch, which ends all streams.
+    /// Called when a proxy has connected. The proof is checked first because it may raise the epoch, which ends all
+    /// streams.
     pub(super) fn connected(&mut self, now: Duration, number: ProxyId, name: &str, proof: Option<&str>) {
         let former_governor = self.check_ownership(now, name, proof);
         self.adopt_migrated(now, number, former_governor.as_deref());
     }
 
-    /// The governor whose tables a proxy holds, if that is proven. No table depends on it: the module gives complete
-    /// tables to whoever comes with some, so neither a stale proof nor a forged one brings old tables back.
+    /// The governor whose tables a proxy has, if that is proven. No table depends on it: the module gives complete
+    /// tables to every proxy that connects with tables, so neither a stale nor a forged proof restores old ones.
     fn check_ownership(&mut self, now: Duration, proxy: &str, proof: Option<&str>) -> Option<String> {
         let claim = match ownership::verify(&self.signing_keys, proxy, proof?) {
             Ok(claim) => claim,
@@ -49,20 +50,20 @@
         Some(claim.governor)
     }
 
-    /// An earlier life of this governor had a later clock: its proxies would ignore this one. It takes an epoch beyond
-    /// that one, and has all proxies connect again.
+    /// Raises the epoch above that of an earlier run of this governor whose clock was ahead, because proxies ignore
+    /// lower epochs. All proxies have to connect again.
     ///
-    /// Once in a life: two governors of one name would otherwise outbid each other for ever.
+    /// Done once per run: two governors with the same name would otherwise raise their epochs in turn without end.
     fn raise_epoch(&mut self, now: Duration, earlier: u64) {
         if self.epoch_raised {
             let epoch = format!("{earlier:x}");
-            tracing::error!(epoch, "another governor has this one's name, or its key");
+            tracing::error!(epoch, "another governor uses this one's name or key");
             return;
         }
         self.epoch_raised = true;
         self.wire.epoch = earlier.saturating_add(1);
         self.session_parameters.epoch = format!("{:x}", self.wire.epoch);
-        tracing::warn!(epoch = self.session_parameters.epoch, "clock was set back, epoch raised");
+        tracing::warn!(epoch = self.session_parameters.epoch, "epoch raised because the clock was set back");
         for (stream, open) in std::mem::take(&mut self.streams) {
             open.answers.end(Status::unavailable("the governor takes up a later epoch; come back"));
             self.disconnected(now, stream);
@@ -72,8 +73,8 @@
         }
     }
 
-    /// Governors learn that the proxy is here, and what was sent ahead of it is used, if it comes from the governor
-    /// that the proxy was with last.
+    /// Announces the proxy to the other governors and adopts the state that was sent for it, if the sender is the
+    /// governor that the proxy was connected to last.
     fn adopt_migrated(&mut self, now: Duration, number: ProxyId, former_governor: Option<&str>) {
         let Some(proxy) = self.engine.proxy(number).map(|proxy| proxy.name.clone()) else { return };
         let Some(transferred) = self.membership.proxy_connected(now, &proxy) else { return };
@@ -88,11 +89,11 @@
                 ::metrics::counter!(metrics::TABLES_MIGRATED).increment(1);
                 tracing::info!(%proxy, %from, tables, "migrated tables adopted");
             }
-            Err(error) => tracing::warn!(%proxy, %error, "migrated tables not understood"),
+            Err(error) => tracing::warn!(%proxy, %error, "migrated tables can't be decoded"),
         }
     }
 
-    /// Counts a load report, or says why it does not count.
+    /// Records a load report, or returns why it is discarded.
     pub(super) fn record_report(
         &mut self,
         now: Duration,
--- a/crates/daemon/src/host/long_poll.rs
+++ b/crates/daemon/src/host/long_poll.rs
@@ -1,4 +1,4 @@
-//! The long-poll front: sessions of proxies, their polls and load reports.
+//! The long-poll front: handles proxies' sessions, polls and load reports.
 
 use std::time::Duration;
 
@@ -16,14 +16,15 @@
 type PollReply = Reply<PollResponse>;
 
 impl Host {
-    /// A request of the long-poll front. `next_stream`: a number for a new session, in the order of all streams.
+    /// Handles a request of the long-poll front. `next_stream` returns the id for a new session, from the same sequence
+    /// as the ids of gRPC streams.
     pub fn long_poll_request(
         &mut self,
         now: Duration,
         request: Request,
         next_stream: impl FnOnce() -> StreamId,
     ) {
-        // Whoever asked may be gone by the time of the reply; nothing depends on that.
+        // Failed replies are ignored: the client may have disconnected.
         match request {
             Request::Join { proxy, join, reply } => {
                 let joined = self.join_by_session(now, next_stream(), &proxy, join);
@@ -103,8 +104,8 @@
         self.engine.stream_has_capacity(session);
     }
 
-    /// The version that a proxy says it holds. A version of another epoch counts as version 0: its content may still be
-    /// the same as a later one's here.
+    /// The version that a proxy claims to have. A version of another epoch counts as version 0, with its digest: its
+    /// content may still be equal to that of a later version of this governor.
     fn held_version(&self, held: &ClaimedVersion) -> Result<HeldVersion, InvalidMessageError> {
         let version = self.session_parameters.parse_version(&held.version)?.unwrap_or(0);
         Ok(HeldVersion { version, digest: parse_digest(&held.digest)? })
@@ -129,7 +130,7 @@
         })
     }
 
-    /// Answers polls that have waited for as long as they may, and ends sessions that were not heard from.
+    /// Answers polls that have reached their wait limit, and ends sessions that have timed out.
     pub(super) fn expire_polls(&mut self, now: Duration) {
         while let Some(expired) = self.sessions.next_expired(now) {
             match expired {
@@ -149,7 +150,7 @@
         self.disconnected(now, session);
     }
 
-    /// Ends a session whose proxy has connected again.
+    /// Ends a session that was replaced because its proxy has connected again.
     pub(super) fn close_replaced_session(&mut self, session: StreamId) {
         if let Some(reply) = self.sessions.close(session) {
             let reason = "a later stream or session of this name took over";
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Answers the pending poll of a session, if there is something new for it.
+    /// Answers the pending poll of a session if its proxy lacks the newest version.
     pub(super) fn flush_session(&mut self, now: Duration, number: ProxyId, session: StreamId) {
         if !self.engine.proxy(number).is_some_and(Proxy::has_known_tables) {
             return self.engine.tables_sent(now, number, 0, 0);
@@ -170,18 +171,18 @@
                 self.reply_with_tables(&proxy, reply, outcome);
                 self.engine.tables_sent(now, number, entries, 1);
             }
-            // The proxy holds the newest version already.
+            // The proxy already has the newest version.
             None if self.sessions.has_pending_poll(session) => {
                 self.engine.tables_sent(now, number, 0, 0);
                 let newest = self.engine.history().newest(number).map_or(0, |newest| newest.version);
                 self.engine.version_acknowledged(now, session, newest);
             }
-            // Its next poll is answered.
+            // No poll is pending: the update is sent with the answer to the next poll.
             None => self.engine.stream_full(number),
         }
     }
 
-    /// Replies with an outcome that has no tables.
+    /// Replies to a poll with an outcome that contains no tables.
     fn reply(&self, reply: PollReply, outcome: PollOutcome) {
         self.reply_with_tables("", reply, outcome);
     }
@@ -204,7 +205,7 @@
         let _ = reply.send(answer);
     }
 
-    /// Tables with the proof that they are this governor's.
+    /// Adds the proof that this governor published the tables.
     fn with_proof(&self, proxy: &str, version: u64, tables: TablesResponse) -> PollResponse {
         let ownership_proof = self.wire.claim(proxy, version);
         PollResponse::Tables(TablesResponse { ownership_proof, ..tables })
--- a/crates/daemon/src/host/membership.rs
+++ b/crates/daemon/src/host/membership.rs
@@ -1,4 +1,4 @@
-//! This governor among the others: their datagrams, proxies that migrate, drains.
+//! Cooperation with other governors: membership datagrams, migration of proxies, drains.
 
 use std::time::Duration;
 
@@ -13,20 +13,20 @@
 use super::{Host, WorkItem};
 use crate::migration;
 
-/// Redirects that are remembered for proxies that had no poll pending; beyond this the oldest are dropped, and
-/// those proxies join again wherever they were.
+/// The maximum number of redirects stored for proxies that had no poll pending. Beyond it the oldest are dropped, and
+/// their proxies join the same governor again.
 const MAX_PENDING_REDIRECTS: usize = 1024;
 
 /// The state of a governor that has not been heard from yet, in the list of governors.
 const NOT_HEARD_YET: &str = "not heard yet";
 
-/// The governors, as `status --governors` prints them.
+/// The governors as shown by `status --governors`.
 #[derive(Debug, Serialize)]
 pub struct GovernorsStatus {
     name: String,
     draining: bool,
     joined: usize,
-    /// The most proxies that each governor should have as things stand.
+    /// The maximum number of proxies that each governor should have at present.
     #[serde(rename = "most")]
     max_joined: usize,
     #[serde(rename = "on_way")]
@@ -76,14 +76,14 @@
 }
 
 impl Host {
-    /// A datagram of another governor.
+    /// Handles a datagram from another governor.
     pub fn datagram_received(&mut self, now: Duration, datagram: &[u8]) {
         if let Err(error) = self.membership.handle_datagram(now, datagram) {
             tracing::debug!(%error, "datagram ignored");
         }
     }
 
-    /// Begins to migrate all proxies to other governors, or takes proxies again.
+    /// Starts to migrate all proxies to other governors, or ends the drain and accepts proxies again.
     pub fn set_draining(&mut self, now: Duration, draining: bool) -> GovernorsStatus {
         tracing::warn!(draining, proxies = self.engine.fleet().len(), "drain requested by operator");
         let mode = if draining { ServiceMode::Draining } else { ServiceMode::Serving };
@@ -91,12 +91,12 @@
         self.governors(now)
     }
 
-    /// Whether this governor migrates its proxies away.
+    /// Whether this governor is migrating all its proxies away.
     pub fn is_draining(&self) -> bool {
         self.membership.is_draining()
     }
 
-    /// The governors as this one sees them.
+    /// The governors as seen by this one.
     pub fn governors(&self, now: Duration) -> GovernorsStatus {
         let statistics = self.membership.statistics();
         let others = self.membership.members().others();
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Carries out what membership has to do now.
+    /// Carries out the actions that membership has due.
     pub(super) fn process_membership(&mut self, now: Duration, mut work: impl FnMut(WorkItem)) {
         while let Some(action) = self.membership.next_action(now) {
             match action {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Offers a proxy to another governor, with what is known of it.
+    /// Offers a proxy, with its state, to another governor.
     fn offer_proxy(&mut self, now: Duration, proxy: &str, to: &str) {
         let number = self.engine.fleet().named(proxy).map(|(number, _)| number);
         let state =
@@ -133,7 +133,8 @@
         self.membership.offer_proxy(now, proxy, to, state.unwrap_or_default());
     }
 
-    /// Ends a proxy's stream or session and names the governor to go to; none: the next in the proxy's own order.
+    /// Ends a proxy's stream or session and names the governor to connect to. With `None` the proxy uses the next
+    /// governor in its own order.
     fn redirect(&mut self, now: Duration, proxy: &str, to: Option<String>) {
         let Some(stream) = self.engine.fleet().named(proxy).map(|(_, proxy)| proxy.stream) else { return };
         tracing::info!(proxy, to = to.as_deref().unwrap_or("next in its order"), "proxy redirected");
@@ -141,7 +142,7 @@
             self.redirect_session(stream, to);
         } else if let Some(open) = self.streams.remove(&stream) {
             let mut status = Status::unavailable("this proxy is to go to another governor");
-            // Names are of letters, digits, `-` and `_`: they always fit.
+            // Always parses: governor names consist of letters, digits, `-` and `_`.
             if let Ok(to) = to.unwrap_or_default().parse() {
                 status.metadata_mut().insert(GO_TO, to);
             }
--- a/crates/daemon/src/host/metrics.rs
+++ b/crates/daemon/src/host/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics: their names, and the gauges that are set when they are scraped.
+//! Names of the metrics, and the gauges that are updated on each scrape.
 
 use std::time::Duration;
 
@@ -45,7 +45,7 @@
 const ACKNOWLEDGEMENT_DELAY: &str = "wrenthread_lag_seconds";
 
 impl Host {
-    /// Sets the gauges to what they are now.
+    /// Sets the gauges to their current values.
     pub fn update_gauges(&self, now: Duration) {
         self.update_engine_gauges(now);
         self.update_membership_gauges();
--- a/crates/daemon/src/host/operations.rs
+++ b/crates/daemon/src/host/operations.rs
@@ -1,5 +1,5 @@
-//! What operators ask the governor to do: roll back, release, override a replica. Requests are JSON objects; a field of
-//! another type counts as left out.
+//! Operators' requests to a governor: roll back tables, release them, override a replica. Requests are JSON objects; a
+//! field with the wrong type counts as absent.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 use super::Host;
 
-/// Why an operator's request is not carried out.
+/// Why an operator's request is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
     #[error("`for_s` is a number of seconds above 0")]
@@ -32,14 +32,14 @@
     Override(#[from] OverrideError),
 }
 
-/// What a rollback came to.
+/// The outcome of a rollback.
 #[derive(Debug, Serialize)]
 pub struct RollbackOutcome {
     #[serde(rename = "held")]
     frozen: usize,
     #[serde(rename = "bare")]
     unfreezable: usize,
-    /// Proxies of which so old a version is not retained.
+    /// Proxies that have no retained version that old.
     without: Vec<String>,
     #[serde(rename = "left_out")]
     omitted: Vec<OmittedEntry>,
@@ -55,17 +55,17 @@
     reason: String,
 }
 
-/// What came of an override.
+/// The outcome of an override.
 #[derive(Debug, Serialize)]
 #[serde(untagged)]
 pub enum OverrideOutcome {
-    /// It is in force, but the guard refuses some of what follows from it.
+    /// The override is in force. `refused` counts the resulting changes that the guard refused.
     Set { replica: String, refused: usize },
-    /// Whether there was one to end.
+    /// The override was ended, if there was one.
     Ended { replica: String, ended: bool },
 }
 
-/// How many frozen tables were released.
+/// The number of frozen tables that were released.
 #[derive(Debug, Serialize)]
 pub struct ReleaseOutcome {
     released: usize,
@@ -75,7 +75,7 @@
     /// Freezes tables at an earlier version for a while.
     ///
     /// # Errors
-    /// A request that is incomplete, or a version that nobody concerned was sent.
+    /// The request is incomplete, or no proxy in its scope was sent the version.
     pub fn rollback(&mut self, now: Duration, request: &Value) -> Result<RollbackOutcome, OperatorError> {
         let scope = self.scope(request)?;
         let version = request["version"].as_u64().ok_or(OperatorError::InvalidVersion)?;
@@ -110,10 +110,10 @@
         }
     }
 
-    /// Excludes a replica or changes its weights for a while, or ends that.
+    /// Excludes a replica or changes its weights for a while, or ends such an override.
     ///
     /// # Errors
-    /// A request that is incomplete, a replica that is not listed, a factor out of range.
+    /// The request is incomplete, the replica is not listed, or the factor is out of range.
     pub fn override_replica(
         &mut self,
         now: Duration,
@@ -142,14 +142,14 @@
     /// Releases frozen tables.
     ///
     /// # Errors
-    /// A scope that names no proxy or class that is there.
+    /// The scope names an unknown proxy or class.
     pub fn release(&mut self, now: Duration, request: &Value) -> Result<ReleaseOutcome, OperatorError> {
         let scope = self.scope(request)?;
         let released = self.engine.release(now, &scope)?;
         Ok(ReleaseOutcome { released })
     }
 
-    /// Whose tables are meant.
+    /// The tables that a request applies to.
     fn scope(&self, request: &Value) -> Result<TableScope, OperatorError> {
         let proxy = request["proxy"].as_str();
         let class = request["group"].as_str();
@@ -168,14 +168,14 @@
     }
 }
 
-/// How long a request is to last.
+/// The duration in a request.
 fn duration(request: &Value) -> Result<Duration, OperatorError> {
     let seconds = request["for_s"].as_f64();
     let duration = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
     duration.filter(|duration| !duration.is_zero()).ok_or(OperatorError::InvalidDuration)
 }
 
-/// Why an operator asks for it.
+/// The operator's reason in a request.
 fn reason(request: &Value) -> Result<&str, OperatorError> {
     let reason = request["why"].as_str();
     reason.filter(|reason| !reason.is_empty()).ok_or(OperatorError::MissingReason)
--- a/crates/daemon/src/host/status.rs
+++ b/crates/daemon/src/host/status.rs
@@ -1,4 +1,4 @@
-//! What `status` prints. The names of the fields are those that programs read.
+//! The output of `status`. Programs read the serialized field names.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 use super::Host;
 
-/// One governor, its proxies and replicas, and what operators have asked for.
+/// One governor with its proxies, replicas, frozen tables and overrides.
 #[derive(Debug, Serialize)]
 pub struct GovernorStatus {
     governor: GovernorSection,
@@ -55,7 +55,7 @@
     counted: u64,
     #[serde(rename = "waiting")]
     queued: usize,
-    /// By reason.
+    /// Counts by reason.
     discarded: BTreeMap<String, u64>,
 }
 
@@ -118,7 +118,7 @@
 #[derive(Debug, Serialize)]
 struct GuardStatus {
     passed: u64,
-    /// By reason.
+    /// Counts by reason.
     refused: BTreeMap<String, u64>,
     alarms: usize,
 }
@@ -126,7 +126,7 @@
 #[derive(Debug, Serialize)]
 struct OverrideStatus {
     replica: String,
-    /// The factor of its weights; 0 where it is excluded.
+    /// The factor for its weights; 0 if it is excluded.
     weight: f64,
     #[serde(rename = "why")]
     reason: String,
@@ -135,7 +135,7 @@
 }
 
 impl Host {
-    /// The state of this governor. `up`: how long it has run.
+    /// The status of this governor. `up` is its uptime.
     pub fn status(&self, now: Duration, up: Duration) -> GovernorStatus {
         let engine = &self.engine;
         let proxies = engine.fleet().iter();
@@ -204,7 +204,8 @@
         }
     }
 
-    /// Which kind of tables a proxy follows: its own (`standing`), its zone's, or one solved for it.
+    /// The kind of tables that a proxy uses: its own default (`standing`), its zone's (`default`), or one solved for it
+    /// (`critical`).
     pub(super) fn table_kind(&self, number: ProxyId, proxy: &Proxy) -> &'static str {
         match proxy.kind() {
             TableKind::ProxyDefault => "standing",
@@ -264,7 +265,7 @@
     }
 }
 
-/// Counts by the texts of their keys.
+/// Replaces the keys of counts by their texts.
 fn count_by_text<K: ToString>(counts: &BTreeMap<K, u64>) -> BTreeMap<String, u64> {
     counts.iter().map(|(key, count)| (key.to_string(), *count)).collect()
 }
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -1,4 +1,4 @@
-//! The small HTTP port: health, readiness, metrics, and what the command line asks for.
+//! The HTTP port: health, readiness, metrics, and the queries of the command line.
 
 use axum::Router;
 use axum::extract::{Path, State};
@@ -17,7 +17,7 @@
     ReleaseOutcome, RollbackOutcome, TableDiff, TableHistory,
 };
 
-/// Where the answer to a query goes.
+/// The channel for the response to a query.
 type Reply<T> = oneshot::Sender<T>;
 
 /// A query to the task that owns all state.
@@ -42,7 +42,7 @@
         to: u64,
         reply: Reply<Result<TableDiff, InspectionError>>,
     },
-    /// What was refused about a proxy or a replica.
+    /// The guard's refusals that concern a proxy or a replica.
     Refusals {
         name: String,
         reply: Reply<Option<Refusals>>,
@@ -65,10 +65,10 @@
     },
 }
 
-/// Where the handlers send their queries.
+/// The channel by which handlers send queries.
 type Queries = mpsc::Sender<Query>;
 
-/// Serves until the listener fails.
+/// Serves requests until the listener fails.
 pub async fn serve(listener: TcpListener, queries: Queries) {
     let router = Router::new()
         .route("/healthz", get(|| async { "ok\n" }))
@@ -91,7 +91,7 @@
     }
 }
 
-/// Why there is no answer: the governor is stopping.
+/// The response while the governor is stopping.
 struct Stopping;
 
 impl IntoResponse for Stopping {
@@ -106,7 +106,7 @@
     answer.await.map_err(|_| Stopping)
 }
 
-/// An answer as JSON, the fields in alphabetical order.
+/// A response as JSON, with the fields in alphabetical order.
 fn json_response(answer: &impl Serialize) -> Response {
     match serde_json::to_value(answer) {
         Ok(value) => Json(value).into_response(),
@@ -118,7 +118,7 @@
     (StatusCode::NOT_FOUND, Json(json!({"error": error}))).into_response()
 }
 
-/// The answer to an operator, or why there is none.
+/// A result as JSON, or its error as status 404.
 fn json_or_error<T: Serialize, E: ToString>(answer: Result<T, E>) -> Response {
     match answer {
         Ok(answer) => json_response(&answer),
@@ -126,7 +126,7 @@
     }
 }
 
-/// What was found about a proxy.
+/// The result of a query about a proxy, or status 404 if it is not connected.
 fn json_of_proxy(proxy: &str, found: Option<impl Serialize>) -> Response {
     json_or_error(found.ok_or_else(|| format!("no proxy `{proxy}` is joined")))
 }
@@ -185,7 +185,7 @@
 
 async fn recording(State(queries): State<Queries>) -> Result<Response, Stopping> {
     let recording = query(&queries, Query::Record).await?;
-    // Many millions of bytes for a large fleet: decisions don't wait for them.
+    // Tens of megabytes for a large fleet: serialized on another thread so that decisions aren't delayed.
     let text = tokio::task::spawn_blocking(move || serde_json::to_vec(&recording)).await;
     Ok(match text {
         Ok(Ok(text)) => ([(CONTENT_TYPE, "application/json")], text).into_response(),
--- a/crates/daemon/src/labels.rs
+++ b/crates/daemon/src/labels.rs
@@ -1,5 +1,5 @@
-//! The names by which metrics, status and `--output json` call the variants of internal types. Scrapers and scripts
-//! depend on them: a variant may be renamed, its label may not.
+//! The labels of internal enum variants in metrics, status and `--output json`. Scrapers and scripts depend on them: a
+//! variant may be renamed, its label may not.
 
 use wrenthread_core::engine::Cause;
 use wrenthread_core::guard::{RefusalOutcome, RefusalReason};
@@ -28,7 +28,7 @@
     }
 }
 
-/// What the guard did about a change that it refused, as the field `done` of refusals says it.
+/// The field `done` of refusals: what the guard did about a change that it refused.
 pub fn refusal_outcome(outcome: RefusalOutcome) -> &'static str {
     match outcome {
         RefusalOutcome::Corrected => "corrected",
@@ -38,7 +38,7 @@
     }
 }
 
-/// The phase of a replica, as rosters and import reports spell it.
+/// The phase of a replica in rosters and import reports.
 pub fn replica_phase(phase: RecordedPhase) -> &'static str {
     match phase {
         RecordedPhase::Ready => "ready",
@@ -47,7 +47,7 @@
     }
 }
 
-/// An input that a decision answers, as the log names it.
+/// The cause of a decision in the log.
 pub fn cause(cause: &Cause) -> &'static str {
     match cause {
         Cause::Tick => "timer",
--- a/crates/daemon/src/labels/tests.rs
+++ b/crates/daemon/src/labels/tests.rs
@@ -1,11 +1,11 @@
-//! The labels are those of the earlier release (commit b735929), which printed the variants as they were named there.
+//! The expected labels are those of the earlier release (commit b735929), which printed the variant names of that time.
 
 use wrenthread_membership::messages::MemberState;
 
 use super::*;
 
 #[test]
-fn labels_of_refusal_reasons_stay_as_they_are() {
+fn labels_of_refusal_reasons_are_stable() {
     let labels = [
         (RefusalReason::NoRoute, "Bare"),
         (RefusalReason::AllEntriesClosed, "Draining"),
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn labels_of_refusal_outcomes_stay_as_they_are() {
+fn labels_of_refusal_outcomes_are_stable() {
     let labels = [
         (RefusalOutcome::Corrected, "corrected"),
         (RefusalOutcome::Kept, "kept"),
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn labels_of_member_states_stay_as_they_are() {
+fn labels_of_member_states_are_stable() {
     let labels = [
         (MemberState::Alive, "alive"),
         (MemberState::Suspect, "suspect"),
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn labels_of_replica_phases_stay_as_they_are() {
+fn labels_of_replica_phases_are_stable() {
     let labels = [
         (RecordedPhase::Ready, "ready"),
         (RecordedPhase::Draining, "draining"),
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `wrenthread`: a control service that hands weights to plain proxies.
+//! `wrenthread`: a control service that sends load-balancing weights to proxies.
 
 mod admin_client;
 mod cli;
@@ -21,7 +21,7 @@
 
 use clap::Parser;
 
-/// The exit code of a wrong command line or wrong settings.
+/// The exit code for an invalid command line or invalid settings.
 const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
--- a/crates/daemon/src/migration.rs
+++ b/crates/daemon/src/migration.rs
@@ -1,4 +1,5 @@
-//! What a governor sends ahead of a proxy that migrates to another one: its newest tables and last load report.
+//! The state of a proxy that a governor sends to another one when the proxy migrates there: its newest tables and its
+//! last load report.
 
 use std::time::Duration;
 
@@ -10,27 +11,28 @@
 use wrenthread_long_poll::messages::{ReportRequest, SessionParameters, TablesResponse};
 use wrenthread_membership::migration::TransferredState;
 
-/// A report older than this says nothing of the present, wherever it was received.
+/// Load reports older than this are outdated and not transferred.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(5);
 
-/// The state of a proxy as it is sent: messages of the long-poll front, with ages instead of times, as clocks differ.
+/// The encoded state of a proxy: messages of the long-poll front, with ages instead of times because the governors'
+/// clocks differ.
 #[derive(Debug, Serialize, Deserialize)]
 struct ProxyState {
     tables: TablesResponse,
     #[serde(rename = "told_ms")]
     age_millis: u64,
-    /// Its age in milliseconds beside it.
+    /// The last load report with its age in milliseconds.
     report: Option<(u64, ReportRequest)>,
 }
 
-/// Why what another governor sent can't be used, as when its settings are others.
+/// Why the state sent by another governor can't be used, for example because its settings differ.
 #[derive(Debug, thiserror::Error)]
 pub enum MigrationError {
     #[error(transparent)]
     Encoding(#[from] ciborium::de::Error<std::io::Error>),
     #[error(transparent)]
     Message(#[from] InvalidMessageError),
-    #[error("a delta went ahead of a proxy, not the whole")]
+    #[error("the transferred tables are a delta instead of the complete state")]
     DeltaOnly,
 }
 
@@ -38,7 +40,7 @@
     duration.as_millis().try_into().unwrap_or(u64::MAX)
 }
 
-/// What this governor knows of a proxy. Empty if it has not published anything to it: then the proxy goes without.
+/// Encodes the state of a proxy. Empty if nothing has been published to it: then it migrates without state.
 pub fn encode(engine: &Engine, parameters: &SessionParameters, now: Duration, proxy: ProxyId) -> Vec<u8> {
     let Some((newest, last_report)) = engine.migration_state(now, proxy) else { return Vec::new() };
     let report = last_report.filter(|(age, _)| *age < MAX_REPORT_AGE);
@@ -54,10 +56,10 @@
     }
 }
 
-/// What another governor knew of a proxy.
+/// Decodes the state of a proxy that another governor sent.
 ///
 /// # Errors
-/// Why it can't be understood.
+/// The state can't be decoded, or is not complete.
 pub fn decode(
     parameters: &SessionParameters,
     now: Duration,
--- a/crates/daemon/src/render.rs
+++ b/crates/daemon/src/render.rs
@@ -1,4 +1,4 @@
-//! What operators read: a governor's JSON answers as plain tables.
+//! Formats a governor's JSON responses as text tables for operators.
 
 use std::fmt::Write;
 
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use wrenthread_settings::Settings;
 
-/// One cell of a table.
+/// A value as the text of a table cell.
 pub fn cell(value: &Value) -> String {
     match value {
         Value::Null => "-".to_string(),
@@ -19,7 +19,7 @@
     }
 }
 
-/// Rows under column heads, each column as wide as it needs.
+/// Rows under column headings, with each column as wide as its longest cell.
 pub fn columns(heads: &[&str], rows: &[Vec<String>]) -> String {
     let width = |column: usize| {
         let cells = rows.iter().map(|row| row[column].chars().count());
@@ -35,7 +35,7 @@
     text
 }
 
-/// Whether a value is a list without items.
+/// Whether a value is an empty list.
 pub fn is_empty_list(value: &Value) -> bool {
     value.as_array().is_some_and(Vec::is_empty)
 }
@@ -44,12 +44,12 @@
     value.as_array().is_some_and(|items| !items.is_empty())
 }
 
-/// The items of a list; none where it is no list.
+/// The items of a list; empty if the value is not a list.
 fn items(value: &Value) -> impl Iterator<Item = &Value> {
     value.as_array().into_iter().flatten()
 }
 
-/// A list of objects as a table of these fields.
+/// Formats a list of objects as a table with these fields as columns.
 fn table(list: &Value, fields: &[&str]) -> String {
     let mut rows = Vec::new();
     for item in items(list) {
@@ -58,11 +58,11 @@
     columns(fields, &rows)
 }
 
-/// A governor with its proxies, replicas and what operators asked for.
+/// The status of a governor, with its proxies, replicas, frozen tables and overrides.
 pub fn status(status: &Value) -> String {
     let mut text = status_heading(&status["governor"]);
     if let Some(alarms) = status["guard"]["alarms"].as_u64().filter(|alarms| *alarms > 0) {
-        let _ = writeln!(text, "ALARM: {alarms} refusals of the guard last (see `why`, and the log)\n");
+        let _ = writeln!(text, "ALARM: {alarms} refusals of the guard persist (see `why` and the log)\n");
     }
     text += &table(&status["groups"], &["name", "level", "tries"]);
     text.push('\n');
@@ -70,12 +70,12 @@
     text += &table(&status["proxies"], &fields);
     text.push('\n');
     if is_filled_list(&status["holds"]) {
-        text += "held by operators:\n";
+        text += "tables frozen by operators:\n";
         text += &table(&status["holds"], &["proxy", "group", "version", "left_s", "why"]);
         text.push('\n');
     }
     if is_filled_list(&status["overrides"]) {
-        text += "overridden by operators (a weight of 0: excluded):\n";
+        text += "replicas overridden by operators (weight 0: excluded):\n";
         text += &table(&status["overrides"], &["replica", "weight", "left_s", "why"]);
         text.push('\n');
     }
@@ -85,11 +85,11 @@
 
 fn status_heading(governor: &Value) -> String {
     let doubted = match governor["roster_doubted"] == true {
-        true => "; THE ROSTER IS EMPTY and not believed yet",
+        true => "; THE ROSTER IS EMPTY, waiting for confirmation",
         false => "",
     };
     format!(
-        "governor {} up {} s, version {}, {} joined ({} waiting to be let in), {} lines waiting{doubted}\n\n",
+        "governor {} up {} s, version {}, {} joined ({} joins queued), {} lines waiting{doubted}\n\n",
         cell(&governor["epoch"]),
         cell(&governor["up_s"]),
         cell(&governor["version"]),
@@ -112,7 +112,7 @@
         let name = cell(&class["group"]);
         if class["lines"].is_null() {
             let entries = table(&tables["standing"], &["replica", "weight"]);
-            let _ = writeln!(text, "\n{name}: its standing table\n{entries}");
+            let _ = writeln!(text, "\n{name}: default (standing) table\n{entries}");
         } else {
             let (version, level) = (cell(&class["version"]), cell(&class["level"]));
             let entries = table(&class["lines"], &["replica", "address", "zone", "weight", "open"]);
@@ -122,10 +122,10 @@
     text
 }
 
-/// Settings: the traffic classes, then all others.
+/// Settings: a table of the traffic classes, then one of all others.
 ///
 /// # Errors
-/// Settings that can't be written as JSON.
+/// The settings can't be converted to JSON.
 pub fn settings(settings: &Settings) -> Result<String> {
     let value = serde_json::to_value(settings)?;
     let fields = ["name", "effect", "latency_budget", "expiry", "utility", "own_zone", "route"];
@@ -140,7 +140,7 @@
     table(&history["versions"], &["version", "age_s", "lines", "digest", "acked"])
 }
 
-/// What differs between two versions of a proxy's tables.
+/// The differences between two versions of a proxy's tables.
 pub fn diff(diff: &Value) -> String {
     let (name, from, to) = (cell(&diff["name"]), cell(&diff["from"]), cell(&diff["to"]));
     let mut text = format!("{name}: from {from} to {to}\n");
@@ -148,7 +148,7 @@
         let (level, tries) = (cell(&change["level"]), cell(&change["tries"]));
         let _ = writeln!(text, "\n{class}: level {level}, tries {tries}");
         if change["standing"] == true {
-            let _ = writeln!(text, "  back on its standing table");
+            let _ = writeln!(text, "  uses its default (standing) table again");
         }
         for entry in items(&change["lines"]) {
             let _ = writeln!(text, "  + {} {}", cell(&entry["replica"]), cell(&entry["weight"]));
@@ -160,34 +160,34 @@
     text
 }
 
-/// What a rollback came to.
+/// The outcome of a rollback.
 pub fn rollback(outcome: &Value) -> String {
-    let mut text = format!("{} tables are held", cell(&outcome["held"]));
+    let mut text = format!("{} tables frozen", cell(&outcome["held"]));
     if outcome["bare"] != 0 {
-        let _ = write!(text, "; of {} nothing would be left, they are not", cell(&outcome["bare"]));
+        let _ = write!(text, "; {} not frozen because no entry would be left", cell(&outcome["bare"]));
     }
     text.push('\n');
     let without = items(&outcome["without"]).count();
     if without > 0 {
         let names = &outcome["without"];
-        let _ = writeln!(text, "{without} proxies have no table of so old a version: {names}");
+        let _ = writeln!(text, "{without} proxies have no retained table of that version: {names}");
     }
     if is_filled_list(&outcome["left_out"]) {
-        text += "left out:\n";
+        text += "omitted entries:\n";
         text += &table(&outcome["left_out"], &["proxy", "group", "replica", "why"]);
     }
     text
 }
 
-/// The governors as one of them sees them.
+/// The governors as seen by one of them.
 pub fn governors(governors: &Value) -> String {
     let max_joined = match is_empty_list(&governors["others"]) {
         true => String::new(),
-        false => format!(" (at most {} as things stand)", cell(&governors["most"])),
+        false => format!(" (at most {} at present)", cell(&governors["most"])),
     };
     let draining = if governors["draining"] == true { ", DRAINING" } else { "" };
     let heading = format!(
-        "{}{draining}: {} joined{max_joined}, {} on their way out, {} sent on, {} came with what others knew\n",
+        "{}{draining}: {} joined{max_joined}, {} migrating away, {} migrated away, {} received with their tables\n",
         cell(&governors["name"]),
         cell(&governors["joined"]),
         cell(&governors["on_way"]),
@@ -198,28 +198,28 @@
     heading + &table(&governors["others"], &fields)
 }
 
-/// What was refused about a proxy or a replica.
+/// The guard's refusals that concern a proxy or a replica.
 pub fn refusals(refusals: &Value) -> String {
     let mut text = cell(&refusals["name"]);
     if let Some(sent) = refusals["sent_per_s"].as_f64() {
-        let _ = write!(text, ": sent {sent:.1} flows a second by the account of proxies here");
+        let _ = write!(text, ": receives {sent:.1} requests/s as reported by proxies of this governor");
     }
     if let Some(reason) = refusals["out"].as_str() {
-        let _ = write!(text, ", held back by the module: {reason}");
+        let _ = write!(text, ", restricted by the module: {reason}");
     }
     text.push('\n');
     if is_empty_list(&refusals["refusals"]) {
-        return text + "nothing about it was refused lately\n";
+        return text + "no recent refusals\n";
     }
     let fields = ["age_s", "lasts_s", "proxy", "group", "replica", "asked", "allowed", "done", "why"];
     text + &table(&refusals["refusals"], &fields)
 }
 
-/// What the guard would refuse of tables in a file.
+/// The outcome of checking tables in a file with the guard.
 pub fn dry_run(outcome: &Value) -> String {
     if is_empty_list(&outcome["refused"]) {
         let (tried, against) = (cell(&outcome["tried"]), cell(&outcome["against"]));
-        return format!("{tried} tables against what {against} holds: nothing would be refused\n");
+        return format!("{tried} tables checked against {against}: nothing would be refused\n");
     }
     let fields = ["proxy", "group", "replica", "asked", "allowed", "done", "why"];
     let mut text = table(&outcome["refused"], &fields);
@@ -227,7 +227,7 @@
         let entries = table(&published["lines"], &["replica", "weight"]);
         let proxy = cell(&published["proxy"]);
         let (class, level) = (cell(&published["group"]), cell(&published["level"]));
-        let _ = writeln!(text, "\n{proxy} would be told for {class}, at level {level}:\n{entries}");
+        let _ = writeln!(text, "\n{proxy} would be sent for {class}, at level {level}:\n{entries}");
     }
     text
 }
--- a/crates/daemon/src/roster_file.rs
+++ b/crates/daemon/src/roster_file.rs
@@ -1,5 +1,5 @@
-//! The roster as a watched file: JSON, replaced whole. A file that can't be taken is rejected with line and cause, and the
-//! last good roster stays.
+//! Watches the roster file, which is JSON and is always replaced as a whole. An invalid file is rejected with the line
+//! and the cause, and the last valid roster stays in force.
 
 #[cfg(test)]
 mod tests;
@@ -15,23 +15,23 @@
 
 use crate::clock::Clock;
 
-/// More replicas than any fleet has: a file larger than this is not read.
+/// A file larger than this is not read; it would list more replicas than any fleet has.
 const MAX_FILE_BYTES: u64 = 64 << 20;
-/// The longest id of a replica.
+/// The maximum length of a replica's id.
 const MAX_ID_BYTES: usize = 256;
-/// Counts files that were rejected.
+/// Counts rejected roster files.
 const ROSTERS_REJECTED: &str = "wrenthread_roster_refused_total";
 
 const PHASE_READY: &str = "ready";
 const PHASE_DRAINING: &str = "draining";
 const PHASE_GONE: &str = "gone";
 
-/// Why a roster's file is rejected.
+/// Why a roster file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum RosterFileError {
     #[error("{path}: {error}")]
     Unreadable { path: PathBuf, error: std::io::Error },
-    #[error("{path}: {bytes} bytes; {MAX_FILE_BYTES} are allowed")]
+    #[error("{path}: {bytes} bytes; the limit is {MAX_FILE_BYTES}")]
     TooLarge { path: PathBuf, bytes: u64 },
     #[error("{path}:{line}:{column}: {reason}")]
     Invalid { path: PathBuf, line: usize, column: usize, reason: String },
@@ -40,15 +40,15 @@
 /// What is wrong with one entry.
 #[derive(Debug, thiserror::Error)]
 enum EntryError {
-    #[error("a replica's `id` has 1 to 256 bytes")]
+    #[error("the `id` of a replica must have 1 to 256 bytes")]
     Id,
-    #[error("`address` of `{id}` is \"{address}\"; it takes \"host:port\"")]
+    #[error("`address` of `{id}` is \"{address}\"; expected \"host:port\"")]
     Address { id: String, address: String },
-    #[error("`weight` of `{id}` is {weight}; it takes a number above 0")]
+    #[error("`weight` of `{id}` is {weight}; expected a number above 0")]
     Weight { id: String, weight: f64 },
-    #[error("`phase` of `{id}` is \"{phase}\"; it takes ready, draining or gone")]
+    #[error("`phase` of `{id}` is \"{phase}\"; expected ready, draining or gone")]
     Phase { id: String, phase: String },
-    #[error("`zone` of `{id}` is \"{zone}\"; the settings know {known}")]
+    #[error("`zone` of `{id}` is \"{zone}\"; the settings have {known}")]
     Zone { id: String, zone: String, known: String },
     #[error("`{0}` is listed twice")]
     DuplicateId(String),
@@ -73,12 +73,12 @@
     weight: f64,
     #[serde(default = "default_phase")]
     phase: String,
-    /// When it started, in seconds since 1970.
+    /// Its start time in Unix seconds.
     #[serde(default)]
     started: Option<f64>,
     #[serde(default)]
     backup: bool,
-    /// Where it comes from, for people.
+    /// Where the entry comes from; informational.
     #[serde(default)]
     #[allow(dead_code, reason = "accepted in the file, not used")]
     origin: Option<String>,
@@ -93,7 +93,7 @@
 }
 
 impl FileEntry {
-    /// Checks the entry by itself: its phase.
+    /// Validates the entry's fields and returns its phase.
     fn check(&self) -> Result<Phase, EntryError> {
         let id = || self.id.clone();
         if self.id.is_empty() || self.id.len() > MAX_ID_BYTES {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The number of its zone, which may be left out where there is one.
+    /// The index of its zone. The zone may be omitted if there is only one.
     fn zone(&self, zones: &[String]) -> Result<usize, EntryError> {
         if self.zone.is_empty() && zones.len() == 1 {
             return Ok(0);
@@ -132,7 +132,7 @@
     host_and_port.is_some_and(|(host, port)| !host.is_empty() && port.parse::<u16>().is_ok())
 }
 
-/// Ids and addresses that were met so far: none may come twice.
+/// The ids and addresses read so far, to reject duplicates.
 #[derive(Default)]
 struct Seen {
     ids: BTreeSet<String>,
@@ -147,7 +147,7 @@
         if phase == Phase::Gone {
             return Ok(());
         }
-        // Two at one address would share their reports, and each be judged by the other's.
+        // Load reports are matched by address: two replicas at one address would each be judged by the other's reports.
         match self.ids_by_address.insert(entry.address.clone(), entry.id.clone()) {
             None => Ok(()),
             Some(other) => Err(EntryError::DuplicateAddress {
@@ -159,10 +159,10 @@
     }
 }
 
-/// Reads a roster from a file's text.
+/// Parses the text of a roster file.
 ///
 /// # Errors
-/// What is wrong, with line and column.
+/// The text is invalid; the error gives line and column.
 pub fn parse(
     path: &Path,
     text: &str,
@@ -185,13 +185,13 @@
     Ok(entries)
 }
 
-/// The line where an id stands first.
+/// The line of the first occurrence of an id.
 fn line_of(text: &str, id: &str) -> usize {
     let at = text.find(&format!("\"{id}\"")).unwrap_or(0);
     text[..at].matches('\n').count() + 1
 }
 
-/// An entry of the roster; none for a replica that is gone.
+/// The roster entry; `None` for a replica that is gone.
 fn roster_entry(
     entry: &FileEntry,
     zones: &[String],
@@ -224,7 +224,7 @@
     tokio::fs::read_to_string(path).await.map_err(unreadable)
 }
 
-/// Reads the file every so often, and sends the roster on when its text differs and can be taken.
+/// Polls the file and sends the roster whenever the text has changed and is valid.
 pub async fn watch(
     path: PathBuf,
     every: Duration,
@@ -256,10 +256,10 @@
             }
             Err(error) => {
                 let error = error.to_string();
-                // Logged once, not at every look.
+                // Logged once, not at every poll.
                 if last_error.as_ref() != Some(&error) {
                     metrics::counter!(ROSTERS_REJECTED).increment(1);
-                    tracing::warn!(%error, "the roster is not taken; the last one stays");
+                    tracing::warn!(%error, "roster rejected; the last valid one stays in force");
                     last_error = Some(error);
                 }
             }
--- a/crates/daemon/src/roster_file/tests.rs
+++ b/crates/daemon/src/roster_file/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn a_file_is_read_completely_or_rejected_with_line_and_cause() {
+fn rejects_an_invalid_or_truncated_file_with_line_and_cause() {
     let good = r#"{"replicas": [
   {"id": "a", "address": "10.0.0.1:80", "zone": "north"},
   {"id": "b", "address": "10.0.0.2:80", "zone": "south", "weight": 2, "phase": "draining", "started": 5}
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -1,4 +1,4 @@
-//! `wrenthread run`: a governor with its sockets, files and signals, on one thread.
+//! `wrenthread run`: runs a governor with its sockets, files and signals on one thread.
 
 mod event_loop;
 mod reload;
@@ -25,30 +25,33 @@
 use startup::{Sockets, channels, signing_keys, stored_state};
 use tasks::Tasks;
 
-/// Reads settings in a process of their own, so that no script can take the governor's memory or time.
+/// Reads settings in a separate process, so that a script can't use up the governor's memory or time.
 ///
 /// # Errors
-/// All that is wrong with them.
+/// The settings are invalid; the error lists all faults.
 pub fn load(path: &Path) -> Result<Settings> {
-    let program = std::env::current_exe().context("the program's own path")?;
+    let program = std::env::current_exe().context("finding the path of the running program")?;
     Ok(wrenthread_settings::load_apart(&program, &["read-settings"], path)?)
 }
 
-/// Runs until a signal to stop. `faults`: names of deciders that replace the module, in a program that is built with the
-/// feature `suspect`.
+/// Runs a governor until a signal stops it. `faults` names faulty deciders that replace the decision module, in a
+/// program built with the feature `suspect`.
 ///
 /// # Errors
-/// Settings that can't be taken, sockets that can't be had.
+/// The settings are invalid, or a socket can't be bound.
 pub fn run(path: &Path, faults: &[String]) -> Result<()> {
     let recorder = metrics_exporter_prometheus::PrometheusBuilder::new();
-    let metrics = recorder.install_recorder().context("metrics")?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().context("tokio")?;
+    let metrics = recorder.install_recorder().context("installing the metrics recorder")?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .context("starting the tokio runtime")?;
     let local = LocalSet::new();
     local.block_on(&runtime, governor(path.to_path_buf(), metrics, faults))
 }
 
 async fn governor(settings_path: PathBuf, metrics: PrometheusHandle, faults: &[String]) -> Result<()> {
-    // Before all else: settings may take seconds to read, and a signal that comes meanwhile waits.
+    // Done first: reading the settings may take seconds, and signals that arrive meanwhile are queued.
     let signals = Signals::listen()?;
     let settings = load(&settings_path)?;
     let clock = Clock::start();
@@ -92,7 +95,7 @@
     event_loop.run(receivers, signals).await
 }
 
-/// The host, by the settings.
+/// Creates the host from the settings.
 fn host(
     settings: &Settings,
     wire: Wire,
@@ -130,7 +133,9 @@
             None => {
                 let known = wrenthread_core::fault_injection::FAULTS.iter().map(|(name, _)| *name);
                 let known = known.collect::<Vec<_>>().join(", ");
-                anyhow::bail!("no decider `{kind}`; there are {known}, and `none` for no guard");
+                anyhow::bail!(
+                    "unknown fault `{kind}`; expected one of {known}, or `none` to switch the guard off"
+                );
             }
         }
         tracing::error!(kind, ready = host.is_ready(), "fault injected");
--- a/crates/daemon/src/run/event_loop.rs
+++ b/crates/daemon/src/run/event_loop.rs
@@ -24,12 +24,12 @@
 use crate::http::Query;
 use crate::state::StateWriter;
 
-/// Events that are taken before decisions are made, so that a burst comes to one flush.
+/// The maximum number of queued events that are handled before decisions are made, so that a burst causes one flush.
 const MAX_BATCH: usize = 256;
-/// How long one round of decisions and flushes takes.
+/// The duration of one round of decisions and flushes.
 const ROUND_SECONDS: &str = "wrenthread_pump_seconds";
 
-/// A governor that runs.
+/// A running governor.
 pub struct EventLoop {
     pub settings_path: PathBuf,
     pub settings: Settings,
@@ -37,22 +37,22 @@
     pub clock: Clock,
     pub host: Host,
     pub state_writer: Option<StateWriter>,
-    /// To other governors.
+    /// The UDP socket to other governors.
     pub socket: Option<Rc<UdpSocket>>,
-    /// Numbers the streams of both fronts.
+    /// Assigns the ids of streams of both fronts.
     pub front: Front,
     pub metrics: PrometheusHandle,
     pub senders: Senders,
     pub tasks: Tasks,
-    /// Whether health checks say that this governor drains.
+    /// Whether the gRPC health service reports this governor as draining.
     pub reported_draining: bool,
 }
 
 impl EventLoop {
-    /// Runs until a signal to stop.
+    /// Runs until a signal stops the governor.
     ///
     /// # Errors
-    /// A gRPC server that fails.
+    /// The gRPC server failed.
     pub async fn run(mut self, mut receivers: Receivers, mut signals: Signals) -> Result<()> {
         let reason = self.handle_events(&mut receivers, &mut signals).await?;
         tracing::info!(reason, "governor stopping; proxies keep their tables");
@@ -60,7 +60,7 @@
         Ok(())
     }
 
-    /// Handles events until one of them ends the governor: why it ends.
+    /// Handles events until one of them stops the governor. Returns the reason.
     async fn handle_events(
         &mut self,
         receivers: &mut Receivers,
@@ -72,15 +72,15 @@
             let deadline = self.clock.instant(self.host.next_deadline(self.clock.now()));
             tokio::select! {
                 biased;
-                _ = signals.terminate.recv() => return Ok("asked to stop"),
+                _ = signals.terminate.recv() => return Ok("terminated"),
                 _ = signals.interrupt.recv() => return Ok("interrupted"),
                 _ = signals.hangup.recv() => {
                     reload_settings(self.settings_path.clone(), self.senders.reloads.clone());
                 }
                 Some(read) = receivers.reloads.recv() => self.settings_read(read),
                 ended = &mut self.tasks.grpc.task => {
-                    ended.context("the gRPC server")?.context("the gRPC server")?;
-                    return Ok("the gRPC server ended");
+                    ended.context("gRPC server task failed")?.context("gRPC server failed")?;
+                    return Ok("gRPC server ended");
                 }
                 Some(roster) = receivers.rosters.recv() => self.host.update_roster(self.clock.now(), roster),
                 Some(datagram) = receivers.datagrams.recv(), if self.socket.is_some() => {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Makes decisions and flushes them.
+    /// Makes decisions and sends the resulting updates.
     fn process(&mut self) {
         let began = Instant::now();
         let _span = tracing::debug_span!("pump").entered();
@@ -128,7 +128,7 @@
         metrics::histogram!(ROUND_SECONDS).record(began.elapsed().as_secs_f64());
     }
 
-    /// Has health checks say whether this governor takes proxies.
+    /// Updates the gRPC health service: a draining governor is not serving.
     async fn report_health(&mut self) {
         if self.reported_draining == self.host.is_draining() {
             return;
@@ -150,7 +150,7 @@
         self.tasks.roster = watch_roster(&self.settings, &self.wire, self.clock, rosters);
     }
 
-    /// Hands what has changed to the thread that stores it.
+    /// Passes the current state to the writer, which stores the changes.
     fn persist(&mut self) {
         let Some(writer) = &mut self.state_writer else { return };
         let now = self.clock.now();
@@ -159,11 +159,11 @@
         writer.store(items, unix_seconds);
     }
 
-    /// Answers a query of the HTTP port.
+    /// Answers a query from the HTTP port.
     fn answer(&mut self, query: Query) {
         let now = self.clock.now();
         let host = &mut self.host;
-        // Whoever asked may be gone: that is no concern of the governor's.
+        // Failed replies are ignored: the client may have disconnected.
         match query {
             Query::Ready(reply) => drop(reply.send(host.is_ready() && !host.is_draining())),
             Query::Status(reply) => drop(reply.send(host.status(now, self.clock.up()))),
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Stores what is known, notifies proxies and governors, and ends all tasks.
+    /// Stores the state, notifies proxies and other governors, and stops all tasks.
     async fn stop(mut self, receivers: Receivers) {
         self.persist();
         if let Some(writer) = self.state_writer {
@@ -197,7 +197,7 @@
     }
 }
 
-/// Takes an event and those queued behind it, up to a bound.
+/// Handles an event and up to [`MAX_BATCH`] events queued behind it.
 fn batch<T>(first: T, queued: &mut mpsc::Receiver<T>, mut handle: impl FnMut(T)) {
     handle(first);
     for _ in 0..MAX_BATCH {
--- a/crates/daemon/src/run/reload.rs
+++ b/crates/daemon/src/run/reload.rs
@@ -1,16 +1,16 @@
-//! Settings that are read again while the governor runs.
+//! Validates settings that are reloaded while the governor runs.
 
 use anyhow::Result;
 use wrenthread_settings::Settings;
 
-/// The settings to go on with. None, with the reasons in the log, if they can't be read or differ in what can't be
-/// changed while running: then the present ones stay, all of them.
+/// Returns the reloaded settings if they can be applied. Returns `None` and logs the reasons if they are invalid or
+/// change a setting that is fixed while running; then all present settings stay in force.
 pub fn accept_settings(read: Result<Settings>, present: &Settings) -> Option<Settings> {
     let settings = match read {
         Ok(settings) => settings,
         Err(error) => {
             for fault in format!("{error:#}").lines() {
-                tracing::error!(%fault, "settings not taken; the old ones stay");
+                tracing::error!(%fault, "settings not taken; the present ones stay in force");
             }
             return None;
         }
@@ -18,7 +18,7 @@
     let fixed = present.fixed_differences(&settings);
     if !fixed.is_empty() {
         for difference in &fixed {
-            tracing::error!(%difference, "can't be changed while running; nothing was changed");
+            tracing::error!(%difference, "setting can't be changed while running; all present settings stay in force");
         }
         return None;
     }
--- a/crates/daemon/src/run/signals.rs
+++ b/crates/daemon/src/run/signals.rs
@@ -1,28 +1,28 @@
-//! The signals that a governor heeds.
+//! The signals that a governor handles.
 
 use anyhow::{Context, Result};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Signals that wait from when this is made: one that comes before the event loop runs is handled by it.
+/// Signal listeners. Signals that arrive before the event loop runs are queued for it.
 pub struct Signals {
-    /// Read the settings again.
+    /// SIGHUP: reload the settings.
     pub hangup: Signal,
-    /// Stop.
+    /// SIGTERM: stop.
     pub terminate: Signal,
-    /// Stop, from a terminal.
+    /// SIGINT: stop, from a terminal.
     pub interrupt: Signal,
 }
 
 impl Signals {
-    /// Listens for them.
+    /// Starts to listen for the signals.
     ///
     /// # Errors
-    /// The system does not let them be had.
+    /// A signal handler can't be installed.
     pub fn listen() -> Result<Self> {
         Ok(Signals {
-            hangup: signal(SignalKind::hangup()).context("signals")?,
-            terminate: signal(SignalKind::terminate()).context("signals")?,
-            interrupt: signal(SignalKind::interrupt()).context("signals")?,
+            hangup: signal(SignalKind::hangup()).context("installing signal handlers")?,
+            terminate: signal(SignalKind::terminate()).context("installing signal handlers")?,
+            interrupt: signal(SignalKind::interrupt()).context("installing signal handlers")?,
         })
     }
 }
--- a/crates/daemon/src/run/startup.rs
+++ b/crates/daemon/src/run/startup.rs
@@ -1,4 +1,4 @@
-//! What a governor needs before it can run: keys, sockets, channels, stored state.
+//! Startup of a governor: signing keys, sockets, channels and stored state.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -16,11 +16,12 @@
 use crate::http::Query;
 use crate::state::{self, StoredState};
 
-/// Events that may be queued for the task that owns all state; streams beyond that wait on their sockets.
+/// Capacity of the event queues of the task that owns all state. When a queue is full, streams stop reading from
+/// their sockets.
 const EVENT_QUEUE: usize = 1024;
-/// Operators' queries that may be queued.
+/// Capacity of the queue of operators' queries.
 const QUERY_QUEUE: usize = 64;
-/// Rosters, and settings read again, that may be queued.
+/// Capacity of the queues of rosters and of reloaded settings.
 const RELOAD_QUEUE: usize = 4;
 
 /// The sockets that the settings name.
@@ -28,36 +29,40 @@
     pub grpc: TcpListener,
     pub http: TcpListener,
     pub long_poll: Option<TcpListener>,
-    /// To other governors.
+    /// The UDP socket to other governors.
     pub membership: Option<Rc<UdpSocket>>,
 }
 
 impl Sockets {
-    /// Binds them.
+    /// Binds the sockets.
     ///
     /// # Errors
-    /// An address that can't be had.
+    /// An address can't be bound.
     pub async fn bind(settings: &Settings) -> Result<Self> {
         let grpc = TcpListener::bind(settings.grpc_address).await;
-        let grpc = grpc.with_context(|| format!("gRPC on {}", settings.grpc_address))?;
+        let grpc = grpc.with_context(|| format!("binding the gRPC port {}", settings.grpc_address))?;
         let http = TcpListener::bind(settings.http_address).await;
-        let http = http.with_context(|| format!("HTTP on {}", settings.http_address))?;
+        let http = http.with_context(|| format!("binding the HTTP port {}", settings.http_address))?;
         let membership = match settings.gossip_address {
             None => None,
             Some(at) => {
-                let socket = UdpSocket::bind(at).await.with_context(|| format!("talk on {at}"))?;
+                let socket = UdpSocket::bind(at)
+                    .await
+                    .with_context(|| format!("binding the membership port {at} (`talk`)"))?;
                 Some(Rc::new(socket))
             }
         };
         let long_poll = match settings.long_poll_address {
             None => None,
-            Some(at) => Some(TcpListener::bind(at).await.with_context(|| format!("long-poll on {at}"))?),
+            Some(at) => Some(
+                TcpListener::bind(at).await.with_context(|| format!("binding the long-poll port {at}"))?,
+            ),
         };
         Ok(Sockets { grpc, http, long_poll, membership })
     }
 }
 
-/// Where tasks send what the owner of all state has to hear of.
+/// The channels by which other tasks send to the task that owns all state.
 pub struct Senders {
     pub datagrams: mpsc::Sender<Vec<u8>>,
     pub grpc: mpsc::Sender<Event>,
@@ -68,7 +73,7 @@
     pub reloads: mpsc::Sender<Result<Settings>>,
 }
 
-/// The other ends of [`Senders`].
+/// The receiving ends of [`Senders`].
 pub struct Receivers {
     pub datagrams: mpsc::Receiver<Vec<u8>>,
     pub grpc: mpsc::Receiver<Event>,
@@ -79,7 +84,7 @@
     pub reloads: mpsc::Receiver<Result<Settings>>,
 }
 
-/// The channels to the task that owns all state.
+/// Creates the channels to the task that owns all state.
 pub fn channels() -> (Senders, Receivers) {
     let (datagrams, received_datagrams) = mpsc::channel(EVENT_QUEUE);
     let (grpc, received_grpc) = mpsc::channel(EVENT_QUEUE);
@@ -101,21 +106,21 @@
     (senders, receivers)
 }
 
-/// The keys that the settings name, by their files' names. A file holds nothing but the secret.
+/// Reads the key files that the settings name. A key's name is that of its file; the file contains only the secret.
 ///
 /// # Errors
-/// A file that can't be read, or whose secret is no key.
+/// A file can't be read, or its secret is not a valid key.
 pub fn signing_keys(settings: &Settings) -> Result<Vec<SigningKey>> {
     settings.keys.iter().map(|path| signing_key(path)).collect()
 }
 
 fn signing_key(path: &Path) -> Result<SigningKey> {
-    let secret = std::fs::read(path).with_context(|| format!("key {}", path.display()))?;
+    let secret = std::fs::read(path).with_context(|| format!("key file {}", path.display()))?;
     let name = path.file_stem().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default();
-    SigningKey::new(&name, secret.trim_ascii()).with_context(|| format!("key {}", path.display()))
+    SigningKey::new(&name, secret.trim_ascii()).with_context(|| format!("key file {}", path.display()))
 }
 
-/// What earlier lives of this governor stored, if the settings name a folder for it.
+/// The state that earlier runs of this governor stored; `None` if the settings name no state folder.
 pub fn stored_state(settings: &Settings, clock: &Clock) -> Option<StoredState> {
     let folder = settings.state_folder.as_ref()?;
     let names = StoredItem::Names {
--- a/crates/daemon/src/run/tasks.rs
+++ b/crates/daemon/src/run/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks beside the one that owns all state: servers, the roster's watch, the datagrams' reader.
+//! The tasks besides the event loop: the servers, the roster watch and the datagram receiver.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -20,15 +20,15 @@
 use crate::host::MAX_POLL_WAIT;
 use crate::{datagrams, http, roster_file};
 
-/// Streams that one connection may have.
+/// The maximum number of streams per connection.
 const MAX_STREAMS_PER_CONNECTION: u32 = 1024;
-/// How long streams may take to hear of their end before the sockets close.
+/// How long streams have to receive their final status before the sockets close.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(300);
 
 /// The gRPC server.
 pub struct GrpcServer {
     pub task: JoinHandle<Result<(), tonic::transport::Error>>,
-    /// Tells proxies, and those who balance over governors, whether to come here.
+    /// Reports to proxies, and to load balancers in front of governors, whether this governor accepts proxies.
     pub health: HealthReporter,
     stop: oneshot::Sender<()>,
 }
@@ -54,7 +54,7 @@
     }
 }
 
-/// All tasks beside the one that owns all state.
+/// All tasks besides the event loop.
 pub struct Tasks {
     pub grpc: GrpcServer,
     http: JoinHandle<()>,
@@ -64,7 +64,7 @@
 }
 
 impl Tasks {
-    /// Starts all but the gRPC front's own streams, which come with their connections.
+    /// Starts all tasks. The tasks of gRPC streams start with their connections.
     pub fn start(
         settings: &Settings,
         wire: &Wire,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Ends them all. Streams hear of their end before the sockets close.
+    /// Stops all tasks. Streams receive their final status before the sockets close.
     pub async fn stop(mut self) {
         if let Some(datagrams) = self.datagrams {
             datagrams.abort();
@@ -104,7 +104,7 @@
     }
 }
 
-/// Follows the roster's source.
+/// Starts to watch the source of the roster.
 pub fn watch_roster(
     settings: &Settings,
     wire: &Wire,
@@ -125,7 +125,7 @@
     }
 }
 
-/// Reads the settings again, aside: that may take seconds, and decisions don't wait for it.
+/// Reloads the settings on another thread, because that may take seconds and must not delay decisions.
 pub fn reload_settings(path: PathBuf, reloads: mpsc::Sender<anyhow::Result<Settings>>) {
     tokio::task::spawn_local(async move {
         if let Ok(read) = tokio::task::spawn_blocking(move || load(&path)).await {
--- a/crates/daemon/src/run/wire.rs
+++ b/crates/daemon/src/run/wire.rs
@@ -1,16 +1,16 @@
-//! What the fronts need of the settings: zones, traffic classes, their routes.
+//! Converts the settings that the fronts need: zones, traffic classes and their routes.
 
 use std::time::Duration;
 
 use wrenthread_settings::{Group, PathRoute, Route, Settings};
 use wrenthread_xds::{Path, Wire, WireGroup};
 
-/// A setting in seconds; zero where it can't be a duration.
+/// A setting in seconds as a duration; zero if it is not a valid one.
 pub fn seconds(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or_default()
 }
 
-/// What the fronts need of the settings; without a key for ownership proofs.
+/// The fronts' parameters from the settings, without the key for ownership proofs.
 pub fn wire(settings: &Settings, epoch: u64) -> Wire {
     Wire {
         epoch,
--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -1,4 +1,4 @@
-//! What a governor knows beyond its life, in a folder: read at the start, written beside the decisions, inspected by
+//! The state that a governor keeps in a folder across restarts: read at startup, written in the background, inspected by
 //! `wrenthread state`.
 
 mod inspect;
@@ -17,18 +17,18 @@
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What a governor starts with.
+/// The stored state that a governor starts with.
 pub struct StoredState {
-    /// The epoch of this life, above that of any earlier one.
+    /// The epoch of this run, above that of every earlier run.
     pub epoch: u64,
-    /// What earlier lives knew, as far as it still holds.
+    /// The restored state of earlier runs, without items that no longer apply.
     pub restored: RestoredState,
-    /// None where nothing can be stored.
+    /// `None` if no state can be stored.
     pub writer: Option<StateWriter>,
 }
 
-/// Reads what earlier lives stored and reserves an epoch for this one. Whatever is wrong with the folder, the governor
-/// starts: the log says what is used and what is not.
+/// Reads the state that earlier runs stored and reserves an epoch for this run. The governor starts even if the folder
+/// is damaged or unusable: the log says what is used and what is lost.
 pub fn open(folder: &Path, names: StoredItem, unix_seconds: f64) -> StoredState {
     let clock_epoch = (unix_seconds * MICROS_PER_SECOND) as u64;
     let mut epoch = clock_epoch;
@@ -40,19 +40,19 @@
         Ok(opened) => opened,
         Err(error) => {
             let folder = folder.display();
-            tracing::error!(%error, %folder, "nothing is known beyond this life, and nothing will be");
+            tracing::error!(%error, %folder, "can't open the state folder; running without stored state");
             return StoredState { epoch, restored: RestoredState::default(), writer: None };
         }
     };
     let (items, unknown) = decode(&recovered);
     for loss in loss_texts(&recovered).iter().chain(&unknown) {
-        tracing::warn!(loss, "of what was known, this is lost");
+        tracing::warn!(loss, "part of the stored state is lost");
     }
     let restored = restore(folder, &items, &names, unix_seconds);
     let writer = match StateWriter::start(store, names, items) {
         Ok(writer) => Some(writer),
         Err(error) => {
-            tracing::error!(%error, "no thread to write what is known");
+            tracing::error!(%error, "can't start the state writer thread; no state will be stored");
             None
         }
     };
@@ -63,37 +63,37 @@
     let reserved = wrenthread_durable_store::reserve_epoch(disk, clock_epoch, random_bits());
     let ReservedEpoch { epoch, failure } = reserved;
     if let Some(error) = failure {
-        tracing::error!(%error, "this life's number could not be reserved");
+        tracing::error!(%error, "can't reserve the epoch of this run");
     }
     epoch
 }
 
-/// Sixteen random bits, without a library for what the standard one has.
+/// Sixteen random bits, from the standard library's hasher to avoid a dependency.
 fn random_bits() -> u16 {
     RandomState::new().hash_one(std::process::id()) as u16
 }
 
-/// What still holds of the stored items.
+/// Restores the stored items that still apply.
 fn restore(folder: &Path, items: &StoredItems, names: &StoredItem, unix_seconds: f64) -> RestoredState {
     if items.is_empty() {
-        tracing::info!(folder = %folder.display(), "nothing was known; from now on it is kept");
+        tracing::info!(folder = %folder.display(), "no stored state found; starting a new state folder");
         return RestoredState::default();
     }
     let (restored, unused) = snapshot::restore(items.clone(), unix_seconds, names);
     for reason in &unused {
-        tracing::warn!(%reason, "of what was known, this is not used");
+        tracing::warn!(%reason, "part of the stored state is not used");
     }
     tracing::info!(
         age_s = restored.age.as_secs_f64(),
         proxies = restored.proxies.len(),
         ejected = restored.ejected.len(),
         overrides = restored.overrides.len(),
-        "what was known before a restart"
+        "stored state restored"
     );
     restored
 }
 
-/// The entries that this version knows, and texts that name those it does not.
+/// Decodes the entries. Also returns a message for each entry that this version of the program can't decode.
 fn decode(recovered: &Recovered) -> (StoredItems, Vec<String>) {
     let mut items = StoredItems::new();
     let mut unknown = Vec::new();
@@ -102,7 +102,7 @@
             Some(item) => {
                 items.insert(name.clone(), Arc::new(item));
             }
-            None => unknown.push(format!("`{name}` is no entry that this version knows")),
+            None => unknown.push(format!("entry `{name}` is not supported by this version of wrenthread")),
         }
     }
     (items, unknown)
--- a/crates/daemon/src/state/inspect.rs
+++ b/crates/daemon/src/state/inspect.rs
@@ -1,4 +1,4 @@
-//! The stored state at the command line: shown, exported, imported, compacted.
+//! Shows, exports, imports and compacts the stored state for the command line.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -14,12 +14,12 @@
 use super::{decode, loss_texts};
 use crate::render;
 
-/// How often a folder is read again that is compacted meanwhile.
+/// The maximum number of attempts to read a folder that may be compacted at the same time.
 const MAX_READ_ATTEMPTS: usize = 5;
-/// Between two attempts.
+/// The delay between two attempts.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// All entries of a folder, and what is wrong with it.
+/// All entries of a folder, and what was lost.
 #[derive(Debug, Serialize)]
 struct FolderContent {
     folder: String,
@@ -30,7 +30,7 @@
     losses: Vec<String>,
 }
 
-/// What a folder holds, without locking it: its governor may run on.
+/// Reads a folder without locking it: its governor may be running.
 fn read(folder: &Path) -> Result<Recovered> {
     let mut recovered = Recovered::default();
     for _ in 0..MAX_READ_ATTEMPTS {
@@ -44,7 +44,7 @@
     Ok(recovered)
 }
 
-/// All entries, and what is wrong with the folder, as JSON.
+/// Returns all entries of a folder, and what was lost, as JSON.
 ///
 /// # Errors
 /// The folder can't be listed.
@@ -68,7 +68,7 @@
     Ok(serde_json::to_value(content)?)
 }
 
-/// What [`show`] says, for people.
+/// The result of [`show`] as human-readable text.
 pub fn summary(content: &Value) -> String {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for name in content["entries"].as_object().into_iter().flat_map(Map::keys) {
@@ -79,7 +79,7 @@
         counts.iter().map(|(kind, count)| vec![(*kind).to_string(), count.to_string()]).collect();
     let mut text = render::columns(&["kind", "entries"], &rows);
     text += &format!(
-        "\n{} bytes, and {} in the journal of generation {}\n",
+        "\nentries: {} bytes, journal: {} bytes, generation {}\n",
         content["bytes"], content["journal_bytes"], content["generation"]
     );
     for loss in content["losses"].as_array().into_iter().flatten().filter_map(Value::as_str) {
@@ -88,15 +88,17 @@
     text
 }
 
-/// Replaces all that a folder holds by an export: how many entries that has. No governor may have the folder.
+/// Replaces the content of a folder by an export, and returns the number of its entries. No governor may be using the
+/// folder.
 ///
 /// # Errors
-/// Another process has the folder; a file that is no export; the disk's.
+/// Another process has locked the folder, the file is not an export, or a disk operation failed.
 pub fn import(folder: &Path, file: &Path) -> Result<usize> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).with_context(|| name.clone())?;
     let content: Value = serde_json::from_str(&text).with_context(|| name.clone())?;
-    let entries = content["entries"].as_object().with_context(|| format!("{name} is no export"))?;
+    let entries =
+        content["entries"].as_object().with_context(|| format!("{name} is not an export of stored state"))?;
     let mut changes = Vec::new();
     for (entry, value) in entries {
         let item: StoredItem =
@@ -104,7 +106,7 @@
         changes.push(Change::put(entry.as_str(), snapshot::encode(&item)));
     }
     if !entries.contains_key(snapshot::NAMES_ITEM) || !entries.contains_key(snapshot::ALIVE_ITEM) {
-        bail!("{name} does not say whose entries these are");
+        bail!("{name} has no `names` or no `alive` entry");
     }
     let (mut store, recovered) = Store::open(Folder::lock(folder)?)?;
     let replaced = recovered.entries.into_keys().filter(|old| !entries.contains_key(old));
@@ -114,19 +116,19 @@
     Ok(entries.len())
 }
 
-/// The sizes of a store after it was compacted.
+/// The sizes of a store after compaction.
 pub struct CompactedSizes {
     pub entry_bytes: usize,
     pub journal_bytes: usize,
 }
 
-/// Folds the journal into a new snapshot. No governor may have the folder.
+/// Merges the journal into a new snapshot. No governor may be using the folder.
 ///
 /// # Errors
-/// As [`import`].
+/// The folder does not exist, another process has locked it, or a disk operation failed.
 pub fn compact(folder: &Path) -> Result<CompactedSizes> {
     if !folder.is_dir() {
-        bail!("{} is no folder", folder.display());
+        bail!("{} is not a folder", folder.display());
     }
     let (mut store, recovered) = Store::open(Folder::lock(folder)?)?;
     for loss in loss_texts(&recovered) {
--- a/crates/daemon/src/state/writer.rs
+++ b/crates/daemon/src/state/writer.rs
@@ -1,4 +1,4 @@
-//! Writes the state beside the decisions, on a thread of its own.
+//! Writes the state on a thread of its own, so that decisions don't wait for the disk.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,11 +9,11 @@
 use wrenthread_durable_store::disk::{DiskError, Folder};
 use wrenthread_durable_store::{Change, Store};
 
-/// How often the time is stored: at a restart, ages are reckoned from the last one.
+/// How often the current time is stored. After a restart, ages are computed from the last stored time.
 const ALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// How long the disk is left alone after an error; doubled with each further one.
+/// The delay before a retry after a disk error; doubled with each further error.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
-/// The longest that the disk is left alone after an error.
+/// The maximum delay before a retry after a disk error.
 const MAX_BACKOFF: Duration = Duration::from_secs(30);
 /// How long a stopping governor waits for its last write.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
@@ -22,7 +22,7 @@
 const STORED_BYTES: &str = "wrenthread_state_bytes";
 const WRITE_ERRORS: &str = "wrenthread_state_errors";
 
-/// How far the thread has come.
+/// The progress of the writer thread.
 #[derive(Debug, Clone, Default)]
 struct Progress {
     batches: u64,
@@ -30,10 +30,10 @@
     bytes: usize,
 }
 
-/// Hands changes to the thread that writes them. It never waits: what the disk does not take yet is merged.
+/// Passes changes to the thread that writes them. Never blocks: changes are merged while the thread is busy.
 pub struct StateWriter {
     previous: StoredItems,
-    /// Encoded changes that the thread has no capacity for yet; none removes an entry.
+    /// Encoded changes that wait for the thread; `None` removes an entry.
     pending: BTreeMap<String, Option<Vec<u8>>>,
     pending_since: Option<Instant>,
     alive_stored_at: Option<Instant>,
@@ -44,10 +44,10 @@
 }
 
 impl StateWriter {
-    /// Starts the thread. `names`: whose state it is; `previous`: what the store holds.
+    /// Starts the thread. `names` identifies the governor; `previous` is the content of the store.
     ///
     /// # Errors
-    /// No thread can be had.
+    /// The thread can't be started.
     pub fn start(store: Store<Folder>, names: StoredItem, previous: StoredItems) -> std::io::Result<Self> {
         let (changes, received) = mpsc::channel(1);
         let (progress, watched) = watch::channel(Progress::default());
@@ -65,12 +65,12 @@
         })
     }
 
-    /// What was handed to [`StateWriter::store`] last.
+    /// The items last passed to [`StateWriter::store`], with names and time added.
     pub fn previous(&self) -> &StoredItems {
         &self.previous
     }
 
-    /// Stores what is known now: what differs from before is sent to the thread, or waits for it.
+    /// Stores the current state: the changes since the previous call are sent to the thread as soon as it is free.
     pub fn store(&mut self, mut items: StoredItems, unix_seconds: f64) {
         items.insert(snapshot::NAMES_ITEM.into(), self.names.clone());
         items.insert(snapshot::ALIVE_ITEM.into(), self.alive(unix_seconds));
@@ -82,7 +82,7 @@
         self.update_gauges();
     }
 
-    /// The time of now, or the one stored before if that was a moment ago.
+    /// The current time, or the previously stored one if it is more recent than [`ALIVE_INTERVAL`].
     fn alive(&mut self, unix_seconds: f64) -> Arc<StoredItem> {
         let is_recent = self.alive_stored_at.is_some_and(|at| at.elapsed() < ALIVE_INTERVAL);
         match self.previous.get(snapshot::ALIVE_ITEM) {
@@ -114,7 +114,7 @@
         self.batches_sent += 1;
     }
 
-    /// Waits for a while until all is written.
+    /// Waits until everything is written, for at most [`FINAL_WRITE_TIMEOUT`].
     pub async fn finish(mut self) {
         let all_written = async {
             while self.progress.borrow_and_update().batches < self.batches_sent || !self.pending.is_empty() {
@@ -125,12 +125,12 @@
             }
         };
         if tokio::time::timeout(FINAL_WRITE_TIMEOUT, all_written).await.is_err() {
-            tracing::error!("the last of what is known could not be written in time");
+            tracing::error!("last state changes could not be written in time");
         }
     }
 }
 
-/// The thread's whole work.
+/// Runs the writer thread.
 fn write_changes(
     store: Store<Folder>,
     mut changes: mpsc::Receiver<Vec<Change>>,
@@ -147,7 +147,7 @@
     }
 }
 
-/// Writes each batch until the disk has it.
+/// Writes batches of changes, retrying after disk errors.
 struct RetryingWriter<'a> {
     store: Store<Folder>,
     backoff: Duration,
@@ -155,8 +155,8 @@
 }
 
 impl RetryingWriter<'_> {
-    /// Writes a batch as one. Past a size limit, which a retry can't help, its changes are written one by one, removals
-    /// first, and those that don't fit are left out.
+    /// Writes a batch in one operation. If it exceeds a size limit, which a retry does not solve, its changes are
+    /// written one by one, removals first, and those that don't fit are dropped.
     fn write_batch(&mut self, mut batch: Vec<Change>) {
         if self.write(&batch).is_ok() {
             return;
@@ -164,17 +164,17 @@
         batch.sort_by_key(|change| change.content.is_some());
         for change in batch {
             if let Err(error) = self.write(std::slice::from_ref(&change)) {
-                tracing::error!(%error, entry = %change.name, "an entry could not be written");
+                tracing::error!(%error, entry = %change.name, "entry could not be written; dropped");
             }
         }
     }
 
     fn report(&self, error: &DiskError) {
         self.progress.send_modify(|progress| progress.errors += 1);
-        tracing::error!(%error, wait_s = self.backoff.as_secs_f64(), "what is known could not be written");
+        tracing::error!(%error, wait_s = self.backoff.as_secs_f64(), "state could not be written");
     }
 
-    /// Writes until the disk has taken it, or a size limit is exceeded.
+    /// Retries until the changes are written or a size limit is exceeded.
     fn write(&mut self, changes: &[Change]) -> Result<(), DiskError> {
         loop {
             match self.store.write(changes) {
--- a/crates/daemon/tests/polling.rs
+++ b/crates/daemon/tests/polling.rs
@@ -87,7 +87,7 @@
 
     let back = |why: &str| program(&governor, &["rollback", &first.to_string(), "--all", "--why", why]);
     let (code, said) = back("too wide");
-    assert!(code == Some(0) && said.contains("2 tables are held"), "{said}");
+    assert!(code == Some(0) && said.contains("2 tables frozen"), "{said}");
     follow(&session, &kept, 4).await;
     assert_eq!(governor.status()["holds"][0]["why"], "too wide");
     // What drains meanwhile leaves the held table too.
@@ -101,13 +101,13 @@
     assert!(code == Some(1) && said.contains("not given out yet"), "{said}");
     assert!(governor.log().contains("rollback requested by operator"));
     let (code, said) = program(&governor, &["pin", "--proxy", "p", "--why", "looked at"]);
-    assert!(code == Some(0) && said.contains("2 tables are held"), "{said}");
+    assert!(code == Some(0) && said.contains("2 tables frozen"), "{said}");
     assert!(program(&governor, &["release", "--proxy", "p"]).1.contains("2 tables"));
     let (code, said) = program(&governor, &["exclude", "w2", "--why", "its disk is full"]);
     assert!(code == Some(0) && said.contains("w2 is overridden for 900 s"), "{said}");
     follow(&session, &kept, 4).await;
     assert_eq!(governor.status()["overrides"][0]["why"], "its disk is full");
-    assert!(program(&governor, &["exclude", "w2", "--undo"]).1.contains("as the module has it"));
+    assert!(program(&governor, &["exclude", "w2", "--undo"]).1.contains("override of w2 ended"));
     follow(&session, &kept, 5).await;
     let (code, said) = program(&governor, &["weight", "w2", "500", "--why", "x"]);
     assert!(code == Some(1) && said.contains("from 0.01 to 100"), "{said}");
@@ -129,7 +129,7 @@
         program(&governor, &["tables", "check", file, "--against", recording])
     };
     let (code, said) = against(&format!("[{running}]"));
-    assert!(code == Some(0) && said.contains("2 tables against what"), "{said}");
+    assert!(code == Some(0) && said.contains("2 tables checked against"), "{said}");
     let (code, said) = against(&running.replace("\"weight\": 1", "\"weight\": -1"));
     assert!(code == Some(3) && said.contains("a weight is not finite"), "{said}");
     let (code, said) = against(&running.replace("\"name\": \"p\"", "\"name\": \"x\""));
@@ -137,14 +137,11 @@
     let half = std::fs::read_to_string(&recording).unwrap();
     std::fs::write(&recording, &half[..half.len() / 2]).unwrap();
     let (code, said) = against(&running);
-    assert!(code == Some(1) && said.contains("is no recording") && said.contains("line 1"), "{said}");
+    assert!(code == Some(1) && said.contains("is not a recording") && said.contains("line 1"), "{said}");
     std::fs::write(&file, "{").unwrap();
     assert!(check().1.contains("wanted.json"));
     let (code, said) = program(&governor, &["why", "w2"]);
-    assert!(
-        code == Some(0) && said.contains("flows a second") && said.contains("nothing about it"),
-        "{said}"
-    );
+    assert!(code == Some(0) && said.contains("requests/s") && said.contains("no recent refusals"), "{said}");
     let (code, said) = program(&governor, &["why", "nobody"]);
     assert!(code == Some(1) && said.contains("no replica is listed"), "{said}");
     assert_eq!(governor.status()["guard"]["refused"], serde_json::json!({}));
--- a/crates/daemon/tests/sharing.rs
+++ b/crates/daemon/tests/sharing.rs
@@ -147,7 +147,7 @@
     assert_eq!(governor.status()["proxies"], json!([]), "all come anew");
     join("p", first + 9000).await;
     assert_eq!(epoch(), first + 5001, "once in a life");
-    assert!(governor.log().contains("another governor has this one's name"));
+    assert!(governor.log().contains("another governor uses this one's name or key"));
 }
 
 #[tokio::test]
--- a/crates/daemon/tests/state.rs
+++ b/crates/daemon/tests/state.rs
@@ -101,7 +101,7 @@
     assert!(told.is_err(), "it is told nothing, but {:?}", cache.borrow().held_version());
     assert_eq!(cache.borrow().held_version().cloned(), held);
     assert_eq!(governor.status()["overrides"][0]["why"], "its disk");
-    assert!(governor.log().contains("what was known before a restart"));
+    assert!(governor.log().contains("stored state restored"));
     assert!(governor.status()["proxies"][0]["kind"] == "standing", "{}", governor.status()["proxies"]);
     // Of the same life in another folder nothing is known: it is told all anew.
     end(&mut governor);
@@ -156,7 +156,7 @@
     let (code, said) = wrenthread(&["state", "verify", &folder]);
     assert!(code == Some(3) && said.contains("is not what was written"), "{said}");
     governor.spawn().await;
-    assert!(governor.log().contains("of what was known, this is lost"), "{}", governor.log());
+    assert!(governor.log().contains("part of the stored state is lost"), "{}", governor.log());
     // It is ready before it has written its first snapshot: one that ended sooner would leave the damaged one.
     until("a good snapshot is there again", || {
         (wrenthread(&["state", "verify", &folder]).0 == Some(0)).then_some(())
@@ -180,11 +180,15 @@
     assert_eq!(wrenthread(&["state", "verify", &folder]).0, Some(0));
     assert!(wrenthread(&["state", "show", &folder]).1.contains("names"));
     std::fs::write(&copy, "{}").unwrap();
-    assert!(wrenthread(&["state", "import", &folder, copy.to_str().unwrap()]).1.contains("is no export"));
+    assert!(
+        wrenthread(&["state", "import", &folder, copy.to_str().unwrap()])
+            .1
+            .contains("is not an export of stored state")
+    );
     std::fs::remove_dir_all(&state).unwrap();
     std::fs::write(&state, "a file").unwrap();
     governor.spawn().await;
-    assert!(governor.log().contains("nothing is known beyond this life, and nothing will be"));
+    assert!(governor.log().contains("can't open the state folder; running without stored state"));
     // Its disk goes while it runs: it decides on, and says that nothing is written.
     end(&mut governor);
     std::fs::remove_file(&state).unwrap();
