--- a/crates/daemon/tests/polling.rs
+++ b/crates/daemon/tests/polling.rs
@@ -1,4 +1,4 @@
-//! The long-poll front of the real program, and stepping back at its command line.
+//! The long-poll front of the real program, and the operators' subcommands: rollback, pin, overrides, table checks.
 
 #![allow(
     clippy::unwrap_used,
@@ -42,16 +42,16 @@
     cache.borrow().held_version().unwrap().0.split_once('.').unwrap().1.parse().unwrap()
 }
 
-/// Asks until the table has so many lines.
+/// Polls until the table has `wanted` entries.
 async fn follow(session: &Session, cache: &Kept, wanted: usize) {
     let began = Instant::now();
     while lines(cache) != wanted {
-        assert!(began.elapsed() < Duration::from_secs(20), "never {wanted} lines");
+        assert!(began.elapsed() < Duration::from_secs(20), "no table with {wanted} entries within 20 s");
         session.ask(cache, &NoObserver).await.unwrap();
     }
 }
 
-/// One more question acknowledges what came last; it may well wait, and need not be answered.
+/// Acknowledges the last version by one more poll, which may time out without an answer.
 async fn acknowledge(session: &Session, cache: &Kept) {
     let _ = tokio::time::timeout(Duration::from_millis(300), session.ask(cache, &NoObserver)).await;
 }
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test]
-async fn a_proxy_follows_by_deltas_and_operators_step_back() {
+async fn a_proxy_receives_deltas_and_operators_roll_back() {
     let governor = Governor::start("poll", 4).await;
     let kept = cache();
     let session = join(&governor, "p", &kept).await.unwrap();
@@ -90,7 +90,7 @@
     assert!(code == Some(0) && said.contains("2 tables frozen"), "{said}");
     follow(&session, &kept, 4).await;
     assert_eq!(governor.status()["holds"][0]["why"], "too wide");
-    // What drains meanwhile leaves the held table too.
+    // A replica that starts to drain is removed from the frozen table too.
     governor.list(6, &[1]);
     follow(&session, &kept, 3).await;
     assert!(back("again").1.contains("gone or draining"));
@@ -120,7 +120,7 @@
     std::fs::write(&file, running.replace("\"weight\": 1", "\"weight\": -1")).unwrap();
     let (code, said) = check();
     assert!(code == Some(3) && said.contains("a weight is not finite"), "{said}");
-    // The same against a recording, of many proxies at once, and when no governor is there any more.
+    // The same check against a recording, with a list of proxies; it needs no running governor.
     let recording = governor.folder.join("recording.json");
     std::fs::write(&recording, program(&governor, &["record"]).1).unwrap();
     let against = |wanted: &str| {
@@ -148,7 +148,7 @@
 }
 
 #[tokio::test]
-async fn a_restart_ends_sessions_and_what_is_held_is_not_sent_again() {
+async fn a_restart_ends_sessions_and_does_not_resend_unchanged_tables() {
     let mut governor = Governor::start("poll-restart", 4).await;
     let kept = cache();
     let session = join(&governor, "p", &kept).await.unwrap();
@@ -156,7 +156,7 @@
     governor.child.kill().unwrap();
     governor.child.wait().unwrap();
     assert!(session.ask(&kept, &NoObserver).await.is_err());
-    assert_eq!(lines(&kept), 4, "the table is kept");
+    assert_eq!(lines(&kept), 4, "the proxy keeps its table");
     governor.spawn().await;
     let gone = session.ask(&kept, &NoObserver).await.unwrap_err().to_string();
     assert!(gone.contains("410"), "{gone}");
@@ -164,14 +164,14 @@
     let session = join(&governor, "p", &kept).await.unwrap();
     acknowledge(&session, &kept).await;
     acknowledge(&session, &kept).await;
-    // Bound anew to the same lines: the digest is the same, so nothing was sent.
+    // The new session was assigned the same entries: the digest is equal, so nothing was sent.
     assert_eq!(kept.borrow().held_version().cloned(), before);
     let status = governor.status();
     assert_eq!(status["proxies"][0]["acked"], status["proxies"][0]["newest"]);
 }
 
 #[tokio::test]
-async fn twice_at_once_under_one_name_the_later_session_counts() {
+async fn a_later_session_of_the_same_name_replaces_the_earlier_one() {
     let governor = Governor::start("poll-twice", 4).await;
     let (kept, other) = (cache(), cache());
     let first = join(&governor, "p", &kept).await.unwrap();
@@ -185,7 +185,7 @@
 }
 
 #[tokio::test]
-async fn a_client_that_reads_a_byte_a_second_costs_the_others_nothing() {
+async fn a_slow_reader_does_not_delay_other_clients() {
     let governor = Governor::start("poll-slow", 8).await;
     let body = r#"{"zone": "north"}"#;
     let url = format!("http://127.0.0.1:{}/v1/proxies/slow", governor.poll);
@@ -209,7 +209,7 @@
 }
 
 #[tokio::test]
-async fn many_questions_that_wake_at_the_same_moment_all_get_their_answer() {
+async fn answers_many_polls_that_wake_at_the_same_moment() {
     const MANY: usize = 300;
     let governor = Governor::start("poll-many", 1000).await;
     LocalSet::new()
@@ -229,7 +229,7 @@
                     })
                 })
                 .collect();
-            until("all hold their tables", || {
+            until("all proxies have acknowledged their tables", || {
                 let status = governor.status();
                 let proxies = status["proxies"].as_array().unwrap();
                 (proxies.iter().filter(|one| one["acked"] == one["newest"]).count() == MANY).then_some(())
--- a/crates/daemon/tests/sharing.rs
+++ b/crates/daemon/tests/sharing.rs
@@ -1,4 +1,4 @@
-//! Governors that talk, and proxies that change hands, on the real program.
+//! Groups of governors on the real program: drains with migration of proxies, epochs, and invalid datagrams.
 
 #![allow(
     clippy::unwrap_used,
@@ -25,7 +25,7 @@
 
 const SECRET: [u8; 32] = [b'k'; 32];
 
-/// Governors that share a key, and know each other's addresses.
+/// Starts governors that share a key and are configured as each other's peers. Returns each with its membership port.
 async fn sharing(test: &str, count: usize) -> Vec<(Governor, u16)> {
     let talk: Vec<u16> = (0..count).map(|_| port()).collect();
     let mut governors = Vec::new();
@@ -65,12 +65,14 @@
 }
 
 #[tokio::test]
-async fn a_drain_hands_proxies_of_both_fronts_over_with_what_is_known() {
+async fn a_drain_migrates_proxies_of_both_fronts_with_their_tables() {
     let governors = sharing("drain", 2).await;
     let (one, other) = (&governors[0].0, &governors[1].0);
     for governor in [one, other] {
-        until("they see each other", || (seen(governor)["others"][0]["standing"] == "alive").then_some(()))
-            .await;
+        until("the governors see each other as alive", || {
+            (seen(governor)["others"][0]["standing"] == "alive").then_some(())
+        })
+        .await;
     }
     let (said, text) = program(one, &["status", "--governors"]);
     assert!(said == Some(0) && text.contains("g1") && text.contains("alive"), "{text}");
@@ -78,7 +80,7 @@
     let cache =
         || Rc::new(RefCell::new(TableCache::new(vec!["match".into(), "charge".into()], vec![], None)));
     let (polled, streamed) = (cache(), cache());
-    // Proxies that belong with the first: they stay until it drains.
+    // Proxies that rank the first governor highest: they stay with it until it drains.
     let names = (0..).map(|n| format!("relay-{n}"));
     let mut theirs = names.filter(|name| ranking(name, &["g0", "g1"])[0] == 0);
     let (p, q) = (who(&theirs.next().unwrap()), who(&theirs.next().unwrap()));
@@ -90,7 +92,7 @@
     let following = grpc::follow(&dialled, &q, true, &streamed, &versions, &NoObserver);
     assert!(answers(&uri(one)).await && answers(&uri(other)).await);
     let draining = async {
-        // Nobody is moved who has just come.
+        // Proxies that have just connected are not migrated.
         tokio::time::sleep(Duration::from_millis(2500)).await;
         let at = format!("127.0.0.1:{}", one.http);
         let ran = tokio::task::spawn_blocking(move || {
@@ -110,7 +112,7 @@
     assert!(said.contains("has handed over 2 proxies"), "{said}");
     let to_g1 = |end: &Error| matches!(end, Error::Moved(Some(to)) if to == "g1");
     assert!(to_g1(&polled_end) && to_g1(&streamed_end.unwrap_err()), "{polled_end:?}");
-    // It says so to whoever asks by the public health protocol, and is not ready.
+    // The gRPC health check reports that the governor is not serving, and it is not ready.
     assert!(!answers(&uri(one)).await && answers(&uri(other)).await);
     assert_ne!(one.get("/readyz").unwrap(), "ready\n");
     let held = polled.borrow().updated_tables();
@@ -120,12 +122,12 @@
     assert!(other.log().contains("migrated tables adopted") && other.log().contains("taken over"));
     assert_eq!(seen(other)["came"], 1);
     assert_eq!(program(one, &["drain-governor", "--undo"]).0, Some(0));
-    until("it takes proxies again", || one.get("/readyz").filter(|text| text == "ready\n")).await;
+    until("the governor is ready again", || one.get("/readyz").filter(|text| text == "ready\n")).await;
     assert!(answers(&uri(one)).await);
 }
 
 #[tokio::test]
-async fn a_governor_whose_calendar_was_set_back_takes_up_a_later_epoch_once() {
+async fn raises_the_epoch_once_after_the_clock_was_set_back() {
     let governors = sharing("calendar", 1).await;
     let (governor, _) = &governors[0];
     let join = async |name: &str, epoch: u64| {
@@ -141,23 +143,24 @@
     let epoch = || u64::from_str_radix(governor.status()["governor"]["epoch"].as_str().unwrap(), 16).unwrap();
     let first = epoch();
     join("old", first - 1000).await;
-    assert_eq!(epoch(), first, "an earlier life had an earlier calendar, as it should");
+    assert_eq!(epoch(), first, "a proof with an earlier epoch does not raise the epoch");
     join("p", first + 5000).await;
     assert_eq!(epoch(), first + 5001);
-    assert_eq!(governor.status()["proxies"], json!([]), "all come anew");
+    assert_eq!(governor.status()["proxies"], json!([]), "all proxies are disconnected");
     join("p", first + 9000).await;
-    assert_eq!(epoch(), first + 5001, "once in a life");
+    assert_eq!(epoch(), first + 5001, "the epoch is raised only once per run");
     assert!(governor.log().contains("another governor uses this one's name or key"));
 }
 
 #[tokio::test]
-async fn datagrams_of_any_kind_do_no_harm_and_are_counted() {
+async fn ignores_and_counts_invalid_datagrams() {
     let governors = sharing("datagrams", 1).await;
     let (governor, talk) = &governors[0];
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     for length in (0..1500).step_by(50) {
         socket.send_to(&vec![length as u8; length], ("127.0.0.1", *talk)).unwrap();
     }
-    until("they are counted", || (seen(governor)["unheard"].as_u64() >= Some(20)).then_some(())).await;
+    until("the datagrams are counted", || (seen(governor)["unheard"].as_u64() >= Some(20)).then_some(()))
+        .await;
     assert_eq!(governor.get("/healthz").unwrap(), "ok\n");
 }
--- a/crates/daemon/tests/state.rs
+++ b/crates/daemon/tests/state.rs
@@ -1,4 +1,5 @@
-//! What a governor knows beyond its life: killed, damaged, taken by another, shown and carried about.
+//! State stored across restarts, on the real program: kills, damaged files, folders in use by another governor, and the
+//! `wrenthread state` subcommands.
 
 #![allow(
     clippy::unwrap_used,
@@ -51,11 +52,11 @@
     Session::join(&format!("http://127.0.0.1:{}", governor.poll), &who, cache).await.unwrap()
 }
 
-/// Asks until the proxy holds a table of so many lines.
+/// Polls until the proxy's table has `wanted` entries.
 async fn follow(session: &Session, cache: &Rc<RefCell<TableCache>>, wanted: usize) {
     let began = Instant::now();
     while cache.borrow().updated_tables().get("match").is_none_or(|(lines, _)| lines.len() != wanted) {
-        assert!(began.elapsed() < Duration::from_secs(20), "never {wanted} lines");
+        assert!(began.elapsed() < Duration::from_secs(20), "no table with {wanted} entries within 20 s");
         session.ask(cache, &NoObserver).await.unwrap();
     }
 }
@@ -69,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn a_killed_governor_knows_what_its_proxies_hold_and_what_operators_said() {
+async fn restores_proxy_tables_and_overrides_after_a_kill() {
     let mut governor = governor("state-kill").await;
     let state = governor.folder.join("state");
     let standing = |n: usize| DefaultEntry {
@@ -91,19 +92,19 @@
             cache.borrow().held_version().unwrap().0.split_once('.').unwrap().1.parse::<u64>().unwrap();
         (version == held && !shown["entries"]["override/w2"].is_null()).then_some(())
     };
-    until("all of it is kept", kept).await;
+    until("the acknowledged version and the override are stored", kept).await;
     let held = cache.borrow().held_version().cloned();
     end(&mut governor);
     governor.spawn().await;
     let again = session(&governor, &cache).await;
-    // It holds what it should: nothing is sent, and it is still known to stand on its own table.
+    // The proxy already has the newest version: nothing is sent, and it is still restored as using its default table.
     let told = tokio::time::timeout(Duration::from_millis(700), again.ask(&cache, &NoObserver)).await;
-    assert!(told.is_err(), "it is told nothing, but {:?}", cache.borrow().held_version());
+    assert!(told.is_err(), "expected no update, but the proxy now has {:?}", cache.borrow().held_version());
     assert_eq!(cache.borrow().held_version().cloned(), held);
     assert_eq!(governor.status()["overrides"][0]["why"], "its disk");
     assert!(governor.log().contains("stored state restored"));
     assert!(governor.status()["proxies"][0]["kind"] == "standing", "{}", governor.status()["proxies"]);
-    // Of the same life in another folder nothing is known: it is told all anew.
+    // Without the state folder nothing is restored: the proxy receives complete tables again.
     end(&mut governor);
     std::fs::rename(&state, governor.folder.join("elsewhere")).unwrap();
     governor.spawn().await;
@@ -111,7 +112,7 @@
     follow(&anew, &cache, 4).await;
     assert_eq!(governor.status()["overrides"], serde_json::json!([]));
 
-    // No file of it, nor the log, holds the secret; and nobody else may read them.
+    // Neither the state files nor the log contain the secret, and only the owner may read the files.
     for entry in std::fs::read_dir(governor.folder.join("elsewhere")).unwrap() {
         let path = entry.unwrap().path();
         let bytes = std::fs::read(&path).unwrap();
@@ -122,13 +123,12 @@
 }
 
 #[tokio::test]
-async fn whatever_is_wrong_with_the_folder_the_governor_starts_and_says_so() {
+async fn starts_with_a_damaged_or_unusable_state_folder_and_logs_the_cause() {
     let mut governor = governor("state-damage").await;
     let state = governor.folder.join("state");
     let folder = state.to_str().unwrap().to_string();
-    until("something is kept", || (wrenthread(&["state", "verify", &folder]).0 == Some(0)).then_some(()))
-        .await;
-    // Another governor on the same folder runs, and keeps nothing.
+    until("state is stored", || (wrenthread(&["state", "verify", &folder]).0 == Some(0)).then_some(())).await;
+    // A second governor with the same folder runs without storing state.
     let mut twin = Governor::start("state-twin", 4).await;
     end(&mut twin);
     let script = std::fs::read_to_string(twin.folder.join("settings.star")).unwrap();
@@ -136,7 +136,7 @@
         .unwrap();
     twin.spawn().await;
     assert!(twin.log().contains("another process has the folder"), "{}", twin.log());
-    // Who has it can't be written over, but can be copied.
+    // A folder in use can be exported but not overwritten.
     let copy = governor.folder.join("copy.json");
     let (code, exported) = wrenthread(&["state", "export", &folder]);
     assert_eq!(code, Some(0));
@@ -146,8 +146,8 @@
     assert_eq!(wrenthread(&["state", "compact", &folder]).0, Some(1));
     end(&mut governor);
 
-    // A bit is turned in its newest snapshot; its journal is cut; both are gone; a file stands where the
-    // folder was.
+    // The cases: a flipped bit in the newest snapshot, a truncated journal, no folder, and a file in place of the
+    // folder.
     let snapshot = file_of(&state, "snapshot");
     let mut bytes = std::fs::read(&snapshot).unwrap();
     let middle = bytes.len() / 2;
@@ -157,13 +157,13 @@
     assert!(code == Some(3) && said.contains("is not what was written"), "{said}");
     governor.spawn().await;
     assert!(governor.log().contains("part of the stored state is lost"), "{}", governor.log());
-    // It is ready before it has written its first snapshot: one that ended sooner would leave the damaged one.
-    until("a good snapshot is there again", || {
+    // The governor is ready before it has written its first snapshot; stopped earlier, it would leave the damaged one.
+    until("an undamaged snapshot is written", || {
         (wrenthread(&["state", "verify", &folder]).0 == Some(0)).then_some(())
     })
     .await;
     end(&mut governor);
-    // A kill amid a fold leaves a newer journal that belongs to no snapshot yet: the other one counts.
+    // A kill during compaction leaves a newer journal without a snapshot: the older journal is used.
     let snapshot = file_of(&state, "snapshot");
     let number: u64 = snapshot.extension().unwrap().to_str().unwrap().parse().unwrap();
     let journal = state.join(format!("journal.{number}"));
@@ -189,12 +189,12 @@
     std::fs::write(&state, "a file").unwrap();
     governor.spawn().await;
     assert!(governor.log().contains("can't open the state folder; running without stored state"));
-    // Its disk goes while it runs: it decides on, and says that nothing is written.
+    // The folder is removed while the governor runs: it keeps making decisions and logs that state can't be written.
     end(&mut governor);
     std::fs::remove_file(&state).unwrap();
     governor.spawn().await;
     std::fs::remove_dir_all(&state).unwrap();
-    until("an error of the disk", || governor.log().contains("could not be written").then_some(())).await;
+    until("a disk error is logged", || governor.log().contains("could not be written").then_some(())).await;
     assert_eq!(governor.get("/readyz").unwrap(), "ready\n");
     assert!(governor.get("/metrics").unwrap().contains("wrenthread_state_errors"));
 }
@@ -208,9 +208,9 @@
     std::fs::write(&snapshot, bytes).unwrap();
 }
 
-/// Guards against knowledge that is lost where a governor ends between "ready" and its first snapshot.
+/// Guards against the loss of stored state when a governor ends after it is ready but before its first snapshot.
 #[tokio::test]
-async fn what_was_recalled_outlives_a_governor_that_ends_as_soon_as_it_is_ready() {
+async fn keeps_restored_state_when_stopped_before_the_first_snapshot() {
     let mut governor = governor("state-early").await;
     let state = governor.folder.join("state");
     let at = format!("127.0.0.1:{}", governor.http);
@@ -221,10 +221,10 @@
         (!shown["entries"]["override/w2"].is_null()).then_some(())
     };
     until("the override is stored", is_stored).await;
-    // A second generation, so that there is one before the newest.
+    // A second generation, so that an older snapshot exists when the newest one is damaged.
     end(&mut governor);
     governor.spawn().await;
-    until("a second snapshot is there", || state.join("snapshot.2").exists().then_some(())).await;
+    until("a second snapshot is written", || state.join("snapshot.2").exists().then_some(())).await;
     for damaged in [false, true] {
         for signal in ["-KILL", "-TERM", "-KILL", "-KILL"] {
             end(&mut governor);
