--- a/crates/daemon/src/admin_client.rs
+++ b/crates/daemon/src/admin_client.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 
 /// The size limit of a response. A recording of a thousand proxies is some ten million bytes.
-const MAX_ANSWER_BYTES: u64 = 512 << 20;
+const MAX_RESPONSE_BYTES: u64 = 512 << 20;
 /// A governor that takes longer to respond is considered unreachable.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -33,12 +33,12 @@
         .build()
         .into();
     let url = format!("http://{at}{path}");
-    let answer = match body {
+    let response = match body {
         None => agent.get(&url).call(),
         Some(body) => agent.post(&url).header("content-type", "application/json").send(body.to_string()),
     };
-    let mut answer = answer.with_context(|| format!("no governor answers at {at}"))?;
-    let body = answer.body_mut().with_config().limit(MAX_ANSWER_BYTES);
+    let mut response = response.with_context(|| format!("no governor answers at {at}"))?;
+    let body = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES);
     let text = body.read_to_string().with_context(|| format!("reading the response of {url}"))?;
     let value: Value = serde_json::from_str(&text)
         .with_context(|| format!("{url} returned invalid JSON: {}", text.trim()))?;
--- a/crates/daemon/src/cli/operate.rs
+++ b/crates/daemon/src/cli/operate.rs
@@ -115,11 +115,11 @@
 /// # Errors
 /// No governor answers at the address, or proxies are left after `max_seconds`.
 pub fn drain(at: &str, max_seconds: f64) -> Result<()> {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut governors = post(at, "/drain", &json!({"draining": true}))?;
     let joined_before = render::cell(&governors["joined"]);
     while governors["joined"] != 0 {
-        if began.elapsed().as_secs_f64() > max_seconds {
+        if started_at.elapsed().as_secs_f64() > max_seconds {
             let left = &governors["joined"];
             bail!(
                 "{left} of {joined_before} proxies are still connected after {max_seconds} s; the drain continues"
@@ -129,8 +129,8 @@
         governors = get(at, "/governors")?;
     }
     let name = render::cell(&governors["name"]);
-    let took = began.elapsed().as_secs_f64();
-    println!("governor {name} has handed over {joined_before} proxies in {took:.1} s");
+    let elapsed_seconds = started_at.elapsed().as_secs_f64();
+    println!("governor {name} has handed over {joined_before} proxies in {elapsed_seconds:.1} s");
     Ok(())
 }
 
--- a/crates/daemon/src/dry_run.rs
+++ b/crates/daemon/src/dry_run.rs
@@ -92,7 +92,7 @@
 fn candidates(recording: &Recording, file: &Value, proxy: Option<&str>) -> Result<Vec<CandidateTable>> {
     let proxies = match file {
         Value::Array(proxies) => proxies.iter().collect(),
-        one => vec![one],
+        proxy => vec![proxy],
     };
     if proxy.is_some() && proxies.len() != 1 {
         bail!("the file has tables of {} proxies; a proxy name needs a file with one", proxies.len());
@@ -131,20 +131,20 @@
 fn outcome(recording: &Recording, candidates: &[CandidateTable], dry_run: &DryRun) -> Outcome {
     let class_name = |class: usize| recording.groups.get(class).cloned();
     let mut refused = Vec::new();
-    for one in &dry_run.refusals {
+    for refused_table in &dry_run.refusals {
         refused.push(RefusedChange {
-            proxy: one.proxy.as_ref().map(ToString::to_string),
-            class: class_name(one.refusal.class),
-            replica: one.refusal.replica.as_ref().map(ToString::to_string),
-            reason: one.refusal.reason.to_string(),
-            asked: one.refusal.asked,
-            allowed: one.refusal.allowed,
-            outcome: labels::refusal_outcome(one.refusal.outcome),
+            proxy: refused_table.proxy.as_ref().map(ToString::to_string),
+            class: class_name(refused_table.refusal.class),
+            replica: refused_table.refusal.replica.as_ref().map(ToString::to_string),
+            reason: refused_table.refusal.reason.to_string(),
+            asked: refused_table.refusal.asked,
+            allowed: refused_table.refusal.allowed,
+            outcome: labels::refusal_outcome(refused_table.refusal.outcome),
         });
     }
     let mut published = Vec::new();
     for (candidate, table) in candidates.iter().zip(&dry_run.tables) {
-        if !is_concerned(dry_run, candidate) {
+        if !has_refusal(dry_run, candidate) {
             continue;
         }
         let routable = table.entries.iter().filter(|entry| entry.routable);
@@ -161,9 +161,9 @@
 }
 
 /// Whether any change to a table was refused.
-fn is_concerned(dry_run: &DryRun, candidate: &CandidateTable) -> bool {
-    dry_run.refusals.iter().any(|one| {
-        let of_proxy = one.proxy.as_ref().is_none_or(|proxy| *proxy == candidate.proxy);
-        of_proxy && one.refusal.class == candidate.class
+fn has_refusal(dry_run: &DryRun, candidate: &CandidateTable) -> bool {
+    dry_run.refusals.iter().any(|refused_table| {
+        let of_proxy = refused_table.proxy.as_ref().is_none_or(|proxy| *proxy == candidate.proxy);
+        of_proxy && refused_table.refusal.class == candidate.class
     })
 }
--- a/crates/daemon/src/host.rs
+++ b/crates/daemon/src/host.rs
@@ -172,7 +172,7 @@
 
     /// Called when a proxy's stream or session has ended.
     fn disconnected(&mut self, now: Duration, stream: StreamId) {
-        let proxy = self.engine.id_on_stream(stream).and_then(|number| self.engine.proxy(number));
+        let proxy = self.engine.id_on_stream(stream).and_then(|proxy_id| self.engine.proxy(proxy_id));
         if let Some(name) = proxy.map(|proxy| proxy.name.clone()) {
             self.membership.proxy_disconnected(now, &name);
         }
--- a/crates/daemon/src/host/engine_events.rs
+++ b/crates/daemon/src/host/engine_events.rs
@@ -59,7 +59,7 @@
     fn log_refusal(&self, refusal: &Refusal) {
         let label = labels::refusal_reason(refusal.reason);
         ::metrics::counter!(metrics::REFUSALS, metrics::REFUSAL_REASON_LABEL => label).increment(1);
-        let proxy = refusal.proxy.and_then(|number| self.engine.proxy(number));
+        let proxy = refusal.proxy.and_then(|proxy_id| self.engine.proxy(proxy_id));
         tracing::warn!(
             proxy = proxy.map(|proxy| &*proxy.name),
             class = self.class_name(refusal.class),
--- a/crates/daemon/src/host/grpc.rs
+++ b/crates/daemon/src/host/grpc.rs
@@ -40,8 +40,8 @@
     }
 
     fn ads_closed(&mut self, now: Duration, stream: StreamId) {
-        if let Some(number) = self.engine.id_on_stream(stream) {
-            let name = self.engine.proxy(number).map(|proxy| proxy.name.clone());
+        if let Some(proxy_id) = self.engine.id_on_stream(stream) {
+            let name = self.engine.proxy(proxy_id).map(|proxy| proxy.name.clone());
             tracing::info!(proxy = name.as_deref(), stream, "proxy disconnected");
         }
         self.streams.remove(&stream);
@@ -137,21 +137,21 @@
     pub(super) fn flush_stream(
         &mut self,
         now: Duration,
-        number: ProxyId,
+        proxy_id: ProxyId,
         stream: Option<StreamId>,
     ) -> Option<WorkItem> {
         let open = stream.and_then(|stream| self.streams.get_mut(&stream));
         let (Some(stream), Some(open)) = (stream, open) else {
-            self.engine.tables_sent(now, number, 0, 0);
+            self.engine.tables_sent(now, proxy_id, 0, 0);
             return None;
         };
         if !open.answers.has_room() {
-            self.engine.stream_full(number);
+            self.engine.stream_full(proxy_id);
             ::metrics::counter!(metrics::STREAMS_FULL).increment(1);
             return Some(WorkItem::AwaitCapacity { stream, answers: open.answers.clone() });
         }
-        let (Some(session), Some(proxy)) = (open.session.as_mut(), self.engine.proxy(number)) else {
-            self.engine.tables_sent(now, number, 0, 0);
+        let (Some(session), Some(proxy)) = (open.session.as_mut(), self.engine.proxy(proxy_id)) else {
+            self.engine.tables_sent(now, proxy_id, 0, 0);
             return None;
         };
         let flushed = session.flush(&self.wire, proxy);
@@ -162,7 +162,7 @@
         for response in flushed.responses {
             open.answers.send(response);
         }
-        self.engine.tables_sent(now, number, flushed.lines, messages);
+        self.engine.tables_sent(now, proxy_id, flushed.lines, messages);
         if let Some(version) = flushed.acked {
             self.engine.version_acknowledged(now, stream, version);
         }
--- a/crates/daemon/src/host/inspection.rs
+++ b/crates/daemon/src/host/inspection.rs
@@ -133,13 +133,13 @@
 impl Host {
     /// The tables that one proxy should have; `None` if it is not connected.
     pub fn tables(&self, name: &str) -> Option<ProxyTables> {
-        let (number, proxy) = self.engine.fleet().named(name)?;
+        let (proxy_id, proxy) = self.engine.fleet().named(name)?;
         let default_table = proxy.default_table.iter();
         let default_table = default_table
             .map(|(replica, weight)| DefaultTableEntry { replica: replica.to_string(), weight: *weight });
         Some(ProxyTables {
             name: name.to_string(),
-            kind: self.table_kind(number, proxy),
+            kind: self.table_kind(proxy_id, proxy),
             sent: proxy.sent_version,
             acknowledged: proxy.acknowledged_version,
             default_table: default_table.collect(),
@@ -175,7 +175,7 @@
     /// The refusals that concern a proxy or a replica, with the replica's load and ejection reason; `None` if neither
     /// has this name.
     pub fn refusals(&self, now: Duration, name: &str) -> Option<Refusals> {
-        let proxy = self.engine.fleet().named(name).map(|(number, _)| number);
+        let proxy = self.engine.fleet().named(name).map(|(proxy_id, _)| proxy_id);
         let replica = self.engine.replicas().map(|(id, _)| id).find(|id| &***id == name);
         if proxy.is_none() && replica.is_none() {
             return None;
@@ -195,7 +195,7 @@
     }
 
     fn refusal_summary(&self, now: Duration, refusal: &Refusal) -> RefusalSummary {
-        let proxy = refusal.proxy.and_then(|number| self.engine.proxy(number));
+        let proxy = refusal.proxy.and_then(|proxy_id| self.engine.proxy(proxy_id));
         RefusalSummary {
             age_seconds: now.saturating_sub(refusal.at).as_secs_f64(),
             lasting_seconds: refusal.at.saturating_sub(refusal.since).as_secs_f64(),
@@ -222,8 +222,8 @@
 
     /// The retained versions of a proxy's tables; `None` if it is not connected.
     pub fn history(&self, now: Duration, name: &str) -> Option<TableHistory> {
-        let (number, proxy) = self.engine.fleet().named(name)?;
-        let retained = self.engine.history().of(number);
+        let (proxy_id, proxy) = self.engine.fleet().named(name)?;
+        let retained = self.engine.history().of(proxy_id);
         let versions = retained.map(|entry| VersionSummary {
             version: entry.version,
             age_seconds: now.saturating_sub(entry.published_at).as_secs_f64(),
@@ -240,8 +240,8 @@
     /// The proxy is not connected, or a version is older than those retained.
     pub fn diff(&self, name: &str, from: u64, to: u64) -> Result<TableDiff, InspectionError> {
         let connected = self.engine.fleet().named(name);
-        let (number, _) = connected.ok_or_else(|| InspectionError::NotConnected(name.to_string()))?;
-        let (from, to) = (self.retained(name, number, from)?, self.retained(name, number, to)?);
+        let (proxy_id, _) = connected.ok_or_else(|| InspectionError::NotConnected(name.to_string()))?;
+        let (from, to) = (self.retained(name, proxy_id, from)?, self.retained(name, proxy_id, to)?);
         let delta = table_versions::delta(&from.state, from.digest, &to.state, to.digest);
         Ok(TableDiff {
             name: name.to_string(),
--- a/crates/daemon/src/host/joining.rs
+++ b/crates/daemon/src/host/joining.rs
@@ -23,9 +23,9 @@
 
     /// Called when a proxy has connected. The proof is checked first because it may raise the epoch, which ends all
     /// streams.
-    pub(super) fn connected(&mut self, now: Duration, number: ProxyId, name: &str, proof: Option<&str>) {
+    pub(super) fn connected(&mut self, now: Duration, proxy_id: ProxyId, name: &str, proof: Option<&str>) {
         let former_governor = self.check_ownership(now, name, proof);
-        self.adopt_migrated(now, number, former_governor.as_deref());
+        self.adopt_migrated(now, proxy_id, former_governor.as_deref());
     }
 
     /// The governor whose tables a proxy has, if that is proven. No table depends on it: the module gives complete
@@ -75,8 +75,8 @@
 
     /// Announces the proxy to the other governors and adopts the state that was sent for it, if the sender is the
     /// governor that the proxy was connected to last.
-    fn adopt_migrated(&mut self, now: Duration, number: ProxyId, former_governor: Option<&str>) {
-        let Some(proxy) = self.engine.proxy(number).map(|proxy| proxy.name.clone()) else { return };
+    fn adopt_migrated(&mut self, now: Duration, proxy_id: ProxyId, former_governor: Option<&str>) {
+        let Some(proxy) = self.engine.proxy(proxy_id).map(|proxy| proxy.name.clone()) else { return };
         let Some(transferred) = self.membership.proxy_connected(now, &proxy) else { return };
         if former_governor.is_some_and(|governor| governor != transferred.from) {
             tracing::info!(%proxy, from = transferred.from, "migrated tables outdated");
@@ -85,7 +85,7 @@
         match migration::decode(&self.session_parameters, now, transferred) {
             Ok(migrated) => {
                 let from = migrated.from.clone();
-                let tables = self.engine.adopt_migrated_tables(now, number, migrated);
+                let tables = self.engine.adopt_migrated_tables(now, proxy_id, migrated);
                 ::metrics::counter!(metrics::TABLES_MIGRATED).increment(1);
                 tracing::info!(%proxy, %from, tables, "migrated tables adopted");
             }
--- a/crates/daemon/src/host/long_poll.rs
+++ b/crates/daemon/src/host/long_poll.rs
@@ -79,12 +79,12 @@
             Ok(held) => held,
             Err(error) => return drop(reply.send(Err(invalid(error)))),
         };
-        let Some(number) = self.engine.id_on_stream(session) else {
+        let Some(proxy_id) = self.engine.id_on_stream(session) else {
             let redirect = self.pending_redirects.remove(&session);
             let refusal = redirect.map_or(RequestError::UnknownSession, RequestError::Redirected);
             return drop(reply.send(Err(refusal)));
         };
-        let poll = Poll { session, proxy: number, held, wait, reply };
+        let poll = Poll { session, proxy: proxy_id, held, wait, reply };
         let accepted = match self.sessions.poll(now, poll, self.engine.history()) {
             Ok(accepted) => accepted,
             Err((_, reply)) => return drop(reply.send(Err(RequestError::UnknownSession))),
@@ -96,7 +96,7 @@
             self.engine.version_acknowledged(now, session, version);
             self.engine.clear_in_flight(session);
         }
-        let newest = self.engine.history().newest(number).map(|newest| newest.version);
+        let newest = self.engine.history().newest(proxy_id).map(|newest| newest.version);
         if accepted.acknowledged_version != newest {
             self.engine.clear_in_flight(session);
             self.engine.resend_requested(now, session, 1);
@@ -159,26 +159,26 @@
     }
 
     /// Answers the pending poll of a session if its proxy lacks the newest version.
-    pub(super) fn flush_session(&mut self, now: Duration, number: ProxyId, session: StreamId) {
-        if !self.engine.proxy(number).is_some_and(Proxy::has_known_tables) {
-            return self.engine.tables_sent(now, number, 0, 0);
+    pub(super) fn flush_session(&mut self, now: Duration, proxy_id: ProxyId, session: StreamId) {
+        if !self.engine.proxy(proxy_id).is_some_and(Proxy::has_known_tables) {
+            return self.engine.tables_sent(now, proxy_id, 0, 0);
         }
-        match self.sessions.answer_pending(now, session, number, self.engine.history()) {
+        match self.sessions.answer_pending(now, session, proxy_id, self.engine.history()) {
             Some(PollAnswer { reply, outcome, entries }) => {
                 ::metrics::counter!(metrics::ENTRIES_SENT).increment(entries as u64);
                 ::metrics::counter!(metrics::RESPONSES_SENT).increment(1);
                 let proxy = self.sessions.proxy_name(session).cloned().unwrap_or_default();
                 self.reply_with_tables(&proxy, reply, outcome);
-                self.engine.tables_sent(now, number, entries, 1);
+                self.engine.tables_sent(now, proxy_id, entries, 1);
             }
             // The proxy already has the newest version.
             None if self.sessions.has_pending_poll(session) => {
-                self.engine.tables_sent(now, number, 0, 0);
-                let newest = self.engine.history().newest(number).map_or(0, |newest| newest.version);
+                self.engine.tables_sent(now, proxy_id, 0, 0);
+                let newest = self.engine.history().newest(proxy_id).map_or(0, |newest| newest.version);
                 self.engine.version_acknowledged(now, session, newest);
             }
             // No poll is pending: the update is sent with the answer to the next poll.
-            None => self.engine.stream_full(number),
+            None => self.engine.stream_full(proxy_id),
         }
     }
 
--- a/crates/daemon/src/host/membership.rs
+++ b/crates/daemon/src/host/membership.rs
@@ -37,11 +37,11 @@
     migrated_here: u64,
     #[serde(rename = "unheard")]
     ignored_datagrams: u64,
-    others: Vec<GovernorStatus>,
+    others: Vec<MemberStatus>,
 }
 
 #[derive(Debug, Serialize)]
-struct GovernorStatus {
+struct MemberStatus {
     name: String,
     #[serde(rename = "standing")]
     state: &'static str,
@@ -55,14 +55,14 @@
     incarnation: String,
 }
 
-impl GovernorStatus {
+impl MemberStatus {
     fn new(now: Duration, member: &Member) -> Self {
         let seconds_since = |at: Duration| now.saturating_sub(at).as_secs_f64();
         let state = match member.last_heard {
             None if !member.is_live() => NOT_HEARD_YET,
             _ => member.update.state.name(),
         };
-        GovernorStatus {
+        MemberStatus {
             name: member.update.name.clone(),
             state,
             at: member.update.address.to_string(),
@@ -109,7 +109,7 @@
             migrated_away: statistics.proxies_moved,
             migrated_here: statistics.proxies_received,
             ignored_datagrams: statistics.datagrams_rejected,
-            others: others.map(|member| GovernorStatus::new(now, member)).collect(),
+            others: others.map(|member| MemberStatus::new(now, member)).collect(),
         }
     }
 
@@ -127,9 +127,9 @@
 
     /// Offers a proxy, with its state, to another governor.
     fn offer_proxy(&mut self, now: Duration, proxy: &str, to: &str) {
-        let number = self.engine.fleet().named(proxy).map(|(number, _)| number);
+        let proxy_id = self.engine.fleet().named(proxy).map(|(proxy_id, _)| proxy_id);
         let state =
-            number.map(|number| migration::encode(&self.engine, &self.session_parameters, now, number));
+            proxy_id.map(|proxy_id| migration::encode(&self.engine, &self.session_parameters, now, proxy_id));
         self.membership.offer_proxy(now, proxy, to, state.unwrap_or_default());
     }
 
--- a/crates/daemon/src/host/status.rs
+++ b/crates/daemon/src/host/status.rs
@@ -144,11 +144,13 @@
         GovernorStatus {
             governor: self.governor_section(now, up),
             classes: self.class_statuses(),
-            proxies: proxies.map(|(number, proxy)| self.proxy_status(now, number, proxy)).collect(),
+            proxies: proxies.map(|(proxy_id, proxy)| self.proxy_status(now, proxy_id, proxy)).collect(),
             replicas: replicas.map(|(id, replica)| self.replica_status(now, id, replica)).collect(),
             frozen_tables: self.frozen_table_statuses(now),
             guard: guard_status(engine, now),
-            overrides: overrides.map(|(replica, one)| override_status(now, replica, one)).collect(),
+            overrides: overrides
+                .map(|(replica, replica_override)| override_status(now, replica, replica_override))
+                .collect(),
         }
     }
 
@@ -189,12 +191,12 @@
         classes.map(status).collect()
     }
 
-    fn proxy_status(&self, now: Duration, number: ProxyId, proxy: &Proxy) -> ProxyStatus {
+    fn proxy_status(&self, now: Duration, proxy_id: ProxyId, proxy: &Proxy) -> ProxyStatus {
         let rejected = proxy.rejected.as_ref();
         ProxyStatus {
             name: proxy.name.to_string(),
             zone: self.zone_name(proxy.zone).to_string(),
-            kind: self.table_kind(number, proxy),
+            kind: self.table_kind(proxy_id, proxy),
             newest: proxy.newest(),
             sent: proxy.sent_version,
             acknowledged: proxy.acknowledged_version,
@@ -206,10 +208,10 @@
 
     /// The kind of tables that a proxy uses: its own default (`standing`), its zone's (`default`), or one solved for it
     /// (`critical`).
-    pub(super) fn table_kind(&self, number: ProxyId, proxy: &Proxy) -> &'static str {
+    pub(super) fn table_kind(&self, proxy_id: ProxyId, proxy: &Proxy) -> &'static str {
         match proxy.kind() {
             TableKind::ProxyDefault => "standing",
-            TableKind::Assigned if self.engine.is_critical(number) => "critical",
+            TableKind::Assigned if self.engine.is_critical(proxy_id) => "critical",
             TableKind::Assigned => "default",
         }
     }
@@ -252,16 +254,16 @@
     GuardStatus { passed, refused: count_by_text(refused), alarms: engine.guard().alarms(now) }
 }
 
-fn override_status(now: Duration, replica: &ReplicaId, one: &Override) -> OverrideStatus {
-    let weight = match one.kind {
+fn override_status(now: Duration, replica: &ReplicaId, replica_override: &Override) -> OverrideStatus {
+    let weight = match replica_override.kind {
         OverrideKind::Exclude => 0.0,
         OverrideKind::Weight(factor) => factor,
     };
     OverrideStatus {
         replica: replica.to_string(),
         weight,
-        reason: one.reason.to_string(),
-        remaining_seconds: one.until.saturating_sub(now).as_secs_f64(),
+        reason: replica_override.reason.to_string(),
+        remaining_seconds: replica_override.until.saturating_sub(now).as_secs_f64(),
     }
 }
 
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -101,14 +101,14 @@
 }
 
 async fn query<T>(queries: &Queries, query: impl FnOnce(Reply<T>) -> Query) -> Result<T, Stopping> {
-    let (reply, answer) = oneshot::channel();
+    let (reply, response) = oneshot::channel();
     queries.send(query(reply)).await.map_err(|_| Stopping)?;
-    answer.await.map_err(|_| Stopping)
+    response.await.map_err(|_| Stopping)
 }
 
 /// A response as JSON, with the fields in alphabetical order.
-fn json_response(answer: &impl Serialize) -> Response {
-    match serde_json::to_value(answer) {
+fn json_response(response: &impl Serialize) -> Response {
+    match serde_json::to_value(response) {
         Ok(value) => Json(value).into_response(),
         Err(error) => (StatusCode::INTERNAL_SERVER_ERROR, error.to_string()).into_response(),
     }
@@ -119,9 +119,9 @@
 }
 
 /// A result as JSON, or its error as status 404.
-fn json_or_error<T: Serialize, E: ToString>(answer: Result<T, E>) -> Response {
-    match answer {
-        Ok(answer) => json_response(&answer),
+fn json_or_error<T: Serialize, E: ToString>(response: Result<T, E>) -> Response {
+    match response {
+        Ok(response) => json_response(&response),
         Err(error) => not_found(&error.to_string()),
     }
 }
--- a/crates/daemon/src/roster_file.rs
+++ b/crates/daemon/src/roster_file.rs
@@ -134,12 +134,12 @@
 
 /// The ids and addresses read so far, to reject duplicates.
 #[derive(Default)]
-struct Seen {
+struct SeenReplicas {
     ids: BTreeSet<String>,
     ids_by_address: BTreeMap<String, String>,
 }
 
-impl Seen {
+impl SeenReplicas {
     fn add(&mut self, entry: &FileEntry, phase: Phase) -> Result<(), EntryError> {
         if !self.ids.insert(entry.id.clone()) {
             return Err(EntryError::DuplicateId(entry.id.clone()));
@@ -174,7 +174,7 @@
     let content: FileContent = serde_json::from_str(text)
         .map_err(|error| invalid(error.line(), error.column(), error.to_string()))?;
     let mut entries = Vec::with_capacity(content.replicas.len());
-    let mut seen = Seen::default();
+    let mut seen = SeenReplicas::default();
     for entry in &content.replicas {
         match roster_entry(entry, zones, clock, &mut seen) {
             Ok(Some(entry)) => entries.push(entry),
@@ -196,7 +196,7 @@
     entry: &FileEntry,
     zones: &[String],
     clock: &Clock,
-    seen: &mut Seen,
+    seen: &mut SeenReplicas,
 ) -> Result<Option<RosterEntry>, EntryError> {
     let phase = entry.check()?;
     let zone = entry.zone(zones)?;
@@ -227,14 +227,14 @@
 /// Polls the file and sends the roster whenever the text has changed and is valid.
 pub async fn watch(
     path: PathBuf,
-    every: Duration,
+    poll_interval: Duration,
     zones: Vec<String>,
     clock: Clock,
     rosters: mpsc::Sender<Vec<RosterEntry>>,
 ) {
     let mut last_text = None;
     let mut last_error = None;
-    let mut ticks = tokio::time::interval(every);
+    let mut ticks = tokio::time::interval(poll_interval);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     while !rosters.is_closed() {
         ticks.tick().await;
--- a/crates/daemon/src/run/event_loop.rs
+++ b/crates/daemon/src/run/event_loop.rs
@@ -111,7 +111,7 @@
 
     /// Makes decisions and sends the resulting updates.
     fn process(&mut self) {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let _span = tracing::debug_span!("pump").entered();
         let (socket, senders) = (self.socket.as_ref(), &self.senders);
         self.host.process(self.clock.now(), |item| match item {
@@ -125,7 +125,7 @@
                 });
             }
         });
-        metrics::histogram!(ROUND_SECONDS).record(began.elapsed().as_secs_f64());
+        metrics::histogram!(ROUND_SECONDS).record(started_at.elapsed().as_secs_f64());
     }
 
     /// Updates the gRPC health service: a draining governor is not serving.
--- a/crates/daemon/src/run/tasks.rs
+++ b/crates/daemon/src/run/tasks.rs
@@ -113,9 +113,9 @@
 ) -> JoinHandle<()> {
     match &settings.roster {
         RosterSource::File(path) => {
-            let every = seconds(settings.roster_poll_interval);
+            let interval = seconds(settings.roster_poll_interval);
             let zones = wire.zones.clone();
-            tokio::task::spawn_local(roster_file::watch(path.clone(), every, zones, clock, rosters))
+            tokio::task::spawn_local(roster_file::watch(path.clone(), interval, zones, clock, rosters))
         }
         RosterSource::Upstream { uri, clusters } => {
             let started_at = move |unix_seconds| clock.at(unix_seconds);
--- a/crates/daemon/src/state/inspect.rs
+++ b/crates/daemon/src/state/inspect.rs
@@ -31,7 +31,7 @@
 }
 
 /// Reads a folder without locking it: its governor may be running.
-fn read(folder: &Path) -> Result<Recovered> {
+fn read_folder(folder: &Path) -> Result<Recovered> {
     let mut recovered = Recovered::default();
     for _ in 0..MAX_READ_ATTEMPTS {
         let read = wrenthread_durable_store::read(&mut Folder::read_only(folder));
@@ -49,7 +49,7 @@
 /// # Errors
 /// The folder can't be listed.
 pub fn show(folder: &Path) -> Result<Value> {
-    let recovered = read(folder)?;
+    let recovered = read_folder(folder)?;
     let (items, unknown) = decode(&recovered);
     let entries = recovered.entries.iter();
     let bytes = entries.map(|(name, content)| name.len() + content.len()).sum();
--- a/crates/daemon/tests/state.rs
+++ b/crates/daemon/tests/state.rs
@@ -25,38 +25,39 @@
 
 const SECRET: &str = "a secret that no file but its own may hold";
 
-fn wrenthread(arguments: &[&str]) -> (Option<i32>, String) {
+fn run_cli(arguments: &[&str]) -> (Option<i32>, String) {
     let ran = Command::new(env!("CARGO_BIN_EXE_wrenthread")).args(arguments).output().unwrap();
     (ran.status.code(), String::from_utf8([ran.stdout, ran.stderr].concat()).unwrap())
 }
 
-async fn governor(name: &str) -> Governor {
+async fn start_governor(name: &str) -> Governor {
     let mut governor = Governor::start(name, 4).await;
-    end(&mut governor);
+    kill(&mut governor);
     std::fs::write(governor.folder.join("fleet.key"), SECRET).unwrap();
     let path = governor.folder.join("settings.star");
     let script = std::fs::read_to_string(&path).unwrap();
-    let more = "governor(name = \"g\", keys = [\"fleet.key\"])\nstate(folder = \"state\", every = 0.05)\n";
-    std::fs::write(path, script + more).unwrap();
+    let settings =
+        "governor(name = \"g\", keys = [\"fleet.key\"])\nstate(folder = \"state\", every = 0.05)\n";
+    std::fs::write(path, script + settings).unwrap();
     governor.spawn().await;
     governor
 }
 
-fn end(governor: &mut Governor) {
+fn kill(governor: &mut Governor) {
     governor.child.kill().unwrap();
     governor.child.wait().unwrap();
 }
 
-async fn session(governor: &Governor, cache: &Rc<RefCell<TableCache>>) -> Session {
-    let who = ProxyIdentity { name: "p".into(), zone: "north".into(), requests_per_second: 1.0 };
-    Session::join(&format!("http://127.0.0.1:{}", governor.poll), &who, cache).await.unwrap()
+async fn join(governor: &Governor, cache: &Rc<RefCell<TableCache>>) -> Session {
+    let identity = ProxyIdentity { name: "p".into(), zone: "north".into(), requests_per_second: 1.0 };
+    Session::join(&format!("http://127.0.0.1:{}", governor.poll), &identity, cache).await.unwrap()
 }
 
 /// Polls until the proxy's table has `wanted` entries.
-async fn follow(session: &Session, cache: &Rc<RefCell<TableCache>>, wanted: usize) {
-    let began = Instant::now();
-    while cache.borrow().updated_tables().get("match").is_none_or(|(lines, _)| lines.len() != wanted) {
-        assert!(began.elapsed() < Duration::from_secs(20), "no table with {wanted} entries within 20 s");
+async fn poll_until(session: &Session, cache: &Rc<RefCell<TableCache>>, wanted: usize) {
+    let started_at = Instant::now();
+    while cache.borrow().updated_tables().get("match").is_none_or(|(entries, _)| entries.len() != wanted) {
+        assert!(started_at.elapsed() < Duration::from_secs(20), "no table with {wanted} entries within 20 s");
         session.ask(cache, &NoObserver).await.unwrap();
     }
 }
@@ -71,45 +72,45 @@
 
 #[tokio::test]
 async fn restores_proxy_tables_and_overrides_after_a_kill() {
-    let mut governor = governor("state-kill").await;
+    let mut governor = start_governor("state-kill").await;
     let state = governor.folder.join("state");
-    let standing = |n: usize| DefaultEntry {
+    let default_entry = |n: usize| DefaultEntry {
         replica: format!("w{n}"),
         address: format!("10.0.0.{n}:80").as_str().into(),
         weight: 1.0,
     };
     let groups = vec!["match".to_string(), "charge".to_string()];
-    let cache = Rc::new(RefCell::new(TableCache::new(groups, (0..4).map(standing).collect(), None)));
-    let first = session(&governor, &cache).await;
+    let cache = Rc::new(RefCell::new(TableCache::new(groups, (0..4).map(default_entry).collect(), None)));
+    let first = join(&governor, &cache).await;
     let at = format!("127.0.0.1:{}", governor.http);
-    assert_eq!(wrenthread(&["exclude", "w2", "--why", "its disk", "--at", &at]).0, Some(0));
-    follow(&first, &cache, 3).await;
-    let kept = || {
-        let (_, shown) = wrenthread(&["state", "show", state.to_str().unwrap(), "--output", "json"]);
+    assert_eq!(run_cli(&["exclude", "w2", "--why", "its disk", "--at", &at]).0, Some(0));
+    poll_until(&first, &cache, 3).await;
+    let is_stored = || {
+        let (_, shown) = run_cli(&["state", "show", state.to_str().unwrap(), "--output", "json"]);
         let shown: serde_json::Value = serde_json::from_str(&shown).ok()?;
         let version = shown["entries"]["proxy/p"]["Proxy"]["version"].as_u64()?;
         let held =
             cache.borrow().held_version().unwrap().0.split_once('.').unwrap().1.parse::<u64>().unwrap();
         (version == held && !shown["entries"]["override/w2"].is_null()).then_some(())
     };
-    until("the acknowledged version and the override are stored", kept).await;
+    until("the acknowledged version and the override are stored", is_stored).await;
     let held = cache.borrow().held_version().cloned();
-    end(&mut governor);
+    kill(&mut governor);
     governor.spawn().await;
-    let again = session(&governor, &cache).await;
+    let rejoined = join(&governor, &cache).await;
     // The proxy already has the newest version: nothing is sent, and it is still restored as using its default table.
-    let told = tokio::time::timeout(Duration::from_millis(700), again.ask(&cache, &NoObserver)).await;
-    assert!(told.is_err(), "expected no update, but the proxy now has {:?}", cache.borrow().held_version());
+    let poll = tokio::time::timeout(Duration::from_millis(700), rejoined.ask(&cache, &NoObserver)).await;
+    assert!(poll.is_err(), "expected no update, but the proxy now has {:?}", cache.borrow().held_version());
     assert_eq!(cache.borrow().held_version().cloned(), held);
     assert_eq!(governor.status()["overrides"][0]["why"], "its disk");
     assert!(governor.log().contains("stored state restored"));
     assert!(governor.status()["proxies"][0]["kind"] == "standing", "{}", governor.status()["proxies"]);
     // Without the state folder nothing is restored: the proxy receives complete tables again.
-    end(&mut governor);
+    kill(&mut governor);
     std::fs::rename(&state, governor.folder.join("elsewhere")).unwrap();
     governor.spawn().await;
-    let anew = session(&governor, &cache).await;
-    follow(&anew, &cache, 4).await;
+    let after_loss = join(&governor, &cache).await;
+    poll_until(&after_loss, &cache, 4).await;
     assert_eq!(governor.status()["overrides"], serde_json::json!([]));
 
     // Neither the state files nor the log contain the secret, and only the owner may read the files.
@@ -124,13 +125,13 @@
 
 #[tokio::test]
 async fn starts_with_a_damaged_or_unusable_state_folder_and_logs_the_cause() {
-    let mut governor = governor("state-damage").await;
+    let mut governor = start_governor("state-damage").await;
     let state = governor.folder.join("state");
     let folder = state.to_str().unwrap().to_string();
-    until("state is stored", || (wrenthread(&["state", "verify", &folder]).0 == Some(0)).then_some(())).await;
+    until("state is stored", || (run_cli(&["state", "verify", &folder]).0 == Some(0)).then_some(())).await;
     // A second governor with the same folder runs without storing state.
     let mut twin = Governor::start("state-twin", 4).await;
-    end(&mut twin);
+    kill(&mut twin);
     let script = std::fs::read_to_string(twin.folder.join("settings.star")).unwrap();
     std::fs::write(twin.folder.join("settings.star"), format!("{script}state(folder = {folder:?})\n"))
         .unwrap();
@@ -138,13 +139,13 @@
     assert!(twin.log().contains("another process has the folder"), "{}", twin.log());
     // A folder in use can be exported but not overwritten.
     let copy = governor.folder.join("copy.json");
-    let (code, exported) = wrenthread(&["state", "export", &folder]);
+    let (code, exported) = run_cli(&["state", "export", &folder]);
     assert_eq!(code, Some(0));
     std::fs::write(&copy, &exported).unwrap();
-    let (code, said) = wrenthread(&["state", "import", &folder, copy.to_str().unwrap()]);
-    assert!(code == Some(1) && said.contains("another process has the folder"), "{said}");
-    assert_eq!(wrenthread(&["state", "compact", &folder]).0, Some(1));
-    end(&mut governor);
+    let (code, output) = run_cli(&["state", "import", &folder, copy.to_str().unwrap()]);
+    assert!(code == Some(1) && output.contains("another process has the folder"), "{output}");
+    assert_eq!(run_cli(&["state", "compact", &folder]).0, Some(1));
+    kill(&mut governor);
 
     // The cases: a flipped bit in the newest snapshot, a truncated journal, no folder, and a file in place of the
     // folder.
@@ -153,16 +154,16 @@
     let middle = bytes.len() / 2;
     bytes[middle] ^= 4;
     std::fs::write(&snapshot, bytes).unwrap();
-    let (code, said) = wrenthread(&["state", "verify", &folder]);
-    assert!(code == Some(3) && said.contains("is not what was written"), "{said}");
+    let (code, output) = run_cli(&["state", "verify", &folder]);
+    assert!(code == Some(3) && output.contains("is not what was written"), "{output}");
     governor.spawn().await;
     assert!(governor.log().contains("part of the stored state is lost"), "{}", governor.log());
     // The governor is ready before it has written its first snapshot; stopped earlier, it would leave the damaged one.
     until("an undamaged snapshot is written", || {
-        (wrenthread(&["state", "verify", &folder]).0 == Some(0)).then_some(())
+        (run_cli(&["state", "verify", &folder]).0 == Some(0)).then_some(())
     })
     .await;
-    end(&mut governor);
+    kill(&mut governor);
     // A kill during compaction leaves a newer journal without a snapshot: the older journal is used.
     let snapshot = file_of(&state, "snapshot");
     let number: u64 = snapshot.extension().unwrap().to_str().unwrap().parse().unwrap();
@@ -170,18 +171,18 @@
     std::fs::write(state.join(format!("journal.{}", number + 1)), b"").unwrap();
     let bytes = std::fs::read(&journal).unwrap();
     std::fs::write(&journal, [&bytes[..], b"half a rec"].concat()).unwrap();
-    let (_, said) = wrenthread(&["state", "verify", &folder]);
-    assert!(said.contains("it ends within a record"), "{said}; the journal had {} bytes", bytes.len());
+    let (_, output) = run_cli(&["state", "verify", &folder]);
+    assert!(output.contains("it ends within a record"), "{output}; the journal had {} bytes", bytes.len());
     governor.spawn().await;
-    end(&mut governor);
-    let (code, said) = wrenthread(&["state", "import", &folder, copy.to_str().unwrap()]);
-    assert!(code == Some(0) && said.contains("entries"), "{said}");
-    assert_eq!(wrenthread(&["state", "compact", &folder]).0, Some(0));
-    assert_eq!(wrenthread(&["state", "verify", &folder]).0, Some(0));
-    assert!(wrenthread(&["state", "show", &folder]).1.contains("names"));
+    kill(&mut governor);
+    let (code, output) = run_cli(&["state", "import", &folder, copy.to_str().unwrap()]);
+    assert!(code == Some(0) && output.contains("entries"), "{output}");
+    assert_eq!(run_cli(&["state", "compact", &folder]).0, Some(0));
+    assert_eq!(run_cli(&["state", "verify", &folder]).0, Some(0));
+    assert!(run_cli(&["state", "show", &folder]).1.contains("names"));
     std::fs::write(&copy, "{}").unwrap();
     assert!(
-        wrenthread(&["state", "import", &folder, copy.to_str().unwrap()])
+        run_cli(&["state", "import", &folder, copy.to_str().unwrap()])
             .1
             .contains("is not an export of stored state")
     );
@@ -190,7 +191,7 @@
     governor.spawn().await;
     assert!(governor.log().contains("can't open the state folder; running without stored state"));
     // The folder is removed while the governor runs: it keeps making decisions and logs that state can't be written.
-    end(&mut governor);
+    kill(&mut governor);
     std::fs::remove_file(&state).unwrap();
     governor.spawn().await;
     std::fs::remove_dir_all(&state).unwrap();
@@ -211,23 +212,23 @@
 /// Guards against the loss of stored state when a governor ends after it is ready but before its first snapshot.
 #[tokio::test]
 async fn keeps_restored_state_when_stopped_before_the_first_snapshot() {
-    let mut governor = governor("state-early").await;
+    let mut governor = start_governor("state-early").await;
     let state = governor.folder.join("state");
     let at = format!("127.0.0.1:{}", governor.http);
-    assert_eq!(wrenthread(&["exclude", "w2", "--why", "its disk", "--at", &at]).0, Some(0));
+    assert_eq!(run_cli(&["exclude", "w2", "--why", "its disk", "--at", &at]).0, Some(0));
     let is_stored = || {
-        let (_, shown) = wrenthread(&["state", "show", state.to_str().unwrap(), "--output", "json"]);
+        let (_, shown) = run_cli(&["state", "show", state.to_str().unwrap(), "--output", "json"]);
         let shown: serde_json::Value = serde_json::from_str(&shown).ok()?;
         (!shown["entries"]["override/w2"].is_null()).then_some(())
     };
     until("the override is stored", is_stored).await;
     // A second generation, so that an older snapshot exists when the newest one is damaged.
-    end(&mut governor);
+    kill(&mut governor);
     governor.spawn().await;
     until("a second snapshot is written", || state.join("snapshot.2").exists().then_some(())).await;
     for damaged in [false, true] {
         for signal in ["-KILL", "-TERM", "-KILL", "-KILL"] {
-            end(&mut governor);
+            kill(&mut governor);
             if damaged {
                 damage_newest_snapshot(&state);
             }
