--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -95,7 +95,7 @@
         /// The governor's HTTP port
         #[arg(long, default_value = "127.0.0.1:15011")]
         at: String,
-        /// Show the governors that it is connected to instead
+        /// Show the other governors as seen by this one instead
         #[arg(long)]
         governors: bool,
         #[arg(long, value_enum, default_value = "text")]
@@ -114,7 +114,7 @@
         #[arg(long)]
         undo: bool,
     },
-    /// Show what a running governor's guard refused for a proxy or a replica
+    /// Show what a running governor's guard refused for a proxy or a replica, and a replica's load and ejection reason
     #[command(after_help = "Example: wrenthread why relay-3")]
     Why {
         /// Name of a proxy or a replica
--- a/crates/daemon/src/migration.rs
+++ b/crates/daemon/src/migration.rs
@@ -11,7 +11,7 @@
 use wrenthread_long_poll::messages::{ReportRequest, SessionParameters, TablesResponse};
 use wrenthread_membership::migration::TransferredState;
 
-/// Load reports older than this are outdated and not transferred.
+/// Load reports older than this are outdated: they are neither sent nor used.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(5);
 
 /// The encoded state of a proxy: messages of the long-poll front, with ages instead of times because the governors'
