--- a/crates/daemon/src/host/status.rs
+++ b/crates/daemon/src/host/status.rs
@@ -1,4 +1,4 @@
-//! What `status` prints. The names of the fields are those that programs read.
+//! The output of `status`. Programs read the serialized field names.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 use super::Host;
 
-/// One governor, its proxies and replicas, and what operators have asked for.
+/// One governor with its proxies, replicas, frozen tables and overrides.
 #[derive(Debug, Serialize)]
 pub struct GovernorStatus {
     governor: GovernorSection,
@@ -55,7 +55,7 @@
     counted: u64,
     #[serde(rename = "waiting")]
     queued: usize,
-    /// By reason.
+    /// Counts by reason.
     discarded: BTreeMap<String, u64>,
 }
 
@@ -118,7 +118,7 @@
 #[derive(Debug, Serialize)]
 struct GuardStatus {
     passed: u64,
-    /// By reason.
+    /// Counts by reason.
     refused: BTreeMap<String, u64>,
     alarms: usize,
 }
@@ -126,7 +126,7 @@
 #[derive(Debug, Serialize)]
 struct OverrideStatus {
     replica: String,
-    /// The factor of its weights; 0 where it is excluded.
+    /// The factor for its weights; 0 if it is excluded.
     weight: f64,
     #[serde(rename = "why")]
     reason: String,
@@ -135,7 +135,7 @@
 }
 
 impl Host {
-    /// The state of this governor. `up`: how long it has run.
+    /// The status of this governor. `up` is its uptime.
     pub fn status(&self, now: Duration, up: Duration) -> GovernorStatus {
         let engine = &self.engine;
         let proxies = engine.fleet().iter();
@@ -144,11 +144,13 @@
         GovernorStatus {
             governor: self.governor_section(now, up),
             classes: self.class_statuses(),
-            proxies: proxies.map(|(number, proxy)| self.proxy_status(now, number, proxy)).collect(),
+            proxies: proxies.map(|(proxy_id, proxy)| self.proxy_status(now, proxy_id, proxy)).collect(),
             replicas: replicas.map(|(id, replica)| self.replica_status(now, id, replica)).collect(),
             frozen_tables: self.frozen_table_statuses(now),
             guard: guard_status(engine, now),
-            overrides: overrides.map(|(replica, one)| override_status(now, replica, one)).collect(),
+            overrides: overrides
+                .map(|(replica, replica_override)| override_status(now, replica, replica_override))
+                .collect(),
         }
     }
 
@@ -189,12 +191,12 @@
         classes.map(status).collect()
     }
 
-    fn proxy_status(&self, now: Duration, number: ProxyId, proxy: &Proxy) -> ProxyStatus {
+    fn proxy_status(&self, now: Duration, proxy_id: ProxyId, proxy: &Proxy) -> ProxyStatus {
         let rejected = proxy.rejected.as_ref();
         ProxyStatus {
             name: proxy.name.to_string(),
             zone: self.zone_name(proxy.zone).to_string(),
-            kind: self.table_kind(number, proxy),
+            kind: self.table_kind(proxy_id, proxy),
             newest: proxy.newest(),
             sent: proxy.sent_version,
             acknowledged: proxy.acknowledged_version,
@@ -204,11 +206,12 @@
         }
     }
 
-    /// Which kind of tables a proxy follows: its own (`standing`), its zone's, or one solved for it.
-    pub(super) fn table_kind(&self, number: ProxyId, proxy: &Proxy) -> &'static str {
+    /// The kind of tables that a proxy uses: its own default (`standing`), its zone's (`default`), or one solved for it
+    /// (`critical`).
+    pub(super) fn table_kind(&self, proxy_id: ProxyId, proxy: &Proxy) -> &'static str {
         match proxy.kind() {
             TableKind::ProxyDefault => "standing",
-            TableKind::Assigned if self.engine.is_critical(number) => "critical",
+            TableKind::Assigned if self.engine.is_critical(proxy_id) => "critical",
             TableKind::Assigned => "default",
         }
     }
@@ -251,20 +254,20 @@
     GuardStatus { passed, refused: count_by_text(refused), alarms: engine.guard().alarms(now) }
 }
 
-fn override_status(now: Duration, replica: &ReplicaId, one: &Override) -> OverrideStatus {
-    let weight = match one.kind {
+fn override_status(now: Duration, replica: &ReplicaId, replica_override: &Override) -> OverrideStatus {
+    let weight = match replica_override.kind {
         OverrideKind::Exclude => 0.0,
         OverrideKind::Weight(factor) => factor,
     };
     OverrideStatus {
         replica: replica.to_string(),
         weight,
-        reason: one.reason.to_string(),
-        remaining_seconds: one.until.saturating_sub(now).as_secs_f64(),
+        reason: replica_override.reason.to_string(),
+        remaining_seconds: replica_override.until.saturating_sub(now).as_secs_f64(),
     }
 }
 
-/// Counts by the texts of their keys.
+/// Replaces the keys of counts by their texts.
 fn count_by_text<K: ToString>(counts: &BTreeMap<K, u64>) -> BTreeMap<String, u64> {
     counts.iter().map(|(key, count)| (key.to_string(), *count)).collect()
 }
