--- a/crates/client/src/grpc.rs
+++ b/crates/client/src/grpc.rs
@@ -45,8 +45,12 @@
 }
 
 fn status(uri: &str) -> impl Fn(tonic::Status) -> Error + '_ {
-    move |status| match status.metadata().get(wrenthread_xds::GO_TO).and_then(|to| to.to_str().ok()) {
-        Some(to) => Error::Moved((!to.is_empty()).then(|| to.to_string())),
+    move |status| match status
+        .metadata()
+        .get(wrenthread_xds::REDIRECT_METADATA_KEY)
+        .and_then(|to| to.to_str().ok())
+    {
+        Some(to) => Error::Redirected((!to.is_empty()).then(|| to.to_string())),
         None => Error::Unreachable(uri.to_string(), status.message().to_string()),
     }
 }
@@ -165,7 +169,7 @@
             version_info: versions.borrow().0.get(&(kind, String::new())).cloned().unwrap_or_default(),
             node,
             resource_names: names[&kind].clone(),
-            type_url: kind.url(),
+            type_url: kind.type_url(),
             response_nonce: nonce.into(),
             error_detail: error.map(|message| Status { code: 3, message, ..Status::default() }),
             ..DiscoveryRequest::default()
@@ -213,7 +217,7 @@
             held_versions.into_iter().filter(|((of_kind, name), _)| *of_kind == kind && !name.is_empty());
         let request = DeltaDiscoveryRequest {
             node: first_node.take(),
-            type_url: kind.url(),
+            type_url: kind.type_url(),
             resource_names_subscribe: if names.is_empty() { vec!["*".into()] } else { names },
             initial_resource_versions: held_versions.map(|((_, name), version)| (name, version)).collect(),
             ..DeltaDiscoveryRequest::default()
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -71,7 +71,7 @@
 
 /// Whether the governor at a gRPC port answers the standard health check as serving within a second. A server that
 /// does not implement the health check counts as serving.
-pub async fn answers(uri: &str) -> bool {
+pub async fn is_serving(uri: &str) -> bool {
     let check = async {
         let channel = grpc::connect(uri).await.ok()?;
         let request = tonic_health::pb::HealthCheckRequest::default();
@@ -98,7 +98,7 @@
     /// The governor redirects the proxy to the governor with this name; none: to the next one in the proxy's own
     /// ranking.
     #[error("the governor redirects the proxy to {}", .0.as_deref().unwrap_or("the next governor of its ranking"))]
-    Moved(Option<String>),
+    Redirected(Option<String>),
     /// A response does not decode.
     #[error("what came can't be understood: {0}")]
     Decode(String),
--- a/crates/client/src/poll.rs
+++ b/crates/client/src/poll.rs
@@ -47,7 +47,7 @@
         false => {
             let error: Result<ErrorResponse, Error> = decode(&body);
             if let Ok(ErrorResponse { redirect_to: Some(to), .. }) = &error {
-                return Err(Error::Moved((!to.is_empty()).then(|| to.clone())));
+                return Err(Error::Redirected((!to.is_empty()).then(|| to.clone())));
             }
             Err(Error::Rejected(
                 error.map_or_else(|_| status.to_string(), |error| format!("{status}: {}", error.error)),
@@ -103,7 +103,7 @@
     ///
     /// # Errors
     /// The session ended, or the response is invalid; join again.
-    pub async fn ask(&self, cache: &Rc<RefCell<TableCache>>, observer: &impl Observer) -> Result<(), Error> {
+    pub async fn poll(&self, cache: &Rc<RefCell<TableCache>>, observer: &impl Observer) -> Result<(), Error> {
         let mut url = format!("{}/tables?session={}&wait={}", self.base, self.session, POLL_WAIT.as_secs());
         if let Some((version, digest)) = cache.borrow().held_version() {
             url += &format!("&version={version}&digest={}", hex(digest));
@@ -166,7 +166,7 @@
     observer: &impl Observer,
 ) -> Result<(), Error> {
     loop {
-        session.ask(cache, observer).await?;
+        session.poll(cache, observer).await?;
     }
 }
 
--- a/crates/client/tests/model.rs
+++ b/crates/client/tests/model.rs
@@ -28,25 +28,25 @@
 use wrenthread_xds::pb::envoy::config::endpoint::v3::lb_endpoint::HostIdentifier;
 use wrenthread_xds::pb::envoy::service::discovery::v3::{DeltaDiscoveryRequest, DiscoveryRequest};
 use wrenthread_xds::session::{Request, Response, Session};
-use wrenthread_xds::{Route, Wire, WireGroup, decode};
+use wrenthread_xds::{Route, TrafficClass, XdsConfig, decode};
 
 type Table = BTreeMap<String, u32>;
 
-fn wire() -> Wire {
-    let group = |name: &str| WireGroup {
+fn wire() -> XdsConfig {
+    let group = |name: &str| TrafficClass {
         name: name.into(),
         route: Route::Prefix(format!("/{name}")),
-        expiry: Duration::from_secs(3),
+        request_timeout: Duration::from_secs(3),
     };
-    Wire {
+    XdsConfig {
         epoch: 1,
         governor: String::new(),
         key: None,
         zones: vec!["north".into()],
-        groups: vec![group("match"), group("charge")],
-        report_every: Duration::from_secs(1),
+        classes: vec![group("match"), group("charge")],
+        report_interval: Duration::from_secs(1),
         load_metrics: vec![],
-        answer_metric: "answer_ms".into(),
+        latency_metric: "answer_ms".into(),
     }
 }
 
@@ -128,7 +128,7 @@
                 let names = vec!["match".to_string()];
                 let first = match delta {
                     true => Request::Delta(DeltaDiscoveryRequest {
-                        type_url: ResourceType::Endpoints.url(),
+                        type_url: ResourceType::Endpoints.type_url(),
                         resource_names_subscribe: names,
                         initial_resource_versions: held_version
                             .map(|version| ("match".into(), version))
@@ -137,7 +137,7 @@
                         ..DeltaDiscoveryRequest::default()
                     }),
                     false => Request::Sotw(DiscoveryRequest {
-                        type_url: ResourceType::Endpoints.url(),
+                        type_url: ResourceType::Endpoints.type_url(),
                         resource_names: names,
                         ..DiscoveryRequest::default()
                     }),
@@ -185,7 +185,7 @@
                 if !response_lost {
                     flushed.responses.iter().for_each(|response| apply_response(response, held));
                 }
-                let (entries, messages) = (flushed.lines, flushed.responses.len());
+                let (entries, messages) = (flushed.entries, flushed.responses.len());
                 self.engine.tables_sent(self.now, number, entries, messages);
                 (response_lost && messages > 0).then_some(index)
             }
@@ -291,7 +291,7 @@
         cut in 0usize..300, offset in 0usize..300, byte in any::<u8>(), second in any::<u8>(),
     ) {
         let request = DeltaDiscoveryRequest {
-            type_url: ResourceType::Endpoints.url(),
+            type_url: ResourceType::Endpoints.type_url(),
             resource_names_subscribe: vec!["match".into(), "*".into()],
             resource_names_unsubscribe: vec!["charge".into()],
             initial_resource_versions: [("match".to_string(), "00".to_string())].into(),
@@ -308,7 +308,7 @@
         bytes.truncate(cut.max(1));
         if let Ok(request) = DeltaDiscoveryRequest::decode(bytes.as_slice()) {
             let mut session = Session::new(1, &Request::Delta(request.clone()));
-            let _ = decode::join(&wire(), request.node.as_ref(), 1.0, false);
+            let _ = decode::join_request(&wire(), request.node.as_ref(), 1.0, false);
             if session.request(Request::Delta(request)).is_ok() {
                 session.flush(&wire(), simulation.engine.proxy(0).unwrap());
             }
@@ -322,7 +322,7 @@
         bytes[position] = byte;
         bytes.truncate(cut.max(1));
         if let Ok(stats) = LoadStatsRequest::decode(bytes.as_slice()) {
-            let (reports, _) = decode::reports(&wire(), &stats.cluster_stats, |address| Some(address.into()));
+            let (reports, _) = decode::load_reports(&wire(), &stats.cluster_stats, |address| Some(address.into()));
             for report in reports {
                 let _ = simulation.engine.record_report(simulation.now, "p0", 99, &report);
             }
--- a/crates/daemon/benches/fronts.rs
+++ b/crates/daemon/benches/fronts.rs
@@ -65,7 +65,7 @@
     let (requests, stream) = mpsc::channel(8);
     let request = |nonce: String, node: Option<Node>| DiscoveryRequest {
         node,
-        type_url: ResourceType::Endpoints.url(),
+        type_url: ResourceType::Endpoints.type_url(),
         resource_names: GROUPS.map(String::from).to_vec(),
         response_nonce: nonce,
         ..DiscoveryRequest::default()
@@ -86,7 +86,7 @@
     let (requests, stream) = mpsc::channel(8);
     let first = DeltaDiscoveryRequest {
         node: Some(node(index)),
-        type_url: ResourceType::Endpoints.url(),
+        type_url: ResourceType::Endpoints.type_url(),
         resource_names_subscribe: GROUPS.map(String::from).to_vec(),
         ..DeltaDiscoveryRequest::default()
     };
--- a/crates/daemon/benches/scale.rs
+++ b/crates/daemon/benches/scale.rs
@@ -52,7 +52,7 @@
     let (requests, stream) = mpsc::channel(8);
     let first = DeltaDiscoveryRequest {
         node: Some(node(index)),
-        type_url: ResourceType::Endpoints.url(),
+        type_url: ResourceType::Endpoints.type_url(),
         resource_names_subscribe: GROUPS.map(String::from).to_vec(),
         ..DeltaDiscoveryRequest::default()
     };
--- a/crates/daemon/benches/takeover.rs
+++ b/crates/daemon/benches/takeover.rs
@@ -23,7 +23,7 @@
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use tokio::task::LocalSet;
 use wrenthread_client::table_cache::TableCache;
-use wrenthread_client::{Error, Observer, ProxyIdentity, answers, grpc};
+use wrenthread_client::{Error, Observer, ProxyIdentity, grpc, is_serving};
 use wrenthread_core::failover::GovernorSelector;
 
 const FAILBACK: (Duration, Duration) = (Duration::from_secs(2), Duration::from_secs(4));
@@ -75,7 +75,7 @@
         let return_home = async {
             loop {
                 tokio::time::sleep(Duration::from_millis(500)).await;
-                let is_reachable = at_random || selector.is_home() || answers(&home).await;
+                let is_reachable = at_random || selector.is_home() || is_serving(&home).await;
                 if !at_random && selector.home_checked(began.elapsed(), is_reachable) {
                     return;
                 }
@@ -90,7 +90,7 @@
         } else if ended.is_some() {
             selector.connection_lost();
         }
-        if let Some(Error::Moved(to)) = &ended {
+        if let Some(Error::Redirected(to)) = &ended {
             let to = to.as_ref().and_then(|to| names.iter().position(|name| name == to));
             selector.redirected(to);
         }
--- a/crates/daemon/src/host.rs
+++ b/crates/daemon/src/host.rs
@@ -28,8 +28,8 @@
 use wrenthread_long_poll::service::{PollResponse, Reply, RequestError};
 use wrenthread_long_poll::sessions::Sessions;
 use wrenthread_membership::{Action as MembershipAction, Membership};
-use wrenthread_xds::Wire;
-use wrenthread_xds::service::Answers;
+use wrenthread_xds::XdsConfig;
+use wrenthread_xds::service::ResponseSender;
 
 use grpc::AdsStream;
 pub use inspection::InspectionError;
@@ -44,7 +44,7 @@
 /// Socket operations that the event loop carries out for the host.
 pub enum WorkItem {
     /// Wait until the stream has capacity, then call [`Host::stream_has_capacity`].
-    AwaitCapacity { stream: StreamId, answers: Answers },
+    AwaitCapacity { stream: StreamId, answers: ResponseSender },
     /// Send a datagram to another governor.
     SendDatagram { to: SocketAddr, datagram: Vec<u8> },
 }
@@ -54,7 +54,7 @@
     /// The settings of the engine.
     pub engine_settings: EngineSettings,
     /// The parameters of the xDS resources.
-    pub wire: Wire,
+    pub wire: XdsConfig,
     /// Keys for ownership proofs: the first one signs, all of them verify.
     pub signing_keys: Vec<SigningKey>,
     /// The load assumed for a proxy that does not report its own.
@@ -67,7 +67,7 @@
 pub struct Host {
     /// The engine that drives the decision module.
     pub engine: Engine,
-    wire: Wire,
+    wire: XdsConfig,
     signing_keys: Vec<SigningKey>,
     /// The number of proxies that connected with tables of another governor.
     takeovers: u64,
@@ -209,18 +209,18 @@
 
     /// The name of a traffic class; `None` if the class does not exist.
     fn class_name(&self, class: usize) -> Option<String> {
-        self.wire.groups.get(class).map(|class| class.name.clone())
+        self.wire.classes.get(class).map(|class| class.name.clone())
     }
 }
 
 /// The parameters that the long-poll front sends to proxies when they join.
-fn session_parameters(wire: &Wire) -> SessionParameters {
+fn session_parameters(wire: &XdsConfig) -> SessionParameters {
     SessionParameters {
         epoch: format!("{:x}", wire.epoch),
         governor: wire.governor.clone(),
         zones: wire.zones.clone(),
-        classes: wire.groups.iter().map(|class| class.name.clone()).collect(),
-        report_interval_seconds: wire.report_every.as_secs_f64().to_string(),
+        classes: wire.classes.iter().map(|class| class.name.clone()).collect(),
+        report_interval_seconds: wire.report_interval.as_secs_f64().to_string(),
         load_metrics: wire.load_metrics.clone(),
         max_wait_seconds: MAX_POLL_WAIT.as_secs(),
     }
--- a/crates/daemon/src/host/client_status.rs
+++ b/crates/daemon/src/host/client_status.rs
@@ -9,7 +9,7 @@
     ClientConfig, ClientStatusRequest, ClientStatusResponse, ConfigStatus,
 };
 use wrenthread_xds::pb::envoy::r#type::matcher::v3::string_matcher::MatchPattern;
-use wrenthread_xds::session::Standing;
+use wrenthread_xds::session::ResourceStatus;
 
 use super::Host;
 
@@ -32,7 +32,7 @@
                 false => encode::resource(&self.wire, proxy, kind, &name).map(|(resource, _)| resource),
             };
             configs.push(GenericXdsConfig {
-                type_url: kind.url(),
+                type_url: kind.type_url(),
                 name,
                 version_info: format!("{:x}.{version}", self.wire.epoch),
                 xds_config: resource,
@@ -60,19 +60,19 @@
     ids
 }
 
-fn config_status(standing: &Standing) -> ConfigStatus {
+fn config_status(standing: &ResourceStatus) -> ConfigStatus {
     match standing {
-        Standing::Acked => ConfigStatus::Synced,
-        Standing::Sent => ConfigStatus::Stale,
-        Standing::Nacked => ConfigStatus::Error,
-        Standing::NotSent => ConfigStatus::NotSent,
+        ResourceStatus::Acked => ConfigStatus::Synced,
+        ResourceStatus::Sent => ConfigStatus::Stale,
+        ResourceStatus::Nacked => ConfigStatus::Error,
+        ResourceStatus::NotSent => ConfigStatus::NotSent,
     }
 }
 
-fn client_resource_status(standing: &Standing) -> ClientResourceStatus {
+fn client_resource_status(standing: &ResourceStatus) -> ClientResourceStatus {
     match standing {
-        Standing::Acked => ClientResourceStatus::Acked,
-        Standing::Sent | Standing::NotSent => ClientResourceStatus::Requested,
-        Standing::Nacked => ClientResourceStatus::Nacked,
+        ResourceStatus::Acked => ClientResourceStatus::Acked,
+        ResourceStatus::Sent | ResourceStatus::NotSent => ClientResourceStatus::Requested,
+        ResourceStatus::Nacked => ClientResourceStatus::Nacked,
     }
 }
--- a/crates/daemon/src/host/engine_events.rs
+++ b/crates/daemon/src/host/engine_events.rs
@@ -74,7 +74,7 @@
 
     /// The names of a set of traffic classes.
     fn class_names(&self, set: u64) -> String {
-        let classes = self.wire.groups.iter().enumerate();
+        let classes = self.wire.classes.iter().enumerate();
         let members = classes.filter(|(class, _)| set >> class & 1 == 1);
         members.map(|(_, class)| class.name.as_str()).collect::<Vec<_>>().join(",")
     }
--- a/crates/daemon/src/host/grpc.rs
+++ b/crates/daemon/src/host/grpc.rs
@@ -8,14 +8,14 @@
 use wrenthread_xds::decode;
 use wrenthread_xds::pb::envoy::config::core::v3::Node;
 use wrenthread_xds::pb::envoy::config::endpoint::v3::ClusterStats;
-use wrenthread_xds::service::{Answers, Event};
-use wrenthread_xds::session::{Heard, Request, Session};
+use wrenthread_xds::service::{Event, ResponseSender};
+use wrenthread_xds::session::{Request, RequestEffect, Session};
 
 use super::{Host, WorkItem, metrics};
 
 /// An ADS stream.
 pub(super) struct AdsStream {
-    pub(super) answers: Answers,
+    pub(super) answers: ResponseSender,
     /// `None` until the first request arrives.
     pub(super) session: Option<Session>,
 }
@@ -24,18 +24,18 @@
     /// Handles an event on one of the gRPC front's streams.
     pub fn grpc_event(&mut self, now: Duration, event: Event) {
         match event {
-            Event::Opened { stream, answers } => {
-                self.streams.insert(stream, AdsStream { answers, session: None });
+            Event::AdsOpened { stream, responses } => {
+                self.streams.insert(stream, AdsStream { answers: responses, session: None });
             }
-            Event::Asked { stream, request } => self.ads_request(now, stream, *request),
-            Event::Closed { stream } => self.ads_closed(now, stream),
+            Event::AdsRequest { stream, request } => self.ads_request(now, stream, *request),
+            Event::AdsClosed { stream } => self.ads_closed(now, stream),
             Event::ReportsOpened { stream, node } => self.report_stream_opened(stream, &node),
-            Event::Reported { stream, stats } => self.load_reported(now, stream, &stats),
+            Event::LoadReported { stream, stats } => self.load_reported(now, stream, &stats),
             Event::ReportsClosed { stream } => {
                 self.report_streams.remove(&stream);
             }
             // The client may have disconnected.
-            Event::Status { request, reply } => drop(reply.send(self.client_status(&request))),
+            Event::ClientStatus { request, reply } => drop(reply.send(self.client_status(&request))),
         }
     }
 
@@ -63,7 +63,7 @@
         let session = open.session.get_or_insert_with(|| Session::new(self.wire.epoch, &request));
         match session.request(request) {
             Ok(messages) => {
-                let settled = session.settled();
+                let settled = session.all_answered();
                 for message in messages {
                     self.ads_message(now, stream, message);
                 }
@@ -79,22 +79,23 @@
         }
     }
 
-    fn ads_message(&mut self, now: Duration, stream: StreamId, message: Heard) {
+    fn ads_message(&mut self, now: Duration, stream: StreamId, message: RequestEffect) {
         match message {
-            Heard::Acked(version) => self.engine.version_acknowledged(now, stream, version),
-            Heard::Nacked(version, reason) => {
+            RequestEffect::Acked(version) => self.engine.version_acknowledged(now, stream, version),
+            RequestEffect::Nacked(version, reason) => {
                 ::metrics::counter!(metrics::VERSIONS_REJECTED).increment(1);
                 self.engine.version_rejected(stream, version, &reason);
             }
-            Heard::Wants => self.engine.resend_requested(now, stream, 1),
-            Heard::Unserved(url) => tracing::debug!(stream, url, "resource type not served"),
+            RequestEffect::ResourcesRequested => self.engine.resend_requested(now, stream, 1),
+            RequestEffect::UnsupportedType(url) => tracing::debug!(stream, url, "resource type not served"),
         }
     }
 
     /// Connects the proxy that the first request of a stream identifies.
     fn join_by_stream(&mut self, now: Duration, stream: StreamId, request: &Request) -> Result<(), Status> {
-        let holds_tables = request.holds_orders();
-        let join = decode::join(&self.wire, request.node(), self.default_requests_per_second, holds_tables);
+        let holds_tables = request.holds_governor_tables();
+        let join =
+            decode::join_request(&self.wire, request.node(), self.default_requests_per_second, holds_tables);
         let join = join.map_err(|error| Status::invalid_argument(error.to_string()))?;
         let proven_version = self.proven_version(&join.name, join.ownership_proof.as_deref());
         let join = fleet::JoinRequest { proven_version, ..join };
@@ -113,7 +114,7 @@
     }
 
     fn report_stream_opened(&mut self, stream: StreamId, node: &Node) {
-        match decode::name(Some(node)) {
+        match decode::node_id(Some(node)) {
             Ok(name) => drop(self.report_streams.insert(stream, name.into())),
             Err(error) => tracing::warn!(%error, stream, "load report stream does not identify a proxy"),
         }
@@ -123,7 +124,7 @@
         let Some(proxy) = self.report_streams.get(&stream).cloned() else { return };
         let roster = self.engine.accepted_roster();
         let (reports, unknown_entries) =
-            decode::reports(&self.wire, statistics, |address| roster.replica_at(address).cloned());
+            decode::load_reports(&self.wire, statistics, |address| roster.replica_at(address).cloned());
         if unknown_entries > 0 {
             ::metrics::counter!(metrics::REPORT_ENTRIES_UNKNOWN).increment(unknown_entries as u64);
         }
@@ -145,7 +146,7 @@
             self.engine.tables_sent(now, proxy_id, 0, 0);
             return None;
         };
-        if !open.answers.has_room() {
+        if !open.answers.has_capacity() {
             self.engine.stream_full(proxy_id);
             ::metrics::counter!(metrics::STREAMS_FULL).increment(1);
             return Some(WorkItem::AwaitCapacity { stream, answers: open.answers.clone() });
@@ -155,14 +156,14 @@
             return None;
         };
         let flushed = session.flush(&self.wire, proxy);
-        let settled = session.settled();
+        let settled = session.all_answered();
         let messages = flushed.responses.len();
-        ::metrics::counter!(metrics::ENTRIES_SENT).increment(flushed.lines as u64);
+        ::metrics::counter!(metrics::ENTRIES_SENT).increment(flushed.entries as u64);
         ::metrics::counter!(metrics::RESPONSES_SENT).increment(messages as u64);
         for response in flushed.responses {
             open.answers.send(response);
         }
-        self.engine.tables_sent(now, proxy_id, flushed.lines, messages);
+        self.engine.tables_sent(now, proxy_id, flushed.entries, messages);
         if let Some(version) = flushed.acked {
             self.engine.version_acknowledged(now, stream, version);
         }
--- a/crates/daemon/src/host/inspection.rs
+++ b/crates/daemon/src/host/inspection.rs
@@ -148,7 +148,7 @@
     }
 
     fn class_tables(&self, proxy: &Proxy) -> Vec<ClassTable> {
-        let classes = self.wire.groups.iter().zip(&proxy.tables);
+        let classes = self.wire.classes.iter().zip(&proxy.tables);
         let tables = classes.map(|(class, published)| {
             let published = published.as_ref();
             let entries = published.map(|published| published.table.entries.iter());
--- a/crates/daemon/src/host/long_poll.rs
+++ b/crates/daemon/src/host/long_poll.rs
@@ -207,7 +207,7 @@
 
     /// Adds the proof that this governor published the tables.
     fn with_proof(&self, proxy: &str, version: u64, tables: TablesResponse) -> PollResponse {
-        let ownership_proof = self.wire.claim(proxy, version);
+        let ownership_proof = self.wire.ownership_proof(proxy, version);
         PollResponse::Tables(TablesResponse { ownership_proof, ..tables })
     }
 }
--- a/crates/daemon/src/host/membership.rs
+++ b/crates/daemon/src/host/membership.rs
@@ -8,7 +8,7 @@
 use wrenthread_long_poll::service::RequestError;
 use wrenthread_membership::members::Member;
 use wrenthread_membership::{Action, MembershipEvent, ServiceMode};
-use wrenthread_xds::GO_TO;
+use wrenthread_xds::REDIRECT_METADATA_KEY;
 
 use super::{Host, WorkItem};
 use crate::migration;
@@ -144,7 +144,7 @@
             let mut status = Status::unavailable("this proxy is to go to another governor");
             // Always parses: governor names consist of letters, digits, `-` and `_`.
             if let Ok(to) = to.unwrap_or_default().parse() {
-                status.metadata_mut().insert(GO_TO, to);
+                status.metadata_mut().insert(REDIRECT_METADATA_KEY, to);
             }
             open.answers.end(status);
         }
--- a/crates/daemon/src/host/metrics.rs
+++ b/crates/daemon/src/host/metrics.rs
@@ -49,7 +49,7 @@
     pub fn update_gauges(&self, now: Duration) {
         self.update_engine_gauges(now);
         self.update_membership_gauges();
-        for (class, (admission_fraction, _)) in self.wire.groups.iter().zip(self.engine.admission()) {
+        for (class, (admission_fraction, _)) in self.wire.classes.iter().zip(self.engine.admission()) {
             gauge!(ADMISSION_FRACTION, CLASS_LABEL => class.name.clone()).set(*admission_fraction);
         }
         let delays = self.engine.fleet().iter().map(|(_, proxy)| proxy.acknowledgement_delay(now));
--- a/crates/daemon/src/host/operations.rs
+++ b/crates/daemon/src/host/operations.rs
@@ -163,7 +163,7 @@
     }
 
     fn class_scope(&self, name: &str) -> Result<TableScope, OperatorError> {
-        let class = self.wire.groups.iter().position(|class| class.name == name);
+        let class = self.wire.classes.iter().position(|class| class.name == name);
         class.map(TableScope::Class).ok_or_else(|| OperatorError::UnknownClass(name.to_string()))
     }
 }
--- a/crates/daemon/src/host/status.rs
+++ b/crates/daemon/src/host/status.rs
@@ -179,9 +179,9 @@
 
     fn class_statuses(&self) -> Vec<ClassStatus> {
         let admission = self.engine.admission().iter();
-        let classes = self.wire.groups.iter().zip(admission);
+        let classes = self.wire.classes.iter().zip(admission);
         let status =
-            |(class, (admission_fraction, retry_policy)): (&wrenthread_xds::WireGroup, &(f64, _))| {
+            |(class, (admission_fraction, retry_policy)): (&wrenthread_xds::TrafficClass, &(f64, _))| {
                 ClassStatus {
                     name: class.name.clone(),
                     admission_fraction: *admission_fraction,
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -15,8 +15,8 @@
 use wrenthread_core::ownership::SigningKey;
 use wrenthread_membership::{Membership, MembershipSettings, Peer};
 use wrenthread_settings::Settings;
-use wrenthread_xds::Wire;
-use wrenthread_xds::service::Front;
+use wrenthread_xds::XdsConfig;
+use wrenthread_xds::service::GrpcServices;
 
 use crate::clock::Clock;
 use crate::host::{Host, HostParts};
@@ -60,19 +60,19 @@
         Some(stored) => (stored.epoch, Some(stored.restored), stored.writer),
         None => (clock.epoch(), None, None),
     };
-    let wire = Wire { key: signing_keys.first().cloned(), ..wire::wire(&settings, epoch) };
+    let wire = XdsConfig { key: signing_keys.first().cloned(), ..wire::wire(&settings, epoch) };
     let sockets = Sockets::bind(&settings).await?;
     tracing::info!(
         grpc = %sockets.grpc.local_addr()?,
         http = %sockets.http.local_addr()?,
         epoch = format!("{:x}", wire.epoch),
-        classes = wire.groups.len(),
+        classes = wire.classes.len(),
         "governor running"
     );
     let socket = sockets.membership.clone();
     let mut host = host(&settings, wire.clone(), signing_keys, &clock, socket.is_some());
     let (senders, receivers) = channels();
-    let front = Front::new(senders.grpc.clone(), wire.report_every);
+    let front = GrpcServices::new(senders.grpc.clone(), wire.report_interval);
     let tasks = Tasks::start(&settings, &wire, clock, sockets, &senders, front.clone());
     if let Some(restored) = restored {
         host.engine.restore(clock.now(), restored);
@@ -98,7 +98,7 @@
 /// Creates the host from the settings.
 fn host(
     settings: &Settings,
-    wire: Wire,
+    wire: XdsConfig,
     signing_keys: Vec<SigningKey>,
     clock: &Clock,
     has_membership: bool,
--- a/crates/daemon/src/run/event_loop.rs
+++ b/crates/daemon/src/run/event_loop.rs
@@ -10,8 +10,8 @@
 use tokio::sync::mpsc;
 use tonic_health::ServingStatus;
 use wrenthread_settings::Settings;
-use wrenthread_xds::Wire;
-use wrenthread_xds::service::Front;
+use wrenthread_xds::XdsConfig;
+use wrenthread_xds::service::GrpcServices;
 
 use super::reload::accept_settings;
 use super::signals::Signals;
@@ -33,14 +33,14 @@
 pub struct EventLoop {
     pub settings_path: PathBuf,
     pub settings: Settings,
-    pub wire: Wire,
+    pub wire: XdsConfig,
     pub clock: Clock,
     pub host: Host,
     pub state_writer: Option<StateWriter>,
     /// The UDP socket to other governors.
     pub socket: Option<Rc<UdpSocket>>,
     /// Assigns the ids of streams of both fronts.
-    pub front: Front,
+    pub front: GrpcServices,
     pub metrics: PrometheusHandle,
     pub senders: Senders,
     pub tasks: Tasks,
@@ -96,7 +96,7 @@
                 Some(request) = receivers.long_poll.recv() => {
                     let (clock, host, front) = (&self.clock, &mut self.host, &self.front);
                     batch(request, &mut receivers.long_poll, |request| {
-                        host.long_poll_request(clock.now(), request, || front.number());
+                        host.long_poll_request(clock.now(), request, || front.next_stream_id());
                     });
                 }
                 Some(stream) = receivers.streams_with_capacity.recv() => self.host.stream_has_capacity(stream),
@@ -119,7 +119,7 @@
             WorkItem::AwaitCapacity { stream, answers } => {
                 let streams_with_capacity = senders.streams_with_capacity.clone();
                 tokio::task::spawn_local(async move {
-                    if answers.room().await {
+                    if answers.wait_for_capacity().await {
                         let _ = streams_with_capacity.send(stream).await;
                     }
                 });
--- a/crates/daemon/src/run/tasks.rs
+++ b/crates/daemon/src/run/tasks.rs
@@ -10,8 +10,8 @@
 use tonic_health::server::HealthReporter;
 use wrenthread_core::roster::RosterEntry;
 use wrenthread_settings::{RosterSource, Settings};
-use wrenthread_xds::service::Front;
-use wrenthread_xds::{Wire, upstream};
+use wrenthread_xds::service::GrpcServices;
+use wrenthread_xds::{XdsConfig, upstream};
 
 use super::load;
 use super::startup::{Senders, Sockets};
@@ -34,7 +34,7 @@
 }
 
 impl GrpcServer {
-    fn start(settings: &Settings, listener: TcpListener, front: Front) -> Self {
+    fn start(settings: &Settings, listener: TcpListener, front: GrpcServices) -> Self {
         let (ads, lrs, csds) = front.services();
         let (health, health_service) = tonic_health::server::health_reporter();
         let (stop, stopped) = oneshot::channel::<()>();
@@ -67,11 +67,11 @@
     /// Starts all tasks. The tasks of gRPC streams start with their connections.
     pub fn start(
         settings: &Settings,
-        wire: &Wire,
+        wire: &XdsConfig,
         clock: Clock,
         sockets: Sockets,
         senders: &Senders,
-        front: Front,
+        front: GrpcServices,
     ) -> Self {
         let received = senders.datagrams.clone();
         let datagrams =
@@ -107,7 +107,7 @@
 /// Starts to watch the source of the roster.
 pub fn watch_roster(
     settings: &Settings,
-    wire: &Wire,
+    wire: &XdsConfig,
     clock: Clock,
     rosters: mpsc::Sender<Vec<RosterEntry>>,
 ) -> JoinHandle<()> {
--- a/crates/daemon/src/run/wire.rs
+++ b/crates/daemon/src/run/wire.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use wrenthread_settings::{Group, PathRoute, Route, Settings};
-use wrenthread_xds::{Path, Wire, WireGroup};
+use wrenthread_xds::{Path, TrafficClass, XdsConfig};
 
 /// A setting in seconds as a duration; zero if it is not a valid one.
 pub fn seconds(seconds: f64) -> Duration {
@@ -11,24 +11,24 @@
 }
 
 /// The fronts' parameters from the settings, without the key for ownership proofs.
-pub fn wire(settings: &Settings, epoch: u64) -> Wire {
-    Wire {
+pub fn wire(settings: &Settings, epoch: u64) -> XdsConfig {
+    XdsConfig {
         epoch,
         governor: settings.governor.clone(),
         key: None,
         zones: settings.zones.clone(),
-        groups: settings.groups.iter().map(class).collect(),
-        report_every: seconds(settings.report_interval),
+        classes: settings.groups.iter().map(class).collect(),
+        report_interval: seconds(settings.report_interval),
         load_metrics: settings.load_metrics.clone(),
-        answer_metric: settings.answer_time_metric.clone(),
+        latency_metric: settings.answer_time_metric.clone(),
     }
 }
 
-fn class(class: &Group) -> WireGroup {
-    WireGroup {
+fn class(class: &Group) -> TrafficClass {
+    TrafficClass {
         name: class.name.clone(),
         route: route(&class.route),
-        expiry: seconds(class.request_deadline),
+        request_timeout: seconds(class.request_deadline),
     }
 }
 
@@ -44,7 +44,7 @@
     match path {
         PathRoute::Prefix(prefix) => Path::Prefix(prefix.clone()),
         PathRoute::Exact(path) => Path::Exact(path.clone()),
-        PathRoute::Firm(prefix) => Path::Firm(prefix.clone()),
+        PathRoute::Firm(prefix) => Path::PriorityPrefix(prefix.clone()),
         PathRoute::Pattern(pattern) => Path::Pattern(pattern.clone(), false),
         PathRoute::AnyCase(pattern) => Path::Pattern(pattern.clone(), true),
     }
--- a/crates/daemon/tests/governor.rs
+++ b/crates/daemon/tests/governor.rs
@@ -54,7 +54,7 @@
         let request = DiscoveryRequest {
             node: self.node.take(),
             resource_names: names.iter().map(|name| (*name).into()).collect(),
-            type_url: kind.url(),
+            type_url: kind.type_url(),
             response_nonce: nonce.into(),
             error_detail: error.map(|message| wrenthread_xds::pb::google::rpc::Status {
                 code: 3,
@@ -259,7 +259,7 @@
         node,
         version_info: before.version_info.clone(),
         resource_names: vec!["match".into()],
-        type_url: Kind::Endpoints.url(),
+        type_url: Kind::Endpoints.type_url(),
         ..DiscoveryRequest::default()
     };
     rejoined.requests.send(request).await.unwrap();
--- a/crates/daemon/tests/nginx.rs
+++ b/crates/daemon/tests/nginx.rs
@@ -96,7 +96,7 @@
     let identity = ProxyIdentity { name: "relay".into(), zone: "all".into(), requests_per_second: 1.0 };
     let session = Session::join(&format!("http://127.0.0.1:{poll}"), &identity, &cache).await.unwrap();
     while cache.borrow().updated_tables().get("entry").is_none_or(|(lines, _)| lines.len() != 3) {
-        session.ask(&cache, &NoObserver).await.unwrap();
+        session.poll(&cache, &NoObserver).await.unwrap();
     }
     let weights = [("10.0.0.1:80", 5.0), ("10.0.0.2:80", 1.0), ("10.0.0.3:80", 3.0)];
     let weights = weights.map(|(address, weight)| (address.to_string(), weight));
--- a/crates/daemon/tests/polling.rs
+++ b/crates/daemon/tests/polling.rs
@@ -47,13 +47,13 @@
     let started_at = Instant::now();
     while entry_count(cache) != wanted {
         assert!(started_at.elapsed() < Duration::from_secs(20), "no table with {wanted} entries within 20 s");
-        session.ask(cache, &NoObserver).await.unwrap();
+        session.poll(cache, &NoObserver).await.unwrap();
     }
 }
 
 /// Acknowledges the last version by one more poll, which may time out without an answer.
 async fn acknowledge(session: &Session, cache: &SharedCache) {
-    let _ = tokio::time::timeout(Duration::from_millis(300), session.ask(cache, &NoObserver)).await;
+    let _ = tokio::time::timeout(Duration::from_millis(300), session.poll(cache, &NoObserver)).await;
 }
 
 fn run_cli(governor: &Governor, arguments: &[&str]) -> (Option<i32>, String) {
@@ -162,10 +162,10 @@
     poll_until(&session, &cache, 4).await;
     governor.child.kill().unwrap();
     governor.child.wait().unwrap();
-    assert!(session.ask(&cache, &NoObserver).await.is_err());
+    assert!(session.poll(&cache, &NoObserver).await.is_err());
     assert_eq!(entry_count(&cache), 4, "the proxy keeps its table");
     governor.spawn().await;
-    let gone = session.ask(&cache, &NoObserver).await.unwrap_err().to_string();
+    let gone = session.poll(&cache, &NoObserver).await.unwrap_err().to_string();
     assert!(gone.contains("410"), "{gone}");
     let before = cache.borrow().held_version().cloned();
     let session = join(&governor, "p", &cache).await.unwrap();
@@ -184,7 +184,7 @@
     let first = join(&governor, "p", &cache).await.unwrap();
     poll_until(&first, &cache, 4).await;
     let second = join(&governor, "p", &second_cache).await.unwrap();
-    let error = first.ask(&cache, &NoObserver).await.unwrap_err().to_string();
+    let error = first.poll(&cache, &NoObserver).await.unwrap_err().to_string();
     assert!(error.contains("410") || error.contains("409"), "{error}");
     poll_until(&second, &second_cache, 4).await;
     let url = format!("http://127.0.0.1:{}/v1/proxies/x?session=77", governor.poll);
--- a/crates/daemon/tests/sharing.rs
+++ b/crates/daemon/tests/sharing.rs
@@ -20,7 +20,7 @@
 use serde_json::{Value, json};
 use wrenthread_client::poll::Session;
 use wrenthread_client::table_cache::TableCache;
-use wrenthread_client::{Error, NoObserver, ProxyIdentity, answers, grpc};
+use wrenthread_client::{Error, NoObserver, ProxyIdentity, grpc, is_serving};
 use wrenthread_core::ownership::{OwnershipClaim, SigningKey, ranking, sign};
 
 const SECRET: [u8; 32] = [b'k'; 32];
@@ -86,12 +86,12 @@
     let (polled_proxy, streamed_proxy) =
         (proxy_identity(&names_of_g0.next().unwrap()), proxy_identity(&names_of_g0.next().unwrap()));
     let session = Session::join(&base(source), &polled_proxy, &polled).await.unwrap();
-    session.ask(&polled, &NoObserver).await.unwrap();
+    session.poll(&polled, &NoObserver).await.unwrap();
     let uri = |governor: &Governor| format!("http://127.0.0.1:{}", governor.grpc);
     let dialed = wrenthread_client::Governor { name: "g0".into(), grpc: uri(source), poll: base(source) };
     let versions = Rc::default();
     let following = grpc::follow(&dialed, &streamed_proxy, true, &streamed, &versions, &NoObserver);
-    assert!(answers(&uri(source)).await && answers(&uri(target)).await);
+    assert!(is_serving(&uri(source)).await && is_serving(&uri(target)).await);
     let draining = async {
         // Proxies that have just connected are not migrated.
         tokio::time::sleep(Duration::from_millis(2500)).await;
@@ -104,27 +104,27 @@
     };
     let polling = async {
         loop {
-            if let Err(end) = session.ask(&polled, &NoObserver).await {
+            if let Err(end) = session.poll(&polled, &NoObserver).await {
                 return end;
             }
         }
     };
     let (streamed_end, polled_end, drain_output) = tokio::join!(following, polling, draining);
     assert!(drain_output.contains("has handed over 2 proxies"), "{drain_output}");
-    let to_g1 = |end: &Error| matches!(end, Error::Moved(Some(to)) if to == "g1");
+    let to_g1 = |end: &Error| matches!(end, Error::Redirected(Some(to)) if to == "g1");
     assert!(to_g1(&polled_end) && to_g1(&streamed_end.unwrap_err()), "{polled_end:?}");
     // The gRPC health check reports that the governor is not serving, and it is not ready.
-    assert!(!answers(&uri(source)).await && answers(&uri(target)).await);
+    assert!(!is_serving(&uri(source)).await && is_serving(&uri(target)).await);
     assert_ne!(source.get("/readyz").unwrap(), "ready\n");
     let held = polled.borrow().updated_tables();
     let session = Session::join(&base(target), &polled_proxy, &polled).await.unwrap();
-    session.ask(&polled, &NoObserver).await.unwrap();
+    session.poll(&polled, &NoObserver).await.unwrap();
     assert_eq!(polled.borrow().updated_tables()["match"].0.len(), held["match"].0.len());
     assert!(target.log().contains("migrated tables adopted") && target.log().contains("taken over"));
     assert_eq!(governors_status(target)["came"], 1);
     assert_eq!(run_cli(source, &["drain-governor", "--undo"]).0, Some(0));
     until("the governor is ready again", || source.get("/readyz").filter(|text| text == "ready\n")).await;
-    assert!(answers(&uri(source)).await);
+    assert!(is_serving(&uri(source)).await);
 }
 
 #[tokio::test]
--- a/crates/daemon/tests/soak/stored_state.rs
+++ b/crates/daemon/tests/soak/stored_state.rs
@@ -50,7 +50,7 @@
         if let Ok(session) =
             Session::join(&format!("http://127.0.0.1:{port}"), &identity("polls"), &cache).await
         {
-            while session.ask(&cache, &NoObserver).await.is_ok() {}
+            while session.poll(&cache, &NoObserver).await.is_ok() {}
         }
         tokio::time::sleep(RECONNECT_INTERVAL).await;
     }
--- a/crates/daemon/tests/state.rs
+++ b/crates/daemon/tests/state.rs
@@ -58,7 +58,7 @@
     let started_at = Instant::now();
     while cache.borrow().updated_tables().get("match").is_none_or(|(entries, _)| entries.len() != wanted) {
         assert!(started_at.elapsed() < Duration::from_secs(20), "no table with {wanted} entries within 20 s");
-        session.ask(cache, &NoObserver).await.unwrap();
+        session.poll(cache, &NoObserver).await.unwrap();
     }
 }
 
@@ -99,7 +99,7 @@
     governor.spawn().await;
     let rejoined = join(&governor, &cache).await;
     // The proxy already has the newest version: nothing is sent, and it is still restored as using its default table.
-    let poll = tokio::time::timeout(Duration::from_millis(700), rejoined.ask(&cache, &NoObserver)).await;
+    let poll = tokio::time::timeout(Duration::from_millis(700), rejoined.poll(&cache, &NoObserver)).await;
     assert!(poll.is_err(), "expected no update, but the proxy now has {:?}", cache.borrow().held_version());
     assert_eq!(cache.borrow().held_version().cloned(), held);
     assert_eq!(governor.status()["overrides"][0]["why"], "its disk");
--- a/crates/rehearsal/src/proxy.rs
+++ b/crates/rehearsal/src/proxy.rs
@@ -16,7 +16,7 @@
 use tokio::time::{sleep, timeout};
 use wrenthread::types::RetryPolicy;
 use wrenthread_client::table_cache::{DefaultEntry, Outcome, TableCache};
-use wrenthread_client::{Error, Governor, Observer, ProxyIdentity, UpdatedTables, answers, grpc, poll};
+use wrenthread_client::{Error, Governor, Observer, ProxyIdentity, UpdatedTables, grpc, is_serving, poll};
 use wrenthread_core::failover::GovernorSelector;
 
 use crate::event_log::{CLASS_TRAFFIC, CLASSES, Event, EventLog, RequestOutcome};
@@ -301,7 +301,7 @@
                 loop {
                     sleep(Duration::from_millis(500)).await;
                     let reachable = !self.unreachable.borrow().contains(&selector.home());
-                    let available = selector.is_home() || reachable && answers(&home).await;
+                    let available = selector.is_home() || reachable && is_serving(&home).await;
                     if selector.home_checked(self.now(), available) {
                         return;
                     }
@@ -310,15 +310,15 @@
             let result = tokio::select! {
                 result = stream => result.err(),
                 () = break_requested => None,
-                () = home_available => Some(Error::Moved(Some(names[selector.home()].to_string()))),
+                () = home_available => Some(Error::Redirected(Some(names[selector.home()].to_string()))),
                 () = became_unreachable => Some(Error::StreamEnded),
             };
             *self.session.borrow_mut() = None;
             let got_update = observer.got_update.get();
             observer.disconnected();
             match result {
-                Some(Error::Moved(Some(to))) if selector.is_home() && to == names[selector.home()] => {}
-                Some(Error::Moved(to)) => {
+                Some(Error::Redirected(Some(to))) if selector.is_home() && to == names[selector.home()] => {}
+                Some(Error::Redirected(to)) => {
                     selector.redirected(to.and_then(|to| names.iter().position(|name| *name == to)));
                 }
                 // A broken stream is retried at the same governor. Only an unreachable governor is skipped.
--- a/crates/xds/src/decode.rs
+++ b/crates/xds/src/decode.rs
@@ -9,7 +9,7 @@
 use wrenthread_core::reports::{LoadReport, ReplicaObservation};
 use wrenthread_core::roster::RosterEntry;
 
-use crate::Wire;
+use crate::XdsConfig;
 use crate::pb::envoy::config::core::v3::{
     Address, HealthStatus, Metadata, Node, address, socket_address::PortSpecifier,
 };
@@ -88,7 +88,7 @@
 }
 
 /// Returns a node's id, after validation.
-pub fn name(node: Option<&Node>) -> Result<&str, DecodeError> {
+pub fn node_id(node: Option<&Node>) -> Result<&str, DecodeError> {
     let node = node.ok_or(DecodeError::MissingNode)?;
     if node.id.is_empty() {
         return Err(DecodeError::InvalidNodeId("is empty; every proxy needs one of its own".into()));
@@ -107,13 +107,13 @@
 ///
 /// The metadata holds the request rate (`usual`) and the default table (`standing`):
 /// `{"wrenthread": {"usual": 6.5, "standing": [{"replica": "r1", "weight": 1.0}, ...]}}`.
-pub fn join(
-    wire: &Wire,
+pub fn join_request(
+    wire: &XdsConfig,
     node: Option<&Node>,
     default_requests_per_second: f64,
     holds_tables: bool,
 ) -> Result<JoinRequest, DecodeError> {
-    let name = name(node)?;
+    let name = node_id(node)?;
     let node = node.ok_or(DecodeError::MissingNode)?;
     let zone_name = node.locality.as_ref().map_or("", |locality| &locality.zone);
     let zone = match wire.zones.iter().position(|zone| zone == zone_name) {
@@ -180,15 +180,15 @@
 /// Decodes one proxy's load statistics into one report per reporting interval. `replica_at` returns the
 /// replica at an address. Clusters that are not in the settings and endpoints whose address is unknown are
 /// skipped; the second result is their number.
-pub fn reports(
-    wire: &Wire,
+pub fn load_reports(
+    wire: &XdsConfig,
     stats: &[ClusterStats],
     replica_at: impl Fn(&str) -> Option<ReplicaId>,
 ) -> (Vec<LoadReport>, usize) {
     let mut by_interval: BTreeMap<Duration, LoadReport> = BTreeMap::new();
     let mut unknown_entries = 0;
     for cluster in stats {
-        let Some(group) = wire.groups.iter().position(|group| group.name == cluster.cluster_name) else {
+        let Some(group) = wire.classes.iter().position(|group| group.name == cluster.cluster_name) else {
             unknown_entries += 1;
             continue;
         };
@@ -223,7 +223,7 @@
             };
             // All metrics or none: the module reads them by index.
             let load: Option<Vec<f64>> = wire.load_metrics.iter().map(mean_value).collect();
-            let latency_sum_and_count = metric(&wire.answer_metric).map_or((Duration::ZERO, 0), |metric| {
+            let latency_sum_and_count = metric(&wire.latency_metric).map_or((Duration::ZERO, 0), |metric| {
                 let seconds = Duration::try_from_secs_f64(metric.total_metric_value / 1000.0);
                 (seconds.unwrap_or(Duration::MAX), metric.num_requests_finished_with_metric)
             });
@@ -250,7 +250,7 @@
 /// replicas. Endpoints that are missing from the message leave the roster. All localities with a priority
 /// above 0 are backups of equal rank.
 pub fn roster_entries(
-    wire: &Wire,
+    wire: &XdsConfig,
     assignment: &ClusterLoadAssignment,
     started_at: impl Fn(f64) -> Option<Duration>,
 ) -> Result<Vec<RosterEntry>, DecodeError> {
--- a/crates/xds/src/decode/tests.rs
+++ b/crates/xds/src/decode/tests.rs
@@ -5,20 +5,20 @@
     EndpointLoadMetricStats, UpstreamEndpointStats, UpstreamLocalityStats,
 };
 
-fn wire() -> Wire {
-    Wire {
+fn wire() -> XdsConfig {
+    XdsConfig {
         epoch: 1,
         governor: String::new(),
         key: None,
         zones: vec!["north".into(), "south".into()],
-        groups: vec![crate::WireGroup {
+        classes: vec![crate::TrafficClass {
             name: "match".into(),
             route: crate::Route::Prefix("/".into()),
-            expiry: Duration::from_secs(1),
+            request_timeout: Duration::from_secs(1),
         }],
-        report_every: Duration::from_secs(1),
+        report_interval: Duration::from_secs(1),
         load_metrics: vec!["queue".into()],
-        answer_metric: "answer_ms".into(),
+        latency_metric: "answer_ms".into(),
     }
 }
 
@@ -47,20 +47,20 @@
     let list = crate::pb::google::protobuf::ListValue { values: vec![entry] };
     let metadata =
         structure(vec![("usual", value::Kind::NumberValue(6.5)), ("standing", value::Kind::ListValue(list))]);
-    let join = super::join(&wire(), Some(&node("p", "south", Some(metadata))), 1.0, false).unwrap();
+    let join = super::join_request(&wire(), Some(&node("p", "south", Some(metadata))), 1.0, false).unwrap();
     assert_eq!((join.zone, join.requests_per_second, join.default_table), (1, 6.5, vec![("r1".into(), 2.0)]));
 }
 
 #[test]
 fn rejects_invalid_nodes_with_a_reason() {
-    let reason = |node: &Node| super::join(&wire(), Some(node), 1.0, false).unwrap_err().to_string();
+    let reason = |node: &Node| super::join_request(&wire(), Some(node), 1.0, false).unwrap_err().to_string();
     assert!(reason(&node("p", "west", None)).contains("`north`, `south`"));
     assert!(reason(&node("", "north", None)).contains("every proxy needs one"));
     let metadata = structure(vec![("usual", value::Kind::NumberValue(f64::NAN))]);
     assert!(reason(&node("p", "north", Some(metadata))).contains("wrenthread.usual"));
     let metadata = structure(vec![("standing", value::Kind::BoolValue(true))]);
     assert!(reason(&node("p", "north", Some(metadata))).contains("is not a list"));
-    assert!(matches!(super::join(&wire(), None, 1.0, false), Err(DecodeError::MissingNode)));
+    assert!(matches!(super::join_request(&wire(), None, 1.0, false), Err(DecodeError::MissingNode)));
 }
 
 #[test]
@@ -95,7 +95,7 @@
         ..ClusterStats::default()
     };
     let replica_at = |address: &str| (address == "10.0.0.1:1").then(|| "r1".into());
-    let (reports, unknown) = super::reports(&wire(), &[stats("match"), stats("other")], replica_at);
+    let (reports, unknown) = super::load_reports(&wire(), &[stats("match"), stats("other")], replica_at);
     assert_eq!((reports.len(), unknown), (1, 2));
     assert_eq!(reports[0].interval, Duration::new(1, 5));
     assert_eq!(reports[0].rejected, [(0, 3)]);
--- a/crates/xds/src/encode.rs
+++ b/crates/xds/src/encode.rs
@@ -42,7 +42,7 @@
 use crate::pb::envoy::r#type::matcher::v3::{RegexMatcher, StringMatcher, string_matcher::MatchPattern};
 use crate::pb::envoy::r#type::v3::{FractionalPercent, Percent, fractional_percent::DenominatorType};
 use crate::pb::google::protobuf::{Any, Duration, UInt32Value};
-use crate::{Path, Route, Wire, WireGroup};
+use crate::{Path, Route, TrafficClass, XdsConfig};
 
 /// Name of the one listener, which all proxies get.
 pub const LISTENER_NAME: &str = "wrenthread";
@@ -71,7 +71,7 @@
         [ResourceType::Clusters, ResourceType::Endpoints, ResourceType::Listeners, ResourceType::Routes];
 
     /// The type URL.
-    pub fn url(self) -> String {
+    pub fn type_url(self) -> String {
         match self {
             ResourceType::Clusters => Cluster::type_url(),
             ResourceType::Endpoints => ClusterLoadAssignment::type_url(),
@@ -82,7 +82,7 @@
 
     /// The type with this URL; none if it is not supported.
     pub fn from_type_url(type_url: &str) -> Option<ResourceType> {
-        ResourceType::ALL.into_iter().find(|kind| kind.url() == type_url)
+        ResourceType::ALL.into_iter().find(|kind| kind.type_url() == type_url)
     }
 
     /// Whether state-of-the-world responses of this type must contain all resources, and an initial subscription
@@ -93,8 +93,8 @@
 }
 
 /// The resources of one type that exist for a proxy: the version of the last change, by name.
-pub fn resource_versions(wire: &Wire, proxy: &Proxy, kind: ResourceType) -> BTreeMap<String, u64> {
-    let groups = wire.groups.iter().zip(&proxy.tables);
+pub fn resource_versions(wire: &XdsConfig, proxy: &Proxy, kind: ResourceType) -> BTreeMap<String, u64> {
+    let groups = wire.classes.iter().zip(&proxy.tables);
     match kind {
         ResourceType::Clusters => groups.map(|(group, _)| (group.name.clone(), 1)).collect(),
         ResourceType::Endpoints => {
@@ -106,17 +106,17 @@
 }
 
 /// Encodes a resource; also returns its number of entries. None if no resource has this name.
-pub fn resource(wire: &Wire, proxy: &Proxy, kind: ResourceType, name: &str) -> Option<(Any, usize)> {
-    let class_index = || wire.groups.iter().position(|group| group.name == name);
+pub fn resource(wire: &XdsConfig, proxy: &Proxy, kind: ResourceType, name: &str) -> Option<(Any, usize)> {
+    let class_index = || wire.classes.iter().position(|group| group.name == name);
     Some(match kind {
-        ResourceType::Clusters => (to_any(&cluster(&wire.groups[class_index()?])), 1),
+        ResourceType::Clusters => (to_any(&cluster(&wire.classes[class_index()?])), 1),
         ResourceType::Endpoints => {
             let table = &proxy.tables.get(class_index()?)?.as_ref()?.table;
             (to_any(&assignment(wire, name, table)), table.entries.len().max(1))
         }
         ResourceType::Listeners if name == LISTENER_NAME => (to_any(&listener()), 1),
         ResourceType::Routes if name == ROUTE_CONFIG_NAME => {
-            (to_any(&route_configuration(wire, &proxy.retry_policies.1)), wire.groups.len())
+            (to_any(&route_configuration(wire, &proxy.retry_policies.1)), wire.classes.len())
         }
         ResourceType::Listeners | ResourceType::Routes => return None,
     })
@@ -146,7 +146,7 @@
     }
 }
 
-fn cluster(group: &WireGroup) -> Cluster {
+fn cluster(group: &TrafficClass) -> Cluster {
     Cluster {
         name: group.name.clone(),
         cluster_discovery_type: Some(ClusterDiscoveryType::Type(DiscoveryType::Eds as i32)),
@@ -189,7 +189,7 @@
 }
 
 /// Encodes a table: its routable entries by zone. The weight of a zone is the sum of its entries' weights.
-pub fn assignment(wire: &Wire, name: &str, table: &Table) -> ClusterLoadAssignment {
+pub fn assignment(wire: &XdsConfig, name: &str, table: &Table) -> ClusterLoadAssignment {
     let routable: Vec<_> = table.entries.iter().filter(|entry| entry.routable).collect();
     let weights = weights::to_integers(&routable.iter().map(|entry| entry.weight).collect::<Vec<_>>());
     let mut zones: BTreeMap<usize, (u32, Vec<LbEndpoint>)> = BTreeMap::new();
@@ -275,9 +275,9 @@
 ///
 /// If every class has a single prefix or header, routes keep the order of the settings. If any class has several
 /// paths, headers come first, then paths by the precedence that [`Path`] defines. A longer plain prefix under a
-/// firm one also precedes patterns: an ordered list can't express that it applies only to requests that match no
+/// priority prefix also precedes patterns: an ordered list can't express that it applies only to requests that match no
 /// pattern.
-fn ordered_routes(groups: &[WireGroup]) -> Vec<OrderedRoute<'_>> {
+fn ordered_routes(groups: &[TrafficClass]) -> Vec<OrderedRoute<'_>> {
     let any_path = || PathSpecifier::Prefix("/".to_string());
     let has_lists = groups.iter().any(|group| matches!(group.route, Route::Paths(_)));
     let mut paths: Vec<(usize, Path)> = Vec::new();
@@ -292,15 +292,18 @@
             Route::Paths(several) => paths.extend(several.iter().map(|path| (class_index, path.clone()))),
         }
     }
-    let firm_prefixes: Vec<String> = paths
+    let priority_prefixes: Vec<String> = paths
         .iter()
-        .filter_map(|(_, path)| if let Path::Firm(prefix) = path { Some(prefix.clone()) } else { None })
+        .filter_map(
+            |(_, path)| if let Path::PriorityPrefix(prefix) = path { Some(prefix.clone()) } else { None },
+        )
         .collect();
-    let under_firm = |prefix: &String| firm_prefixes.iter().any(|firm| prefix.starts_with(firm));
+    let under_priority_prefix =
+        |prefix: &String| priority_prefixes.iter().any(|priority| prefix.starts_with(priority));
     let rank = |(_, path): &(usize, Path)| match path {
         Path::Exact(_) => (0, 0),
-        Path::Firm(prefix) => (1, usize::MAX - prefix.len()),
-        Path::Prefix(prefix) if under_firm(prefix) => (1, usize::MAX - prefix.len()),
+        Path::PriorityPrefix(prefix) => (1, usize::MAX - prefix.len()),
+        Path::Prefix(prefix) if under_priority_prefix(prefix) => (1, usize::MAX - prefix.len()),
         Path::Pattern(..) => (2, 0),
         Path::Prefix(prefix) => (3, usize::MAX - prefix.len()),
     };
@@ -309,7 +312,7 @@
     routes.extend(paths.into_iter().map(|(class_index, path)| {
         let path = match path {
             Path::Exact(path) => PathSpecifier::Path(path),
-            Path::Firm(prefix) | Path::Prefix(prefix) => PathSpecifier::Prefix(prefix),
+            Path::PriorityPrefix(prefix) | Path::Prefix(prefix) => PathSpecifier::Prefix(prefix),
             Path::Pattern(pattern, ignore_case) => {
                 // xDS patterns have to match the whole path.
                 let case_flag = if ignore_case { "i" } else { "" };
@@ -322,9 +325,9 @@
     routes
 }
 
-fn route_configuration(wire: &Wire, retry_policies: &[RetryPolicy]) -> RouteConfiguration {
-    let routes = ordered_routes(&wire.groups).into_iter().filter_map(|(class_index, path, header)| {
-        let (group, retry_policy) = (&wire.groups[class_index], retry_policies.get(class_index)?);
+fn route_configuration(wire: &XdsConfig, retry_policies: &[RetryPolicy]) -> RouteConfiguration {
+    let routes = ordered_routes(&wire.classes).into_iter().filter_map(|(class_index, path, header)| {
+        let (group, retry_policy) = (&wire.classes[class_index], retry_policies.get(class_index)?);
         let header = header.map(|(name, value)| {
             let exact = StringMatcher {
                 match_pattern: Some(MatchPattern::Exact(value.to_string())),
@@ -345,7 +348,7 @@
             }),
             action: Some(route::Action::Route(RouteAction {
                 cluster_specifier: Some(route_action::ClusterSpecifier::Cluster(group.name.clone())),
-                timeout: Some(proto_duration(group.expiry)),
+                timeout: Some(proto_duration(group.request_timeout)),
                 retry_policy: route_retry_policy(*retry_policy),
                 ..RouteAction::default()
             })),
--- a/crates/xds/src/encode/tests.rs
+++ b/crates/xds/src/encode/tests.rs
@@ -2,24 +2,24 @@
 use proptest::prelude::*;
 use wrenthread_core::tables::ResolvedEntry;
 
-fn wire() -> Wire {
-    let group = |name: &str, route| WireGroup {
+fn wire() -> XdsConfig {
+    let group = |name: &str, route| TrafficClass {
         name: name.into(),
         route,
-        expiry: std::time::Duration::from_millis(2500),
+        request_timeout: std::time::Duration::from_millis(2500),
     };
-    Wire {
+    XdsConfig {
         epoch: 7,
         governor: String::new(),
         key: None,
         zones: vec!["north".into(), "south".into()],
-        groups: vec![
+        classes: vec![
             group("match", Route::Prefix("/match".into())),
             group("charge", Route::Header("x-group".into(), "charge".into())),
         ],
-        report_every: std::time::Duration::from_secs(1),
+        report_interval: std::time::Duration::from_secs(1),
         load_metrics: vec!["queue".into()],
-        answer_metric: "answer_ms".into(),
+        latency_metric: "answer_ms".into(),
     }
 }
 
@@ -64,16 +64,16 @@
 
 #[test]
 fn orders_paths_by_precedence() {
-    let group = |name: &str, paths: Vec<Path>| WireGroup {
+    let group = |name: &str, paths: Vec<Path>| TrafficClass {
         name: name.into(),
         route: Route::Paths(paths),
-        expiry: std::time::Duration::from_secs(1),
+        request_timeout: std::time::Duration::from_secs(1),
     };
     let prefix = |prefix: &str| Path::Prefix(prefix.into());
-    let wire = Wire {
-        groups: vec![
+    let wire = XdsConfig {
+        classes: vec![
             group("rest", vec![prefix("/"), prefix("/a/long")]),
-            group("firm", vec![Path::Firm("/s/".into()), prefix("/s/x/")]),
+            group("firm", vec![Path::PriorityPrefix("/s/".into()), prefix("/s/x/")]),
             group("odd", vec![Path::Pattern("[.]php$".into(), true), Path::Exact("/a".into())]),
         ],
         ..wire()
@@ -98,7 +98,7 @@
     assert_eq!(
         digest(&resource),
         digest(&to_any(&assignment(
-            &Wire { epoch: 8, governor: String::new(), key: None, ..wire() },
+            &XdsConfig { epoch: 8, governor: String::new(), key: None, ..wire() },
             "match",
             &table
         )))
--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -24,11 +24,11 @@
 
 /// Key in the trailing metadata of a stream: the governor that the proxy is redirected to; empty for the next
 /// one in the proxy's own ranking. Proxies without wrenthread code ignore it and reconnect on their own.
-pub const GO_TO: &str = "wrenthread-go-to";
+pub const REDIRECT_METADATA_KEY: &str = "wrenthread-go-to";
 
 /// The settings that are needed to encode and decode messages.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Wire {
+pub struct XdsConfig {
     /// The epoch of this governor's run, which versions and nonces contain.
     pub epoch: u64,
     /// This governor's name among those that share the fleet; empty if it is the only one.
@@ -38,18 +38,18 @@
     /// The names of the zones, by index.
     pub zones: Vec<String>,
     /// The traffic classes, by index.
-    pub groups: Vec<WireGroup>,
+    pub classes: Vec<TrafficClass>,
     /// The interval at which proxies report load.
-    pub report_every: std::time::Duration,
+    pub report_interval: std::time::Duration,
     /// The names of the load metrics in reports, in the order of the module's load fields.
     pub load_metrics: Vec<String>,
     /// The name of the metric with the answer time in milliseconds.
-    pub answer_metric: String,
+    pub latency_metric: String,
 }
 
-impl Wire {
+impl XdsConfig {
     /// A signed proof that a proxy holds this governor's tables up to a version; none without a key.
-    pub fn claim(&self, proxy: &str, version: u64) -> Option<String> {
+    pub fn ownership_proof(&self, proxy: &str, version: u64) -> Option<String> {
         let (governor, proxy) = (self.governor.clone(), proxy.to_string());
         let claim =
             wrenthread_core::ownership::OwnershipClaim { governor, epoch: self.epoch, version, proxy };
@@ -59,12 +59,13 @@
     /// The control plane identifier in responses: `wrenthread/GOVERNOR/EPOCH`, followed by `/` and the ownership
     /// proof if there is one.
     pub fn identifier(&self, proxy: &str, version: u64) -> String {
-        let claim = self.claim(proxy, version).map_or_else(String::new, |claim| format!("/{claim}"));
+        let claim =
+            self.ownership_proof(proxy, version).map_or_else(String::new, |claim| format!("/{claim}"));
         format!("wrenthread/{}/{:x}{claim}", self.governor, self.epoch)
     }
 }
 
-/// Parses the result of [`Wire::identifier`]: the governor, its epoch, and the ownership proof if there is one.
+/// Parses the result of [`XdsConfig::identifier`]: the governor, its epoch, and the ownership proof if there is one.
 pub fn parse_identifier(identifier: &str) -> Option<(&str, u64, Option<&str>)> {
     let mut parts = identifier.strip_prefix("wrenthread/")?.splitn(3, '/');
     let (name, epoch) = (parts.next()?, parts.next()?);
@@ -73,13 +74,13 @@
 
 /// A traffic class, which has its own cluster and routes to it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct WireGroup {
+pub struct TrafficClass {
     /// The name of the class and of its cluster.
     pub name: String,
     /// Which requests belong to the class.
     pub route: Route,
     /// The timeout of a request, over all its attempts.
-    pub expiry: std::time::Duration,
+    pub request_timeout: std::time::Duration,
 }
 
 /// How requests are matched to a traffic class.
@@ -93,8 +94,8 @@
     Paths(Vec<Path>),
 }
 
-/// A path match of a traffic class. Precedence: an exact path; the longest prefix, if it is [`Path::Firm`]; the
-/// first pattern; the longest prefix.
+/// A path match of a traffic class. Precedence: an exact path; the longest prefix, if it is a
+/// [`Path::PriorityPrefix`]; the first pattern; the longest prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Path {
     /// Paths with this prefix.
@@ -102,7 +103,7 @@
     /// Exactly this path.
     Exact(String),
     /// A prefix with precedence over patterns.
-    Firm(String),
+    PriorityPrefix(String),
     /// A regular expression that matches some part of the path; whether it ignores case.
     Pattern(String, bool),
 }
--- a/crates/xds/src/service.rs
+++ b/crates/xds/src/service.rs
@@ -36,38 +36,38 @@
 
 /// Sends responses on a stream.
 #[derive(Debug, Clone)]
-pub enum Answers {
+pub enum ResponseSender {
     /// For a state-of-the-world stream.
     Sotw(mpsc::Sender<Result<DiscoveryResponse, Status>>),
     /// For a delta stream.
     Delta(mpsc::Sender<Result<DeltaDiscoveryResponse, Status>>),
 }
 
-impl Answers {
+impl ResponseSender {
     /// Whether the channel has capacity for a complete flush.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         match self {
-            Answers::Sotw(answers) => answers.capacity() >= MAX_FLUSH_RESPONSES,
-            Answers::Delta(answers) => answers.capacity() >= MAX_FLUSH_RESPONSES,
+            ResponseSender::Sotw(answers) => answers.capacity() >= MAX_FLUSH_RESPONSES,
+            ResponseSender::Delta(answers) => answers.capacity() >= MAX_FLUSH_RESPONSES,
         }
     }
 
     /// Waits for capacity for a complete flush; false if the stream has ended.
-    pub async fn room(&self) -> bool {
+    pub async fn wait_for_capacity(&self) -> bool {
         match self {
-            Answers::Sotw(answers) => answers.reserve_many(MAX_FLUSH_RESPONSES).await.is_ok(),
-            Answers::Delta(answers) => answers.reserve_many(MAX_FLUSH_RESPONSES).await.is_ok(),
+            ResponseSender::Sotw(answers) => answers.reserve_many(MAX_FLUSH_RESPONSES).await.is_ok(),
+            ResponseSender::Delta(answers) => answers.reserve_many(MAX_FLUSH_RESPONSES).await.is_ok(),
         }
     }
 
     /// Sends a response. It is dropped if the stream has ended or the channel is full, so check
-    /// [`Answers::has_room`] first.
+    /// [`ResponseSender::has_capacity`] first.
     pub fn send(&self, response: session::Response) {
         let _ = match (self, response) {
-            (Answers::Sotw(answers), session::Response::Sotw(response)) => {
+            (ResponseSender::Sotw(answers), session::Response::Sotw(response)) => {
                 answers.try_send(Ok(response)).is_ok()
             }
-            (Answers::Delta(answers), session::Response::Delta(response)) => {
+            (ResponseSender::Delta(answers), session::Response::Delta(response)) => {
                 answers.try_send(Ok(response)).is_ok()
             }
             _ => false,
@@ -77,8 +77,8 @@
     /// Ends the stream with a status. The status is dropped if the channel is full.
     pub fn end(&self, status: Status) {
         let _ = match self {
-            Answers::Sotw(answers) => answers.try_send(Err(status)).is_ok(),
-            Answers::Delta(answers) => answers.try_send(Err(status)).is_ok(),
+            ResponseSender::Sotw(answers) => answers.try_send(Err(status)).is_ok(),
+            ResponseSender::Delta(answers) => answers.try_send(Err(status)).is_ok(),
         };
     }
 }
@@ -87,21 +87,21 @@
 #[derive(Debug)]
 pub enum Event {
     /// An ADS stream was opened.
-    Opened {
+    AdsOpened {
         /// The number of the stream.
         stream: u64,
         /// Sends the stream's responses.
-        answers: Answers,
+        responses: ResponseSender,
     },
     /// A request was received on an ADS stream.
-    Asked {
+    AdsRequest {
         /// The number of the stream.
         stream: u64,
         /// The request.
         request: Box<session::Request>,
     },
     /// An ADS stream ended.
-    Closed {
+    AdsClosed {
         /// The number of the stream.
         stream: u64,
     },
@@ -113,7 +113,7 @@
         node: Box<Node>,
     },
     /// A load report was received on an LRS stream.
-    Reported {
+    LoadReported {
         /// The number of the stream.
         stream: u64,
         /// Statistics by cluster.
@@ -125,7 +125,7 @@
         stream: u64,
     },
     /// A CSDS request was received.
-    Status {
+    ClientStatus {
         /// The request.
         request: Box<ClientStatusRequest>,
         /// Receives the response.
@@ -135,28 +135,28 @@
 
 /// Implements the ADS, LRS and CSDS services.
 #[derive(Debug, Clone)]
-pub struct Front {
+pub struct GrpcServices {
     events: mpsc::Sender<Event>,
     next_stream: Arc<AtomicU64>,
-    report_every: std::time::Duration,
+    report_interval: std::time::Duration,
 }
 
 type ResponseStream<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
 
-impl Front {
+impl GrpcServices {
     /// Events are sent to `events`. While that channel is full, streams are not read, which applies back pressure
     /// to the proxies.
-    pub fn new(events: mpsc::Sender<Event>, report_every: std::time::Duration) -> Self {
-        Front { events, next_stream: Arc::new(AtomicU64::new(1)), report_every }
+    pub fn new(events: mpsc::Sender<Event>, report_interval: std::time::Duration) -> Self {
+        GrpcServices { events, next_stream: Arc::new(AtomicU64::new(1)), report_interval }
     }
 
     /// The services, for the router of a server.
     pub fn services(
         &self,
     ) -> (
-        AggregatedDiscoveryServiceServer<Front>,
-        LoadReportingServiceServer<Front>,
-        ClientStatusDiscoveryServiceServer<Front>,
+        AggregatedDiscoveryServiceServer<GrpcServices>,
+        LoadReportingServiceServer<GrpcServices>,
+        ClientStatusDiscoveryServiceServer<GrpcServices>,
     ) {
         (
             AggregatedDiscoveryServiceServer::new(self.clone()),
@@ -166,7 +166,7 @@
     }
 
     /// Allocates a stream number. All kinds of streams share one sequence, in the order of their opening.
-    pub fn number(&self) -> u64 {
+    pub fn next_stream_id(&self) -> u64 {
         self.next_stream.fetch_add(1, Ordering::Relaxed)
     }
 
@@ -177,15 +177,15 @@
     /// Forwards the requests of a stream as events, until the stream ends.
     async fn forward_requests<R>(
         &self,
-        answers: Answers,
+        answers: ResponseSender,
         requests: Streaming<R>,
         wrap: fn(R) -> session::Request,
     ) -> Result<(), Status>
     where
         R: Send + 'static,
     {
-        let stream = self.number();
-        self.send_event(Event::Opened { stream, answers: answers.clone() }).await?;
+        let stream = self.next_stream_id();
+        self.send_event(Event::AdsOpened { stream, responses: answers.clone() }).await?;
         let front = self.clone();
         tokio::spawn(async move {
             let mut requests = requests;
@@ -196,25 +196,25 @@
                 };
                 let Some(Ok(request)) = request else { break };
                 let request = Box::new(wrap(request));
-                if front.send_event(Event::Asked { stream, request }).await.is_err() {
+                if front.send_event(Event::AdsRequest { stream, request }).await.is_err() {
                     break;
                 }
             }
-            let _ = front.send_event(Event::Closed { stream }).await;
+            let _ = front.send_event(Event::AdsClosed { stream }).await;
         });
         Ok(())
     }
 }
 
-async fn closed(answers: &Answers) {
+async fn closed(answers: &ResponseSender) {
     match answers {
-        Answers::Sotw(answers) => answers.closed().await,
-        Answers::Delta(answers) => answers.closed().await,
+        ResponseSender::Sotw(answers) => answers.closed().await,
+        ResponseSender::Delta(answers) => answers.closed().await,
     }
 }
 
 #[tonic::async_trait]
-impl AggregatedDiscoveryService for Front {
+impl AggregatedDiscoveryService for GrpcServices {
     type StreamAggregatedResourcesStream = ResponseStream<DiscoveryResponse>;
     type DeltaAggregatedResourcesStream = ResponseStream<DeltaDiscoveryResponse>;
 
@@ -223,7 +223,8 @@
         request: Request<Streaming<DiscoveryRequest>>,
     ) -> Result<Response<Self::StreamAggregatedResourcesStream>, Status> {
         let (answers, stream) = mpsc::channel(CHANNEL_CAPACITY);
-        self.forward_requests(Answers::Sotw(answers), request.into_inner(), session::Request::Sotw).await?;
+        self.forward_requests(ResponseSender::Sotw(answers), request.into_inner(), session::Request::Sotw)
+            .await?;
         Ok(Response::new(Box::pin(ReceiverStream::new(stream))))
     }
 
@@ -232,13 +233,14 @@
         request: Request<Streaming<DeltaDiscoveryRequest>>,
     ) -> Result<Response<Self::DeltaAggregatedResourcesStream>, Status> {
         let (answers, stream) = mpsc::channel(CHANNEL_CAPACITY);
-        self.forward_requests(Answers::Delta(answers), request.into_inner(), session::Request::Delta).await?;
+        self.forward_requests(ResponseSender::Delta(answers), request.into_inner(), session::Request::Delta)
+            .await?;
         Ok(Response::new(Box::pin(ReceiverStream::new(stream))))
     }
 }
 
 #[tonic::async_trait]
-impl LoadReportingService for Front {
+impl LoadReportingService for GrpcServices {
     type StreamLoadStatsStream = ResponseStream<LoadStatsResponse>;
 
     async fn stream_load_stats(
@@ -254,8 +256,8 @@
                 let _ = answers.send(Err(status)).await;
                 return;
             };
-            let stream = front.number();
-            let interval = front.report_every;
+            let stream = front.next_stream_id();
+            let interval = front.report_interval;
             let interval_request = LoadStatsResponse {
                 send_all_clusters: true,
                 report_endpoint_granularity: true,
@@ -271,7 +273,8 @@
             }
             let mut stats = first.cluster_stats;
             loop {
-                if !stats.is_empty() && front.send_event(Event::Reported { stream, stats }).await.is_err() {
+                if !stats.is_empty() && front.send_event(Event::LoadReported { stream, stats }).await.is_err()
+                {
                     break;
                 }
                 stats = tokio::select! {
@@ -289,7 +292,7 @@
 }
 
 #[tonic::async_trait]
-impl ClientStatusDiscoveryService for Front {
+impl ClientStatusDiscoveryService for GrpcServices {
     type StreamClientStatusStream = ResponseStream<ClientStatusResponse>;
 
     async fn stream_client_status(
@@ -312,10 +315,10 @@
     }
 }
 
-impl Front {
+impl GrpcServices {
     async fn status(&self, request: ClientStatusRequest) -> Result<ClientStatusResponse, Status> {
         let (reply, answer) = oneshot::channel();
-        self.send_event(Event::Status { request: Box::new(request), reply }).await?;
+        self.send_event(Event::ClientStatus { request: Box::new(request), reply }).await?;
         answer.await.map_err(|_| Status::unavailable("the governor is stopping"))
     }
 }
--- a/crates/xds/src/session.rs
+++ b/crates/xds/src/session.rs
@@ -12,7 +12,7 @@
 
 use wrenthread_core::fleet::Proxy;
 
-use crate::Wire;
+use crate::XdsConfig;
 use crate::encode::{self, ResourceType};
 use crate::pb::envoy::config::core::v3::ControlPlane;
 use crate::pb::envoy::service::discovery::v3::{
@@ -52,7 +52,7 @@
     }
 
     /// Whether the first request of a stream states that the proxy holds tables of a governor.
-    pub fn holds_orders(&self) -> bool {
+    pub fn holds_governor_tables(&self) -> bool {
         match self {
             Request::Sotw(request) => !request.version_info.is_empty(),
             Request::Delta(request) => !request.initial_resource_versions.is_empty(),
@@ -62,15 +62,15 @@
 
 /// An effect of a request.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Heard {
+pub enum RequestEffect {
     /// Everything up to this version is acknowledged.
     Acked(u64),
     /// The response with this version was rejected, for this reason.
     Nacked(u64, String),
     /// Resources were requested.
-    Wants,
+    ResourcesRequested,
     /// The resource type with this URL is not supported.
-    Unserved(String),
+    UnsupportedType(String),
 }
 
 /// Why a stream has to be ended.
@@ -131,14 +131,14 @@
     /// The responses to send, in order.
     pub responses: Vec<Response>,
     /// The number of entries in them; 0 if there are no responses.
-    pub lines: usize,
+    pub entries: usize,
     /// Set if everything up to this version is already acknowledged.
     pub acked: Option<u64>,
 }
 
 /// The status of a resource on a stream, for CSDS.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum ResourceStatus {
     /// The proxy acknowledged it.
     Acked,
     /// It was sent, but not answered yet.
@@ -164,7 +164,7 @@
     }
 
     /// Whether the proxy has answered all responses.
-    pub fn settled(&self) -> bool {
+    pub fn all_answered(&self) -> bool {
         self.subscriptions.values().all(|subscription| subscription.outstanding.is_empty())
     }
 
@@ -177,7 +177,7 @@
     ///
     /// # Errors
     /// The request violates the protocol or a limit; the stream has to be ended with the error.
-    pub fn request(&mut self, request: Request) -> Result<Vec<Heard>, SessionError> {
+    pub fn request(&mut self, request: Request) -> Result<Vec<RequestEffect>, SessionError> {
         match request {
             Request::Sotw(request) if !self.delta => self.sotw_request(request),
             Request::Delta(request) if self.delta => self.delta_request(request),
@@ -185,9 +185,9 @@
         }
     }
 
-    fn sotw_request(&mut self, request: DiscoveryRequest) -> Result<Vec<Heard>, SessionError> {
+    fn sotw_request(&mut self, request: DiscoveryRequest) -> Result<Vec<RequestEffect>, SessionError> {
         let Some(kind) = ResourceType::from_type_url(&request.type_url) else {
-            return Ok(vec![Heard::Unserved(request.type_url)]);
+            return Ok(vec![RequestEffect::UnsupportedType(request.type_url)]);
         };
         if request.resource_names.len() > MAX_NAMES_PER_TYPE {
             return Err(SessionError::TooManyNames(request.resource_names.len()));
@@ -212,14 +212,14 @@
             subscription.ever_named |= !names.is_empty();
             subscription.response_due |= kind.requires_full_state();
             (subscription.names, subscription.wildcard) = (names, wildcard);
-            effects.push(Heard::Wants);
+            effects.push(RequestEffect::ResourcesRequested);
         }
         Ok(effects)
     }
 
-    fn delta_request(&mut self, request: DeltaDiscoveryRequest) -> Result<Vec<Heard>, SessionError> {
+    fn delta_request(&mut self, request: DeltaDiscoveryRequest) -> Result<Vec<RequestEffect>, SessionError> {
         let Some(kind) = ResourceType::from_type_url(&request.type_url) else {
-            return Ok(vec![Heard::Unserved(request.type_url)]);
+            return Ok(vec![RequestEffect::UnsupportedType(request.type_url)]);
         };
         let first = !self.subscriptions.contains_key(&kind);
         let error = request.error_detail.map(|status| status.message);
@@ -236,7 +236,7 @@
             subscription.initial_versions = request.initial_resource_versions.into_iter().collect();
             if subscribe.is_empty() && kind.requires_full_state() {
                 subscription.wildcard = true;
-                effects.push(Heard::Wants);
+                effects.push(RequestEffect::ResourcesRequested);
             }
         }
         for name in subscribe {
@@ -248,7 +248,7 @@
                     subscription.names.insert(name);
                 }
             }
-            effects.push(Heard::Wants);
+            effects.push(RequestEffect::ResourcesRequested);
         }
         for name in unsubscribe {
             match name.as_str() {
@@ -269,7 +269,12 @@
 
     /// Processes the ACK or NACK of the response with this nonce. Also returns whether the names in the request
     /// apply: it has no nonce, answers the newest response, or no response is outstanding.
-    fn acknowledge(&mut self, kind: ResourceType, nonce: &str, error: Option<String>) -> (Vec<Heard>, bool) {
+    fn acknowledge(
+        &mut self,
+        kind: ResourceType,
+        nonce: &str,
+        error: Option<String>,
+    ) -> (Vec<RequestEffect>, bool) {
         let subscription = self.subscriptions.entry(kind).or_default();
         if nonce.is_empty() {
             return (Vec::new(), true);
@@ -289,12 +294,12 @@
         match error {
             Some(reason) => {
                 subscription.rejected_version = Some(version);
-                (vec![Heard::Nacked(version, reason)], newest)
+                (vec![RequestEffect::Nacked(version, reason)], newest)
             }
             None => {
                 subscription.rejected_version =
                     subscription.rejected_version.filter(|rejected| *rejected > version);
-                (self.newly_acknowledged().map(Heard::Acked).into_iter().collect(), newest)
+                (self.newly_acknowledged().map(RequestEffect::Acked).into_iter().collect(), newest)
             }
         }
     }
@@ -319,7 +324,7 @@
     }
 
     /// Returns what the proxy should hold and was not sent on this stream.
-    pub fn flush(&mut self, wire: &Wire, proxy: &Proxy) -> FlushOutcome {
+    pub fn flush(&mut self, wire: &XdsConfig, proxy: &Proxy) -> FlushOutcome {
         let mut flushed = FlushOutcome::default();
         let newest = proxy.newest();
         let has_update = |subscription: &Subscription| {
@@ -341,7 +346,7 @@
         for kind in order {
             let Some((response, count)) = self.next_response(wire, proxy, kind, newest) else { continue };
             flushed.responses.push(response);
-            flushed.lines += count;
+            flushed.entries += count;
         }
         let endpoints_subscribed = self
             .subscriptions
@@ -361,7 +366,7 @@
     #[expect(clippy::too_many_lines, reason = "left for readers: docs/ROADMAP.md")]
     fn next_response(
         &mut self,
-        wire: &Wire,
+        wire: &XdsConfig,
         proxy: &Proxy,
         kind: ResourceType,
         newest: u64,
@@ -404,7 +409,7 @@
             let undecided = |name: &String| {
                 kind == ResourceType::Endpoints
                     && !proxy.has_known_tables()
-                    && wire.groups.iter().any(|group| group.name == *name)
+                    && wire.classes.iter().any(|group| group.name == *name)
             };
             let known = sent.chain(subscription.names.iter());
             let missing = known.filter(|name| !available.contains_key(*name) && !undecided(name));
@@ -461,7 +466,7 @@
                         ..Resource::default()
                     })
                     .collect(),
-                type_url: kind.url(),
+                type_url: kind.type_url(),
                 removed_resources: removed,
                 nonce,
                 control_plane,
@@ -470,7 +475,7 @@
             false => Response::Sotw(DiscoveryResponse {
                 version_info: version,
                 resources: resources.into_iter().map(|(_, _, resource)| resource).collect(),
-                type_url: kind.url(),
+                type_url: kind.type_url(),
                 nonce,
                 control_plane,
                 ..DiscoveryResponse::default()
@@ -480,7 +485,11 @@
     }
 
     /// The subscribed resources: type, name, version last sent (0 if none), and status.
-    pub fn status(&self, wire: &Wire, proxy: &Proxy) -> Vec<(ResourceType, String, u64, Standing)> {
+    pub fn status(
+        &self,
+        wire: &XdsConfig,
+        proxy: &Proxy,
+    ) -> Vec<(ResourceType, String, u64, ResourceStatus)> {
         let mut status = Vec::new();
         for (kind, subscription) in &self.subscriptions {
             for (name, version) in encode::resource_versions(wire, proxy, *kind) {
@@ -489,11 +498,11 @@
                 }
                 let sent = subscription.sent.get(&name).map(|(sent, _)| *sent);
                 let resource_status = match sent {
-                    Some(_) if subscription.rejected_version.is_some() => Standing::Nacked,
-                    Some(sent) if sent < version => Standing::NotSent,
-                    Some(_) if subscription.outstanding.is_empty() => Standing::Acked,
-                    Some(_) => Standing::Sent,
-                    None => Standing::NotSent,
+                    Some(_) if subscription.rejected_version.is_some() => ResourceStatus::Nacked,
+                    Some(sent) if sent < version => ResourceStatus::NotSent,
+                    Some(_) if subscription.outstanding.is_empty() => ResourceStatus::Acked,
+                    Some(_) => ResourceStatus::Sent,
+                    None => ResourceStatus::NotSent,
                 };
                 status.push((*kind, name, sent.unwrap_or(0), resource_status));
             }
--- a/crates/xds/src/session/tests.rs
+++ b/crates/xds/src/session/tests.rs
@@ -6,23 +6,23 @@
 use wrenthread_core::roster::RosterEntry;
 
 use crate::pb::google::rpc::Status;
-use crate::{Route, WireGroup};
+use crate::{Route, TrafficClass};
 
-fn wire() -> Wire {
-    let group = |name: &str| WireGroup {
+fn wire() -> XdsConfig {
+    let group = |name: &str| TrafficClass {
         name: name.into(),
         route: Route::Prefix(format!("/{name}")),
-        expiry: Duration::from_secs(3),
+        request_timeout: Duration::from_secs(3),
     };
-    Wire {
+    XdsConfig {
         epoch: 0xabc,
         governor: String::new(),
         key: None,
         zones: vec!["north".into()],
-        groups: vec![group("charge"), group("match")],
-        report_every: Duration::from_secs(1),
+        classes: vec![group("charge"), group("match")],
+        report_interval: Duration::from_secs(1),
         load_metrics: vec![],
-        answer_metric: "answer_ms".into(),
+        latency_metric: "answer_ms".into(),
     }
 }
 
@@ -95,7 +95,7 @@
 
 fn sotw(kind: ResourceType, names: &[&str], nonce: &str, error: Option<&str>) -> Request {
     Request::Sotw(DiscoveryRequest {
-        type_url: kind.url(),
+        type_url: kind.type_url(),
         resource_names: names.iter().map(|name| (*name).into()).collect(),
         response_nonce: nonce.into(),
         error_detail: error.map(|reason| Status { code: 3, message: reason.into(), ..Status::default() }),
@@ -105,7 +105,7 @@
 
 fn delta(kind: ResourceType, subscribe: &[&str], unsubscribe: &[&str], nonce: &str) -> DeltaDiscoveryRequest {
     DeltaDiscoveryRequest {
-        type_url: kind.url(),
+        type_url: kind.type_url(),
         resource_names_subscribe: subscribe.iter().map(|name| (*name).into()).collect(),
         resource_names_unsubscribe: unsubscribe.iter().map(|name| (*name).into()).collect(),
         response_nonce: nonce.into(),
@@ -157,7 +157,7 @@
         .unwrap();
     assert_eq!(routes, []);
     let endpoints = sotw(ResourceType::Endpoints, &["charge", "match"], &sent[0].1, None);
-    assert_eq!(fixture.session.request(endpoints.clone()).unwrap(), [Heard::Acked(fixture.newest())]);
+    assert_eq!(fixture.session.request(endpoints.clone()).unwrap(), [RequestEffect::Acked(fixture.newest())]);
     assert_eq!(fixture.session.request(endpoints).unwrap(), [], "a repeated ACK has no effect");
 }
 
@@ -169,12 +169,12 @@
     fixture.roster(&["a", "b"]);
     let second = summary(&fixture.flush())[0].1.clone();
     let effects = fixture.session.request(sotw(ResourceType::Endpoints, &["charge"], &first, None)).unwrap();
-    let [Heard::Acked(version)] = effects[..] else { panic!("{effects:?}") };
+    let [RequestEffect::Acked(version)] = effects[..] else { panic!("{effects:?}") };
     assert!(before <= version && version < fixture.newest());
     fixture.roster(&["b", "c"]);
     assert_eq!(summary(&fixture.flush())[0].2, 2, "both names are still subscribed");
     let effects = fixture.session.request(sotw(ResourceType::Endpoints, &["charge"], &second, None)).unwrap();
-    assert!(matches!(effects[..], [Heard::Acked(_)]));
+    assert!(matches!(effects[..], [RequestEffect::Acked(_)]));
     assert_eq!(
         fixture.session.request(sotw(ResourceType::Endpoints, &["charge"], "abc.77", None)).unwrap(),
         []
@@ -189,12 +189,12 @@
     let names = ["charge", "match"];
     let effects =
         fixture.session.request(sotw(ResourceType::Endpoints, &names, &nonce, Some("bad"))).unwrap();
-    assert_eq!(effects, [Heard::Nacked(version, "bad".into())]);
+    assert_eq!(effects, [RequestEffect::Nacked(version, "bad".into())]);
     assert_eq!(fixture.flush(), FlushOutcome::default());
     fixture.roster(&["a", "b"]);
     let nonce = summary(&fixture.flush())[0].1.clone();
     let effects = fixture.session.request(sotw(ResourceType::Endpoints, &names, &nonce, None)).unwrap();
-    assert_eq!(effects, [Heard::Acked(fixture.newest())]);
+    assert_eq!(effects, [RequestEffect::Acked(fixture.newest())]);
 }
 
 #[test]
@@ -203,14 +203,14 @@
     let sent = summary(&fixture.flush());
     assert_eq!(sent[0].2, 1);
     let subscribe = sotw(ResourceType::Endpoints, &["match", "charge"], &sent[0].1, None);
-    assert!(fixture.session.request(subscribe).unwrap().contains(&Heard::Wants));
+    assert!(fixture.session.request(subscribe).unwrap().contains(&RequestEffect::ResourcesRequested));
     let sent = summary(&fixture.flush());
     assert_eq!(sent[0].2, 1, "only the resource that was not sent yet");
     fixture.session.request(sotw(ResourceType::Endpoints, &[], &sent[0].1, None)).unwrap();
     fixture.roster(&["a", "b"]);
     assert!(fixture.flush().responses.is_empty(), "nothing for unsubscribed names");
     let again = fixture.session.request(sotw(ResourceType::Endpoints, &["match"], &sent[0].1, None)).unwrap();
-    assert_eq!(again, [Heard::Wants]);
+    assert_eq!(again, [RequestEffect::ResourcesRequested]);
     assert_eq!(summary(&fixture.flush())[0].2, 1);
 }
 
@@ -220,7 +220,7 @@
     assert_eq!(fixture.flush(), FlushOutcome::default());
     let unsupported =
         Request::Sotw(DiscoveryRequest { type_url: "x/y".into(), ..DiscoveryRequest::default() });
-    assert_eq!(fixture.session.request(unsupported).unwrap(), [Heard::Unserved("x/y".into())]);
+    assert_eq!(fixture.session.request(unsupported).unwrap(), [RequestEffect::UnsupportedType("x/y".into())]);
     let mixed = fixture.session.request(Request::Delta(delta(ResourceType::Endpoints, &["a"], &[], "")));
     assert_eq!(mixed, Err(SessionError::MixedVariants));
 }
@@ -254,7 +254,7 @@
         .session
         .request(Request::Delta(delta(ResourceType::Endpoints, &[], &[], &first.nonce)))
         .unwrap();
-    assert_eq!(effects, [Heard::Acked(fixture.newest())]);
+    assert_eq!(effects, [RequestEffect::Acked(fixture.newest())]);
     assert!(fixture.flush().responses.is_empty());
     fixture.session.request(Request::Delta(delta(ResourceType::Endpoints, &["match"], &[], ""))).unwrap();
     assert_eq!(summary(&fixture.flush())[0].2, 1, "requested again");
@@ -326,7 +326,7 @@
         let mut fixture = Fixture::new(make(steps[0]));
         for step in &steps {
             for effect in fixture.session.request(make(*step)).unwrap() {
-                if let Heard::Acked(version) = effect {
+                if let RequestEffect::Acked(version) = effect {
                     proptest::prop_assert!(version <= fixture.newest());
                 }
             }
--- a/crates/xds/src/upstream.rs
+++ b/crates/xds/src/upstream.rs
@@ -10,7 +10,7 @@
 use tonic::transport::Endpoint;
 use wrenthread_core::roster::RosterEntry;
 
-use crate::Wire;
+use crate::XdsConfig;
 use crate::clients::ads::AggregatedDiscoveryServiceClient;
 use crate::decode;
 use crate::encode::ResourceType;
@@ -26,7 +26,7 @@
 ///
 /// A response need not contain all clusters; those that it omits keep their endpoints.
 pub fn merge_response(
-    wire: &Wire,
+    wire: &XdsConfig,
     known: &BTreeMap<String, Vec<RosterEntry>>,
     response: &DiscoveryResponse,
     started_at: impl Fn(f64) -> Option<Duration>,
@@ -57,7 +57,7 @@
 /// after each change. An invalid response is answered by a NACK with the error, and the last valid roster is
 /// kept.
 pub async fn follow(
-    wire: Wire,
+    wire: XdsConfig,
     uri: String,
     clusters: Vec<String>,
     started_at: impl Fn(f64) -> Option<Duration> + Clone,
@@ -78,7 +78,7 @@
 }
 
 async fn follow_stream(
-    wire: &Wire,
+    wire: &XdsConfig,
     uri: &str,
     clusters: &[String],
     started_at: &(impl Fn(f64) -> Option<Duration> + Clone),
@@ -95,7 +95,7 @@
         version_info: version.to_string(),
         node: node.then(|| Node { id: format!("wrenthread-{:x}", wire.epoch), ..Node::default() }),
         resource_names: clusters.to_vec(),
-        type_url: ResourceType::Endpoints.url(),
+        type_url: ResourceType::Endpoints.type_url(),
         response_nonce: nonce.to_string(),
         error_detail: error.map(|message| Status { code: 3, message, ..Status::default() }),
         ..DiscoveryRequest::default()
--- a/crates/xds/src/upstream/tests.rs
+++ b/crates/xds/src/upstream/tests.rs
@@ -24,20 +24,20 @@
         }],
         ..ClusterLoadAssignment::default()
     };
-    let any = Any { type_url: ResourceType::Endpoints.url(), value: assignment.encode_to_vec() };
+    let any = Any { type_url: ResourceType::Endpoints.type_url(), value: assignment.encode_to_vec() };
     DiscoveryResponse { resources: vec![any], ..DiscoveryResponse::default() }
 }
 
-fn wire() -> Wire {
-    Wire {
+fn wire() -> XdsConfig {
+    XdsConfig {
         epoch: 1,
         governor: String::new(),
         key: None,
         zones: vec!["north".into()],
-        groups: vec![],
-        report_every: Duration::from_secs(1),
+        classes: vec![],
+        report_interval: Duration::from_secs(1),
         load_metrics: vec![],
-        answer_metric: String::new(),
+        latency_metric: String::new(),
     }
 }
 
