--- a/crates/daemon/src/cli/check.rs
+++ b/crates/daemon/src/cli/check.rs
@@ -15,9 +15,9 @@
 }
 
 /// Reads settings in this process, with limits on its memory and time. Prints the settings or the errors as JSON for
-/// the parent process (`wrenthread_settings::load_apart`).
+/// the parent process (`wrenthread_settings::load_in_subprocess`).
 pub fn read_settings(path: &Path) -> Result<()> {
-    wrenthread_settings::bound_process()?;
+    wrenthread_settings::limit_process_resources()?;
     let settings_or_faults = wrenthread_settings::load(path);
     println!("{}", serde_json::to_string(&settings_or_faults)?);
     Ok(())
--- a/crates/daemon/src/cli/rehearse.rs
+++ b/crates/daemon/src/cli/rehearse.rs
@@ -56,7 +56,7 @@
 impl RehearseArgs {
     pub fn run(&self) -> Result<ExitCode> {
         let faults = self.suspect.iter().flat_map(|kind| ["--suspect".to_string(), kind.clone()]);
-        let program = Program { path: std::env::current_exe()?, wrongs: faults.collect() };
+        let program = Program { path: std::env::current_exe()?, fault_arguments: faults.collect() };
         let mut passed = true;
         for seed in &self.seeds {
             passed &= self.rehearse(&program, *seed)?;
--- a/crates/daemon/src/nginx.rs
+++ b/crates/daemon/src/nginx.rs
@@ -216,9 +216,9 @@
             let path = |path: &PathRoute| match path {
                 PathRoute::Prefix(path) => path.clone(),
                 PathRoute::Exact(path) => format!("= {path}"),
-                PathRoute::Firm(path) => format!("^~ {path}"),
+                PathRoute::PriorityPrefix(path) => format!("^~ {path}"),
                 PathRoute::Pattern(path) => format!("~ {path}"),
-                PathRoute::AnyCase(path) => format!("~* {path}"),
+                PathRoute::CaseInsensitivePattern(path) => format!("~* {path}"),
             };
             let routes = match &class.route {
                 Route::Prefix(prefix) => prefix.clone(),
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -31,7 +31,7 @@
 /// The settings are invalid; the error lists all faults.
 pub fn load(path: &Path) -> Result<Settings> {
     let program = std::env::current_exe().context("finding the path of the running program")?;
-    Ok(wrenthread_settings::load_apart(&program, &["read-settings"], path)?)
+    Ok(wrenthread_settings::load_in_subprocess(&program, &["read-settings"], path)?)
 }
 
 /// Runs a governor until a signal stops it. `faults` names faulty deciders that replace the decision module, in a
--- a/crates/daemon/src/run/reload.rs
+++ b/crates/daemon/src/run/reload.rs
@@ -15,7 +15,7 @@
             return None;
         }
     };
-    let fixed = present.fixed_differences(&settings);
+    let fixed = present.differences_requiring_restart(&settings);
     if !fixed.is_empty() {
         for difference in &fixed {
             tracing::error!(%difference, "setting can't be changed while running; all present settings stay in force");
--- a/crates/daemon/src/run/wire.rs
+++ b/crates/daemon/src/run/wire.rs
@@ -44,8 +44,8 @@
     match path {
         PathRoute::Prefix(prefix) => Path::Prefix(prefix.clone()),
         PathRoute::Exact(path) => Path::Exact(path.clone()),
-        PathRoute::Firm(prefix) => Path::PriorityPrefix(prefix.clone()),
+        PathRoute::PriorityPrefix(prefix) => Path::PriorityPrefix(prefix.clone()),
         PathRoute::Pattern(pattern) => Path::Pattern(pattern.clone(), false),
-        PathRoute::AnyCase(pattern) => Path::Pattern(pattern.clone(), true),
+        PathRoute::CaseInsensitivePattern(pattern) => Path::Pattern(pattern.clone(), true),
     }
 }
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -204,7 +204,7 @@
     /// Path of the executable.
     pub path: PathBuf,
     /// Arguments that inject faults into its decisions.
-    pub wrongs: Vec<String>,
+    pub fault_arguments: Vec<String>,
 }
 
 /// Rehearses a day, given as the name of a built-in day or the path of a script. `program` is the governor to
@@ -880,7 +880,7 @@
         let child = Command::new(&self.program.path)
             .arg("run")
             .arg(self.folder.join("settings.star"))
-            .args(&self.program.wrongs)
+            .args(&self.program.fault_arguments)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -29,7 +29,7 @@
 mod validation;
 
 pub use error::{PathRouteError, SettingError, SettingErrors};
-pub use loading::{bound_process, load, load_apart};
+pub use loading::{limit_process_resources, load, load_in_subprocess};
 pub use model::{Group, Nginx, PathRoute, RosterSource, Route, Settings};
 pub use validation::parse;
 
--- a/crates/settings/src/loading.rs
+++ b/crates/settings/src/loading.rs
@@ -46,22 +46,26 @@
 
 /// Limits the memory and processor time of this process before it reads a script. The interpreter's own limits are not
 /// enough: it checks its steps and memory only at intervals, and a few steps can allocate all available memory. To be
-/// called in a separate process, which is terminated if it exceeds the limits; see [`load_apart`].
+/// called in a separate process, which is terminated if it exceeds the limits; see [`load_in_subprocess`].
 ///
 /// # Errors
 /// The operating system rejects the limits.
-pub fn bound_process() -> std::io::Result<()> {
+pub fn limit_process_resources() -> std::io::Result<()> {
     rlimit::Resource::AS.set(MAX_PROCESS_BYTES, MAX_PROCESS_BYTES)?;
     rlimit::Resource::CPU.set(MAX_PROCESS_SECONDS, MAX_PROCESS_SECONDS)
 }
 
 /// Reads and validates a script like [`load`], but in a separate process with limited processor time and memory.
-/// `program`, started with `arguments` and the path, must call [`bound_process`] and [`load`], and write the result to
-/// standard output as JSON.
+/// `program`, started with `arguments` and the path, must call [`limit_process_resources`] and [`load`], and write the
+/// result to standard output as JSON.
 ///
 /// # Errors
 /// Those of [`load`]; also if the process can't be started, or ends without a result because it exceeds the limits.
-pub fn load_apart(program: &Path, arguments: &[&str], path: &Path) -> Result<Settings, SettingErrors> {
+pub fn load_in_subprocess(
+    program: &Path,
+    arguments: &[&str],
+    path: &Path,
+) -> Result<Settings, SettingErrors> {
     let file = path.display().to_string();
     let output = Command::new(program)
         .args(arguments)
--- a/crates/settings/src/model.rs
+++ b/crates/settings/src/model.rs
@@ -63,7 +63,7 @@
 }
 
 /// One of several paths that lead to a group. Of those that match a request, the first in this order is taken: an exact
-/// path, the longest prefix if it is [`PathRoute::Firm`], the first pattern, the longest prefix.
+/// path, the longest prefix if it is [`PathRoute::PriorityPrefix`], the first pattern, the longest prefix.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PathRoute {
@@ -72,11 +72,13 @@
     /// The whole path.
     Exact(String),
     /// A prefix that takes precedence over patterns.
-    Firm(String),
+    #[serde(rename = "firm")]
+    PriorityPrefix(String),
     /// A regular expression that matches some part of the path.
     Pattern(String),
     /// A regular expression that matches some part of the path, ignoring case.
-    AnyCase(String),
+    #[serde(rename = "any_case")]
+    CaseInsensitivePattern(String),
 }
 
 impl PathRoute {
@@ -92,10 +94,10 @@
         let operand = rest.to_string();
         match (operator, rest.starts_with('/')) {
             ("~", _) => check_pattern(text, operand).map(PathRoute::Pattern),
-            ("~*", _) => check_pattern(text, operand).map(PathRoute::AnyCase),
+            ("~*", _) => check_pattern(text, operand).map(PathRoute::CaseInsensitivePattern),
             ("", true) => Ok(PathRoute::Prefix(operand)),
             ("=", true) => Ok(PathRoute::Exact(operand)),
-            ("^~", true) => Ok(PathRoute::Firm(operand)),
+            ("^~", true) => Ok(PathRoute::PriorityPrefix(operand)),
             _ => Err(PathRouteError::NotAbsolute { text: text.to_string() }),
         }
     }
@@ -269,7 +271,7 @@
 
 impl Settings {
     /// Describes the differences to new settings that can't take effect while a governor runs, by serialised name.
-    pub fn fixed_differences(&self, later: &Settings) -> Vec<String> {
+    pub fn differences_requiring_restart(&self, later: &Settings) -> Vec<String> {
         let (current, later) = (self.to_json_map(), later.to_json_map());
         let mut differences = Vec::new();
         for (name, value) in &current {
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -120,6 +120,6 @@
         "s.star",
         &VALID_SCRIPT.replace("proxies = 16", "proxies = 17").replace("roster.json", "other.json"),
     );
-    assert_eq!(now.fixed_differences(&later.unwrap()), ["`proxies`: 16 runs, 17 is asked for"]);
-    assert!(now.fixed_differences(&now).is_empty());
+    assert_eq!(now.differences_requiring_restart(&later.unwrap()), ["`proxies`: 16 runs, 17 is asked for"]);
+    assert!(now.differences_requiring_restart(&now).is_empty());
 }
