--- a/crates/daemon/src/cli/check.rs
+++ b/crates/daemon/src/cli/check.rs
@@ -8,7 +8,7 @@
 use crate::{render, run};
 
 pub fn check(path: &Path, output: OutputFormat) -> Result<()> {
-    let settings = run::load(path)?;
+    let settings = run::load_settings(path)?;
     let text = render::settings(&settings)?;
     output.print(&serde_json::to_value(&settings)?, |_| text);
     Ok(())
--- a/crates/daemon/src/cli/export.rs
+++ b/crates/daemon/src/cli/export.rs
@@ -53,20 +53,20 @@
 
 impl NginxExport {
     fn run(self) -> Result<()> {
-        let settings = run::load(&self.settings)?;
+        let settings = run::load_settings(&self.settings)?;
         if let Some(proxy) = &self.print {
             let tables = get(&settings.http_address.to_string(), &format!("/tables/{proxy}"))?;
-            print!("{}", export::print(&tables)?);
+            print!("{}", export::format_upstream_blocks(&tables)?);
             return Ok(());
         }
         let zone = self.zone(&settings)?;
-        let at = self.governor_url(&settings)?;
-        let who = wrenthread_client::ProxyIdentity {
+        let governor_url = self.governor_url(&settings)?;
+        let identity = wrenthread_client::ProxyIdentity {
             name: self.name.unwrap_or_default(),
             zone,
             requests_per_second: self.usual,
         };
-        export::run(&settings, export::Place { who, at }, self.once)
+        export::run(&settings, export::AgentIdentity { identity, governor_url }, self.once)
     }
 
     fn zone(&self, settings: &Settings) -> Result<String> {
--- a/crates/daemon/src/cli/import.rs
+++ b/crates/daemon/src/cli/import.rs
@@ -78,8 +78,8 @@
             return self.print_differences(&import, against);
         }
         self.report.print(&import.report(), |_| import.summary());
-        if self.strict && import.losses() > 0 {
-            eprintln!("{} directives that affect routing can't be converted", import.losses());
+        if self.strict && import.routing_losses() > 0 {
+            eprintln!("{} directives that affect routing can't be converted", import.routing_losses());
             return Ok(ExitCode::from(EXIT_NOT_PASSED));
         }
         if let Some(folder) = &self.output {
@@ -108,9 +108,9 @@
     }
 
     fn print_differences(&self, import: &nginx::Import, against: &str) -> Result<ExitCode> {
-        let differences = import.difference(against)?;
-        self.report.print(&differences, nginx::differences);
-        match nginx::any(&differences) {
+        let differences = import.differences(against)?;
+        self.report.print(&differences, nginx::format_differences);
+        match nginx::has_differences(&differences) {
             true => Ok(ExitCode::from(EXIT_NOT_PASSED)),
             false => Ok(ExitCode::SUCCESS),
         }
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -34,22 +34,22 @@
     }
 
     /// The time since startup.
-    pub fn up(&self) -> Duration {
+    pub fn uptime(&self) -> Duration {
         self.start.elapsed()
     }
 
     /// Converts Unix time in seconds to host time; `None` if that would be negative.
-    pub fn at(&self, unix_time: f64) -> Option<Duration> {
+    pub fn host_time_from_unix(&self, unix_time: f64) -> Option<Duration> {
         Duration::try_from_secs_f64(unix_time - self.unix_start + TIME_BEFORE_START.as_secs_f64()).ok()
     }
 
     /// Converts host time to Unix time in seconds.
-    pub fn calendar(&self, at: Duration) -> f64 {
+    pub fn to_unix(self, at: Duration) -> f64 {
         self.unix_start + at.as_secs_f64() - TIME_BEFORE_START.as_secs_f64()
     }
 
     /// Converts host time to an instant; times before startup become the startup instant.
-    pub fn instant(&self, at: Duration) -> Instant {
+    pub fn to_instant(self, at: Duration) -> Instant {
         self.start + at.saturating_sub(TIME_BEFORE_START)
     }
 
--- a/crates/daemon/src/export.rs
+++ b/crates/daemon/src/export.rs
@@ -33,16 +33,16 @@
 const MAX_READ_BYTES: usize = 1 << 20;
 
 /// The proxy that the agent joins as, and the governor that it joins.
-pub struct Place {
-    pub who: ProxyIdentity,
+pub struct AgentIdentity {
+    pub identity: ProxyIdentity,
     /// `http://host:port` of the governor's long-poll interface.
-    pub at: String,
+    pub governor_url: String,
 }
 
 /// Formats a proxy's current tables, as returned by a running governor, as upstream blocks.
 ///
 /// Errors: a table has no name, the proxy uses its default table, or the tables can't be written as upstream blocks.
-pub fn print(tables: &Value) -> Result<String> {
+pub fn format_upstream_blocks(tables: &Value) -> Result<String> {
     let mut upstreams = Tables::new();
     for group in tables["groups"].as_array().into_iter().flatten() {
         let name = group["group"].as_str().context("a group in the governor's answer has no name")?;
@@ -66,7 +66,7 @@
 /// Runs the agent until SIGTERM or SIGINT. The last written file remains, and nginx continues to use it.
 ///
 /// Errors: the include file's folder does not exist, or the runtime or signal handlers can't be set up.
-pub fn run(settings: &Settings, place: Place, once: bool) -> Result<()> {
+pub fn run(settings: &Settings, agent: AgentIdentity, once: bool) -> Result<()> {
     let folder = settings.nginx.include_file.parent().unwrap_or(Path::new("."));
     let folder = if folder.as_os_str().is_empty() { Path::new(".") } else { folder };
     std::fs::metadata(folder)
@@ -75,7 +75,7 @@
         .enable_all()
         .build()
         .context("cannot start the tokio runtime")?;
-    LocalSet::new().block_on(&runtime, run_agent(settings, place, once))
+    LocalSet::new().block_on(&runtime, run_agent(settings, agent, once))
 }
 
 struct TableObserver {
@@ -99,22 +99,22 @@
 }
 
 #[expect(clippy::too_many_lines, reason = "left for readers: docs/ROADMAP.md")]
-async fn run_agent(settings: &Settings, place: Place, once: bool) -> Result<()> {
+async fn run_agent(settings: &Settings, agent: AgentIdentity, once: bool) -> Result<()> {
     let started_at = Instant::now();
     let groups: Vec<String> = settings.groups.iter().map(|group| group.name.clone()).collect();
     let cache = Rc::new(RefCell::new(TableCache::new(groups, Vec::new(), None)));
     let (latest_tables, mut tables) = watch::channel((String::new(), Tables::new()));
     // The current session, which reports are sent to.
     let (session, sessions) = watch::channel::<Option<poll::Session>>(None);
-    let place = Rc::new(place);
+    let agent = Rc::new(agent);
     {
-        let (place, cache, observer) =
-            (place.clone(), cache.clone(), TableObserver { started_at, tables: latest_tables });
+        let (agent, cache, observer) =
+            (agent.clone(), cache.clone(), TableObserver { started_at, tables: latest_tables });
         tokio::task::spawn_local(async move {
             loop {
-                match poll::Session::join(&place.at, &place.who, &cache).await {
+                match poll::Session::join(&agent.governor_url, &agent.identity, &cache).await {
                     Ok(joined) => {
-                        tracing::info!(at = place.at, "joined the governor");
+                        tracing::info!(at = agent.governor_url, "joined the governor");
                         session.send_replace(Some(joined.clone()));
                         let ended = poll::follow(&joined, &cache, &observer).await;
                         session.send_replace(None);
--- a/crates/daemon/src/nginx.rs
+++ b/crates/daemon/src/nginx.rs
@@ -45,7 +45,7 @@
 
 impl Import {
     /// The number of directives that affect routing and are not carried over.
-    pub fn losses(&self) -> usize {
+    pub fn routing_losses(&self) -> usize {
         self.imported.report.routing_losses()
     }
 
@@ -147,7 +147,7 @@
     /// The differences from the folder of an earlier import, or from the governor at an address.
     ///
     /// Errors: the folder or the governor's recording can't be read, or no fleet was imported.
-    pub fn difference(&self, against: &str) -> Result<Value> {
+    pub fn differences(&self, against: &str) -> Result<Value> {
         let folder = Path::new(against);
         let mut fleets = Vec::new();
         if !folder.is_dir() {
@@ -212,7 +212,7 @@
     let mut fleet = ComparableFleet::default();
     let settings = folder.join("settings.star");
     if settings.exists() {
-        for class in crate::run::load(&settings)?.groups {
+        for class in crate::run::load_settings(&settings)?.groups {
             let path = |path: &PathRoute| match path {
                 PathRoute::Prefix(path) => path.clone(),
                 PathRoute::Exact(path) => format!("= {path}"),
@@ -256,7 +256,7 @@
 }
 
 /// Formats the differences as text.
-pub fn differences(value: &Value) -> String {
+pub fn format_differences(value: &Value) -> String {
     let mut rows = Vec::new();
     for fleet in value["fleets"].as_array().into_iter().flatten() {
         for difference in fleet["differences"].as_array().into_iter().flatten() {
@@ -303,7 +303,7 @@
 }
 
 /// Whether there are any differences.
-pub fn any(value: &Value) -> bool {
+pub fn has_differences(value: &Value) -> bool {
     let fleets = value["fleets"].as_array().into_iter().flatten();
     fleets.flat_map(|fleet| fleet["differences"].as_array()).any(|differences| !differences.is_empty())
 }
--- a/crates/daemon/src/platform/service.rs
+++ b/crates/daemon/src/platform/service.rs
@@ -70,8 +70,9 @@
         let (connection_event_sender, connection_events) = mpsc::channel(MAX_CONNECTION_EVENTS);
         let (watch_event_sender, watch_events) = mpsc::channel(MAX_WATCH_EVENTS);
         let mut governor = PlatformGovernor::new(&config.deployment, clock.now());
-        let loaded =
-            governor.load_known_endpoints(clock.now(), &config.known_endpoints, |unix| clock.at(unix));
+        let loaded = governor.load_known_endpoints(clock.now(), &config.known_endpoints, |unix| {
+            clock.host_time_from_unix(unix)
+        });
         if let Err(error) = loaded {
             tracing::warn!(%error, "ignoring the invalid endpoint list in the configuration");
         }
@@ -131,7 +132,7 @@
     }
 
     fn next_deadline(&self) -> Instant {
-        let deadline = self.clock.instant(self.governor.next_deadline()).min(self.log_at);
+        let deadline = self.clock.to_instant(self.governor.next_deadline()).min(self.log_at);
         match self.reload_retry {
             Some(retry) => retry.at.min(deadline),
             None => deadline,
@@ -141,8 +142,9 @@
     pub(super) fn handle_watch_event(&mut self, event: WatchEvent) {
         let clock = self.clock;
         let watcher = WatcherId(event.watcher);
-        let known_version =
-            self.governor.watch_event(clock.now(), watcher, &event.bytes, |unix| clock.at(unix));
+        let known_version = self
+            .governor
+            .watch_event(clock.now(), watcher, &event.bytes, |unix| clock.host_time_from_unix(unix));
         // The watcher may have ended; its event is handled anyway.
         let _ = event.known_version.send(known_version);
     }
--- a/crates/daemon/src/platform/tests/peers.rs
+++ b/crates/daemon/src/platform/tests/peers.rs
@@ -223,7 +223,10 @@
                 waiting <= MAX_QUEUED_LINES as f64,
                 "{waiting} lines queued with {served} proxies served"
             );
-            assert!(harness.service.clock.up() < Duration::from_secs(60), "only {served} proxies are served");
+            assert!(
+                harness.service.clock.uptime() < Duration::from_secs(60),
+                "only {served} proxies are served"
+            );
         }
     });
 }
--- a/crates/daemon/src/roster_file.rs
+++ b/crates/daemon/src/roster_file.rs
@@ -210,7 +210,7 @@
         zone,
         weight: entry.weight,
         phase,
-        started_at: entry.started.and_then(|unix_seconds| clock.at(unix_seconds)),
+        started_at: entry.started.and_then(|unix_seconds| clock.host_time_from_unix(unix_seconds)),
         backup: entry.backup,
     }))
 }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 /// The settings are invalid; the error lists all faults.
-pub fn load(path: &Path) -> Result<Settings> {
+pub fn load_settings(path: &Path) -> Result<Settings> {
     let program = std::env::current_exe().context("finding the path of the running program")?;
     Ok(wrenthread_settings::load_in_subprocess(&program, &["read-settings"], path)?)
 }
@@ -53,7 +53,7 @@
 async fn governor(settings_path: PathBuf, metrics: PrometheusHandle, faults: &[String]) -> Result<()> {
     // Done first: reading the settings may take seconds, and signals that arrive meanwhile are queued.
     let signals = Signals::listen()?;
-    let settings = load(&settings_path)?;
+    let settings = load_settings(&settings_path)?;
     let clock = Clock::start();
     let signing_keys = signing_keys(&settings)?;
     let (epoch, restored, state_writer) = match stored_state(&settings, &clock) {
--- a/crates/daemon/src/run/event_loop.rs
+++ b/crates/daemon/src/run/event_loop.rs
@@ -69,7 +69,7 @@
         let mut persist = tokio::time::interval(seconds(self.settings.state_interval));
         persist.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
-            let deadline = self.clock.instant(self.host.next_deadline(self.clock.now()));
+            let deadline = self.clock.to_instant(self.host.next_deadline(self.clock.now()));
             tokio::select! {
                 biased;
                 _ = signals.terminate.recv() => return Ok("terminated"),
@@ -154,7 +154,7 @@
     fn persist(&mut self) {
         let Some(writer) = &mut self.state_writer else { return };
         let now = self.clock.now();
-        let unix_seconds = self.clock.calendar(now);
+        let unix_seconds = self.clock.to_unix(now);
         let items = self.host.stored_items(now, unix_seconds, writer.previous());
         writer.store(items, unix_seconds);
     }
@@ -166,13 +166,13 @@
         // Failed replies are ignored: the client may have disconnected.
         match query {
             Query::Ready(reply) => drop(reply.send(host.is_ready() && !host.is_draining())),
-            Query::Status(reply) => drop(reply.send(host.status(now, self.clock.up()))),
+            Query::Status(reply) => drop(reply.send(host.status(now, self.clock.uptime()))),
             Query::Governors(reply) => drop(reply.send(host.governors(now))),
             Query::Tables { proxy, reply } => drop(reply.send(host.tables(&proxy))),
             Query::History { proxy, reply } => drop(reply.send(host.history(now, &proxy))),
             Query::Diff { proxy, from, to, reply } => drop(reply.send(host.diff(&proxy, from, to))),
             Query::Refusals { name, reply } => drop(reply.send(host.refusals(now, &name))),
-            Query::Record(reply) => drop(reply.send(host.record(now, self.clock.calendar(now)))),
+            Query::Record(reply) => drop(reply.send(host.record(now, self.clock.to_unix(now)))),
             Query::Drain { draining, reply } => drop(reply.send(host.set_draining(now, draining))),
             Query::Override { request, reply } => drop(reply.send(host.override_replica(now, &request))),
             Query::Rollback { request, reply } => drop(reply.send(host.rollback(now, &request))),
--- a/crates/daemon/src/run/startup.rs
+++ b/crates/daemon/src/run/startup.rs
@@ -128,5 +128,5 @@
         zones: settings.zones.clone(),
         groups: settings.groups.iter().map(|class| class.name.clone()).collect(),
     };
-    Some(state::open(folder, names, clock.calendar(clock.now())))
+    Some(state::open(folder, names, clock.to_unix(clock.now())))
 }
--- a/crates/daemon/src/run/tasks.rs
+++ b/crates/daemon/src/run/tasks.rs
@@ -13,7 +13,7 @@
 use wrenthread_xds::service::GrpcServices;
 use wrenthread_xds::{XdsConfig, upstream};
 
-use super::load;
+use super::load_settings;
 use super::startup::{Senders, Sockets};
 use super::wire::seconds;
 use crate::clock::Clock;
@@ -118,7 +118,7 @@
             tokio::task::spawn_local(roster_file::watch(path.clone(), interval, zones, clock, rosters))
         }
         RosterSource::Upstream { uri, clusters } => {
-            let started_at = move |unix_seconds| clock.at(unix_seconds);
+            let started_at = move |unix_seconds| clock.host_time_from_unix(unix_seconds);
             let (wire, uri, clusters) = (wire.clone(), uri.clone(), clusters.clone());
             tokio::task::spawn_local(upstream::follow(wire, uri, clusters, started_at, rosters))
         }
@@ -128,7 +128,7 @@
 /// Reloads the settings on another thread, because that may take seconds and must not delay decisions.
 pub fn reload_settings(path: PathBuf, reloads: mpsc::Sender<anyhow::Result<Settings>>) {
     tokio::task::spawn_local(async move {
-        if let Ok(read) = tokio::task::spawn_blocking(move || load(&path)).await {
+        if let Ok(read) = tokio::task::spawn_blocking(move || load_settings(&path)).await {
             let _ = reloads.send(read).await;
         }
     });
