--- a/crates/core/benches/guard.rs
+++ b/crates/core/benches/guard.rs
@@ -37,7 +37,7 @@
     while let Some(action) = engine.next_action(now) {
         if let Action::Flush(number) = action {
             engine.tables_sent(now, number, 12, 1);
-            let proxy = engine.proxy(number).map(|proxy| (proxy.stream, proxy.newest()));
+            let proxy = engine.proxy(number).map(|proxy| (proxy.stream, proxy.newest_version()));
             if let Some((stream, newest)) = proxy {
                 engine.version_acknowledged(now, stream, newest);
             }
--- a/crates/core/src/engine/inputs.rs
+++ b/crates/core/src/engine/inputs.rs
@@ -127,7 +127,7 @@
     pub fn tables_sent(&mut self, now: Duration, id: ProxyId, entries: usize, messages: usize) {
         self.offered_flush = None;
         if let Some(proxy) = self.fleet.get_mut(id).filter(|_| entries > 0) {
-            proxy.sent_version = proxy.newest();
+            proxy.sent_version = proxy.newest_version();
         }
         self.send_limiter.sent(now, id, entries, messages);
     }
--- a/crates/core/src/engine/publishing.rs
+++ b/crates/core/src/engine/publishing.rs
@@ -276,7 +276,7 @@
             classes: proxy.tables.iter().zip(&proxy.retry_policies.1).map(published).collect(),
         };
         let entry = HistoryEntry {
-            version: proxy.newest(),
+            version: proxy.newest_version(),
             published_at: now,
             digest: state.digest(),
             state: Arc::new(state),
--- a/crates/core/src/engine/recovery.rs
+++ b/crates/core/src/engine/recovery.rs
@@ -59,7 +59,7 @@
     fn store_connected_proxies(&self, items: &mut StoredItems, before: &StoredItems, epoch: u64) {
         for (id, proxy) in self.fleet.iter() {
             let name = format!("proxy/{}", proxy.name);
-            let version = proxy.newest();
+            let version = proxy.newest_version();
             let demand: Vec<f64> = (0..self.class_count)
                 .map(|class| snapshot::quantized(self.guard.requests_per_second(id, class)))
                 .collect();
--- a/crates/core/src/engine/tests/faulty_module.rs
+++ b/crates/core/src/engine/tests/faulty_module.rs
@@ -76,7 +76,7 @@
             if let Action::Flush(proxy) = action {
                 engine.tables_sent(at(now), proxy, 8, 1);
                 let (stream, newest) =
-                    engine.proxy(proxy).map(|proxy| (proxy.stream, proxy.newest())).unwrap();
+                    engine.proxy(proxy).map(|proxy| (proxy.stream, proxy.newest_version())).unwrap();
                 engine.version_acknowledged(at(now), stream, newest);
             }
         }
--- a/crates/core/src/engine/tests/recovery.rs
+++ b/crates/core/src/engine/tests/recovery.rs
@@ -54,8 +54,8 @@
     // The override also concerns the proxy on its default table, which is sent a table from then on.
     before.override_replica(ms(700), &"c".into(), OverrideKind::Exclude, ms(60_000), "its disk").unwrap();
     run(&mut before, ms(800));
-    let held =
-        [on_default, assigned].map(|id| (before.proxy(id).unwrap().newest(), routable_replicas(&before, id)));
+    let held = [on_default, assigned]
+        .map(|id| (before.proxy(id).unwrap().newest_version(), routable_replicas(&before, id)));
     assert_eq!(held[0].1.len(), 2);
 
     let mut after = restart(&before, 1.0, &all);
@@ -115,7 +115,7 @@
     let mut before = engine(&["a", "b", "c"]);
     let on_default = before.proxy_connected(ms(1), 1, &join("q", &[])).unwrap().proxy;
     run(&mut before, ms(600));
-    let version = before.proxy(on_default).unwrap().newest();
+    let version = before.proxy(on_default).unwrap().newest_version();
     let mut after = restart(&before, 2.0, &["a", "c"]);
     let on_default = after.proxy_connected(ms(1), 1, &proven("q", &[], version)).unwrap().proxy;
     assert_eq!(routable_replicas(&after, on_default), ["a", "c"], "before the module has decided");
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -129,7 +129,7 @@
 
 impl Proxy {
     /// The version of the newest change to this proxy's tables or retry policies.
-    pub fn newest(&self) -> u64 {
+    pub fn newest_version(&self) -> u64 {
         self.tables.iter().flatten().map(|table| table.version).fold(self.retry_policies.0, u64::max)
     }
 
--- a/crates/daemon/benches/scale.rs
+++ b/crates/daemon/benches/scale.rs
@@ -202,7 +202,7 @@
             if let Action::Flush(number) = action {
                 engine.tables_sent(now, number, 12, 1);
                 let proxy = engine.proxy(number).unwrap();
-                let (stream, newest) = (proxy.stream, proxy.newest());
+                let (stream, newest) = (proxy.stream, proxy.newest_version());
                 engine.version_acknowledged(now, stream, newest);
             }
         }
--- a/crates/daemon/src/host/status.rs
+++ b/crates/daemon/src/host/status.rs
@@ -197,7 +197,7 @@
             name: proxy.name.to_string(),
             zone: self.zone_name(proxy.zone).to_string(),
             kind: self.table_kind(proxy_id, proxy),
-            newest: proxy.newest(),
+            newest: proxy.newest_version(),
             sent: proxy.sent_version,
             acknowledged: proxy.acknowledged_version,
             acknowledgement_delay_seconds: proxy.acknowledgement_delay(now).as_secs_f64(),
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -39,7 +39,7 @@
 /// Reserves a free port below the system's ephemeral range, so that no outgoing connection takes it while the governor
 /// is down. A locked file reserves it for the life of this process, also against tests of other checkouts. Each process
 /// starts searching at a different port.
-pub fn port() -> u16 {
+pub fn reserve_port() -> u16 {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let candidate = || {
         let offset = std::process::id().wrapping_mul(97).wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed));
@@ -67,7 +67,7 @@
     is_free
 }
 
-pub async fn until<T>(what: &str, mut found: impl FnMut() -> Option<T>) -> T {
+pub async fn wait_until<T>(what: &str, mut found: impl FnMut() -> Option<T>) -> T {
     let began = Instant::now();
     loop {
         if let Some(found) = found() {
@@ -83,12 +83,12 @@
     pub async fn start(name: &str, max_joined: u32) -> Governor {
         let folder = std::env::temp_dir().join(format!("wrenthread-test-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        let (grpc, http, poll) = (port(), port(), port());
+        let (grpc, http, poll) = (reserve_port(), reserve_port(), reserve_port());
         // A placeholder process, until the settings are written and the governor is started.
         let child = Command::new("true").spawn().unwrap();
         let mut governor = Governor { child, folder, grpc, http, poll, max_joined };
         governor.write_settings(16);
-        governor.list(4, &[]);
+        governor.write_roster(4, &[]);
         governor.spawn().await;
         governor
     }
@@ -114,7 +114,7 @@
     pub async fn downstream(name: &str, upstream: &Governor) -> Governor {
         let folder = std::env::temp_dir().join(format!("wrenthread-test-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        let (grpc, http, poll) = (port(), port(), port());
+        let (grpc, http, poll) = (reserve_port(), reserve_port(), reserve_port());
         let child = Command::new("true").spawn().unwrap();
         let mut governor = Governor { child, folder, grpc, http, poll, max_joined: 4 };
         governor.write_settings(16);
@@ -138,7 +138,7 @@
             .spawn()
             .unwrap();
         let (child, http) = (&mut self.child, self.http);
-        until("ready", || {
+        wait_until("ready", || {
             let status = child.try_wait().unwrap();
             assert!(status.is_none(), "the governor ended before it was ready: {status:?}");
             get(http, "/readyz").filter(|text| text == "ready\n")
@@ -151,7 +151,7 @@
         std::fs::rename(self.folder.join("new"), self.folder.join("roster.json")).unwrap();
     }
 
-    pub fn list(&self, workers: usize, draining: &[usize]) {
+    pub fn write_roster(&self, workers: usize, draining: &[usize]) {
         let replica = |n: usize| {
             let phase = if draining.contains(&n) { "draining" } else { "ready" };
             format!(r#"{{"id": "w{n}", "address": "10.0.0.{n}:80", "zone": "north", "phase": "{phase}"}}"#)
--- a/crates/daemon/tests/governor.rs
+++ b/crates/daemon/tests/governor.rs
@@ -13,7 +13,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use common::{Governor, until};
+use common::{Governor, wait_until};
 use prost::Message;
 use serde_json::Value;
 use tokio::sync::mpsc;
@@ -50,7 +50,7 @@
 }
 
 impl Peer {
-    async fn ask(&mut self, kind: Kind, names: &[&str], nonce: &str, error: Option<&str>) {
+    async fn send_request(&mut self, kind: Kind, names: &[&str], nonce: &str, error: Option<&str>) {
         let request = DiscoveryRequest {
             node: self.node.take(),
             resource_names: names.iter().map(|name| (*name).into()).collect(),
@@ -66,13 +66,13 @@
         self.requests.send(request).await.unwrap();
     }
 
-    async fn hear(&mut self) -> Result<DiscoveryResponse, Status> {
+    async fn receive(&mut self) -> Result<DiscoveryResponse, Status> {
         let next =
             timeout(Duration::from_secs(10), self.responses.next()).await.expect("no response in time");
         next.expect("the stream ended")
     }
 
-    async fn quiet(&mut self, span: Duration) -> bool {
+    async fn receives_nothing_for(&mut self, span: Duration) -> bool {
         timeout(span, self.responses.next()).await.is_err()
     }
 }
@@ -87,24 +87,24 @@
 async fn a_proxy_receives_its_tables_and_a_drain_and_its_acknowledgement_is_reported() {
     let governor = Governor::start("plain", 4).await;
     let mut peer = self::peer(&governor, "p", "north").await;
-    peer.ask(Kind::Clusters, &[], "", None).await;
-    let clusters = peer.hear().await.unwrap();
+    peer.send_request(Kind::Clusters, &[], "", None).await;
+    let clusters = peer.receive().await.unwrap();
     assert_eq!(
         (clusters.resources.len(), Kind::from_type_url(&clusters.type_url)),
         (2, Some(Kind::Clusters))
     );
-    peer.ask(Kind::Clusters, &[], &clusters.nonce, None).await;
-    peer.ask(Kind::Endpoints, &["match", "charge", "unknown"], "", None).await;
-    let tables = peer.hear().await.unwrap();
+    peer.send_request(Kind::Clusters, &[], &clusters.nonce, None).await;
+    peer.send_request(Kind::Endpoints, &["match", "charge", "unknown"], "", None).await;
+    let tables = peer.receive().await.unwrap();
     assert_eq!(lines(&tables), [4, 4]);
-    peer.ask(Kind::Endpoints, &["match", "charge", "unknown"], &tables.nonce, None).await;
+    peer.send_request(Kind::Endpoints, &["match", "charge", "unknown"], &tables.nonce, None).await;
 
-    governor.list(4, &[2]);
-    let tables = peer.hear().await.unwrap();
+    governor.write_roster(4, &[2]);
+    let tables = peer.receive().await.unwrap();
     assert_eq!(lines(&tables), [3, 3]);
     assert_eq!(governor.status()["replicas"][2]["state"], "draining");
-    peer.ask(Kind::Endpoints, &["match", "charge", "unknown"], &tables.nonce, None).await;
-    until("the newest version is acknowledged", || {
+    peer.send_request(Kind::Endpoints, &["match", "charge", "unknown"], &tables.nonce, None).await;
+    wait_until("the newest version is acknowledged", || {
         let status = governor.status();
         let proxy = &status["proxies"][0];
         (proxy["acked"] == proxy["newest"] && proxy["kind"] == "default").then_some(())
@@ -126,86 +126,89 @@
 async fn a_nack_is_logged_and_the_rejected_version_is_not_resent() {
     let governor = Governor::start("nack", 4).await;
     let mut peer = self::peer(&governor, "p", "north").await;
-    peer.ask(Kind::Endpoints, &["match"], "", None).await;
-    let tables = peer.hear().await.unwrap();
-    peer.ask(Kind::Endpoints, &["match"], &tables.nonce, Some("no such locality")).await;
-    assert!(peer.quiet(Duration::from_millis(1500)).await, "the rejected version is not resent");
+    peer.send_request(Kind::Endpoints, &["match"], "", None).await;
+    let tables = peer.receive().await.unwrap();
+    peer.send_request(Kind::Endpoints, &["match"], &tables.nonce, Some("no such locality")).await;
+    assert!(
+        peer.receives_nothing_for(Duration::from_millis(1500)).await,
+        "the rejected version is not resent"
+    );
     assert_eq!(governor.status()["proxies"][0]["nacked"]["words"], "no such locality");
     assert!(governor.log().contains("no such locality"));
-    governor.list(3, &[]);
-    assert_eq!(lines(&peer.hear().await.unwrap()), [3], "a later change is sent");
+    governor.write_roster(3, &[]);
+    assert_eq!(lines(&peer.receive().await.unwrap()), [3], "a later change is sent");
 }
 
 #[tokio::test]
 async fn rejected_and_replaced_streams_end_with_a_status() {
     let governor = Governor::start("refused", 4).await;
     let mut peer = self::peer(&governor, "p", "west").await;
-    peer.ask(Kind::Clusters, &[], "", None).await;
-    let status = peer.hear().await.unwrap_err();
+    peer.send_request(Kind::Clusters, &[], "", None).await;
+    let status = peer.receive().await.unwrap_err();
     assert_eq!(status.code(), Code::InvalidArgument);
     assert!(status.message().contains("zone `west`") && status.message().contains("`north`"), "{status}");
     let mut joined = Vec::new();
     for n in 0..4 {
         let mut peer = self::peer(&governor, &format!("p{n}"), "north").await;
-        peer.ask(Kind::Clusters, &[], "", None).await;
-        peer.hear().await.unwrap();
+        peer.send_request(Kind::Clusters, &[], "", None).await;
+        peer.receive().await.unwrap();
         joined.push(peer);
     }
     let mut late = self::peer(&governor, "late", "north").await;
-    late.ask(Kind::Clusters, &[], "", None).await;
-    assert_eq!(late.hear().await.unwrap_err().code(), Code::ResourceExhausted);
+    late.send_request(Kind::Clusters, &[], "", None).await;
+    assert_eq!(late.receive().await.unwrap_err().code(), Code::ResourceExhausted);
     // A second stream with a joined proxy's name replaces the first one, which is closed with a status.
     let mut replacement = self::peer(&governor, "p0", "north").await;
-    replacement.ask(Kind::Clusters, &[], "", None).await;
-    replacement.hear().await.unwrap();
-    assert_eq!(joined[0].hear().await.unwrap_err().code(), Code::Aborted);
+    replacement.send_request(Kind::Clusters, &[], "", None).await;
+    replacement.receive().await.unwrap();
+    assert_eq!(joined[0].receive().await.unwrap_err().code(), Code::Aborted);
 }
 
 #[tokio::test]
 async fn an_invalid_or_empty_roster_and_its_recovery_change_no_tables() {
     let governor = Governor::start("roster", 4).await;
     let mut peer = self::peer(&governor, "p", "north").await;
-    peer.ask(Kind::Endpoints, &["match"], "", None).await;
-    let tables = peer.hear().await.unwrap();
-    peer.ask(Kind::Endpoints, &["match"], &tables.nonce, None).await;
+    peer.send_request(Kind::Endpoints, &["match"], "", None).await;
+    let tables = peer.receive().await.unwrap();
+    peer.send_request(Kind::Endpoints, &["match"], &tables.nonce, None).await;
     governor.write_roster_text("{\"replicas\": [\n{\"id\": \"w0\", \"addr");
-    until("the roster is refused", || governor.log().contains("roster.json:2:").then_some(())).await;
+    wait_until("the roster is refused", || governor.log().contains("roster.json:2:").then_some(())).await;
     governor.write_roster_text("{\"replicas\": []}");
-    until("the empty roster is doubted", || {
+    wait_until("the empty roster is doubted", || {
         (governor.status()["governor"]["roster_doubted"] == true).then_some(())
     })
     .await;
-    assert!(peer.quiet(Duration::from_millis(1000)).await);
-    governor.list(4, &[]);
-    until("the roster is accepted", || {
+    assert!(peer.receives_nothing_for(Duration::from_millis(1000)).await);
+    governor.write_roster(4, &[]);
+    wait_until("the roster is accepted", || {
         (governor.status()["governor"]["roster_doubted"] == false).then_some(())
     })
     .await;
-    assert!(peer.quiet(Duration::from_millis(1000)).await);
+    assert!(peer.receives_nothing_for(Duration::from_millis(1000)).await);
 }
 
 #[tokio::test]
 async fn a_peer_that_does_not_read_does_not_delay_others() {
     let governor = Governor::start("mute", 4).await;
     let mut silent = self::peer(&governor, "mute", "north").await;
-    silent.ask(Kind::Endpoints, &["match"], "", None).await;
+    silent.send_request(Kind::Endpoints, &["match"], "", None).await;
     let mut peer = self::peer(&governor, "p", "north").await;
-    peer.ask(Kind::Endpoints, &["match"], "", None).await;
-    let mut nonce = peer.hear().await.unwrap().nonce;
+    peer.send_request(Kind::Endpoints, &["match"], "", None).await;
+    let mut nonce = peer.receive().await.unwrap().nonce;
     for round in 0..12 {
-        peer.ask(Kind::Endpoints, &["match"], &nonce, None).await;
-        governor.list(4, if round % 2 == 0 { &[1] } else { &[] });
+        peer.send_request(Kind::Endpoints, &["match"], &nonce, None).await;
+        governor.write_roster(4, if round % 2 == 0 { &[1] } else { &[] });
         let began = Instant::now();
-        nonce = peer.hear().await.unwrap().nonce;
+        nonce = peer.receive().await.unwrap().nonce;
         assert!(began.elapsed() < Duration::from_secs(5));
     }
     // When the peer reads again, it reaches the latest state.
-    governor.list(3, &[]);
+    governor.write_roster(3, &[]);
     let mut newest = Vec::new();
     while newest != [3] {
-        let tables = silent.hear().await.unwrap();
+        let tables = silent.receive().await.unwrap();
         newest = lines(&tables);
-        silent.ask(Kind::Endpoints, &["match"], &tables.nonce, None).await;
+        silent.send_request(Kind::Endpoints, &["match"], &tables.nonce, None).await;
     }
 }
 
@@ -213,28 +216,31 @@
 async fn signals_reload_valid_settings_refuse_others_and_stop_with_a_status() {
     let mut governor = Governor::start("signals", 4).await;
     let mut peer = self::peer(&governor, "p", "north").await;
-    peer.ask(Kind::Endpoints, &["match"], "", None).await;
-    let tables = peer.hear().await.unwrap();
-    peer.ask(Kind::Endpoints, &["match"], &tables.nonce, None).await;
-    governor.list(4, &[0]);
+    peer.send_request(Kind::Endpoints, &["match"], "", None).await;
+    let tables = peer.receive().await.unwrap();
+    peer.send_request(Kind::Endpoints, &["match"], &tables.nonce, None).await;
+    governor.write_roster(4, &[0]);
     governor.write_settings(17);
     governor.signal("-HUP");
-    until("the changed setting is refused", || {
+    wait_until("the changed setting is refused", || {
         governor.log().contains("`proxies`: 16 runs, 17 is asked for").then_some(())
     })
     .await;
     std::fs::write(governor.folder.join("settings.star"), "fleet(").unwrap();
     governor.signal("-HUP");
-    until("the invalid settings are refused", || governor.log().contains("settings not taken").then_some(()))
-        .await;
+    wait_until("the invalid settings are refused", || {
+        governor.log().contains("settings not taken").then_some(())
+    })
+    .await;
     governor.write_settings(16);
     governor.signal("-HUP");
-    until("the settings are reloaded", || governor.log().contains("settings reloaded").then_some(())).await;
+    wait_until("the settings are reloaded", || governor.log().contains("settings reloaded").then_some(()))
+        .await;
     // The drain was delivered despite the failed reloads.
-    assert_eq!(lines(&peer.hear().await.unwrap()), [3]);
+    assert_eq!(lines(&peer.receive().await.unwrap()), [3]);
     governor.signal("-TERM");
     let status = loop {
-        match peer.hear().await {
+        match peer.receive().await {
             Ok(_) => {}
             Err(status) => break status,
         }
@@ -247,11 +253,11 @@
 async fn a_proxy_rejoins_after_its_governor_was_killed_and_restarted() {
     let mut governor = Governor::start("killed", 4).await;
     let mut peer = self::peer(&governor, "p", "north").await;
-    peer.ask(Kind::Endpoints, &["match"], "", None).await;
-    let before = peer.hear().await.unwrap();
+    peer.send_request(Kind::Endpoints, &["match"], "", None).await;
+    let before = peer.receive().await.unwrap();
     governor.child.kill().unwrap();
     governor.child.wait().unwrap();
-    governor.list(4, &[3]);
+    governor.write_roster(4, &[3]);
     governor.spawn().await;
     let mut rejoined = self::peer(&governor, "p", "north").await;
     let node = rejoined.node.take();
@@ -263,7 +269,7 @@
         ..DiscoveryRequest::default()
     };
     rejoined.requests.send(request).await.unwrap();
-    let tables = rejoined.hear().await.unwrap();
+    let tables = rejoined.receive().await.unwrap();
     assert_eq!(lines(&tables), [3], "the complete table, without the replica that drains");
     assert_ne!(
         tables.version_info.split('.').next(),
@@ -311,18 +317,18 @@
         let replicas = status["replicas"].as_array().unwrap().clone();
         replicas.iter().filter(|replica| replica["state"] == "open").count()
     };
-    until("all replicas are listed", || (open_replicas() == 4).then_some(())).await;
+    wait_until("all replicas are listed", || (open_replicas() == 4).then_some(())).await;
     assert_eq!(governor.status()["replicas"][0]["address"], "10.0.0.0:80");
-    upstream.list(4, &[0]);
-    until("one replica is removed", || (open_replicas() == 3).then_some(())).await;
+    upstream.write_roster(4, &[0]);
+    wait_until("one replica is removed", || (open_replicas() == 3).then_some(())).await;
     // While the upstream is down, its last list stays in use.
     upstream.child.kill().unwrap();
     upstream.child.wait().unwrap();
-    until("the outage is logged", || governor.log().contains("can't be followed").then_some(())).await;
+    wait_until("the outage is logged", || governor.log().contains("can't be followed").then_some(())).await;
     assert_eq!(open_replicas(), 3);
-    upstream.list(4, &[]);
+    upstream.write_roster(4, &[]);
     upstream.spawn().await;
-    until("all replicas are listed again", || (open_replicas() == 4).then_some(())).await;
+    wait_until("all replicas are listed again", || (open_replicas() == 4).then_some(())).await;
 }
 
 #[tokio::test]
@@ -376,17 +382,20 @@
         .unwrap();
     governor.spawn().await;
     let mut peer = self::peer(&governor, "p", "north").await;
-    peer.ask(Kind::Endpoints, &["match"], "", None).await;
-    let tables = peer.hear().await.unwrap();
-    peer.ask(Kind::Endpoints, &["match"], &tables.nonce, None).await;
+    peer.send_request(Kind::Endpoints, &["match"], "", None).await;
+    let tables = peer.receive().await.unwrap();
+    peer.send_request(Kind::Endpoints, &["match"], &tables.nonce, None).await;
     for pause in [350, 420, 600, 900, 510] {
         // This thread answers nothing for longer than the interval of pings: one is unanswered as the governor stops.
         std::thread::sleep(Duration::from_millis(300));
         governor.signal("-STOP");
-        assert!(peer.quiet(Duration::from_millis(pause)).await, "the stream ended");
+        assert!(peer.receives_nothing_for(Duration::from_millis(pause)).await, "the stream ended");
         governor.signal("-CONT");
-        assert!(peer.quiet(Duration::from_millis(100)).await, "the stream ended after a pause of {pause} ms");
+        assert!(
+            peer.receives_nothing_for(Duration::from_millis(100)).await,
+            "the stream ended after a pause of {pause} ms"
+        );
     }
-    governor.list(3, &[]);
-    assert_eq!(lines(&peer.hear().await.unwrap()), [3]);
+    governor.write_roster(3, &[]);
+    assert_eq!(lines(&peer.receive().await.unwrap()), [3]);
 }
--- a/crates/daemon/tests/nginx.rs
+++ b/crates/daemon/tests/nginx.rs
@@ -19,7 +19,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::{Governor, port, until};
+use common::{Governor, reserve_port, wait_until};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use wrenthread_client::poll::Session;
@@ -59,7 +59,7 @@
          server { location /entry { proxy_pass http://gates; proxy_read_timeout 2s; } sticky on; }\n",
     )
     .unwrap();
-    let (grpc, http, poll) = (port(), port(), port());
+    let (grpc, http, poll) = (reserve_port(), reserve_port(), reserve_port());
     let (file, output, ports) =
         (conf.to_str().unwrap(), folder.to_str().unwrap(), format!("{grpc},{http},{poll}"));
     let import =
@@ -219,32 +219,32 @@
             .spawn()
             .unwrap(),
     );
-    until("four servers", || (nginx.servers().len() == 4).then_some(())).await;
+    wait_until("four servers", || (nginx.servers().len() == 4).then_some(())).await;
     assert_eq!(nginx.loaded_upstreams()[&blocks::upstream_name("charge")].0.len(), 4);
     let (code, printed) = wrenthread(&["export", "nginx", settings.to_str().unwrap(), "--print", "nginx-1"]);
     assert!(code == Some(0) && blocks::read(&printed).unwrap() == nginx.loaded_upstreams(), "{printed}");
 
     // A drain reaches nginx, and a file that nginx rejects is replaced by the previous one.
-    governor.list(4, &[1]);
-    until("three servers", || (nginx.servers().len() == 3).then_some(())).await;
+    governor.write_roster(4, &[1]);
+    wait_until("three servers", || (nginx.servers().len() == 3).then_some(())).await;
     assert!(!nginx.servers().contains(&"10.0.0.1:80".to_string()));
     std::fs::write(folder.join("refuse"), "").unwrap();
-    governor.list(4, &[1, 2]);
+    governor.write_roster(4, &[1, 2]);
     let reload_failed = || {
         let text = std::fs::read_to_string(folder.join("agent.log")).unwrap();
         text.contains("no such host in upstream").then_some(())
     };
-    until("the reload fails", reload_failed).await;
-    until("the previous file is restored", || {
+    wait_until("the reload fails", reload_failed).await;
+    wait_until("the previous file is restored", || {
         let file = std::fs::read_to_string(folder.join("wrenthread.conf")).unwrap();
         (file == std::fs::read_to_string(folder.join("loaded.conf")).unwrap()).then_some(())
     })
     .await;
     assert_eq!(nginx.servers().len(), 3);
     std::fs::remove_file(folder.join("refuse")).unwrap();
-    until("two servers", || (nginx.servers().len() == 2).then_some(())).await;
-    governor.list(4, &[]);
-    until("all four again", || (nginx.servers().len() == 4).then_some(())).await;
+    wait_until("two servers", || (nginx.servers().len() == 2).then_some(())).await;
+    governor.write_roster(4, &[]);
+    wait_until("all four again", || (nginx.servers().len() == 4).then_some(())).await;
 
     // The access log is reported: a replica that fails is ejected. Lines from before the start and partial lines don't
     // count.
@@ -276,6 +276,6 @@
     assert!(agent.0.try_wait().unwrap().is_none(), "the agent ended instead of waiting for the governor");
     let id = agent.0.id().to_string();
     assert!(Command::new("kill").args(["-TERM", &id]).status().unwrap().success());
-    let status = until("the agent ends", || agent.0.try_wait().unwrap()).await;
+    let status = wait_until("the agent ends", || agent.0.try_wait().unwrap()).await;
     assert_eq!(status.code(), Some(0));
 }
--- a/crates/daemon/tests/node/governor_process.rs
+++ b/crates/daemon/tests/node/governor_process.rs
@@ -76,7 +76,7 @@
         change(&mut config);
         std::fs::write(folder.join("config.json"), config.to_string()).unwrap();
         for _ in 0..MAX_PORTS {
-            let listen = format!("127.0.0.1:{}", common::port());
+            let listen = format!("127.0.0.1:{}", common::reserve_port());
             let child = spawn_governor(&folder, &listen, discovery);
             let mut governor =
                 GovernorProcess { child, folder: folder.clone(), listen, events: events.clone() };
--- a/crates/daemon/tests/polling.rs
+++ b/crates/daemon/tests/polling.rs
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use common::{Governor, until};
+use common::{Governor, wait_until};
 use serde_json::Value;
 use tokio::task::LocalSet;
 use wrenthread_client::poll::Session;
@@ -71,9 +71,9 @@
     let session = join(&governor, "p", &cache).await.unwrap();
     poll_until(&session, &cache, 4).await;
     let first = version(&cache);
-    governor.list(3, &[]);
+    governor.write_roster(3, &[]);
     poll_until(&session, &cache, 3).await;
-    governor.list(6, &[]);
+    governor.write_roster(6, &[]);
     poll_until(&session, &cache, 6).await;
     acknowledge(&session, &cache).await;
     let status = governor.status();
@@ -92,7 +92,7 @@
     poll_until(&session, &cache, 4).await;
     assert_eq!(governor.status()["holds"][0]["why"], "too wide");
     // A replica that starts to drain is removed from the frozen table too.
-    governor.list(6, &[1]);
+    governor.write_roster(6, &[1]);
     poll_until(&session, &cache, 3).await;
     assert!(roll_back("again").1.contains("gone or draining"));
     let (code, output) = run_cli(&governor, &["release", "--proxy", "p"]);
@@ -209,7 +209,7 @@
     let cache = new_cache();
     let session = join(&governor, "p", &cache).await.unwrap();
     for replicas in [3, 4, 3, 4] {
-        governor.list(replicas, &[]);
+        governor.write_roster(replicas, &[]);
         poll_until(&session, &cache, replicas).await;
         slow.read_exact(&mut [0]).unwrap();
     }
@@ -236,14 +236,14 @@
                     })
                 })
                 .collect();
-            until("all proxies have acknowledged their tables", || {
+            wait_until("all proxies have acknowledged their tables", || {
                 let status = governor.status();
                 let proxies = status["proxies"].as_array().unwrap();
                 (proxies.iter().filter(|proxy| proxy["acked"] == proxy["newest"]).count() == PROXIES)
                     .then_some(())
             })
             .await;
-            governor.list(3, &[]);
+            governor.write_roster(3, &[]);
             for task in tasks {
                 task.await.unwrap();
             }
--- a/crates/daemon/tests/sharing.rs
+++ b/crates/daemon/tests/sharing.rs
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::{Governor, port, until};
+use common::{Governor, reserve_port, wait_until};
 use serde_json::{Value, json};
 use wrenthread_client::poll::Session;
 use wrenthread_client::table_cache::TableCache;
@@ -27,7 +27,7 @@
 
 /// Starts governors that share a key and are configured as each other's peers. Returns each with its membership port.
 async fn start_governors(test: &str, count: usize) -> Vec<(Governor, u16)> {
-    let ports: Vec<u16> = (0..count).map(|_| port()).collect();
+    let ports: Vec<u16> = (0..count).map(|_| reserve_port()).collect();
     let mut governors = Vec::new();
     for (index, port) in ports.iter().enumerate() {
         let mut governor = Governor::start(&format!("{test}-{index}"), 8).await;
@@ -69,7 +69,7 @@
     let governors = start_governors("drain", 2).await;
     let (source, target) = (&governors[0].0, &governors[1].0);
     for governor in [source, target] {
-        until("the governors see each other as alive", || {
+        wait_until("the governors see each other as alive", || {
             (governors_status(governor)["others"][0]["standing"] == "alive").then_some(())
         })
         .await;
@@ -123,7 +123,8 @@
     assert!(target.log().contains("migrated tables adopted") && target.log().contains("taken over"));
     assert_eq!(governors_status(target)["came"], 1);
     assert_eq!(run_cli(source, &["drain-governor", "--undo"]).0, Some(0));
-    until("the governor is ready again", || source.get("/readyz").filter(|text| text == "ready\n")).await;
+    wait_until("the governor is ready again", || source.get("/readyz").filter(|text| text == "ready\n"))
+        .await;
     assert!(is_serving(&uri(source)).await);
 }
 
@@ -161,7 +162,7 @@
     for length in (0..1500).step_by(50) {
         socket.send_to(&vec![length as u8; length], ("127.0.0.1", *port)).unwrap();
     }
-    until("the datagrams are counted", || {
+    wait_until("the datagrams are counted", || {
         (governors_status(governor)["unheard"].as_u64() >= Some(20)).then_some(())
     })
     .await;
--- a/crates/daemon/tests/soak/governor.rs
+++ b/crates/daemon/tests/soak/governor.rs
@@ -10,7 +10,7 @@
 
 use serde_json::{Value, json};
 
-use super::common::port;
+use super::common::reserve_port;
 use super::discovery::{Agent, Discovery};
 use super::event_log::{Event, EventLog, GovernorIndex, Signal};
 
@@ -59,7 +59,7 @@
         std::fs::create_dir_all(&folder).unwrap();
         let mut governor = Governor {
             index,
-            address: SocketAddr::from(([127, 0, 0, 1], port())),
+            address: SocketAddr::from(([127, 0, 0, 1], reserve_port())),
             folder,
             child: Command::new("true").spawn().unwrap(),
             started_at: Instant::now(),
--- a/crates/daemon/tests/soak/stored_state.rs
+++ b/crates/daemon/tests/soak/stored_state.rs
@@ -12,7 +12,7 @@
 use wrenthread_client::table_cache::TableCache;
 use wrenthread_client::{NoObserver, ProxyIdentity, grpc};
 
-use super::common::{Governor, until};
+use super::common::{Governor, wait_until};
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=4;
 const RESTARTS: usize = 5;
@@ -70,7 +70,7 @@
 async fn stop(governor: &mut Governor, series: &[&str]) {
     series.iter().for_each(|signal| governor.signal(signal));
     let began = Instant::now();
-    let status = until("the governor ends", || governor.child.try_wait().unwrap()).await;
+    let status = wait_until("the governor ends", || governor.child.try_wait().unwrap()).await;
     if series.contains(&"-KILL") {
         assert_eq!(status.code(), None, "{series:?}");
     } else {
@@ -103,7 +103,7 @@
     let address = format!("10.0.0.{number}:80");
     governor.exclude(&excluded, "the soak");
     let stored = governor.folder.join("state");
-    until("the override is stored", || {
+    wait_until("the override is stored", || {
         let entries = std::fs::read_dir(&stored).ok()?;
         let mut files = entries.filter_map(|entry| std::fs::read(entry.ok()?.path()).ok());
         let name = format!("override/{excluded}");
@@ -112,7 +112,7 @@
     .await;
     for restart in 0..RESTARTS {
         let series = SIGNAL_SERIES[(rng.next_u64() % SIGNAL_SERIES.len() as u64) as usize];
-        until("both proxies have their tables", || {
+        wait_until("both proxies have their tables", || {
             (avoids(&polled, &address) && avoids(&streamed, &address)).then_some(())
         })
         .await;
--- a/crates/daemon/tests/state.rs
+++ b/crates/daemon/tests/state.rs
@@ -18,7 +18,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use common::{Governor, until};
+use common::{Governor, wait_until};
 use wrenthread_client::poll::Session;
 use wrenthread_client::table_cache::{DefaultEntry, TableCache};
 use wrenthread_client::{NoObserver, ProxyIdentity};
@@ -93,7 +93,7 @@
             cache.borrow().held_version().unwrap().0.split_once('.').unwrap().1.parse::<u64>().unwrap();
         (version == held && !shown["entries"]["override/w2"].is_null()).then_some(())
     };
-    until("the acknowledged version and the override are stored", is_stored).await;
+    wait_until("the acknowledged version and the override are stored", is_stored).await;
     let held = cache.borrow().held_version().cloned();
     kill(&mut governor);
     governor.spawn().await;
@@ -128,7 +128,8 @@
     let mut governor = start_governor("state-damage").await;
     let state = governor.folder.join("state");
     let folder = state.to_str().unwrap().to_string();
-    until("state is stored", || (run_cli(&["state", "verify", &folder]).0 == Some(0)).then_some(())).await;
+    wait_until("state is stored", || (run_cli(&["state", "verify", &folder]).0 == Some(0)).then_some(()))
+        .await;
     // A second governor with the same folder runs without storing state.
     let mut twin = Governor::start("state-twin", 4).await;
     kill(&mut twin);
@@ -159,7 +160,7 @@
     governor.spawn().await;
     assert!(governor.log().contains("part of the stored state is lost"), "{}", governor.log());
     // The governor is ready before it has written its first snapshot; stopped earlier, it would leave the damaged one.
-    until("an undamaged snapshot is written", || {
+    wait_until("an undamaged snapshot is written", || {
         (run_cli(&["state", "verify", &folder]).0 == Some(0)).then_some(())
     })
     .await;
@@ -195,7 +196,8 @@
     std::fs::remove_file(&state).unwrap();
     governor.spawn().await;
     std::fs::remove_dir_all(&state).unwrap();
-    until("a disk error is logged", || governor.log().contains("could not be written").then_some(())).await;
+    wait_until("a disk error is logged", || governor.log().contains("could not be written").then_some(()))
+        .await;
     assert_eq!(governor.get("/readyz").unwrap(), "ready\n");
     assert!(governor.get("/metrics").unwrap().contains("wrenthread_state_errors"));
 }
@@ -221,11 +223,11 @@
         let shown: serde_json::Value = serde_json::from_str(&shown).ok()?;
         (!shown["entries"]["override/w2"].is_null()).then_some(())
     };
-    until("the override is stored", is_stored).await;
+    wait_until("the override is stored", is_stored).await;
     // A second generation, so that an older snapshot exists when the newest one is damaged.
     kill(&mut governor);
     governor.spawn().await;
-    until("a second snapshot is written", || state.join("snapshot.2").exists().then_some(())).await;
+    wait_until("a second snapshot is written", || state.join("snapshot.2").exists().then_some(())).await;
     for damaged in [false, true] {
         for signal in ["-KILL", "-TERM", "-KILL", "-KILL"] {
             kill(&mut governor);
--- a/crates/durable-store/tests/restarts.rs
+++ b/crates/durable-store/tests/restarts.rs
@@ -114,7 +114,7 @@
         while let Some(action) = self.engine.next_action(ms(now)) {
             let Action::Flush(number) = action else { continue };
             let proxy = self.engine.proxy(number).expect("the proxy is connected");
-            let (stream, newest) = (proxy.stream, proxy.newest());
+            let (stream, newest) = (proxy.stream, proxy.newest_version());
             applied[stream as usize] = Some((self.epoch, newest));
             self.engine.tables_sent(ms(now), number, 6, 1);
             self.engine.version_acknowledged(ms(now), stream, newest);
--- a/crates/xds/src/session.rs
+++ b/crates/xds/src/session.rs
@@ -326,7 +326,7 @@
     /// Returns what the proxy should hold and was not sent on this stream.
     pub fn flush(&mut self, wire: &XdsConfig, proxy: &Proxy) -> FlushOutcome {
         let mut flushed = FlushOutcome::default();
-        let newest = proxy.newest();
+        let newest = proxy.newest_version();
         let has_update = |subscription: &Subscription| {
             let available = encode::resource_versions(wire, proxy, ResourceType::Endpoints);
             available
--- a/crates/xds/src/session/tests.rs
+++ b/crates/xds/src/session/tests.rs
@@ -75,7 +75,7 @@
                 self.engine.tables_sent(self.now, number, 1, 1);
             }
         }
-        let newest = self.engine.proxy(0).unwrap().newest();
+        let newest = self.engine.proxy(0).unwrap().newest_version();
         self.engine.version_acknowledged(self.now, 1, newest);
     }
 
@@ -88,8 +88,8 @@
         self.session.flush(&wire(), self.engine.proxy(0).unwrap())
     }
 
-    fn newest(&self) -> u64 {
-        self.engine.proxy(0).unwrap().newest()
+    fn newest_version(&self) -> u64 {
+        self.engine.proxy(0).unwrap().newest_version()
     }
 }
 
@@ -157,7 +157,10 @@
         .unwrap();
     assert_eq!(routes, []);
     let endpoints = sotw(ResourceType::Endpoints, &["charge", "match"], &sent[0].1, None);
-    assert_eq!(fixture.session.request(endpoints.clone()).unwrap(), [RequestEffect::Acked(fixture.newest())]);
+    assert_eq!(
+        fixture.session.request(endpoints.clone()).unwrap(),
+        [RequestEffect::Acked(fixture.newest_version())]
+    );
     assert_eq!(fixture.session.request(endpoints).unwrap(), [], "a repeated ACK has no effect");
 }
 
@@ -165,12 +168,12 @@
 fn an_ack_with_an_older_nonce_acks_only_its_version_and_its_names_are_ignored() {
     let mut fixture = Fixture::new(sotw(ResourceType::Endpoints, &["charge", "match"], "", None));
     let first = summary(&fixture.flush())[0].1.clone();
-    let before = fixture.newest();
+    let before = fixture.newest_version();
     fixture.roster(&["a", "b"]);
     let second = summary(&fixture.flush())[0].1.clone();
     let effects = fixture.session.request(sotw(ResourceType::Endpoints, &["charge"], &first, None)).unwrap();
     let [RequestEffect::Acked(version)] = effects[..] else { panic!("{effects:?}") };
-    assert!(before <= version && version < fixture.newest());
+    assert!(before <= version && version < fixture.newest_version());
     fixture.roster(&["b", "c"]);
     assert_eq!(summary(&fixture.flush())[0].2, 2, "both names are still subscribed");
     let effects = fixture.session.request(sotw(ResourceType::Endpoints, &["charge"], &second, None)).unwrap();
@@ -185,7 +188,7 @@
 #[test]
 fn sends_nothing_after_a_nack_until_a_new_version() {
     let mut fixture = Fixture::new(sotw(ResourceType::Endpoints, &["charge", "match"], "", None));
-    let (nonce, version) = (summary(&fixture.flush())[0].1.clone(), fixture.newest());
+    let (nonce, version) = (summary(&fixture.flush())[0].1.clone(), fixture.newest_version());
     let names = ["charge", "match"];
     let effects =
         fixture.session.request(sotw(ResourceType::Endpoints, &names, &nonce, Some("bad"))).unwrap();
@@ -194,7 +197,7 @@
     fixture.roster(&["a", "b"]);
     let nonce = summary(&fixture.flush())[0].1.clone();
     let effects = fixture.session.request(sotw(ResourceType::Endpoints, &names, &nonce, None)).unwrap();
-    assert_eq!(effects, [RequestEffect::Acked(fixture.newest())]);
+    assert_eq!(effects, [RequestEffect::Acked(fixture.newest_version())]);
 }
 
 #[test]
@@ -254,7 +257,7 @@
         .session
         .request(Request::Delta(delta(ResourceType::Endpoints, &[], &[], &first.nonce)))
         .unwrap();
-    assert_eq!(effects, [RequestEffect::Acked(fixture.newest())]);
+    assert_eq!(effects, [RequestEffect::Acked(fixture.newest_version())]);
     assert!(fixture.flush().responses.is_empty());
     fixture.session.request(Request::Delta(delta(ResourceType::Endpoints, &["match"], &[], ""))).unwrap();
     assert_eq!(summary(&fixture.flush())[0].2, 1, "requested again");
@@ -283,7 +286,7 @@
         first.resources.iter().map(|resource| (resource.name.clone(), resource.version.clone())).collect();
     let mut third = Fixture::new(Request::Delta(reconnect));
     let flushed = third.flush();
-    assert_eq!((flushed.responses.len(), flushed.acked), (0, Some(third.newest())));
+    assert_eq!((flushed.responses.len(), flushed.acked), (0, Some(third.newest_version())));
 }
 
 #[test]
@@ -327,7 +330,7 @@
         for step in &steps {
             for effect in fixture.session.request(make(*step)).unwrap() {
                 if let RequestEffect::Acked(version) = effect {
-                    proptest::prop_assert!(version <= fixture.newest());
+                    proptest::prop_assert!(version <= fixture.newest_version());
                 }
             }
             match step.4 {
