--- a/crates/daemon/benches/scale.rs
+++ b/crates/daemon/benches/scale.rs
@@ -52,7 +52,7 @@
     let (requests, stream) = mpsc::channel(8);
     let first = DeltaDiscoveryRequest {
         node: Some(node(index)),
-        type_url: ResourceType::Endpoints.url(),
+        type_url: ResourceType::Endpoints.type_url(),
         resource_names_subscribe: GROUPS.map(String::from).to_vec(),
         ..DeltaDiscoveryRequest::default()
     };
@@ -202,7 +202,7 @@
             if let Action::Flush(number) = action {
                 engine.tables_sent(now, number, 12, 1);
                 let proxy = engine.proxy(number).unwrap();
-                let (stream, newest) = (proxy.stream, proxy.newest());
+                let (stream, newest) = (proxy.stream, proxy.newest_version());
                 engine.version_acknowledged(now, stream, newest);
             }
         }
--- a/crates/daemon/src/cli/check.rs
+++ b/crates/daemon/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `check` and the hidden `read-settings`: what a settings script comes to.
+//! `check` and the hidden `read-settings`: evaluate a settings script.
 
 use std::path::Path;
 
@@ -8,16 +8,16 @@
 use crate::{render, run};
 
 pub fn check(path: &Path, output: OutputFormat) -> Result<()> {
-    let settings = run::load(path)?;
+    let settings = run::load_settings(path)?;
     let text = render::settings(&settings)?;
     output.print(&serde_json::to_value(&settings)?, |_| text);
     Ok(())
 }
 
-/// Reads settings in this process, within bounds on its memory and time, for the process that started it: that reads the
-/// settings or the faults as JSON (`wrenthread_settings::load_apart`).
+/// Reads settings in this process, with limits on its memory and time. Prints the settings or the errors as JSON for
+/// the parent process (`wrenthread_settings::load_in_subprocess`).
 pub fn read_settings(path: &Path) -> Result<()> {
-    wrenthread_settings::bound_process()?;
+    wrenthread_settings::limit_process_resources()?;
     let settings_or_faults = wrenthread_settings::load(path);
     println!("{}", serde_json::to_string(&settings_or_faults)?);
     Ok(())
--- a/crates/daemon/src/host/client_status.rs
+++ b/crates/daemon/src/host/client_status.rs
@@ -1,4 +1,4 @@
-//! CSDS: what each proxy has acknowledged of its xDS resources.
+//! The client status discovery service (CSDS): which xDS resources each proxy has acknowledged.
 
 use wrenthread_core::fleet::Proxy;
 use wrenthread_xds::encode;
@@ -9,7 +9,7 @@
     ClientConfig, ClientStatusRequest, ClientStatusResponse, ConfigStatus,
 };
 use wrenthread_xds::pb::envoy::r#type::matcher::v3::string_matcher::MatchPattern;
-use wrenthread_xds::session::Standing;
+use wrenthread_xds::session::ResourceStatus;
 
 use super::Host;
 
@@ -22,7 +22,7 @@
         ClientStatusResponse { config }
     }
 
-    /// The configuration of one proxy; none if it has no ADS stream.
+    /// The configuration of one proxy; `None` if it has no ADS stream.
     fn client_config(&self, request: &ClientStatusRequest, proxy: &Proxy) -> Option<ClientConfig> {
         let session = self.streams.get(&proxy.stream)?.session.as_ref()?;
         let mut configs = Vec::new();
@@ -32,7 +32,7 @@
                 false => encode::resource(&self.wire, proxy, kind, &name).map(|(resource, _)| resource),
             };
             configs.push(GenericXdsConfig {
-                type_url: kind.url(),
+                type_url: kind.type_url(),
                 name,
                 version_info: format!("{:x}.{version}", self.wire.epoch),
                 xds_config: resource,
@@ -47,7 +47,8 @@
     }
 }
 
-/// The node ids that a request names exactly. Matchers of other kinds match all: too much is better than nothing here.
+/// The node ids that a request matches exactly. If there are none, because only other kinds of matchers are used, all
+/// proxies are returned rather than none.
 fn exact_node_ids(request: &ClientStatusRequest) -> Vec<&str> {
     let mut ids = Vec::new();
     for matcher in &request.node_matchers {
@@ -59,19 +60,19 @@
     ids
 }
 
-fn config_status(standing: &Standing) -> ConfigStatus {
+fn config_status(standing: &ResourceStatus) -> ConfigStatus {
     match standing {
-        Standing::Acked => ConfigStatus::Synced,
-        Standing::Sent => ConfigStatus::Stale,
-        Standing::Nacked => ConfigStatus::Error,
-        Standing::NotSent => ConfigStatus::NotSent,
+        ResourceStatus::Acked => ConfigStatus::Synced,
+        ResourceStatus::Sent => ConfigStatus::Stale,
+        ResourceStatus::Nacked => ConfigStatus::Error,
+        ResourceStatus::NotSent => ConfigStatus::NotSent,
     }
 }
 
-fn client_resource_status(standing: &Standing) -> ClientResourceStatus {
+fn client_resource_status(standing: &ResourceStatus) -> ClientResourceStatus {
     match standing {
-        Standing::Acked => ClientResourceStatus::Acked,
-        Standing::Sent | Standing::NotSent => ClientResourceStatus::Requested,
-        Standing::Nacked => ClientResourceStatus::Nacked,
+        ResourceStatus::Acked => ClientResourceStatus::Acked,
+        ResourceStatus::Sent | ResourceStatus::NotSent => ClientResourceStatus::Requested,
+        ResourceStatus::Nacked => ClientResourceStatus::Nacked,
     }
 }
--- a/crates/daemon/src/host/grpc.rs
+++ b/crates/daemon/src/host/grpc.rs
@@ -1,4 +1,4 @@
-//! The gRPC front: ADS streams of proxies, load report streams, and what is sent on them.
+//! The gRPC front: handles proxies' ADS and load report streams and sends tables on them.
 
 use std::time::Duration;
 
@@ -8,40 +8,40 @@
 use wrenthread_xds::decode;
 use wrenthread_xds::pb::envoy::config::core::v3::Node;
 use wrenthread_xds::pb::envoy::config::endpoint::v3::ClusterStats;
-use wrenthread_xds::service::{Answers, Event};
-use wrenthread_xds::session::{Heard, Request, Session};
+use wrenthread_xds::service::{Event, ResponseSender};
+use wrenthread_xds::session::{Request, RequestEffect, Session};
 
 use super::{Host, WorkItem, metrics};
 
 /// An ADS stream.
 pub(super) struct AdsStream {
-    pub(super) answers: Answers,
-    /// None until its first request.
+    pub(super) answers: ResponseSender,
+    /// `None` until the first request arrives.
     pub(super) session: Option<Session>,
 }
 
 impl Host {
-    /// An event on one of the gRPC front's streams.
+    /// Handles an event on one of the gRPC front's streams.
     pub fn grpc_event(&mut self, now: Duration, event: Event) {
         match event {
-            Event::Opened { stream, answers } => {
-                self.streams.insert(stream, AdsStream { answers, session: None });
+            Event::AdsOpened { stream, responses } => {
+                self.streams.insert(stream, AdsStream { answers: responses, session: None });
             }
-            Event::Asked { stream, request } => self.ads_request(now, stream, *request),
-            Event::Closed { stream } => self.ads_closed(now, stream),
+            Event::AdsRequest { stream, request } => self.ads_request(now, stream, *request),
+            Event::AdsClosed { stream } => self.ads_closed(now, stream),
             Event::ReportsOpened { stream, node } => self.report_stream_opened(stream, &node),
-            Event::Reported { stream, stats } => self.load_reported(now, stream, &stats),
+            Event::LoadReported { stream, stats } => self.load_reported(now, stream, &stats),
             Event::ReportsClosed { stream } => {
                 self.report_streams.remove(&stream);
             }
-            // Whoever asked may be gone.
-            Event::Status { request, reply } => drop(reply.send(self.client_status(&request))),
+            // The client may have disconnected.
+            Event::ClientStatus { request, reply } => drop(reply.send(self.client_status(&request))),
         }
     }
 
     fn ads_closed(&mut self, now: Duration, stream: StreamId) {
-        if let Some(number) = self.engine.id_on_stream(stream) {
-            let name = self.engine.proxy(number).map(|proxy| proxy.name.clone());
+        if let Some(proxy_id) = self.engine.id_on_stream(stream) {
+            let name = self.engine.proxy(proxy_id).map(|proxy| proxy.name.clone());
             tracing::info!(proxy = name.as_deref(), stream, "proxy disconnected");
         }
         self.streams.remove(&stream);
@@ -58,12 +58,12 @@
             self.end_stream(stream, status);
             return;
         }
-        // The stream may have been ended for a later epoch while its proxy joined.
+        // Joining may have raised the epoch, which ends all streams.
         let Some(open) = self.streams.get_mut(&stream) else { return };
         let session = open.session.get_or_insert_with(|| Session::new(self.wire.epoch, &request));
         match session.request(request) {
             Ok(messages) => {
-                let settled = session.settled();
+                let settled = session.all_answered();
                 for message in messages {
                     self.ads_message(now, stream, message);
                 }
@@ -79,22 +79,23 @@
         }
     }
 
-    fn ads_message(&mut self, now: Duration, stream: StreamId, message: Heard) {
+    fn ads_message(&mut self, now: Duration, stream: StreamId, message: RequestEffect) {
         match message {
-            Heard::Acked(version) => self.engine.version_acknowledged(now, stream, version),
-            Heard::Nacked(version, reason) => {
+            RequestEffect::Acked(version) => self.engine.version_acknowledged(now, stream, version),
+            RequestEffect::Nacked(version, reason) => {
                 ::metrics::counter!(metrics::VERSIONS_REJECTED).increment(1);
                 self.engine.version_rejected(stream, version, &reason);
             }
-            Heard::Wants => self.engine.resend_requested(now, stream, 1),
-            Heard::Unserved(url) => tracing::debug!(stream, url, "resource type not served"),
+            RequestEffect::ResourcesRequested => self.engine.resend_requested(now, stream, 1),
+            RequestEffect::UnsupportedType(url) => tracing::debug!(stream, url, "resource type not served"),
         }
     }
 
-    /// The first request of a stream says which proxy it is.
+    /// Connects the proxy that the first request of a stream identifies.
     fn join_by_stream(&mut self, now: Duration, stream: StreamId, request: &Request) -> Result<(), Status> {
-        let holds_tables = request.holds_orders();
-        let join = decode::join(&self.wire, request.node(), self.default_requests_per_second, holds_tables);
+        let holds_tables = request.holds_governor_tables();
+        let join =
+            decode::join_request(&self.wire, request.node(), self.default_requests_per_second, holds_tables);
         let join = join.map_err(|error| Status::invalid_argument(error.to_string()))?;
         let proven_version = self.proven_version(&join.name, join.ownership_proof.as_deref());
         let join = fleet::JoinRequest { proven_version, ..join };
@@ -113,9 +114,9 @@
     }
 
     fn report_stream_opened(&mut self, stream: StreamId, node: &Node) {
-        match decode::name(Some(node)) {
+        match decode::node_id(Some(node)) {
             Ok(name) => drop(self.report_streams.insert(stream, name.into())),
-            Err(error) => tracing::warn!(%error, stream, "load report stream without a proxy"),
+            Err(error) => tracing::warn!(%error, stream, "load report stream does not identify a proxy"),
         }
     }
 
@@ -123,46 +124,46 @@
         let Some(proxy) = self.report_streams.get(&stream).cloned() else { return };
         let roster = self.engine.accepted_roster();
         let (reports, unknown_entries) =
-            decode::reports(&self.wire, statistics, |address| roster.replica_at(address).cloned());
+            decode::load_reports(&self.wire, statistics, |address| roster.replica_at(address).cloned());
         if unknown_entries > 0 {
             ::metrics::counter!(metrics::REPORT_ENTRIES_UNKNOWN).increment(unknown_entries as u64);
         }
         for report in reports {
-            // Its reason is counted and logged there.
+            // `record_report` counts and logs the reason of a discarded report.
             let _ = self.record_report(now, &proxy, stream, &report);
         }
     }
 
-    /// Sends what a proxy's stream has not been sent yet, if the stream has capacity.
+    /// Sends the pending updates of a proxy on its stream, if the stream has capacity.
     pub(super) fn flush_stream(
         &mut self,
         now: Duration,
-        number: ProxyId,
+        proxy_id: ProxyId,
         stream: Option<StreamId>,
     ) -> Option<WorkItem> {
         let open = stream.and_then(|stream| self.streams.get_mut(&stream));
         let (Some(stream), Some(open)) = (stream, open) else {
-            self.engine.tables_sent(now, number, 0, 0);
+            self.engine.tables_sent(now, proxy_id, 0, 0);
             return None;
         };
-        if !open.answers.has_room() {
-            self.engine.stream_full(number);
+        if !open.answers.has_capacity() {
+            self.engine.stream_full(proxy_id);
             ::metrics::counter!(metrics::STREAMS_FULL).increment(1);
             return Some(WorkItem::AwaitCapacity { stream, answers: open.answers.clone() });
         }
-        let (Some(session), Some(proxy)) = (open.session.as_mut(), self.engine.proxy(number)) else {
-            self.engine.tables_sent(now, number, 0, 0);
+        let (Some(session), Some(proxy)) = (open.session.as_mut(), self.engine.proxy(proxy_id)) else {
+            self.engine.tables_sent(now, proxy_id, 0, 0);
             return None;
         };
         let flushed = session.flush(&self.wire, proxy);
-        let settled = session.settled();
+        let settled = session.all_answered();
         let messages = flushed.responses.len();
-        ::metrics::counter!(metrics::ENTRIES_SENT).increment(flushed.lines as u64);
+        ::metrics::counter!(metrics::ENTRIES_SENT).increment(flushed.entries as u64);
         ::metrics::counter!(metrics::RESPONSES_SENT).increment(messages as u64);
         for response in flushed.responses {
             open.answers.send(response);
         }
-        self.engine.tables_sent(now, number, flushed.lines, messages);
+        self.engine.tables_sent(now, proxy_id, flushed.entries, messages);
         if let Some(version) = flushed.acked {
             self.engine.version_acknowledged(now, stream, version);
         }
@@ -173,7 +174,7 @@
     }
 }
 
-/// The gRPC status that tells a proxy why it could not join.
+/// The gRPC status for a join that was refused.
 fn join_status(error: JoinError) -> Status {
     match error {
         JoinError::Full { .. } => Status::resource_exhausted(error.to_string()),
