--- a/crates/client/src/poll.rs
+++ b/crates/client/src/poll.rs
@@ -147,7 +147,7 @@
     /// Sends a report; repeat it with the same number if the response is lost. False if it was counted already.
     ///
     /// # Errors
-    /// As [`Session::ask`].
+    /// As [`Session::poll`].
     pub async fn report(&self, number: u64, report: &ReportRequest) -> Result<bool, Error> {
         let url = format!("{}/reports/{number}?session={}", self.base, self.session);
         let request = with_cbor_body(self.client.post(url).timeout(ANSWER_TIMEOUT), report)?;
