--- a/crates/core/src/engine/inspection.rs
+++ b/crates/core/src/engine/inspection.rs
@@ -33,11 +33,12 @@
     pub queued_joins: usize,
     /// Table entries that wait to be sent or acknowledged.
     pub queued_entries: usize,
-    /// The maximum number of pending entries so far.
+    /// The peak of the number of pending entries so far.
     pub max_queued_entries: usize,
     /// Aggregated statistics waiting to be passed to the module.
     pub queued_reports: usize,
-    /// Table entries retained in history.
+    /// The cost of the versions retained in history, in table entries; each version costs a few entries
+    /// more than it has.
     pub history_entries: usize,
     /// Frozen tables in force.
     pub frozen_tables: usize,
--- a/crates/core/src/fault_injection.rs
+++ b/crates/core/src/fault_injection.rs
@@ -71,7 +71,7 @@
     f64::from(u8::from(condition))
 }
 
-/// Faults by name. Rehearsed days use the same names.
+/// Faults by name. [`faulty_decider`] finds them by these names, which rehearsed days use as well.
 pub const FAULTS: [(&str, Fault); 13] = [
     ("empty-tables", |decision, observed| every_table(decision, observed, |_, _| 0.0)),
     ("all-onto-a-drain", |decision, observed| match decision {
--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -1,14 +1,19 @@
 //! The guard: checks every change of tables before it is published to proxies, whatever the source of a bad
-//! change is: a fault of the decision module, an operator, another governor or a bug in a front. See
+//! change is: a fault of the decision module, an operator, another governor or a bug in a front end. See
 //! `docs/design/guard.md`.
 //!
 //! The guard keeps its own ledger of expected load: the requests per second that all proxies of this governor
 //! send each replica, computed from their demand and their tables, and what each replica can take. A change
 //! is checked as the state that all proxies would be in after it. What passes is published unchanged. What
-//! does not is replaced by the nearest state that does: an entry without meaning is removed, a fraction that
-//! is too large is reduced, and where a change is not possible at all the last good table stays in force,
-//! without replicas that drain or are ejected. The guard never opens an entry that was not requested, unless
-//! a proxy would be left without any.
+//! does not is replaced by the nearest state that does: an entry without a valid weight is removed, one whose
+//! replica may not get requests is closed, an invalid admission fraction is replaced, the weight of an
+//! overloaded replica is reduced, and where a change is not possible at all the last good table stays in
+//! force, without replicas that drain or are ejected, or, if there is none, a last-resort table is published.
+//!
+//! The guard opens an entry that was not requested only in these cases: a proxy would be left without any;
+//! all replicas of a table are overloaded, at least one of them cold, and another table has headroom; the
+//! module's ejections leave less than `MIN_CAPACITY_LEFT` of the ready capacity and are not followed; or a
+//! table that is kept names a replica that is available again.
 //!
 //! When two rules conflict, the earlier one wins: no proxy without a routable entry; drains and ejections; no
 //! cold replica above its share; no warm replica above what it can take; no larger shift of traffic at once
--- a/crates/core/src/guard/capacity.rs
+++ b/crates/core/src/guard/capacity.rs
@@ -18,7 +18,7 @@
 pub(super) struct Capacity {
     /// The share of each replica if all requests of this governor's proxies are spread evenly.
     even_share: f64,
-    /// The load that it is known to take.
+    /// The load that a warm replica of weight 1 is known to take.
     known: f64,
     /// Demand of all governors' proxies together, as a multiple of the demand of the proxies here.
     total_to_local: f64,
--- a/crates/core/src/guard/checks.rs
+++ b/crates/core/src/guard/checks.rs
@@ -189,7 +189,8 @@
         }
     }
 
-    /// One pass over one table. Returns whether it has an entry that requests can move to.
+    /// One pass over one table. Returns whether the weights of its overloaded entries were reduced, as far as
+    /// `min_weight` allows.
     fn limit_table<Open: Fn(&ReplicaId) -> bool>(
         &mut self,
         check: &mut Check<'_, Open>,
--- a/crates/core/src/guard/refusals.rs
+++ b/crates/core/src/guard/refusals.rs
@@ -65,7 +65,9 @@
 pub enum RefusalOutcome {
     /// The rest of the table is published.
     Corrected,
-    /// The last good table stays in force, without replicas that drain or are ejected.
+    /// The last good table stays in force, without replicas that drain or are ejected. It is also recorded
+    /// for [`RefusalReason::AllEntriesClosed`], before the replacement is known, and for an overload where a
+    /// last-resort table replaces the requested one.
     Kept,
     /// No good table was left: the proxy's default table is published, or all ready replicas of the roster.
     LastResort,
--- a/crates/core/src/guard/repair.rs
+++ b/crates/core/src/guard/repair.rs
@@ -184,7 +184,7 @@
     }
 
     /// A replacement for a table without a routable entry: the last good one, else a last resort, else, where
-    /// no replica is ready, the requested table without its closed entries.
+    /// no replica that it may use is ready, the requested table, whose entries all stay, not routable.
     fn replace_unroutable_table(&mut self, table: Table, asked: usize) -> Table {
         let (roster, change, open) = (self.roster, self.change, self.open);
         let in_allowed_zone = |id: &ReplicaId| {
--- a/crates/core/src/history.rs
+++ b/crates/core/src/history.rs
@@ -46,7 +46,8 @@
 }
 
 impl History {
-    /// Retains at most `max_versions` versions per proxy, and `max_entries` table entries in total.
+    /// Retains at most `max_versions` versions per proxy, at a total cost of at most `max_entries` table
+    /// entries, with `VERSION_OVERHEAD` for each version. The newest version of each proxy is always kept.
     pub fn new(max_versions: usize, max_entries: usize) -> Self {
         History {
             by_proxy: BTreeMap::new(),
@@ -112,7 +113,7 @@
         }
     }
 
-    /// The number of retained table entries.
+    /// The cost of the retained versions in table entries, with `VERSION_OVERHEAD` for each version.
     pub fn entry_count(&self) -> usize {
         self.entry_count
     }
--- a/crates/core/src/send_limiter.rs
+++ b/crates/core/src/send_limiter.rs
@@ -19,7 +19,8 @@
 /// The maximum number of messages in a flush, one per resource type; the message limit reserves capacity for
 /// them.
 const FLUSH_MESSAGES: usize = 4;
-/// The fraction of the queue that joins may fill; the rest is reserved for urgent updates.
+/// The fraction of the queue up to which joins are admitted, counting all that waits to be sent; the rest is
+/// reserved for urgent updates.
 const ORDINARY_FRACTION: f64 = 0.8;
 /// The number of turns examined to find the next deadline.
 const LOOK_AHEAD: usize = 64;
@@ -226,7 +227,8 @@
         self.pending_entries + self.proxies.values().map(in_flight).sum::<usize>()
     }
 
-    /// The maximum number of pending entries so far.
+    /// The peak of the number of pending entries so far. The configured limit is
+    /// [`ChannelLimits::max_queued_entries`].
     pub fn max_queued_entries(&self) -> usize {
         self.max_pending_entries
     }
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -1,11 +1,12 @@
 //! Snapshots: the state that a governor keeps across a restart, as named items, and how much of it is used
 //! when the governor comes back.
 //!
-//! Stored state is never taken for the present state. Each kind decays with its own half-life and has a
-//! defined effect at the start (`docs/design/state.md`): demand is averaged with what a proxy declares; a
-//! replica that was ejected is reported with a number of failed attempts that depends on its age, and the
-//! decision module decides; admission fractions hold for some seconds; a proxy's tables are believed only if
-//! its signed proof says that it holds them. Overrides and frozen tables of operators end when they would
+//! Stored state is never taken for the present state. Each kind has its own half-life or lifetime and a
+//! defined effect at the start (`docs/design/state.md`): demand is averaged with what a proxy declares, at
+//! a weight that decays; a replica that was ejected is reported with a number of failed attempts that decays
+//! with the age of the stored state, and the decision module decides; admission fractions hold for some
+//! seconds after the state was stored, unless the module decides before; a proxy's tables are believed only
+//! if its signed proof says that it holds them. Overrides and frozen tables of operators end when they would
 //! have ended.
 //!
 //! | file | contents |
--- a/crates/core/src/snapshot/restore.rs
+++ b/crates/core/src/snapshot/restore.rs
@@ -17,15 +17,15 @@
 pub const EJECTION_HALF_LIFE: Duration = Duration::from_secs(20);
 /// How long a stored admission fraction is used, unless the module decides before. Older ones are dropped.
 pub const ADMISSION_LIFETIME: Duration = Duration::from_secs(10);
-/// How long the tables that proxies held are kept: after this time proxies have been with another governor or
-/// on their own.
+/// How long the tables that proxies held are kept while the proxies are absent: after this time they have
+/// been with another governor or on their own.
 pub const TABLE_LIFETIME: Duration = Duration::from_secs(600);
 /// The age assumed for items with a time in the future: the clock was set back, so their age is unknown.
 pub const UNKNOWN_AGE: Duration = Duration::from_secs(60);
 /// Interval for which restored throughput is reported to the module: to judge a replica where everything
 /// fails, it has to see that others succeed.
 pub const RESTORED_REPORT_INTERVAL: Duration = Duration::from_secs(2);
-/// Failed attempts that a fresh ejection is reported as.
+/// The number of failed attempts that is reported to the module for an ejection stored just before the start.
 const EJECTION_ATTEMPTS: f64 = 20.0;
 /// Fewer failed attempts than this are not reported: they prove nothing.
 const MIN_EJECTION_ATTEMPTS: u64 = 4;
--- a/crates/core/tests/stored_formats.rs
+++ b/crates/core/tests/stored_formats.rs
@@ -1,5 +1,5 @@
-//! Compatibility of stored, signed and sent formats. The golden files were written by commit b735929, before
-//! the types and fields got their present names; here they are read and written again, byte for byte.
+//! Fixes the stored, signed and sent formats that earlier releases wrote: the golden files hold them, and are
+//! read and written again here, byte for byte.
 
 #![allow(
     clippy::unwrap_used,
--- a/src/governor/default_tables.rs
+++ b/src/governor/default_tables.rs
@@ -46,7 +46,8 @@
 pub(super) enum Staleness {
     Current,
     Stale,
-    /// Some tables may contain no available replica and must be replaced at once.
+    /// The tables must be replaced at once: they contain all candidates and the zone's default table differs,
+    /// or their entries are not known and some tables may contain no available replica.
     Urgent,
 }
 
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Tables that contain all candidates are stale if the zone's default table differs.
+    /// Tables that contain all candidates must be replaced at once if the zone's default table differs.
     fn full_staleness(&self, sample: DefaultTableSample, default: &Weights) -> Staleness {
         let available_candidates = self
             .replicas
--- a/src/governor/ejection.rs
+++ b/src/governor/ejection.rs
@@ -34,7 +34,8 @@
 
 impl Governor {
     /// Ejects outliers, the worst first, but not so many that the remaining replicas of the fleet or of a
-    /// zone could not carry the load.
+    /// zone could not carry the load. A replica that fails its probation is ejected again whatever these
+    /// limits.
     pub(super) fn eject_outliers(&mut self, now: Duration, outliers: Vec<Outlier>) {
         let ready = self.replicas.values().filter(|replica| replica.ready).count();
         let unavailable = |replica: &&ReplicaState| replica.ready && replica.is_unavailable();
--- a/src/governor/ejection_updates.rs
+++ b/src/governor/ejection_updates.rs
@@ -11,7 +11,7 @@
 
 /// How long the state of gone replicas is kept: a proxy may connect with a default table of this age.
 const GONE_REPLICA_RETENTION: Duration = Duration::from_secs(120);
-/// Fraction of the send queue that ejections may fill.
+/// Fraction of the send queue that ejections may fill: a tenth more than its limit.
 const EJECT_QUEUE_FRACTION: f64 = 1.1;
 /// Fraction of the send queue that readmissions may fill; they are less urgent.
 const READMIT_QUEUE_FRACTION: f64 = 0.5;
--- a/src/governor/send_queue.rs
+++ b/src/governor/send_queue.rs
@@ -5,7 +5,7 @@
 
 use super::parameters::{FlushLimit, Parameters};
 
-/// The number of entries that were sent at a time.
+/// Entries that were sent together, and when.
 #[derive(Clone, Copy)]
 pub(super) struct SentBatch {
     pub(super) at: Duration,
--- a/src/governor/slow_start.rs
+++ b/src/governor/slow_start.rs
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Whether there were more candidates than table entries, so that it is not known which ones a table
-    /// contains.
+    /// Whether there were more candidates than a default table has entries, and more than
+    /// [`MAX_TABLE_ENTRIES`], so that it is not known which ones a table contains.
     pub(super) fn is_partial_sample(&self, sample: DefaultTableSample) -> bool {
         let candidates = self.replicas.values().filter(|replica| replica.is_candidate(sample)).count();
         candidates > self.parameters.default_table_size.max(MAX_TABLE_ENTRIES)
--- a/src/governor/utilisation.rs
+++ b/src/governor/utilisation.rs
@@ -18,7 +18,7 @@
 const MIN_CORRECTION: f64 = -1.4;
 /// Maximum correction: about 1.3 times the listed capacity.
 const MAX_CORRECTION: f64 = 0.25;
-/// Expected time between attempts, times this, after which missing reports count as a falling rate.
+/// Missing reports count as a falling rate after the time in which this many attempts are expected.
 const UNREPORTED_ATTEMPTS: f64 = 2.0;
 /// Upper bound of the time given by [`UNREPORTED_ATTEMPTS`], in averaging periods, for rare attempts.
 const MAX_UNREPORTED_PERIODS: f64 = 4.0;
--- a/src/types/decisions.rs
+++ b/src/types/decisions.rs
@@ -50,7 +50,7 @@
         /// How failed attempts are retried.
         retry_policy: RetryPolicy,
     },
-    /// Requests that each proxy that receives this message acknowledges it with this number.
+    /// Asks each receiving proxy to acknowledge this message with this number.
     RequestAcknowledgement(u16),
     /// Sends a health check to a replica.
     CheckHealth(ReplicaId),
