--- a/crates/daemon/src/labels/tests.rs
+++ b/crates/daemon/src/labels/tests.rs
@@ -1,4 +1,4 @@
-//! The expected labels are those of the earlier release (commit b735929), which printed the variant names of that time.
+//! The labels are fixed as those of commit b735929, whatever the variants are called.
 
 use wrenthread_membership::messages::MemberState;
 
--- a/crates/daemon/src/platform/config.rs
+++ b/crates/daemon/src/platform/config.rs
@@ -27,7 +27,8 @@
 const MEMORY_MEGABYTES: &str = "memory_mb";
 const SOCKETS: &str = "sockets";
 
-/// A complete configuration is some hundred KB, and takes several times as much memory once parsed.
+/// A complete configuration has some hundred KB; the limit is there because a file takes several times its size in
+/// memory once parsed.
 const MAX_FILE_BYTES: u64 = 2 << 20;
 const DEFAULT_MEMORY_MEGABYTES: f64 = 2048.0;
 const DEFAULT_SOCKETS: f64 = 4096.0;
--- a/crates/daemon/src/platform/connection.rs
+++ b/crates/daemon/src/platform/connection.rs
@@ -1,8 +1,9 @@
 //! One accepted connection. It starts as an unidentified peer and becomes a collector's or a proxy's stream.
 //!
-//! An unidentified peer has two seconds and a small buffer to identify itself. Input that can't be parsed, or a message
-//! before identification, closes the connection with a `NACK`; an invalid message from an identified peer is discarded
-//! and counted.
+//! An unidentified peer has two seconds and a small buffer to identify itself. Each
+//! `CloseReason` closes the connection after an attempt to send a `NACK`: input that can't be parsed, an invalid or
+//! unexpected message before identification, an eviction, a timeout, a frame that is too long, or a full buffer. An
+//! invalid message from an identified peer is discarded and counted.
 
 use std::cell::{Cell, OnceCell};
 use std::io::{ErrorKind, Read};
--- a/crates/daemon/src/platform/send_queue.rs
+++ b/crates/daemon/src/platform/send_queue.rs
@@ -13,7 +13,7 @@
 /// A proxy with this much unsent data has stopped reading long ago: the messages of a minute are a fraction of it.
 const MAX_UNSENT_BYTES: usize = 256 << 10;
 
-/// The peer has stopped reading, or the connection has ended.
+/// Too many bytes are unsent, as the peer has stopped reading; or the writer task has ended, also with its connection.
 #[derive(Debug, Error)]
 #[error("send buffer full")]
 pub struct SendBufferFullError;
--- a/crates/daemon/tests/governor.rs
+++ b/crates/daemon/tests/governor.rs
@@ -373,7 +373,7 @@
     governor.spawn().await;
 }
 
-/// The answer to a ping that came while the governor stood still is read before its timeout is judged.
+/// Keepalive answers received while the process was paused are read before the timeout is checked.
 #[tokio::test]
 async fn a_governor_that_stood_still_keeps_the_streams_whose_answers_wait_in_its_sockets() {
     let mut governor = Governor::start("keepalive", 4).await;
--- a/crates/daemon/tests/soak/check.rs
+++ b/crates/daemon/tests/soak/check.rs
@@ -21,7 +21,7 @@
 const TABLE_WITHIN: Duration = Duration::from_millis(3000);
 /// Additional time for a governor to catch up after a pause.
 const CATCH_UP: Duration = Duration::from_millis(500);
-/// A connection ends within this time after its governor does.
+/// A stream's time limits are checked if its governor was ready at most this long after the stream connected.
 const END_WITHIN: Duration = Duration::from_millis(500);
 /// Up to this many replicas, every table contains all of them; with more, tables contain a subset.
 const DEFAULT_TABLE_SIZE: usize = 8;
--- a/crates/daemon/tests/soak/scenario.rs
+++ b/crates/daemon/tests/soak/scenario.rs
@@ -42,7 +42,7 @@
 
 const MAX_GOVERNORS: u64 = 2;
 const STEPS: u64 = 6;
-/// Up to more than the time a peer has to identify itself, and less than any stream may be silent for.
+/// The longest exceeds the time that a peer has to identify itself; all are shorter than a stream may be silent.
 const PAUSES_MILLIS: [u64; 3] = [300, 1200, 2400];
 
 impl Scenario {
--- a/crates/long-poll/tests/wire_format.rs
+++ b/crates/long-poll/tests/wire_format.rs
@@ -1,8 +1,8 @@
 //! Golden files: messages keep their wire format byte for byte, whatever the Rust types are called.
 //!
-//! The responses, and the OpenAPI document except for its descriptions and summaries, were captured from the program of
-//! commit b735929, which also accepted the fields of the requests. `tables_delta_default.json` was written by hand from
-//! the fields of that program's types.
+//! They fix the responses, the fields of the requests, and the OpenAPI document except for its descriptions and
+//! summaries, as of commit b735929. `tables_delta_default.json` was written by hand from the fields of that commit's
+//! types.
 
 #![allow(
     clippy::unwrap_used,
--- a/crates/nginx-importer/src/write_debouncer.rs
+++ b/crates/nginx-importer/src/write_debouncer.rs
@@ -2,14 +2,14 @@
 //! changes, and with increasing delays after failures. Does no input or output and reads no clock.
 //!
 //! Each reload starts new worker processes next to the old ones, which run until their last request ends; a
-//! reload for every change would fill the machine with them. Changes are therefore merged, and the newest
-//! state is written.
+//! reload for every change would fill the machine with old processes. Changes are therefore merged, and the
+//! newest state is written.
 
 use std::time::Duration;
 
 use crate::blocks::Tables;
 
-/// Upper limit of the delay, which doubles with each consecutive failure.
+/// Upper limit of the delay, which doubles with each consecutive failure; a longer minimum interval is kept.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
 /// Schedules the writes of the file of one nginx.
@@ -27,8 +27,8 @@
 }
 
 impl WriteDebouncer {
-    /// `every`: the minimum interval between two writes; `drains_every`: the same for a write that reduces
-    /// traffic to a replica or the admission.
+    /// `every`: the minimum interval between two writes; `drains_every`: the same for a write that removes
+    /// a server or a class or lowers an admission fraction, and for writes until one has succeeded.
     pub fn new(every: Duration, drains_every: Duration) -> Self {
         let drains_every = drains_every.min(every);
         WriteDebouncer {
@@ -75,8 +75,8 @@
         let Some(last) = self.last_write else { return Some(Duration::ZERO) };
         let reduces_traffic = self.applied.as_ref().is_none_or(|applied| reduces_traffic(applied, wanted));
         let wait = if reduces_traffic { self.min_drain_interval } else { self.min_interval };
-        // A failed drain is first retried at its short interval, as others depend on it. The doubling keeps a
-        // command that always fails from running every second.
+        // The retries of a failed drain start from its short interval, as others depend on it. The doubling, from
+        // the first failure on, keeps a command that always fails from running every second.
         let doubled = wait.saturating_mul(1 << self.failures.min(16));
         Some(last + doubled.min(MAX_WAIT.max(wait)))
     }
--- a/crates/rehearsal/days/bad-day.star
+++ b/crates/rehearsal/days/bad-day.star
@@ -1,4 +1,4 @@
-# Three halls, two dozen workers, sixteen relays. Everything that has gone wrong, within a minute.
+# Three zones, 24 replicas, 16 proxies, and the common faults within a minute.
 day(seconds = 70, halls = ["north", "south", "east"], workers = 24, relays = 16, flows_per_s = 100)
 
 # A worker takes flows and answers none.
--- a/crates/rehearsal/days/dark.star
+++ b/crates/rehearsal/days/dark.star
@@ -1,4 +1,4 @@
-# Governors that can't reach each other are all dead at once; one comes back with its last list, then the others.
+# Three governors without gossip are all down at the same time; one is started again, then the others.
 day(
     seconds = 45, halls = ["north", "south", "east"], workers = 24, relays = 60, flows_per_s = 100, governors = 3,
     care_for = 6,
--- a/crates/rehearsal/days/friday.star
+++ b/crates/rehearsal/days/friday.star
@@ -1,5 +1,5 @@
-# A mistaken table on Friday morning: in the midst of a deploy an operator has tables told again that name workers which
-# drain by now, or have started cold since.
+# A mistaken rollback: during a deploy an operator rolls back to tables with replicas that are draining by now, or have
+# restarted cold since.
 day(seconds = 45, halls = ["north", "south", "east"], workers = 24, relays = 24, flows_per_s = 100)
 trouble("deploy", at = 6, lasts = 30, hall = "south", step = 3)
 trouble("step_back", at = 7, lasts = 10)
--- a/crates/rehearsal/days/split.star
+++ b/crates/rehearsal/days/split.star
@@ -1,5 +1,5 @@
-# Three governors that talk share 60 relays. One is cut off with its hall, and can't hear the list meanwhile; later
-# what another says to the others is lost; and one is told an older list than the others during a deploy.
+# Three governors with gossip share 60 proxies. A partition separates one and its zone from the others and from the
+# roster; later the messages of another to the others are lost; and one has a stale roster during a deploy.
 day(
     seconds = 56, halls = ["north", "south", "east"], workers = 24, relays = 60, flows_per_s = 100, governors = 3,
     talk = True,
--- a/crates/rehearsal/days/stall.star
+++ b/crates/rehearsal/days/stall.star
@@ -1,5 +1,5 @@
-# Three governors that talk; one stands still for longer than anybody waits, and wakes with what was in its queue.
-# Another is killed half-way through a flush while that one is away.
+# Three governors with gossip. The process of one is paused for longer than the others and its proxies wait, and
+# resumes with the messages in its queue; another is killed half-way through a flush during the pause.
 day(
     seconds = 50, halls = ["north", "south", "east"], workers = 24, relays = 60, flows_per_s = 100, governors = 3,
     talk = True, care_for = 10,
--- a/crates/rehearsal/days/storms-bare.star
+++ b/crates/rehearsal/days/storms-bare.star
@@ -1,4 +1,4 @@
-# The same storm for a governor that forgets.
+# The faults of storms.star, for a governor without a durable store.
 day(
     seconds = 70, halls = ["north", "south", "east"], workers = 24, relays = 24, flows_per_s = 100, care_for = 6,
 )
--- a/crates/rehearsal/days/storms.star
+++ b/crates/rehearsal/days/storms.star
@@ -1,5 +1,5 @@
-# The governor is killed ten times in a minute, at chance moments, in the midst of a deploy while a worker answers nothing.
-# It knows what it knew before.
+# The governor is killed ten times in a minute, at random moments, during a deploy and while a replica does not answer.
+# It has a durable store.
 day(
     seconds = 70, halls = ["north", "south", "east"], workers = 24, relays = 24, flows_per_s = 100, care_for = 6, state = True,
 )
--- a/crates/rehearsal/src/check.rs
+++ b/crates/rehearsal/src/check.rs
@@ -338,8 +338,8 @@
     violations
 }
 
-/// Finds table updates from an earlier epoch of a governor than one before, or from a governor that the proxy
-/// was not joined to.
+/// Finds table updates with a lower epoch than an earlier update from the same governor to the same proxy, and
+/// updates from a governor that the proxy was not joined to.
 pub fn stale_updates(event_log: &[Entry]) -> Vec<String> {
     let (mut joined, mut violations) = (JoinedProxies::default(), Vec::new());
     let mut epochs: BTreeMap<(usize, usize), u64> = BTreeMap::new();
--- a/crates/settings/src/day.rs
+++ b/crates/settings/src/day.rs
@@ -42,7 +42,8 @@
         #[serde(rename = "late")]
         delay: f64,
     },
-    /// The governor is killed, and started again at the end.
+    /// The governor is killed, at the latest after the fault's duration, and started again that duration after the
+    /// kill.
     Kill {
         /// Index of the governor.
         governor: usize,
@@ -149,10 +150,10 @@
     /// Maximum time that a proxy may be without a table entry.
     #[serde(rename = "bare_for")]
     pub max_time_without_entry: f64,
-    /// The multiple of its even share of the requests above which a cold replica fails.
+    /// The multiple of its current capacity above which a cold replica is overloaded.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// How long a cold replica must be overloaded until it fails.
+    /// The time over which the requests of a cold replica are counted to find an overload.
     #[serde(rename = "overload_for")]
     pub overload_duration: f64,
     /// The faults, in the order of the script.
