--- a/crates/daemon/src/host/status.rs
+++ b/crates/daemon/src/host/status.rs
@@ -179,9 +179,9 @@
 
     fn class_statuses(&self) -> Vec<ClassStatus> {
         let admission = self.engine.admission().iter();
-        let classes = self.wire.groups.iter().zip(admission);
+        let classes = self.wire.classes.iter().zip(admission);
         let status =
-            |(class, (admission_fraction, retry_policy)): (&wrenthread_xds::WireGroup, &(f64, _))| {
+            |(class, (admission_fraction, retry_policy)): (&wrenthread_xds::TrafficClass, &(f64, _))| {
                 ClassStatus {
                     name: class.name.clone(),
                     admission_fraction: *admission_fraction,
@@ -197,7 +197,7 @@
             name: proxy.name.to_string(),
             zone: self.zone_name(proxy.zone).to_string(),
             kind: self.table_kind(proxy_id, proxy),
-            newest: proxy.newest(),
+            newest: proxy.newest_version(),
             sent: proxy.sent_version,
             acknowledged: proxy.acknowledged_version,
             acknowledgement_delay_seconds: proxy.acknowledgement_delay(now).as_secs_f64(),
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -15,8 +15,8 @@
 use wrenthread_core::ownership::SigningKey;
 use wrenthread_membership::{Membership, MembershipSettings, Peer};
 use wrenthread_settings::Settings;
-use wrenthread_xds::Wire;
-use wrenthread_xds::service::Front;
+use wrenthread_xds::XdsConfig;
+use wrenthread_xds::service::GrpcServices;
 
 use crate::clock::Clock;
 use crate::host::{Host, HostParts};
@@ -29,9 +29,9 @@
 ///
 /// # Errors
 /// The settings are invalid; the error lists all faults.
-pub fn load(path: &Path) -> Result<Settings> {
+pub fn load_settings(path: &Path) -> Result<Settings> {
     let program = std::env::current_exe().context("finding the path of the running program")?;
-    Ok(wrenthread_settings::load_apart(&program, &["read-settings"], path)?)
+    Ok(wrenthread_settings::load_in_subprocess(&program, &["read-settings"], path)?)
 }
 
 /// Runs a governor until a signal stops it. `faults` names faulty deciders that replace the decision module, in a
@@ -53,26 +53,26 @@
 async fn governor(settings_path: PathBuf, metrics: PrometheusHandle, faults: &[String]) -> Result<()> {
     // Done first: reading the settings may take seconds, and signals that arrive meanwhile are queued.
     let signals = Signals::listen()?;
-    let settings = load(&settings_path)?;
+    let settings = load_settings(&settings_path)?;
     let clock = Clock::start();
     let signing_keys = signing_keys(&settings)?;
     let (epoch, restored, state_writer) = match stored_state(&settings, &clock) {
         Some(stored) => (stored.epoch, Some(stored.restored), stored.writer),
         None => (clock.epoch(), None, None),
     };
-    let wire = Wire { key: signing_keys.first().cloned(), ..wire::wire(&settings, epoch) };
+    let wire = XdsConfig { key: signing_keys.first().cloned(), ..wire::wire(&settings, epoch) };
     let sockets = Sockets::bind(&settings).await?;
     tracing::info!(
         grpc = %sockets.grpc.local_addr()?,
         http = %sockets.http.local_addr()?,
         epoch = format!("{:x}", wire.epoch),
-        classes = wire.groups.len(),
+        classes = wire.classes.len(),
         "governor running"
     );
     let socket = sockets.membership.clone();
     let mut host = host(&settings, wire.clone(), signing_keys, &clock, socket.is_some());
     let (senders, receivers) = channels();
-    let front = Front::new(senders.grpc.clone(), wire.report_every);
+    let front = GrpcServices::new(senders.grpc.clone(), wire.report_interval);
     let tasks = Tasks::start(&settings, &wire, clock, sockets, &senders, front.clone());
     if let Some(restored) = restored {
         host.engine.restore(clock.now(), restored);
@@ -98,7 +98,7 @@
 /// Creates the host from the settings.
 fn host(
     settings: &Settings,
-    wire: Wire,
+    wire: XdsConfig,
     signing_keys: Vec<SigningKey>,
     clock: &Clock,
     has_membership: bool,
--- a/crates/daemon/src/run/event_loop.rs
+++ b/crates/daemon/src/run/event_loop.rs
@@ -10,8 +10,8 @@
 use tokio::sync::mpsc;
 use tonic_health::ServingStatus;
 use wrenthread_settings::Settings;
-use wrenthread_xds::Wire;
-use wrenthread_xds::service::Front;
+use wrenthread_xds::XdsConfig;
+use wrenthread_xds::service::GrpcServices;
 
 use super::reload::accept_settings;
 use super::signals::Signals;
@@ -33,14 +33,14 @@
 pub struct EventLoop {
     pub settings_path: PathBuf,
     pub settings: Settings,
-    pub wire: Wire,
+    pub wire: XdsConfig,
     pub clock: Clock,
     pub host: Host,
     pub state_writer: Option<StateWriter>,
     /// The UDP socket to other governors.
     pub socket: Option<Rc<UdpSocket>>,
     /// Assigns the ids of streams of both fronts.
-    pub front: Front,
+    pub front: GrpcServices,
     pub metrics: PrometheusHandle,
     pub senders: Senders,
     pub tasks: Tasks,
@@ -69,7 +69,7 @@
         let mut persist = tokio::time::interval(seconds(self.settings.state_interval));
         persist.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
-            let deadline = self.clock.instant(self.host.next_deadline(self.clock.now()));
+            let deadline = self.clock.to_instant(self.host.next_deadline(self.clock.now()));
             tokio::select! {
                 biased;
                 _ = signals.terminate.recv() => return Ok("terminated"),
@@ -96,7 +96,7 @@
                 Some(request) = receivers.long_poll.recv() => {
                     let (clock, host, front) = (&self.clock, &mut self.host, &self.front);
                     batch(request, &mut receivers.long_poll, |request| {
-                        host.long_poll_request(clock.now(), request, || front.number());
+                        host.long_poll_request(clock.now(), request, || front.next_stream_id());
                     });
                 }
                 Some(stream) = receivers.streams_with_capacity.recv() => self.host.stream_has_capacity(stream),
@@ -119,7 +119,7 @@
             WorkItem::AwaitCapacity { stream, answers } => {
                 let streams_with_capacity = senders.streams_with_capacity.clone();
                 tokio::task::spawn_local(async move {
-                    if answers.room().await {
+                    if answers.wait_for_capacity().await {
                         let _ = streams_with_capacity.send(stream).await;
                     }
                 });
@@ -154,7 +154,7 @@
     fn persist(&mut self) {
         let Some(writer) = &mut self.state_writer else { return };
         let now = self.clock.now();
-        let unix_seconds = self.clock.calendar(now);
+        let unix_seconds = self.clock.to_unix(now);
         let items = self.host.stored_items(now, unix_seconds, writer.previous());
         writer.store(items, unix_seconds);
     }
@@ -166,13 +166,13 @@
         // Failed replies are ignored: the client may have disconnected.
         match query {
             Query::Ready(reply) => drop(reply.send(host.is_ready() && !host.is_draining())),
-            Query::Status(reply) => drop(reply.send(host.status(now, self.clock.up()))),
+            Query::Status(reply) => drop(reply.send(host.status(now, self.clock.uptime()))),
             Query::Governors(reply) => drop(reply.send(host.governors(now))),
             Query::Tables { proxy, reply } => drop(reply.send(host.tables(&proxy))),
             Query::History { proxy, reply } => drop(reply.send(host.history(now, &proxy))),
             Query::Diff { proxy, from, to, reply } => drop(reply.send(host.diff(&proxy, from, to))),
             Query::Refusals { name, reply } => drop(reply.send(host.refusals(now, &name))),
-            Query::Record(reply) => drop(reply.send(host.record(now, self.clock.calendar(now)))),
+            Query::Record(reply) => drop(reply.send(host.record(now, self.clock.to_unix(now)))),
             Query::Drain { draining, reply } => drop(reply.send(host.set_draining(now, draining))),
             Query::Override { request, reply } => drop(reply.send(host.override_replica(now, &request))),
             Query::Rollback { request, reply } => drop(reply.send(host.rollback(now, &request))),
--- a/crates/daemon/src/run/tasks.rs
+++ b/crates/daemon/src/run/tasks.rs
@@ -10,10 +10,10 @@
 use tonic_health::server::HealthReporter;
 use wrenthread_core::roster::RosterEntry;
 use wrenthread_settings::{RosterSource, Settings};
-use wrenthread_xds::service::Front;
-use wrenthread_xds::{Wire, upstream};
+use wrenthread_xds::service::GrpcServices;
+use wrenthread_xds::{XdsConfig, upstream};
 
-use super::load;
+use super::load_settings;
 use super::startup::{Senders, Sockets};
 use super::wire::seconds;
 use crate::clock::Clock;
@@ -34,7 +34,7 @@
 }
 
 impl GrpcServer {
-    fn start(settings: &Settings, listener: TcpListener, front: Front) -> Self {
+    fn start(settings: &Settings, listener: TcpListener, front: GrpcServices) -> Self {
         let (ads, lrs, csds) = front.services();
         let (health, health_service) = tonic_health::server::health_reporter();
         let (stop, stopped) = oneshot::channel::<()>();
@@ -67,11 +67,11 @@
     /// Starts all tasks. The tasks of gRPC streams start with their connections.
     pub fn start(
         settings: &Settings,
-        wire: &Wire,
+        wire: &XdsConfig,
         clock: Clock,
         sockets: Sockets,
         senders: &Senders,
-        front: Front,
+        front: GrpcServices,
     ) -> Self {
         let received = senders.datagrams.clone();
         let datagrams =
@@ -107,7 +107,7 @@
 /// Starts to watch the source of the roster.
 pub fn watch_roster(
     settings: &Settings,
-    wire: &Wire,
+    wire: &XdsConfig,
     clock: Clock,
     rosters: mpsc::Sender<Vec<RosterEntry>>,
 ) -> JoinHandle<()> {
@@ -118,7 +118,7 @@
             tokio::task::spawn_local(roster_file::watch(path.clone(), interval, zones, clock, rosters))
         }
         RosterSource::Upstream { uri, clusters } => {
-            let started_at = move |unix_seconds| clock.at(unix_seconds);
+            let started_at = move |unix_seconds| clock.host_time_from_unix(unix_seconds);
             let (wire, uri, clusters) = (wire.clone(), uri.clone(), clusters.clone());
             tokio::task::spawn_local(upstream::follow(wire, uri, clusters, started_at, rosters))
         }
@@ -128,7 +128,7 @@
 /// Reloads the settings on another thread, because that may take seconds and must not delay decisions.
 pub fn reload_settings(path: PathBuf, reloads: mpsc::Sender<anyhow::Result<Settings>>) {
     tokio::task::spawn_local(async move {
-        if let Ok(read) = tokio::task::spawn_blocking(move || load(&path)).await {
+        if let Ok(read) = tokio::task::spawn_blocking(move || load_settings(&path)).await {
             let _ = reloads.send(read).await;
         }
     });
--- a/crates/daemon/tests/polling.rs
+++ b/crates/daemon/tests/polling.rs
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use common::{Governor, until};
+use common::{Governor, wait_until};
 use serde_json::Value;
 use tokio::task::LocalSet;
 use wrenthread_client::poll::Session;
@@ -47,13 +47,13 @@
     let started_at = Instant::now();
     while entry_count(cache) != wanted {
         assert!(started_at.elapsed() < Duration::from_secs(20), "no table with {wanted} entries within 20 s");
-        session.ask(cache, &NoObserver).await.unwrap();
+        session.poll(cache, &NoObserver).await.unwrap();
     }
 }
 
 /// Acknowledges the last version by one more poll, which may time out without an answer.
 async fn acknowledge(session: &Session, cache: &SharedCache) {
-    let _ = tokio::time::timeout(Duration::from_millis(300), session.ask(cache, &NoObserver)).await;
+    let _ = tokio::time::timeout(Duration::from_millis(300), session.poll(cache, &NoObserver)).await;
 }
 
 fn run_cli(governor: &Governor, arguments: &[&str]) -> (Option<i32>, String) {
@@ -71,9 +71,9 @@
     let session = join(&governor, "p", &cache).await.unwrap();
     poll_until(&session, &cache, 4).await;
     let first = version(&cache);
-    governor.list(3, &[]);
+    governor.write_roster(3, &[]);
     poll_until(&session, &cache, 3).await;
-    governor.list(6, &[]);
+    governor.write_roster(6, &[]);
     poll_until(&session, &cache, 6).await;
     acknowledge(&session, &cache).await;
     let status = governor.status();
@@ -92,7 +92,7 @@
     poll_until(&session, &cache, 4).await;
     assert_eq!(governor.status()["holds"][0]["why"], "too wide");
     // A replica that starts to drain is removed from the frozen table too.
-    governor.list(6, &[1]);
+    governor.write_roster(6, &[1]);
     poll_until(&session, &cache, 3).await;
     assert!(roll_back("again").1.contains("gone or draining"));
     let (code, output) = run_cli(&governor, &["release", "--proxy", "p"]);
@@ -162,10 +162,10 @@
     poll_until(&session, &cache, 4).await;
     governor.child.kill().unwrap();
     governor.child.wait().unwrap();
-    assert!(session.ask(&cache, &NoObserver).await.is_err());
+    assert!(session.poll(&cache, &NoObserver).await.is_err());
     assert_eq!(entry_count(&cache), 4, "the proxy keeps its table");
     governor.spawn().await;
-    let gone = session.ask(&cache, &NoObserver).await.unwrap_err().to_string();
+    let gone = session.poll(&cache, &NoObserver).await.unwrap_err().to_string();
     assert!(gone.contains("410"), "{gone}");
     let before = cache.borrow().held_version().cloned();
     let session = join(&governor, "p", &cache).await.unwrap();
@@ -184,7 +184,7 @@
     let first = join(&governor, "p", &cache).await.unwrap();
     poll_until(&first, &cache, 4).await;
     let second = join(&governor, "p", &second_cache).await.unwrap();
-    let error = first.ask(&cache, &NoObserver).await.unwrap_err().to_string();
+    let error = first.poll(&cache, &NoObserver).await.unwrap_err().to_string();
     assert!(error.contains("410") || error.contains("409"), "{error}");
     poll_until(&second, &second_cache, 4).await;
     let url = format!("http://127.0.0.1:{}/v1/proxies/x?session=77", governor.poll);
@@ -209,7 +209,7 @@
     let cache = new_cache();
     let session = join(&governor, "p", &cache).await.unwrap();
     for replicas in [3, 4, 3, 4] {
-        governor.list(replicas, &[]);
+        governor.write_roster(replicas, &[]);
         poll_until(&session, &cache, replicas).await;
         slow.read_exact(&mut [0]).unwrap();
     }
@@ -236,14 +236,14 @@
                     })
                 })
                 .collect();
-            until("all proxies have acknowledged their tables", || {
+            wait_until("all proxies have acknowledged their tables", || {
                 let status = governor.status();
                 let proxies = status["proxies"].as_array().unwrap();
                 (proxies.iter().filter(|proxy| proxy["acked"] == proxy["newest"]).count() == PROXIES)
                     .then_some(())
             })
             .await;
-            governor.list(3, &[]);
+            governor.write_roster(3, &[]);
             for task in tasks {
                 task.await.unwrap();
             }
